--- /dev/null
+++ b/crates/quartzdrift-choice/tests/decisions.rs
@@ -0,0 +1,439 @@
+//! The decisions of seeded days, compared with recorded hashes: a change of names or structure must not move one.
+//!
+//! Each day drives one scheduler with a small model of workers and hashes the sequence of its actions in blocks. The
+//! recorded hashes are in `decisions.txt`, one `day block hash` a line; the first block that differs is printed. After an
+//! intended change of a decision, `RECORD_DECISIONS=1` writes the file anew.
+use quartzdrift_choice::choice::Scheduler;
+use quartzdrift_choice::interface::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write;
+use std::time::Duration;
+
+const DAYS: u64 = 24;
+const WORKERS: usize = 10;
+const DAY: Duration = Duration::from_secs(30);
+/// Actions that share a hash.
+const BLOCK: usize = 32;
+const RECORDED: &str = include_str!("decisions.txt");
+
+/// SplitMix64, as published by its author.
+struct Random(u64);
+
+impl Random {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut z = self.0;
+        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        z ^ (z >> 31)
+    }
+
+    fn below(&mut self, bound: u64) -> u64 {
+        self.next() % bound
+    }
+
+    fn chance(&mut self, percent: u64) -> bool {
+        self.below(100) < percent
+    }
+
+    fn millis(&mut self, from: u64, to: u64) -> Duration {
+        Duration::from_micros(from * 1000 + self.below((to - from) * 1000))
+    }
+}
+
+/// What is still to come, in order of time and then of its making.
+enum Coming {
+    Arrival,
+    Ending { job: JobId, execution: u32, worker: String, sent: Duration },
+    Expiry(JobId),
+    Timer(&'static str),
+    List,
+    Forecast,
+    Loaded { worker: String, function: String, copies: u32, sent: Duration },
+}
+
+struct Day {
+    seed: u64,
+    random: Random,
+    scheduler: Scheduler,
+    classes: usize,
+    tenants: u32,
+    fields: usize,
+    now: Duration,
+    made: u64,
+    coming: BTreeMap<(Duration, u64), Coming>,
+    open: BTreeSet<JobId>,
+    attempts: BTreeMap<JobId, u32>,
+    out: BTreeMap<(JobId, u32), (Duration, u64)>,
+    started: Vec<Option<Duration>>,
+    sick: Vec<u64>,
+    next_job: JobId,
+    actions: Vec<String>,
+}
+
+fn settings(seed: u64) -> Settings {
+    let bit = |at: u64| seed >> at & 1 == 1;
+    let ms = Duration::from_millis;
+    let effects = [Effect::Restartable, Effect::Fingerprinted, Effect::RunOnce];
+    let workloads = (0..3).map(|at| Workload {
+        name: format!("class-{at}"),
+        effect: effects[(at + seed as usize) % 3],
+        start_target: Some(ms(400 + 300 * at as u64)),
+        time_limit: Some(ms(3000)),
+        importance: Some(1.0 + at as f64),
+        group: [Group::All, Group::Zone, Group::Cell][seed as usize % 3],
+        window: Some(ms(1500)),
+        ..Workload::default()
+    });
+    let tenant = |name: &str, rate| Customer {
+        name: name.to_owned(),
+        jobs_per_second: Some(rate),
+        ..Customer::default()
+    };
+    let fields = match seed % 4 {
+        0 => vec![ReportField::Held, ReportField::MemoryTaken],
+        1 => vec![ReportField::Busy],
+        2 => vec![ReportField::Queued, ReportField::Loads],
+        _ => Vec::new(),
+    };
+    Settings {
+        schedulers: Some(1 + (seed % 5) as u32),
+        discovery: if bit(1) { Discovery::Ask } else { Discovery::Push },
+        counted_by: if bit(2) { CountedBy::Work } else { CountedBy::Job },
+        workloads: workloads.collect(),
+        customers: vec![tenant("a", 20.0), tenant("b", 10.0)],
+        allowed: Allowed {
+            cancel: bit(0),
+            retry_after: bit(3),
+            max_retry_after: bit(2).then_some(ms(150)),
+            max_executions: Some(1 + (seed % 3) as u32),
+            ..Allowed::default()
+        },
+        rules: Rules {
+            cold_from: Some(0.2),
+            cold_for: Some(ms(4000)),
+            fall_multiple: Some(2.0),
+            fall_window: bit(1).then_some(ms(1500)),
+            drain_grace: Some(ms(250)),
+            ask_within: bit(0).then_some(ms(400)),
+            ..Rules::default()
+        },
+        copies: Copies {
+            orders: bit(2) || bit(0),
+            tells_warm: bit(1),
+            tells_crowd: bit(1),
+            keep: Some(ms(6000)),
+            memory_mb_by_kind: vec![4000.0, 16000.0],
+            idle_memory_price: Some(0.01),
+            load_free: Some(4.0),
+            load_share: Some(0.05),
+            load_window: bit(3).then_some(ms(5000)),
+            ..Copies::default()
+        },
+        report_source: ReportSource::Answers,
+        report_fields: fields,
+        prices: Prices { origin: 0.02, ..Prices::default() },
+        ..Settings::default()
+    }
+}
+
+/// Actions in a form that does not follow the names of types and fields.
+fn written(action: &Action) -> String {
+    match action {
+        Action::Execute { job, worker, time_limit } => format!("send {job} {worker} {time_limit:?}"),
+        Action::PushBack { job, come_back } => format!("reject {job} {come_back:?}"),
+        Action::Kill { job } => format!("fail {job}"),
+        Action::Cancel { job, execution } => format!("cancel {job} {execution}"),
+        Action::Timer { delay, mark } => format!("timer {delay:?} {mark}"),
+        Action::Probe { worker } => format!("probe {worker}"),
+        Action::CloseIdle { worker } => format!("close {worker}"),
+        Action::Tell { to, bytes } => format!("tell {to:?} {bytes:?}"),
+        Action::Load { worker, function, copies } => format!("load {worker} {function} {copies}"),
+        Action::Unload { worker, function } => format!("unload {worker} {function}"),
+        Action::Watch { on } => format!("watch {on}"),
+        Action::AskList => "list".to_owned(),
+        Action::Log { text } => format!("log {text}"),
+    }
+}
+
+impl Day {
+    fn new(seed: u64) -> Day {
+        let settings = settings(seed);
+        let mut random = Random(seed.wrapping_mul(0x5851_f42d_4c95_7f2d));
+        Day {
+            seed,
+            scheduler: Scheduler::new(&settings, random.next()),
+            classes: settings.workloads.len(),
+            tenants: settings.customers.len() as u32,
+            fields: settings.report_fields.len(),
+            random,
+            now: Duration::from_secs(1),
+            made: 0,
+            coming: BTreeMap::new(),
+            open: BTreeSet::new(),
+            attempts: BTreeMap::new(),
+            out: BTreeMap::new(),
+            started: vec![None; WORKERS],
+            sick: vec![0; WORKERS],
+            next_job: 0,
+            actions: Vec::new(),
+        }
+    }
+
+    fn plan(&mut self, after: Duration, what: Coming) -> (Duration, u64) {
+        self.made += 1;
+        let key = (self.now + after, self.made);
+        self.coming.insert(key, what);
+        key
+    }
+
+    fn feed(&mut self, event: Event) {
+        for action in self.scheduler.handle(self.now, event) {
+            self.actions.push(format!("{:?} {}", self.now, written(&action)));
+            self.carry_out(action);
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Execute { job, worker, time_limit } => {
+                let attempt = self.attempts.entry(job).or_insert(0);
+                let execution = *attempt;
+                *attempt += 1;
+                let loads = self.random.chance(25);
+                let took = if loads { self.random.millis(200, 900) } else { self.random.millis(20, 250) };
+                let after = time_limit.map_or(took, |limit| took.min(limit));
+                let (worker, sent) = (worker.to_string(), self.now);
+                let key = self.plan(after, Coming::Ending { job, execution, worker, sent });
+                self.out.insert((job, execution), key);
+            }
+            Action::PushBack { job, .. } | Action::Kill { job } => drop(self.open.remove(&job)),
+            Action::Cancel { job, execution } => {
+                let Some(key) = self.out.get(&(job, execution)).copied() else { return };
+                if let Some(Coming::Ending { worker, sent, .. }) = self.coming.remove(&key) {
+                    self.out.remove(&(job, execution));
+                    let after = Duration::from_micros(10);
+                    let sent = sent + Duration::from_secs(1_000_000); // marks a cancelled one
+                    self.plan(after, Coming::Ending { job, execution, worker, sent });
+                }
+            }
+            Action::Timer { delay, mark } => {
+                self.plan(delay, Coming::Timer(mark));
+            }
+            Action::Load { worker, function, copies } => {
+                let took = self.random.millis(100, 700);
+                let (worker, function, sent) = (worker.to_string(), function.to_string(), self.now);
+                self.plan(took, Coming::Loaded { worker, function, copies, sent });
+            }
+            Action::Watch { .. } | Action::AskList => {
+                self.plan(Duration::from_millis(30), Coming::List);
+            }
+            Action::Probe { .. }
+            | Action::CloseIdle { .. }
+            | Action::Tell { .. }
+            | Action::Unload { .. }
+            | Action::Log { .. } => {}
+        }
+    }
+
+    fn list(&mut self, form: ListForm) {
+        let names: Vec<String> = (0..WORKERS).map(|at| format!("10.0.0.{at}:80")).collect();
+        if form != ListForm::Saved && self.random.chance(40) {
+            let at = self.random.below(WORKERS as u64) as usize;
+            self.started[at] = Some(self.now);
+        }
+        let mut entries = Vec::new();
+        for (at, worker) in names.iter().enumerate() {
+            let state = match self.random.below(12) {
+                0 if form != ListForm::Saved => State::Draining,
+                1 if form == ListForm::Changes => State::Gone,
+                _ => State::Up,
+            };
+            if form == ListForm::Changes && self.random.chance(70) {
+                continue;
+            }
+            let (kind, zone, cell) = (at as u32 % 2, at as u32 % 3, at as u32 / 5);
+            let started = self.started[at];
+            entries.push(Entry { worker, capacity_hint: None, cell, kind, zone, started, state });
+        }
+        if form == ListForm::Failed {
+            entries.clear();
+        }
+        self.feed(Event::List { form, entries });
+    }
+
+    fn arrival(&mut self) {
+        // A burst in the middle third.
+        let busy = self.now > DAY / 3 && self.now < DAY * 2 / 3;
+        let gap = if busy { self.random.millis(1, 9) } else { self.random.millis(4, 30) };
+        self.plan(gap, Coming::Arrival);
+        self.next_job += 1;
+        let job = self.next_job;
+        let function = format!("f{}", self.random.below(4) * self.random.below(6));
+        let left = self.random.millis(800, 3000);
+        let asked = JobAsked {
+            job,
+            workload: self.random.below(self.classes as u64 + u64::from(job.is_multiple_of(97))) as u32,
+            customer: self.random.below(u64::from(self.tenants)) as u32,
+            function: &function,
+            left,
+            memory_mb: (!job.is_multiple_of(3)).then_some(200.0),
+            lanes: (!job.is_multiple_of(2)).then_some(1.0 + (job % 4) as f64),
+            ..JobAsked::default()
+        };
+        self.open.insert(job);
+        self.plan(left, Coming::Expiry(job));
+        self.feed(Event::Job(asked));
+    }
+
+    fn report(&mut self) -> Vec<Option<f64>> {
+        let field = |random: &mut Random| (!random.chance(10)).then(|| random.below(1000) as f64 / 100.0);
+        (0..self.fields).map(|_| field(&mut self.random)).collect()
+    }
+
+    fn ending(&mut self, job: JobId, execution: u32, worker: &str, sent: Duration) {
+        self.out.remove(&(job, execution));
+        let cancelled = sent > self.now;
+        let at: usize = worker[7..worker.len() - 3].parse().unwrap();
+        if self.random.chance(1) {
+            self.sick[at] = self.random.below(60);
+        }
+        let sick = self.sick[at] > 0;
+        self.sick[at] = self.sick[at].saturating_sub(1);
+        let outcome = match self.random.below(if sick { 8 } else { 60 }) {
+            _ if cancelled => Outcome::Cancelled,
+            0 => Outcome::Error,
+            1 => Outcome::Full,
+            2 => Outcome::TimedOut,
+            3 => Outcome::ConnectFailed,
+            4 => Outcome::Reset,
+            5 => Outcome::Miss,
+            6 => Outcome::Moot,
+            _ => Outcome::Finished,
+        };
+        let found = match self.random.below(8) {
+            0 => Found::Untold,
+            1 => Found::BeganLoad,
+            2 => Found::AwaitedLoad,
+            3 if outcome == Outcome::Miss => Found::LoadFailed,
+            _ => Found::Warm,
+        };
+        let took = if cancelled { self.random.millis(1, 400) } else { self.now - sent };
+        let over = outcome == Outcome::Finished || !self.open.contains(&job);
+        if over {
+            self.open.remove(&job);
+        }
+        let report = self.report();
+        self.feed(Event::Ended { job, execution, worker, outcome, took, over, found, crowd: None, report });
+    }
+
+    fn forecast(&mut self) {
+        self.plan(Duration::from_millis(700), Coming::Forecast);
+        let function = format!("f{}", self.random.below(16));
+        let expected = Expectation {
+            function: &function,
+            workload: self.random.below(self.classes as u64) as u32,
+            within: self.random.millis(500, 9000),
+            sure: self.random.below(100) as f64 / 100.0,
+            jobs_per_second: self.random.chance(50).then_some(3.0),
+            memory_mb: Some(200.0),
+            lanes: Some(1.0),
+            load_hint: self.random.chance(50).then_some(Duration::from_millis(600)),
+        };
+        self.feed(Event::Expected(expected));
+        match self.random.below(20) {
+            0 => {
+                let schedulers = 1 + self.random.below(6) as u32;
+                self.feed(Event::Schedulers(schedulers));
+            }
+            1 => {
+                let before = self.scheduler.measured.clone();
+                self.feed(Event::Measured(before));
+            }
+            _ => {}
+        }
+    }
+
+    fn step(&mut self, what: Coming) {
+        match what {
+            Coming::Arrival => self.arrival(),
+            Coming::Ending { job, execution, worker, sent } => self.ending(job, execution, &worker, sent),
+            Coming::Expiry(job) => {
+                if self.open.remove(&job) {
+                    self.feed(Event::Expired { job });
+                }
+            }
+            Coming::Timer(mark) => self.feed(Event::Timer { mark }),
+            Coming::List => {
+                self.plan(Duration::from_millis(2500), Coming::List);
+                let form = match self.random.below(6) {
+                    0 => ListForm::Failed,
+                    1 | 2 => ListForm::Full,
+                    _ => ListForm::Changes,
+                };
+                self.list(form);
+            }
+            Coming::Forecast => self.forecast(),
+            Coming::Loaded { worker, function, copies, sent } => {
+                let (outcome, copies) = match self.random.below(10) {
+                    0 => (Outcome::Error, 0),
+                    1 => (Outcome::Full, 0),
+                    2 => (Outcome::Finished, 0),
+                    _ => (Outcome::Finished, copies),
+                };
+                let took = self.now - sent;
+                let (worker, function) = (&*worker, &*function);
+                self.feed(Event::Loaded { worker, function, outcome, took, copies });
+            }
+        }
+    }
+
+    fn play(mut self) -> Vec<String> {
+        self.list(ListForm::Saved);
+        self.plan(Duration::from_millis(5), Coming::Arrival);
+        self.plan(Duration::from_millis(1500), Coming::List);
+        self.plan(Duration::from_millis(2000), Coming::Forecast);
+        while let Some(((at, _), what)) = self.coming.pop_first().filter(|((at, _), _)| *at < DAY) {
+            self.now = at;
+            self.step(what);
+        }
+        assert!(
+            self.actions.len() > 1000,
+            "day {} decides little: {} actions",
+            self.seed,
+            self.actions.len()
+        );
+        self.actions
+    }
+}
+
+/// FNV-1a with 64 bits, as published.
+fn hash(lines: &[String]) -> u64 {
+    let bytes = lines.iter().flat_map(|line| line.bytes().chain([b'\n']));
+    bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+}
+
+#[test]
+fn actions_of_seeded_days_are_the_recorded_ones() {
+    let mut recorded = RECORDED.lines();
+    let mut text = String::new();
+    let record = std::env::var_os("RECORD_DECISIONS").is_some();
+    for seed in 0..DAYS {
+        let actions = Day::new(seed).play();
+        for (block, lines) in actions.chunks(BLOCK).enumerate() {
+            let line = format!("{seed} {block} {:016x}", hash(lines));
+            let expected = recorded.next();
+            assert!(
+                record || expected == Some(&*line),
+                "day {seed}, block {block}: decided otherwise than recorded ({expected:?}):\n{}",
+                lines.join("\n")
+            );
+            writeln!(text, "{line}").unwrap();
+        }
+    }
+    if record {
+        std::fs::write(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/decisions.txt"), text).unwrap();
+    } else {
+        assert_eq!(recorded.next(), None, "more was recorded than is decided");
+    }
+}
--- a/crates/quartzdrift-members/src/wire.rs
+++ b/crates/quartzdrift-members/src/wire.rs
@@ -227,6 +227,39 @@
         assert_eq!(of(b"GET / HTTP/1.1\r\n\r\n", 7), Some(Refused::Foreign));
     }
 
+    /// A datagram with a part of each kind, as the release of 2026-12-02 sends it.
+    const RECORDED: &str = "51444d01070161010203040200000102000102100002030162007f000001bf4cac02050107020003040f00040162007f000001bf4cac02050107030005f403030006016d040007017a01060008010301020302fdcb6075684d77ac1a288a24f814f5";
+
+    #[test]
+    fn datagrams_are_those_of_earlier_releases() {
+        let news = News {
+            name: "b".to_owned(),
+            address: "127.0.0.1:9791".parse().unwrap(),
+            life: 300,
+            incarnation: 5,
+            state: crate::news::State::Suspect,
+            accuser: 7,
+        };
+        let parts = [
+            Part::Ping { probe: 1 },
+            Part::Ack { probe: 2 },
+            Part::Relay { probe: 3, about: news.clone() },
+            Part::Nack { probe: 4 },
+            Part::News(news),
+            Part::Hello { answers: 500 },
+            Part::Ask { after: "m".to_owned() },
+            Part::Page { last: "z".to_owned(), more: true },
+            Part::Told { topic: 1, bytes: vec![1, 2, 3] },
+        ];
+        let mut writer = Writer::new(&head(), 1200);
+        parts.iter().for_each(|part| assert!(writer.add(part)));
+        let bytes = writer.end(b"key");
+        let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        assert_eq!(hex, RECORDED);
+        let read = read(&bytes, 7, &[b"key".to_vec()]).unwrap();
+        assert_eq!((read.head, &read.parts[..]), (head(), &parts[..]));
+    }
+
     #[test]
     fn a_part_of_a_later_release_is_passed_over() {
         let mut writer = Writer::new(&head(), 1200);
--- /dev/null
+++ b/crates/quartzdrift/tests/stored.rs
@@ -0,0 +1,162 @@
+//! What earlier releases stored is read, and means the same: files that a gateway of 2026-12-02 left, killed with
+//! invocations of each kind open. Each is written again and compared byte for byte.
+use quartzdrift::{durable, saved};
+use quartzdrift_choice::interface::{Effect, State};
+use quartzdrift_choice::measure::Measured;
+use quartzdrift_deferred::Destination;
+use quartzdrift_forecast::Forecasts;
+use quartzdrift_recovery::{Kind, Mark, Stage, View};
+use quartzdrift_roster::list::{self, Known};
+use quartzdrift_store::{Folder, Log, look};
+use serde_json::Value;
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+fn stored() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored")
+}
+
+fn last(name: &str) -> Vec<u8> {
+    saved::last(&stored(), name).unwrap().unwrap()
+}
+
+/// Written by this release, a file is the same as the stored one, its checksum included.
+fn is_written_again(name: &str, content: &[u8]) {
+    let folder = tempfile::tempdir().unwrap();
+    saved::write(folder.path(), name, content).unwrap();
+    assert_eq!(fs::read(folder.path().join(name)).unwrap(), fs::read(stored().join(name)).unwrap(), "{name}");
+}
+
+/// Whether two texts have the same keys in the same places, and values that are equal but for rounding.
+fn alike(one: &Value, other: &Value) -> bool {
+    match (one, other) {
+        (Value::Object(one), Value::Object(other)) => {
+            one.len() == other.len()
+                && one.iter().all(|(key, of)| other.get(key).is_some_and(|to| alike(of, to)))
+        }
+        (Value::Array(one), Value::Array(other)) => {
+            one.len() == other.len() && one.iter().zip(other).all(|(one, other)| alike(one, other))
+        }
+        (Value::Number(one), Value::Number(other)) => {
+            let (one, other) = (one.as_f64().unwrap(), other.as_f64().unwrap());
+            (one - other).abs() <= one.abs() * 1e-12
+        }
+        (one, other) => one == other,
+    }
+}
+
+#[test]
+fn open_invocations_are_read_from_the_log() {
+    // Opening a folder locks it, which leaves a file behind.
+    let folder = tempfile::tempdir().unwrap();
+    let name = "deferred-000000000001.log";
+    fs::copy(stored().join("deferred").join(name), folder.path().join(name)).unwrap();
+    let found = look(&Folder::open(folder.path()).unwrap()).unwrap();
+    assert!(found.faults.is_empty() && found.torn == 0, "{found:?}");
+    let read: Vec<_> = found
+        .live
+        .iter()
+        .map(|live| {
+            let kept = durable::kept(live).expect("it is of this release's form");
+            assert_eq!(kept.job.to_bytes(), live.job, "written again it is the same");
+            (kept.id.0, kept.job.function.clone(), kept.job.effect, kept.tries, kept.out.is_some(), kept.job)
+        })
+        .collect();
+    let told: Vec<_> = read
+        .iter()
+        .map(|(id, function, effect, tries, out, _)| (*id, &**function, *effect, *tries, *out))
+        .collect();
+    assert_eq!(
+        told,
+        [
+            (1, "fail", Effect::Restartable, 1, false),
+            (2, "echo", Effect::Restartable, 1, true),
+            (3, "slow", Effect::RunOnce, 1, true),
+            (4, "mark", Effect::Fingerprinted, 1, true),
+        ]
+    );
+    let jobs: Vec<_> = read.into_iter().map(|(.., job)| job).collect();
+    assert_eq!(jobs[0].on_failure, Some(Destination::Url("http://127.0.0.1:19999/dead".to_owned())));
+    assert_eq!(jobs[1].on_failure, Some(Destination::Function("dead".to_owned())));
+    assert_eq!((jobs[3].mark.as_deref(), jobs[3].window), (Some("k-1"), Duration::from_secs(60)));
+    assert_eq!(&jobs[2].payload[..], br#"{"n":3}"#);
+    // It goes on where the old process ended.
+    let (mut log, live) = Log::open(Folder::open(folder.path()).unwrap_or_else(|e| panic!("{e}"))).unwrap();
+    assert_eq!(live.len(), 4);
+    log.commit(vec![quartzdrift_store::Change::Over { id: 2 }]).unwrap();
+    drop(log);
+    assert_eq!(look(&Folder::open(folder.path()).unwrap()).unwrap().live.len(), 3);
+}
+
+#[test]
+fn the_list_of_workers_is_read() {
+    let known =
+        Known { zones: vec!["east".into(), "west".into()], kinds: vec!["large".into(), "small".into()] };
+    let bytes = fs::read(stored().join(saved::WORKERS)).unwrap();
+    let list = list::read(&bytes, &known).unwrap();
+    assert!(list.unread.is_empty() && list.workers.len() == 2, "{list:?}");
+    let (one, two) = (&list.workers[0], &list.workers[1]);
+    assert_eq!(
+        (&*one.worker, one.state, one.started),
+        ("127.0.0.1:19801", State::Up, Some(Duration::from_millis(1_796_190_000_250)))
+    );
+    assert_eq!(
+        (two.state, two.zone, two.kind, two.cell, two.capacity),
+        (State::Draining, 1, 1, 3, Some(2.5))
+    );
+    let again = list::read(&list::write(&list.workers, &known), &known).unwrap();
+    assert_eq!(again.workers, list.workers);
+}
+
+#[test]
+fn members_checkpoint_and_stages_are_read_and_written_again() {
+    let members: quartzdrift::gateway::fleet::View = serde_json::from_slice(&last(saved::MEMBERS)).unwrap();
+    assert_eq!((&*members.name, members.schedulers, &*members.members[0].name), ("a", 2, "b"));
+    is_written_again(saved::MEMBERS, &serde_json::to_vec_pretty(&members).unwrap());
+    let mark: Mark = serde_json::from_slice(&last(saved::MARK)).unwrap();
+    assert_eq!((&*mark.name, mark.starts, mark.clean, mark.settled, mark.notes), ("a", 1, false, true, 4));
+    assert_eq!((mark.at.since_boot, mark.seen["b"]), (Duration::from_millis(831_480), 1));
+    is_written_again(saved::MARK, &serde_json::to_vec(&mark).unwrap());
+    let view: View = serde_json::from_slice(&last(saved::STAGES)).unwrap();
+    assert_eq!(
+        (view.stage, view.verdict.as_ref().map(|of| of.kind), view.beliefs.len()),
+        (Stage::Full, Some(Kind::First), 7)
+    );
+    is_written_again(saved::STAGES, &serde_json::to_vec_pretty(&view).unwrap());
+}
+
+#[test]
+fn what_was_measured_and_forecast_is_read_and_written_again() {
+    let bytes = last(saved::MEASURED);
+    let measured: Measured = postcard::from_bytes(&bytes).unwrap();
+    assert_eq!(
+        (measured.peaks.len(), measured.most_up[&None], measured.usual),
+        (2, 2, Some(Duration::from_nanos(2_326_081)))
+    );
+    is_written_again(saved::MEASURED, &postcard::to_stdvec(&measured).unwrap());
+    let bytes = last(saved::FORECASTS);
+    let at = Duration::new(1_796_190_540, 113_451_731);
+    let forecasts = Forecasts::restore(Default::default(), &bytes, at).unwrap();
+    assert_eq!(forecasts.len(), 4);
+    // Behind a head of 16 bytes. Reading may round a fraction's last digit.
+    let body = |bytes: &[u8]| serde_json::from_slice::<Value>(&bytes[16..]).unwrap();
+    let again = forecasts.save(at);
+    assert_eq!(again[..12], bytes[..12]);
+    assert!(alike(&body(&again), &body(&bytes)), "{}", body(&again));
+}
+
+#[test]
+fn every_key_of_a_settings_file_is_known() {
+    let settings = quartzdrift::settings::load(&stored().join("settings.toml")).unwrap_or_else(|faults| {
+        panic!("{}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+    });
+    let effects: Vec<Effect> = settings.choice.workloads.iter().map(|class| class.effect).collect();
+    assert_eq!(effects, [Effect::Restartable, Effect::Fingerprinted, Effect::RunOnce]);
+    assert_eq!((settings.choice.allowed.max_executions, settings.choice.report_fields.len()), (Some(2), 8));
+    assert_eq!((settings.choice.copies.orders, settings.choice.copies.load_share), (true, Some(0.1)));
+    assert_eq!(
+        (settings.choice.over_share_importance, settings.choice.goal.worst_customer),
+        (Some(0.05), 0.1)
+    );
+}
