--- a/crates/quartzdrift-adapter/src/main.rs
+++ b/crates/quartzdrift-adapter/src/main.rs
@@ -2,8 +2,8 @@
 //! which share nothing. All decisions are the module's; this only translates.
 mod wire;
 
-use quartzdrift_choice::choice::Scheduler;
-use quartzdrift_choice::interface::*;
+use quartzdrift_scheduler::interface::*;
+use quartzdrift_scheduler::scheduler::Scheduler;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -22,7 +22,7 @@
 }
 
 impl Host {
-    /// Starts an instance; `Err` ends it all, as jobs of an instance that did not start would go unanswered.
+    /// Starts an instance; `Err` ends it all, as requests of an instance that did not start would go unanswered.
     fn open(&mut self, line: &Line) -> Result<(), String> {
         let instance = line.count("i").ok_or_else(need("i"))?;
         let told = serde_json::from_str(line.to_end("boot-info").unwrap_or("")).map_err(|e| e.to_string())?;
@@ -33,89 +33,92 @@
     }
 
     /// Carries out one other event; `Err` says what of the line could not be read.
-    fn event(&mut self, line: &Line, entries: Vec<Entry>) -> Result<(), String> {
+    fn event(&mut self, line: &Line, entries: Vec<Endpoint>) -> Result<(), String> {
         let instance = match line.name {
             "detach" | "targets" | "req" | "fired" | "sampled" | "answer" | "started" | "heard"
             | "expired" | "stands" => line.count::<u64>("i").ok_or_else(need("i"))?,
             _ => return Ok(()),
         };
-        let job = || line.count::<JobId>("tid").ok_or_else(need("tid"));
+        let request = || line.count::<RequestId>("tid").ok_or_else(need("tid"));
         let worker = || line.text("worker").ok_or_else(need("worker"));
         let outcome = || line.outcome().ok_or_else(need("disposition"));
-        let took = || line.span("cost-time-ns").unwrap_or_default();
+        let duration = || line.span("cost-time-ns").unwrap_or_default();
         let event = match line.name {
             "detach" => {
                 self.instances.remove(&instance);
                 return Ok(());
             }
-            "targets" => Event::List {
+            "targets" => Event::EndpointList {
                 form: match line.text("form") {
-                    Some("INCREMENTAL") => ListForm::Changes,
-                    Some("FULL") => ListForm::Full,
-                    Some("SAVED") => ListForm::Saved,
-                    Some("FAILED") => ListForm::Failed,
+                    Some("INCREMENTAL") => EndpointListKind::Changes,
+                    Some("FULL") => EndpointListKind::Full,
+                    Some("SAVED") => EndpointListKind::Snapshot,
+                    Some("FAILED") => EndpointListKind::Failed,
                     other => {
-                        // Passed over, it could hide a drain.
+                        // Passed concluded, it could hide a drain.
                         eprintln!("a list of form {other:?} is taken for changes");
-                        ListForm::Changes
+                        EndpointListKind::Changes
                     }
                 },
                 entries,
             },
-            "req" => Event::Job(JobAsked {
-                job: job()?,
+            "req" => Event::Request(Request {
+                request: request()?,
                 // One that cannot be read is none of ours: some other's rule on repeats would be kept for it.
-                workload: line.text("tier-class").map_or(0, |told| told.parse().unwrap_or(u32::MAX)),
-                customer: line.count("user-group").unwrap_or(0),
+                request_class: line.text("tier-class").map_or(0, |told| told.parse().unwrap_or(u32::MAX)),
+                tenant: line.count("user-group").unwrap_or(0),
                 function: line.text("image").unwrap_or(""),
                 left: line.span("grace-ns").unwrap_or_default(),
                 work_hint: line.span("expected-ns"),
                 memory_mb: line.number("size-mb"),
-                lanes: line.number("lanes"),
+                concurrency_slots: line.number("lanes"),
                 load_hint: line
                     .number("start-ms")
                     .and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok()),
                 is_retry: line.flag("is-retry"),
                 writes: line.flag("mutates"),
             }),
-            "fired" => Event::Timer { mark: line.text("mark").ok_or_else(need("mark"))? },
-            "sampled" => {
-                Event::Probed { worker: worker()?, outcome: outcome()?, took: took(), report: line.report() }
-            }
+            "fired" => Event::Timer { name: line.text("mark").ok_or_else(need("mark"))? },
+            "sampled" => Event::HealthChecked {
+                worker: worker()?,
+                outcome: outcome()?,
+                duration: duration(),
+                report: line.report(),
+            },
             "answer" => {
-                let (found, crowd) = line.found();
-                Event::Ended {
-                    job: job()?,
-                    execution: line.count("seq-no").unwrap_or(0),
+                let (cache_result, concurrency) = line.cache_result();
+                Event::AttemptEnded {
+                    request: request()?,
+                    attempt: line.count("seq-no").unwrap_or(0),
                     worker: worker()?,
-                    // Passed over, its job would go unanswered: it may have run.
+                    // Passed concluded, its request would go unanswered: it may have run.
                     outcome: outcome().unwrap_or_else(|why| {
                         eprintln!("job {}: {why}; it is taken for an error", line.text("tid").unwrap_or(""));
                         Outcome::Error
                     }),
-                    took: took(),
-                    over: line.flag("no-more"),
-                    found,
-                    crowd: Some(crowd),
+                    duration: duration(),
+                    concluded: line.flag("no-more"),
+                    cache_result,
+                    concurrency: Some(concurrency),
                     report: line.report(),
                 }
             }
-            "started" => Event::Streaming {
-                job: job()?,
-                execution: line.count("seq-no").unwrap_or(0),
+            "started" => Event::StreamingStarted {
+                request: request()?,
+                attempt: line.count("seq-no").unwrap_or(0),
                 worker: worker()?,
-                took: took(),
+                duration: duration(),
             },
-            "heard" => Event::Heard {
+            "heard" => Event::PeerMessage {
                 from: line.count("sender").unwrap_or(0),
                 bytes: line.text("body").and_then(wire::bytes_of).ok_or_else(need("body"))?,
             },
-            "expired" => Event::Expired { job: job()? },
-            _ => Event::Loaded {
+            "expired" => Event::RequestCancelled { request: request()? },
+            _ => Event::LoadEnded {
                 worker: worker()?,
                 function: line.text("image").ok_or_else(need("image"))?,
                 outcome: outcome()?,
-                took: took(),
+                duration: duration(),
                 copies: line.count("n-inst").unwrap_or(0),
             },
         };
@@ -194,7 +197,7 @@
     const START: &str = "sync\tmoment-ns=1000000\nopen_instance\ti=0\tnonce64=7\tboot-info=SETTINGS\n\
         targets\ti=0\tform=SAVED\tlines=1\nworker\tworker=10.0.0.1:1\thealth=up\ncommit\n";
     const SETTINGS: &str = r#"{"registry-mode":"push","classes":[{"effect":"retryable"}]}"#;
-    const JOB: &str = "req\ti=0\ttid=5\timage=f\tgrace-ns=1000000000\n";
+    const REQUEST: &str = "req\ti=0\ttid=5\timage=f\tgrace-ns=1000000000\n";
 
     fn play(settings: &str, then: &str) -> Result<String, String> {
         let mut out = Vec::new();
@@ -214,14 +217,14 @@
     }
 
     #[test]
-    fn what_cannot_be_read_leaves_no_job_without_an_answer() {
-        let sent = play(SETTINGS, JOB).unwrap();
+    fn what_cannot_be_read_leaves_no_request_without_an_answer() {
+        let sent = play(SETTINGS, REQUEST).unwrap();
         assert!(sent.contains("pass_on\ti=0\ttid=5\tworker=10.0.0.1:1"), "{sent}");
-        let told = format!("{JOB}answer\ti=0\ttid=5\tseq-no=0\tworker=10.0.0.1:1\tdisposition=eaten\n");
+        let told = format!("{REQUEST}answer\ti=0\ttid=5\tseq-no=0\tworker=10.0.0.1:1\tdisposition=eaten\n");
         assert!(play(SETTINGS, &told).unwrap().contains("push_back\ti=0\ttid=5"));
         let once = SETTINGS.replace("retryable", "fragile");
         assert!(play(&once, &told).unwrap().contains("drop_request\ti=0\ttid=5"), "it may have run");
-        let class = play(SETTINGS, &JOB.replace("image", "tier-class=-1\timage")).unwrap();
+        let class = play(SETTINGS, &REQUEST.replace("image", "tier-class=-1\timage")).unwrap();
         assert!(class.contains("push_back\ti=0\ttid=5") && !class.contains("pass_on"), "{class}");
     }
 
@@ -231,7 +234,7 @@
             "form=NEW\tlines=1\nworker\tworker=10.0.0.1:1\thealth=draining",
             "form=INCREMENTAL\tlines=1\nworker\tworker=10.0.0.1:1",
         ] {
-            let sent = play(SETTINGS, &format!("targets\ti=0\t{news}\n{JOB}")).unwrap();
+            let sent = play(SETTINGS, &format!("targets\ti=0\t{news}\n{REQUEST}")).unwrap();
             assert!(sent.contains("push_back\ti=0\ttid=5") && !sent.contains("pass_on"), "{sent}");
         }
     }
--- a/crates/quartzdrift-adapter/src/wire.rs
+++ b/crates/quartzdrift-adapter/src/wire.rs
@@ -1,5 +1,5 @@
 //! Lines of the wire: reading fields by name, writing actions.
-use quartzdrift_choice::interface::*;
+use quartzdrift_scheduler::interface::*;
 use std::fmt::Write;
 use std::time::Duration;
 
@@ -50,15 +50,15 @@
 
     pub fn outcome(&self) -> Option<Outcome> {
         Some(match self.text("disposition")? {
-            "completed" => Outcome::Finished,
+            "completed" => Outcome::Succeeded,
             "errored" => Outcome::Error,
-            "saturated" => Outcome::Full,
+            "saturated" => Outcome::AtCapacity,
             "overdue" => Outcome::TimedOut,
             "refused_conn" => Outcome::ConnectFailed,
             "severed" => Outcome::Reset,
             "recalled" => Outcome::Cancelled,
-            "superseded" => Outcome::Moot,
-            "lookup_miss" => Outcome::Miss,
+            "superseded" => Outcome::NeverSent,
+            "lookup_miss" => Outcome::CacheMiss,
             _ => return None,
         })
     }
@@ -69,21 +69,21 @@
         row.split(',').map(value).collect()
     }
 
-    /// Remark: the low three bits tell of the copy, the rest how many jobs of the function were held.
-    pub fn found(&self) -> (Found, u32) {
+    /// Remark: the low three bits tell of the copy, the rest how many requests of the function were held.
+    pub fn cache_result(&self) -> (CacheResult, u32) {
         let remark: u32 = self.count("remark").unwrap_or(0);
-        let found = match remark % 8 {
-            1 => Found::Warm,
-            2 => Found::BeganLoad,
-            3 => Found::AwaitedLoad,
-            4 => Found::LoadFailed,
-            _ => Found::Untold,
+        let cache_result = match remark % 8 {
+            1 => CacheResult::Warm,
+            2 => CacheResult::StartedLoad,
+            3 => CacheResult::AwaitedLoad,
+            4 => CacheResult::LoadFailed,
+            _ => CacheResult::Unknown,
         };
-        (found, remark / 8)
+        (cache_result, remark / 8)
     }
 
-    pub fn entry(&self) -> Option<Entry<'a>> {
-        Some(Entry {
+    pub fn entry(&self) -> Option<Endpoint<'a>> {
+        Some(Endpoint {
             worker: self.text("worker")?,
             capacity_hint: self.number("capacity-hint"),
             cell: self.count("cell").unwrap_or(0),
@@ -92,9 +92,9 @@
             started: self.span("came-up-ns").filter(|at| !at.is_zero()),
             // What is not said to be up gets nothing.
             state: match self.text("health") {
-                Some("up") => State::Up,
-                Some("draining") => State::Draining,
-                _ => State::Gone,
+                Some("up") => EndpointState::Up,
+                Some("draining") => EndpointState::Draining,
+                _ => EndpointState::Gone,
             },
         })
     }
@@ -118,28 +118,28 @@
 
 pub fn write(out: &mut String, i: u64, action: &Action) -> std::fmt::Result {
     match action {
-        Action::Execute { job, worker, time_limit } => {
-            write!(out, "pass_on\ti={i}\ttid={job}\tworker={worker}")?;
-            if let Some(limit) = time_limit {
+        Action::StartAttempt { request, worker, timeout } => {
+            write!(out, "pass_on\ti={i}\ttid={request}\tworker={worker}")?;
+            if let Some(limit) = timeout {
                 write!(out, "\tmax-wait-ns={}", limit.as_nanos())?;
             }
         }
-        Action::PushBack { job, come_back } => {
-            write!(out, "push_back\ti={i}\ttid={job}")?;
-            if let Some(span) = come_back {
+        Action::Reject { request, retry_after } => {
+            write!(out, "push_back\ti={i}\ttid={request}")?;
+            if let Some(span) = retry_after {
                 write!(out, "\tcool-down-ns={}", span.as_nanos())?;
             }
         }
-        Action::Kill { job } => write!(out, "drop_request\ti={i}\ttid={job}")?,
-        Action::Cancel { job, execution } => {
-            write!(out, "abort_attempt\ti={i}\ttid={job}\tseq-no={execution}")?
+        Action::Fail { request } => write!(out, "drop_request\ti={i}\ttid={request}")?,
+        Action::CancelAttempt { request, attempt } => {
+            write!(out, "abort_attempt\ti={i}\ttid={request}\tseq-no={attempt}")?
         }
-        Action::Timer { delay, mark } => {
-            write!(out, "notify_me\ti={i}\tdelay-ns={}\tmark={mark}", delay.as_nanos())?
+        Action::SetTimer { delay, name } => {
+            write!(out, "notify_me\ti={i}\tdelay-ns={}\tmark={name}", delay.as_nanos())?
         }
-        Action::Probe { worker } => write!(out, "ping\ti={i}\tworker={worker}")?,
+        Action::CheckHealth { worker } => write!(out, "ping\ti={i}\tworker={worker}")?,
         Action::CloseIdle { worker } => write!(out, "shut_idle\ti={i}\tworker={worker}")?,
-        Action::Tell { to, bytes } => {
+        Action::SendToPeer { to, bytes } => {
             let to = to.map_or("all".to_owned(), |n| n.to_string());
             write!(out, "share\ti={i}\tdst={to}\tbody={}", hex_of(bytes))?
         }
@@ -150,7 +150,7 @@
             write!(out, "unload\ti={i}\tworker={worker}\timage={function}")?
         }
         Action::Watch { on } => write!(out, "watch\ti={i}\tactive={}", u8::from(*on))?,
-        Action::AskList => write!(out, "snapshot\ti={i}")?,
+        Action::PollEndpoints => write!(out, "snapshot\ti={i}")?,
         Action::Log { text } => write!(out, "trace\ti={i}\ttext={}", text.replace(['\n', '\r', '\t'], " "))?,
     }
     out.push('\n');
--- a/crates/quartzdrift-deferred/src/kept.rs
+++ b/crates/quartzdrift-async-queue/src/kept.rs
@@ -1,6 +1,6 @@
-//! A job as bytes that outlast the process, in postcard's published format after a version.
+//! A request as bytes that outlast the process, in postcard's published format after a version.
 use crate::queue::{Destination, Submitted};
-use quartzdrift_choice::interface::Effect;
+use quartzdrift_scheduler::interface::Idempotency;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 #[derive(Serialize, Deserialize)]
 struct Written {
     function: String,
-    customer: u32,
-    /// 0 restartable, 1 fingerprinted, 2 run-once.
-    effect: u8,
+    tenant: u32,
+    /// 0 idempotent, 1 fingerprinted, 2 non-idempotent.
+    idempotency: u8,
     anywhere: bool,
     window_us: u64,
     payload: Vec<u8>,
@@ -28,11 +28,11 @@
     pub fn to_bytes(&self) -> Vec<u8> {
         let written = Written {
             function: self.function.clone(),
-            customer: self.customer,
-            effect: match self.effect {
-                Effect::Restartable => 0,
-                Effect::Fingerprinted => 1,
-                Effect::RunOnce => 2,
+            tenant: self.tenant,
+            idempotency: match self.idempotency {
+                Idempotency::Idempotent => 0,
+                Idempotency::IdempotentWithKey => 1,
+                Idempotency::NonIdempotent => 2,
             },
             anywhere: self.anywhere,
             window_us: self.window.as_micros() as u64,
@@ -55,11 +55,11 @@
         let written: Written = (version == VERSION).then(|| postcard::from_bytes(body).ok())??;
         Some(Submitted {
             function: written.function,
-            customer: written.customer,
-            effect: match written.effect {
-                0 => Effect::Restartable,
-                1 => Effect::Fingerprinted,
-                _ => Effect::RunOnce,
+            tenant: written.tenant,
+            idempotency: match written.idempotency {
+                0 => Idempotency::Idempotent,
+                1 => Idempotency::IdempotentWithKey,
+                _ => Idempotency::NonIdempotent,
             },
             anywhere: written.anywhere,
             window: Duration::from_micros(written.window_us),
@@ -80,12 +80,12 @@
 
     proptest::proptest! {
         #[test]
-        fn a_job_is_there_again(payload: Vec<u8>, context: Option<String>, effect in 0u8..3, hops: u32) {
-            let effect = [Effect::Restartable, Effect::Fingerprinted, Effect::RunOnce][usize::from(effect)];
-            let job = Submitted {
+        fn a_request_is_there_again(payload: Vec<u8>, context: Option<String>, idempotency in 0u8..3, hops: u32) {
+            let idempotency = [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent][usize::from(idempotency)];
+            let request = Submitted {
                 function: "f:1".into(),
-                customer: 2,
-                effect,
+                tenant: 2,
+                idempotency,
                 anywhere: true,
                 window: Duration::from_millis(5500),
                 payload: Rc::from(payload),
@@ -96,11 +96,11 @@
                 timer: None,
                 hops,
             };
-            proptest::prop_assert_eq!(Submitted::from_bytes(&job.to_bytes()), Some(job));
+            proptest::prop_assert_eq!(Submitted::from_bytes(&request.to_bytes()), Some(request));
         }
 
         #[test]
-        fn any_bytes_are_a_job_or_none(bytes: Vec<u8>) {
+        fn any_bytes_are_a_request_or_none(bytes: Vec<u8>) {
             let _ = Submitted::from_bytes(&bytes);
         }
     }
--- a/crates/quartzdrift-deferred/src/queue.rs
+++ b/crates/quartzdrift-async-queue/src/queue.rs
@@ -1,5 +1,5 @@
 use crate::store::Store;
-use quartzdrift_choice::interface::Effect;
+use quartzdrift_scheduler::interface::Idempotency;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -8,16 +8,16 @@
 use std::time::Duration;
 
 /// Destinations in a row, each called by the one before, at most: a circle of them ends.
-const HOPS_MOST: u32 = 4;
-/// Doublings of the wait after a push-back: from then on it is the longest one.
-const DOUBLINGS_MOST: u32 = 16;
-/// Bytes that one job takes beside its payload: names, marks and its places in the tables.
+const MAX_HOPS: u32 = 4;
+/// Doublings of the wait after a rejection: from then on it is the longest one.
+const MAX_DOUBLINGS: u32 = 16;
+/// Bytes that one request takes beside its payload: names, marks and its places in the tables.
 const OVERHEAD: usize = 512;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(pub u64);
 
-/// Where the record of a job that is over goes.
+/// Where the record of a request that is over goes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Destination {
     Function(String),
@@ -34,22 +34,22 @@
     pub longest: Duration,
     /// From its taking to its last try.
     pub greatest_age: Duration,
-    /// Jobs and bytes held at most.
-    pub jobs: usize,
+    /// Requests and bytes held at most.
+    pub requests: usize,
     pub bytes: usize,
-    /// Tries out at the desk at a time.
+    /// Tries out at the request table at a time.
     pub out: usize,
 }
 
-/// A job as it was taken.
+/// A request as it was taken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submitted {
     pub function: String,
-    pub customer: u32,
-    pub effect: Effect,
+    pub tenant: u32,
+    pub idempotency: Idempotency,
     /// Whether all workers drop its repeats, or some group of them only.
     pub anywhere: bool,
-    /// For how long workers know a repeat of a fingerprinted job.
+    /// For how long workers know a repeat of a request with an idempotency key.
     pub window: Duration,
     pub payload: Rc<[u8]>,
     pub context: Option<String>,
@@ -62,11 +62,11 @@
     pub hops: u32,
 }
 
-/// A job that a store kept over a restart.
+/// A request that a store kept over a restart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kept {
     pub id: Id,
-    pub job: Submitted,
+    pub request: Submitted,
     pub taken: Duration,
     pub due: Duration,
     pub tries: u32,
@@ -78,7 +78,7 @@
 /// What lies between a store's last change and now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct After {
-    /// Workers still know the fingerprints of what they ran.
+    /// Workers still know the idempotency keys of what they ran.
     pub repeats_known: bool,
     /// The store is a copy from before: what it shows as waiting may have run.
     pub older: bool,
@@ -87,16 +87,16 @@
 /// The final answer of a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    Finished { function_error: bool },
-    PushedBack { come_back: Option<Duration>, ran: Option<Duration> },
-    Killed,
+    Succeeded { function_error: bool },
+    Rejected { retry_after: Option<Duration>, may_have_executed: Option<Duration> },
+    Failed,
 }
 
-/// A job that is over, for its destination.
+/// A request that is over, for its destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Calls {
     pub id: Id,
-    pub job: Submitted,
+    pub request: Submitted,
     pub tries: u32,
     pub to: Option<Destination>,
     /// In the words of the published record.
@@ -114,19 +114,19 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refused {
-    Jobs,
+    Requests,
     Bytes,
 }
 
 #[derive(Debug)]
 struct Held {
-    job: Submitted,
+    request: Submitted,
     taken: Duration,
     due: Duration,
     tries: u32,
-    push_backs: u32,
+    rejections: u32,
     out: bool,
-    /// A fingerprinted job that may have run is tried only until then.
+    /// A request with an idempotency key that may have run is tried only until then.
     confined: Option<Duration>,
 }
 
@@ -134,9 +134,9 @@
     waits: Waits,
     store: S,
     held: BTreeMap<Id, Held>,
-    /// What waits, by customer, each in the order of its times.
+    /// What waits, by tenant, each in the order of its times.
     due: BTreeMap<u32, BTreeSet<(Duration, Id)>>,
-    /// When each customer last had its turn: the one longest ago has the next.
+    /// When each tenant last had its turn: the one longest ago has the next.
     turns: BTreeMap<u32, u64>,
     turn: u64,
     /// Tries out at a time for now, at most those of the settings.
@@ -176,21 +176,22 @@
         self.bytes
     }
 
-    /// Takes a job, due at once.
-    pub fn submit(&mut self, now: Duration, job: Submitted) -> Result<Id, Refused> {
-        let size = job.payload.len() + OVERHEAD;
-        if self.held.len() >= self.waits.jobs {
-            return Err(Refused::Jobs);
+    /// Takes a request, due at once.
+    pub fn submit(&mut self, now: Duration, request: Submitted) -> Result<Id, Refused> {
+        let size = request.payload.len() + OVERHEAD;
+        if self.held.len() >= self.waits.requests {
+            return Err(Refused::Requests);
         }
         if self.bytes + size > self.waits.bytes {
             return Err(Refused::Bytes);
         }
         self.drawn += 1;
         let id = Id(self.drawn);
-        self.store.taken(id, now, &job);
+        self.store.taken(id, now, &request);
         self.bytes += size;
-        self.waits_from(job.customer, now, id);
-        let held = Held { job, taken: now, due: now, tries: 0, push_backs: 0, out: false, confined: None };
+        self.waits_from(request.tenant, now, id);
+        let held =
+            Held { request, taken: now, due: now, tries: 0, rejections: 0, out: false, confined: None };
         self.held.insert(id, held);
         Ok(id)
     }
@@ -199,49 +200,49 @@
         &mut self.store
     }
 
-    /// Takes a job back from a store; `after` tells what lies between. One that was out may have run: it is tried again where
+    /// Takes a request back from a store; `after` tells what lies between. One that was out may have run: it is tried again where
     /// that is harmless, in its window where workers know it, and is over elsewhere. Bounds are those of the time when it was
     /// taken.
     pub fn restore(&mut self, now: Duration, kept: Kept, after: After) -> Option<Step> {
-        let Kept { id, job, taken, due, tries, confined, out } = kept;
+        let Kept { id, request, taken, due, tries, confined, out } = kept;
         self.drawn = self.drawn.max(id.0);
-        self.bytes += job.payload.len() + OVERHEAD;
-        let (effect, anywhere, window) = (job.effect, job.anywhere, job.window);
-        let customer = job.customer;
-        let held = Held { job, taken, due, tries, push_backs: 0, out: out.is_some(), confined };
+        self.bytes += request.payload.len() + OVERHEAD;
+        let (idempotency, anywhere, window) = (request.idempotency, request.anywhere, request.window);
+        let tenant = request.tenant;
+        let held = Held { request, taken, due, tries, rejections: 0, out: out.is_some(), confined };
         self.held.insert(id, held);
         let Some(at) = out else {
-            if after.older && effect != Effect::Restartable {
+            if after.older && idempotency != Idempotency::Idempotent {
                 return self.over(id, false, "RetriesExhausted");
             }
-            self.waits_from(customer, due, id);
+            self.waits_from(tenant, due, id);
             return None;
         };
         self.out += 1;
-        let end = match effect {
-            Effect::Restartable => End::Killed,
-            Effect::Fingerprinted if anywhere && after.repeats_known && now < at + window => {
-                End::PushedBack { come_back: None, ran: Some(at) }
+        let end = match idempotency {
+            Idempotency::Idempotent => End::Failed,
+            Idempotency::IdempotentWithKey if anywhere && after.repeats_known && now < at + window => {
+                End::Rejected { retry_after: None, may_have_executed: Some(at) }
             }
-            Effect::Fingerprinted | Effect::RunOnce => End::Killed,
+            Idempotency::IdempotentWithKey | Idempotency::NonIdempotent => End::Failed,
         };
         self.ended(now, id, end)
     }
 
-    fn waits_from(&mut self, customer: u32, at: Duration, id: Id) {
-        self.due.entry(customer).or_default().insert((at, id));
+    fn waits_from(&mut self, tenant: u32, at: Duration, id: Id) {
+        self.due.entry(tenant).or_default().insert((at, id));
     }
 
-    fn waits_no_more(&mut self, customer: u32, at: Duration, id: Id) {
-        if let Some(due) = self.due.get_mut(&customer) {
+    fn waits_no_more(&mut self, tenant: u32, at: Duration, id: Id) {
+        if let Some(due) = self.due.get_mut(&tenant) {
             due.remove(&(at, id));
             if due.is_empty() {
-                self.due.remove(&customer);
+                self.due.remove(&tenant);
             }
         }
     }
 
-    /// Identities up to this one are taken by jobs that are still to be restored.
+    /// Identities up to this one are taken by requests that are still to be restored.
     pub fn reserve(&mut self, id: Id) {
         self.drawn = self.drawn.max(id.0);
     }
@@ -257,31 +258,31 @@
         first.filter(|_| self.out < self.allowed)
     }
 
-    /// Whether a job's time has come, whether it may go out or not; or one is out.
+    /// Whether a request's time has come, whether it may go out or not; or one is out.
     pub fn is_busy(&self, now: Duration) -> bool {
         self.out > 0 || self.due.values().any(|due| due.first().is_some_and(|(at, _)| *at <= now))
     }
 
-    /// A job whose time has come, to be tried now: its id, the job, how often it was tried, and what remains of
-    /// the time in which it may be sent, where that is bounded. Customers that have such jobs take turns.
+    /// A request whose time has come, to be tried now: its id, the request, how often it was tried, and what remains of
+    /// the time in which it may be sent, where that is bounded. Tenants that have such requests take turns.
     pub fn take_due(&mut self, now: Duration) -> Option<(Id, Submitted, u32, Option<Duration>)> {
         if self.out >= self.allowed {
             return None;
         }
-        let due = self.due.iter().filter_map(|(customer, due)| Some((*customer, *due.first()?)));
+        let due = self.due.iter().filter_map(|(tenant, due)| Some((*tenant, *due.first()?)));
         let due = due.filter(|(_, (at, _))| *at <= now);
-        let turn = |customer: u32| self.turns.get(&customer).copied().unwrap_or(0);
-        let (customer, (at, id)) = due.min_by_key(|(customer, of)| (turn(*customer), *of))?;
+        let turn = |tenant: u32| self.turns.get(&tenant).copied().unwrap_or(0);
+        let (tenant, (at, id)) = due.min_by_key(|(tenant, of)| (turn(*tenant), *of))?;
         self.turn += 1;
-        self.turns.insert(customer, self.turn);
-        self.waits_no_more(customer, at, id);
+        self.turns.insert(tenant, self.turn);
+        self.waits_no_more(tenant, at, id);
         let held = self.held.get_mut(&id)?;
         held.out = true;
         held.tries += 1;
         self.out += 1;
         self.store.out(id, now, held.tries);
         let left = held.confined.map(|until| until.saturating_sub(now));
-        Some((id, held.job.clone(), held.tries, left))
+        Some((id, held.request.clone(), held.tries, left))
     }
 
     /// A try has had its final answer.
@@ -289,29 +290,29 @@
         let held = self.held.get_mut(&id).filter(|held| held.out)?;
         held.out = false;
         self.out -= 1;
-        let restartable = held.job.effect == Effect::Restartable;
+        let idempotent = held.request.idempotency == Idempotency::Idempotent;
         let left = held.tries < self.waits.tries;
         let wait = match end {
-            End::Finished { function_error: false } => return self.over(id, true, "Success"),
-            End::Finished { function_error: true } | End::Killed if restartable && left => {
-                let wait = self.waits.first * (1 << (held.tries - 1).min(DOUBLINGS_MOST));
-                // Half of it by chance: jobs that failed together do not come back together.
+            End::Succeeded { function_error: false } => return self.over(id, true, "Success"),
+            End::Succeeded { function_error: true } | End::Failed if idempotent && left => {
+                let wait = self.waits.first * (1 << (held.tries - 1).min(MAX_DOUBLINGS));
+                // Half of it by chance: requests that failed together do not come back together.
                 let wait = wait.min(self.waits.longest);
                 wait / 2 + (wait / 2).mul_f64(self.chance.random_range(0.0..1.0))
             }
-            End::Finished { .. } | End::Killed => return self.over(id, false, "RetriesExhausted"),
-            End::PushedBack { come_back, ran } => {
+            End::Succeeded { .. } | End::Failed => return self.over(id, false, "RetriesExhausted"),
+            End::Rejected { retry_after, may_have_executed } => {
                 // It did not run, or running again is harmless: only its age counts.
                 held.tries -= 1;
-                held.push_backs += 1;
-                if held.job.effect == Effect::Fingerprinted
-                    && let Some(ran) = ran
+                held.rejections += 1;
+                if held.request.idempotency == Idempotency::IdempotentWithKey
+                    && let Some(may_have_executed) = may_have_executed
                 {
-                    let until = ran + held.job.window;
+                    let until = may_have_executed + held.request.window;
                     held.confined = Some(held.confined.map_or(until, |before| before.min(until)));
                 }
-                let told = come_back.unwrap_or_default();
-                let spread = self.waits.first * (1 << held.push_backs.min(DOUBLINGS_MOST));
+                let told = retry_after.unwrap_or_default();
+                let spread = self.waits.first * (1 << held.rejections.min(MAX_DOUBLINGS));
                 // Full jitter (M. Brooker, "Exponential backoff and jitter"), never sooner than told.
                 told + spread.min(self.waits.longest).mul_f64(self.chance.random_range(0.0..1.0))
             }
@@ -325,28 +326,28 @@
             return self.over(id, false, "RetriesExhausted");
         }
         held.due = at;
-        let customer = held.job.customer;
+        let tenant = held.request.tenant;
         self.store.waits(id, at, held.tries, held.confined);
-        self.waits_from(customer, at, id);
+        self.waits_from(tenant, at, id);
         Some(Step::Again { at })
     }
 
     /// What is left, without a final answer; for the last word of a process that stops.
     pub fn left(&self) -> impl Iterator<Item = (Id, &Submitted, bool)> {
-        self.held.iter().map(|(id, held)| (*id, &held.job, held.out))
+        self.held.iter().map(|(id, held)| (*id, &held.request, held.out))
     }
 
     fn over(&mut self, id: Id, success: bool, condition: &'static str) -> Option<Step> {
         let held = self.held.remove(&id)?;
-        self.waits_no_more(held.job.customer, held.due, id);
-        self.bytes -= held.job.payload.len() + OVERHEAD;
+        self.waits_no_more(held.request.tenant, held.due, id);
+        self.bytes -= held.request.payload.len() + OVERHEAD;
         self.store.over(id);
         let to = match success {
-            true => held.job.on_success.clone(),
-            false => held.job.on_failure.clone(),
+            true => held.request.on_success.clone(),
+            false => held.request.on_failure.clone(),
         };
-        let to = to.filter(|_| held.job.hops < HOPS_MOST);
-        Some(Step::Over(Box::new(Calls { id, tries: held.tries, to, condition, job: held.job })))
+        let to = to.filter(|_| held.request.hops < MAX_HOPS);
+        Some(Step::Over(Box::new(Calls { id, tries: held.tries, to, condition, request: held.request })))
     }
 }
 
@@ -362,17 +363,17 @@
             first: Duration::from_secs(1),
             longest: Duration::from_secs(60),
             greatest_age: Duration::from_secs(600),
-            jobs: 10,
+            requests: 10,
             bytes: 10_000,
             out: 2,
         }
     }
 
-    fn job(effect: Effect) -> Submitted {
+    fn request(idempotency: Idempotency) -> Submitted {
         Submitted {
             function: "f".into(),
-            customer: 0,
-            effect,
+            tenant: 0,
+            idempotency,
             anywhere: true,
             window: Duration::from_secs(5),
             payload: Rc::from(&b"{}"[..]),
@@ -398,49 +399,57 @@
     }
 
     #[test]
-    fn what_may_have_run_is_tried_again_by_its_workload_only() {
-        let error = End::Finished { function_error: true };
-        for (effect, end, expected) in [
-            (Effect::Restartable, error, "again"),
-            (Effect::Restartable, End::Killed, "again"),
-            (Effect::Fingerprinted, error, "RetriesExhausted"),
-            (Effect::RunOnce, error, "RetriesExhausted"),
-            (Effect::RunOnce, End::Killed, "RetriesExhausted"),
-            (Effect::RunOnce, End::PushedBack { come_back: None, ran: None }, "again"),
-            (Effect::RunOnce, End::Finished { function_error: false }, "Success"),
+    fn what_may_have_run_is_tried_again_by_its_request_class_only() {
+        let error = End::Succeeded { function_error: true };
+        for (idempotency, end, expected) in [
+            (Idempotency::Idempotent, error, "again"),
+            (Idempotency::Idempotent, End::Failed, "again"),
+            (Idempotency::IdempotentWithKey, error, "RetriesExhausted"),
+            (Idempotency::NonIdempotent, error, "RetriesExhausted"),
+            (Idempotency::NonIdempotent, End::Failed, "RetriesExhausted"),
+            (
+                Idempotency::NonIdempotent,
+                End::Rejected { retry_after: None, may_have_executed: None },
+                "again",
+            ),
+            (Idempotency::NonIdempotent, End::Succeeded { function_error: false }, "Success"),
         ] {
             let mut queue = queue();
-            let id = queue.submit(Duration::ZERO, job(effect)).unwrap();
+            let id = queue.submit(Duration::ZERO, request(idempotency)).unwrap();
             queue.take_due(Duration::ZERO).unwrap();
             let step = queue.ended(Duration::ZERO, id, end);
-            assert_eq!(condition(step), expected, "{effect:?} {end:?}");
+            assert_eq!(condition(step), expected, "{idempotency:?} {end:?}");
         }
     }
 
     #[test]
-    fn a_fingerprinted_job_that_may_have_run_is_not_sent_past_its_window() {
+    fn a_keyed_request_that_may_have_run_is_not_sent_past_its_window() {
         let mut queue = queue();
         let start = Duration::from_secs(100);
-        let id = queue.submit(start, job(Effect::Fingerprinted)).unwrap();
+        let id = queue.submit(start, request(Idempotency::IdempotentWithKey)).unwrap();
         queue.take_due(start).unwrap();
-        let end = End::PushedBack { come_back: Some(Duration::from_millis(10)), ran: Some(start) };
+        let end =
+            End::Rejected { retry_after: Some(Duration::from_millis(10)), may_have_executed: Some(start) };
         let Some(Step::Again { at }) = queue.ended(start, id, end) else { panic!() };
         let (.., left) = queue.take_due(at).unwrap();
         assert_eq!(left, Some(start + Duration::from_secs(5) - at));
-        let later = End::PushedBack { come_back: Some(Duration::from_secs(5)), ran: Some(at) };
+        let later = End::Rejected { retry_after: Some(Duration::from_secs(5)), may_have_executed: Some(at) };
         assert_eq!(condition(queue.ended(at, id, later)), "RetriesExhausted");
     }
 
     #[test]
-    fn push_backs_use_up_age_and_no_tries() {
+    fn rejections_use_up_age_and_no_tries() {
         let mut queue = queue();
-        let id = queue.submit(Duration::ZERO, job(Effect::RunOnce)).unwrap();
+        let id = queue.submit(Duration::ZERO, request(Idempotency::NonIdempotent)).unwrap();
         let (mut now, mut times) = (Duration::ZERO, 0);
         loop {
             queue.take_due(now).unwrap();
             times += 1;
             let told = Duration::from_secs(1);
-            match queue.ended(now, id, End::PushedBack { come_back: Some(told), ran: None }).unwrap() {
+            match queue
+                .ended(now, id, End::Rejected { retry_after: Some(told), may_have_executed: None })
+                .unwrap()
+            {
                 Step::Again { at } => {
                     assert!(at >= now + told);
                     now = at;
@@ -460,48 +469,50 @@
         let s = Duration::from_secs;
         let plain = After { repeats_known: true, older: false };
         let (lost, older) = (After { repeats_known: false, ..plain }, After { older: true, ..plain });
-        for (effect, anywhere, out, after, expected) in [
-            (Effect::RunOnce, true, None, plain, "none"),
-            (Effect::RunOnce, true, Some(s(99)), plain, "RetriesExhausted"),
-            (Effect::Restartable, true, Some(s(99)), plain, "again"),
-            (Effect::Fingerprinted, true, Some(s(99)), plain, "again"),
-            (Effect::Fingerprinted, true, Some(s(90)), plain, "RetriesExhausted"),
-            (Effect::Fingerprinted, false, Some(s(99)), plain, "RetriesExhausted"),
-            (Effect::Fingerprinted, true, Some(s(99)), lost, "RetriesExhausted"),
-            (Effect::Fingerprinted, true, None, lost, "none"),
-            (Effect::RunOnce, true, None, older, "RetriesExhausted"),
-            (Effect::Fingerprinted, true, None, older, "RetriesExhausted"),
-            (Effect::Restartable, true, None, older, "none"),
+        for (idempotency, anywhere, out, after, expected) in [
+            (Idempotency::NonIdempotent, true, None, plain, "none"),
+            (Idempotency::NonIdempotent, true, Some(s(99)), plain, "RetriesExhausted"),
+            (Idempotency::Idempotent, true, Some(s(99)), plain, "again"),
+            (Idempotency::IdempotentWithKey, true, Some(s(99)), plain, "again"),
+            (Idempotency::IdempotentWithKey, true, Some(s(90)), plain, "RetriesExhausted"),
+            (Idempotency::IdempotentWithKey, false, Some(s(99)), plain, "RetriesExhausted"),
+            (Idempotency::IdempotentWithKey, true, Some(s(99)), lost, "RetriesExhausted"),
+            (Idempotency::IdempotentWithKey, true, None, lost, "none"),
+            (Idempotency::NonIdempotent, true, None, older, "RetriesExhausted"),
+            (Idempotency::IdempotentWithKey, true, None, older, "RetriesExhausted"),
+            (Idempotency::Idempotent, true, None, older, "none"),
         ] {
             let mut queue = Queue::new(waits(), crate::Changes::new(true), 1);
-            let job = Submitted { anywhere, ..job(effect) };
+            let request = Submitted { anywhere, ..request(idempotency) };
             let tries = u32::from(out.is_some());
-            let kept = Kept { id: Id(7), job, taken: s(80), due: s(85), tries, confined: None, out };
+            let kept = Kept { id: Id(7), request, taken: s(80), due: s(85), tries, confined: None, out };
             let step = queue.restore(s(100), kept, after);
-            assert_eq!(condition(step), expected, "{effect:?} {anywhere} {out:?}");
+            assert_eq!(condition(step), expected, "{idempotency:?} {anywhere} {out:?}");
             assert_eq!(queue.store_mut().take().len(), usize::from(expected != "none"));
             if expected == "none" {
                 assert_eq!(queue.take_due(s(100)).unwrap().0, Id(7));
             }
-            assert_eq!(queue.submit(s(101), self::job(effect)), Ok(Id(8)));
+            assert_eq!(queue.submit(s(101), self::request(idempotency)), Ok(Id(8)));
         }
     }
 
     #[test]
-    fn customers_take_turns_and_no_more_go_out_than_are_allowed() {
-        let mut queue = Queue::new(Waits { jobs: 100, bytes: 100_000, out: 64, ..waits() }, Memory, 1);
+    fn tenants_take_turns_and_no_more_go_out_than_are_allowed() {
+        let mut queue = Queue::new(Waits { requests: 100, bytes: 100_000, out: 64, ..waits() }, Memory, 1);
         queue.reserve(Id(40));
         for n in 0..30 {
-            let job =
-                Submitted { customer: u32::from(n >= 24) + u32::from(n >= 27), ..job(Effect::Restartable) };
-            assert_eq!(queue.submit(Duration::from_millis(n), job), Ok(Id(41 + n)));
+            let request = Submitted {
+                tenant: u32::from(n >= 24) + u32::from(n >= 27),
+                ..request(Idempotency::Idempotent)
+            };
+            assert_eq!(queue.submit(Duration::from_millis(n), request), Ok(Id(41 + n)));
         }
         let now = Duration::from_secs(1);
         queue.allow(0);
         assert_eq!((queue.next_due(), queue.take_due(now)), (None, None));
         queue.allow(9);
         let taken: Vec<u32> =
-            std::iter::from_fn(|| queue.take_due(now)).map(|(_, job, ..)| job.customer).collect();
+            std::iter::from_fn(|| queue.take_due(now)).map(|(_, request, ..)| request.tenant).collect();
         assert_eq!(taken, [0, 1, 2, 0, 1, 2, 0, 1, 2]);
         queue.allow(1000);
         assert_eq!(std::iter::from_fn(|| queue.take_due(now)).count(), 21);
@@ -510,14 +521,16 @@
     #[test]
     fn circles_of_destinations_end() {
         let mut queue = queue();
-        let id = queue.submit(Duration::ZERO, Submitted { hops: HOPS_MOST, ..job(Effect::RunOnce) }).unwrap();
+        let id = queue
+            .submit(Duration::ZERO, Submitted { hops: MAX_HOPS, ..request(Idempotency::NonIdempotent) })
+            .unwrap();
         queue.take_due(Duration::ZERO).unwrap();
-        let Some(Step::Over(calls)) = queue.ended(Duration::ZERO, id, End::Killed) else { panic!() };
+        let Some(Step::Over(calls)) = queue.ended(Duration::ZERO, id, End::Failed) else { panic!() };
         assert_eq!(calls.to, None);
     }
 
     proptest! {
-        /// Whatever comes, in whatever order: the bounds hold, and each job has one try out at most.
+        /// Whatever comes, in whatever order: the bounds hold, and each request has one try out at most.
         #[test]
         fn bounds_hold(steps in proptest::collection::vec((0u8..4, 0u64..12, 0u64..3000), 1..200)) {
             let mut queue = queue();
@@ -525,14 +538,14 @@
             for (what, which, ms) in steps {
                 now += Duration::from_millis(ms);
                 match what {
-                    0 => drop(queue.submit(now, job(Effect::Restartable))),
+                    0 => drop(queue.submit(now, request(Idempotency::Idempotent))),
                     1 => while let Some((id, ..)) = queue.take_due(now) {
                         prop_assert!(out.insert(id), "two tries out");
                     },
                     _ => {
                         let end = match what {
-                            2 => End::Killed,
-                            _ => End::PushedBack { come_back: None, ran: None },
+                            2 => End::Failed,
+                            _ => End::Rejected { retry_after: None, may_have_executed: None },
                         };
                         let step = queue.ended(now, Id(which), end);
                         prop_assert_eq!(step.is_some(), out.remove(&Id(which)));
--- a/crates/quartzdrift-deferred/src/store.rs
+++ b/crates/quartzdrift-async-queue/src/store.rs
@@ -1,10 +1,10 @@
-//! Where taken jobs are kept. The queue works on what it holds in memory, and says each change of it before it is acted on.
+//! Where taken requests are kept. The queue works on what it holds in memory, and says each change of it before it is acted on.
 use crate::queue::{Id, Submitted};
 use std::time::Duration;
 
 pub trait Store {
-    /// A job was taken. It may be answered as taken once this lasts.
-    fn taken(&mut self, id: Id, at: Duration, job: &Submitted);
+    /// A request was taken. It may be answered as taken once this lasts.
+    fn taken(&mut self, id: Id, at: Duration, request: &Submitted);
     /// A try of it is about to leave: after a crash it may have run. It may leave once this lasts, unless it may run again
     /// anyway.
     fn out(&mut self, id: Id, at: Duration, tries: u32);
@@ -27,7 +27,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    Taken { id: Id, at: Duration, job: Vec<u8> },
+    Taken { id: Id, at: Duration, request: Vec<u8> },
     Out { id: Id, at: Duration, tries: u32 },
     Waits { id: Id, until: Duration, tries: u32, confined: Option<Duration> },
     Over { id: Id },
@@ -64,8 +64,8 @@
 }
 
 impl Store for Changes {
-    fn taken(&mut self, id: Id, at: Duration, job: &Submitted) {
-        self.add(|| Change::Taken { id, at, job: job.to_bytes() });
+    fn taken(&mut self, id: Id, at: Duration, request: &Submitted) {
+        self.add(|| Change::Taken { id, at, request: request.to_bytes() });
     }
 
     fn out(&mut self, id: Id, at: Duration, tries: u32) {
--- a/crates/quartzdrift-roster/src/belief.rs
+++ b/crates/quartzdrift-discovery/src/belief.rs
@@ -3,11 +3,11 @@
 //! than of the fleet: it must come again, alike, before what it lacks is taken to be gone. Workers that it
 //! names are believed at once, drains above all.
 use crate::list::{List, Listed};
-use quartzdrift_choice::interface::State;
+use quartzdrift_scheduler::interface::EndpointState;
 use std::collections::BTreeMap;
 
 /// Share of the workers up that a list may lack and be believed at once.
-const LACK_MOST: f64 = 0.5;
+const MAX_LACK: f64 = 0.5;
 /// Workers up below which a share says nothing.
 const FEW: usize = 3;
 /// Lists that must lack the same before it is believed.
@@ -50,8 +50,10 @@
     pub fn changes(&mut self, workers: &[Listed]) {
         for one in workers {
             match one.state {
-                State::Up | State::Draining => drop(self.up.insert(one.worker.clone(), one.clone())),
-                State::Gone => drop(self.up.remove(&one.worker)),
+                EndpointState::Up | EndpointState::Draining => {
+                    drop(self.up.insert(one.worker.clone(), one.clone()))
+                }
+                EndpointState::Gone => drop(self.up.remove(&one.worker)),
             }
         }
     }
@@ -62,7 +64,7 @@
         let lacking: Vec<String> =
             self.up.keys().filter(|worker| !named.contains(worker.as_str())).cloned().collect();
         let before = std::mem::take(&mut self.of_before);
-        let many = !before && self.up.len() >= FEW && lacking.len() as f64 > LACK_MOST * self.up.len() as f64;
+        let many = !before && self.up.len() >= FEW && lacking.len() as f64 > MAX_LACK * self.up.len() as f64;
         let empty = !before && list.workers.is_empty() && !self.up.is_empty();
         let torn = !list.unread.is_empty() && !lacking.is_empty();
         if !(many || empty || torn) {
@@ -141,9 +143,9 @@
     fn a_partial_list_that_changes_starts_anew_and_its_drains_count() {
         let mut belief = with(&["a", "b", "c", "d"]);
         let mut partial = list(&["a"]);
-        partial.workers[0].state = State::Draining;
+        partial.workers[0].state = EndpointState::Draining;
         let Believed::Named { workers, .. } = belief.full(partial) else { panic!("believed") };
-        assert_eq!(workers[0].state, State::Draining);
+        assert_eq!(workers[0].state, EndpointState::Draining);
         belief.full(list(&["a"]));
         belief.full(list(&["b"]));
         assert!(belief.knows("c"));
--- a/crates/quartzdrift-roster/src/list.rs
+++ b/crates/quartzdrift-discovery/src/list.rs
@@ -2,15 +2,15 @@
 //!
 //! Labels read: `state` (`up`, `draining`, `gone`; none: up), `zone`, `kind` (names from the settings), `cell`
 //! and `capacity` (numbers), `started` (seconds since 1970, with fractions). Others are left alone.
-use quartzdrift_choice::interface::{Entry, State};
+use quartzdrift_scheduler::interface::{Endpoint, EndpointState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Workers of one list, and bytes of its text, at most.
-pub const WORKERS_MOST: usize = 10_000;
-pub const TEXT_MOST: usize = 4 << 20;
+pub const MAX_WORKERS: usize = 10_000;
+pub const MAX_TEXT: usize = 4 << 20;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Group {
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
     pub worker: String,
-    pub state: State,
+    pub state: EndpointState,
     pub zone: u32,
     pub kind: u32,
     pub cell: u32,
@@ -35,7 +35,7 @@
     pub fn up(worker: &str) -> Listed {
         Listed {
             worker: worker.to_owned(),
-            state: State::Up,
+            state: EndpointState::Up,
             zone: 0,
             kind: 0,
             cell: 0,
@@ -45,8 +45,8 @@
     }
 
     /// As the decision module takes it.
-    pub fn entry(&self) -> Entry<'_> {
-        Entry {
+    pub fn entry(&self) -> Endpoint<'_> {
+        Endpoint {
             worker: &self.worker,
             capacity_hint: self.capacity,
             cell: self.cell,
@@ -97,9 +97,9 @@
         Some(told) => index(names, told).ok_or_else(|| bad(name)),
     };
     let state = match label("state") {
-        None | Some("up") => State::Up,
-        Some("draining") => State::Draining,
-        Some("gone") => State::Gone,
+        None | Some("up") => EndpointState::Up,
+        Some("draining") => EndpointState::Draining,
+        Some("gone") => EndpointState::Gone,
         // A state that we do not know is no leave to send work there.
         Some(_) => return Err(bad("state")),
     };
@@ -125,8 +125,8 @@
 
 /// Reads a list. `Err` where it is no list at all; single workers that cannot be read are told apart.
 pub fn read(text: &[u8], known: &Known) -> Result<List, String> {
-    if text.len() > TEXT_MOST {
-        return Err(format!("the list is over {TEXT_MOST} bytes"));
+    if text.len() > MAX_TEXT {
+        return Err(format!("the list is over {MAX_TEXT} bytes"));
     }
     let groups: Vec<Group> =
         serde_json::from_slice(text).map_err(|e| format!("the list is not readable: {e}"))?;
@@ -138,8 +138,8 @@
                 Ok(one) if !seen.insert(one.worker.clone()) => {
                     list.unread.push(format!("{target}: named twice"));
                 }
-                Ok(one) if list.workers.len() < WORKERS_MOST => list.workers.push(one),
-                Ok(_) => return Err(format!("the list names more than {WORKERS_MOST} workers")),
+                Ok(one) if list.workers.len() < MAX_WORKERS => list.workers.push(one),
+                Ok(_) => return Err(format!("the list names more than {MAX_WORKERS} workers")),
                 Err(why) => list.unread.push(why),
             }
         }
@@ -152,9 +152,9 @@
     let group = |one: &Listed| {
         let mut labels = BTreeMap::new();
         let state = match one.state {
-            State::Up => "up",
-            State::Draining => "draining",
-            State::Gone => "gone",
+            EndpointState::Up => "up",
+            EndpointState::Draining => "draining",
+            EndpointState::Gone => "gone",
         };
         labels.insert("state".to_owned(), state.to_owned());
         let name = |names: &[String], at: u32| names.get(at as usize).cloned();
@@ -187,7 +187,7 @@
         let list = read(text, &known()).unwrap();
         let names: Vec<&str> = list.workers.iter().map(|w| w.worker.as_str()).collect();
         assert_eq!(names, ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]);
-        assert_eq!((list.workers[0].zone, list.workers[2].state), (1, State::Draining));
+        assert_eq!((list.workers[0].zone, list.workers[2].state), (1, EndpointState::Draining));
         assert_eq!(list.workers[2].started, Some(Duration::from_millis(12_500)));
         assert_eq!(list.unread.len(), 4);
         let again = read(&write(&list.workers, &known()), &known()).unwrap();
--- a/crates/quartzdrift-roster/src/stream.rs
+++ b/crates/quartzdrift-discovery/src/stream.rs
@@ -1,7 +1,7 @@
 //! Server-sent events, as published in the HTML standard (section 9.2): bytes in, events out.
 
 /// Bytes of one event at most: a list of the greatest size.
-const EVENT_MOST: usize = crate::list::TEXT_MOST + 1024;
+const MAX_EVENT: usize = crate::list::MAX_TEXT + 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sent {
@@ -37,7 +37,7 @@
                 }
                 byte => self.line.push(byte),
             }
-            if self.line.len() + self.data.len() > EVENT_MOST {
+            if self.line.len() + self.data.len() > MAX_EVENT {
                 return Err(TooLarge);
             }
         }
--- a/crates/quartzdrift-fastcgi/src/params.rs
+++ b/crates/quartzdrift-fastcgi/src/params.rs
@@ -1,7 +1,7 @@
 //! Name-value pairs, as published: lengths of one byte below 128, else of four with the highest bit set.
 
 /// Pairs in one message at most.
-const PAIRS_MOST: usize = 128;
+const MAX_PAIRS: usize = 128;
 
 /// Lengths that do not fit what came, or too many pairs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
             let value = length(&bytes, &mut at).ok_or(BadParams)?;
             let name_end = at.checked_add(name).ok_or(BadParams)?;
             let end = name_end.checked_add(value).filter(|&end| end <= bytes.len()).ok_or(BadParams)?;
-            if pairs.len() == PAIRS_MOST {
+            if pairs.len() == MAX_PAIRS {
                 return Err(BadParams);
             }
             pairs.push((at, name_end, end));
--- a/crates/quartzdrift-fastcgi/src/record.rs
+++ b/crates/quartzdrift-fastcgi/src/record.rs
@@ -14,7 +14,7 @@
 pub const HEAD: usize = 8;
 const VERSION: u8 = 1;
 /// Content of one record of a stream: a multiple of eight, so that no padding is due.
-const CONTENT_MOST: usize = 32 << 10;
+const MAX_CONTENT: usize = 32 << 10;
 
 /// A version that is not 1: from there on nothing can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,5 +57,5 @@
 /// Writes a piece of a stream in as many records as it needs; an empty piece writes nothing, since an empty
 /// record would end the stream.
 pub fn write_stream(out: &mut Vec<u8>, kind: u8, number: u16, content: &[u8]) {
-    content.chunks(CONTENT_MOST).for_each(|part| write_record(out, kind, number, part));
+    content.chunks(MAX_CONTENT).for_each(|part| write_record(out, kind, number, part));
 }
--- a/crates/quartzdrift-fastcgi/src/responder.rs
+++ b/crates/quartzdrift-fastcgi/src/responder.rs
@@ -10,7 +10,7 @@
 const OVERLOADED: u8 = 2;
 const UNKNOWN_ROLE: u8 = 3;
 /// Records in a row that belong to nothing open; more, and the peer is out of step or means ill.
-const STRAY_MOST: u32 = 1024;
+const MAX_STRAY: u32 = 1024;
 
 /// What a peer may make us hold.
 #[derive(Clone, Copy, Debug)]
@@ -252,7 +252,7 @@
 
     fn stray(&mut self) -> Result<(), Broken> {
         self.stray += 1;
-        if self.stray > STRAY_MOST { Err(Broken::Stray) } else { Ok(()) }
+        if self.stray > MAX_STRAY { Err(Broken::Stray) } else { Ok(()) }
     }
 
     fn begin(&mut self, number: u16, content: &[u8], out: &mut Vec<u8>) -> Result<(), Broken> {
--- a/crates/quartzdrift-forecast/src/ahead.rs
+++ b/crates/quartzdrift-forecast/src/ahead.rs
@@ -17,7 +17,7 @@
         Ahead { forecasts: Forecasts::new(settings), ledger }
     }
 
-    /// A job of the function came; `load` is what its load is told to take.
+    /// A request of the function came; `load` is what its load is told to take.
     pub fn used(&mut self, now: Duration, function: &str, load: Option<Duration>) {
         self.ledger.used(now, function);
         self.forecasts.used(now, function);
@@ -32,11 +32,11 @@
     }
 
     /// It was answered.
-    pub fn loaded(&mut self, now: Duration, function: &str, good: bool, took: Duration) {
-        let fetched = good && took >= FETCHED_FROM;
+    pub fn loaded(&mut self, now: Duration, function: &str, good: bool, duration: Duration) {
+        let fetched = good && duration >= FETCHED_FROM;
         self.ledger.loaded(now, function, good, fetched);
         if fetched {
-            self.forecasts.load_took(function, took);
+            self.forecasts.load_took(function, duration);
         }
     }
 
--- a/crates/quartzdrift-forecast/src/forecasts.rs
+++ b/crates/quartzdrift-forecast/src/forecasts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Least chance that is worth saying; what is done with it is decided elsewhere.
-const SAY_LEAST: f64 = 0.15;
+const MIN_SAY: f64 = 0.15;
 /// Of the keep-alive: when a copy that stands is looked at again, with time left to renew it.
 const LOOK_AGAIN: f64 = 0.75;
 /// Of a load: how much earlier than the use it is to begin.
@@ -14,11 +14,11 @@
 /// Share of the functions kept that may be new ones, met once: a scan of functions used once drives out only others.
 const NEW_SHARE: f64 = 0.25;
 /// Of the greatest chance there will be: what is near enough to it to act on.
-const NEAR_MOST: f64 = 0.6;
+const MAX_NEAR: f64 = 0.6;
 /// Of the keep-alive: a gap in which no copy is unloaded, nor looked at.
 const SHORT: f64 = 0.5;
 /// Times a function is looked at between two uses: the chance of a use long awaited fades anyway.
-const LOOKS_MOST: u32 = 64;
+const MAX_LOOKS: u32 = 64;
 
 #[derive(Clone, Debug)]
 pub struct Settings {
@@ -50,8 +50,8 @@
     pub function: String,
     /// The span from now on that it speaks of.
     pub within: Duration,
-    pub sure: f64,
-    pub jobs_per_second: Option<f64>,
+    pub probability: f64,
+    pub requests_per_second: Option<f64>,
     pub by: Predictor,
 }
 
@@ -168,7 +168,7 @@
         }
     }
 
-    /// A job of the function came.
+    /// A request of the function came.
     pub fn used(&mut self, now: Duration, function: &str) {
         self.unlist(function);
         let track = self.tracks.entry(function.to_owned()).or_default();
@@ -184,9 +184,9 @@
     }
 
     /// A load of the function took so long.
-    pub fn load_took(&mut self, function: &str, took: Duration) {
+    pub fn load_took(&mut self, function: &str, duration: Duration) {
         if let Some(track) = self.tracks.get_mut(function) {
-            track.load_us = took.as_micros() as u64;
+            track.load_us = duration.as_micros() as u64;
         }
     }
 
@@ -229,7 +229,7 @@
     fn plan(&mut self, now: Duration, function: &str) {
         let Some(track) = self.tracks.get(function) else { return };
         let Some((best, _)) = track.history.best() else { return };
-        if track.looks >= LOOKS_MOST {
+        if track.looks >= MAX_LOOKS {
             return;
         }
         let (keep, load) = (self.settings.keep.as_secs_f64(), Self::load(&self.settings, track));
@@ -249,7 +249,7 @@
         // Not the first moment at which there is some chance, but one at which there is most of it.
         let later = moments.iter().copied().filter(|at| *at >= least.max(renew));
         let most = later.clone().map(chance).fold(0.0, f64::max);
-        let at = later.into_iter().find(|at| chance(*at) >= SAY_LEAST.max(most * NEAR_MOST));
+        let at = later.into_iter().find(|at| chance(*at) >= MIN_SAY.max(most * MAX_NEAR));
         let Some(at) = at else { return };
         let at = Duration::try_from_secs_f64(track.history.last + at).unwrap_or(now).max(now);
         if let Some(track) = self.tracks.get_mut(function) {
@@ -274,10 +274,16 @@
                 let since = now.as_secs_f64() - history.last;
                 let (keep, load) = (self.settings.keep.as_secs_f64(), Self::load(&self.settings, track));
                 let within = Duration::from_secs_f64(Self::span(keep, load, since));
-                let sure = Self::chance(history, by, since, since + within.as_secs_f64());
-                if sure >= SAY_LEAST {
-                    let jobs_per_second = history.rate(by, now);
-                    all.push(Expected { function: function.clone(), within, sure, jobs_per_second, by });
+                let probability = Self::chance(history, by, since, since + within.as_secs_f64());
+                if probability >= MIN_SAY {
+                    let requests_per_second = history.rate(by, now);
+                    all.push(Expected {
+                        function: function.clone(),
+                        within,
+                        probability,
+                        requests_per_second,
+                        by,
+                    });
                 }
             }
             self.plan(now, &function);
@@ -319,7 +325,7 @@
         assert!(!said.is_empty() && said.len() <= 3, "{said:?}");
         let (at, first) = &said[0];
         assert!(*at > Duration::from_secs(45) && *at <= Duration::from_millis(58_500), "{at:?}");
-        assert!(said.iter().any(|(_, e)| e.sure > 0.8), "{said:?}");
+        assert!(said.iter().any(|(_, e)| e.probability > 0.8), "{said:?}");
         assert_eq!((first.function.as_str(), first.by), ("t", Predictor::Regular));
         // Of a timer "as the last time" is nearly right, "always near" is not.
         let standing = all.standing;
@@ -361,7 +367,7 @@
                 let mut turns = 0;
                 while let Some(at) = all.next_due().filter(|at| *at < now + Duration::from_secs(20)) {
                     for expected in all.due(at) {
-                        proptest::prop_assert!((0.0..=1.0).contains(&expected.sure));
+                        proptest::prop_assert!((0.0..=1.0).contains(&expected.probability));
                     }
                     turns += 1;
                     proptest::prop_assert!(turns < 2000, "it never ends");
--- a/crates/quartzdrift-forecast/src/ledger.rs
+++ b/crates/quartzdrift-forecast/src/ledger.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 /// Share of a function's recent loads ahead that may go unused before it is left alone.
-const UNUSED_MOST: f64 = 0.6;
+const MAX_UNUSED: f64 = 0.6;
 /// Loads ahead that this share rests on at least.
 const ENOUGH: u32 = 4;
 /// Left alone so long at first, doubling up to the longest.
 const QUIET_FIRST: Duration = Duration::from_secs(60);
 const QUIET_DOUBLINGS: u32 = 6;
 /// Functions with a line of their own; past that the one loaded longest ago gives way.
-const LINES_MOST: usize = 10_000;
+const MAX_LINES: usize = 10_000;
 /// Orders whose use is still awaited at most.
-const OPEN_MOST: usize = 10_000;
+const MAX_OPEN: usize = 10_000;
 
 /// Sums over loads ahead.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -25,7 +25,7 @@
     pub unused: u64,
     /// Memory held before its first use, in MB seconds.
     pub mb_seconds: f64,
-    /// Waiting that the loads took off jobs, in seconds: the load's time for each that was used.
+    /// Waiting that the loads took off requests, in seconds: the load's time for each that was used.
     pub saved_seconds: f64,
 }
 
@@ -42,7 +42,7 @@
 struct Open {
     stood: Option<Duration>,
     ordered: Duration,
-    took: Duration,
+    duration: Duration,
     memory_mb: f64,
     fetched: bool,
     until: Duration,
@@ -73,7 +73,7 @@
 
     fn change(&mut self, function: &str, now: Duration, of: impl Fn(&mut Sums)) {
         of(&mut self.all);
-        if !self.lines.contains_key(function) && self.lines.len() >= LINES_MOST {
+        if !self.lines.contains_key(function) && self.lines.len() >= MAX_LINES {
             let oldest = self.lines.iter().min_by_key(|(_, line)| line.last).map(|(name, _)| name.clone());
             oldest.and_then(|name| self.lines.remove(&name));
         }
@@ -85,11 +85,11 @@
     /// An order to load left.
     pub fn ordered(&mut self, now: Duration, function: &str, memory_mb: f64) {
         self.change(function, now, |sums| sums.orders += 1);
-        if self.open.len() < OPEN_MOST {
+        if self.open.len() < MAX_OPEN {
             let open = Open {
                 stood: None,
                 ordered: now,
-                took: Duration::ZERO,
+                duration: Duration::ZERO,
                 memory_mb,
                 fetched: false,
                 until: now + self.keep,
@@ -113,19 +113,19 @@
         }
         let keep = self.keep;
         if let Some(open) = self.open.get_mut(function) {
-            open.took = now.saturating_sub(open.ordered);
+            open.duration = now.saturating_sub(open.ordered);
             self.ends.remove(&(open.until, function.to_owned()));
             (open.stood, open.fetched, open.until) = (Some(now), fetched, now + keep);
             self.ends.insert((open.until, function.to_owned()));
         }
     }
 
-    /// A job of the function came, which a load ahead may have been for.
+    /// A request of the function came, which a load ahead may have been for.
     pub fn used(&mut self, now: Duration, function: &str) {
         let Some(open) = self.close(function) else { return };
         let stood = open.stood.map_or(Duration::ZERO, |at| now.saturating_sub(at));
         let saved = match (open.fetched, open.stood) {
-            (true, Some(_)) => open.took.as_secs_f64(),
+            (true, Some(_)) => open.duration.as_secs_f64(),
             // Still loading: what has passed of it is saved.
             (false, None) => now.saturating_sub(open.ordered).as_secs_f64(),
             (_, _) => 0.0,
@@ -146,7 +146,7 @@
             line.quiets = 0;
             return None;
         }
-        if line.recent < ENOUGH || line.recent_unused <= UNUSED_MOST {
+        if line.recent < ENOUGH || line.recent_unused <= MAX_UNUSED {
             return None;
         }
         let until = now + QUIET_FIRST * (1 << line.quiets.min(QUIET_DOUBLINGS));
--- a/crates/quartzdrift-forecast/src/predict.rs
+++ b/crates/quartzdrift-forecast/src/predict.rs
@@ -13,7 +13,7 @@
 const FIRST_EDGE: f64 = 0.125;
 /// Of a gap: how far around it a regular use is expected beside what the gaps themselves scatter, and at least (s).
 const SPREAD: f64 = 0.02;
-const SPREAD_LEAST: f64 = 0.1;
+const MIN_SPREAD: f64 = 0.1;
 /// By so much a regular use must score better than the others: eight gaps drawn by chance look like a rule.
 const REGULAR_WORSE: f32 = 1.2;
 /// Weight of the newest gap in the scores.
@@ -170,7 +170,7 @@
                 }
                 let part = |of: &f32| {
                     let of = f64::from(*of);
-                    let wide = (SPREAD * of).max(SPREAD_LEAST.min(of / 2.0));
+                    let wide = (SPREAD * of).max(MIN_SPREAD.min(of / 2.0));
                     ((gap - of + wide) / (2.0 * wide)).clamp(0.0, 1.0)
                 };
                 // A share is left for what no past gap tells.
@@ -256,7 +256,7 @@
     /// Moments after the last use at which something may be worth saying: the gaps seen before, and doubling steps.
     pub fn moments(&self, most: f64) -> Vec<f64> {
         let steps = (0..EDGES).map(edge);
-        let early = |gap: f64| gap - (SPREAD * gap).max(SPREAD_LEAST);
+        let early = |gap: f64| gap - (SPREAD * gap).max(MIN_SPREAD);
         let gaps = self.gaps.iter().map(|gap| early(f64::from(*gap)));
         let mut all: Vec<f64> = steps.chain(gaps).filter(|at| *at <= most).collect();
         all.sort_by(f64::total_cmp);
--- a/crates/quartzdrift-forecast/src/snapshot.rs
+++ b/crates/quartzdrift-forecast/src/snapshot.rs
@@ -10,7 +10,7 @@
 /// Older than this it says nothing of today.
 const OLDEST: Duration = Duration::from_secs(14 * 86_400);
 /// A clock may be set back by so much and what it saved be believed.
-const AHEAD_MOST: Duration = Duration::from_secs(300);
+const MAX_AHEAD: Duration = Duration::from_secs(300);
 
 /// Why a snapshot is set aside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,7 +61,7 @@
         }
         let read = serde_json::from_slice::<(Duration, BTreeMap<String, Track>)>(body);
         let (at, tracks) = read.map_err(|_| Unreadable::Corrupt)?;
-        if at > now + AHEAD_MOST {
+        if at > now + MAX_AHEAD {
             return Err(Unreadable::FromTheFuture);
         }
         if at + OLDEST < now {
@@ -108,7 +108,7 @@
         other[8] = 9;
         assert_eq!(read(&other, now), Some(Unreadable::Version(9)));
         assert_eq!(read(&bytes, now + OLDEST * 2), Some(Unreadable::Old));
-        assert_eq!(read(&bytes, now - AHEAD_MOST * 2), Some(Unreadable::FromTheFuture));
+        assert_eq!(read(&bytes, now - MAX_AHEAD * 2), Some(Unreadable::FromTheFuture));
     }
 
     proptest::proptest! {
--- a/crates/quartzdrift-http/src/body.rs
+++ b/crates/quartzdrift-http/src/body.rs
@@ -2,7 +2,7 @@
 use crate::head::Framing;
 
 /// Bytes of one chunk's size line at most; also of all trailer fields.
-const LINE_MOST: usize = 1024;
+const MAX_LINE: usize = 1024;
 /// Bytes set aside for a body on its length's word alone.
 const TRUST: usize = 64 << 10;
 
@@ -91,7 +91,7 @@
                         at += used;
                         self.state = if size == 0 { State::Trailer(0) } else { State::Chunk(size) };
                     }
-                    Ok(httparse::Status::Partial) if rest.len() <= LINE_MOST => return Ok(at),
+                    Ok(httparse::Status::Partial) if rest.len() <= MAX_LINE => return Ok(at),
                     Ok(httparse::Status::Partial) | Err(_) => return Err(BodyError::Malformed),
                 },
                 State::ChunkEnd => {
@@ -103,7 +103,7 @@
                 }
                 State::Trailer(seen) => {
                     let Some(end) = rest.iter().position(|&b| b == b'\n') else {
-                        return if seen + rest.len() <= LINE_MOST {
+                        return if seen + rest.len() <= MAX_LINE {
                             Ok(at)
                         } else {
                             Err(BodyError::Malformed)
@@ -111,7 +111,7 @@
                     };
                     at += end + 1;
                     let empty = rest[..end].trim_ascii().is_empty();
-                    if !empty && seen + end > LINE_MOST {
+                    if !empty && seen + end > MAX_LINE {
                         return Err(BodyError::Malformed);
                     }
                     self.state = if empty { State::Done } else { State::Trailer(seen + end) };
@@ -162,7 +162,7 @@
         let mut reader = BodyReader::new(Framing::Chunked, 4).unwrap();
         assert_eq!(reader.feed(b"5\r\nhello\r\n").unwrap_err(), BodyError::TooLarge);
         let mut reader = BodyReader::new(Framing::Chunked, 4).unwrap();
-        let line = [b'0'; LINE_MOST + 2];
+        let line = [b'0'; MAX_LINE + 2];
         assert_eq!(reader.feed(&line).unwrap_err(), BodyError::Malformed);
     }
 }
--- a/crates/quartzdrift-http/src/head.rs
+++ b/crates/quartzdrift-http/src/head.rs
@@ -4,7 +4,7 @@
 //! errors, since two readers that disagree on where a body ends can be made to mix clients' bytes.
 
 /// Fields in one head at most; more is an error.
-const FIELDS_MOST: usize = 64;
+const MAX_FIELDS: usize = 64;
 
 /// Fields of a head in their order; names in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -134,7 +134,7 @@
 
 /// Reads a whole head, as [`head_end`] delimits it.
 pub fn request(bytes: &[u8]) -> Result<RequestHead, HeadError> {
-    let mut raw = [httparse::EMPTY_HEADER; FIELDS_MOST];
+    let mut raw = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Request::new(&mut raw);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(_)) => {}
@@ -161,7 +161,7 @@
 
 /// Reads a whole head of an answer.
 pub fn response(bytes: &[u8]) -> Result<ResponseHead, HeadError> {
-    let mut raw = [httparse::EMPTY_HEADER; FIELDS_MOST];
+    let mut raw = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Response::new(&mut raw);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(_)) => {}
--- a/crates/quartzdrift-http/src/links.rs
+++ b/crates/quartzdrift-http/src/links.rs
@@ -16,9 +16,9 @@
 /// Bytes read at once from one link; then the others have their turn.
 pub const READ_STEP: usize = 64 << 10;
 /// A buffer that grew past this is given back once it is empty.
-const KEEP_MOST: usize = 4 << 10;
+const MAX_KEEP: usize = 4 << 10;
 /// Connections taken in one turn of the loop, so that a flood of them leaves room for the work.
-const ACCEPT_MOST: usize = 64;
+const MAX_ACCEPT: usize = 64;
 /// After the process ran out of descriptors: one may be free again.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
@@ -118,7 +118,7 @@
     pub fn consume(&mut self, bytes: usize) {
         self.input.drain(..bytes);
         if self.input.is_empty() {
-            self.input.shrink_to(KEEP_MOST);
+            self.input.shrink_to(MAX_KEEP);
         }
     }
 
@@ -160,7 +160,7 @@
             }
         }
         self.output.clear();
-        self.output.shrink_to(KEEP_MOST);
+        self.output.shrink_to(MAX_KEEP);
         (self.written, self.stuck) = (0, None);
     }
 
@@ -248,7 +248,7 @@
         self.acceptable = true;
     }
 
-    /// Connections that wait to be taken, at most `ACCEPT_MOST` in a turn. Where the process has run out of
+    /// Connections that wait to be taken, at most `MAX_ACCEPT` in a turn. Where the process has run out of
     /// descriptors, the `idle` link that has been silent longest is overdue at once.
     pub fn accept(&mut self, idle: impl Fn(&Link<T>) -> bool) -> Vec<TcpStream> {
         let mut taken = Vec::new();
@@ -256,7 +256,7 @@
             return taken;
         }
         for at in 0..self.listeners.len() {
-            while taken.len() < ACCEPT_MOST {
+            while taken.len() < MAX_ACCEPT {
                 match self.listeners[at].0.accept() {
                     Ok((stream, _)) => taken.push(stream),
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
--- a/crates/quartzdrift-invoke/src/answer.rs
+++ b/crates/quartzdrift-invoke/src/answer.rs
@@ -2,12 +2,12 @@
 //!
 //! | final answer | status | why |
 //! | --- | --- | --- |
-//! | finished | 200 (the worker's own), with `X-Amz-Function-Error` where the function failed | the job ran |
-//! | pushed back | 429 `TooManyRequestsException` with `Retry-After` | client libraries repeat it, and that is harmless |
+//! | finished | 200 (the worker's own), with `X-Amz-Function-Error` where the function failed | the request ran |
+//! | rejected | 429 `TooManyRequestsException` with `Retry-After` | client libraries repeat it, and that is harmless |
 //! | killed | 200 with `X-Amz-Function-Error: Unhandled` | it promises nothing: no status that libraries repeat |
 //! | taken, deferred | 202 | |
 //!
-//! Libraries repeat 429 and all of 5xx by themselves, also 408; a killed job may have run, so none of these.
+//! Libraries repeat 429 and all of 5xx by themselves, also 408; a killed request may have run, so none of these.
 use serde::Serialize;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     pub body: Vec<u8>,
 }
 
-/// Why a call is no job.
+/// Why a call is no request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Problem {
     NoSuchPath,
@@ -35,7 +35,7 @@
     TooSlow,
     /// Nothing can be taken now: trying again is harmless, since nothing ran.
     Busy(Option<Duration>),
-    /// Whether a deferred job was kept is not known: the disk failed meanwhile.
+    /// Whether an asynchronous request was kept is not known: the disk failed meanwhile.
     Unsure,
 }
 
@@ -101,7 +101,7 @@
             Problem::TooSlow => {
                 error(400, "InvalidRequestContentException", "the request was not whole in time", None)
             }
-            Problem::Busy(come_back) => pushed_back(come_back),
+            Problem::Busy(retry_after) => rejected(retry_after),
             Problem::Unsure => {
                 error(500, "ServiceException", "it is not known whether the job was kept", None)
             }
@@ -110,21 +110,21 @@
 }
 
 /// Whole seconds for `Retry-After`, never sooner than told.
-fn retry_after(come_back: Option<Duration>) -> u64 {
-    let told = come_back.unwrap_or_default();
+fn whole_seconds(retry_after: Option<Duration>) -> u64 {
+    let told = retry_after.unwrap_or_default();
     (told.as_secs() + u64::from(told.subsec_nanos() > 0)).max(1)
 }
 
-pub fn pushed_back(come_back: Option<Duration>) -> Said {
+pub fn rejected(retry_after: Option<Duration>) -> Said {
     let mut said = error(
         429,
         "TooManyRequestsException",
         "no worker can take this job now; trying again is harmless",
         Some("ConcurrentInvocationLimitExceeded"),
     );
-    said.fields.push(("retry-after", retry_after(come_back).to_string()));
-    if let Some(told) = come_back {
-        // Whole seconds are coarse beside executions of some milliseconds; our own clients read this one.
+    said.fields.push(("retry-after", whole_seconds(retry_after).to_string()));
+    if let Some(told) = retry_after {
+        // Whole seconds are coarse beside attempts of some milliseconds; our own clients read this one.
         let ms = told.as_millis() + u128::from(told.subsec_nanos() % 1_000_000 > 0);
         said.fields.push(("x-quartzdrift-come-back-ms", ms.to_string()));
     }
@@ -133,24 +133,24 @@
 
 /// What a kill tells of its cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KilledFor {
+pub enum FailureKind {
     /// The time limit came before an answer.
-    Time,
-    /// An execution ended without an answer and may have run.
-    Doubt,
+    DeadlineExceeded,
+    /// An attempt ended without an answer and may have run.
+    OutcomeUnknown,
     /// The gateway stops and cannot wait for the answer.
-    Stop,
+    ShuttingDown,
 }
 
-pub fn killed(why: KilledFor) -> Said {
+pub fn failed(why: FailureKind) -> Said {
     let (error_type, error_message) = match why {
-        KilledFor::Time => {
+        FailureKind::DeadlineExceeded => {
             ("Quartzdrift.TimeLimit", "the time limit came before an answer; the job may have run")
         }
-        KilledFor::Doubt => {
+        FailureKind::OutcomeUnknown => {
             ("Quartzdrift.Killed", "the worker was lost before it answered; the job may have run")
         }
-        KilledFor::Stop => {
+        FailureKind::ShuttingDown => {
             ("Quartzdrift.Stopped", "the gateway stopped before an answer; the job may have run")
         }
     };
@@ -184,16 +184,16 @@
     #[test]
     fn a_time_to_come_back_is_never_cut() {
         for (told, seconds) in [(0, 1), (1, 1), (1000, 1), (1001, 2), (61_000, 61)] {
-            assert_eq!(retry_after(Some(Duration::from_millis(told))), seconds, "{told} ms");
+            assert_eq!(whole_seconds(Some(Duration::from_millis(told))), seconds, "{told} ms");
         }
-        let said = pushed_back(Some(Duration::from_micros(1500)));
+        let said = rejected(Some(Duration::from_micros(1500)));
         assert!(said.fields.contains(&("x-quartzdrift-come-back-ms", "2".to_owned())));
     }
 
     #[test]
     fn a_kill_has_no_status_that_libraries_repeat() {
-        for why in [KilledFor::Time, KilledFor::Doubt, KilledFor::Stop] {
-            let said = killed(why);
+        for why in [FailureKind::DeadlineExceeded, FailureKind::OutcomeUnknown, FailureKind::ShuttingDown] {
+            let said = failed(why);
             assert_eq!(said.status, 200);
             assert!(said.fields.iter().any(|(name, _)| *name == "x-amz-function-error"));
         }
--- a/crates/quartzdrift-invoke/src/call.rs
+++ b/crates/quartzdrift-invoke/src/call.rs
@@ -7,16 +7,16 @@
 const PREFIX: &str = "/2015-03-31/functions/";
 const SUFFIX: &str = "/invocations";
 /// Bytes of the decoded client context at most (API reference).
-const CONTEXT_MOST: usize = 3583;
-/// Bytes of the mark against repeats at most: it is kept with the job.
-const MARK_MOST: usize = 256;
+const MAX_CONTEXT: usize = 3583;
+/// Bytes of the mark against repeats at most: it is kept with the request.
+const MAX_MARK: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// The answer comes on this call.
     Synchronous,
     /// Taken now, run later.
-    Deferred,
+    Asynchronous,
     /// Checked only.
     DryRun,
 }
@@ -75,7 +75,7 @@
         .map_err(Problem::BadParameter)?;
     let mode = match get("x-amz-invocation-type") {
         None | Some("RequestResponse") => Mode::Synchronous,
-        Some("Event") => Mode::Deferred,
+        Some("Event") => Mode::Asynchronous,
         Some("DryRun") => Mode::DryRun,
         Some(_) => {
             return Err(Problem::BadParameter(
@@ -89,13 +89,13 @@
     let context = get("x-amz-client-context").map(str::to_owned);
     if let Some(context) = &context {
         let bytes = base64::engine::general_purpose::STANDARD.decode(context);
-        if bytes.is_ok_and(|b| b.len() <= CONTEXT_MOST && is_json(&b)) {
+        if bytes.is_ok_and(|b| b.len() <= MAX_CONTEXT && is_json(&b)) {
         } else {
             return Err(Problem::BadContent("X-Amz-Client-Context is not base64 of JSON, or too long"));
         }
     }
     let mark = get("idempotency-key").map(str::to_owned);
-    if mark.as_ref().is_some_and(|m| m.is_empty() || m.len() > MARK_MOST) {
+    if mark.as_ref().is_some_and(|m| m.is_empty() || m.len() > MAX_MARK) {
         return Err(Problem::BadParameter("Idempotency-Key is empty or too long"));
     }
     let left_ms = match get("x-quartzdrift-time-left-ms").map(str::parse::<u64>) {
@@ -145,7 +145,7 @@
     fn calls_are_read() {
         let target = "/2015-03-31/functions/quote%3Av1/invocations?x=1&Qualifier=v1";
         let Ok(Asked::Invoke(call)) = ask(target, &[("x-amz-invocation-type", "Event")]) else { panic!() };
-        assert_eq!((call.function.loaded().as_str(), call.mode), ("quote:v1", Mode::Deferred));
+        assert_eq!((call.function.loaded().as_str(), call.mode), ("quote:v1", Mode::Asynchronous));
         let again = super::target(&call.function.loaded());
         let Ok(Asked::Invoke(second)) = ask(&again, &[]) else { panic!() };
         assert_eq!(second.function.loaded(), "quote:v1");
--- a/crates/quartzdrift-invoke/src/lib.rs
+++ b/crates/quartzdrift-invoke/src/lib.rs
@@ -4,7 +4,7 @@
 //! * [`answer`]: the final answers in that API's form.
 //! * [`orca`]: load reports as workers attach them to answers (Open Request Cost Aggregation).
 //! * [`models`]: orders to load and unload, and probes (Open Inference Protocol v2, model repository extension).
-//! * [`verdict`]: what an answer, or its absence, proves about an execution.
+//! * [`verdict`]: what an answer, or its absence, proves about an attempt.
 pub mod answer;
 pub mod call;
 pub mod models;
--- a/crates/quartzdrift-invoke/src/models.rs
+++ b/crates/quartzdrift-invoke/src/models.rs
@@ -14,7 +14,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct LoadCommand {
     #[serde(default)]
     pub parameters: Parameters,
 }
@@ -36,13 +36,13 @@
     format!("/v2/repository/models/{}/unload", utf8_percent_encode(function, NON_ALPHANUMERIC))
 }
 
-pub fn order(copies: u32) -> Vec<u8> {
-    serde_json::to_vec(&Order { parameters: Parameters { copies } }).unwrap_or_default()
+pub fn load_command(copies: u32) -> Vec<u8> {
+    serde_json::to_vec(&LoadCommand { parameters: Parameters { copies } }).unwrap_or_default()
 }
 
 /// The copies that an order or its answer tells; none where nothing can be read.
 pub fn copies(body: &[u8]) -> Option<u32> {
-    serde_json::from_slice::<Order>(body).ok().map(|order| order.parameters.copies)
+    serde_json::from_slice::<LoadCommand>(body).ok().map(|load_command| load_command.parameters.copies)
 }
 
 /// What a path asks for, as a worker reads it.
@@ -74,7 +74,7 @@
     fn orders_are_read_as_written() {
         assert_eq!(read(&load_target("a:v1")), Some(Asked::Load("a:v1".to_owned())));
         assert_eq!(read(&unload_target("a/b")), Some(Asked::Unload("a/b".to_owned())));
-        assert_eq!((copies(&order(3)), copies(b"{}"), copies(b"x")), (Some(3), Some(0), None));
+        assert_eq!((copies(&load_command(3)), copies(b"{}"), copies(b"x")), (Some(3), Some(0), None));
         assert_eq!(read("/v2/models/q/ready"), Some(Asked::ModelReady("q".to_owned())));
         assert_eq!(read("/v2/repository/models/q/drop"), None);
     }
--- a/crates/quartzdrift-invoke/src/name.rs
+++ b/crates/quartzdrift-invoke/src/name.rs
@@ -2,9 +2,9 @@
 //! (`account:function:name`) or a whole one, each with or without a qualifier.
 
 /// Characters of a name, and of the whole text, at most (API reference, Invoke, FunctionName).
-const NAME_MOST: usize = 140;
-const TEXT_MOST: usize = 256;
-const QUALIFIER_MOST: usize = 128;
+const MAX_NAME: usize = 140;
+const MAX_TEXT: usize = 256;
+const MAX_QUALIFIER: usize = 128;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FunctionName {
@@ -20,20 +20,20 @@
 }
 
 fn qualifier(text: &str) -> bool {
-    matches!(text, "$LATEST" | "$LATEST.PUBLISHED") || word(text, QUALIFIER_MOST)
+    matches!(text, "$LATEST" | "$LATEST.PUBLISHED") || word(text, MAX_QUALIFIER)
 }
 
 impl FunctionName {
     /// `Err` says what part does not fit.
     pub fn parse(text: &str) -> Result<FunctionName, &'static str> {
-        if text.len() > TEXT_MOST {
+        if text.len() > MAX_TEXT {
             return Err("the function name is too long");
         }
         let mut parts: Vec<&str> = text.split(':').collect();
         let (mut region, mut account) = (None, None);
         if parts[0] == "arn" {
             let [_, partition, service, told, ..] = parts[..] else { return Err("the ARN is cut short") };
-            if !partition.starts_with("aws") || service != "lambda" || !word(told, NAME_MOST) {
+            if !partition.starts_with("aws") || service != "lambda" || !word(told, MAX_NAME) {
                 return Err("the ARN is not of a function");
             }
             region = Some(told.to_owned());
@@ -56,7 +56,7 @@
             [name, told] => (name, Some(told)),
             _ => return Err("the function name has too many parts"),
         };
-        if !word(name, NAME_MOST) {
+        if !word(name, MAX_NAME) {
             return Err("the function name has characters other than letters, digits, '-' and '_'");
         }
         if told.is_some_and(|q| !qualifier(q)) {
--- a/crates/quartzdrift-invoke/src/orca.rs
+++ b/crates/quartzdrift-invoke/src/orca.rs
@@ -4,8 +4,8 @@
 
 pub const FIELD: &str = "endpoint-load-metrics";
 /// Bytes of a report that are read at most, and figures kept of it.
-const TEXT_MOST: usize = 8 << 10;
-const FIGURES_MOST: usize = 64;
+const MAX_TEXT: usize = 8 << 10;
+const MAX_FIGURES: usize = 64;
 
 /// Figures by name; nested ones as `named_metrics.NAME`.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -29,7 +29,7 @@
     /// What can be read of a field's value; unreadable parts are left out, as a report is only a hint.
     pub fn read(value: &str) -> Report {
         let mut report = Report::default();
-        if value.len() > TEXT_MOST {
+        if value.len() > MAX_TEXT {
             return report;
         }
         let (form, rest) = value.trim().split_once(' ').unwrap_or((value, ""));
@@ -62,7 +62,7 @@
     }
 
     fn keep(&mut self, name: &str, value: f64) {
-        if value.is_finite() && self.0.len() < FIGURES_MOST && self.get(name).is_none() {
+        if value.is_finite() && self.0.len() < MAX_FIGURES && self.get(name).is_none() {
             self.push(name, value);
         }
     }
@@ -86,7 +86,7 @@
     proptest::proptest! {
         #[test]
         fn any_value_is_read_within_bounds(value: String) {
-            proptest::prop_assert!(Report::read(&["TEXT ", &value].concat()).0.len() <= FIGURES_MOST);
+            proptest::prop_assert!(Report::read(&["TEXT ", &value].concat()).0.len() <= MAX_FIGURES);
             Report::read(&["JSON ", &value].concat());
         }
     }
--- a/crates/quartzdrift-lab/src/actor.rs
+++ b/crates/quartzdrift-lab/src/actor.rs
@@ -7,7 +7,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-pub trait StandIn: HasHttp {
+pub trait Fake: HasHttp {
     type Command: Send + 'static;
     fn event(&mut self, event: HttpEvent);
     fn command(&mut self, command: Self::Command);
@@ -21,7 +21,7 @@
 }
 
 /// Runs until the stand-in says that it has stopped, or every sender is gone.
-pub fn run<A: StandIn>(
+pub fn run<A: Fake>(
     listener: Option<TcpListener>,
     commands: Option<Channel<A::Command>>,
     make: impl FnOnce(LoopHandle<'static, A>) -> A,
@@ -30,7 +30,7 @@
 }
 
 /// The same, and hands the stand-in over at the end.
-pub fn run_to_end<A: StandIn>(
+pub fn run_to_end<A: Fake>(
     listener: Option<TcpListener>,
     commands: Option<Channel<A::Command>>,
     make: impl FnOnce(LoopHandle<'static, A>) -> A,
@@ -94,7 +94,7 @@
 }
 
 /// Starts a stand-in that listens at `at`.
-pub fn spawn<A: StandIn>(
+pub fn spawn<A: Fake>(
     at: SocketAddr,
     make: impl FnOnce(LoopHandle<'static, A>, SocketAddr) -> A + Send + 'static,
 ) -> io::Result<Running<A::Command>> {
--- a/crates/quartzdrift-lab/src/audit.rs
+++ b/crates/quartzdrift-lab/src/audit.rs
@@ -1,4 +1,4 @@
-//! Judges a day from its record alone: the five rules, and never two executions of a job at once.
+//! Judges a day from its record alone: the five rules, and never two attempts of a request at once.
 use crate::record::{Line, Seen};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,18 +11,22 @@
 /// What is promised to whom.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Terms {
-    /// Workloads that must never run twice, and those that may within a window (microseconds).
-    pub run_once: BTreeSet<String>,
+    /// Request classes that must never run twice, and those that may within a window (microseconds).
+    #[serde(rename = "run_once")]
+    pub non_idempotent: BTreeSet<String>,
     pub windows_us: BTreeMap<String, u64>,
     pub drain_grace_us: u64,
     pub fall_multiple: f64,
     pub fall_window_us: u64,
-    pub load_free: f64,
-    pub load_share: f64,
+    #[serde(rename = "load_free")]
+    pub load_quota_burst: f64,
+    #[serde(rename = "load_share")]
+    pub load_quota_share: f64,
     /// 0: load orders are not rationed.
     pub load_window_us: u64,
-    /// Deferred jobs are over by the end of the record.
-    pub deferred_over: bool,
+    /// Asynchronous requests are over by the end of the record.
+    #[serde(rename = "deferred_over")]
+    pub asynchronous_over: bool,
     /// And those too that a gateway held when it was killed, unless it never came back.
     #[serde(default)]
     pub durable: bool,
@@ -30,7 +34,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    JobLost,
+    RequestLost,
     EffectTwice,
     Drain,
     ColdWorker,
@@ -48,7 +52,7 @@
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Rule::JobLost => "no job lost",
+            Rule::RequestLost => "no job lost",
             Rule::EffectTwice => "no effect twice",
             Rule::Drain => "drains kept",
             Rule::ColdWorker => "no cold worker pushed over",
@@ -68,15 +72,15 @@
     at: u64,
     gateway: u64,
     key: &'a str,
-    workload: &'a str,
-    deferred: bool,
+    request_class: &'a str,
+    asynchronous: bool,
     limit: u64,
 }
 
-struct Execution<'a> {
+struct Attempt<'a> {
     worker: &'a str,
     life: u64,
-    job: &'a str,
+    request: &'a str,
     key: &'a str,
     from: u64,
     to: Option<u64>,
@@ -92,7 +96,7 @@
     answers: BTreeMap<u64, Vec<(u64, u16)>>,
     left: BTreeMap<u64, u64>,
     cut: BTreeMap<u64, u64>,
-    executions: Vec<Execution<'a>>,
+    attempts: Vec<Attempt<'a>>,
     /// When each gateway was down: from its kill to its next start, or on to the end.
     down: BTreeMap<u64, Vec<(u64, u64)>>,
     /// When workers lost what they remembered.
@@ -109,19 +113,19 @@
         let at = *at_us;
         day.end = day.end.max(at);
         match seen {
-            Seen::Asked { call, gateway, key, workload, deferred, limit_us } => {
-                let (gateway, deferred, limit) = (*gateway, *deferred, *limit_us);
-                day.asked.insert(*call, Asked { at, gateway, key, workload, deferred, limit });
+            Seen::Asked { call, gateway, key, request_class, asynchronous, limit_us } => {
+                let (gateway, asynchronous, limit) = (*gateway, *asynchronous, *limit_us);
+                day.asked.insert(*call, Asked { at, gateway, key, request_class, asynchronous, limit });
             }
             Seen::Answered { call, status, .. } => day.answers.entry(*call).or_default().push((at, *status)),
             Seen::Left { call } => drop(day.left.insert(*call, at)),
             Seen::Cut { call } => drop(day.cut.insert(*call, at)),
-            Seen::Came { worker, life, call, job, key, work_us, .. } => {
-                open.insert((worker, *life, *call), day.executions.len());
-                day.executions.push(Execution {
+            Seen::Came { worker, life, call, request, key, work_us, .. } => {
+                open.insert((worker, *life, *call), day.attempts.len());
+                day.attempts.push(Attempt {
                     worker,
                     life: *life,
-                    job,
+                    request,
                     key,
                     from: at,
                     to: None,
@@ -132,17 +136,17 @@
             }
             Seen::Began { worker, life, call, .. } => {
                 if let Some(&of) = open.get(&(worker.as_str(), *life, *call)) {
-                    day.executions[of].began = true;
+                    day.attempts[of].began = true;
                 }
             }
             Seen::Refused { worker, life, call } => {
                 if let Some(&of) = open.get(&(worker.as_str(), *life, *call)) {
-                    day.executions[of].refused = true;
+                    day.attempts[of].refused = true;
                 }
             }
             Seen::Over { worker, life, call } => {
                 if let Some(&of) = open.get(&(worker.as_str(), *life, *call)) {
-                    day.executions[of].to.get_or_insert(at);
+                    day.attempts[of].to.get_or_insert(at);
                 }
             }
             Seen::GatewayKilled { gateway } => day.down.entry(*gateway).or_default().push((at, u64::MAX)),
@@ -179,17 +183,17 @@
     broken
 }
 
-/// Each job that a running gateway took gets one final answer, within its limit; what it held when it was killed
+/// Each request that a running gateway took gets one final answer, within its limit; what it held when it was killed
 /// is no longer its duty, nor is an answer to a client that left.
 fn lost(day: &Day, terms: &Terms, broken: &mut Vec<Broken>) {
-    let handled: BTreeSet<&str> = day.executions.iter().filter(|e| e.began).map(|e| e.key).collect();
+    let handled: BTreeSet<&str> = day.attempts.iter().filter(|e| e.began).map(|e| e.key).collect();
     for (call, asked) in &day.asked {
         let until = asked.at + asked.limit + LAG_US;
         let killed = |by: u64| {
             let times = day.down.get(&asked.gateway);
             times.is_some_and(|times| times.iter().any(|(from, to)| *from <= by && asked.at <= *to))
         };
-        let mut add = |at_us: u64, what: String| broken.push(Broken { rule: Rule::JobLost, at_us, what });
+        let mut add = |at_us: u64, what: String| broken.push(Broken { rule: Rule::RequestLost, at_us, what });
         let answers = day.answers.get(call).map_or(&[][..], Vec::as_slice);
         match answers {
             [] => {
@@ -208,9 +212,9 @@
             [_] => {}
             [_, (at, _), ..] => add(*at, format!("call {call} was answered twice")),
         }
-        if let (true, true, [(at, 202)]) = (asked.deferred, terms.deferred_over, answers) {
+        if let (true, true, [(at, 202)]) = (asked.asynchronous, terms.asynchronous_over, answers) {
             let dead = format!("dead:{}", asked.key);
-            let seen = handled.contains(asked.key) || day.executions.iter().any(|e| e.key == dead);
+            let seen = handled.contains(asked.key) || day.attempts.iter().any(|e| e.key == dead);
             let never_back =
                 day.down.get(&asked.gateway).is_some_and(|times| times.iter().any(|(_, to)| *to == u64::MAX));
             let gone = day.disks.iter().any(|(of, at)| *of == asked.gateway && asked.at < *at);
@@ -222,45 +226,47 @@
     }
 }
 
-/// By workload: run-once jobs are not sent again unless every earlier execution is known not to have run, and
+/// By request class: non-idempotent requests are not sent again unless every earlier attempt is known not to have run, and
 /// fingerprinted ones only within the window of the first.
 fn twice(day: &Day, terms: &Terms, broken: &mut Vec<Broken>) {
-    let workload: BTreeMap<&str, &str> = day.asked.values().map(|a| (a.key, a.workload)).collect();
+    let request_class: BTreeMap<&str, &str> = day.asked.values().map(|a| (a.key, a.request_class)).collect();
     let mut first: BTreeMap<&str, u64> = BTreeMap::new();
-    for execution in day.executions.iter().filter(|e| !e.refused && !e.key.is_empty()) {
-        let Some(workload) = workload.get(execution.key) else { continue };
-        let Some(&began) = first.get(execution.key) else {
-            first.insert(execution.key, execution.from);
+    for attempt in day.attempts.iter().filter(|e| !e.refused && !e.key.is_empty()) {
+        let Some(request_class) = request_class.get(attempt.key) else { continue };
+        let Some(&began) = first.get(attempt.key) else {
+            first.insert(attempt.key, attempt.from);
             continue;
         };
-        let (at_us, key) = (execution.from, execution.key);
-        if terms.run_once.contains(*workload) {
-            let what = format!("run-once job {key} came to {} after it may have run", execution.worker);
+        let (at_us, key) = (attempt.from, attempt.key);
+        if terms.non_idempotent.contains(*request_class) {
+            let what = format!("run-once job {key} came to {} after it may have run", attempt.worker);
             broken.push(Broken { rule: Rule::EffectTwice, at_us, what });
         }
-        let window = terms.windows_us.get(*workload);
+        let window = terms.windows_us.get(*request_class);
         let forgot = day.forgot.iter().any(|at| began < *at && *at < at_us);
         if window.is_some() && forgot {
-            let what =
-                format!("fingerprinted job {key} came to {} after workers forgot it", execution.worker);
+            let what = format!("fingerprinted job {key} came to {} after workers forgot it", attempt.worker);
             broken.push(Broken { rule: Rule::EffectTwice, at_us, what });
         }
         if window.is_some_and(|window| at_us > began + window + LAG_US) {
-            let what = format!("fingerprinted job {key} came to {} past its window", execution.worker);
+            let what = format!("fingerprinted job {key} came to {} past its window", attempt.worker);
             broken.push(Broken { rule: Rule::EffectTwice, at_us, what });
         }
     }
 }
 
 fn at_once(day: &Day, broken: &mut Vec<Broken>) {
-    let mut of: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
-    day.executions.iter().filter(|e| !e.job.is_empty()).for_each(|e| of.entry(e.job).or_default().push(e));
-    for (job, mut all) in of {
+    let mut of: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
+    day.attempts
+        .iter()
+        .filter(|e| !e.request.is_empty())
+        .for_each(|e| of.entry(e.request).or_default().push(e));
+    for (request, mut all) in of {
         all.sort_by_key(|e| e.from);
         for pair in all.windows(2) {
             if pair[0].to.is_none_or(|to| to > pair[1].from + LAG_US) {
                 let (first, second) = (pair[0].worker, pair[1].worker);
-                let what = format!("job {job} came to {second} while it was out at {first}");
+                let what = format!("job {request} came to {second} while it was out at {first}");
                 broken.push(Broken { rule: Rule::TwoAtOnce, at_us: pair[1].from, what });
             }
         }
@@ -307,7 +313,7 @@
         return;
     }
     for ((worker, life), (start, cores, cold_from, cold_us)) in starts {
-        let came = day.executions.iter().filter(|e| e.worker == worker && e.life == life);
+        let came = day.attempts.iter().filter(|e| e.worker == worker && e.life == life);
         let came: Vec<(u64, u64)> = came.map(|e| (e.from, e.work)).collect();
         let mut from = 0;
         for (n, (at, _)) in came.iter().enumerate() {
@@ -337,13 +343,14 @@
         match seen {
             Seen::Asked { gateway, .. } => of.entry(*gateway).or_default().0.push(*at_us),
             Seen::Ordered { gateway, .. } => {
-                let (jobs, orders) = of.entry(*gateway).or_default();
+                let (requests, orders) = of.entry(*gateway).or_default();
                 orders.push(*at_us);
                 let since = at_us.saturating_sub(terms.load_window_us);
                 let count =
                     |times: &[u64], since: u64| times.iter().filter(|at| **at >= since).count() as f64;
-                // Jobs that came a moment before the window count for the doubt that clocks leave.
-                let most = terms.load_free + terms.load_share * count(jobs, since.saturating_sub(LAG_US));
+                // Requests that came a moment before the window count for the doubt that clocks leave.
+                let most = terms.load_quota_burst
+                    + terms.load_quota_share * count(requests, since.saturating_sub(LAG_US));
                 let ordered = count(orders, since);
                 if ordered > most {
                     let what = format!(
@@ -363,15 +370,15 @@
 
     fn terms() -> Terms {
         Terms {
-            run_once: BTreeSet::from(["once".to_owned()]),
+            non_idempotent: BTreeSet::from(["once".to_owned()]),
             windows_us: BTreeMap::from([("marked".to_owned(), 1_000_000)]),
             drain_grace_us: 250_000,
             fall_multiple: 3.0,
             fall_window_us: 1_000_000,
-            load_free: 1.0,
-            load_share: 0.0,
+            load_quota_burst: 1.0,
+            load_quota_share: 0.0,
             load_window_us: 1_000_000,
-            deferred_over: true,
+            asynchronous_over: true,
             durable: false,
         }
     }
@@ -380,9 +387,9 @@
         Line { at_us: ms * 1000, seen }
     }
 
-    fn asked(call: u64, workload: &str, deferred: bool) -> Seen {
-        let (key, workload) = (format!("k{call}"), workload.to_owned());
-        Seen::Asked { call, gateway: 0, key, workload, deferred, limit_us: 3_000_000 }
+    fn asked(call: u64, request_class: &str, asynchronous: bool) -> Seen {
+        let (key, request_class) = (format!("k{call}"), request_class.to_owned());
+        Seen::Asked { call, gateway: 0, key, request_class, asynchronous, limit_us: 3_000_000 }
     }
 
     fn answered(call: u64, status: u16) -> Seen {
@@ -390,8 +397,8 @@
     }
 
     fn came(worker: &str, call: u64, key: &str) -> Seen {
-        let (worker, key, job) = (worker.to_owned(), key.to_owned(), "j".to_owned());
-        Seen::Came { worker, life: 1, call, gateway: 0, job, execution: 0, key, work_us: 1000 }
+        let (worker, key, request) = (worker.to_owned(), key.to_owned(), "j".to_owned());
+        Seen::Came { worker, life: 1, call, gateway: 0, request, attempt: 0, key, work_us: 1000 }
     }
 
     fn over(worker: &str, call: u64) -> Seen {
@@ -436,13 +443,13 @@
     #[test]
     fn each_doctored_day_breaks_its_rule() {
         let lost = vec![line(100, asked(2, "any", false))];
-        assert_eq!(rules(lost), [Rule::JobLost]);
+        assert_eq!(rules(lost), [Rule::RequestLost]);
         let late = vec![line(100, asked(2, "any", false)), line(3300, answered(2, 429))];
-        assert_eq!(rules(late), [Rule::JobLost]);
+        assert_eq!(rules(late), [Rule::RequestLost]);
         let again = vec![line(17, answered(1, 200))];
-        assert_eq!(rules(again), [Rule::JobLost]);
+        assert_eq!(rules(again), [Rule::RequestLost]);
         let forgotten = vec![line(100, asked(2, "any", true)), line(101, answered(2, 202))];
-        assert_eq!(rules(forgotten), [Rule::JobLost]);
+        assert_eq!(rules(forgotten), [Rule::RequestLost]);
         let twice = vec![line(500, came("b", 2, "k1")), line(501, over("b", 2))];
         assert_eq!(rules(twice), [Rule::EffectTwice]);
         let window = vec![
@@ -474,14 +481,14 @@
     #[test]
     fn too_much_work_for_a_cold_worker_is_seen_without_its_fall() {
         let push = |n: u64| {
-            let (worker, key, job) = ("a".to_owned(), String::new(), String::new());
+            let (worker, key, request) = ("a".to_owned(), String::new(), String::new());
             let seen = Seen::Came {
                 worker,
                 life: 1,
                 call: 100 + n,
                 gateway: 1,
-                job,
-                execution: 0,
+                request,
+                attempt: 0,
                 key,
                 work_us: 200_000,
             };
--- a/crates/quartzdrift-lab/src/badday.rs
+++ b/crates/quartzdrift-lab/src/badday.rs
@@ -2,18 +2,18 @@
 use crate::actor::{self, Running};
 use crate::audit::{self, Broken, Terms};
 use crate::clients::{self, Clients, Tally};
+use crate::discovery::{self, Discovery};
 use crate::model::{Machine, Spec};
 use crate::record::{Line, Recorder, Seen};
 use crate::relay::Relay;
-use crate::roster::{self, Roster};
 use crate::script::{Script, Spoil, Trouble};
 use crate::store::{self, Store};
 use crate::switch::{Links, Switch, kept_port};
 use crate::traffic;
-use crate::worker::{self, Faults, WorkerStandIn};
-use quartzdrift_choice::interface::{Effect, State};
+use crate::worker::{self, FakeWorker, Faults};
+use quartzdrift_discovery::list::Listed;
 use quartzdrift_recovery::View;
-use quartzdrift_roster::list::Listed;
+use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::io::{self, BufRead, BufReader, Write};
@@ -24,14 +24,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long open calls and deferred jobs may take to end once no more come.
+/// How long open calls and asynchronous requests may take to end once no more come.
 const SETTLE: Duration = Duration::from_secs(15);
 /// The rule for drains that the gateways are given.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 /// How long it may take until all that loses power has lost it.
 const ONE_MOMENT: Duration = Duration::from_millis(20);
 /// How long a gateway may take to start or to stop.
-const GATEWAY_MOST: Duration = Duration::from_secs(20);
+const MAX_GATEWAY: Duration = Duration::from_secs(20);
 
 /// How a day went.
 pub struct Day {
@@ -39,8 +39,8 @@
     pub terms: Terms,
     pub broken: Vec<Broken>,
     pub tally: Tally,
-    /// Executions that reached workers, those that ran without finding their copy loaded, and fetches.
-    pub executions: usize,
+    /// Attempts that reached workers, those that ran without finding their copy loaded, and fetches.
+    pub attempts: usize,
     pub waited_for_load: usize,
     pub fetches: usize,
     /// Of the fetches, those that the store turned away.
@@ -92,7 +92,7 @@
     recorder: Recorder,
     workers: Vec<Running<worker::Command>>,
     faults: Vec<Faults>,
-    roster: Running<roster::Command>,
+    discovery: Running<discovery::Command>,
     store: Running<store::Command>,
     gateways: Vec<Gateway>,
     switch: Option<Switch>,
@@ -106,11 +106,11 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn listed(worker: &str, state: State, started: Option<Duration>) -> Listed {
+fn listed(worker: &str, state: EndpointState, started: Option<Duration>) -> Listed {
     Listed { state, started, ..Listed::up(worker) }
 }
 
-/// What makes a gateway a member of the day's fleet, with its deferred jobs on disk.
+/// What makes a gateway a member of the day's fleet, with its asynchronous requests on disk.
 fn fleet_settings(me: usize, period: Duration, switch: &Switch, key: &Path) -> String {
     let seeds: Vec<String> = switch.outside.iter().map(|at| format!("\"{at}\"")).collect();
     format!(
@@ -127,7 +127,13 @@
 }
 
 /// Settings of one gateway of a day.
-pub fn settings(script: &Script, me: usize, listen: SocketAddr, roster: SocketAddr, state: &Path) -> String {
+pub fn settings(
+    script: &Script,
+    me: usize,
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    state: &Path,
+) -> String {
     let mut text = String::new();
     let ms = |span: Duration| format!("\"{}ms\"", span.as_millis());
     let state = state.display();
@@ -137,7 +143,7 @@
         "[gateway]\nlisten = [\"{listen}\"]\nstate = \"{state}\"\nseed = {me}\ndrain = \"5s\"\n\
          [log]\nfilter = \"warn\"\n\
          [scheduler]\nme = {me}\nschedulers = {}\n\
-         [roster]\nurl = \"http://{roster}/workers/{me}\"\nstream = true\nevery = \"2s\"\ntimeout = \"500ms\"\n\
+         [roster]\nurl = \"http://{discovery}/workers/{me}\"\nstream = true\nevery = \"2s\"\ntimeout = \"500ms\"\n\
          [allowed]\nmax_executions = 3\nconnect_timeout = \"250ms\"\n\
          [rules]\nanswer_slack = \"50ms\"\ndrain_grace = {}\n",
         script.gateways,
@@ -168,21 +174,24 @@
     if script.forecasts {
         text.push_str("[forecasts]\nseasons = [\"60s\", \"120s\"]\n");
     }
-    let first = script.workloads.first().map_or("", |workload| workload.name.as_str());
-    for workload in &script.workloads {
-        let effect = match workload.effect {
-            Effect::Restartable => "restartable",
-            Effect::Fingerprinted => "fingerprinted",
-            Effect::RunOnce => "run-once",
+    let first = script.request_classes.first().map_or("", |request_class| request_class.name.as_str());
+    for request_class in &script.request_classes {
+        let idempotency = match request_class.idempotency {
+            Idempotency::Idempotent => "restartable",
+            Idempotency::IdempotentWithKey => "fingerprinted",
+            Idempotency::NonIdempotent => "run-once",
         };
-        let (name, limit) = (&workload.name, ms(workload.limit));
-        let _ =
-            write!(text, "[[workloads]]\nname = \"{name}\"\neffect = \"{effect}\"\ntime_limit = {limit}\n");
-        if workload.effect == Effect::Fingerprinted {
-            let _ = writeln!(text, "group = \"all\"\nwindow = {}", ms(workload.window));
+        let (name, limit) = (&request_class.name, ms(request_class.limit));
+        let _ = write!(
+            text,
+            "[[workloads]]\nname = \"{name}\"\neffect = \"{idempotency}\"\ntime_limit = {limit}\n"
+        );
+        if request_class.idempotency == Idempotency::IdempotentWithKey {
+            let _ = writeln!(text, "group = \"all\"\nwindow = {}", ms(request_class.window));
         }
-        for n in 0..workload.functions {
-            let (memory, lanes, load) = (workload.memory_mb, workload.lanes, ms(workload.load));
+        for n in 0..request_class.functions {
+            let (memory, lanes, load) =
+                (request_class.memory_mb, request_class.lanes, ms(request_class.load));
             let _ = write!(
                 text,
                 "[[functions]]\nname = \"{name}-{n}\"\nworkload = \"{name}\"\nmemory_mb = {memory:.1}\n\
@@ -221,11 +230,14 @@
 
 pub fn specs(script: &Script) -> BTreeMap<String, Spec> {
     let mut specs = BTreeMap::new();
-    for workload in &script.workloads {
-        for n in 0..workload.functions {
+    for request_class in &script.request_classes {
+        for n in 0..request_class.functions {
             let (memory_mb, lanes, load, work) =
-                (workload.memory_mb, workload.lanes, workload.load, workload.work);
-            specs.insert(format!("{}-{n}", workload.name), Spec { memory_mb, lanes, load, fetch: 0.6, work });
+                (request_class.memory_mb, request_class.lanes, request_class.load, request_class.work);
+            specs.insert(
+                format!("{}-{n}", request_class.name),
+                Spec { memory_mb, lanes, load, fetch: 0.6, work },
+            );
         }
     }
     let light = Spec { memory_mb: 1.0, load: Duration::from_millis(1), ..Spec::default() };
@@ -234,19 +246,19 @@
 }
 
 fn terms(script: &Script) -> Terms {
-    let of = |effect| script.workloads.iter().filter(move |w| w.effect == effect);
+    let of = |idempotency| script.request_classes.iter().filter(move |w| w.idempotency == idempotency);
     Terms {
-        run_once: of(Effect::RunOnce).map(|w| w.name.clone()).collect(),
-        windows_us: of(Effect::Fingerprinted)
+        non_idempotent: of(Idempotency::NonIdempotent).map(|w| w.name.clone()).collect(),
+        windows_us: of(Idempotency::IdempotentWithKey)
             .map(|w| (w.name.clone(), w.window.as_micros() as u64))
             .collect(),
         drain_grace_us: DRAIN_GRACE.as_micros() as u64,
         fall_multiple: script.fall_multiple,
         fall_window_us: script.fall_window.as_micros() as u64,
-        load_free: 0.0,
-        load_share: 0.0,
+        load_quota_burst: 0.0,
+        load_quota_share: 0.0,
         load_window_us: 0,
-        deferred_over: true,
+        asynchronous_over: true,
         durable: script.fleet.is_some(),
     }
 }
@@ -289,27 +301,27 @@
         self.workers[n].tell(worker::Command::Faults(self.faults[n].clone()));
     }
 
-    fn list(&self, n: usize, state: State) {
+    fn list(&self, n: usize, state: EndpointState) {
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let started = (state == State::Up).then_some(started);
+        let started = (state == EndpointState::Up).then_some(started);
         let worker = self.workers[n].address.to_string();
-        self.roster.tell(roster::Command::Set(listed(&worker, state, started)));
+        self.discovery.tell(discovery::Command::Set(listed(&worker, state, started)));
     }
 
     fn cause(&mut self, trouble: &Trouble) -> io::Result<()> {
         match *trouble {
             Trouble::Crash(n) => {
                 self.workers[n].tell(worker::Command::Crash);
-                self.list(n, State::Gone);
+                self.list(n, EndpointState::Gone);
             }
             Trouble::Start(n) => {
                 self.faults[n] = Faults::default();
                 self.workers[n].tell(worker::Command::Start);
-                self.list(n, State::Up);
+                self.list(n, EndpointState::Up);
             }
             Trouble::Drain(n) => {
                 self.workers[n].tell(worker::Command::Drain);
-                self.list(n, State::Draining);
+                self.list(n, EndpointState::Draining);
             }
             Trouble::Silent(n) => self.set_faults(n, |faults| faults.silent = true),
             Trouble::Hang(n) => self.set_faults(n, |faults| faults.hang = true),
@@ -318,9 +330,9 @@
             Trouble::Lose(n, share) => self.set_faults(n, |faults| faults.lost = share),
             Trouble::Slow(n, by) => self.set_faults(n, |faults| faults.slow = by),
             Trouble::Late(n, by) => self.set_faults(n, |faults| faults.late_reports = by),
-            Trouble::RosterLag(lag) => self.roster.tell(roster::Command::Lag(lag)),
-            Trouble::RosterStop(on) => self.roster.tell(roster::Command::Stop(on)),
-            Trouble::RosterEmpty(on) => self.roster.tell(roster::Command::Empty(on)),
+            Trouble::DiscoveryLag(lag) => self.discovery.tell(discovery::Command::Lag(lag)),
+            Trouble::DiscoveryStop(on) => self.discovery.tell(discovery::Command::Stop(on)),
+            Trouble::DiscoveryEmpty(on) => self.discovery.tell(discovery::Command::Empty(on)),
             Trouble::StoreSlow(times) => self.store.tell(store::Command::Slow(times)),
             Trouble::StoreRefuse(on) => self.store.tell(store::Command::Refuse(on)),
             Trouble::KillGateway(n) => {
@@ -373,7 +385,7 @@
                     relay.set(link);
                 }
             }
-            Trouble::RosterStall(n, on) => self.roster.tell(roster::Command::Stall(n as u64, on)),
+            Trouble::DiscoveryStall(n, on) => self.discovery.tell(discovery::Command::Stall(n as u64, on)),
             Trouble::CopyState(n) => {
                 let state = &self.gateways[n].state;
                 copy(state, &state.with_extension("copy"))?;
@@ -402,7 +414,7 @@
         }
         if gateways.is_none() {
             self.workers.iter().for_each(|worker| worker.tell(worker::Command::Crash));
-            self.roster.tell(roster::Command::Stop(true));
+            self.discovery.tell(discovery::Command::Stop(true));
             self.marks.lock().unwrap_or_else(PoisonError::into_inner).clear();
             self.recorder.see(Seen::WorkersLost);
         }
@@ -413,7 +425,7 @@
             }
         }
         if gateways.is_none() {
-            (0..self.workers.len()).for_each(|n| self.list(n, State::Gone));
+            (0..self.workers.len()).for_each(|n| self.list(n, EndpointState::Gone));
         }
         match gap <= ONE_MOMENT {
             true => Ok(()),
@@ -444,16 +456,16 @@
                     _ => self.gateways[(n + 1) % self.gateways.len()].state.clone(),
                 };
                 // The store of another member is refused at the start, which is a test of its own.
-                let deferred = state.join("deferred");
+                let asynchronous = state.join("deferred");
                 let own = state.with_extension("own");
                 if how == Spoil::Other {
-                    std::fs::rename(&deferred, &own)?;
+                    std::fs::rename(&asynchronous, &own)?;
                 }
                 std::fs::remove_dir_all(&state)?;
                 copy(&from, &state)?;
                 if how == Spoil::Other {
-                    std::fs::remove_dir_all(&deferred)?;
-                    std::fs::rename(&own, &deferred)?;
+                    std::fs::remove_dir_all(&asynchronous)?;
+                    std::fs::rename(&own, &asynchronous)?;
                 }
             }
             Spoil::Empty => {
@@ -477,7 +489,7 @@
                 Command::new("kill").args(["-TERM", &id]).status()?;
             }
         }
-        let until = Instant::now() + GATEWAY_MOST;
+        let until = Instant::now() + MAX_GATEWAY;
         for n in which {
             let gateway = &mut self.gateways[n];
             let Some(mut child) = gateway.child.take() else { continue };
@@ -530,7 +542,7 @@
     let store_config = store_config(script);
     let store = actor::spawn(any(), move |handle, _| Store::new(handle, store_config))?;
     let marks: worker::Marks = Arc::default();
-    let window = script.workloads.iter().map(|w| w.window).max().unwrap_or_default();
+    let window = script.request_classes.iter().map(|w| w.window).max().unwrap_or_default();
     let mut workers = Vec::new();
     for n in 0..script.workers {
         let config = worker::Config {
@@ -543,13 +555,12 @@
             seed: seed ^ n as u64,
             ..worker::Config::default()
         };
-        workers
-            .push(actor::spawn(any(), move |handle, address| WorkerStandIn::new(handle, address, config))?);
+        workers.push(actor::spawn(any(), move |handle, address| FakeWorker::new(handle, address, config))?);
     }
     let first: Vec<Listed> =
-        workers.iter().map(|w| listed(&w.address.to_string(), State::Up, None)).collect();
+        workers.iter().map(|w| listed(&w.address.to_string(), EndpointState::Up, None)).collect();
     let (lag, of) = (script.lag, recorder.clone());
-    let roster = actor::spawn(any(), move |handle, _| Roster::new(handle, first, lag, Some(of)))?;
+    let discovery = actor::spawn(any(), move |handle, _| Discovery::new(handle, first, lag, Some(of)))?;
     let mut relays = BTreeMap::new();
     if script.troubles.iter().any(|(_, trouble)| matches!(trouble, Trouble::Link(..))) {
         let pairs = (0..script.gateways).flat_map(|g| (0..workers.len()).map(move |w| (g, w)));
@@ -559,7 +570,7 @@
         let told = |(&(g, w), relay): (&(usize, usize), &Relay)| {
             ((g as u64, workers[w].address.to_string()), relay.address.to_string())
         };
-        roster.tell(roster::Command::Relays(relays.iter().map(told).collect()));
+        discovery.tell(discovery::Command::Relays(relays.iter().map(told).collect()));
     }
     let switch = script.fleet.map(|_| Switch::start(script.gateways, seed)).transpose()?;
     let key = folder.path().join("key");
@@ -570,7 +581,7 @@
         let listen = kept_port()?;
         let state = folder.path().join(format!("gateway-{n}"));
         let file = folder.path().join(format!("gateway-{n}.toml"));
-        let mut text = settings(script, n, listen, roster.address, &state);
+        let mut text = settings(script, n, listen, discovery.address, &state);
         if let (Some(period), Some(switch)) = (script.fleet, &switch) {
             text.push_str(&fleet_settings(n, period, switch, &key));
         }
@@ -586,7 +597,7 @@
         recorder: recorder.clone(),
         workers,
         faults,
-        roster,
+        discovery,
         store,
         gateways,
         switch,
@@ -602,7 +613,8 @@
     let (open_too, tally_too) = (open.clone(), tally.clone());
     let arrivals = traffic::arrivals(script, seed);
     let (repeats, haste) = (script.repeats, script.haste);
-    let plan = clients::Plan { workloads: script.workloads.clone(), arrivals, seed, repeats, haste };
+    let plan =
+        clients::Plan { request_classes: script.request_classes.clone(), arrivals, seed, repeats, haste };
     let clients =
         actor::spawn(any(), move |handle, _| Clients::new(handle, of, addresses, plan, open_too, tally_too))?;
     let start = Instant::now();
@@ -619,7 +631,7 @@
     let terms = terms(script);
     // What was taken and waits is run before the gateways stop, or is lost.
     while script.fleet.is_some() && Instant::now() < until {
-        let lost = |broken: &Broken| broken.rule == audit::Rule::JobLost;
+        let lost = |broken: &Broken| broken.rule == audit::Rule::RequestLost;
         if !audit::audit(&recorder.lines(), &terms).iter().any(lost) {
             break;
         }
@@ -636,12 +648,12 @@
     let lines = recorder.lines();
     let broken = audit::audit(&lines, &terms);
     let count = |of: fn(&Seen) -> bool| lines.iter().filter(|line| of(&line.seen)).count();
-    let executions = count(|seen| matches!(seen, Seen::Came { .. }));
+    let attempts = count(|seen| matches!(seen, Seen::Came { .. }));
     let waited_for_load = count(|seen| matches!(seen, Seen::Began { warm: false, .. }));
     let fetches = count(|seen| matches!(seen, Seen::Fetch { .. }));
     let refused = count(|seen| matches!(seen, Seen::FetchRefused { .. }));
     let tally = tally.lock().unwrap_or_else(PoisonError::into_inner).clone();
-    Ok(Day { lines, terms, broken, tally, executions, waited_for_load, fetches, refused, views })
+    Ok(Day { lines, terms, broken, tally, attempts, waited_for_load, fetches, refused, views })
 }
 
 /// Writes a day's terms and record, one JSON object a line.
--- a/crates/quartzdrift-lab/src/clients.rs
+++ b/crates/quartzdrift-lab/src/clients.rs
@@ -1,13 +1,13 @@
 //! Clients of a day: they call gateways at random moments, wait no longer than their limit, sometimes hang up, and
-//! come back where they were pushed back or found nobody, as client libraries do.
-use crate::actor::StandIn;
+//! come back where they were rejected or found nobody, as client libraries do.
+use crate::actor::Fake;
 use crate::record::{Recorder, Seen};
-use crate::script::Workload;
+use crate::script::RequestClass;
 use crate::traffic::{self, Arrival};
 use calloop::LoopHandle;
-use quartzdrift_choice::interface::Effect;
 use quartzdrift_http::{CallId, Failure, HasHttp, Headers, Http, HttpEvent, Limits, Outgoing, Response};
 use quartzdrift_invoke::call;
+use quartzdrift_scheduler::interface::Idempotency;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::HashMap;
@@ -26,11 +26,11 @@
 
 /// What clients ask for.
 pub struct Plan {
-    pub workloads: Vec<Workload>,
+    pub request_classes: Vec<RequestClass>,
     pub arrivals: Vec<Arrival>,
     /// Draws who hangs up and how long is waited.
     pub seed: u64,
-    /// Repeats of a call that was pushed back or found nobody, and the least part of the time told after which it comes again.
+    /// Repeats of a call that was rejected or found nobody, and the least part of the time told after which it comes again.
     pub repeats: u32,
     pub haste: f64,
 }
@@ -40,7 +40,7 @@
 pub struct Tally {
     pub asked: u64,
     pub finished: u64,
-    pub pushed_back: u64,
+    pub rejected: u64,
     pub killed: u64,
     pub taken: u64,
     pub other: u64,
@@ -49,7 +49,7 @@
 
 struct Try {
     key: String,
-    workload: usize,
+    request_class: usize,
     function: String,
     repeats: u32,
     gateway: usize,
@@ -65,7 +65,7 @@
     http: Http<Clients>,
     recorder: Recorder,
     gateways: Vec<SocketAddr>,
-    workloads: Vec<Workload>,
+    request_classes: Vec<RequestClass>,
     arrivals: Vec<Arrival>,
     next: usize,
     start: Duration,
@@ -94,7 +94,7 @@
         open: Arc<AtomicU64>,
         tally: Arc<Mutex<Tally>>,
     ) -> Clients {
-        let Plan { workloads, arrivals, seed, repeats, haste } = plan;
+        let Plan { request_classes, arrivals, seed, repeats, haste } = plan;
         Clients {
             http: Http::new(handle, Limits { keepalive: Duration::from_secs(5), ..Limits::default() }),
             next: 0,
@@ -102,7 +102,7 @@
             arrivals,
             recorder,
             gateways,
-            workloads,
+            request_classes,
             out: HashMap::new(),
             later: Vec::new(),
             chance: StdRng::seed_from_u64(seed),
@@ -119,8 +119,8 @@
     }
 
     fn arrive(&mut self, arrival: &Arrival, now: Duration) {
-        let &Arrival { workload, work_us, .. } = arrival;
-        let of = &self.workloads[workload];
+        let &Arrival { request_class, work_us, .. } = arrival;
+        let of = &self.request_classes[request_class];
         let function = arrival.function.clone();
         let hangs_up = self.chance.random_range(0.0..1.0) < of.hang_up;
         self.drawn += 1;
@@ -128,20 +128,20 @@
         let gateway = arrival.gateway_of(self.gateways.len());
         let (repeats, until, call, first) = (0, Duration::ZERO, 0, now);
         self.send(
-            Try { key, workload, function, repeats, gateway, until, hangs_up, call, first, work_us },
+            Try { key, request_class, function, repeats, gateway, until, hangs_up, call, first, work_us },
             now,
         );
     }
 
     fn send(&mut self, mut of: Try, now: Duration) {
-        let workload = &self.workloads[of.workload];
+        let request_class = &self.request_classes[of.request_class];
         let work_ms = of.work_us as f64 / 1000.0;
         let payload = format!("{{\"key\":\"{}\",\"work_ms\":{work_ms:.3}}}", of.key);
         let mut headers = Headers::new().with("content-type", "application/json");
-        if workload.deferred {
+        if request_class.asynchronous {
             headers.push("x-amz-invocation-type", "Event");
         }
-        if workload.effect == Effect::Fingerprinted {
+        if request_class.idempotency == Idempotency::IdempotentWithKey {
             headers.push("idempotency-key", &of.key);
         }
         let request = Outgoing {
@@ -155,16 +155,16 @@
         self.drawn += 1;
         of.call = self.drawn;
         of.until = match of.hangs_up {
-            true => now + workload.limit.mul_f64(self.chance.random_range(0.0..0.2)),
-            false => now + workload.limit + LISTEN_ON,
+            true => now + request_class.limit.mul_f64(self.chance.random_range(0.0..0.2)),
+            false => now + request_class.limit + LISTEN_ON,
         };
         self.recorder.see(Seen::Asked {
             call: of.call,
             gateway: of.gateway as u64,
             key: of.key.clone(),
-            workload: workload.name.clone(),
-            deferred: workload.deferred,
-            limit_us: workload.limit.as_micros() as u64,
+            request_class: request_class.name.clone(),
+            asynchronous: request_class.asynchronous,
+            limit_us: request_class.limit.as_micros() as u64,
         });
         self.count(|tally| tally.asked += 1);
         let call = self.http.call(self.gateways[of.gateway], request);
@@ -174,9 +174,10 @@
 
     fn again(&mut self, mut of: Try, after: Duration) {
         // Workers know a repeat for a while only: a try that could run later than that is not made.
-        let workload = &self.workloads[of.workload];
-        let over = self.recorder.now() + after + workload.limit;
-        let knows = workload.effect != Effect::Fingerprinted || over < of.first + workload.window;
+        let request_class = &self.request_classes[of.request_class];
+        let over = self.recorder.now() + after + request_class.limit;
+        let knows = request_class.idempotency != Idempotency::IdempotentWithKey
+            || over < of.first + request_class.window;
         if of.repeats < self.repeats && knows {
             of.repeats += 1;
             of.gateway = (of.gateway + 1) % self.gateways.len();
@@ -194,7 +195,7 @@
             200 if killed => tally.killed += 1,
             200 => tally.finished += 1,
             202 => tally.taken += 1,
-            429 => tally.pushed_back += 1,
+            429 => tally.rejected += 1,
             _ => tally.other += 1,
         });
         if status == 429 {
@@ -206,7 +207,7 @@
     }
 }
 
-impl StandIn for Clients {
+impl Fake for Clients {
     type Command = Command;
 
     fn event(&mut self, event: HttpEvent) {
--- a/crates/quartzdrift-lab/src/day.rs
+++ b/crates/quartzdrift-lab/src/day.rs
@@ -2,17 +2,17 @@
 //! plays on sockets and in the emulator. What has no counterpart here is named, not played.
 //!
 //! Only fields that are needed are read; all others belong to their owner's format.
-use crate::script::{Pattern, Script, Trouble, Workload};
-use quartzdrift_choice::interface::Effect;
+use crate::script::{Pattern, RequestClass, Script, Trouble};
+use quartzdrift_scheduler::interface::Idempotency;
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Functions of a workload at most.
-const FUNCTIONS_MOST: usize = 500;
+/// Functions of a request class at most.
+const MAX_FUNCTIONS: usize = 500;
 /// Between a worker's drain and its end, and between its end and the next start, in a planned replacement.
 const REPLACE: Duration = Duration::from_secs(1);
 /// A call's client waits so much of its time limit in the middle of a window of repeats.
-const WINDOW_LEAST: Duration = Duration::from_secs(2);
+const MIN_WINDOW: Duration = Duration::from_secs(2);
 
 /// To what size a day is scaled.
 #[derive(Clone, Copy, Debug)]
@@ -59,7 +59,8 @@
     work: f64,
     aim: u64,
     deadline: u64,
-    effect: String,
+    #[serde(rename = "effect")]
+    idempotency: String,
     window: u64,
 }
 
@@ -158,18 +159,18 @@
     let rate = file.traffic.load * cores * scale.workers as f64 / work;
     let each_mb = sort.map_or(200.0, |sort| sort.memory).clamp(1.0, memory_mb);
     let functions = file.fam.catalog * memory_mb * scale.workers as f64 / each_mb;
-    let functions = (functions / file.classes.len().max(1) as f64).clamp(1.0, FUNCTIONS_MOST as f64) as usize;
-    let workload = |class: &Class| {
-        let effect = match class.effect.as_str() {
-            "safe" => Effect::Restartable,
-            "keyed" => Effect::Fingerprinted,
-            _ => Effect::RunOnce,
+    let functions = (functions / file.classes.len().max(1) as f64).clamp(1.0, MAX_FUNCTIONS as f64) as usize;
+    let request_class = |class: &Class| {
+        let idempotency = match class.idempotency.as_str() {
+            "safe" => Idempotency::Idempotent,
+            "keyed" => Idempotency::IdempotentWithKey,
+            _ => Idempotency::NonIdempotent,
         };
-        Workload {
-            // Names of functions are told from those of workloads by their last dash.
+        RequestClass {
+            // Names of functions are told from those of request classes by their last dash.
             name: class.name.clone(),
-            effect,
-            window: micros(class.window).max(WINDOW_LEAST),
+            idempotency,
+            window: micros(class.window).max(MIN_WINDOW),
             rate: rate * class.share,
             work: Duration::from_secs_f64((class.work / 1e6).clamp(0.0, 60.0)),
             limit: micros(class.deadline),
@@ -177,9 +178,9 @@
             memory_mb: each_mb,
             load: Duration::from_secs_f64((sort.map_or(500_000.0, |sort| sort.load) / 1e6).clamp(0.0, 60.0)),
             lanes: sort.map_or(1, |sort| sort.lanes).max(1),
-            deferred: false,
+            asynchronous: false,
             hang_up: 0.0,
-            start_target: micros(class.aim).min(micros(class.deadline)),
+            latency_objective: micros(class.aim).min(micros(class.deadline)),
             pattern: Pattern::Steady,
         }
     };
@@ -198,7 +199,7 @@
         store_limit: scale.workers * 8,
         store_stops_at: 0,
         lag: micros(file.discovery.notice),
-        workloads: file.classes.iter().map(workload).collect(),
+        request_classes: file.classes.iter().map(request_class).collect(),
         length: scale.length,
         troubles: Vec::new(),
         forecasts: false,
@@ -260,8 +261,8 @@
             }
         }
         "discovery_stale" => {
-            put(from, Trouble::RosterLag(Duration::from_secs_f64(size)));
-            put(to, Trouble::RosterLag(micros(file.discovery.notice)));
+            put(from, Trouble::DiscoveryLag(Duration::from_secs_f64(size)));
+            put(to, Trouble::DiscoveryLag(micros(file.discovery.notice)));
         }
         _ => return false,
     }
@@ -305,8 +306,11 @@
         let s = Duration::from_secs;
         let script = &day.script;
         assert_eq!(day.left_out, ["comet"]);
-        let workload = &script.workloads[0];
-        assert_eq!((workload.rate, workload.functions, workload.effect), (400.0, 50, Effect::Fingerprinted));
+        let request_class = &script.request_classes[0];
+        assert_eq!(
+            (request_class.rate, request_class.functions, request_class.idempotency),
+            (400.0, 50, Idempotency::IdempotentWithKey)
+        );
         assert_eq!((script.queue, script.cores, script.lag), (17, 4.0, Duration::from_millis(500)));
         for (at, trouble) in [
             (s(5), Trouble::Hang(0)),
--- a/crates/quartzdrift-lab/src/roster.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -1,17 +1,17 @@
 //! A stand-in for the roster: HTTP service discovery JSON at `/workers/GATEWAY`, with changes pushed over
 //! server-sent events to those who accept them, as late as told.
-use crate::actor::StandIn;
+use crate::actor::Fake;
 use crate::record::{Recorder, Seen};
 use calloop::LoopHandle;
-use quartzdrift_choice::interface::State;
+use quartzdrift_discovery::list::{self, Known, Listed};
+use quartzdrift_discovery::stream;
 use quartzdrift_http::{Exchange, HasHttp, Headers, Http, HttpEvent, Limits, Response};
-use quartzdrift_roster::list::{self, Known, Listed};
-use quartzdrift_roster::stream;
+use quartzdrift_scheduler::interface::EndpointState;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
 
 /// Bytes that wait for a slow reader at most.
-const WAITING_MOST: usize = 8 << 20;
+const MAX_WAITING: usize = 8 << 20;
 
 pub enum Command {
     /// What is so from now on; told as late as the lag says.
@@ -27,8 +27,8 @@
     Relays(BTreeMap<(u64, String), String>),
 }
 
-pub struct Roster {
-    http: Http<Roster>,
+pub struct Discovery {
+    http: Http<Discovery>,
     start: Instant,
     recorder: Option<Recorder>,
     lag: Duration,
@@ -43,20 +43,20 @@
     relays: BTreeMap<(u64, String), String>,
 }
 
-impl HasHttp for Roster {
-    fn http(&mut self) -> &mut Http<Roster> {
+impl HasHttp for Discovery {
+    fn http(&mut self) -> &mut Http<Discovery> {
         &mut self.http
     }
 }
 
-impl Roster {
+impl Discovery {
     pub fn new(
-        handle: LoopHandle<'static, Roster>,
+        handle: LoopHandle<'static, Discovery>,
         workers: Vec<Listed>,
         lag: Duration,
         recorder: Option<Recorder>,
-    ) -> Roster {
-        Roster {
+    ) -> Discovery {
+        Discovery {
             http: Http::new(handle, Limits { idle: Duration::from_secs(300), ..Limits::default() }),
             start: Instant::now(),
             recorder,
@@ -75,7 +75,7 @@
     /// Notes what a gateway learns by what is sent to it now.
     fn note(&mut self, gateway: u64, workers: &[Listed]) {
         for one in workers {
-            let up = one.state == State::Up;
+            let up = one.state == EndpointState::Up;
             let before = self.heard.insert((gateway, one.worker.clone()), up);
             let Some(recorder) = &self.recorder else { continue };
             let worker = one.worker.clone();
@@ -97,7 +97,7 @@
         if self.empty {
             return Vec::new();
         }
-        self.told.values().filter(|one| one.state != State::Gone).cloned().collect()
+        self.told.values().filter(|one| one.state != EndpointState::Gone).cloned().collect()
     }
 
     fn asked(&mut self, exchange: Exchange, target: &str, events: bool) {
@@ -118,7 +118,7 @@
         if events {
             self.http.begin(exchange, 200, &Headers::new().with("content-type", "text/event-stream"));
             let full = stream::write("full", &String::from_utf8_lossy(&text));
-            if self.http.push(exchange, &full, WAITING_MOST) {
+            if self.http.push(exchange, &full, MAX_WAITING) {
                 self.streams.push((exchange, gateway));
             }
         } else {
@@ -128,7 +128,7 @@
     }
 }
 
-impl StandIn for Roster {
+impl Fake for Discovery {
     type Command = Command;
 
     fn event(&mut self, event: HttpEvent) {
@@ -191,7 +191,7 @@
                 let change = list::write(&[self.reached(gateway, &listed)], &Known::default());
                 let change = stream::write("changes", &String::from_utf8_lossy(&change));
                 self.note(gateway, std::slice::from_ref(&listed));
-                self.http.push(exchange, &change, WAITING_MOST);
+                self.http.push(exchange, &change, MAX_WAITING);
             }
         }
     }
--- a/crates/quartzdrift-lab/src/emulate/clients.rs
+++ b/crates/quartzdrift-lab/src/emulate/clients.rs
@@ -14,7 +14,7 @@
             first: self.now,
             turn: 0,
             open: false,
-            job: None,
+            request: None,
             tries: None,
         };
         self.clients.push(client);
@@ -25,7 +25,7 @@
     pub(super) fn ask(&mut self, client: usize) {
         let (n, s) = (self.clients[client].arrival, self.clients[client].gateway);
         let arrival = &self.arrivals[n];
-        let workload = &self.script.workloads[arrival.workload];
+        let request_class = &self.script.request_classes[arrival.request_class];
         if self.schedulers[s].paused > self.now {
             return self.put(self.schedulers[s].paused, Ev::Again(client));
         }
@@ -33,61 +33,66 @@
         self.clients[client].open = true;
         self.clients[client].turn += 1;
         let turn = self.clients[client].turn;
-        if self.schedulers[s].desk.is_none() {
+        if self.schedulers[s].request_table.is_none() {
             self.clients[client].open = false;
             self.figures.no_answer += 1;
             return self.again(client, Duration::from_millis(50));
         }
-        self.put(self.now + workload.limit + Duration::from_millis(500), Ev::ClientTimeout(client, turn));
+        self.put(
+            self.now + request_class.limit + Duration::from_millis(500),
+            Ev::ClientTimeout(client, turn),
+        );
         let (now, life) = (self.now, self.schedulers[s].life);
         if let Some(machine) = &mut self.schedulers[s].returning.machine {
             match machine.let_in(now, &arrival.function) {
                 Ok(tries) => self.clients[client].tries = tries.map(|number| (life, number)),
                 Err(wait) => {
-                    let come_back = Some(wait);
-                    return self.answered(client, FinalAnswer::PushedBack { come_back, ran: None });
+                    let retry_after = Some(wait);
+                    return self
+                        .answered(client, FinalAnswer::Rejected { retry_after, may_have_executed: None });
                 }
             }
         }
         let scheduler = &mut self.schedulers[s];
         scheduler.taken.push(self.now);
         if let Some(ahead) = &mut scheduler.ahead {
-            ahead.used(self.now, &arrival.function, Some(workload.load));
+            ahead.used(self.now, &arrival.function, Some(request_class.load));
         }
-        let new = NewJob {
-            workload: arrival.workload as u32,
-            customer: 0,
+        let new = NewRequest {
+            request_class: arrival.request_class as u32,
+            tenant: 0,
             function: Rc::from(arrival.function.as_str()),
-            left: workload.limit,
+            left: request_class.limit,
             work_hint: None,
-            memory_mb: Some(workload.memory_mb),
-            lanes: Some(workload.lanes as f64),
-            load_hint: Some(workload.load),
+            memory_mb: Some(request_class.memory_mb),
+            concurrency_slots: Some(request_class.lanes as f64),
+            load_hint: Some(request_class.load),
             is_retry: turn > 1,
             writes: false,
             payload: client,
         };
-        if let Some(desk) = &mut scheduler.desk
-            && let Ok(job) = desk.job(self.now, new)
+        if let Some(request_table) = &mut scheduler.request_table
+            && let Ok(request) = request_table.submit(self.now, new)
             && self.clients[client].open
         {
-            self.clients[client].job = Some((s, job));
+            self.clients[client].request = Some((s, request));
         }
         self.outputs(s);
     }
 
     pub(super) fn again(&mut self, client: usize, after: Duration) {
         let of = &mut self.clients[client];
-        let workload = &self.script.workloads[self.arrivals[of.arrival].workload];
-        let over = self.now + after + workload.limit;
-        let knows = workload.effect != Effect::Fingerprinted || over < of.first + workload.window;
+        let request_class = &self.script.request_classes[self.arrivals[of.arrival].request_class];
+        let over = self.now + after + request_class.limit;
+        let knows = request_class.idempotency != Idempotency::IdempotentWithKey
+            || over < of.first + request_class.window;
         if of.repeats < self.script.repeats && knows {
             of.repeats += 1;
             of.gateway = (of.gateway + 1) % self.schedulers.len();
             let at = self.now + after;
             let Client { arrival, repeats, gateway, first, turn, .. } = *of;
-            let (open, job, tries) = (false, None, None);
-            self.clients.push(Client { arrival, repeats, gateway, first, turn, open, job, tries });
+            let (open, request, tries) = (false, None, None);
+            self.clients.push(Client { arrival, repeats, gateway, first, turn, open, request, tries });
             let again = self.clients.len() - 1;
             self.put(at, Ev::Again(again));
         }
@@ -98,9 +103,9 @@
         if of.open && of.turn == turn {
             of.open = false;
             self.figures.no_answer += 1;
-            if let Some((s, job)) = of.job {
-                if let Some(desk) = &mut self.schedulers[s].desk {
-                    desk.client_gone(self.now, job);
+            if let Some((s, request)) = of.request {
+                if let Some(request_table) = &mut self.schedulers[s].request_table {
+                    request_table.client_gone(self.now, request);
                 }
                 self.outputs(s);
             }
@@ -111,29 +116,29 @@
         if !std::mem::take(&mut self.clients[client].open) {
             return;
         }
-        let finished = answer == FinalAnswer::Finished;
+        let finished = answer == FinalAnswer::Succeeded;
         let (took, of) = (self.now - self.clients[client].first, self.clients[client].arrival);
-        let target = self.script.workloads[self.arrivals[of].workload].start_target;
+        let target = self.script.request_classes[self.arrivals[of].request_class].latency_objective;
         self.return_answered(client, finished, finished && took <= target);
         let of = &self.clients[client];
         let arrival = &self.arrivals[of.arrival];
         match answer {
-            FinalAnswer::Finished => {
+            FinalAnswer::Succeeded => {
                 self.figures.finished += 1;
                 self.waits.push((took.as_secs_f64() * 1000.0 - arrival.work_us as f64 / 1000.0).max(0.0));
                 if took <= target {
                     self.in_time.insert(of.arrival);
                 }
             }
-            FinalAnswer::PushedBack { come_back, .. } => {
-                self.figures.pushed_back += 1;
-                self.figures.power_pushed_back += u64::from(self.power.off.is_some());
-                let told = come_back.unwrap_or(Duration::from_millis(100));
+            FinalAnswer::Rejected { retry_after, .. } => {
+                self.figures.rejected += 1;
+                self.figures.power_rejected += u64::from(self.power.off.is_some());
+                let told = retry_after.unwrap_or(Duration::from_millis(100));
                 let wait = told.mul_f64(self.script.haste * self.chance.random_range(1.0..2.0));
                 self.again(client, wait);
             }
-            FinalAnswer::Killed { .. } => self.figures.killed += 1,
-            FinalAnswer::Expired => {}
+            FinalAnswer::Failed { .. } => self.figures.killed += 1,
+            FinalAnswer::Cancelled => {}
         }
     }
 }
--- a/crates/quartzdrift-lab/src/emulate/fleet.rs
+++ b/crates/quartzdrift-lab/src/emulate/fleet.rs
@@ -1,6 +1,6 @@
 //! Schedulers as members of a fleet: the real membership, over a modelled network of datagrams.
 use super::{Ev, START, Sim};
-use quartzdrift_members::{Count, Members, Output, Settings, State};
+use quartzdrift_membership::{Count, Members, Output, Settings, State};
 use quartzdrift_recovery::Kind;
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -123,8 +123,8 @@
             self.put(next, Ev::FleetDue(s, life));
         }
         if changes {
-            if let Some(desk) = &mut self.schedulers[s].desk {
-                desk.schedulers(now, told);
+            if let Some(request_table) = &mut self.schedulers[s].request_table {
+                request_table.set_scheduler_count(now, told);
             }
             self.outputs(s);
         }
@@ -157,7 +157,7 @@
             }
             Output::Changed(m) if m.state == State::Dead => {
                 let of = index(m.address);
-                let up = self.schedulers.get(of).is_some_and(|of| of.desk.is_some());
+                let up = self.schedulers.get(of).is_some_and(|of| of.request_table.is_some());
                 match self.deaths.killed.iter_mut().rev().find(|killed| killed.scheduler == of) {
                     Some(killed) if !up => {
                         let (first, last) = killed.found.get_or_insert((now, now));
@@ -203,7 +203,7 @@
 
     /// Looks at the numbers that schedulers count against those that are there.
     pub(super) fn sample_fleet(&mut self) {
-        let up = self.schedulers.iter().filter(|s| s.desk.is_some()).count() as f64;
+        let up = self.schedulers.iter().filter(|s| s.request_table.is_some()).count() as f64;
         let settled =
             self.schedulers.iter().filter_map(|s| s.fleet.as_ref()).filter(|f| f.since + FIND <= self.now);
         for fleet in settled {
--- a/crates/quartzdrift-lab/src/emulate/mod.rs
+++ b/crates/quartzdrift-lab/src/emulate/mod.rs
@@ -17,12 +17,12 @@
 use crate::store;
 use crate::traffic::{self, Arrival};
 use crate::worker::Faults;
-use quartzdrift_choice::interface::{
-    Allowed, Copies, Effect, Entry, Expectation, Found as Told, ListForm, Outcome, Prices, ReportField,
-    ReportSource, Rules, Settings, State, Workload,
-};
-use quartzdrift_desk::{Desk, Ended, FinalAnswer, NewJob, Output};
 use quartzdrift_forecast::{Ahead, Forecasts, Standing, ledger::Sums};
+use quartzdrift_lifecycle::{AttemptResult, FinalAnswer, NewRequest, Output, RequestTable};
+use quartzdrift_scheduler::interface::{
+    Allowed, CacheResult, CacheSettings, Endpoint, EndpointListKind, EndpointState, Idempotency, Outcome,
+    Prices, ReportField, ReportSource, RequestClass, Rules, Settings, UsageForecast,
+};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use schedulers::entries;
@@ -54,10 +54,12 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Variant {
     pub forecasting: Forecasting,
-    /// Orders allowed in any window of this many seconds: a few, and a share of the jobs taken in it; 0: no ration.
+    /// Orders allowed in any window of this many seconds: a few, and a share of the requests taken in it; 0: no ration.
     pub load_window_s: f64,
-    pub load_free: f64,
-    pub load_share: f64,
+    #[serde(rename = "load_free")]
+    pub load_quota_burst: f64,
+    #[serde(rename = "load_share")]
+    pub load_quota_share: f64,
     pub fetch_price: f64,
     pub memory_price: f64,
     /// Lengths of the seasons that forecasts look for, in seconds.
@@ -79,16 +81,18 @@
 pub struct Figures {
     pub calls: u64,
     pub finished: u64,
-    pub pushed_back: u64,
+    #[serde(rename = "pushed_back")]
+    pub rejected: u64,
     pub killed: u64,
     pub no_answer: u64,
-    pub executions: u64,
-    /// Finished executions that did not find their copy loaded.
+    #[serde(rename = "executions")]
+    pub attempts: u64,
+    /// Finished attempts that did not find their copy loaded.
     pub waited_for_load: u64,
     pub fetches: u64,
-    /// Share of the asked for that was finished within its start target, a client's repeats counted with its first.
+    /// Share of the asked for that was finished within its latency objective, a client's repeats counted with its first.
     pub in_time: f64,
-    /// Waiting beside the work itself, of finished jobs, in ms.
+    /// Waiting beside the work itself, of finished requests, in ms.
     pub wait_p50_ms: f64,
     pub wait_p95_ms: f64,
     /// Mean share of all memory held by copies that run nothing.
@@ -110,9 +114,10 @@
     /// Seconds from a scheduler's restart until calls to it were in time as often as before it was killed, or nearly.
     pub recovered_s: f64,
     /// Seconds from the return of power, the first gateway or worker, until all calls were in time as often as before, or nearly,
-    /// and stayed so; and calls pushed back from then on.
+    /// and stayed so; and calls rejected from then on.
     pub power_back_s: f64,
-    pub power_pushed_back: u64,
+    #[serde(rename = "power_pushed_back")]
+    pub power_rejected: u64,
     /// Seconds that the store's pace alone would take for the functions needed for so many calls; fetches after the loss, of how
     /// many functions, and those that the store turned away.
     pub power_bound_s: f64,
@@ -143,22 +148,22 @@
     ClientTimeout(usize, u32),
     /// A repeat whose time has come.
     Again(usize),
-    DeskDue(usize, u64),
+    RequestTableDue(usize, u64),
     Came {
         worker: usize,
         scheduler: usize,
         life: u64,
-        job: u64,
-        execution: u32,
+        request: u64,
+        attempt: u32,
         call: u64,
         client: usize,
     },
     Back {
         scheduler: usize,
         life: u64,
-        job: u64,
-        execution: u32,
-        ended: Ended,
+        request: u64,
+        attempt: u32,
+        ended: AttemptResult,
     },
     Cancel {
         worker: usize,
@@ -184,7 +189,7 @@
     List {
         scheduler: usize,
         worker: usize,
-        state: State,
+        state: EndpointState,
         started: Option<Duration>,
     },
     FullList {
@@ -210,7 +215,7 @@
     /// Which try this is; news of earlier ones does not count.
     turn: u32,
     open: bool,
-    job: Option<(usize, u64)>,
+    request: Option<(usize, u64)>,
     /// The number of the function that it tries, and in which life of its scheduler.
     tries: Option<(u64, u32)>,
 }
@@ -227,13 +232,13 @@
 }
 
 struct SchedulerSim {
-    desk: Option<Desk<usize>>,
+    request_table: Option<RequestTable<usize>>,
     ahead: Option<Ahead>,
     life: u64,
     planned: Option<Duration>,
     sent: BTreeMap<(u64, u32), (usize, u64)>,
     orders: BTreeMap<u64, (Duration, Rc<str>)>,
-    /// Times of jobs taken and orders given, for the ration.
+    /// Times of requests taken and orders given, for the ration.
     taken: Vec<Duration>,
     given: Vec<Duration>,
     /// The last snapshot of its forecasts.
@@ -265,9 +270,9 @@
     store_planned: Option<Duration>,
     fetches: BTreeMap<u64, (usize, u64, u64)>,
     cancelled: BTreeSet<u64>,
-    roster: Vec<(State, Option<Duration>)>,
+    discovery: Vec<(EndpointState, Option<Duration>)>,
     lag: Duration,
-    roster_stopped: bool,
+    discovery_stopped: bool,
     figures: Figures,
     waits: Vec<f64>,
     in_time: BTreeSet<usize>,
@@ -276,7 +281,7 @@
     standing: Standing,
     deaths: fleet::Deaths,
     power: power::Power,
-    /// The execution whose end is being taken failed with its load.
+    /// The attempt whose end is being taken failed with its load.
     load_failed: bool,
     /// Of workers that are no more: the largest share of what they could be sent while cold.
     cold_most: f64,
@@ -290,24 +295,24 @@
 
 /// The settings that schedulers of a day have.
 pub fn settings(script: &Script, variant: &Variant, me: usize) -> Settings {
-    let workload = |w: &crate::script::Workload| Workload {
+    let request_class = |w: &crate::script::RequestClass| RequestClass {
         name: w.name.clone(),
-        effect: w.effect,
-        time_limit: Some(w.limit),
-        start_target: Some(w.start_target),
-        window: (w.effect == Effect::Fingerprinted).then_some(w.window),
-        ..Workload::default()
+        idempotency: w.idempotency,
+        timeout: Some(w.limit),
+        latency_objective: Some(w.latency_objective),
+        window: (w.idempotency == Idempotency::IdempotentWithKey).then_some(w.window),
+        ..RequestClass::default()
     };
     let cold = script.fall_multiple > 0.0;
     Settings {
         me: Some(me as u32),
         schedulers: Some(if variant.schedulers > 0 { variant.schedulers } else { script.gateways as u32 }),
-        workloads: script.workloads.iter().map(workload).collect(),
+        request_classes: script.request_classes.iter().map(request_class).collect(),
         allowed: Allowed {
             cancel: true,
             retry_after: true,
             max_retry_after: Some(Duration::from_secs(10)),
-            max_executions: Some(3),
+            max_attempts: Some(3),
             ..Allowed::default()
         },
         rules: Rules {
@@ -319,18 +324,18 @@
             fall_window: cold.then_some(script.fall_window),
             ..Rules::default()
         },
-        copies: Copies {
-            orders: variant.forecasting != Forecasting::Off,
-            tells_warm: true,
-            tells_crowd: true,
+        copies: CacheSettings {
+            load_commands: variant.forecasting != Forecasting::Off,
+            reports_cache_status: true,
+            reports_concurrency: true,
             keep: Some(script.keep),
             memory_mb_by_kind: vec![script.memory_mb],
             idle_memory_price: Some(variant.memory_price),
-            load_free: (variant.load_window_s > 0.0).then_some(variant.load_free),
-            load_share: (variant.load_window_s > 0.0).then_some(variant.load_share),
-            load_window: (variant.load_window_s > 0.0)
+            load_quota_burst: (variant.load_window_s > 0.0).then_some(variant.load_quota_burst),
+            load_quota_share: (variant.load_window_s > 0.0).then_some(variant.load_quota_share),
+            load_quota_window: (variant.load_window_s > 0.0)
                 .then(|| Duration::from_secs_f64(variant.load_window_s)),
-            ..Copies::default()
+            ..CacheSettings::default()
         },
         prices: Prices { origin: variant.fetch_price, ..Prices::default() },
         report_source: ReportSource::Answers,
@@ -375,9 +380,9 @@
         store_planned: None,
         fetches: BTreeMap::new(),
         cancelled: BTreeSet::new(),
-        roster: vec![(State::Up, None); script.workers],
+        discovery: vec![(EndpointState::Up, None); script.workers],
         lag: script.lag,
-        roster_stopped: false,
+        discovery_stopped: false,
         figures: Figures::default(),
         waits: Vec::new(),
         in_time: BTreeSet::new(),
@@ -412,7 +417,7 @@
     fn play(&mut self, machine: &Machine, seed: u64) {
         for s in 0..self.script.gateways {
             let scheduler = SchedulerSim {
-                desk: None,
+                request_table: None,
                 ahead: None,
                 life: 0,
                 planned: None,
@@ -475,7 +480,7 @@
     /// The scheduler that an event is for; a client's call finds its own.
     fn scheduler_of(event: &Ev) -> Option<usize> {
         match event {
-            Ev::DeskDue(s, _) | Ev::FleetDue(s, _) => Some(*s),
+            Ev::RequestTableDue(s, _) | Ev::FleetDue(s, _) => Some(*s),
             Ev::Back { scheduler, .. }
             | Ev::OrderBack { scheduler, .. }
             | Ev::List { scheduler, .. }
@@ -512,12 +517,12 @@
             Ev::Arrive(n) => self.arrive(n),
             Ev::ClientTimeout(client, turn) => self.client_timeout(client, turn),
             Ev::Again(client) => self.ask(client),
-            Ev::DeskDue(s, life) => self.desk_due(s, life),
-            Ev::Came { worker, scheduler, life, job, execution, call, client } => {
-                self.came(worker, (scheduler, life, job, execution), call, client)
+            Ev::RequestTableDue(s, life) => self.request_table_due(s, life),
+            Ev::Came { worker, scheduler, life, request, attempt, call, client } => {
+                self.came(worker, (scheduler, life, request, attempt), call, client)
             }
-            Ev::Back { scheduler, life, job, execution, ended } => {
-                self.back(scheduler, life, job, execution, ended)
+            Ev::Back { scheduler, life, request, attempt, ended } => {
+                self.back(scheduler, life, request, attempt, ended)
             }
             Ev::Cancel { worker, call } => self.cancel(worker, call),
             Ev::WorkerDue(w) => {
@@ -542,16 +547,20 @@
             }
             Ev::List { scheduler, worker, state, started } => {
                 let worker = self.names[worker].clone();
-                if let Some(desk) = &mut self.schedulers[scheduler].desk {
-                    let entry = Entry { worker: &worker, state, started, ..Entry::default() };
-                    desk.list(self.now, ListForm::Changes, vec![entry]);
+                if let Some(request_table) = &mut self.schedulers[scheduler].request_table {
+                    let entry = Endpoint { worker: &worker, state, started, ..Endpoint::default() };
+                    request_table.update_endpoints(self.now, EndpointListKind::Changes, vec![entry]);
                 }
                 self.outputs(scheduler);
             }
             Ev::FullList { scheduler, life } => {
                 if self.schedulers[scheduler].life == life {
-                    if let Some(desk) = &mut self.schedulers[scheduler].desk {
-                        desk.list(self.now, ListForm::Full, entries(&self.names, &self.roster));
+                    if let Some(request_table) = &mut self.schedulers[scheduler].request_table {
+                        request_table.update_endpoints(
+                            self.now,
+                            EndpointListKind::Full,
+                            entries(&self.names, &self.discovery),
+                        );
                     }
                     self.outputs(scheduler);
                 }
@@ -613,7 +622,7 @@
         assert_eq!(first, run(&script, &arrivals, &Variant::default(), 1));
         assert!(first.finished as f64 > 0.95 * arrivals.len() as f64, "{first:?}");
         assert_eq!((first.fell_over, first.orders), (0, 0));
-        let answered = first.finished + first.pushed_back + first.killed + first.no_answer;
+        let answered = first.finished + first.rejected + first.killed + first.no_answer;
         assert_eq!(answered, first.calls, "{first:?}");
     }
 
@@ -625,7 +634,8 @@
         let on = Variant { forecasting: Forecasting::On, ..Variant::default() };
         let with = run(&script, &arrivals, &on, 2);
         assert!((with.waited_for_load as f64) < 0.8 * off.waited_for_load as f64, "{off:?} {with:?}");
-        let rationed = Variant { load_window_s: 5.0, load_free: 1.0, load_share: 0.01, ..on.clone() };
+        let rationed =
+            Variant { load_window_s: 5.0, load_quota_burst: 1.0, load_quota_share: 0.01, ..on.clone() };
         let rationed = run(&script, &arrivals, &rationed, 2);
         assert!(rationed.orders > 0 && rationed.ration_most <= 1.0, "{rationed:?}");
         // A scheduler that is killed goes on from what it saved: its timers are not learnt anew.
--- a/crates/quartzdrift-lab/src/emulate/power.rs
+++ b/crates/quartzdrift-lab/src/emulate/power.rs
@@ -82,19 +82,19 @@
         let mut asked: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         let of = |a: &&crate::traffic::Arrival| (from..off).contains(&(START + crate::traffic::at(a)));
         for arrival in self.arrivals.iter().filter(of) {
-            asked.entry(&arrival.function).or_insert((0, arrival.workload)).0 += 1;
+            asked.entry(&arrival.function).or_insert((0, arrival.request_class)).0 += 1;
         }
         let all: usize = asked.values().map(|of| of.0).sum();
         let mut most: Vec<(usize, usize)> = asked.into_values().collect();
         most.sort_by_key(|of| std::cmp::Reverse(of.0));
         let specs = badday::specs(self.script);
         let (mut covered, mut fetch, mut rest) = (0, Duration::ZERO, Duration::ZERO);
-        for (calls, workload) in most {
+        for (calls, request_class) in most {
             if covered as f64 >= RECOVERED * all as f64 {
                 break;
             }
             covered += calls;
-            if let Some(spec) = specs.get(&format!("{}-0", self.script.workloads[workload].name)) {
+            if let Some(spec) = specs.get(&format!("{}-0", self.script.request_classes[request_class].name)) {
                 fetch += spec.load.mul_f64(spec.fetch);
                 rest = rest.max(spec.load.mul_f64(1.0 - spec.fetch));
             }
--- a/crates/quartzdrift-lab/src/emulate/returning.rs
+++ b/crates/quartzdrift-lab/src/emulate/returning.rs
@@ -2,8 +2,8 @@
 //! On disk here is what a scheduler noted when it was killed, and what a script makes of it.
 use super::{START, Sim};
 use crate::script::Spoil;
-use quartzdrift_choice::measure::Measured;
 use quartzdrift_recovery::{Came, Disk, Found, Kind, Mark, Moment, Output, Recovery, Settings};
+use quartzdrift_scheduler::measure::Measurements;
 use std::time::Duration;
 
 /// As the daemon's settings have it where nothing is told.
@@ -30,7 +30,7 @@
     since: Duration,
     starts: u32,
     /// What its desk had measured when it was killed.
-    measured: Option<Measured>,
+    measured: Option<Measurements>,
 }
 
 impl Sim<'_> {
@@ -63,8 +63,8 @@
             fleet: self.variant.members && now > START,
             ask: ASK,
             longest: LONGEST,
-            fingerprints_on_disk: false,
-            load_window: Duration::from_secs_f64(self.variant.load_window_s.max(0.0)),
+            idempotency_keys_on_disk: false,
+            load_quota_window: Duration::from_secs_f64(self.variant.load_window_s.max(0.0)),
             fall_window: self.script.fall_window,
             out: 64,
             pace: self.variant.pace,
@@ -77,7 +77,10 @@
     /// What a scheduler noted last is there at its next start.
     pub(super) fn return_killed(&mut self, s: usize, known: Vec<String>) {
         let moment = self.moment(s);
-        let measured = self.schedulers[s].desk.as_ref().map(|desk| desk.measured().clone());
+        let measured = self.schedulers[s]
+            .request_table
+            .as_ref()
+            .map(|request_table| request_table.measurements().clone());
         let returning = &mut self.schedulers[s].returning;
         if let Some(machine) = returning.machine.take() {
             returning.measured = measured;
@@ -118,7 +121,7 @@
             if machine.next_due().is_some_and(|at| at <= now) {
                 machine.due(now);
             }
-            // Deferred jobs are not modelled: there is no backlog.
+            // Asynchronous requests are not modelled: there is no backlog.
             machine.backlog_through(now);
         }
         self.return_says(s);
@@ -156,10 +159,10 @@
                     scheduler.returning.judged = Some((self.now - scheduler.returning.since, verdict.kind));
                 }
                 (Output::TellMeasured, _) => {
-                    if let (Some(before), Some(desk)) =
-                        (scheduler.returning.measured.take(), &mut scheduler.desk)
+                    if let (Some(before), Some(request_table)) =
+                        (scheduler.returning.measured.take(), &mut scheduler.request_table)
                     {
-                        desk.measured_before(self.now, before);
+                        request_table.restore_measurements(self.now, before);
                     }
                 }
                 (Output::Tell { .. } | Output::Stage(_), _) => {}
--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -6,8 +6,13 @@
         let mut settings = self.settings.clone();
         settings.me = Some(s as u32);
         let life = self.schedulers[s].life + 1;
-        let mut desk = Desk::new(&settings, seed.wrapping_mul(1_000_003) ^ (s as u64) << 8 ^ life);
-        desk.list(self.now, ListForm::Saved, entries(&self.names, &self.roster));
+        let mut request_table =
+            RequestTable::new(&settings, seed.wrapping_mul(1_000_003) ^ (s as u64) << 8 ^ life);
+        request_table.update_endpoints(
+            self.now,
+            EndpointListKind::Snapshot,
+            entries(&self.names, &self.discovery),
+        );
         let ahead = (self.variant.forecasting == Forecasting::On).then(|| {
             let span = |s: &f64| Duration::from_secs_f64(*s);
             let settings = quartzdrift_forecast::Settings {
@@ -23,14 +28,14 @@
             ahead
         });
         let scheduler = &mut self.schedulers[s];
-        (scheduler.desk, scheduler.ahead, scheduler.life, scheduler.planned) =
-            (Some(desk), ahead, life, None);
+        (scheduler.request_table, scheduler.ahead, scheduler.life, scheduler.planned) =
+            (Some(request_table), ahead, life, None);
         self.begin_return(s);
         self.outputs(s);
         self.join(s);
     }
 
-    pub(super) fn desk_due(&mut self, s: usize, life: u64) {
+    pub(super) fn request_table_due(&mut self, s: usize, life: u64) {
         if self.schedulers[s].life != life {
             return;
         }
@@ -40,14 +45,21 @@
             self.fleet_changed(s);
         }
         let (now, scheduler) = (self.now, &mut self.schedulers[s]);
-        if let Some(desk) = &mut scheduler.desk {
-            desk.due(now, |_, _| true);
+        if let Some(request_table) = &mut scheduler.request_table {
+            request_table.due(now, |_, _| true);
             let expected = scheduler.ahead.as_mut().map(|ahead| ahead.due(now)).unwrap_or_default();
             for of in expected {
-                let Some((n, workload)) = self.script.workload_of(&of.function) else { continue };
-                desk.expected(
+                let Some((n, request_class)) = self.script.request_class_of(&of.function) else { continue };
+                request_table.forecast(
                     now,
-                    expectation(&of.function, n, workload, of.within, of.sure, of.jobs_per_second),
+                    expectation(
+                        &of.function,
+                        n,
+                        request_class,
+                        of.within,
+                        of.probability,
+                        of.requests_per_second,
+                    ),
                 );
             }
         }
@@ -56,19 +68,19 @@
 
     pub(super) fn foresee(&mut self, n: usize) {
         // All are told equally early, so that one event can follow the other.
-        let loads = self.script.workloads.iter().map(|workload| workload.load);
+        let loads = self.script.request_classes.iter().map(|request_class| request_class.load);
         let early = loads.max().unwrap_or_default().mul_f64(1.5);
         if let Some(next) = self.arrivals.get(n + 1) {
             self.put((START + traffic::at(next)).saturating_sub(early), Ev::Foresee(n + 1));
         }
         let arrival = &self.arrivals[n];
         let s = arrival.gateway_of(self.schedulers.len());
-        let workload = &self.script.workloads[arrival.workload];
+        let request_class = &self.script.request_classes[arrival.request_class];
         let within = early.max(self.script.keep / 2);
-        if let Some(desk) = &mut self.schedulers[s].desk {
-            desk.expected(
+        if let Some(request_table) = &mut self.schedulers[s].request_table {
+            request_table.forecast(
                 self.now,
-                expectation(&arrival.function, arrival.workload, workload, within, 1.0, None),
+                expectation(&arrival.function, arrival.request_class, request_class, within, 1.0, None),
             );
         }
         self.outputs(s);
@@ -77,8 +89,8 @@
     /// Carries out what a scheduler says, and plans its next turn.
     pub(super) fn outputs(&mut self, s: usize) {
         loop {
-            let Some(desk) = &mut self.schedulers[s].desk else { return };
-            let outputs = desk.outputs();
+            let Some(request_table) = &mut self.schedulers[s].request_table else { return };
+            let outputs = request_table.outputs();
             if outputs.is_empty() {
                 break;
             }
@@ -87,38 +99,40 @@
             }
         }
         let scheduler = &self.schedulers[s];
-        let Some(desk) = &scheduler.desk else { return };
+        let Some(request_table) = &scheduler.request_table else { return };
         let ahead = scheduler.ahead.as_ref().and_then(Ahead::next_due);
         let returns = scheduler.returning.machine.as_ref().and_then(quartzdrift_recovery::Recovery::next_due);
-        let Some(next) = [desk.next_due(), ahead, returns].into_iter().flatten().min() else { return };
+        let Some(next) = [request_table.next_deadline(), ahead, returns].into_iter().flatten().min() else {
+            return;
+        };
         if scheduler.planned.is_none_or(|at| next < at) {
             let life = scheduler.life;
             self.schedulers[s].planned = Some(next);
-            self.put(next, Ev::DeskDue(s, life));
+            self.put(next, Ev::RequestTableDue(s, life));
         }
     }
 
     pub(super) fn output(&mut self, s: usize, output: Output<usize>) {
         let life = self.schedulers[s].life;
         match output {
-            Output::Execute { job, execution, worker, payload, .. } => {
+            Output::StartAttempt { request, attempt, worker, payload, .. } => {
                 let worker = self.by_name[&*worker];
-                self.figures.executions += 1;
+                self.figures.attempts += 1;
                 self.drawn += 1;
                 let call = self.drawn;
-                self.schedulers[s].sent.insert((job, execution), (worker, call));
-                self.later(Ev::Came { worker, scheduler: s, life, job, execution, call, client: payload });
+                self.schedulers[s].sent.insert((request, attempt), (worker, call));
+                self.later(Ev::Came { worker, scheduler: s, life, request, attempt, call, client: payload });
             }
-            Output::Cancel { job, execution } => {
-                if let Some((worker, call)) = self.schedulers[s].sent.remove(&(job, execution)) {
+            Output::CancelAttempt { request, attempt } => {
+                if let Some((worker, call)) = self.schedulers[s].sent.remove(&(request, attempt)) {
                     self.later(Ev::Cancel { worker, call });
                 }
             }
-            Output::Final { payload, answer, .. } => self.answered(payload, answer),
-            Output::Load { order, worker, function, copies } => {
+            Output::Respond { payload, answer, .. } => self.answered(payload, answer),
+            Output::Load { command: order, worker, function, copies } => {
                 self.figures.orders += 1;
                 let worker = self.by_name[&*worker];
-                let memory = self.script.workload_of(&function).map_or(0.0, |(_, w)| w.memory_mb);
+                let memory = self.script.request_class_of(&function).map_or(0.0, |(_, w)| w.memory_mb);
                 let now = self.now;
                 let scheduler = &mut self.schedulers[s];
                 scheduler.orders.insert(order, (now, function.clone()));
@@ -130,37 +144,38 @@
                     let since = now.saturating_sub(Duration::from_secs_f64(self.variant.load_window_s));
                     let count =
                         |times: &[Duration]| times.iter().rev().take_while(|at| **at >= since).count() as f64;
-                    let most = self.variant.load_free + self.variant.load_share * count(&scheduler.taken);
+                    let most = self.variant.load_quota_burst
+                        + self.variant.load_quota_share * count(&scheduler.taken);
                     let share = count(&scheduler.given) / most.max(1e-9);
                     self.figures.ration_most = self.figures.ration_most.max(share);
                 }
                 self.later(Ev::Order { worker, scheduler: s, life, order, function, copies });
             }
             // Messages leave at once here: nothing waits unsent. Probes, lists and messages are not asked for.
-            Output::Withdraw { .. }
-            | Output::WithdrawOrder { .. }
-            | Output::DropOrder { .. }
-            | Output::Probe { .. }
+            Output::RecallAttempt { .. }
+            | Output::RecallCommand { .. }
+            | Output::AbandonCommand { .. }
+            | Output::CheckHealth { .. }
             | Output::Unload { .. }
             | Output::CloseIdle { .. }
-            | Output::Tell { .. }
+            | Output::SendToPeer { .. }
             | Output::Watch { .. }
-            | Output::AskList
+            | Output::PollEndpoints
             | Output::Log { .. } => {}
         }
     }
 
-    pub(super) fn back(&mut self, s: usize, life: u64, job: u64, execution: u32, ended: Ended) {
+    pub(super) fn back(&mut self, s: usize, life: u64, request: u64, attempt: u32, ended: AttemptResult) {
         let scheduler = &mut self.schedulers[s];
-        if scheduler.life != life || scheduler.sent.remove(&(job, execution)).is_none() {
+        if scheduler.life != life || scheduler.sent.remove(&(request, attempt)).is_none() {
             return;
         }
-        if ended.outcome == Outcome::Finished && ended.found != Told::Warm {
+        if ended.outcome == Outcome::Succeeded && ended.cache_result != CacheResult::Warm {
             self.figures.waited_for_load += 1;
         }
-        if let Some(desk) = &mut scheduler.desk {
-            self.load_failed = ended.found == Told::LoadFailed;
-            desk.ended(self.now, job, execution, ended);
+        if let Some(request_table) = &mut scheduler.request_table {
+            self.load_failed = ended.cache_result == CacheResult::LoadFailed;
+            request_table.attempt_ended(self.now, request, attempt, ended);
         }
         self.outputs(s);
         self.load_failed = false;
@@ -174,43 +189,46 @@
         if let Some((at, function)) = scheduler.orders.remove(&order)
             && let Some(ahead) = &mut scheduler.ahead
         {
-            ahead.loaded(now, &function, outcome == Outcome::Finished, now - at);
+            ahead.loaded(now, &function, outcome == Outcome::Succeeded, now - at);
         }
-        if let Some(desk) = &mut scheduler.desk {
-            desk.order_ended(now, order, outcome, copies, Vec::new());
+        if let Some(request_table) = &mut scheduler.request_table {
+            request_table.command_ended(now, order, outcome, copies, Vec::new());
         }
         self.outputs(s);
     }
 }
 
 /// The whole list as a roster tells it.
-pub(super) fn entries<'a>(names: &'a [String], roster: &[(State, Option<Duration>)]) -> Vec<Entry<'a>> {
-    let there = names.iter().zip(roster).filter(|(_, (state, _))| *state != State::Gone);
-    let entry = |(worker, &(state, started)): (&'a String, &(State, Option<Duration>))| Entry {
+pub(super) fn entries<'a>(
+    names: &'a [String],
+    discovery: &[(EndpointState, Option<Duration>)],
+) -> Vec<Endpoint<'a>> {
+    let there = names.iter().zip(discovery).filter(|(_, (state, _))| *state != EndpointState::Gone);
+    let entry = |(worker, &(state, started)): (&'a String, &(EndpointState, Option<Duration>))| Endpoint {
         worker,
         state,
         started,
-        ..Entry::default()
+        ..Endpoint::default()
     };
     there.map(entry).collect()
 }
 
 fn expectation<'a>(
     function: &'a str,
-    workload: usize,
-    of: &crate::script::Workload,
+    request_class: usize,
+    of: &crate::script::RequestClass,
     within: Duration,
-    sure: f64,
-    jobs_per_second: Option<f64>,
-) -> Expectation<'a> {
-    Expectation {
+    probability: f64,
+    requests_per_second: Option<f64>,
+) -> UsageForecast<'a> {
+    UsageForecast {
         function,
-        workload: workload as u32,
+        request_class: request_class as u32,
         within,
-        sure,
-        jobs_per_second,
+        probability,
+        requests_per_second,
         memory_mb: Some(of.memory_mb),
-        lanes: Some(of.lanes as f64),
+        concurrency_slots: Some(of.lanes as f64),
         load_hint: Some(of.load),
     }
 }
--- a/crates/quartzdrift-lab/src/emulate/troubles.rs
+++ b/crates/quartzdrift-lab/src/emulate/troubles.rs
@@ -2,10 +2,10 @@
 use super::*;
 
 impl Sim<'_> {
-    pub(super) fn list(&mut self, worker: usize, state: State) {
-        let started = (state == State::Up).then_some(self.now);
-        self.roster[worker] = (state, started);
-        if self.roster_stopped {
+    pub(super) fn list(&mut self, worker: usize, state: EndpointState) {
+        let started = (state == EndpointState::Up).then_some(self.now);
+        self.discovery[worker] = (state, started);
+        if self.discovery_stopped {
             return;
         }
         for scheduler in 0..self.schedulers.len() {
@@ -18,7 +18,7 @@
         match *trouble {
             Trouble::Crash(w) => {
                 self.crash(w);
-                self.list(w, State::Gone);
+                self.list(w, EndpointState::Gone);
             }
             Trouble::Start(w) => {
                 if self.workers[w].up {
@@ -28,11 +28,11 @@
                 let worker = &mut self.workers[w];
                 worker.model = Worker::new(machine.clone(), badday::specs(self.script), self.now);
                 (worker.up, worker.faults) = (true, Faults::default());
-                self.list(w, State::Up);
+                self.list(w, EndpointState::Up);
             }
             Trouble::Drain(w) => {
                 self.workers[w].model.draining = true;
-                self.list(w, State::Draining);
+                self.list(w, EndpointState::Draining);
             }
             Trouble::Silent(w) => self.workers[w].faults.silent = true,
             Trouble::Hang(w) => self.workers[w].faults.hang = true,
@@ -47,9 +47,9 @@
             Trouble::Lose(w, share) => self.workers[w].faults.lost = share,
             Trouble::Slow(w, by) => self.workers[w].faults.slow = by,
             Trouble::Late(w, by) => self.workers[w].faults.late_reports = by,
-            Trouble::RosterLag(lag) => self.lag = lag,
-            Trouble::RosterStop(on) => {
-                self.roster_stopped = on;
+            Trouble::DiscoveryLag(lag) => self.lag = lag,
+            Trouble::DiscoveryStop(on) => {
+                self.discovery_stopped = on;
                 if !on {
                     for scheduler in 0..self.schedulers.len() {
                         let life = self.schedulers[scheduler].life;
@@ -69,7 +69,7 @@
                 (first..=last).for_each(|s| self.trouble(&Trouble::KillGateway(s), machine, seed));
                 if gateways.is_none() {
                     (0..self.workers.len()).for_each(|w| self.trouble(&Trouble::Crash(w), machine, seed));
-                    self.trouble(&Trouble::RosterStop(true), machine, seed);
+                    self.trouble(&Trouble::DiscoveryStop(true), machine, seed);
                 }
             }
             Trouble::StopGateways(first, last) => {
@@ -82,9 +82,9 @@
             Trouble::CopyState(s) => self.return_copied(s),
             Trouble::Spoil(s, how) => self.return_spoilt(s, how),
             // Connections are not modelled byte by byte.
-            Trouble::Link(..) | Trouble::RosterStall(..) => {}
+            Trouble::Link(..) | Trouble::DiscoveryStall(..) => {}
             // Empty lists are doubted by the daemon's reading of lists, which is not part of this model.
-            Trouble::RosterEmpty(_) => {}
+            Trouble::DiscoveryEmpty(_) => {}
             Trouble::StoreSlow(times) => {
                 self.store.advance(self.now);
                 self.store.slow = times;
@@ -92,11 +92,11 @@
             }
             Trouble::StoreRefuse(on) => self.store.refuses = on,
             Trouble::KillGateway(s) => {
-                if self.schedulers[s].desk.is_some() {
+                if self.schedulers[s].request_table.is_some() {
                     self.fleet_killed(s);
                 }
                 let scheduler = &mut self.schedulers[s];
-                scheduler.desk = None;
+                scheduler.request_table = None;
                 scheduler.life += 1;
                 if let Some(ahead) = scheduler.ahead.take() {
                     let sums = ahead.ledger.sums();
@@ -115,7 +115,7 @@
                 }
             }
             Trouble::StartGateway(s) => {
-                if self.schedulers[s].desk.is_none() && !self.schedulers[s].returning.full {
+                if self.schedulers[s].request_table.is_none() && !self.schedulers[s].returning.full {
                     self.fleet_restarted(s);
                     self.start_scheduler(s, seed);
                 }
--- a/crates/quartzdrift-lab/src/emulate/workers.rs
+++ b/crates/quartzdrift-lab/src/emulate/workers.rs
@@ -3,11 +3,12 @@
 
 impl Sim<'_> {
     pub(super) fn came(&mut self, w: usize, from: (usize, u64, u64, u32), call: u64, client: usize) {
-        let (scheduler, life, job, execution) = from;
+        let (scheduler, life, request, attempt) = from;
         if self.cancelled.remove(&call) {
             return;
         }
-        let back = |outcome| Ev::Back { scheduler, life, job, execution, ended: Ended::silent(outcome) };
+        let back =
+            |outcome| Ev::Back { scheduler, life, request, attempt, ended: AttemptResult::silent(outcome) };
         if !self.workers[w].up {
             return self.later(back(Outcome::ConnectFailed));
         }
@@ -53,10 +54,10 @@
         for say in self.workers[w].model.says() {
             match say {
                 Say::Ran { call, found, crowd, wanted } => {
-                    self.say(w, call, Outcome::Finished, found, crowd, wanted)
+                    self.say(w, call, Outcome::Succeeded, found, crowd, wanted)
                 }
-                Say::Full { call } => self.say(w, call, Outcome::Full, Found::Warm, 0, true),
-                Say::Missed { call } => self.say(w, call, Outcome::Miss, Found::LoadFailed, 0, true),
+                Say::Full { call } => self.say(w, call, Outcome::AtCapacity, Found::Warm, 0, true),
+                Say::Missed { call } => self.say(w, call, Outcome::CacheMiss, Found::LoadFailed, 0, true),
                 Say::Fetch { load, takes, function } => {
                     self.drawn += 1;
                     let (fetch, life) = (self.drawn, self.workers[w].life);
@@ -70,7 +71,7 @@
                 }
                 Say::Stands { order, copies, enough } => {
                     if let Some((scheduler, life, order)) = self.workers[w].orders.remove(&order) {
-                        let outcome = if enough { Outcome::Finished } else { Outcome::Full };
+                        let outcome = if enough { Outcome::Succeeded } else { Outcome::AtCapacity };
                         self.later(Ev::OrderBack { scheduler, life, order, outcome, copies: copies as u32 });
                     }
                 }
@@ -101,28 +102,33 @@
         crowd: usize,
         wanted: bool,
     ) {
-        let Some((scheduler, life, job, execution)) = self.workers[w].calls.remove(&call) else { return };
+        let Some((scheduler, life, request, attempt)) = self.workers[w].calls.remove(&call) else { return };
         if !wanted {
             return;
         }
         let faults = self.workers[w].faults.clone();
         if faults.silent {
-            self.workers[w].calls.insert(call, (scheduler, life, job, execution));
+            self.workers[w].calls.insert(call, (scheduler, life, request, attempt));
             return;
         }
         let lost = faults.lost > 0.0 && self.chance.random_range(0.0..1.0) < faults.lost;
         let told = match found {
-            Found::Warm => Told::Warm,
-            Found::BeganLoad => Told::BeganLoad,
-            Found::AwaitedLoad => Told::AwaitedLoad,
-            Found::LoadFailed => Told::LoadFailed,
+            Found::Warm => CacheResult::Warm,
+            Found::StartedLoad => CacheResult::StartedLoad,
+            Found::AwaitedLoad => CacheResult::AwaitedLoad,
+            Found::LoadFailed => CacheResult::LoadFailed,
         };
         let ended = match lost {
-            true => Ended::silent(Outcome::Reset),
-            false => Ended { outcome, found: told, crowd: Some(crowd as u32), report: self.report(w) },
+            true => AttemptResult::silent(Outcome::Reset),
+            false => AttemptResult {
+                outcome,
+                cache_result: told,
+                concurrency: Some(crowd as u32),
+                report: self.report(w),
+            },
         };
         let at = self.now + faults.slow + Duration::from_secs_f64(self.chance.random_range(0.0002..0.0006));
-        self.put(at, Ev::Back { scheduler, life, job, execution, ended });
+        self.put(at, Ev::Back { scheduler, life, request, attempt, ended });
     }
 
     pub(super) fn order(
@@ -173,8 +179,14 @@
         let calls = std::mem::take(&mut worker.calls);
         let orders = std::mem::take(&mut worker.orders);
         (worker.reports, worker.planned) = Default::default();
-        for (scheduler, life, job, execution) in calls.into_values() {
-            self.later(Ev::Back { scheduler, life, job, execution, ended: Ended::silent(Outcome::Reset) });
+        for (scheduler, life, request, attempt) in calls.into_values() {
+            self.later(Ev::Back {
+                scheduler,
+                life,
+                request,
+                attempt,
+                ended: AttemptResult::silent(Outcome::Reset),
+            });
         }
         for (scheduler, life, order) in orders.into_values() {
             self.later(Ev::OrderBack { scheduler, life, order, outcome: Outcome::Reset, copies: 0 });
--- a/crates/quartzdrift-lab/src/lib.rs
+++ b/crates/quartzdrift-lab/src/lib.rs
@@ -1,7 +1,7 @@
 //! The lab: what the gateway is tried against, and what judges it.
 //!
 //! * [`model`] and [`worker`]: stand-in workers, first without and then with sockets; [`functions`] that they run.
-//! * [`store`], [`roster`]: stand-ins for the store that functions are fetched from and for the list of workers.
+//! * [`store`], [`discovery`]: stand-ins for the store that functions are fetched from and for the list of workers.
 //! * [`clients`], [`load`]: clients of a day, and open-loop load with a report.
 //! * [`script`], [`badday`], [`record`], [`audit`]: days of troubles, what passed on the sockets, and the verdict.
 //! * [`emulate`]: a fleet in simulated time, with the real desk, module and forecasts; [`traffic`] of days, and
@@ -16,6 +16,7 @@
 pub mod badday;
 pub mod clients;
 pub mod day;
+pub mod discovery;
 pub mod emulate;
 pub mod experiment;
 pub mod functions;
@@ -28,7 +29,6 @@
 pub mod platform;
 pub mod record;
 pub mod relay;
-pub mod roster;
 pub mod script;
 pub mod stage;
 pub mod store;
--- a/crates/quartzdrift-lab/src/light.rs
+++ b/crates/quartzdrift-lab/src/light.rs
@@ -1,5 +1,5 @@
 //! Workers that do nothing but answer, many on one thread: what a gateway costs is then seen beside them.
-use crate::actor::StandIn;
+use crate::actor::Fake;
 use calloop::LoopHandle;
 use quartzdrift_http::{Exchange, HasHttp, Headers, Http, HttpEvent, Limits, Response};
 use std::collections::VecDeque;
@@ -46,7 +46,7 @@
     Ok((all, addresses))
 }
 
-impl StandIn for Light {
+impl Fake for Light {
     type Command = ();
 
     fn event(&mut self, event: HttpEvent) {
--- a/crates/quartzdrift-lab/src/load.rs
+++ b/crates/quartzdrift-lab/src/load.rs
@@ -1,6 +1,6 @@
 //! Drives the invoke API open-loop: calls leave at their moments whether or not earlier ones were answered, and
 //! each is timed from the moment it should have left, so that a slow answer does not hide the ones behind it.
-use crate::actor::{self, StandIn};
+use crate::actor::{self, Fake};
 use crate::traffic::{self, Arrival};
 use calloop::LoopHandle;
 use hdrhistogram::Histogram;
@@ -25,7 +25,7 @@
     pub rate: f64,
     pub length: Duration,
     pub payload: String,
-    pub deferred: bool,
+    pub asynchronous: bool,
     /// Calls out at a time at most; those that should leave meanwhile are counted as not sent.
     pub out_most: usize,
     pub timeout: Duration,
@@ -144,7 +144,7 @@
             return;
         }
         let mut headers = Headers::new().with("content-type", "application/json");
-        if self.plan.deferred {
+        if self.plan.asynchronous {
             headers.push("x-amz-invocation-type", "Event");
         }
         let request = Outgoing {
@@ -182,7 +182,7 @@
     }
 }
 
-impl StandIn for Load {
+impl Fake for Load {
     type Command = ();
 
     fn event(&mut self, event: HttpEvent) {
--- a/crates/quartzdrift-lab/src/losses.rs
+++ b/crates/quartzdrift-lab/src/losses.rs
@@ -11,7 +11,7 @@
 use std::sync::PoisonError;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Power goes after this, in ms: some jobs are out, some wait.
+/// Power goes after this, in ms: some requests are out, some wait.
 const OFF_MS: u64 = 2_000;
 /// The same where a folder is put back from a copy made in the first second: others have noted by then what came after it. A copy
 /// that is younger than that, or of which nobody who is heard knows, cannot be told (docs/design-recovery.md).
@@ -96,8 +96,13 @@
     let start = day.lines.iter().find(|line| matches!(line.seen, Seen::Asked { .. }))?.at_us as f64 / 1e6;
     for line in &day.lines {
         let at = line.at_us as f64 / 1e6 - start;
-        if let Seen::Asked { call, key, workload, deferred: false, .. } = &line.seen {
-            let target = script.workloads.iter().find(|w| w.name == *workload)?.start_target.as_secs_f64();
+        if let Seen::Asked { call, key, request_class, asynchronous: false, .. } = &line.seen {
+            let target = script
+                .request_classes
+                .iter()
+                .find(|w| w.name == *request_class)?
+                .latency_objective
+                .as_secs_f64();
             keys.entry(key).or_insert((at, target, false));
             calls.insert(*call, key);
         }
