--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -1,6 +1,6 @@
 //! The lab's command line.
 use quartzdrift_lab::{
-    actor, audit, badday, day, emulate, experiment, load, losses, measure, naive, roster, script, store,
+    actor, audit, badday, day, discovery, emulate, experiment, load, losses, measure, naive, script, store,
     traffic, worker,
 };
 
@@ -135,9 +135,9 @@
     Measure {
         /// All of them, where none is named
         what: Vec<measure::What>,
-        /// Jobs over which memory must stay flat
-        #[arg(long, default_value_t = 1_000_000.0)]
-        jobs: f64,
+        /// Requests over which memory must stay flat
+        #[arg(long, alias = "jobs", default_value_t = 1_000_000.0)]
+        requests: f64,
     },
     /// Play a script in simulated time and print what it came to
     Emulate {
@@ -186,8 +186,9 @@
     },
     /// Judge a record that was kept
     Audit { record: PathBuf },
-    /// Run a stand-in roster that lists these workers
-    Roster {
+    /// Run a fake service discovery that lists these workers
+    #[command(alias = "roster")]
+    Discovery {
         #[arg(long, default_value = "127.0.0.1:9800")]
         listen: SocketAddr,
         workers: Vec<SocketAddr>,
@@ -266,7 +267,7 @@
             })
         }
         Command::Load { to, mix, rate, length, payload, event, out, timeout, even, trace, seed } => {
-            let (deferred, out_most) = (event, out);
+            let (asynchronous, out_most) = (event, out);
             trace.as_deref().map(traffic::read).transpose().and_then(|trace| {
                 let plan = load::Plan {
                     to,
@@ -274,7 +275,7 @@
                     rate,
                     length,
                     payload,
-                    deferred,
+                    asynchronous,
                     out_most,
                     timeout,
                     even,
@@ -308,8 +309,8 @@
             println!("rows and plots: {}", out.display());
             Ok(())
         }),
-        Command::Measure { what, jobs } => std::env::current_exe()
-            .and_then(|lab| measure::run(&lab, &what, jobs, &mut std::io::stdout().lock())),
+        Command::Measure { what, requests } => std::env::current_exe()
+            .and_then(|lab| measure::run(&lab, &what, requests, &mut std::io::stdout().lock())),
         Command::Audit { record } => {
             return match badday::load(&record) {
                 Ok((terms, lines)) => judged(&audit::audit(&lines, &terms)),
@@ -322,7 +323,7 @@
         Command::Worker { listen, store } => bind(listen).and_then(|(listener, address)| {
             println!("worker at {address}");
             let config = worker::Config { store, ..worker::Config::default() };
-            actor::run(Some(listener), None, |handle| worker::WorkerStandIn::new(handle, address, config))
+            actor::run(Some(listener), None, |handle| worker::FakeWorker::new(handle, address, config))
         }),
         Command::Store { listen, config } => bind(listen).and_then(|(listener, address)| {
             println!("store at {address}");
@@ -330,12 +331,12 @@
                 store::Config { capacity: config.capacity, limit: config.limit, ..store::Config::default() };
             actor::run(Some(listener), None, |handle| store::Store::new(handle, config))
         }),
-        Command::Roster { listen, workers } => bind(listen).and_then(|(listener, address)| {
+        Command::Discovery { listen, workers } => bind(listen).and_then(|(listener, address)| {
             println!("roster at http://{address}/workers/0");
             let workers =
-                workers.iter().map(|w| quartzdrift_roster::list::Listed::up(&w.to_string())).collect();
+                workers.iter().map(|w| quartzdrift_discovery::list::Listed::up(&w.to_string())).collect();
             let lag = Duration::ZERO;
-            actor::run(Some(listener), None, |handle| roster::Roster::new(handle, workers, lag, None))
+            actor::run(Some(listener), None, |handle| discovery::Discovery::new(handle, workers, lag, None))
         }),
     };
     match done {
@@ -379,10 +380,10 @@
 }
 
 /// Breaches that are printed; all of them are counted.
-const SHOWN_MOST: usize = 20;
+const MAX_SHOWN: usize = 20;
 
 fn judged(broken: &[audit::Broken]) -> ExitCode {
-    broken.iter().take(SHOWN_MOST).for_each(|broken| println!("BROKEN {broken}"));
+    broken.iter().take(MAX_SHOWN).for_each(|broken| println!("BROKEN {broken}"));
     match broken.len() {
         0 => println!("every rule was kept"),
         n => {
@@ -424,11 +425,11 @@
             tally.asked,
             tally.finished,
             tally.taken,
-            tally.pushed_back,
+            tally.rejected,
             tally.killed,
             tally.other,
             tally.no_answer,
-            day.executions,
+            day.attempts,
             day.waited_for_load,
             day.fetches
         );
@@ -461,10 +462,12 @@
         Some(path) => traffic::read(path)?,
         None => traffic::arrivals(&script, seed),
     };
-    if let Some(arrival) = arrivals.iter().find(|arrival| arrival.workload >= script.workloads.len()) {
+    if let Some(arrival) =
+        arrivals.iter().find(|arrival| arrival.request_class >= script.request_classes.len())
+    {
         return Err(std::io::Error::other(format!(
             "the trace has a workload {} that the script lacks",
-            arrival.workload
+            arrival.request_class
         )));
     }
     if let Some(path) = write {
@@ -495,14 +498,14 @@
         "{:<9} {:>7} {:>10} {:>13} {:>8} {:>10} {:>12}",
         "", "calls", "finished %", "pushed back %", "killed %", "no answer %", "executions"
     );
-    let line = |name: &str, calls: u64, of: [u64; 4], executions: u64| {
-        let [finished, pushed_back, killed, none] = of.map(|part| percent(part, calls));
+    let line = |name: &str, calls: u64, of: [u64; 4], attempts: u64| {
+        let [finished, rejected, killed, none] = of.map(|part| percent(part, calls));
         println!(
-            "{name:<9} {calls:>7} {finished:>10.1} {pushed_back:>13.1} {killed:>8.1} {none:>10.1} {executions:>12}"
+            "{name:<9} {calls:>7} {finished:>10.1} {rejected:>13.1} {killed:>8.1} {none:>10.1} {attempts:>12}"
         );
     };
     let f = &modelled;
-    line("emulator", f.calls, [f.finished, f.pushed_back, f.killed, f.no_answer], f.executions);
+    line("emulator", f.calls, [f.finished, f.rejected, f.killed, f.no_answer], f.attempts);
     if f.fell_over > 0 {
         println!("BROKEN {} cold workers were pushed over in the emulator", f.fell_over);
     }
@@ -512,8 +515,8 @@
     let program = badday::Program::lab(&std::env::current_exe()?, "gateway");
     let played = badday::play(&script, &program, seed)?;
     let tally = &played.tally;
-    let of = [tally.finished, tally.pushed_back, tally.killed, tally.no_answer];
-    line("sockets", tally.asked, of, played.executions as u64);
+    let of = [tally.finished, tally.rejected, tally.killed, tally.no_answer];
+    line("sockets", tally.asked, of, played.attempts as u64);
     let code = judged(&played.broken);
     Ok(if f.fell_over == 0 { code } else { ExitCode::FAILURE })
 }
@@ -528,7 +531,7 @@
     for _ in 0..workers {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let worker = actor::spawn(any, |handle, address| {
-            worker::WorkerStandIn::new(handle, address, worker::Config::default())
+            worker::FakeWorker::new(handle, address, worker::Config::default())
         })?;
         text.push_str(&format!("\n[[workers]]\naddress = \"{}\"\n", worker.address));
         standing.push(worker);
--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -4,10 +4,10 @@
 use crate::badday::listens_at;
 use crate::light::{self, Light};
 use crate::load::{self, Plan, Report};
-use quartzdrift_choice::choice::Scheduler;
-use quartzdrift_choice::interface::*;
-use quartzdrift_deferred::Submitted;
-use quartzdrift_store::{Change, Folder, Live, Log};
+use quartzdrift_async_queue::Submitted;
+use quartzdrift_scheduler::interface::*;
+use quartzdrift_scheduler::scheduler::Scheduler;
+use quartzdrift_wal::{Change, Folder, Live, Log};
 use std::io::{self, BufReader, Write};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -35,12 +35,12 @@
         Gateway::start_with(lab, workers, connections, "")
     }
 
-    /// With more lines for the table of deferred jobs.
+    /// With more lines for the table of asynchronous requests.
     fn start_with(
         lab: &Path,
         workers: &[SocketAddr],
         connections: usize,
-        deferred: &str,
+        asynchronous: &str,
     ) -> io::Result<Gateway> {
         let mut text = format!(
             "[gateway]\nlisten = [\"127.0.0.1:0\"]\nseed = 1\n[log]\nfilter = \"warn\"\n\
@@ -49,7 +49,7 @@
              [allowed]\nconnect_timeout = \"5s\"\n\
              [copies]\ntells_warm = true\nkeep = \"60s\"\n\
              [reports]\nsource = \"answers\"\nfields = [{{ field = \"held\", metric = \"named_metrics.inflight\" }}]\n\
-             [deferred]\njobs = 1000000\nbytes = 2000000000\nout = 10000\n{deferred}"
+             [deferred]\njobs = 1000000\nbytes = 2000000000\nout = 10000\n{asynchronous}"
         );
         for n in 0..20 {
             text.push_str(&format!("[[functions]]\nname = \"f{n}\"\nworkload = \"quick\"\n"));
@@ -95,7 +95,7 @@
         rate,
         length: Duration::from_secs_f64(seconds),
         payload: "{\"a\":1}".to_owned(),
-        deferred: false,
+        asynchronous: false,
         out_most,
         timeout: Duration::from_secs(30),
         even: false,
@@ -157,8 +157,8 @@
     Ok(())
 }
 
-/// Memory at rest, with many jobs out, and after many more.
-fn memory(lab: &Path, jobs: f64, out: &mut impl Write) -> io::Result<()> {
+/// Memory at rest, with many requests out, and after many more.
+fn memory(lab: &Path, requests: f64, out: &mut impl Write) -> io::Result<()> {
     writeln!(out, "resident memory of one instance in MB, 30 workers")?;
     {
         let (_running, addresses) = workers(30, Duration::from_secs(8))?;
@@ -166,7 +166,7 @@
         writeln!(out, "{:<34} {:>8.1}", "at rest", gateway.memory()?)?;
         // 1,000 of them deferred: each of the others takes two of the 20,000 descriptors that a process gets here.
         let at = gateway.at;
-        load::run(Plan { deferred: true, even: true, ..plan(at, 1000.0, 1.0, 100) })?;
+        load::run(Plan { asynchronous: true, even: true, ..plan(at, 1000.0, 1.0, 100) })?;
         let load = std::thread::spawn(move || load::run(plan(at, 5000.0, 2.0, 9000)));
         std::thread::sleep(Duration::from_secs(5));
         writeln!(out, "{:<34} {:>8.1}", "with 10,000 jobs out", gateway.memory()?)?;
@@ -178,22 +178,22 @@
     let gateway = Gateway::start(lab, &addresses, 4096)?;
     for part in 1..=4 {
         let mut done = 0.0;
-        while done < jobs / 4.0 {
+        while done < requests / 4.0 {
             let report = load::run(plan(gateway.at, 100_000.0, 2.0, 64))?;
             done += report.count() as f64;
         }
         writeln!(
             out,
             "{:<34} {:>8.1}",
-            format!("after {:.0} jobs", jobs / 4.0 * f64::from(part)),
+            format!("after {:.0} jobs", requests / 4.0 * f64::from(part)),
             gateway.memory()?
         )?;
     }
     Ok(())
 }
 
-/// Deferred jobs a second in memory and on disk, and what they do to synchronous calls beside them.
-fn deferred(lab: &Path, out: &mut impl Write) -> io::Result<()> {
+/// Asynchronous requests a second in memory and on disk, and what they do to synchronous calls beside them.
+fn asynchronous(lab: &Path, out: &mut impl Write) -> io::Result<()> {
     writeln!(
         out,
         "deferred calls, 64 out at a time, 30 workers that answer at once; and 300 synchronous ones a second beside"
@@ -215,7 +215,7 @@
         load::run(plan(at, 300.0, 1.0, 64))?;
         let alone = times(&load::run(plan(at, 300.0, 5.0, 1000))?);
         let beside = std::thread::spawn(move || load::run(plan(at, 300.0, 5.0, 1000)));
-        let report = load::run(Plan { deferred: true, ..plan(at, 100_000.0, 5.0, 64) })?;
+        let report = load::run(Plan { asynchronous: true, ..plan(at, 100_000.0, 5.0, 64) })?;
         let beside = times(&beside.join().map_err(|_| io::Error::other("the load broke"))??);
         let taken = report.times.get("taken");
         let ms = |share| taken.map_or(f64::NAN, |h| h.value_at_quantile(share) as f64 / 1000.0);
@@ -231,16 +231,16 @@
     Ok(())
 }
 
-/// From the start of a process to its listening, with so many jobs in the store that wait for tomorrow.
+/// From the start of a process to its listening, with so many requests in the store that wait for tomorrow.
 fn recovery(lab: &Path, out: &mut impl Write) -> io::Result<()> {
     writeln!(out, "start with waiting jobs in the store, payloads of 100 bytes")?;
     writeln!(out, "{:>9} {:>12} {:>10} {:>12}", "jobs", "store, MB", "start, s", "memory, MB")?;
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     let taken_us = since.as_micros() as u64;
-    let job = Submitted {
+    let request = Submitted {
         function: "f1".to_owned(),
-        customer: 0,
-        effect: Effect::Restartable,
+        tenant: 0,
+        idempotency: Idempotency::Idempotent,
         anywhere: true,
         window: Duration::ZERO,
         payload: std::rc::Rc::from(format!("{{\"a\":\"{}\"}}", "x".repeat(92)).into_bytes()),
@@ -251,16 +251,16 @@
         timer: None,
         hops: 0,
     };
-    let bytes = job.to_bytes();
-    for jobs in [1_000u64, 10_000, 100_000, 1_000_000] {
+    let bytes = request.to_bytes();
+    for requests in [1_000u64, 10_000, 100_000, 1_000_000] {
         let folder = tempfile::tempdir()?;
         let (mut log, _) = Log::open(Folder::open(folder.path())?).map_err(io::Error::other)?;
-        for first in (0..jobs).step_by(1000) {
+        for first in (0..requests).step_by(1000) {
             let live = |id| Live {
                 id,
                 taken_us,
                 due_us: taken_us + 86_400_000_000,
-                job: bytes.clone(),
+                request: bytes.clone(),
                 ..Live::default()
             };
             log.commit((first + 1..=first + 1000).map(|id| Change::Kept(live(id))).collect())
@@ -277,7 +277,7 @@
             &format!("store = \"{}\"\n", folder.path().display()),
         )?;
         let took = start.elapsed().as_secs_f64();
-        writeln!(out, "{jobs:>9} {stored:>12.1} {took:>10.2} {:>12.1}", gateway.memory()?)?;
+        writeln!(out, "{requests:>9} {stored:>12.1} {took:>10.2} {:>12.1}", gateway.memory()?)?;
     }
     Ok(())
 }
@@ -285,34 +285,34 @@
 /// Cost of a decision with many replaced workers behind it, against the start.
 fn replaced(out: &mut impl Write) -> io::Result<()> {
     writeln!(out, "microseconds for a decision with 30 workers up, by how many were replaced before")?;
-    let workload = Workload { time_limit: Some(Duration::from_secs(3)), ..Workload::default() };
-    let settings = Settings { workloads: vec![workload], ..Settings::default() };
+    let request_class = RequestClass { timeout: Some(Duration::from_secs(3)), ..RequestClass::default() };
+    let settings = Settings { request_classes: vec![request_class], ..Settings::default() };
     let mut scheduler = Scheduler::new(&settings, 1);
     let mut now = Duration::from_secs(1000);
-    let mut job = 0;
+    let mut request = 0;
     let mut cost = |scheduler: &mut Scheduler, now: &mut Duration| {
         let start = Instant::now();
         for _ in 0..2000 {
-            job += 1;
+            request += 1;
             *now += Duration::from_millis(1);
-            let function = ["f", "g", "h"][job as usize % 3];
+            let function = ["f", "g", "h"][request as usize % 3];
             let left = Duration::from_secs(3);
-            let actions =
-                scheduler.handle(*now, Event::Job(JobAsked { job, function, left, ..JobAsked::default() }));
+            let actions = scheduler
+                .handle(*now, Event::Request(Request { request, function, left, ..Request::default() }));
             for action in actions {
-                if let Action::Execute { job, worker, .. } = action {
-                    let (outcome, took) = (Outcome::Finished, Duration::from_millis(5));
+                if let Action::StartAttempt { request, worker, .. } = action {
+                    let (outcome, took) = (Outcome::Succeeded, Duration::from_millis(5));
                     scheduler.handle(
                         *now,
-                        Event::Ended {
-                            job,
-                            execution: 0,
+                        Event::AttemptEnded {
+                            request,
+                            attempt: 0,
                             worker: &worker,
                             outcome,
-                            took,
-                            over: true,
-                            found: Found::Warm,
-                            crowd: None,
+                            duration: took,
+                            concluded: true,
+                            cache_result: CacheResult::Warm,
+                            concurrency: None,
                             report: Vec::new(),
                         },
                     );
@@ -325,9 +325,9 @@
     for target in [30, 1000, 10_000] {
         while up < target {
             let (new, old) = (format!("w{up}"), format!("w{}", up as i64 - 30));
-            let entry = |worker, state| Entry { worker, state, ..Entry::default() };
-            let entries = vec![entry(&new, State::Up), entry(&old, State::Gone)];
-            scheduler.handle(now, Event::List { form: ListForm::Changes, entries });
+            let entry = |worker, state| Endpoint { worker, state, ..Endpoint::default() };
+            let entries = vec![entry(&new, EndpointState::Up), entry(&old, EndpointState::Gone)];
+            scheduler.handle(now, Event::EndpointList { form: EndpointListKind::Changes, entries });
             now += Duration::from_millis(10);
             up += 1;
         }
@@ -342,15 +342,15 @@
     Ok(())
 }
 
-/// Cost of forecasting for each job, and memory for many functions.
+/// Cost of forecasting for each request, and memory for many functions.
 fn forecasts(out: &mut impl Write) -> io::Result<()> {
     writeln!(out, "forecasting: microseconds for a job, memory of this process")?;
     for functions in [100u64, 10_000, 100_000] {
         let before = memory_of("self")?;
         let mut ahead = quartzdrift_forecast::Ahead::new(quartzdrift_forecast::Settings::default());
-        let (mut now, jobs) = (Duration::from_secs(1_000_000), 400_000u64.max(functions * 4));
+        let (mut now, requests) = (Duration::from_secs(1_000_000), 400_000u64.max(functions * 4));
         let (start, mut said) = (Instant::now(), 0);
-        for n in 0..jobs {
+        for n in 0..requests {
             now += Duration::from_micros(1300);
             // Each function in turn, a little out of step: every gap is near the same, as with timers.
             let function = format!("f{}", (n * 7919 + n / functions) % functions);
@@ -359,11 +359,11 @@
                 said += ahead.due(now).len();
             }
         }
-        let us = start.elapsed().as_secs_f64() * 1e6 / jobs as f64;
+        let us = start.elapsed().as_secs_f64() * 1e6 / requests as f64;
         let memory = memory_of("self")? - before;
         writeln!(
             out,
-            "{functions:>8} functions {us:>8.2} us {memory:>8.1} MB ({said} expectations, {jobs} jobs)"
+            "{functions:>8} functions {us:>8.2} us {memory:>8.1} MB ({said} expectations, {requests} jobs)"
         )?;
     }
     Ok(())
@@ -376,28 +376,29 @@
     Memory,
     Replaced,
     Forecasts,
-    Deferred,
+    #[value(alias = "deferred")]
+    Asynchronous,
     Recovery,
 }
 
-pub fn run(lab: &Path, what: &[What], jobs: f64, out: &mut impl Write) -> io::Result<()> {
+pub fn run(lab: &Path, what: &[What], requests: f64, out: &mut impl Write) -> io::Result<()> {
     let all = [
         What::Forecasts,
         What::Replaced,
         What::Busiest,
         What::Added,
         What::Memory,
-        What::Deferred,
+        What::Asynchronous,
         What::Recovery,
     ];
     for one in if what.is_empty() { &all[..] } else { what } {
         match one {
             What::Busiest => busiest(lab, out)?,
             What::Added => added(lab, 10.0, out)?,
-            What::Memory => memory(lab, jobs, out)?,
+            What::Memory => memory(lab, requests, out)?,
             What::Replaced => replaced(out)?,
             What::Forecasts => forecasts(out)?,
-            What::Deferred => deferred(lab, out)?,
+            What::Asynchronous => asynchronous(lab, out)?,
             What::Recovery => recovery(lab, out)?,
         }
         writeln!(out)?;
--- a/crates/quartzdrift-lab/src/model.rs
+++ b/crates/quartzdrift-lab/src/model.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct Spec {
     pub memory_mb: f64,
-    /// Jobs at a time in one copy.
+    /// Requests at a time in one copy.
     pub lanes: usize,
     pub load: Duration,
     /// Share of the load that is the fetch from the store.
@@ -67,7 +67,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found {
     Warm = 1,
-    BeganLoad = 2,
+    StartedLoad = 2,
     AwaitedLoad = 3,
     LoadFailed = 4,
 }
@@ -264,7 +264,7 @@
         let found = match stages.any(|stage| matches!(stage, Stage::Ready { .. })) {
             true => Found::Warm,
             false if self.copies.iter().any(|c| c.function == function) => Found::AwaitedLoad,
-            false => Found::BeganLoad,
+            false => Found::StartedLoad,
         };
         let left = work.as_secs_f64();
         let of = Call { function: function.to_owned(), left, found, crowd, copy: None, wanted: true };
@@ -582,9 +582,9 @@
         let mut worker = Worker::new(Machine::default(), BTreeMap::new(), Duration::ZERO);
         worker.call(Duration::ZERO, 1, "f", 10 * MS);
         let first = run(&mut worker, 1000 * MS);
-        let ran = first.iter().find(|(_, say)| matches!(say, Say::Ran { .. })).unwrap();
-        assert!(ran.0 >= 310 * MS && ran.0 < 315 * MS, "{ran:?}");
-        assert!(matches!(ran.1, Say::Ran { found: Found::BeganLoad, .. }));
+        let may_have_executed = first.iter().find(|(_, say)| matches!(say, Say::Ran { .. })).unwrap();
+        assert!(may_have_executed.0 >= 310 * MS && may_have_executed.0 < 315 * MS, "{may_have_executed:?}");
+        assert!(matches!(may_have_executed.1, Say::Ran { found: Found::StartedLoad, .. }));
         worker.call(1000 * MS, 2, "f", 10 * MS);
         let second = run(&mut worker, 2000 * MS);
         assert!(matches!(second[0].1, Say::Ran { found: Found::Warm, crowd: 0, .. }));
--- a/crates/quartzdrift-lab/src/naive.rs
+++ b/crates/quartzdrift-lab/src/naive.rs
@@ -1,12 +1,12 @@
 //! A gateway that breaks the rules on purpose: it keeps the first list of workers that it sees, sends at random, and
 //! sends again whatever failed or took long, whether or not it may have run. Auditors are proved against it.
-use crate::actor::{self, StandIn};
+use crate::actor::{self, Fake};
 use calloop::LoopHandle;
 use quartzdrift::settings::Settings;
+use quartzdrift_discovery::list;
 use quartzdrift_http::{
     CallId, Exchange, HasHttp, Headers, Http, HttpEvent, Limits, Outgoing, Request, Response,
 };
-use quartzdrift_roster::list;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::HashMap;
@@ -14,11 +14,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// After this an execution is taken to have failed, and sent again while the first still runs.
+/// After this an attempt is taken to have failed, and sent again while the first still runs.
 const IMPATIENT: Duration = Duration::from_millis(300);
-const SENDS_MOST: u32 = 3;
+const MAX_SENDS: u32 = 3;
 
-struct Job {
+struct ClientRequest {
     exchange: Exchange,
     target: String,
     headers: Headers,
@@ -33,7 +33,7 @@
     settings: Settings,
     workers: Vec<SocketAddr>,
     list: Option<CallId>,
-    jobs: HashMap<u64, Job>,
+    requests: HashMap<u64, ClientRequest>,
     calls: HashMap<CallId, u64>,
     chance: StdRng,
     drawn: u64,
@@ -52,10 +52,10 @@
     }
 
     fn send(&mut self, id: u64) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.sends += 1;
-        job.again_at = self.start.elapsed() + IMPATIENT;
-        let (target, headers, body) = (job.target.clone(), job.headers.clone(), job.body.clone());
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.sends += 1;
+        request.again_at = self.start.elapsed() + IMPATIENT;
+        let (target, headers, body) = (request.target.clone(), request.headers.clone(), request.body.clone());
         if self.workers.is_empty() {
             return;
         }
@@ -67,7 +67,7 @@
 
     fn request(&mut self, exchange: Exchange, request: Request) {
         self.drawn += 1;
-        let me = self.settings.choice.me.unwrap_or(0);
+        let me = self.settings.scheduler.me.unwrap_or(0);
         let mut headers = Headers::new()
             .with("x-amzn-requestid", &format!("naive-{me}-{}", self.drawn))
             .with("x-quartzdrift-scheduler", &me.to_string());
@@ -78,27 +78,27 @@
             self.http.answer(exchange, &Response { status: 202, ..Response::default() });
         }
         let (target, body) = (request.head.target, request.body.into());
-        let job = Job { exchange, target, headers, body, sends: 0, again_at: Duration::ZERO };
-        self.jobs.insert(self.drawn, job);
+        let request = ClientRequest { exchange, target, headers, body, sends: 0, again_at: Duration::ZERO };
+        self.requests.insert(self.drawn, request);
         self.send(self.drawn);
     }
 
     fn ended(&mut self, call: CallId, answer: Option<Response>) {
         let Some(id) = self.calls.remove(&call) else { return };
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else { return };
         match answer {
-            Some(answer) if answer.status == 200 || job.sends >= SENDS_MOST => {
-                if let Some(job) = self.jobs.remove(&id) {
-                    self.http.answer(job.exchange, &answer);
+            Some(answer) if answer.status == 200 || request.sends >= MAX_SENDS => {
+                if let Some(request) = self.requests.remove(&id) {
+                    self.http.answer(request.exchange, &answer);
                 }
             }
-            _ if job.sends < SENDS_MOST => self.send(id),
+            _ if request.sends < MAX_SENDS => self.send(id),
             _ => {}
         }
     }
 }
 
-impl StandIn for Naive {
+impl Fake for Naive {
     type Command = ();
 
     fn event(&mut self, event: HttpEvent) {
@@ -120,12 +120,17 @@
     fn command(&mut self, (): ()) {}
 
     fn next_due(&self) -> Option<Duration> {
-        self.jobs.values().filter(|job| job.sends < SENDS_MOST).map(|job| job.again_at).min()
+        self.requests
+            .values()
+            .filter(|request| request.sends < MAX_SENDS)
+            .map(|request| request.again_at)
+            .min()
     }
 
     fn due(&mut self, now: Duration) {
-        let late = |job: &Job| job.sends < SENDS_MOST && job.again_at <= now;
-        let again: Vec<u64> = self.jobs.iter().filter(|(_, job)| late(job)).map(|(id, _)| *id).collect();
+        let late = |request: &ClientRequest| request.sends < MAX_SENDS && request.again_at <= now;
+        let again: Vec<u64> =
+            self.requests.iter().filter(|(_, request)| late(request)).map(|(id, _)| *id).collect();
         again.into_iter().for_each(|id| self.send(id));
     }
 
@@ -145,15 +150,15 @@
             start: Instant::now(),
             workers: Vec::new(),
             list: None,
-            jobs: HashMap::new(),
+            requests: HashMap::new(),
             calls: HashMap::new(),
             chance: StdRng::seed_from_u64(settings.seed.unwrap_or(0)),
             drawn: 0,
             settings,
         };
-        if let Some(roster) = naive.settings.roster.clone() {
-            let outgoing = naive.outgoing("GET", roster.target, Headers::new(), Rc::from([]));
-            naive.list = Some(naive.http.call(roster.address, outgoing));
+        if let Some(discovery) = naive.settings.discovery.clone() {
+            let outgoing = naive.outgoing("GET", discovery.target, Headers::new(), Rc::from([]));
+            naive.list = Some(naive.http.call(discovery.address, outgoing));
         }
         naive
     })
--- a/crates/quartzdrift-lab/src/platform.rs
+++ b/crates/quartzdrift-lab/src/platform.rs
@@ -40,7 +40,7 @@
     pub function: &'a str,
     pub figures: &'a str,
     /// None is sent where it is empty.
-    pub fingerprint: &'a str,
+    pub idempotency_key: &'a str,
     /// None is sent where it is empty.
     pub tenant: &'a str,
     pub body: &'a [u8],
@@ -66,7 +66,9 @@
         ] {
             write_pair(&mut pairs, name.as_bytes(), value.as_bytes());
         }
-        for (name, value) in [("HTTP_IDEMPOTENCY_KEY", asked.fingerprint), ("HTTP_X_TENANT", asked.tenant)] {
+        for (name, value) in
+            [("HTTP_IDEMPOTENCY_KEY", asked.idempotency_key), ("HTTP_X_TENANT", asked.tenant)]
+        {
             if !value.is_empty() {
                 write_pair(&mut pairs, name.as_bytes(), value.as_bytes());
             }
--- a/crates/quartzdrift-lab/src/record.rs
+++ b/crates/quartzdrift-lab/src/record.rs
@@ -13,8 +13,10 @@
         call: u64,
         gateway: u64,
         key: String,
-        workload: String,
-        deferred: bool,
+        #[serde(rename = "workload")]
+        request_class: String,
+        #[serde(rename = "deferred")]
+        asynchronous: bool,
         limit_us: u64,
     },
     /// The client has its answer.
@@ -32,14 +34,16 @@
     Cut {
         call: u64,
     },
-    /// A call reached a worker; `life` counts its starts, `job` is the gateway's name for the job.
+    /// A call reached a worker; `life` counts its starts, `request` is the gateway's name for the request.
     Came {
         worker: String,
         life: u64,
         call: u64,
         gateway: u64,
-        job: String,
-        execution: u32,
+        #[serde(rename = "job")]
+        request: String,
+        #[serde(rename = "execution")]
+        attempt: u32,
         key: String,
         work_us: u64,
     },
--- a/crates/quartzdrift-lab/src/script.rs
+++ b/crates/quartzdrift-lab/src/script.rs
@@ -32,13 +32,13 @@
 //! fleet 50ms                    gateways are members of a fleet with this period, and keep deferred jobs on disk
 //! ```
 use crate::relay::Link;
-use quartzdrift_choice::interface::Effect;
+use quartzdrift_scheduler::interface::Idempotency;
 use std::time::Duration;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Workload {
+pub struct RequestClass {
     pub name: String,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     pub window: Duration,
     pub rate: f64,
     pub work: Duration,
@@ -47,9 +47,9 @@
     pub memory_mb: f64,
     pub load: Duration,
     pub lanes: usize,
-    pub deferred: bool,
+    pub asynchronous: bool,
     pub hang_up: f64,
-    pub start_target: Duration,
+    pub latency_objective: Duration,
     pub pattern: Pattern,
 }
 
@@ -101,9 +101,9 @@
     Lose(usize, f64),
     Slow(usize, Duration),
     Late(usize, Duration),
-    RosterLag(Duration),
-    RosterStop(bool),
-    RosterEmpty(bool),
+    DiscoveryLag(Duration),
+    DiscoveryStop(bool),
+    DiscoveryEmpty(bool),
     StoreSlow(f64),
     StoreRefuse(bool),
     KillGateway(usize),
@@ -133,7 +133,7 @@
     /// Between a gateway and a worker.
     Link(usize, usize, Link),
     /// Whether a gateway's stream of lists stalls.
-    RosterStall(usize, bool),
+    DiscoveryStall(usize, bool),
     Spoil(usize, Spoil),
 }
 
@@ -166,14 +166,14 @@
     pub store_limit: usize,
     pub store_stops_at: usize,
     pub lag: Duration,
-    pub workloads: Vec<Workload>,
+    pub request_classes: Vec<RequestClass>,
     pub length: Duration,
     pub troubles: Vec<(Duration, Trouble)>,
     /// Load ahead of need by forecasts, on sockets; the emulator is told by its variants.
     pub forecasts: bool,
     /// The members' period, where gateways are a fleet.
     pub fleet: Option<Duration>,
-    /// How often a call that was pushed back comes again at most, and after which part of the time that it was told at least.
+    /// How often a call that was rejected comes again at most, and after which part of the time that it was told at least.
     pub repeats: u32,
     pub haste: f64,
 }
@@ -224,7 +224,7 @@
         store_limit: 64,
         store_stops_at: 0,
         lag: Duration::ZERO,
-        workloads: Vec::new(),
+        request_classes: Vec::new(),
         length: Duration::from_secs(10),
         troubles: Vec::new(),
         forecasts: false,
@@ -238,7 +238,7 @@
             script.line(&words).map_err(|why| format!("line {}: {why}", n + 1))?;
         }
     }
-    if script.workloads.is_empty() {
+    if script.request_classes.is_empty() {
         return Err("there is no workload".to_owned());
     }
     script.troubles.sort_by_key(|(at, _)| *at);
@@ -256,7 +256,7 @@
             | Trouble::Clock(n, ..)
             | Trouble::CopyState(n)
             | Trouble::Link(n, ..)
-            | Trouble::RosterStall(n, _)
+            | Trouble::DiscoveryStall(n, _)
             | Trouble::Spoil(n, _) => (*n, script.gateways),
             Trouble::Apart { last, .. } => (*last, script.gateways),
             Trouble::StopGateways(_, last) => (*last, script.gateways),
@@ -271,9 +271,9 @@
             | Trouble::Lose(n, _)
             | Trouble::Slow(n, _)
             | Trouble::Late(n, _) => (*n, script.workers),
-            Trouble::RosterLag(_)
-            | Trouble::RosterStop(_)
-            | Trouble::RosterEmpty(_)
+            Trouble::DiscoveryLag(_)
+            | Trouble::DiscoveryStop(_)
+            | Trouble::DiscoveryEmpty(_)
             | Trouble::StoreSlow(_)
             | Trouble::StoreRefuse(_)
             | Trouble::Together
@@ -289,10 +289,10 @@
 }
 
 impl Script {
-    /// The workload of a function, with its place: functions bear its name and a number.
-    pub fn workload_of(&self, function: &str) -> Option<(usize, &Workload)> {
+    /// The request class of a function, with its place: functions bear its name and a number.
+    pub fn request_class_of(&self, function: &str) -> Option<(usize, &RequestClass)> {
         let (name, _) = function.rsplit_once('-')?;
-        self.workloads.iter().enumerate().find(|(_, workload)| workload.name == name)
+        self.request_classes.iter().enumerate().find(|(_, request_class)| request_class.name == name)
     }
 
     fn line(&mut self, words: &Words) -> Result<(), String> {
@@ -337,7 +337,7 @@
             }
             "forecasts" => self.forecasts = true,
             "fleet" => self.fleet = Some(span(words.at(1)?)?),
-            "workload" => self.workloads.push(workload(words)?),
+            "workload" => self.request_classes.push(request_class(words)?),
             "length" => self.length = span(words.at(1)?)?,
             "at" => {
                 let at = span(words.at(1)?)?;
@@ -373,11 +373,11 @@
                 }
                 return Ok(());
             }
-            ("roster", "lag") => Trouble::RosterLag(span(words.at(4)?)?),
-            ("roster", "stop") => Trouble::RosterStop(true),
-            ("roster", "go") => Trouble::RosterStop(false),
-            ("roster", "empty") => Trouble::RosterEmpty(true),
-            ("roster", "full") => Trouble::RosterEmpty(false),
+            ("roster", "lag") => Trouble::DiscoveryLag(span(words.at(4)?)?),
+            ("roster", "stop") => Trouble::DiscoveryStop(true),
+            ("roster", "go") => Trouble::DiscoveryStop(false),
+            ("roster", "empty") => Trouble::DiscoveryEmpty(true),
+            ("roster", "full") => Trouble::DiscoveryEmpty(false),
             ("store", "slow") => Trouble::StoreSlow(share()?),
             ("store", "refuse") => Trouble::StoreRefuse(true),
             ("store", "serve") => Trouble::StoreRefuse(false),
@@ -409,8 +409,8 @@
                 Trouble::Clock(index(4)?, span(words.at(6)?)?, ahead)
             }
             ("link", "gateway") if words.at(5)? == "roster" => match words.at(6)? {
-                "stalled" => Trouble::RosterStall(index(4)?, true),
-                "well" => Trouble::RosterStall(index(4)?, false),
+                "stalled" => Trouble::DiscoveryStall(index(4)?, true),
+                "well" => Trouble::DiscoveryStall(index(4)?, false),
                 other => return Err(format!("the link to the roster is stalled or well, not '{other}'")),
             },
             ("link", "gateway") if words.at(5)? == "worker" => {
@@ -435,7 +435,7 @@
                 let on: fn(usize) -> Trouble = match words.at(4)? {
                     "gateways" => Trouble::PowerOnGateway,
                     "workers" => Trouble::Start,
-                    "roster" => |_| Trouble::RosterStop(false),
+                    "roster" => |_| Trouble::DiscoveryStop(false),
                     other => return Err(format!("there is no power for '{other}'")),
                 };
                 let (first, last) = if words.at(4)? == "roster" { (0, 0) } else { (index(5)?, index(6)?) };
@@ -482,7 +482,7 @@
     })
 }
 
-fn workload(words: &Words) -> Result<Workload, String> {
+fn request_class(words: &Words) -> Result<RequestClass, String> {
     words.known(&[
         "window",
         "rate",
@@ -500,12 +500,12 @@
         "jitter",
     ])?;
     let ms = Duration::from_millis;
-    Ok(Workload {
+    Ok(RequestClass {
         name: words.at(1)?.to_owned(),
-        effect: match words.at(2)? {
-            "restartable" => Effect::Restartable,
-            "fingerprinted" => Effect::Fingerprinted,
-            "run-once" => Effect::RunOnce,
+        idempotency: match words.at(2)? {
+            "restartable" => Idempotency::Idempotent,
+            "fingerprinted" => Idempotency::IdempotentWithKey,
+            "run-once" => Idempotency::NonIdempotent,
             other => return Err(format!("'{other}' is no effect")),
         },
         window: words.span("window", ms(5000))?,
@@ -516,9 +516,9 @@
         memory_mb: words.number("memory", 100.0)?,
         load: words.span("load", ms(200))?,
         lanes: words.number("lanes", 4)?,
-        deferred: words.0.contains(&"deferred"),
+        asynchronous: words.0.contains(&"deferred"),
         hang_up: words.number("hang-up", 0.0)?,
-        start_target: words.span("target", words.span("limit", ms(3000))?)?,
+        latency_objective: words.span("target", words.span("limit", ms(3000))?)?,
         pattern: pattern(words)?,
     })
 }
@@ -530,7 +530,10 @@
     #[test]
     fn scripts_are_read_and_mistakes_named() {
         let script = read("gateways 2\nworkers 4 cores=1\nworkload a run-once rate=5\nat 2s replace workers 0 1 every=3s\nat 1s lose worker 3 0.5").unwrap();
-        assert_eq!((script.gateways, script.cores, script.workloads[0].effect), (2, 1.0, Effect::RunOnce));
+        assert_eq!(
+            (script.gateways, script.cores, script.request_classes[0].idempotency),
+            (2, 1.0, Idempotency::NonIdempotent)
+        );
         assert_eq!(script.troubles[0], (Duration::from_secs(1), Trouble::Lose(3, 0.5)));
         assert_eq!(script.troubles.len(), 7);
         for (text, line) in [
--- a/crates/quartzdrift-lab/src/stage.rs
+++ b/crates/quartzdrift-lab/src/stage.rs
@@ -9,7 +9,7 @@
 
 /// Code of a worker's answer with a body.
 pub const DONE: u8 = 64;
-/// Ids of jobs.
+/// Ids of requests.
 pub const ID: &str = "9b1f03aa5c7e2d41";
 pub const OTHER: &str = "9b1f03aa5c7e2d42";
 pub const THIRD: &str = "9b1f03aa5c7e2d43";
@@ -47,7 +47,7 @@
     )
 }
 
-/// A configuration with a restartable workload `again` and a run-once one `once`.
+/// A configuration with an idempotent request class `again` and a non-idempotent one `once`.
 pub fn config(coordinator: SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"7","limits":{{"sockets":128}},"coordinator":"{coordinator}",
@@ -146,7 +146,7 @@
         self.signal("-HUP");
     }
 
-    /// A lane of the first worker on which a job has ended, and which has rested for so long that it must prove that
+    /// A lane of the first worker on which a request has ended, and which has rested for so long that it must prove that
     /// it works.
     pub fn rested(&mut self, front: &mut Front, id: &str) -> usize {
         ask(front, 1, &asked("/do/once", id));
@@ -231,7 +231,7 @@
 /// A request that any scheduler takes.
 pub fn asked<'a>(path: &'a str, id: &'a str) -> Asked<'a> {
     let (function, figures) = ("7f3a9c21e0b4d655", "memory_mb:512;lanes:2;load_ms:640");
-    Asked { path, id, time: "50000", function, figures, fingerprint: "", tenant: "", body: b"the body" }
+    Asked { path, id, time: "50000", function, figures, idempotency_key: "", tenant: "", body: b"the body" }
 }
 
 pub fn ask(front: &mut Front, number: u16, asked: &Asked) {
--- a/crates/quartzdrift-lab/src/store.rs
+++ b/crates/quartzdrift-lab/src/store.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the store that workers fetch functions from: it slows down when crowded, turns fetches away past
 //! a limit, and stops for a while when pushed far over its capacity. [`Model`] is without sockets.
-use crate::actor::StandIn;
+use crate::actor::Fake;
 use calloop::LoopHandle;
 use quartzdrift_http::{Exchange, HasHttp, Http, HttpEvent, Limits, Response};
 use std::collections::{HashMap, VecDeque};
@@ -141,7 +141,7 @@
     }
 }
 
-impl StandIn for Store {
+impl Fake for Store {
     type Command = Command;
 
     fn event(&mut self, event: HttpEvent) {
--- a/crates/quartzdrift-lab/src/switch.rs
+++ b/crates/quartzdrift-lab/src/switch.rs
@@ -16,7 +16,7 @@
 /// How long one look at a socket waits: what comes is never later than that for each member.
 const LOOK: Duration = Duration::from_micros(200);
 /// Datagrams on their way at most; more are lost, as at any switch.
-const WAITING_MOST: usize = 10_000;
+const MAX_WAITING: usize = 10_000;
 
 /// Addresses handed out by [`kept_port`] so far.
 static HANDED: AtomicU16 = AtomicU16::new(0);
@@ -125,7 +125,7 @@
             for _ in 0..times {
                 let late = now.late.mul_f64(chance.random_range(0.0..1.0));
                 drawn += 1;
-                if waiting.len() < WAITING_MOST {
+                if waiting.len() < MAX_WAITING {
                     waiting.insert((Instant::now() + late, drawn), (from, to, buffer[..length].to_vec()));
                 }
             }
--- a/crates/quartzdrift-lab/src/traffic.rs
+++ b/crates/quartzdrift-lab/src/traffic.rs
@@ -9,14 +9,15 @@
 use std::time::Duration;
 
 /// Calls of a trace at most.
-const CALLS_MOST: usize = 20_000_000;
+const MAX_CALLS: usize = 20_000_000;
 
 /// One call of a client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
     pub at_us: u64,
-    /// Its place among the workloads of the day.
-    pub workload: usize,
+    /// Its place among the request classes of the day.
+    #[serde(rename = "workload")]
+    pub request_class: usize,
     pub function: String,
     /// Drawn once, so that every variant of a day gives the same work.
     pub work_us: u64,
@@ -36,7 +37,7 @@
     -(1.0 - chance.random_range(0.0..1.0f64)).ln() / rate
 }
 
-/// How the rate of a workload stands at a moment against its mean.
+/// How the rate of a request class stands at a moment against its mean.
 fn swing(pattern: &Pattern, at: f64, length: f64) -> f64 {
     match *pattern {
         Pattern::Steady | Pattern::Timers { .. } | Pattern::Scan => 1.0,
@@ -71,28 +72,28 @@
 pub fn arrivals(script: &Script, seed: u64) -> Vec<Arrival> {
     let length = script.length.as_secs_f64();
     let mut all = Vec::new();
-    for (n, workload) in script.workloads.iter().enumerate() {
+    for (n, request_class) in script.request_classes.iter().enumerate() {
         let mut chance = StdRng::seed_from_u64(seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut add = |chance: &mut StdRng, at: f64, function: String, gateway: f64| {
-            let work = workload.work.as_secs_f64() * chance.random_range(0.5..1.5);
+            let work = request_class.work.as_secs_f64() * chance.random_range(0.5..1.5);
             let (at_us, work_us) = ((at * 1e6) as u64, (work * 1e6) as u64);
-            all.push(Arrival { at_us, workload: n, function, work_us, gateway });
+            all.push(Arrival { at_us, request_class: n, function, work_us, gateway });
         };
-        if let Pattern::Timers { period, jitter } = workload.pattern {
+        if let Pattern::Timers { period, jitter } = request_class.pattern {
             // Each function has a timer, which fires through one gateway.
-            for f in 0..workload.functions {
+            for f in 0..request_class.functions {
                 let (mut at, gateway) = (chance.random_range(0.0..period), chance.random_range(0.0..1.0));
                 // Periods differ a little from timer to timer.
                 let own = period * chance.random_range(0.7..1.3);
                 while at < length {
                     let late = chance.random_range(0.0..1.0) * jitter;
-                    add(&mut chance, at + late, format!("{}-{f}", workload.name), gateway);
+                    add(&mut chance, at + late, format!("{}-{f}", request_class.name), gateway);
                     at += own;
                 }
             }
             continue;
         }
-        let most = match workload.pattern {
+        let most = match request_class.pattern {
             Pattern::Daily { most, .. }
             | Pattern::Weekly { most, .. }
             | Pattern::Bursty { most, .. }
@@ -101,16 +102,16 @@
         };
         let (mut at, mut drawn) = (0.0, 0usize);
         loop {
-            at += gap(&mut chance, workload.rate * most);
+            at += gap(&mut chance, request_class.rate * most);
             if at >= length {
                 break;
             }
-            if chance.random_range(0.0..1.0) * most > swing(&workload.pattern, at, length) {
+            if chance.random_range(0.0..1.0) * most > swing(&request_class.pattern, at, length) {
                 continue;
             }
             drawn += 1;
-            let functions = workload.functions;
-            let f = match workload.pattern {
+            let functions = request_class.functions;
+            let f = match request_class.pattern {
                 Pattern::Scan => drawn,
                 Pattern::Turning { every } => {
                     // A few functions draw most calls, and others take their place now and then.
@@ -124,10 +125,10 @@
                 _ => (chance.random_range(0.0..1.0f64).powi(2) * functions as f64) as usize,
             };
             let gateway = chance.random_range(0.0..1.0);
-            add(&mut chance, at, format!("{}-{f}", workload.name), gateway);
+            add(&mut chance, at, format!("{}-{f}", request_class.name), gateway);
         }
     }
-    all.sort_by(|a, b| (a.at_us, a.workload, &a.function).cmp(&(b.at_us, b.workload, &b.function)));
+    all.sort_by(|a, b| (a.at_us, a.request_class, &a.function).cmp(&(b.at_us, b.request_class, &b.function)));
     all
 }
 
@@ -150,8 +151,8 @@
     let mut all = Vec::new();
     for (n, line) in BufReader::new(plain).lines().enumerate() {
         let bad = |why: String| io::Error::new(io::ErrorKind::InvalidData, format!("line {}: {why}", n + 1));
-        if n >= CALLS_MOST {
-            return Err(bad(format!("more than {CALLS_MOST} calls")));
+        if n >= MAX_CALLS {
+            return Err(bad(format!("more than {MAX_CALLS} calls")));
         }
         all.push(serde_json::from_str(&line?).map_err(|e| bad(e.to_string()))?);
     }
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -1,5 +1,5 @@
 //! A stand-in worker on sockets: the invoke API on the worker's side, load reports, orders and probes, and faults.
-use crate::actor::StandIn;
+use crate::actor::Fake;
 use crate::functions;
 use crate::model::{Found, Machine, Say, Spec, Worker};
 use crate::record::{Recorder, Seen};
@@ -18,7 +18,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Marks of fingerprinted jobs that a group of workers remembers, each with the time it was first met.
+/// Marks of requests with an idempotency key that a group of workers remembers, each with the time it was first met.
 pub type Marks = Arc<Mutex<HashMap<String, Instant>>>;
 
 #[derive(Clone)]
@@ -85,8 +85,8 @@
     mark: Option<String>,
 }
 
-pub struct WorkerStandIn {
-    http: Http<WorkerStandIn>,
+pub struct FakeWorker {
+    http: Http<FakeWorker>,
     address: SocketAddr,
     start: Instant,
     config: Config,
@@ -110,29 +110,25 @@
     headers.get("x-quartzdrift-scheduler").and_then(|n| n.parse().ok()).unwrap_or(u64::MAX)
 }
 
-/// The client's name for a job; of a record for a destination, that of the job it tells of.
+/// The client's name for a request; of a record for a destination, that of the request it tells of.
 fn key(payload: &serde_json::Value) -> String {
     let own = payload.get("key").and_then(|k| k.as_str());
     let told = payload.get("requestPayload").and_then(|p| p.get("key")).and_then(|k| k.as_str());
     own.map(str::to_owned).or(told.map(|key| format!("dead:{key}"))).unwrap_or_default()
 }
 
-impl HasHttp for WorkerStandIn {
-    fn http(&mut self) -> &mut Http<WorkerStandIn> {
+impl HasHttp for FakeWorker {
+    fn http(&mut self) -> &mut Http<FakeWorker> {
         &mut self.http
     }
 }
 
-impl WorkerStandIn {
-    pub fn new(
-        handle: LoopHandle<'static, WorkerStandIn>,
-        address: SocketAddr,
-        config: Config,
-    ) -> WorkerStandIn {
+impl FakeWorker {
+    pub fn new(handle: LoopHandle<'static, FakeWorker>, address: SocketAddr, config: Config) -> FakeWorker {
         let limits = Limits { idle: Duration::from_secs(300), ..Limits::default() };
         let cold_for = if config.warm { Duration::ZERO } else { config.machine.cold_for };
         let machine = Machine { cold_for, ..config.machine.clone() };
-        let mut worker = WorkerStandIn {
+        let mut worker = FakeWorker {
             http: Http::new(handle, limits),
             address,
             start: Instant::now(),
@@ -196,8 +192,8 @@
                 life: self.life,
                 call: id,
                 gateway: scheduler(&head.headers),
-                job: head.headers.get("x-amzn-requestid").unwrap_or("").to_owned(),
-                execution: head
+                request: head.headers.get("x-amzn-requestid").unwrap_or("").to_owned(),
+                attempt: head
                     .headers
                     .get("x-quartzdrift-execution")
                     .and_then(|n| n.parse().ok())
@@ -312,7 +308,7 @@
     fn act(&mut self) {
         for say in self.model.says() {
             match say {
-                Say::Ran { call, found, crowd, wanted } => self.ran(call, found, crowd, wanted),
+                Say::Ran { call, found, crowd, wanted } => self.may_have_executed(call, found, crowd, wanted),
                 Say::Full { call } => {
                     self.not_taken(call);
                     let headers = Headers::new().with("x-amzn-errortype", "TooManyRequestsException");
@@ -335,7 +331,7 @@
                     if let Some(exchange) = self.orders.remove(&order) {
                         let status = if enough { 200 } else { 429 };
                         let headers = Headers::new().with("content-type", "application/json");
-                        self.say(exchange, status, headers, models::order(copies as u32));
+                        self.say(exchange, status, headers, models::load_command(copies as u32));
                     }
                 }
                 Say::Fell => {
@@ -347,7 +343,7 @@
         }
     }
 
-    fn ran(&mut self, call: u64, found: Found, crowd: usize, wanted: bool) {
+    fn may_have_executed(&mut self, call: u64, found: Found, crowd: usize, wanted: bool) {
         let (worker, life, warm) = (self.address.to_string(), self.life, found == Found::Warm);
         self.see(Seen::Began { worker, life, call, warm });
         let Some(open) = self.open.get(&call) else { return };
@@ -355,13 +351,13 @@
             self.open.remove(&call);
             return;
         }
-        let ran = functions::run(&open.function, &open.payload, &self.address.to_string());
+        let may_have_executed = functions::run(&open.function, &open.payload, &self.address.to_string());
         let mut headers = Headers::new().with("content-type", "application/json");
-        if ran.error {
+        if may_have_executed.error {
             headers.push("x-amz-function-error", "Unhandled");
         }
         let headers = self.with_report(headers, Some((found, crowd)));
-        self.finish(call, 200, headers, ran.body);
+        self.finish(call, 200, headers, may_have_executed.body);
     }
 
     fn fetch(&mut self, load: u64, function: &str, takes: Duration) {
@@ -439,7 +435,7 @@
     }
 }
 
-impl StandIn for WorkerStandIn {
+impl Fake for FakeWorker {
     type Command = Command;
 
     fn event(&mut self, event: HttpEvent) {
--- a/crates/quartzdrift-lab/tests/closes.rs
+++ b/crates/quartzdrift-lab/tests/closes.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn whoever_has_taken_all_answers_may_stay_silent_while_a_job_runs() {
+fn whoever_has_taken_all_answers_may_stay_silent_while_a_request_runs() {
     let mut stage = Stage::start(LAB, 1);
     let mut front = stage.front();
     // One is answered in the turn in which it came, the other one takes its time.
@@ -112,15 +112,15 @@
         let (lane, _, id, ..) = stage.workers[0].command();
         stage.workers[0].answer(lane, DONE, id, &[7; 60_000]);
     }
-    // Checks, then a job that is withdrawn at once. Past what may wait for a client it is cut off, among the checks of
-    // a read, and jobs behind them are still there. A number is used again when it has long been answered, and the
+    // Checks, then a request that is withdrawn at once. Past what may wait for a client it is cut off, among the checks of
+    // a read, and requests behind them are still there. A number is used again when it has long been answered, and the
     // checks are so long that few of them exceed what may be open.
     let body = vec![7; 1000];
     let check_of = |n| Front::request(n, &Asked { body: &body, ..asked("/check", ID) });
     let unit = |first: u16| {
         let checks = (first..first + 7).flat_map(check_of);
-        let job = Front::request(first + 7, &asked("/do/once", OTHER));
-        checks.chain(job).chain(Front::abort(first + 7)).collect::<Vec<u8>>()
+        let request = Front::request(first + 7, &asked("/do/once", OTHER));
+        checks.chain(request).chain(Front::abort(first + 7)).collect::<Vec<u8>>()
     };
     let units: Vec<Vec<u8>> = (1..=64_000).step_by(8).map(unit).collect();
     assert!(units.iter().cycle().take(100_000).any(|unit| deaf.send(unit).is_err()), "it is cut off");
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn fewer_descriptors_than_the_configuration_tells_cost_no_job() {
+fn fewer_descriptors_than_the_configuration_tells_cost_no_request() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let (mut worker, coordinator) = (Worker::start().unwrap(), Coordinator::start().unwrap());
--- a/crates/quartzdrift-lab/tests/crossings.rs
+++ b/crates/quartzdrift-lab/tests/crossings.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_waits_for_a_connection_past_its_time_is_pushed_back() {
+fn what_waits_for_a_connection_past_its_time_is_rejected() {
     let stage = Stage::with(LAB, 0, &[NO_CANCEL, PATIENT]);
     let mut front = stage.front();
     let vanished = Vanished::start().unwrap();
@@ -140,13 +140,13 @@
 // --- Answers ---
 
 #[test]
-fn two_answers_in_one_read_each_reach_their_own_job() {
-    // The consequences of the first answer may end its client's connection, with the other job open on it.
+fn two_answers_in_one_read_each_reach_their_own_request() {
+    // The consequences of the first answer may end its client's connection, with the other request open on it.
     for last in [false, true] {
         let mut stage = Stage::with(LAB, 1, &[SCARCE]);
         let mut front = stage.front();
         let mut at = Vec::new();
-        // Eight lanes, and a ninth job that shares one.
+        // Eight lanes, and a ninth request that shares one.
         for n in 1..=9 {
             let (path, id) = ("/do/once", format!("{n:016x}"));
             let bytes = if last && n == 9 { Front::last_request } else { Front::request };
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_late_second_answer_is_not_taken_for_the_next_job_under_its_id() {
+fn a_late_second_answer_is_not_taken_for_the_next_request_under_its_id() {
     let mut stage = Stage::start(LAB, 1);
     let mut front = stage.front();
     ask(&mut front, 1, &asked("/do/once", ID));
@@ -215,7 +215,7 @@
         ask(&mut front, 1, &asked("/do/once", ID));
         assert_eq!(check(&mut stage.front()), 200);
         let gone = target("w0", vanished.at, "Gone");
-        // A job is not placed twice at one worker: where that has moved, or has come back, another one gets it.
+        // A request is not placed twice at one worker: where that has moved, or has come back, another one gets it.
         let new = target("new", at, "Ready");
         let targets = match way {
             "gone, then another" => vec![gone, new],
@@ -261,7 +261,7 @@
     assert_eq!(stage.workers[0].asked(), lane);
     let again =
         target("w0", stage.workers[0].at, "Ready").replace("\"boot_ms\":0", "\"boot_ms\":1700000000000");
-    // A job is not placed twice at one worker: another one, which stands at the same address here, gets it.
+    // A request is not placed twice at one worker: another one, which stands at the same address here, gets it.
     stage.tell(2, &[again, target("w1", stage.workers[0].at, "Ready")]);
     let (new, code, id) = serve(&mut stage.workers[0], &mut front, b"done");
     assert_eq!((code, id), (48, number(OTHER)));
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_lane_that_its_worker_closed_a_moment_ago_costs_no_job() {
+fn a_lane_that_its_worker_closed_a_moment_ago_costs_no_request() {
     let mut stage = Stage::start(LAB, 1);
     let mut front = stage.front();
     ask(&mut front, 1, &asked("/do/once", ID));
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_keep_alive_shorter_than_a_proof_cuts_no_job() {
+fn a_keep_alive_shorter_than_a_proof_cuts_no_request() {
     let mut stage = Stage::with(LAB, 1, &[PATIENT, ("15000000000", "100000000")]);
     let mut front = stage.front();
     let lane = stage.rested(&mut front, ID);
@@ -556,7 +556,7 @@
 }
 
 #[test]
-fn what_was_never_sent_before_the_kill_is_pushed_back() {
+fn what_was_never_sent_before_the_kill_is_rejected() {
     let mut stage = Stage::with(LAB, 0, &[PATIENT]);
     let (mut front, mut checks) = (stage.front(), stage.front());
     let vanished = Vanished::start().unwrap();
@@ -685,7 +685,7 @@
     let (lane, ..) = stage.workers[0].command();
     stage.restart(LAB);
     assert!(front.reply().is_err(), "what a killed process had taken is over");
-    // The client asks again under a new id, while the worker still has the execution of the earlier life.
+    // The client asks again under a new id, while the worker still has the attempt of the earlier life.
     let mut front = stage.front();
     assert_eq!(check(&mut front), 200);
     ask(&mut front, 1, &asked("/do/once", OTHER));
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -2,19 +2,19 @@
 use quartzdrift::gateway::fleet::View;
 use quartzdrift::invoke::{Invoke, invoke};
 use quartzdrift::saved;
+use quartzdrift_discovery::list::Listed;
 use quartzdrift_http::Response;
 use quartzdrift_lab::actor::{Running, spawn};
 use quartzdrift_lab::audit::{Rule, audit};
 use quartzdrift_lab::badday::{self, Program, listens_at};
+use quartzdrift_lab::discovery::{self, Discovery};
 use quartzdrift_lab::load;
 use quartzdrift_lab::model::Machine;
 use quartzdrift_lab::record::{Recorder, Seen};
-use quartzdrift_lab::roster::{self, Roster};
 use quartzdrift_lab::script;
 use quartzdrift_lab::traffic::Arrival;
-use quartzdrift_lab::worker::{Command, Config, Faults, WorkerStandIn};
-use quartzdrift_members::State;
-use quartzdrift_roster::list::Listed;
+use quartzdrift_lab::worker::{Command, Config, FakeWorker, Faults};
+use quartzdrift_membership::State;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
@@ -69,10 +69,10 @@
         self.call(function, payload, false)
     }
 
-    fn call(&self, function: &str, payload: &str, deferred: bool) -> Response {
+    fn call(&self, function: &str, payload: &str, asynchronous: bool) -> Response {
         let (to, function, payload) = (self.at, function.to_owned(), payload.as_bytes().to_vec());
         let timeout = Duration::from_secs(15);
-        invoke(&Invoke { to, function, payload, deferred, mark: None, timeout }).unwrap()
+        invoke(&Invoke { to, function, payload, asynchronous, mark: None, timeout }).unwrap()
     }
 
     fn raw(&self, bytes: &[u8]) -> TcpStream {
@@ -96,7 +96,7 @@
     workers: Vec<Running<Command>>,
 }
 
-const WORKLOADS: &str = r#"
+const REQUEST_CLASSES: &str = r#"
 [[workloads]]
 name = "again"
 effect = "restartable"
@@ -134,7 +134,7 @@
         let workers = (0..workers).map(|_| {
             let machine = Machine { cores: 4.0, ..Machine::default() };
             let config = Config { machine, recorder: Some(recorder.clone()), ..Config::default() };
-            spawn(any(), move |handle, address| WorkerStandIn::new(handle, address, config)).unwrap()
+            spawn(any(), move |handle, address| FakeWorker::new(handle, address, config)).unwrap()
         });
         Stage { folder, workers: workers.collect(), recorder }
     }
@@ -145,8 +145,9 @@
 
     /// The same with a settings file of this name.
     fn gateway_by(&self, name: &str, gateway: &str, more: &str) -> Gateway {
-        let mut text =
-            format!("[gateway]\nlisten = [\"127.0.0.1:0\"]\nseed = 1\n{gateway}\n{WORKLOADS}\n{more}\n");
+        let mut text = format!(
+            "[gateway]\nlisten = [\"127.0.0.1:0\"]\nseed = 1\n{gateway}\n{REQUEST_CLASSES}\n{more}\n"
+        );
         if !more.contains("[roster]") {
             for worker in &self.workers {
                 text.push_str(&format!("[[workers]]\naddress = \"{}\"\n", worker.address));
@@ -231,7 +232,7 @@
 }
 
 #[test]
-fn a_silent_worker_costs_a_run_once_job_its_time_and_no_second_execution() {
+fn a_silent_worker_costs_a_non_idempotent_request_its_time_and_no_second_attempt() {
     let stage = Stage::new(2);
     let gateway = stage.gateway();
     stage.all(&Faults { silent: true, ..Faults::default() });
@@ -244,40 +245,40 @@
 }
 
 #[test]
-fn a_crashed_worker_sends_a_restartable_job_elsewhere() {
+fn a_crashed_worker_sends_an_idempotent_request_elsewhere() {
     let stage = Stage::new(2);
     let gateway = stage.gateway();
     stage.all(&Faults { silent: true, ..Faults::default() });
     std::thread::scope(|scope| {
-        let job = scope.spawn(|| gateway.invoke("echo", r#"{"key": "e1"}"#));
+        let request = scope.spawn(|| gateway.invoke("echo", r#"{"key": "e1"}"#));
         let worker = stage.wait("the job", |seen| came(seen, "e1"));
         let crashed = stage.workers.iter().position(|w| w.address.to_string() == worker).unwrap();
         stage.faults(1 - crashed, Faults::default());
         stage.answers(1 - crashed);
         stage.workers[crashed].tell(Command::Crash);
-        let answer = job.join().unwrap();
+        let answer = request.join().unwrap();
         assert!(answer.status == 200 && function_error(&answer).is_none(), "{}", answer.status);
     });
     assert!(stage.came("e1") == 2);
 }
 
 #[test]
-fn a_crashed_worker_kills_a_run_once_job() {
+fn a_crashed_worker_kills_a_non_idempotent_request() {
     let stage = Stage::new(2);
     let gateway = stage.gateway();
     stage.all(&Faults { silent: true, ..Faults::default() });
     std::thread::scope(|scope| {
-        let job = scope.spawn(|| gateway.invoke("pay", r#"{"key": "p1"}"#));
+        let request = scope.spawn(|| gateway.invoke("pay", r#"{"key": "p1"}"#));
         stage.wait("the job", |seen| came(seen, "p1"));
         stage.workers.iter().for_each(|worker| worker.tell(Command::Crash));
-        let answer = job.join().unwrap();
+        let answer = request.join().unwrap();
         assert_eq!((answer.status, function_error(&answer)), (200, Some("Unhandled")));
     });
     assert_eq!(stage.came("p1"), 1);
 }
 
 #[test]
-fn a_worker_that_restarts_under_the_same_name_answers_no_old_job() {
+fn a_worker_that_restarts_under_the_same_name_answers_no_old_request() {
     let stage = Stage::new(1);
     let gateway = stage.gateway();
     stage.all(&Faults { silent: true, ..Faults::default() });
@@ -294,7 +295,7 @@
 }
 
 #[test]
-fn a_client_that_hangs_up_has_its_run_once_job_sent_once() {
+fn a_client_that_hangs_up_has_its_non_idempotent_request_sent_once() {
     let stage = Stage::new(2);
     let gateway = stage.gateway();
     stage.all(&Faults { slow: 200 * MS, ..Faults::default() });
@@ -315,7 +316,7 @@
 }
 
 #[test]
-fn with_every_worker_gone_calls_are_pushed_back_with_a_time() {
+fn with_every_worker_gone_calls_are_rejected_with_a_time() {
     let stage = Stage::new(2);
     let gateway = stage.gateway();
     stage.workers.iter().for_each(|worker| worker.tell(Command::Crash));
@@ -378,13 +379,13 @@
 }
 
 #[test]
-fn deferred_jobs_run_and_dead_ones_reach_their_destination() {
+fn asynchronous_requests_run_and_dead_ones_reach_their_destination() {
     let stage = Stage::new(1);
     let more = "[deferred]\ntries = 2\nwait = \"10ms\"\nlongest_wait = \"20ms\"\non_failure = { function = \"dead\" }\n";
     let gateway = stage.gateway_with("", more);
     assert_eq!(gateway.call("echo", r#"{"key": "later"}"#, true).status, 202);
     stage.wait("the deferred job", |seen| came(seen, "later"));
-    // A run-once job whose worker was lost may have run: it is not tried again, its record goes to the dead.
+    // A non-idempotent request whose worker was lost may have run: it is not tried again, its record goes to the dead.
     stage.faults(0, Faults { lost: 1.0, ..Faults::default() });
     assert_eq!(gateway.call("pay", r#"{"key": "doubt"}"#, true).status, 202);
     stage.wait("the end of the doubtful job", |seen| {
@@ -397,7 +398,7 @@
 }
 
 #[test]
-fn deferred_jobs_beyond_their_room_are_pushed_back() {
+fn asynchronous_requests_beyond_their_room_are_rejected() {
     let stage = Stage::new(1);
     let gateway = stage.gateway_with("", "[deferred]\nbytes = 2000\n");
     stage.all(&Faults { silent: true, ..Faults::default() });
@@ -423,7 +424,7 @@
     let gateway = stage.gateway();
     let arrival = |n: u64| Arrival {
         at_us: n * 2000,
-        workload: 0,
+        request_class: 0,
         function: if n.is_multiple_of(4) { "dead" } else { "echo" }.to_owned(),
         work_us: 0,
         gateway: 0.0,
@@ -434,7 +435,7 @@
         rate: 0.0,
         length: Duration::ZERO,
         payload: "{}".to_owned(),
-        deferred: false,
+        asynchronous: false,
         out_most: 100,
         timeout: Duration::from_secs(15),
         even: false,
@@ -451,18 +452,18 @@
     let recorder = Recorder::default();
     let machine = Machine { keep: 400 * MS, ..Machine::default() };
     let config = Config { machine, recorder: Some(recorder.clone()), ..Config::default() };
-    let worker = spawn(any(), move |handle, address| WorkerStandIn::new(handle, address, config)).unwrap();
+    let worker = spawn(any(), move |handle, address| FakeWorker::new(handle, address, config)).unwrap();
     let stage = Stage { folder: tempfile::tempdir().unwrap(), recorder, workers: vec![worker] };
     let state = stage.folder.path().join("state");
     let more = "[forecasts]\nseasons = []\nevery = \"1s\"\n";
     let trace = stage.folder.path().join("trace.jsonl.gz");
     let more = format!("{more}[record]\nfile = \"{}\"\n", trace.display());
     let file = stage.folder.path().join("gateway.toml");
-    let workloads = WORKLOADS
+    let request_classes = REQUEST_CLASSES
         .replace("tells_warm = true", "tells_warm = true\norders = true\nkeep = \"400ms\"")
         .replace("name = \"echo\"", "name = \"echo\"\nload = \"300ms\"");
     let text = format!(
-        "[gateway]\nlisten = [\"127.0.0.1:0\"]\nstate = \"{}\"\n{workloads}\n{more}[[workers]]\naddress = \"{}\"\n",
+        "[gateway]\nlisten = [\"127.0.0.1:0\"]\nstate = \"{}\"\n{request_classes}\n{more}[[workers]]\naddress = \"{}\"\n",
         state.display(),
         stage.workers[0].address
     );
@@ -506,23 +507,23 @@
 }
 
 #[test]
-fn a_drain_told_by_the_roster_moves_work_and_a_restart_uses_the_saved_list() {
+fn a_drain_told_by_the_discovery_moves_work_and_a_restart_uses_the_saved_list() {
     let stage = Stage::new(2);
     let workers: Vec<String> = stage.workers.iter().map(|w| w.address.to_string()).collect();
     let first = workers.iter().map(|worker| Listed::up(worker)).collect();
     let recorder = stage.recorder.clone();
-    let roster =
-        spawn(any(), move |handle, _| Roster::new(handle, first, Duration::ZERO, Some(recorder))).unwrap();
+    let discovery =
+        spawn(any(), move |handle, _| Discovery::new(handle, first, Duration::ZERO, Some(recorder))).unwrap();
     let state = stage.folder.path().join("state");
     let of = format!(
         "[roster]\nurl = \"http://{}/workers/1\"\nstream = true\nevery = \"100ms\"\n",
-        roster.address
+        discovery.address
     );
     let gateway = stage.gateway_with(&format!("state = \"{}\"", state.display()), &of);
     stage.wait("the list", |_| (gateway.invoke("echo", "{}").status == 200).then_some(()));
     let state_of = |worker: &str, state| Listed { state, ..Listed::up(worker) };
-    let draining = quartzdrift_choice::interface::State::Draining;
-    roster.tell(roster::Command::Set(state_of(&workers[0], draining)));
+    let draining = quartzdrift_scheduler::interface::EndpointState::Draining;
+    discovery.tell(discovery::Command::Set(state_of(&workers[0], draining)));
     stage.wait("the drain", |seen| seen.iter().find(|s| matches!(s, Seen::ToldAway { .. })).map(drop));
     // The news is on the gateway's socket; give it the grace that the rule gives.
     std::thread::sleep(Duration::from_millis(250));
@@ -542,7 +543,7 @@
             .filter(|list| list.contains("draining"))
             .map(drop)
     });
-    drop((gateway, roster));
+    drop((gateway, discovery));
     let again = Gateway::start(&stage.folder.path().join("gateway.toml"));
     assert_eq!(again.invoke("echo", r#"{"key": "saved"}"#).status, 200);
 }
@@ -680,7 +681,7 @@
                     to: at,
                     function: "echo".to_owned(),
                     payload,
-                    deferred: false,
+                    asynchronous: false,
                     mark: None,
                     timeout,
                 };
@@ -708,9 +709,9 @@
     assert!(statuses.len() > 20 && statuses.iter().all(|status| *status == 200), "{statuses:?}");
 }
 
-/// Kills a gateway outright again and again while deferred jobs come, and looks at what workers saw.
+/// Kills a gateway outright again and again while asynchronous requests come, and looks at what workers saw.
 #[test]
-fn no_deferred_job_that_was_taken_is_lost_or_doubled_by_kills() {
+fn no_asynchronous_request_that_was_taken_is_lost_or_doubled_by_kills() {
     let stage = Stage::new(2);
     let store = stage.folder.path().join("deferred");
     let more = format!(
@@ -747,7 +748,7 @@
     let store = stage.folder.path().join("deferred");
     let more = format!("[deferred]\nstore = \"{}\"\n", store.display());
     let first = stage.gateway_with("", &more);
-    // What is out and what waits stays far below what two workers take: the call beside it is not pushed back.
+    // What is out and what waits stays far below what two workers take: the call beside it is not rejected.
     let keys: Vec<String> = (0..8).map(|n| format!("kept-{n}")).collect();
     for key in &keys {
         let payload = format!("{{\"key\":\"{key}\",\"work_ms\":50}}");
@@ -764,7 +765,7 @@
     assert!(!second.success());
     assert_eq!(first.invoke("echo", "{}").status, 200);
     stage.wait("all that was taken", |_| keys.iter().all(|key| stage.came(key) > 0).then_some(()));
-    // And the first still has its store, whose jobs nobody else has run.
+    // And the first still has its store, whose requests nobody else has run.
     assert_eq!(first.call("pay", r#"{"key": "next"}"#, true).status, 202);
     stage.wait("the next deferred job", |_| (stage.came("next") == 1).then_some(()));
     assert!(keys.iter().all(|key| stage.came(key) == 1));
@@ -786,7 +787,7 @@
     stage.wait("the kept job", |_| (stage.came("kept") > before).then_some(()));
 }
 
-/// A gateway alone, with its state and its deferred jobs on disk.
+/// A gateway alone, with its state and its asynchronous requests on disk.
 fn alone(stage: &Stage) -> (String, String) {
     let folder = stage.folder.path();
     let more = format!(
@@ -802,11 +803,11 @@
     let payload = format!("{{\"key\":\"{mark}\"}}").into_bytes();
     let (function, mark) = ("stamp".to_owned(), Some(mark.to_owned()));
     let timeout = Duration::from_secs(15);
-    invoke(&Invoke { to: gateway.at, function, payload, deferred: false, mark, timeout }).unwrap()
+    invoke(&Invoke { to: gateway.at, function, payload, asynchronous: false, mark, timeout }).unwrap()
 }
 
 #[test]
-fn a_fingerprinted_job_from_before_a_power_loss_does_not_run_after_it() {
+fn a_keyed_request_from_before_a_power_loss_does_not_run_after_it() {
     let stage = Stage::new(2);
     let (gateway, more) = alone(&stage);
     let first = stage.gateway_with(&gateway, &more);
@@ -837,7 +838,7 @@
     std::thread::sleep(Duration::from_millis(wait));
     assert_eq!((marked(&third, "new").status, stage.came("lost")), (200, 1));
     drop(third);
-    // Where workers are said to keep fingerprints on disk, they know the repeat.
+    // Where workers are said to keep idempotency keys on disk, they know the repeat.
     let text = std::fs::read_to_string(&file).unwrap();
     std::fs::write(&file, format!("{text}\n[recovery]\nfingerprints = \"disk\"\n")).unwrap();
     assert_eq!(marked(&Gateway::start_on(&file, &["--boot", "again"]), "new").status, 200);
@@ -856,7 +857,7 @@
             std::fs::copy(entry.path(), to.join(entry.file_name())).unwrap();
         }
     };
-    // Nothing is taken by the only worker: the job waits, and is copied as it waits.
+    // Nothing is taken by the only worker: the request waits, and is copied as it waits.
     stage.all(&Faults { errors: 1.0, ..Faults::default() });
     stage.workers[0].tell(Command::Crash);
     let first = stage.gateway_with(&gateway, &more);
@@ -924,18 +925,18 @@
     let workers: Vec<String> = stage.workers.iter().map(|w| w.address.to_string()).collect();
     let first: Vec<Listed> = workers.iter().map(|worker| Listed::up(worker)).collect();
     let of = first.clone();
-    let roster = spawn(any(), move |handle, _| Roster::new(handle, of, Duration::ZERO, None)).unwrap();
+    let discovery = spawn(any(), move |handle, _| Discovery::new(handle, of, Duration::ZERO, None)).unwrap();
     let state = stage.folder.path().join("state");
-    let more = format!("[roster]\nurl = \"http://{}/workers/1\"\nevery = \"60s\"\n", roster.address);
+    let more = format!("[roster]\nurl = \"http://{}/workers/1\"\nevery = \"60s\"\n", discovery.address);
     let gateway = stage.gateway_with(&format!("state = \"{}\"", state.display()), &more);
     stage.wait("the list", |_| (gateway.invoke("echo", "{}").status == 200).then_some(()));
     stage.wait("the saved list", |_| saved::last(&state, saved::WORKERS).ok().flatten().map(drop));
     drop(gateway);
     // All but one have not come back; their processes are left over here, and would answer.
-    let gone = quartzdrift_choice::interface::State::Gone;
+    let gone = quartzdrift_scheduler::interface::EndpointState::Gone;
     first[1..]
         .iter()
-        .for_each(|one| roster.tell(roster::Command::Set(Listed { state: gone, ..one.clone() })));
+        .for_each(|one| discovery.tell(discovery::Command::Set(Listed { state: gone, ..one.clone() })));
     let file = stage.folder.path().join("gateway.toml");
     let gateway = Gateway::start_on(&file, &["--boot", "anew"]);
     // One list comes in this time, and is believed as it is.
--- a/crates/quartzdrift-lab/tests/platform.rs
+++ b/crates/quartzdrift-lab/tests/platform.rs
@@ -14,7 +14,7 @@
 const GIVE_UP: u8 = 49;
 
 #[test]
-fn a_job_goes_out_as_it_came_and_its_answer_comes_back_unchanged() {
+fn a_request_goes_out_as_it_came_and_its_answer_comes_back_unchanged() {
     let mut stage = Stage::start(LAB, 1);
     let mut front = stage.front();
     ask(&mut front, 5, &asked("/do/again", ID));
@@ -38,12 +38,12 @@
 }
 
 #[test]
-fn a_fingerprinted_job_carries_its_fingerprint_to_every_worker_and_none_goes_without() {
+fn a_keyed_request_carries_its_idempotency_key_to_every_worker_and_none_goes_without() {
     let dedup = "\"effect\":\"dedup\",\"key-scope\":\"all\",\"window-ns\":8000000000";
     let mut stage = Stage::with(LAB, 2, &[("\"effect\":\"fragile\"", dedup)]);
     let mut front = stage.front();
     assert_eq!(ask_and_reply(&mut front, &asked("/do/once", ID)).status, 400);
-    ask(&mut front, 1, &Asked { fingerprint: "0f3a-77", ..asked("/do/once", ID) });
+    ask(&mut front, 1, &Asked { idempotency_key: "0f3a-77", ..asked("/do/once", ID) });
     // The first may have run it; the second can tell the repeat, as it hears the same.
     let (first, (lane, _, _, fields, _)) = stage.command();
     assert!(fields.contains(",replay=0f3a-77,"), "{fields}");
@@ -55,11 +55,11 @@
 }
 
 #[test]
-fn a_worker_that_turns_one_customer_away_stays_open_to_the_others() {
+fn a_worker_that_turns_one_tenant_away_stays_open_to_the_others() {
     let tenants = r#""tenants":[{"name":"a","quota-rps":10},{"name":"b","quota-rps":10}],"stats""#;
     let mut stage = Stage::with(LAB, 2, &[("\"stats\"", tenants)]);
     let mut front = stage.front();
-    // Full for this job, though by its report it has room: it has no more for this customer.
+    // Full for this request, though by its report it has room: it has no more for this tenant.
     ask(&mut front, 1, &Asked { tenant: "a", ..asked("/do/once", ID) });
     let (turns, (lane, _, id, ..)) = stage.command();
     stage.workers[turns].answer(lane, FULL, id, b"");
@@ -68,7 +68,7 @@
     assert_eq!(front.reply().unwrap().status, 200);
     // Functions that nobody has loaded are at home at one of the two by chance.
     let mut met = |tenant, from| {
-        let jobs = (from..from + 12).map(|n| {
+        let requests = (from..from + 12).map(|n| {
             let (id, function) = (format!("{n:016x}"), format!("{n:016x}"));
             ask(&mut front, 1, &Asked { tenant, function: &function, ..asked("/do/once", &id) });
             let (at, (lane, _, id, ..)) = stage.command();
@@ -76,7 +76,7 @@
             assert_eq!(front.reply().unwrap().status, 200);
             at
         });
-        jobs.filter(|at| *at == turns).count()
+        requests.filter(|at| *at == turns).count()
     };
     assert_eq!(met("a", 100), 0, "it is sent elsewhere");
     // Another one, and one that the settings do not name.
@@ -97,7 +97,7 @@
         (Asked { time: "-1", ..good }, 400),
         (Asked { time: "99999999999", ..good }, 400),
         (Asked { figures: "lanes:nan", ..good }, 400),
-        (Asked { fingerprint: "a,x=1", ..good }, 400),
+        (Asked { idempotency_key: "a,x=1", ..good }, 400),
     ] {
         assert_eq!(ask_and_reply(&mut front, &bad).status, status, "{bad:?}");
     }
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn the_id_of_an_open_job_is_refused_and_the_open_one_goes_on() {
+fn the_id_of_an_open_request_is_refused_and_the_open_one_goes_on() {
     let mut stage = Stage::start(LAB, 1);
     let (mut first, mut second) = (stage.front(), stage.front());
     ask(&mut first, 1, &asked("/do/once", ID));
@@ -158,7 +158,7 @@
         ask(&mut front, 1, &asked("/do/once", ID));
         let (at, (lane, ..)) = stage.command();
         stage.workers[at].send(lane, &bytes);
-        // Killed: it may have run, so neither a further execution nor a push-back may follow.
+        // Killed: it may have run, so neither a further attempt nor a rejection may follow.
         assert_eq!(front.reply().unwrap().status, 500, "{what}");
         assert!(stage.workers.iter_mut().all(|worker| worker.command_now().is_none()), "{what}");
     }
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_restartable_job_runs_elsewhere_after_a_spoilt_answer() {
+fn an_idempotent_request_runs_elsewhere_after_a_spoilt_answer() {
     let mut stage = Stage::start(LAB, 2);
     let mut front = stage.front();
     ask(&mut front, 1, &asked("/do/again", ID));
@@ -197,11 +197,11 @@
 }
 
 #[test]
-fn a_refused_connection_is_no_execution_and_without_a_worker_left_there_is_a_time_to_come_back() {
+fn a_refused_connection_is_no_attempt_and_without_a_worker_left_there_is_a_time_to_come_back() {
     let stage = Stage::start(LAB, 0);
     let mut front = stage.front();
     let gone = TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap();
-    // Without a worker no job can be taken, and the check says so.
+    // Without a worker no request can be taken, and the check says so.
     assert_eq!(ask_and_reply(&mut front, &asked("/check", ID)).status, 503);
     stage.coordinator.poll();
     stage.coordinator.tell(&event(2, false, &[target("w9", gone, "Ready")]));
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_lane_that_was_forgotten_while_idle_costs_no_job() {
+fn a_lane_that_was_forgotten_while_idle_costs_no_request() {
     let mut stage = Stage::start(LAB, 1);
     let mut front = stage.front();
     let lane = stage.rested(&mut front, ID);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_machine_that_has_vanished_costs_the_connect_timeout_and_no_job() {
+fn a_machine_that_has_vanished_costs_the_connect_timeout_and_no_request() {
     let stage = Stage::start(LAB, 0);
     let mut front = stage.front();
     let vanished = Vanished::start().unwrap();
@@ -251,7 +251,7 @@
     stage.coordinator.tell(&event(2, false, &[target("w0", at, "Ready")]));
     assert!(stage.coordinator.poll().contains("follow=2&"));
     ask(&mut front, 1, &asked("/do/once", ID));
-    // The job has been taken once a later one on the same connection is answered.
+    // The request has been taken once a later one on the same connection is answered.
     ask(&mut front, 2, &asked("/check", OTHER));
     assert_eq!(front.reply().unwrap().number, 2);
     stage.workers.push(Worker::start().unwrap());
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn whoever_leaves_has_its_execution_given_up() {
+fn whoever_leaves_has_its_attempt_given_up() {
     let mut stage = Stage::start(LAB, 1);
     let mut front = stage.front();
     ask(&mut front, 1, &asked("/do/once", ID));
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn a_hang_up_signal_brings_another_coordinator_and_touches_no_job() {
+fn a_hang_up_signal_brings_another_coordinator_and_touches_no_request() {
     let mut stage = Stage::start(LAB, 1);
     let mut front = stage.front();
     ask(&mut front, 1, &asked("/do/once", ID));
@@ -377,28 +377,30 @@
     let mut stage = Stage::start(LAB, 1);
     let (mut deaf, mut checks) = (stage.front(), stage.front());
     let said = vec![7; 60 << 10];
-    let (mut jobs, mut idle) = (0_u64, 0);
-    // Far past what buffers hold; without a bound this would end at the largest number of jobs.
-    while jobs < 2000 && idle < 1000 {
-        if idle == 0 && deaf.send(&Front::request(1, &asked("/do/again", &format!("{jobs:016x}")))).is_err() {
+    let (mut requests, mut idle) = (0_u64, 0);
+    // Far past what buffers hold; without a bound this would end at the largest number of requests.
+    while requests < 2000 && idle < 1000 {
+        if idle == 0
+            && deaf.send(&Front::request(1, &asked("/do/again", &format!("{requests:016x}")))).is_err()
+        {
             break;
         }
         match stage.workers[0].command_now() {
             Some((lane, _, id, ..)) => {
                 stage.workers[0].answer(lane, DONE, id, &said);
-                (jobs, idle) = (jobs + 1, 0);
+                (requests, idle) = (requests + 1, 0);
             }
             // Each answered check is a turn of the scheduler's loop.
             None => idle += 1,
         }
         assert_eq!(ask_and_reply(&mut checks, &asked("/check", ID)).status, 200);
     }
-    assert!(jobs < 2000, "nothing stopped it");
+    assert!(requests < 2000, "nothing stopped it");
     let mut whole = 0;
     while deaf.reply().is_ok() {
         whole += 1;
     }
-    assert!(whole < jobs, "the end of what it was sent shows that not all is there");
+    assert!(whole < requests, "the end of what it was sent shows that not all is there");
 }
 
 #[test]
--- a/crates/quartzdrift-lab/tests/recovery.rs
+++ b/crates/quartzdrift-lab/tests/recovery.rs
@@ -7,7 +7,7 @@
 use quartzdrift_recovery::{Disk, Kind, Stage};
 use std::path::Path;
 
-/// A fleet with jobs of every effect, deferred ones too.
+/// A fleet with requests of every effect, deferred ones too.
 const FLEET: &str = "
 workers 5 cores=4 memory=1600 keep=60s queue=60
 store capacity=6 limit=16
--- a/crates/quartzdrift-lab/tests/stored.rs
+++ b/crates/quartzdrift-lab/tests/stored.rs
@@ -11,7 +11,7 @@
 fn a_recorded_trace_is_read() {
     let trace = traffic::read(&folder("tests/stored/trace.jsonl")).unwrap();
     let read: Vec<_> =
-        trace.iter().map(|of| (of.at_us, of.workload, &*of.function, of.work_us, of.gateway)).collect();
+        trace.iter().map(|of| (of.at_us, of.request_class, &*of.function, of.work_us, of.gateway)).collect();
     assert_eq!(read, [(0, 1, "echo", 0, 0.0), (1500, 0, "0f3a77", 12_000, 0.75)]);
 }
 
@@ -21,7 +21,7 @@
     for file in fs::read_dir(folder("days")).unwrap() {
         let text = fs::read_to_string(file.unwrap().path()).unwrap();
         let script = script::read(&text).unwrap();
-        assert!(!script.workloads.is_empty());
+        assert!(!script.request_classes.is_empty());
         read += 1;
     }
     for file in fs::read_dir(folder("experiments")).unwrap() {
--- a/crates/quartzdrift-members/src/members.rs
+++ b/crates/quartzdrift-membership/src/members.rs
@@ -1,7 +1,7 @@
 //! The protocol: probes, suspicion, joining and leaving.
 use crate::news::{Member, News, Rumours, State};
 use crate::replay::Window;
-use crate::wire::{self, Datagram, Head, NAME_MOST, Part, Refused, Writer};
+use crate::wire::{self, Datagram, Head, MAX_NAME, Part, Refused, Writer};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -15,13 +15,13 @@
 /// Members that tell a suspect of its state as soon as they hear of it.
 const WARNERS: f64 = 6.0;
 /// Relayed probes that are open at a time; more are not carried out.
-const RELAYS_OPEN_MOST: usize = 256;
+const MAX_RELAYS_OPEN: usize = 256;
 /// Of a probe's time-out: when an asked member says that it got no answer either.
 const NACK_AT: f64 = 0.8;
 /// Lifeguard's local health: the worst, by which our own time-outs grow.
-const HEALTH_MOST: u32 = 8;
+const MAX_HEALTH: u32 = 8;
 /// Least time of a suspicion, in periods for each factor of ten in the fleet's size; and the most against the least.
-const SUSPECT_LEAST: f64 = 4.0;
+const MIN_SUSPECT: f64 = 4.0;
 const SUSPECT_RATIO: f64 = 6.0;
 /// Independent accusers that bring a suspicion down to its least time.
 const ACCUSERS: usize = 3;
@@ -30,15 +30,15 @@
 /// And after these from the start: of a fleet that starts at once the first to answer knows only a part.
 const EXCHANGE_EARLY: [u32; 2] = [3, 7];
 /// Periods between tries to join, doubling up to the most.
-const JOIN_MOST: u32 = 32;
+const MAX_JOIN: u32 = 32;
 /// Bytes kept for the end of a page: a name and a few.
-const PAGE_END: usize = NAME_MOST + 8;
+const PAGE_END: usize = MAX_NAME + 8;
 /// Datagrams to an address whose answers are still known as answers.
 const SENT_KEPT: usize = 8;
 /// Answers a second to those who do not know our life: an old datagram sent again draws no more.
-const HELLOS_MOST: u32 = 512;
+const MAX_HELLOS: u32 = 512;
 /// Outputs that wait to be carried out; more datagrams are not made.
-const OUTPUTS_MOST: usize = 100_000;
+const MAX_OUTPUTS: usize = 100_000;
 
 #[derive(Clone, Debug)]
 pub struct Settings {
@@ -278,7 +278,7 @@
 
     /// A datagram of these parts; what room is left carries news.
     fn send(&mut self, to: SocketAddr, parts: &[Part]) {
-        if self.outputs.len() >= OUTPUTS_MOST {
+        if self.outputs.len() >= MAX_OUTPUTS {
             return;
         }
         let head = self.head(to);
@@ -397,7 +397,7 @@
         if self.hellos.0 != second {
             self.hellos = (second, 0);
         }
-        if parts.iter().any(|part| matches!(part, Part::Hello { .. })) || self.hellos.1 >= HELLOS_MOST {
+        if parts.iter().any(|part| matches!(part, Part::Hello { .. })) || self.hellos.1 >= MAX_HELLOS {
             return Err(Refused::Replayed);
         }
         self.hellos.1 += 1;
@@ -477,7 +477,7 @@
         if news.name == self.settings.name {
             return self.own_news(&news);
         }
-        if news.name.is_empty() || news.name.len() > NAME_MOST {
+        if news.name.is_empty() || news.name.len() > MAX_NAME {
             return;
         }
         self.believe(news);
@@ -502,7 +502,7 @@
 
     fn suspicion(&self, accusers: usize) -> Duration {
         let scale = ((self.size() as f64).log10()).max(1.0);
-        let least = self.settings.period.mul_f64(SUSPECT_LEAST * scale);
+        let least = self.settings.period.mul_f64(MIN_SUSPECT * scale);
         let most = least.mul_f64(SUSPECT_RATIO);
         // From the most with one accuser down to the least, as Lifeguard has it.
         let part = (accusers as f64).ln_1p() - std::f64::consts::LN_2;
@@ -581,7 +581,7 @@
     }
 
     fn unwell(&mut self) {
-        self.health = (self.health + 1).min(HEALTH_MOST);
+        self.health = (self.health + 1).min(MAX_HEALTH);
     }
 
     // --- Probes ---
@@ -601,7 +601,7 @@
     }
 
     fn relay(&mut self, from: SocketAddr, number: u32, about: &News) {
-        if self.relays.len() >= RELAYS_OPEN_MOST {
+        if self.relays.len() >= MAX_RELAYS_OPEN {
             return;
         }
         self.probes = self.probes.wrapping_add(1);
@@ -693,7 +693,7 @@
         // A little of chance, so that a fleet that starts at once does not ask at once.
         let wait = self.settings.period * self.join_wait;
         self.join_at = self.now + wait.mul_f64(self.chance.random_range(0.75..1.25));
-        self.join_wait = (self.join_wait * 2).min(JOIN_MOST);
+        self.join_wait = (self.join_wait * 2).min(MAX_JOIN);
     }
 
     fn period(&mut self) {
--- a/crates/quartzdrift-members/src/replay.rs
+++ b/crates/quartzdrift-membership/src/replay.rs
@@ -3,7 +3,7 @@
 /// Datagrams that may overtake each other: far more than a network mixes up.
 const WINDOW: u64 = 64;
 /// Earlier lives of a name that are known as such.
-const PAST_MOST: usize = 8;
+const MAX_PAST: usize = 8;
 
 #[derive(Clone, Debug, Default)]
 pub struct Window {
@@ -22,7 +22,7 @@
         if life != self.life {
             if self.life != 0 {
                 self.past.push(self.life);
-                let over = self.past.len().saturating_sub(PAST_MOST);
+                let over = self.past.len().saturating_sub(MAX_PAST);
                 self.past.drain(..over);
             }
             (self.life, self.highest, self.taken) = (life, 0, 0);
--- a/crates/quartzdrift-members/src/wire.rs
+++ b/crates/quartzdrift-membership/src/wire.rs
@@ -17,9 +17,9 @@
 const NAME: &[u8; 3] = b"QDM";
 const TAG: usize = 16;
 /// Longer names are refused: many of them must fit into a datagram.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME: usize = 64;
 /// Parts of a datagram at most.
-const PARTS_MOST: usize = 128;
+const MAX_PARTS: usize = 128;
 
 /// Why a datagram is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -173,7 +173,7 @@
     if !keys.iter().any(|key| tag(key, signed).verify_truncated_left(made).is_ok()) {
         return Err(Refused::Forged);
     }
-    if head.from.is_empty() || head.from.len() > NAME_MOST {
+    if head.from.is_empty() || head.from.len() > MAX_NAME {
         return Err(Refused::Foreign);
     }
     let mut parts = Vec::new();
@@ -181,7 +181,7 @@
         let length = usize::from(u16::from_le_bytes([length[0], length[1]]));
         let (part, after) = after.split_at_checked(length).ok_or(Refused::Foreign)?;
         rest = after;
-        if parts.len() == PARTS_MOST {
+        if parts.len() == MAX_PARTS {
             break;
         }
         // What is not understood is for others.
--- a/crates/quartzdrift-members/tests/fleet.rs
+++ b/crates/quartzdrift-membership/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! Fleets over a modelled network: what the published protocol promises, and the hard cases.
-use quartzdrift_members::{Members, Output, Refused, Settings, State};
+use quartzdrift_membership::{Members, Output, Refused, Settings, State};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/quartzdrift-platform/src/asked.rs
+++ b/crates/quartzdrift-platform/src/asked.rs
@@ -1,17 +1,17 @@
 //! A client's fields, read and checked at the door: workers close a whole connection, with all that is open on it,
 //! on what they cannot read, so nothing doubtful may reach one.
-use quartzdrift_choice::interface::{Effect, Settings};
+use quartzdrift_scheduler::interface::{Idempotency, Settings};
 use std::time::Duration;
 
-/// Largest figure of a job that is believed: more memory, lanes or load time than any machine has.
-const MEMORY_MB_MOST: f64 = 1e7;
-const LANES_MOST: f64 = 1e5;
-const LOAD_MS_MOST: f64 = 3.6e6;
-/// By how much a client's time may pass its workload's limit, for rounding on the way.
+/// Largest figure of a request that is believed: more memory, lanes or load time than any machine has.
+const MAX_MEMORY_MB: f64 = 1e7;
+const MAX_LANES: f64 = 1e5;
+const MAX_LOAD_MS: f64 = 3.6e6;
+/// By how much a client's time may pass its request class's limit, for rounding on the way.
 const TIME_ROUNDING: Duration = Duration::from_millis(5);
 const DIGITS: usize = 16;
-/// Characters of a fingerprint at most; a hash in hex has 64.
-const FINGERPRINT_MOST: usize = 128;
+/// Characters of an idempotency key at most; a hash in hex has 64.
+const MAX_IDEMPOTENCY_KEY: usize = 128;
 
 /// The fields as they came, by their names in CGI; `None` where one is missing.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,10 +21,10 @@
     pub id: Option<&'a str>,
     pub time: Option<&'a str>,
     pub function: Option<&'a str>,
-    /// By which workers know a repeat of a fingerprinted job.
-    pub fingerprint: Option<&'a str>,
-    /// Name of the customer.
-    pub customer: Option<&'a str>,
+    /// By which workers know a repeat of a request with an idempotency key.
+    pub idempotency_key: Option<&'a str>,
+    /// Name of the tenant.
+    pub tenant: Option<&'a str>,
     pub figures: Option<&'a str>,
     /// The body's length as told, and as it came.
     pub length: Option<&'a str>,
@@ -35,15 +35,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Asked<'a> {
     pub id: u64,
-    pub workload: u32,
-    /// Place among the settings' customers; one that is not told or not among them has the place after the last.
-    pub customer: u32,
+    pub request_class: u32,
+    /// Place among the settings' tenants; one that is not told or not among them has the place after the last.
+    pub tenant: u32,
     pub function: &'a str,
-    /// To be passed on unchanged; always there where the workload is fingerprinted.
-    pub fingerprint: Option<&'a str>,
+    /// To be passed on unchanged; always there where the request class is fingerprinted.
+    pub idempotency_key: Option<&'a str>,
     pub left: Duration,
     pub memory_mb: Option<f64>,
-    pub lanes: Option<f64>,
+    pub concurrency_slots: Option<f64>,
     pub load: Option<Duration>,
     pub work: Option<Duration>,
 }
@@ -52,11 +52,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wrong {
     Path,
-    Workload,
+    RequestClass,
     Id,
     Function,
-    Fingerprint,
-    Customer,
+    IdempotencyKey,
+    Tenant,
     Time,
     Figures,
     Length,
@@ -65,11 +65,11 @@
 impl Wrong {
     pub fn status(self) -> u16 {
         match self {
-            Wrong::Path | Wrong::Workload => 404,
+            Wrong::Path | Wrong::RequestClass => 404,
             Wrong::Id
             | Wrong::Function
-            | Wrong::Fingerprint
-            | Wrong::Customer
+            | Wrong::IdempotencyKey
+            | Wrong::Tenant
             | Wrong::Time
             | Wrong::Figures
             | Wrong::Length => 400,
@@ -79,13 +79,13 @@
     pub fn text(self) -> &'static str {
         match self {
             Wrong::Path => "no such path",
-            Wrong::Workload => "no such class",
+            Wrong::RequestClass => "no such class",
             Wrong::Id => "the id is not 16 hex digits",
             Wrong::Function => "the function is not 16 hex digits",
-            Wrong::Fingerprint => {
+            Wrong::IdempotencyKey => {
                 "the idempotency key is missing, or no word of letters, digits, '-' and '_'"
             }
-            Wrong::Customer => "the tenant is given twice, or is no text",
+            Wrong::Tenant => "the tenant is given twice, or is no text",
             Wrong::Time => "the time is no number of milliseconds in range",
             Wrong::Figures => "a figure is no number in range",
             Wrong::Length => "the length told is not the body's",
@@ -105,21 +105,22 @@
 
 pub fn read<'a>(fields: &Fields<'a>, settings: &Settings) -> Result<Asked<'a>, Wrong> {
     let class = fields.path.and_then(|path| path.strip_prefix("/do/")).ok_or(Wrong::Path)?;
-    let workload = settings.workloads.iter().position(|w| w.name == class).ok_or(Wrong::Workload)?;
+    let request_class =
+        settings.request_classes.iter().position(|w| w.name == class).ok_or(Wrong::RequestClass)?;
     let id = hex(fields.id).and_then(|id| u64::from_str_radix(id, 16).ok()).ok_or(Wrong::Id)?;
     let function = hex(fields.function).ok_or(Wrong::Function)?;
     let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    let word = |text: &&str| (1..=FINGERPRINT_MOST).contains(&text.len()) && text.bytes().all(plain);
-    let fingerprint = fields.fingerprint.filter(|text| !text.is_empty());
-    let fingerprinted = settings.workloads[workload].effect == Effect::Fingerprinted;
+    let word = |text: &&str| (1..=MAX_IDEMPOTENCY_KEY).contains(&text.len()) && text.bytes().all(plain);
+    let idempotency_key = fields.idempotency_key.filter(|text| !text.is_empty());
+    let keyed = settings.request_classes[request_class].idempotency == Idempotency::IdempotentWithKey;
     // Without it workers could not tell a repeat, and its effect would happen twice.
-    if fingerprint.is_none() && fingerprinted || fingerprint.is_some_and(|text| !word(&text)) {
-        return Err(Wrong::Fingerprint);
+    if idempotency_key.is_none() && keyed || idempotency_key.is_some_and(|text| !word(&text)) {
+        return Err(Wrong::IdempotencyKey);
     }
     let digits = |text: &&str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
     let ms = fields.time.filter(digits).and_then(|text| text.parse::<u64>().ok()).ok_or(Wrong::Time)?;
     let left = Duration::from_millis(ms);
-    let limit = settings.workloads[workload].time_limit.unwrap_or(Duration::MAX);
+    let limit = settings.request_classes[request_class].timeout.unwrap_or(Duration::MAX);
     if left.is_zero() || left > limit.saturating_add(TIME_ROUNDING) {
         return Err(Wrong::Time);
     }
@@ -129,26 +130,26 @@
             return Err(Wrong::Length);
         }
     }
-    let customers = &settings.customers;
-    let customer = customers.iter().position(|one| Some(&one.name[..]) == fields.customer);
+    let tenants = &settings.tenants;
+    let tenant = tenants.iter().position(|one| Some(&one.name[..]) == fields.tenant);
     let mut asked = Asked {
         id,
-        workload: workload as u32,
-        customer: customer.unwrap_or(customers.len()) as u32,
+        request_class: request_class as u32,
+        tenant: tenant.unwrap_or(tenants.len()) as u32,
         function,
-        fingerprint,
+        idempotency_key,
         left,
         memory_mb: None,
-        lanes: None,
+        concurrency_slots: None,
         load: None,
         work: None,
     };
     for one in fields.figures.unwrap_or("").split(';').filter(|one| !one.is_empty()) {
         let (name, value) = one.split_once(':').ok_or(Wrong::Figures)?;
-        let millis = |value| figure(value, 0.0, LOAD_MS_MOST).map(|ms| Duration::from_secs_f64(ms / 1e3));
+        let millis = |value| figure(value, 0.0, MAX_LOAD_MS).map(|ms| Duration::from_secs_f64(ms / 1e3));
         match name {
-            "memory_mb" => asked.memory_mb = Some(figure(value, f64::MIN_POSITIVE, MEMORY_MB_MOST)?),
-            "lanes" => asked.lanes = Some(figure(value, 1.0, LANES_MOST)?),
+            "memory_mb" => asked.memory_mb = Some(figure(value, f64::MIN_POSITIVE, MAX_MEMORY_MB)?),
+            "lanes" => asked.concurrency_slots = Some(figure(value, 1.0, MAX_LANES)?),
             "load_ms" => asked.load = Some(millis(value)?),
             "hint" => asked.work = Some(millis(value)?),
             // A figure that we have no use for may have any form.
@@ -162,16 +163,16 @@
 mod tests {
     use super::*;
     use proptest::prelude::*;
-    use quartzdrift_choice::interface::{Customer, Workload};
+    use quartzdrift_scheduler::interface::{RequestClass, Tenant};
 
     fn settings() -> Settings {
-        let time_limit = Some(Duration::from_secs(4));
-        let map = Workload { name: "map".to_owned(), time_limit, ..Workload::default() };
-        Settings { workloads: vec![map], ..Settings::default() }
+        let timeout = Some(Duration::from_secs(4));
+        let map = RequestClass { name: "map".to_owned(), timeout, ..RequestClass::default() };
+        Settings { request_classes: vec![map], ..Settings::default() }
     }
 
-    /// One character more than a fingerprint may have.
-    const LONG: &str = match str::from_utf8(&[b'f'; FINGERPRINT_MOST + 1]) {
+    /// One character more than an idempotency key may have.
+    const LONG: &str = match str::from_utf8(&[b'f'; MAX_IDEMPOTENCY_KEY + 1]) {
         Ok(text) => text,
         Err(_) => panic!("it is ASCII"),
     };
@@ -182,8 +183,8 @@
             id: Some("9b1f03aa5c7e2d41"),
             time: Some("1500"),
             function: Some("7f3a9c21e0b4d655"),
-            fingerprint: None,
-            customer: None,
+            idempotency_key: None,
+            tenant: None,
             figures: Some("memory_mb:512;lanes:2;load_ms:640"),
             length: Some("3"),
             body: 3,
@@ -193,17 +194,17 @@
     #[test]
     fn a_good_one_is_read_as_it_came() {
         let asked = read(&good(), &settings()).unwrap();
-        assert_eq!(asked.customer, 0, "no customers are told, and none is named");
+        assert_eq!(asked.tenant, 0, "no customers are told, and none is named");
         assert_eq!((asked.id, asked.function), (0x9b1f_03aa_5c7e_2d41, "7f3a9c21e0b4d655"));
         assert_eq!((asked.left, asked.memory_mb), (Duration::from_millis(1500), Some(512.0)));
-        assert_eq!((asked.lanes, asked.load), (Some(2.0), Some(Duration::from_millis(640))));
+        assert_eq!((asked.concurrency_slots, asked.load), (Some(2.0), Some(Duration::from_millis(640))));
     }
 
     #[test]
-    fn customers_are_those_of_the_settings_and_all_others_are_one_more() {
-        let name = |name: &str| Customer { name: name.to_owned(), ..Customer::default() };
-        let settings = Settings { customers: vec![name("a"), name("b")], ..settings() };
-        let of = |customer| read(&Fields { customer, ..good() }, &settings).unwrap().customer;
+    fn tenants_are_those_of_the_settings_and_all_others_are_one_more() {
+        let name = |name: &str| Tenant { name: name.to_owned(), ..Tenant::default() };
+        let settings = Settings { tenants: vec![name("a"), name("b")], ..settings() };
+        let of = |tenant| read(&Fields { tenant, ..good() }, &settings).unwrap().tenant;
         assert_eq!([Some("a"), Some("b"), Some("c"), Some(""), None].map(of), [0, 1, 2, 2, 2]);
     }
 
@@ -215,7 +216,7 @@
             read(&fields, &settings()).unwrap_err()
         };
         assert_eq!(wrong(&|f| f.path = Some("/other")), Wrong::Path);
-        assert_eq!(wrong(&|f| f.path = Some("/do/map,x=1")), Wrong::Workload);
+        assert_eq!(wrong(&|f| f.path = Some("/do/map,x=1")), Wrong::RequestClass);
         for id in
             [None, Some(""), Some("9b1f03aa5c7e2d4"), Some("9b1f03aa5c7e2d41a"), Some("+b1f03aa5c7e2d41")]
         {
@@ -230,8 +231,8 @@
         for figures in ["lanes:-1", "lanes:0", "memory_mb:nan", "memory_mb:1e400", "load_ms:x", "lanes"] {
             assert_eq!(wrong(&|f| f.figures = Some(figures)), Wrong::Figures);
         }
-        for fingerprint in ["a,b", "a=b", "a b", "\u{e9}", LONG] {
-            assert_eq!(wrong(&|f| f.fingerprint = Some(fingerprint)), Wrong::Fingerprint);
+        for idempotency_key in ["a,b", "a=b", "a b", "\u{e9}", LONG] {
+            assert_eq!(wrong(&|f| f.idempotency_key = Some(idempotency_key)), Wrong::IdempotencyKey);
         }
         for length in ["4", "-1", "99999999999999999999", "x"] {
             assert_eq!(wrong(&|f| f.length = Some(length)), Wrong::Length);
@@ -239,15 +240,18 @@
     }
 
     #[test]
-    fn a_fingerprinted_job_has_its_fingerprint_and_others_may() {
+    fn a_keyed_request_has_its_idempotency_key_and_others_may() {
         let (mut settings, mut fields) = (settings(), good());
-        assert_eq!(read(&fields, &settings).unwrap().fingerprint, None);
-        settings.workloads[0].effect = Effect::Fingerprinted;
+        assert_eq!(read(&fields, &settings).unwrap().idempotency_key, None);
+        settings.request_classes[0].idempotency = Idempotency::IdempotentWithKey;
         for missing in [None, Some("")] {
-            assert_eq!(read(&Fields { fingerprint: missing, ..fields }, &settings), Err(Wrong::Fingerprint));
+            assert_eq!(
+                read(&Fields { idempotency_key: missing, ..fields }, &settings),
+                Err(Wrong::IdempotencyKey)
+            );
         }
-        fields.fingerprint = Some("9f-03_Aa");
-        assert_eq!(read(&fields, &settings).unwrap().fingerprint, Some("9f-03_Aa"));
+        fields.idempotency_key = Some("9f-03_Aa");
+        assert_eq!(read(&fields, &settings).unwrap().idempotency_key, Some("9f-03_Aa"));
     }
 
     proptest! {
--- a/crates/quartzdrift-platform/src/budget.rs
+++ b/crates/quartzdrift-platform/src/budget.rs
@@ -3,7 +3,7 @@
 /// Descriptors of the loop itself, signals, logs, listener and coordinator, with room for those that close slowly.
 const RESERVE: usize = 24;
 /// Least number for either side: below it nothing can be served at all.
-const SIDE_LEAST: usize = 8;
+const MIN_SIDE: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
@@ -16,8 +16,8 @@
 impl Budget {
     pub fn of(sockets: usize) -> Budget {
         let shared = sockets.saturating_sub(RESERVE);
-        let clients = (shared / 2).max(SIDE_LEAST);
-        Budget { clients, workers: shared.saturating_sub(clients).max(SIDE_LEAST) }
+        let clients = (shared / 2).max(MIN_SIDE);
+        Budget { clients, workers: shared.saturating_sub(clients).max(MIN_SIDE) }
     }
 }
 
--- a/crates/quartzdrift-platform/src/config.rs
+++ b/crates/quartzdrift-platform/src/config.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 
 /// Descriptors where no limit is told.
-const SOCKETS_UNTOLD: usize = 1024;
+const DEFAULT_SOCKETS: usize = 1024;
 /// Bytes of a configuration at most: the list of the largest fleet takes far less.
-pub const BYTES_MOST: u64 = 64 << 20;
+pub const MAX_BYTES: u64 = 64 << 20;
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
@@ -43,7 +43,7 @@
     pub sockets: usize,
     pub coordinator: SocketAddr,
     pub known: News,
-    pub settings: quartzdrift_choice::interface::Settings,
+    pub settings: quartzdrift_scheduler::interface::Settings,
 }
 
 fn seed(value: &Value) -> u64 {
@@ -56,9 +56,9 @@
 /// What a file holds, if a configuration may be that large.
 pub fn load(from: impl std::io::Read) -> Result<Vec<u8>, String> {
     let mut bytes = Vec::new();
-    from.take(BYTES_MOST + 1).read_to_end(&mut bytes).map_err(|e| e.to_string())?;
-    if bytes.len() as u64 > BYTES_MOST {
-        return Err(format!("it has more than {BYTES_MOST} bytes"));
+    from.take(MAX_BYTES + 1).read_to_end(&mut bytes).map_err(|e| e.to_string())?;
+    if bytes.len() as u64 > MAX_BYTES {
+        return Err(format!("it has more than {MAX_BYTES} bytes"));
     }
     Ok(bytes)
 }
@@ -71,7 +71,7 @@
         name: raw.name,
         listen: raw.listen,
         seed: seed(&raw.seed),
-        sockets: raw.limits.and_then(|limits| limits.sockets).unwrap_or(SOCKETS_UNTOLD),
+        sockets: raw.limits.and_then(|limits| limits.sockets).unwrap_or(DEFAULT_SOCKETS),
         coordinator: raw.coordinator,
         known: raw.known,
         settings,
@@ -81,7 +81,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use quartzdrift_choice::interface::ReportField;
+    use quartzdrift_scheduler::interface::ReportField;
 
     const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.4:8443","seed":"8c1f30d27a5be964",
         "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"coordinator":"127.2.0.1:2379",
@@ -92,7 +92,7 @@
     fn a_configuration_is_read_whole_or_not_at_all() {
         let config = read(GOOD.as_bytes()).unwrap();
         assert_eq!((config.seed, config.sockets), (0x8c1f_30d2_7a5b_e964, 256));
-        assert_eq!(config.settings.workloads[0].name, "map");
+        assert_eq!(config.settings.request_classes[0].name, "map");
         assert_eq!(config.settings.report_fields, [ReportField::Queued]);
         for (good, bad) in [("127.0.0.4:8443", "nowhere"), ("\"map\"", "7,"), ("\"classes\"", "\"other\"")] {
             assert!(read(GOOD.replace(good, bad).as_bytes()).is_err(), "{bad}");
--- a/crates/quartzdrift-platform/src/coordinator.rs
+++ b/crates/quartzdrift-platform/src/coordinator.rs
@@ -1,8 +1,8 @@
 //! The coordinator's numbered events, and the list of workers that they make.
 //!
 //! A worker is known by its uid alone: another one may come to stand at the same address.
-use quartzdrift_choice::interface::State;
-use quartzdrift_roster::list::Listed;
+use quartzdrift_discovery::list::Listed;
+use quartzdrift_scheduler::interface::EndpointState;
 use serde::Deserialize;
 use serde_json::Value;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Workers in one event at most; a fleet is far smaller.
-pub const TARGETS_MOST: usize = 100_000;
+pub const MAX_TARGETS: usize = 100_000;
 
 /// What a call to the coordinator brings.
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -124,10 +124,10 @@
 impl Target {
     fn told(self, zones: &[String], kinds: &[String]) -> Told {
         let state = match self.state.as_str() {
-            "Ready" => State::Up,
-            "Gone" => State::Gone,
+            "Ready" => EndpointState::Up,
+            "Gone" => EndpointState::Gone,
             // What we do not know may not be sent to.
-            _ => State::Draining,
+            _ => EndpointState::Draining,
         };
         let boot = self.boot_ms.filter(|ms| ms.is_finite() && *ms > 0.0);
         let listed = Listed {
@@ -171,7 +171,7 @@
             }
             last = update.index;
             let Some(Endpoints { all, targets }) = update.endpoints else { continue };
-            if targets.len() > TARGETS_MOST {
+            if targets.len() > MAX_TARGETS {
                 return Err(Doubt::Unreadable("too many workers in an event".to_owned()));
             }
             let workers = targets.into_iter().map(|target| target.told(zones, kinds)).collect();
@@ -219,13 +219,13 @@
         let changes = read(&mut follower, &news(1, std::slice::from_ref(&first))).unwrap();
         assert!(changes[0].all);
         let a = &changes[0].workers[0].listed;
-        assert_eq!((a.zone, a.kind, a.cell, a.state), (1, 1, 2, State::Up));
+        assert_eq!((a.zone, a.kind, a.cell, a.state), (1, 1, 2, EndpointState::Up));
         assert_eq!(a.started, Some(Duration::from_millis(1500)));
         let changes = read(&mut follower, &news(2, &[first, second])).unwrap();
         assert_eq!(changes.len(), 1);
-        let states: Vec<(&str, State)> =
+        let states: Vec<(&str, EndpointState)> =
             changes[0].workers.iter().map(|told| (&told.listed.worker[..], told.listed.state)).collect();
-        assert_eq!(states, [("a", State::Draining), ("b", State::Up)]);
+        assert_eq!(states, [("a", EndpointState::Draining), ("b", EndpointState::Up)]);
         assert_eq!(follower.last(), 2);
     }
 
@@ -253,7 +253,7 @@
         assert!(read(&mut follower, &news(1, &[other])).unwrap().is_empty());
         let changes =
             read(&mut follower, &news(2, &[event(2, false, &[("a", "127.0.0.1:1", "Odd")])])).unwrap();
-        assert_eq!((changes[0].workers[0].listed.state, follower.last()), (State::Draining, 2));
+        assert_eq!((changes[0].workers[0].listed.state, follower.last()), (EndpointState::Draining, 2));
     }
 
     #[test]
--- a/crates/quartzdrift-platform/src/frame.rs
+++ b/crates/quartzdrift-platform/src/frame.rs
@@ -10,8 +10,8 @@
 pub const HEAD: usize = 16;
 pub const CHECK: usize = 4;
 /// Bytes of an answer's fields and of its body; a frame that claims more is refused from its head.
-pub const FIELDS_MOST: usize = 4 << 10;
-pub const BODY_MOST: usize = 64 << 10;
+pub const MAX_FIELDS: usize = 4 << 10;
+pub const MAX_BODY: usize = 64 << 10;
 
 pub const EXECUTE: u8 = 48;
 pub const GIVE_UP: u8 = 49;
@@ -24,7 +24,7 @@
     Miss,
     Full,
     Error,
-    /// The job was over already.
+    /// The request was over already.
     Over,
     Alive,
 }
@@ -81,7 +81,7 @@
         return Ok(None);
     };
     let (fields, body) = (usize::from(u16::from_be_bytes(fields)), u32::from_be_bytes(body) as usize);
-    if fields > FIELDS_MOST || body > BODY_MOST {
+    if fields > MAX_FIELDS || body > MAX_BODY {
         return Err(Unreadable::Length((fields + body) as u64));
     }
     let (mid, end) = (HEAD + fields, HEAD + fields + body);
--- a/crates/quartzdrift-platform/src/lanes.rs
+++ b/crates/quartzdrift-platform/src/lanes.rs
@@ -1,6 +1,6 @@
-//! Which connection to a worker carries an execution.
+//! Which connection to a worker carries an attempt.
 //!
-//! Whatever spoils a connection puts all that is open on it in doubt, so each execution has one to itself while
+//! Whatever spoils a connection puts all that is open on it in doubt, so each attempt has one to itself while
 //! descriptors last; beyond that they are shared, the least used one first.
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 /// A connection as the choice sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lane {
-    /// Executions open on it.
+    /// Attempts open on it.
     pub open: usize,
     /// It has come up.
     pub up: bool,
@@ -33,7 +33,7 @@
     Full,
 }
 
-/// Chooses among a worker's lanes. `streams`: executions that one carries at most; `may_connect`: a descriptor is
+/// Chooses among a worker's lanes. `streams`: attempts that one carries at most; `may_connect`: a descriptor is
 /// left for one more, or can be won; asked only where a new connection is wanted.
 pub fn choose(lanes: &[Lane], streams: usize, may_connect: impl FnOnce() -> bool) -> Choice {
     let free = lanes.iter().enumerate().filter(|(_, lane)| lane.open < streams);
--- a/crates/quartzdrift-platform/src/lib.rs
+++ b/crates/quartzdrift-platform/src/lib.rs
@@ -4,7 +4,7 @@
 //! * [`asked`]: a client's fields, read and checked before anything reaches a worker.
 //! * [`report`]: load reports of workers.
 //! * [`proof`]: what each end on a worker's connection proves.
-//! * [`lanes`]: which connection to a worker carries an execution.
+//! * [`lanes`]: which connection to a worker carries an attempt.
 //! * [`config`], [`settings`]: what a scheduler is told at its start.
 //! * [`coordinator`]: the list of workers, event by event.
 //! * [`budget`]: who may hold how many descriptors.
--- a/crates/quartzdrift-platform/src/proof.rs
+++ b/crates/quartzdrift-platform/src/proof.rs
@@ -12,11 +12,11 @@
 //! | connection reset while it came up, or ended with the command not whole on it | never | sent again on another, then moot |
 //! | connection ended, the command whole on it | it may have | reset |
 //! | bytes on it that cannot be read | it may have, all that is open on it | reset |
-//! | given up by us | it may have | cancelled or timed out, by the desk |
+//! | given up by us | it may have | cancelled or timed out, by the request table |
 use crate::frame::Code;
-use quartzdrift_choice::interface::Outcome;
+use quartzdrift_scheduler::interface::Outcome;
 
-/// How an execution's connection ended under it.
+/// How an attempt's connection ended under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
     /// Refused, or not there in time: the worker is down or cut off.
@@ -32,22 +32,22 @@
 /// What an answer proves; `None` for one that speaks of the connection alone.
 pub fn answered(code: Code) -> Option<Outcome> {
     match code {
-        Code::Done => Some(Outcome::Finished),
-        Code::Miss => Some(Outcome::Miss),
-        Code::Full => Some(Outcome::Full),
+        Code::Done => Some(Outcome::Succeeded),
+        Code::Miss => Some(Outcome::CacheMiss),
+        Code::Full => Some(Outcome::AtCapacity),
         Code::Error => Some(Outcome::Error),
-        Code::Over => Some(Outcome::Moot),
+        Code::Over => Some(Outcome::NeverSent),
         Code::Alive => None,
     }
 }
 
-/// What the end of a connection proves of an execution on it.
+/// What the end of a connection proves of an attempt on it.
 pub fn cut(how: Cut) -> Outcome {
     match how {
         Cut::NotConnected => Outcome::ConnectFailed,
-        Cut::NoLane => Outcome::Full,
+        Cut::NoLane => Outcome::AtCapacity,
         // The worker took the connection, so it is not down.
-        Cut::Unsent => Outcome::Moot,
+        Cut::Unsent => Outcome::NeverSent,
         Cut::Sent => Outcome::Reset,
     }
 }
@@ -58,13 +58,13 @@
 
     #[test]
     fn only_what_cannot_have_run_is_told_as_such() {
-        let harmless = [Outcome::Miss, Outcome::Full, Outcome::Moot, Outcome::ConnectFailed];
+        let harmless = [Outcome::CacheMiss, Outcome::AtCapacity, Outcome::NeverSent, Outcome::ConnectFailed];
         for code in [Code::Miss, Code::Full, Code::Over] {
             assert!(answered(code).is_some_and(|outcome| harmless.contains(&outcome)), "{code:?}");
         }
         assert_eq!(answered(Code::Error), Some(Outcome::Error));
         assert_eq!(answered(Code::Alive), None);
-        assert_eq!((cut(Cut::Unsent), cut(Cut::Sent)), (Outcome::Moot, Outcome::Reset));
-        assert_eq!((cut(Cut::NotConnected), cut(Cut::NoLane)), (Outcome::ConnectFailed, Outcome::Full));
+        assert_eq!((cut(Cut::Unsent), cut(Cut::Sent)), (Outcome::NeverSent, Outcome::Reset));
+        assert_eq!((cut(Cut::NotConnected), cut(Cut::NoLane)), (Outcome::ConnectFailed, Outcome::AtCapacity));
     }
 }
--- a/crates/quartzdrift-platform/src/report.rs
+++ b/crates/quartzdrift-platform/src/report.rs
@@ -1,6 +1,6 @@
 //! Load reports of workers: `report=queue:7;x0:0.61` among the fields of an answer.
 use crate::settings;
-use quartzdrift_choice::interface::ReportField;
+use quartzdrift_scheduler::interface::ReportField;
 
 /// Names that reports give to values which the settings name otherwise.
 const ALIASES: [(&str, &str); 6] = [
--- a/crates/quartzdrift-platform/src/settings.rs
+++ b/crates/quartzdrift-platform/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings object of the platform, put into the interface's words: one reader for adapter and daemon.
 //! What a rule rests on is refused where it cannot be read; what is not told counts as what binds most.
-use quartzdrift_choice::interface::*;
+use quartzdrift_scheduler::interface::*;
 use serde_json::Value;
 use std::time::Duration;
 
@@ -84,24 +84,24 @@
     list(from, key).map(|name| name.as_str().unwrap_or("").to_owned()).collect()
 }
 
-fn workload(from: &Value) -> Workload {
-    Workload {
+fn request_class(from: &Value) -> RequestClass {
+    RequestClass {
         name: word(from, "name").to_owned(),
-        effect: match word(from, "effect") {
-            "retryable" => Effect::Restartable,
-            "dedup" => Effect::Fingerprinted,
-            _ => Effect::RunOnce,
+        idempotency: match word(from, "effect") {
+            "retryable" => Idempotency::Idempotent,
+            "dedup" => Idempotency::IdempotentWithKey,
+            _ => Idempotency::NonIdempotent,
         },
-        start_target: span(from, "on-time-ns"),
-        target_stretch: number(from, "aim-stretch"),
-        time_limit: span(from, "deadline-ns"),
-        importance: number(from, "importance"),
-        late_share: number(from, "late-worth"),
-        group: match word(from, "key-scope") {
-            "all" => Group::All,
-            "zone" => Group::Zone,
+        latency_objective: span(from, "on-time-ns"),
+        latency_objective_stretch: number(from, "aim-stretch"),
+        timeout: span(from, "deadline-ns"),
+        priority_weight: number(from, "importance"),
+        late_weight: number(from, "late-worth"),
+        deduplication_scope: match word(from, "key-scope") {
+            "all" => DeduplicationScope::All,
+            "zone" => DeduplicationScope::Zone,
             // Untold or not known: the narrowest.
-            _ => Group::Cell,
+            _ => DeduplicationScope::Cell,
         },
         window: span(from, "window-ns"),
         streams: flag(from, "stream"),
@@ -115,7 +115,7 @@
         "q" => ReportField::Queued,
         "busy" => ReportField::Busy,
         "lat_ms" => ReportField::LatencyMs,
-        "rate" => ReportField::FinishedPerSecond,
+        "rate" => ReportField::SucceededPerSecond,
         "fail_rate" => ReportField::ErrorsPerSecond,
         "x0" => ReportField::MemoryTaken,
         "x1" => ReportField::Loads,
@@ -146,9 +146,9 @@
         family: word(all, "workload").to_owned(),
         resolution: span(all, "resolution-ns"),
         discovery: match word(all, "registry-mode") {
-            "push" => Discovery::Push,
+            "push" => DiscoveryMode::Push,
             // Untold or not known: a subscription is allowed everywhere, a list that nobody sends is stale.
-            _ => Discovery::Ask,
+            _ => DiscoveryMode::Poll,
         },
         weights: match word(all, "weight-kind") {
             "nominal" => Weights::Nominal,
@@ -158,31 +158,31 @@
         },
         counted_by: match word(all, "worth-by") {
             "work" => CountedBy::Work,
-            _ => CountedBy::Job,
+            _ => CountedBy::Request,
         },
-        over_share_importance: number(all, "over-share-worth"),
+        over_quota_weight: number(all, "over-share-worth"),
         clients_mark_retries: flag(part("clients"), "marks-retry"),
-        workloads: list(all, "classes").map(workload).collect(),
-        customers: list(all, "tenants")
-            .map(|one| Customer {
+        request_classes: list(all, "classes").map(request_class).collect(),
+        tenants: list(all, "tenants")
+            .map(|one| Tenant {
                 name: word(one, "name").to_owned(),
                 share: number(one, "share"),
-                jobs_per_second: number(one, "quota-rps"),
+                requests_per_second: number(one, "quota-rps"),
             })
             .collect(),
         allowed: Allowed {
             cancel: flag(allowed, "cancel"),
             probes: flag(allowed, "may-probe"),
             peers: flag(allowed, "peers"),
-            second_copies: flag(allowed, "second-copies"),
+            hedging: flag(allowed, "second-copies"),
             retry_after: flag(allowed, "retry-after"),
             max_retry_after: span(allowed, "max-retry-after-ns"),
-            max_executions: count(allowed, "max-attempts"),
+            max_attempts: count(allowed, "max-attempts"),
             max_open: count(allowed, "max-open"),
             connect_timeout: span(allowed, "connect-timeout-ns"),
             keepalive: span(allowed, "keepalive-ns"),
             cpu_us_per_second: number(allowed, "cpu-us-per-s"),
-            cpu_us_per_job: number(allowed, "cpu-us-per-request"),
+            cpu_us_per_request: number(allowed, "cpu-us-per-request"),
             streams_per_connection: count(allowed, "streams-per-conn"),
         },
         rules: Rules {
@@ -194,21 +194,21 @@
             fall_multiple: number(rules, "fall-multiple"),
             fall_window: span(rules, "fall-ns"),
         },
-        copies: Copies {
+        copies: CacheSettings {
             on_miss: match word(copies, "on-miss") {
                 "miss" => OnMiss::Miss,
                 _ => OnMiss::Load,
             },
-            orders: flag(copies, "may-order"),
-            tells_warm: flag(copies, "tells-warm"),
-            tells_crowd: flag(copies, "tells-crowd"),
+            load_commands: flag(copies, "may-order"),
+            reports_cache_status: flag(copies, "tells-warm"),
+            reports_concurrency: flag(copies, "tells-crowd"),
             keep: span(copies, "stays-loaded-ns"),
             memory_mb_by_kind: list(copies, "memory-mb-by-kind").filter_map(Value::as_f64).collect(),
             idle_memory_price: number(copies, "idle-memory-cost"),
-            load_free: number(copies, "load-free"),
-            load_share: number(copies, "load-share"),
-            load_window: span(copies, "load-period-ns"),
-            order_timeout: span(copies, "order-timeout-ns"),
+            load_quota_burst: number(copies, "load-free"),
+            load_quota_share: number(copies, "load-share"),
+            load_quota_window: span(copies, "load-period-ns"),
+            load_command_timeout: span(copies, "order-timeout-ns"),
         },
         report_source: match word(reports, "source") {
             "piggyback" => ReportSource::Answers,
@@ -220,7 +220,7 @@
             connection: price("connection"),
             cross_zone: price("cross-zone"),
             handshake: price("handshake"),
-            late_kill: price("late-fail"),
+            late_failure: price("late-fail"),
             moves: price("moves"),
             origin: price("origin"),
             peer: price("peer"),
@@ -231,8 +231,8 @@
         goal: Goal {
             whole: weight("whole"),
             worst_window: weight("worst-window"),
-            worst_workload: weight("worst-class"),
-            worst_customer: weight("worst-tenant"),
+            worst_request_class: weight("worst-class"),
+            worst_tenant: weight("worst-tenant"),
         },
     })
 }
@@ -284,13 +284,13 @@
 
     #[test]
     fn what_is_not_told_or_not_known_counts_as_what_binds_most() {
-        let class = |key, word| with(&format!("/classes/0/{key}"), word).unwrap().workloads.remove(0);
+        let class = |key, word| with(&format!("/classes/0/{key}"), word).unwrap().request_classes.remove(0);
         for word in [None, Some(json!("")), Some(json!("planet")), Some(json!(7))] {
-            assert_eq!(class("key-scope", word.clone()).group, Group::Cell);
-            assert_eq!(class("effect", word.clone()).effect, Effect::RunOnce);
-            assert_eq!(with("/registry-mode", word).unwrap().discovery, Discovery::Ask);
+            assert_eq!(class("key-scope", word.clone()).deduplication_scope, DeduplicationScope::Cell);
+            assert_eq!(class("effect", word.clone()).idempotency, Idempotency::NonIdempotent);
+            assert_eq!(with("/registry-mode", word).unwrap().discovery, DiscoveryMode::Poll);
         }
-        let most = |told| with("/allowed/max-attempts", told).unwrap().allowed.max_executions;
+        let most = |told| with("/allowed/max-attempts", told).unwrap().allowed.max_attempts;
         assert_eq!((most(None), most(Some(json!(1e12)))), (None, Some(u32::MAX)));
         assert_eq!(class("window-ns", None).window, None);
     }
--- a/crates/quartzdrift-recovery/src/backlog.rs
+++ b/crates/quartzdrift-recovery/src/backlog.rs
@@ -1,9 +1,9 @@
-//! How many deferred jobs are let in while service returns, by what synchronous work leaves.
+//! How many asynchronous requests are let in while service returns, by what synchronous work leaves.
 //!
 //! Loads are not paced here: each way that was tried made service return later than without (docs/gap.md).
 use std::time::Duration;
 
-/// Of synchronous jobs answered in a second, the share that must have kept their start target for the backlog to grow.
+/// Of synchronous requests answered in a second, the share that must have kept their latency objective for the backlog to grow.
 const KEPT: f64 = 0.95;
 /// Fewer say nothing.
 const FEW: u64 = 5;
@@ -14,14 +14,14 @@
 /// work more than a slow one costs the backlog.
 const SLOWLY: usize = 32;
 
-/// Deferred jobs out at a time, while those that waited over a loss catch up beside synchronous work.
+/// Asynchronous requests out at a time, while those that waited over a loss catch up beside synchronous work.
 #[derive(Debug)]
 pub struct Backlog {
     out: usize,
     most: usize,
     /// Half of what was too much last.
     known: usize,
-    /// Since when, jobs answered, and those that kept their target.
+    /// Since when, requests answered, and those that kept their target.
     second: (Duration, u64, u64),
     /// Seconds in a row in which synchronous work was well.
     well: u32,
@@ -41,7 +41,7 @@
         self.out >= self.most
     }
 
-    /// A synchronous job had its final answer.
+    /// A synchronous request had its final answer.
     pub fn answered(&mut self, kept: bool) {
         self.second.1 += 1;
         self.second.2 += u64::from(kept);
--- a/crates/quartzdrift-recovery/src/pace.rs
+++ b/crates/quartzdrift-recovery/src/pace.rs
@@ -10,19 +10,19 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// Longest time to come back that is told: by then the window has moved.
-const BACK_MOST: Duration = Duration::from_secs(2);
+/// Longest retry delay that is told: by then the window has moved.
+const MAX_BACK: Duration = Duration::from_secs(2);
 /// Functions of which something is known, at most; beyond them all are let in.
-const FUNCTIONS_MOST: usize = 65_536;
+const MAX_FUNCTIONS: usize = 65_536;
 /// A try of which nothing was heard for so long is over: a load in a crowd takes less.
-const TRY_MOST: Duration = Duration::from_secs(3);
+const MAX_TRY: Duration = Duration::from_secs(3);
 /// What a load takes before one was seen.
 const LOAD_UNSEEN: Duration = Duration::from_millis(500);
 /// A load that took so many times the quickest shows a crowded store: the window grows no more.
 const CROWDED: u32 = 2;
 /// The window at the start, and at the least: below one, tries have pauses between them.
 const WINDOW_FIRST: f64 = 2.0;
-const WINDOW_LEAST: f64 = 0.0625;
+const MIN_WINDOW: f64 = 0.0625;
 /// Between tellings of news, and members told each time.
 const TELL_EVERY: Duration = Duration::from_millis(50);
 const TELL_TO: usize = 3;
@@ -44,7 +44,7 @@
     Stands,
     /// The store turned the load away.
     Refused,
-    /// Its job never got as far, or was given up.
+    /// Its request never got as far, or was given up.
     Nothing,
 }
 
@@ -104,19 +104,19 @@
     /// So many usual loads, once to twice: who is put off does not come back as one wave.
     fn back(&mut self, loads: f64) -> Duration {
         let part = self.draw() as f64 / u64::MAX as f64;
-        self.usual.mul_f64(loads * (1.0 + part)).min(BACK_MOST)
+        self.usual.mul_f64(loads * (1.0 + part)).min(MAX_BACK)
     }
 
-    /// Whether a call for this function may become a job now, and whether it is a try; else when to come back.
+    /// Whether a call for this function may become a request now, and whether it is a try; else when to come back.
     pub fn let_in(&mut self, now: Duration, function: u32) -> Result<bool, Duration> {
         match self.known.get(&function) {
             Some(Known { copy: Copy::Stands, .. }) => return Ok(false),
             Some(Known { copy: Copy::Tried, until }) if *until > now => return Err(self.back(0.5)),
             Some(_) => {}
-            None if self.known.len() >= FUNCTIONS_MOST => return Ok(false),
+            None if self.known.len() >= MAX_FUNCTIONS => return Ok(false),
             None => {}
         }
-        self.out.retain(|_, since| *since + TRY_MOST > now);
+        self.out.retain(|_, since| *since + MAX_TRY > now);
         if self.out.len() as f64 >= self.window.max(1.0) || now < self.next_try {
             // The fuller the window, the longer until there is room for another function.
             let loads = 1.0 / self.window.min(1.0);
@@ -130,7 +130,7 @@
         Ok(true)
     }
 
-    /// A try of ours is over: the call's job has its final answer.
+    /// A try of ours is over: the call's request has its final answer.
     pub fn tried(&mut self, now: Duration, function: u32, came: Came) {
         let Some(since) = self.out.remove(&function) else { return };
         match came {
@@ -141,11 +141,11 @@
             }
             Came::Nothing => return self.learn(now, (function, Copy::Open)),
         }
-        let took = now.saturating_sub(since);
-        let quickest = self.quickest.map_or(took, |quickest| quickest.min(took));
+        let duration = now.saturating_sub(since);
+        let quickest = self.quickest.map_or(duration, |quickest| quickest.min(duration));
         self.quickest = Some(quickest);
-        self.usual = (self.usual * 7 + took) / 8;
-        if took <= quickest.max(LOAD_UNSEEN / 2) * CROWDED {
+        self.usual = (self.usual * 7 + duration) / 8;
+        if duration <= quickest.max(LOAD_UNSEEN / 2) * CROWDED {
             self.window += 1.0;
         }
         self.learn(now, (function, Copy::Stands));
@@ -154,7 +154,7 @@
     /// The store turned a load away: those that fail with it, within a load's time, count once.
     fn refused(&mut self, now: Duration) {
         if now >= self.halved {
-            self.window = (self.window / 2.0).max(WINDOW_LEAST);
+            self.window = (self.window / 2.0).max(MIN_WINDOW);
             self.halved = now + self.usual;
             self.next_try = now + self.back(1.0);
         }
@@ -172,10 +172,10 @@
         let news = match self.known.get(&function).map(|known| known.copy) {
             Some(Copy::Stands) => false,
             Some(known) => known != copy,
-            None => self.known.len() < FUNCTIONS_MOST && copy != Copy::Open,
+            None => self.known.len() < MAX_FUNCTIONS && copy != Copy::Open,
         };
         if news {
-            self.known.insert(function, Known { copy, until: now + TRY_MOST });
+            self.known.insert(function, Known { copy, until: now + MAX_TRY });
             self.news.retain(|((of, _), _)| *of != function);
             self.news.push_front((piece, u32::MAX));
         }
@@ -236,7 +236,7 @@
         pace.tried(S * 2, 2, Came::Nothing);
         assert_eq!(pace.let_in(S * 2, 2), Ok(true));
         assert!(pace.let_in(S * 4, 2).is_err());
-        assert_eq!(pace.let_in(S * 2 + TRY_MOST, 2), Ok(true));
+        assert_eq!(pace.let_in(S * 2 + MAX_TRY, 2), Ok(true));
     }
 
     #[test]
@@ -266,14 +266,14 @@
         assert_eq!(most(&mut pace, now).count(), 8);
         // Slow loads are no reason for more.
         let mut slow = Pace::new(S, 1);
-        for (at, took) in [(1, 300), (2, 990), (3, 990)] {
+        for (at, duration) in [(1, 300), (2, 990), (3, 990)] {
             slow.let_in(S * at, at).unwrap();
-            slow.tried(S * at + took * MS, at, Came::Stands);
+            slow.tried(S * at + duration * MS, at, Came::Stands);
         }
         assert_eq!(slow.window, 3.0, "one quick load");
         // Below one try at a time there are pauses between tries.
         (0..20u32).for_each(|n| slow.refused(S * (10 + n)));
-        assert_eq!((slow.window, slow.let_in(S * 60, 9)), (WINDOW_LEAST, Ok(true)));
+        assert_eq!((slow.window, slow.let_in(S * 60, 9)), (MIN_WINDOW, Ok(true)));
         slow.tried(S * 61, 9, Came::Nothing);
         assert!(slow.let_in(S * 62, 10).is_err());
     }
--- a/crates/quartzdrift-recovery/src/recovery.rs
+++ b/crates/quartzdrift-recovery/src/recovery.rs
@@ -11,25 +11,25 @@
 use std::time::Duration;
 
 /// Members asked at most: what one of them does not know, another does.
-const ASKED_MOST: usize = 32;
+const MAX_ASKED: usize = 32;
 /// Between asks of one that has not answered: datagrams get lost.
 const ASK_AGAIN: Duration = Duration::from_millis(250);
 /// Others of whom starts are remembered at most.
-const SEEN_MOST: usize = 4096;
+const MAX_SEEN: usize = 4096;
 /// Members told of a note, and how old it is then at least: it was written beside the loop.
 const NOTES_TO: usize = 3;
 const NOTED_AFTER: Duration = Duration::from_millis(1500);
-/// Missed timers have their jobs taken before anything is loaded ahead.
+/// Missed timers have their requests taken before anything is loaded ahead.
 const TIMERS_FIRST: Duration = Duration::from_secs(1);
 /// Told to whom comes while others are still asked.
-const COME_BACK: Duration = Duration::from_millis(250);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// Stages in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
     /// Others are asked what this start is. What may have run is not run again meanwhile.
     Asking,
-    /// Synchronous work alone, until it keeps its start targets.
+    /// Synchronous work alone, until it keeps its latency objectives.
     Synchronous,
     /// The deferred backlog too, by what synchronous work leaves.
     Backlog,
@@ -61,17 +61,17 @@
     pub ask: Duration,
     /// How long service may take to return in stages at most.
     pub longest: Duration,
-    /// Workers' memory of fingerprints outlasts a loss of power.
-    pub fingerprints_on_disk: bool,
+    /// Workers' memory of idempotency keys outlasts a loss of power.
+    pub idempotency_keys_on_disk: bool,
     /// The ration's window: loads ahead begin no sooner after the last life.
-    pub load_window: Duration,
+    pub load_quota_window: Duration,
     /// The cold rule's window: nothing that was measured before is told within it.
     pub fall_window: Duration,
-    /// Deferred jobs out at a time, as the settings tell.
+    /// Asynchronous requests out at a time, as the settings tell.
     pub out: usize,
     /// Whether functions' calls are let in by a pace while copies return after a loss.
     pub pace: bool,
-    /// The start that last opened the store of deferred jobs, as noted there.
+    /// The start that last opened the store of asynchronous requests, as noted there.
     pub store: Option<u64>,
     /// Drawn at this start.
     pub life: u64,
@@ -101,7 +101,7 @@
     pub verdict: Option<Verdict>,
     pub beliefs: Vec<(Thing, Belief, String)>,
     pub waits_for: Vec<String>,
-    /// Deferred jobs that may be out at a time, while they are.
+    /// Asynchronous requests that may be out at a time, while they are.
     pub backlog: Option<usize>,
     /// Functions whose copies are known to stand, those being tried, and tries of ours that may be out at a time.
     #[serde(default)]
@@ -185,10 +185,10 @@
     pub fn new(settings: Settings, found: Found, now: Duration) -> Recovery {
         let mark = found.mark.clone().unwrap_or_default();
         let mut known = found.known.clone();
-        known.truncate(ASKED_MOST);
+        known.truncate(MAX_ASKED);
         let asked = known.into_iter().map(|name| (name, Asked::default())).collect();
         // A mark is noted now and then: the last life may have gone on after it, but not into this one.
-        let ration = if found.disk == Disk::Empty { Duration::ZERO } else { settings.load_window };
+        let ration = if found.disk == Disk::Empty { Duration::ZERO } else { settings.load_quota_window };
         let mut recovery = Recovery {
             backlog: Backlog::new(now, settings.out),
             begun: now,
@@ -291,10 +291,10 @@
 
     /// A member is there: it is asked.
     pub fn member(&mut self, now: Duration, name: &str) {
-        if self.met.len() < SEEN_MOST {
+        if self.met.len() < MAX_SEEN {
             self.met.insert(name.to_owned());
         }
-        if self.verdict.is_some() || !self.asked.contains_key(name) && self.asked.len() >= ASKED_MOST {
+        if self.verdict.is_some() || !self.asked.contains_key(name) && self.asked.len() >= MAX_ASKED {
             return;
         }
         self.asked.entry(name.to_owned()).or_default();
@@ -314,7 +314,7 @@
 
     /// What the number of starts heard of a member was before its present start; and notes the present one.
     fn see(&mut self, name: &str, me: &About) -> u64 {
-        if !self.seen.contains_key(name) && self.seen.len() >= SEEN_MOST {
+        if !self.seen.contains_key(name) && self.seen.len() >= MAX_SEEN {
             return 0;
         }
         let seen = self.seen.entry(name.to_owned()).or_default();
@@ -343,7 +343,7 @@
                 self.outputs.push(Output::Tell { to: from.to_owned(), bytes: said.bytes() });
             }
             Said::Noted { starts, notes } => {
-                let room = self.seen_notes.len() < SEEN_MOST || self.seen_notes.contains_key(from);
+                let room = self.seen_notes.len() < MAX_SEEN || self.seen_notes.contains_key(from);
                 if let Some(seen) = room.then(|| self.seen_notes.entry(from.to_owned()).or_default()) {
                     *seen = (*seen).max((starts, notes));
                 }
@@ -357,7 +357,7 @@
                 self.judge_if_told(now);
                 self.lost_if_sure(now);
             }
-            Said::Copies { pieces } => {
+            Said::CacheSettings { pieces } => {
                 if let Some(pace) = &mut self.pace {
                     pace.heard(now, &pieces);
                 }
@@ -466,7 +466,7 @@
         if let Some(pace) = &mut self.pace {
             let members: Vec<&String> = self.met.iter().collect();
             if let Some((members, pieces)) = pace.tell(now, &members) {
-                let bytes = Said::Copies { pieces }.bytes();
+                let bytes = Said::CacheSettings { pieces }.bytes();
                 let tell = |to| Output::Tell { to, bytes: bytes.clone() };
                 self.outputs.extend(members.into_iter().map(tell));
             }
@@ -499,7 +499,7 @@
 
     // --- What is let in ---
 
-    /// Whether a job that the store shows as waiting may have run all the same.
+    /// Whether a request that the store shows as waiting may have run all the same.
     pub fn waiting_in_doubt(&self) -> bool {
         self.verdict.as_ref().is_none_or(|verdict| waiting_in_doubt(verdict, self.settings.store))
     }
@@ -522,20 +522,20 @@
         self.starts
     }
 
-    /// How long a call that may repeat a fingerprinted job has to stay away; its `window` is how long workers would know it.
-    /// After that no repeat of a job from before the loss may come any more.
+    /// How long a call that may repeat a request with an idempotency key has to stay away; its `window` is how long workers would know it.
+    /// After that no repeat of a request from before the loss may come any more.
     pub fn repeats_wait(&self, now: Duration, window: Duration) -> Option<Duration> {
-        if self.settings.fingerprints_on_disk {
+        if self.settings.idempotency_keys_on_disk {
             return None;
         }
         if self.verdict.is_none() {
-            return Some(COME_BACK);
+            return Some(DEFAULT_RETRY_AFTER);
         }
         let until = self.back_at? + window;
         (now < until).then(|| until - now)
     }
 
-    /// Whether a call for this function may become a job now, and the number to tell [`Recovery::tried`] of its end where it is
+    /// Whether a call for this function may become a request now, and the number to tell [`Recovery::tried`] of its end where it is
     /// a try; else when to come back.
     pub fn let_in(&mut self, now: Duration, function: &str) -> Result<Option<u32>, Duration> {
         let Some(pace) = &mut self.pace else { return Ok(None) };
@@ -548,28 +548,28 @@
         let_in
     }
 
-    /// The job of a call that was let in as a try has its final answer.
+    /// The request of a call that was let in as a try has its final answer.
     pub fn tried(&mut self, now: Duration, number: u32, came: Came) {
         if let Some(pace) = &mut self.pace {
             pace.tried(now, number, came);
         }
     }
 
-    /// Whether a fingerprinted job that was out at the end of the last life may be sent again.
+    /// Whether a request with an idempotency key that was out at the end of the last life may be sent again.
     pub fn repeats_known(&self) -> bool {
         self.verdict
             .as_ref()
-            .is_some_and(|verdict| repeats_known(verdict, self.settings.fingerprints_on_disk))
+            .is_some_and(|verdict| repeats_known(verdict, self.settings.idempotency_keys_on_disk))
     }
 
-    /// A synchronous job had its final answer, in its time or not.
+    /// A synchronous request had its final answer, in its time or not.
     pub fn answered(&mut self, kept: bool) {
         if matches!(self.stage, Stage::Synchronous | Stage::Backlog) {
             self.backlog.answered(kept);
         }
     }
 
-    /// Deferred jobs that may be out at a time; `None`: as many as the settings allow.
+    /// Asynchronous requests that may be out at a time; `None`: as many as the settings allow.
     pub fn backlog(&self) -> Option<usize> {
         match self.stage {
             Stage::Asking | Stage::Synchronous => Some(0),
@@ -578,7 +578,7 @@
         }
     }
 
-    /// No deferred job is due any more: the backlog is through, whatever might have been let in.
+    /// No asynchronous request is due any more: the backlog is through, whatever might have been let in.
     pub fn backlog_through(&mut self, now: Duration) {
         if self.stage == Stage::Backlog {
             self.enter(now, Stage::Timers);
@@ -607,7 +607,7 @@
         let rows = self
             .verdict
             .as_ref()
-            .map(|verdict| beliefs(verdict, self.settings.fingerprints_on_disk, self.settings.store));
+            .map(|verdict| beliefs(verdict, self.settings.idempotency_keys_on_disk, self.settings.store));
         let silent = |(name, asked): (&String, &Asked)| asked.heard.is_none().then(|| name.clone());
         View {
             starts: self.starts,
@@ -645,8 +645,8 @@
             fleet: true,
             ask: S * 2,
             longest: S * 60,
-            fingerprints_on_disk: false,
-            load_window: S * 10,
+            idempotency_keys_on_disk: false,
+            load_quota_window: S * 10,
             fall_window: S,
             out: 8,
             pace: true,
@@ -721,7 +721,7 @@
     #[test]
     fn service_returns_in_its_order_and_what_may_repeat_stays_away_for_its_window() {
         let mut of = lost("a", &[]);
-        assert_eq!((of.repeats_wait(ZERO, S * 5), of.backlog()), (Some(COME_BACK), Some(0)));
+        assert_eq!((of.repeats_wait(ZERO, S * 5), of.backlog()), (Some(DEFAULT_RETRY_AFTER), Some(0)));
         let mut now = ZERO;
         let mut seen = Vec::new();
         while of.stage() != Stage::Full {
@@ -815,7 +815,7 @@
             other.outputs().into_iter().find_map(|output| match output {
                 Output::Tell { bytes, .. } => match Said::read(&bytes) {
                     Ok(Said::Answer { yours, .. }) => Some(yours),
-                    Ok(Said::Ask { .. } | Said::Copies { .. } | Said::Noted { .. }) | Err(_) => None,
+                    Ok(Said::Ask { .. } | Said::CacheSettings { .. } | Said::Noted { .. }) | Err(_) => None,
                 },
                 Output::Judged(_) | Output::Stage(_) | Output::TellMeasured => None,
             })
--- a/crates/quartzdrift-recovery/src/start.rs
+++ b/crates/quartzdrift-recovery/src/start.rs
@@ -11,7 +11,7 @@
 /// A member that began later than our last note, less this for what clocks and datagrams take, is taken to have ended with us.
 const SPAN_SLACK: Duration = Duration::from_millis(200);
 /// Where it cannot be told when we ended, whoever began within this span may have ended with us.
-const SPAN_UNTOLD: Duration = Duration::from_secs(60);
+const DEFAULT_SPAN: Duration = Duration::from_secs(60);
 
 /// What a scheduler notes of itself while it runs, for its next start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
     /// Whether that start had been judged.
     pub settled: bool,
     pub at: Moment,
-    /// When power last came back after a loss of many, by the steady clock; repeats of jobs from before it may come for as
+    /// When power last came back after a loss of many, by the steady clock; repeats of requests from before it may come for as
     /// long as their window after it.
     pub back_at: Option<Duration>,
     /// The highest starts heard of others, by name.
@@ -159,7 +159,7 @@
     // A member lived through our absence if it began before our end; else it began with us.
     let away = match found.age() {
         Some(Age::Told(age) | Age::Claimed(age)) if disk == Disk::Whole => age + SPAN_SLACK,
-        Some(_) | None => SPAN_UNTOLD,
+        Some(_) | None => DEFAULT_SPAN,
     };
     let ended_with_us = |h: &&Heard| !h.me.was_clean && Duration::from_millis(h.me.up_ms) < away + up;
     let lost = heard.iter().filter(ended_with_us).count();
--- a/crates/quartzdrift-recovery/src/topics.rs
+++ b/crates/quartzdrift-recovery/src/topics.rs
@@ -9,7 +9,7 @@
 /// The topic of this package; others are of other packages.
 pub const RECOVERY: u8 = 1;
 /// Bytes of a topic's body at most: it has to fit beside a head, a tag and news.
-pub const BYTES_MOST: usize = 256;
+pub const MAX_BYTES: usize = 256;
 
 /// What a member says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
     /// So many notes of this start last on my disk.
     Noted { starts: u64, notes: u64 },
     /// What is known of functions' copies while they return after a loss, each by the number of its name.
-    Copies { pieces: Vec<Piece> },
+    CacheSettings { pieces: Vec<Piece> },
 }
 
 /// Why a body is not understood.
@@ -49,7 +49,7 @@
 impl fmt::Display for Unread {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Unread::TooLong => write!(f, "it is longer than {BYTES_MOST} bytes"),
+            Unread::TooLong => write!(f, "it is longer than {MAX_BYTES} bytes"),
             Unread::Foreign => f.write_str("it is not of this release's form"),
         }
     }
@@ -62,7 +62,7 @@
     }
 
     pub fn read(bytes: &[u8]) -> Result<Said, Unread> {
-        match bytes.len() <= BYTES_MOST {
+        match bytes.len() <= MAX_BYTES {
             true => postcard::from_bytes(bytes).map_err(|_| Unread::Foreign),
             false => Err(Unread::TooLong),
         }
@@ -82,8 +82,8 @@
         ) {
             let me = About { starts, life, up_ms, was_clean, full };
             let pieces = functions.iter().map(|of| (*of, Copy::Tried)).collect();
-            for said in [Said::Ask { me: me.clone() }, Said::Answer { me, yours, notes: life }, Said::Noted { starts, notes: yours }, Said::Copies { pieces }] {
-                proptest::prop_assert!(said.bytes().len() <= BYTES_MOST);
+            for said in [Said::Ask { me: me.clone() }, Said::Answer { me, yours, notes: life }, Said::Noted { starts, notes: yours }, Said::CacheSettings { pieces }] {
+                proptest::prop_assert!(said.bytes().len() <= MAX_BYTES);
                 proptest::prop_assert_eq!(Said::read(&said.bytes()), Ok(said));
             }
             let _ = Said::read(&bytes);
@@ -98,7 +98,7 @@
             (Said::Ask { me: me.clone() }, "00039003d086030100"),
             (Said::Answer { me, yours: 2, notes: 600 }, "01039003d08603010002d804"),
             (Said::Noted { starts: 4, notes: 700 }, "0204bc05"),
-            (Said::Copies { pieces }, "03030700f0a204010902"),
+            (Said::CacheSettings { pieces }, "03030700f0a204010902"),
         ] {
             let hex: String = said.bytes().iter().map(|byte| format!("{byte:02x}")).collect();
             assert_eq!(hex, recorded);
@@ -108,7 +108,7 @@
 
     #[test]
     fn what_is_too_long_is_refused_unread() {
-        assert_eq!(Said::read(&[0; BYTES_MOST + 1]), Err(Unread::TooLong));
+        assert_eq!(Said::read(&[0; MAX_BYTES + 1]), Err(Unread::TooLong));
         assert_eq!(Said::read(&[9]), Err(Unread::Foreign));
     }
 }
--- a/crates/quartzdrift-recovery/src/trust.rs
+++ b/crates/quartzdrift-recovery/src/trust.rs
@@ -9,7 +9,8 @@
     Schedulers,
     Rations,
     Forecasts,
-    Fingerprints,
+    #[serde(rename = "Fingerprints")]
+    IdempotencyKeys,
     Waiting,
     Timers,
 }
@@ -24,13 +25,13 @@
     Aside,
 }
 
-/// Whether workers still know repeats of jobs from before. `on_disk`: the settings say that their memory of fingerprints
+/// Whether workers still know repeats of requests from before. `on_disk`: the settings say that their memory of idempotency keys
 /// outlasts a loss of power. Guards "no effect twice".
 pub fn repeats_known(verdict: &Verdict, on_disk: bool) -> bool {
     on_disk || verdict.kind != Kind::LossOfMany
 }
 
-/// Whether a deferred job that the store shows as waiting may have run all the same: the store was last opened by the start
+/// Whether an asynchronous request that the store shows as waiting may have run all the same: the store was last opened by the start
 /// numbered `store`, and there was a later one. `None`: an earlier release wrote it. Guards "no effect twice".
 pub fn waiting_in_doubt(verdict: &Verdict, store: Option<u64>) -> bool {
     store.is_some_and(|starts| starts < verdict.latest || verdict.noted_later && starts == verdict.latest)
@@ -55,8 +56,8 @@
         row(Thing::Rations, Aside, "no load ahead within the ration's window of the last life"),
         row(Thing::Forecasts, lessened, "the outage is no evidence that nobody calls"),
         match repeats_known(verdict, on_disk) {
-            true => row(Thing::Fingerprints, Kept, "workers ran on, or keep fingerprints on disk"),
-            false => row(Thing::Fingerprints, Aside, "workers lost power and with it what they had run"),
+            true => row(Thing::IdempotencyKeys, Kept, "workers ran on, or keep fingerprints on disk"),
+            false => row(Thing::IdempotencyKeys, Aside, "workers lost power and with it what they had run"),
         },
         match waiting_in_doubt(verdict, store) {
             true => {
@@ -97,7 +98,7 @@
                 let belief = |of| rows.iter().find(|(thing, ..)| *thing == of).map(|(_, belief, _)| *belief);
                 assert_eq!(belief(Thing::Workers), Some(if many { Belief::Lessened } else { Belief::Kept }));
                 assert_eq!(
-                    belief(Thing::Fingerprints),
+                    belief(Thing::IdempotencyKeys),
                     Some(if many { Belief::Aside } else { Belief::Kept })
                 );
                 assert_eq!(
--- a/crates/quartzdrift-choice/src/interface.rs
+++ b/crates/quartzdrift-scheduler/src/interface.rs
@@ -1,23 +1,23 @@
 //! What goes into the decision module and what comes out of it. Types only.
 //!
 //! Times are spans since the clock's zero. A setting that was not told is `None`.
-use crate::measure::Measured;
+use crate::measure::Measurements;
 use std::rc::Rc;
 use std::time::Duration;
 
-pub type JobId = u64;
+pub type RequestId = u64;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     #[default]
-    Restartable,
-    Fingerprinted,
-    RunOnce,
+    Idempotent,
+    IdempotentWithKey,
+    NonIdempotent,
 }
 
-/// Which workers drop the repeats of a fingerprinted job.
+/// Which workers drop the repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     #[default]
     All,
     Zone,
@@ -25,25 +25,25 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Workload {
+pub struct RequestClass {
     pub name: String,
-    pub effect: Effect,
-    pub start_target: Option<Duration>,
-    /// The start target grows by this many times the job's own work.
-    pub target_stretch: Option<f64>,
-    pub time_limit: Option<Duration>,
-    pub importance: Option<f64>,
-    pub late_share: Option<f64>,
-    pub group: Group,
+    pub idempotency: Idempotency,
+    pub latency_objective: Option<Duration>,
+    /// The latency objective grows by this many times the request's own work.
+    pub latency_objective_stretch: Option<f64>,
+    pub timeout: Option<Duration>,
+    pub priority_weight: Option<f64>,
+    pub late_weight: Option<f64>,
+    pub deduplication_scope: DeduplicationScope,
     pub window: Option<Duration>,
     pub streams: bool,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Customer {
+pub struct Tenant {
     pub name: String,
     pub share: Option<f64>,
-    pub jobs_per_second: Option<f64>,
+    pub requests_per_second: Option<f64>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -51,15 +51,15 @@
     pub cancel: bool,
     pub probes: bool,
     pub peers: bool,
-    pub second_copies: bool,
+    pub hedging: bool,
     pub retry_after: bool,
     pub max_retry_after: Option<Duration>,
-    pub max_executions: Option<u32>,
+    pub max_attempts: Option<u32>,
     pub max_open: Option<u32>,
     pub connect_timeout: Option<Duration>,
     pub keepalive: Option<Duration>,
     pub cpu_us_per_second: Option<f64>,
-    pub cpu_us_per_job: Option<f64>,
+    pub cpu_us_per_request: Option<f64>,
     pub streams_per_connection: Option<u32>,
 }
 
@@ -82,18 +82,18 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Copies {
+pub struct CacheSettings {
     pub on_miss: OnMiss,
-    pub orders: bool,
-    pub tells_warm: bool,
-    pub tells_crowd: bool,
+    pub load_commands: bool,
+    pub reports_cache_status: bool,
+    pub reports_concurrency: bool,
     pub keep: Option<Duration>,
     pub memory_mb_by_kind: Vec<f64>,
     pub idle_memory_price: Option<f64>,
-    pub load_free: Option<f64>,
-    pub load_share: Option<f64>,
-    pub load_window: Option<Duration>,
-    pub order_timeout: Option<Duration>,
+    pub load_quota_burst: Option<f64>,
+    pub load_quota_share: Option<f64>,
+    pub load_quota_window: Option<Duration>,
+    pub load_command_timeout: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -110,7 +110,7 @@
     Queued,
     Busy,
     LatencyMs,
-    FinishedPerSecond,
+    SucceededPerSecond,
     ErrorsPerSecond,
     MemoryTaken,
     Loads,
@@ -118,10 +118,10 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     #[default]
     Push,
-    Ask,
+    Poll,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -136,7 +136,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CountedBy {
     #[default]
-    Job,
+    Request,
     Work,
 }
 
@@ -146,7 +146,7 @@
     pub connection: f64,
     pub cross_zone: f64,
     pub handshake: f64,
-    pub late_kill: f64,
+    pub late_failure: f64,
     pub moves: f64,
     pub origin: f64,
     pub peer: f64,
@@ -159,8 +159,8 @@
 pub struct Goal {
     pub whole: f64,
     pub worst_window: f64,
-    pub worst_workload: f64,
-    pub worst_customer: f64,
+    pub worst_request_class: f64,
+    pub worst_tenant: f64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -174,16 +174,16 @@
     pub tiers: Vec<String>,
     pub family: String,
     pub resolution: Option<Duration>,
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     pub weights: Weights,
     pub counted_by: CountedBy,
-    pub over_share_importance: Option<f64>,
+    pub over_quota_weight: Option<f64>,
     pub clients_mark_retries: bool,
-    pub workloads: Vec<Workload>,
-    pub customers: Vec<Customer>,
+    pub request_classes: Vec<RequestClass>,
+    pub tenants: Vec<Tenant>,
     pub allowed: Allowed,
     pub rules: Rules,
-    pub copies: Copies,
+    pub copies: CacheSettings,
     pub report_source: ReportSource,
     pub report_fields: Vec<ReportField>,
     pub prices: Prices,
@@ -191,7 +191,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum EndpointState {
     Up,
     Draining,
     #[default]
@@ -199,16 +199,16 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListForm {
+pub enum EndpointListKind {
     Changes,
     Full,
-    Saved,
+    Snapshot,
     Failed,
 }
 
 /// One line of the list of workers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Entry<'a> {
+pub struct Endpoint<'a> {
     pub worker: &'a str,
     pub capacity_hint: Option<f64>,
     pub cell: u32,
@@ -216,20 +216,20 @@
     pub zone: u32,
     /// The most recent start; `None`: long ago.
     pub started: Option<Duration>,
-    pub state: State,
+    pub state: EndpointState,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct JobAsked<'a> {
-    pub job: JobId,
-    pub workload: u32,
-    pub customer: u32,
+pub struct Request<'a> {
+    pub request: RequestId,
+    pub request_class: u32,
+    pub tenant: u32,
     pub function: &'a str,
     /// What remains until the client gives this try up.
     pub left: Duration,
     pub work_hint: Option<Duration>,
     pub memory_mb: Option<f64>,
-    pub lanes: Option<f64>,
+    pub concurrency_slots: Option<f64>,
     pub load_hint: Option<Duration>,
     pub is_retry: bool,
     pub writes: bool,
@@ -237,133 +237,133 @@
 
 /// What a forecast says of a function's use.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Expectation<'a> {
+pub struct UsageForecast<'a> {
     pub function: &'a str,
-    pub workload: u32,
+    pub request_class: u32,
     /// The span from now on that it speaks of.
     pub within: Duration,
     /// Chance of a use in that span.
-    pub sure: f64,
-    /// Jobs of the function that are expected a second in all, where that is known.
-    pub jobs_per_second: Option<f64>,
+    pub probability: f64,
+    /// Requests of the function that are expected a second in all, where that is known.
+    pub requests_per_second: Option<f64>,
     pub memory_mb: Option<f64>,
-    pub lanes: Option<f64>,
+    pub concurrency_slots: Option<f64>,
     pub load_hint: Option<Duration>,
 }
 
-/// How an execution, a probe or a load order ended.
+/// How an attempt, a probe or a load order ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    Finished,
+    Succeeded,
     Error,
-    Full,
+    AtCapacity,
     TimedOut,
     ConnectFailed,
     Reset,
     Cancelled,
-    Moot,
-    Miss,
+    NeverSent,
+    CacheMiss,
 }
 
 /// What an answer says of the function's copy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Found {
+pub enum CacheResult {
     #[default]
-    Untold,
+    Unknown,
     Warm,
-    BeganLoad,
+    StartedLoad,
     AwaitedLoad,
     LoadFailed,
 }
 
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    List {
-        form: ListForm,
-        entries: Vec<Entry<'a>>,
+    EndpointList {
+        form: EndpointListKind,
+        entries: Vec<Endpoint<'a>>,
     },
-    Job(JobAsked<'a>),
-    /// An execution ended; `over` once the job needs no final answer from us any more.
-    Ended {
-        job: JobId,
-        execution: u32,
+    Request(Request<'a>),
+    /// An attempt ended; `concluded` once the request needs no final answer from us any more.
+    AttemptEnded {
+        request: RequestId,
+        attempt: u32,
         worker: &'a str,
         outcome: Outcome,
-        took: Duration,
-        over: bool,
-        found: Found,
-        crowd: Option<u32>,
+        duration: Duration,
+        concluded: bool,
+        cache_result: CacheResult,
+        concurrency: Option<u32>,
         report: Vec<Option<f64>>,
     },
-    /// A streamed answer has begun; the client owns that execution now.
-    Streaming {
-        job: JobId,
-        execution: u32,
+    /// A streamed answer has begun; the client owns that attempt now.
+    StreamingStarted {
+        request: RequestId,
+        attempt: u32,
         worker: &'a str,
-        took: Duration,
+        duration: Duration,
     },
     /// The client left, or the final answer is overdue.
-    Expired {
-        job: JobId,
+    RequestCancelled {
+        request: RequestId,
     },
     Timer {
-        mark: &'a str,
+        name: &'a str,
     },
-    Probed {
+    HealthChecked {
         worker: &'a str,
         outcome: Outcome,
-        took: Duration,
+        duration: Duration,
         report: Vec<Option<f64>>,
     },
-    Heard {
+    PeerMessage {
         from: u32,
         bytes: Vec<u8>,
     },
-    Loaded {
+    LoadEnded {
         worker: &'a str,
         function: &'a str,
         outcome: Outcome,
-        took: Duration,
+        duration: Duration,
         copies: u32,
     },
     /// How many schedulers there are from now on, in place of the settings' number.
-    Schedulers(u32),
+    SchedulerCount(u32),
     /// Without it nothing is loaded ahead of need.
-    Expected(Expectation<'a>),
+    UsageForecast(UsageForecast<'a>),
     /// What an earlier start of this scheduler had measured, by a clock that goes on in ours.
-    Measured(Measured),
+    RestoredMeasurements(Measurements),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Execute {
-        job: JobId,
+    StartAttempt {
+        request: RequestId,
         worker: Rc<str>,
-        time_limit: Option<Duration>,
+        timeout: Option<Duration>,
     },
-    PushBack {
-        job: JobId,
-        come_back: Option<Duration>,
+    Reject {
+        request: RequestId,
+        retry_after: Option<Duration>,
     },
-    Kill {
-        job: JobId,
+    Fail {
+        request: RequestId,
     },
-    Cancel {
-        job: JobId,
-        execution: u32,
+    CancelAttempt {
+        request: RequestId,
+        attempt: u32,
     },
-    Timer {
+    SetTimer {
         delay: Duration,
-        mark: &'static str,
+        name: &'static str,
     },
-    Probe {
+    CheckHealth {
         worker: Rc<str>,
     },
     CloseIdle {
         worker: Rc<str>,
     },
     /// To one scheduler, or to all of them.
-    Tell {
+    SendToPeer {
         to: Option<u32>,
         bytes: Vec<u8>,
     },
@@ -379,7 +379,7 @@
     Watch {
         on: bool,
     },
-    AskList,
+    PollEndpoints,
     Log {
         text: String,
     },
--- a/crates/quartzdrift-choice/src/lib.rs
+++ b/crates/quartzdrift-scheduler/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decides for a router of functions that workers load on demand: which worker runs a job, and what
-//! becomes of a job that no worker can take. [`choice`] holds every decision, [`interface`] only types.
+//! Decides for a router of functions that workers load on demand: which worker runs a request, and what
+//! becomes of a request that no worker can take. [`scheduler`] holds every decision, [`interface`] only types.
 //!
 //! ```
 //! use quartzdrift_choice::choice::Scheduler;
@@ -17,9 +17,10 @@
 //! let sent = |a: &Action| matches!(a, Action::Execute { job: 5, worker, .. } if &**worker == "a:1");
 //! assert!(actions.iter().any(sent));
 //! ```
-pub mod choice;
 pub mod interface;
+mod mailbox;
 pub mod measure;
+mod messages;
 mod names;
-mod notes;
-mod post;
+pub mod scheduler;
+mod state;
--- a/crates/quartzdrift-choice/src/measure.rs
+++ b/crates/quartzdrift-scheduler/src/measure.rs
@@ -24,13 +24,13 @@
         self.count
     }
 
-    pub fn add(&mut self, took: Duration) {
-        let past = took.as_secs_f64() / self.first.as_secs_f64();
+    pub fn add(&mut self, duration: Duration) {
+        let past = duration.as_secs_f64() / self.first.as_secs_f64();
         let bin = if past <= 1.0 { 0.0 } else { past.ln() / self.ratio.ln() };
         let last = self.bins.len() - 1;
         self.bins[(bin as usize).min(last)] += 1;
         self.count += 1;
-        self.sum += took;
+        self.sum += duration;
         if self.count >= self.halve_at {
             self.bins.iter_mut().for_each(|n| *n /= 2);
             let left: u32 = self.bins.iter().sum();
@@ -163,10 +163,10 @@
 /// What workers were seen to do, by kind of machine, `None`: of all: the most finished a second, and the most workers up. Times are
 /// those of the clock that measured.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Measured {
+pub struct Measurements {
     pub peaks: BTreeMap<Option<u32>, Peak>,
     pub most_up: BTreeMap<Option<u32>, usize>,
-    /// What the usual execution takes, the mean over workloads.
+    /// What the usual attempt takes, the mean over request classes.
     pub usual: Option<Duration>,
     /// It is of before a loss of many, and most workers have been cold since.
     pub lost: bool,
--- a/crates/quartzdrift-choice/src/notes.rs
+++ b/crates/quartzdrift-scheduler/src/messages.rs
@@ -10,10 +10,12 @@
     NotWarm,
 }
 
-impl Entry<'_> {
+impl Endpoint<'_> {
     /// Whether it is of the same group of workers as another.
-    pub fn shares(&self, group: Group, other: &Listing) -> bool {
-        group == Group::All || self.zone == other.zone && (group == Group::Zone || self.cell == other.cell)
+    pub fn shares(&self, deduplication_scope: DeduplicationScope, other: &Listing) -> bool {
+        deduplication_scope == DeduplicationScope::All
+            || self.zone == other.zone
+                && (deduplication_scope == DeduplicationScope::Zone || self.cell == other.cell)
     }
 }
 
@@ -23,26 +25,26 @@
     Call(Call),
     /// `None`: the worker declines.
     Offer(Option<Offer>),
-    Execute(Execution),
+    Execute(Attempt),
     Ended(Ending),
-    Place(JobId),
+    Place(RequestId),
     Tick,
-    /// This execution is out at a worker that answers nothing.
-    Silent(JobId, u32),
+    /// This attempt is out at a worker that answers nothing.
+    Silent(RequestId, u32),
 }
 
 /// What the list says of a worker; its name is kept apart.
-pub type Listing = Entry<'static>;
+pub type Listing = Endpoint<'static>;
 
-/// A call for offers for one job.
+/// A call for offers for one request.
 #[derive(Clone, Copy)]
 pub struct Call {
-    pub workload: usize,
-    pub customer: u32,
+    pub request_class: usize,
+    pub tenant: u32,
     pub function: usize,
-    /// Where executions that may have run confine further ones.
-    pub confined: Option<(Group, Listing)>,
-    /// Restartable with executions left: may be risked on a worker of doubtful health.
+    /// Where attempts that may have run confine further ones.
+    pub confined: Option<(DeduplicationScope, Listing)>,
+    /// Idempotent with attempts left: may be risked on a worker of doubtful health.
     pub risks: bool,
     pub weight: f64,
     /// Our own finished work a second for each worker: the part of a worker's capacity that is surely there.
@@ -68,21 +70,21 @@
 }
 
 #[derive(Clone, Copy)]
-pub struct Execution {
-    pub job: JobId,
-    pub execution: u32,
+pub struct Attempt {
+    pub request: RequestId,
+    pub attempt: u32,
     pub call: Call,
     pub patience: Duration,
     pub sent: Duration,
 }
 
 pub struct Ending {
-    pub job: JobId,
-    pub execution: u32,
+    pub request: RequestId,
+    pub attempt: u32,
     pub outcome: Outcome,
-    pub found: Found,
-    /// Jobs that the worker reported to hold.
+    pub cache_result: CacheResult,
+    /// Requests that the worker reported to hold.
     pub held: Option<f64>,
-    /// Full for this customer alone: the worker holds few jobs.
+    /// Full for this tenant alone: the worker holds few requests.
     pub room: bool,
 }
--- a/crates/quartzdrift-choice/tests/decisions.rs
+++ b/crates/quartzdrift-scheduler/tests/decisions.rs
@@ -3,8 +3,8 @@
 //! Each day drives one scheduler with a small model of workers and hashes the sequence of its actions in blocks. The
 //! recorded hashes are in `decisions.txt`, one `day block hash` a line; the first block that differs is printed. After an
 //! intended change of a decision, `RECORD_DECISIONS=1` writes the file anew.
-use quartzdrift_choice::choice::Scheduler;
-use quartzdrift_choice::interface::*;
+use quartzdrift_scheduler::interface::*;
+use quartzdrift_scheduler::scheduler::Scheduler;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::time::Duration;
@@ -44,8 +44,8 @@
 /// What is still to come, in order of time and then of its making.
 enum Coming {
     Arrival,
-    Ending { job: JobId, execution: u32, worker: String, sent: Duration },
-    Expiry(JobId),
+    Ending { request: RequestId, attempt: u32, worker: String, sent: Duration },
+    Expiry(RequestId),
     Timer(&'static str),
     List,
     Forecast,
@@ -62,33 +62,35 @@
     now: Duration,
     made: u64,
     coming: BTreeMap<(Duration, u64), Coming>,
-    open: BTreeSet<JobId>,
-    attempts: BTreeMap<JobId, u32>,
-    out: BTreeMap<(JobId, u32), (Duration, u64)>,
+    open: BTreeSet<RequestId>,
+    attempts: BTreeMap<RequestId, u32>,
+    out: BTreeMap<(RequestId, u32), (Duration, u64)>,
     started: Vec<Option<Duration>>,
     sick: Vec<u64>,
-    next_job: JobId,
+    next_request: RequestId,
     actions: Vec<String>,
 }
 
 fn settings(seed: u64) -> Settings {
     let bit = |at: u64| seed >> at & 1 == 1;
     let ms = Duration::from_millis;
-    let effects = [Effect::Restartable, Effect::Fingerprinted, Effect::RunOnce];
-    let workloads = (0..3).map(|at| Workload {
+    let idempotency_kinds =
+        [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent];
+    let request_classes = (0..3).map(|at| RequestClass {
         name: format!("class-{at}"),
-        effect: effects[(at + seed as usize) % 3],
-        start_target: Some(ms(400 + 300 * at as u64)),
-        time_limit: Some(ms(3000)),
-        importance: Some(1.0 + at as f64),
-        group: [Group::All, Group::Zone, Group::Cell][seed as usize % 3],
+        idempotency: idempotency_kinds[(at + seed as usize) % 3],
+        latency_objective: Some(ms(400 + 300 * at as u64)),
+        timeout: Some(ms(3000)),
+        priority_weight: Some(1.0 + at as f64),
+        deduplication_scope: [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell]
+            [seed as usize % 3],
         window: Some(ms(1500)),
-        ..Workload::default()
+        ..RequestClass::default()
     });
-    let tenant = |name: &str, rate| Customer {
+    let tenant = |name: &str, rate| Tenant {
         name: name.to_owned(),
-        jobs_per_second: Some(rate),
-        ..Customer::default()
+        requests_per_second: Some(rate),
+        ..Tenant::default()
     };
     let fields = match seed % 4 {
         0 => vec![ReportField::Held, ReportField::MemoryTaken],
@@ -98,15 +100,15 @@
     };
     Settings {
         schedulers: Some(1 + (seed % 5) as u32),
-        discovery: if bit(1) { Discovery::Ask } else { Discovery::Push },
-        counted_by: if bit(2) { CountedBy::Work } else { CountedBy::Job },
-        workloads: workloads.collect(),
-        customers: vec![tenant("a", 20.0), tenant("b", 10.0)],
+        discovery: if bit(1) { DiscoveryMode::Poll } else { DiscoveryMode::Push },
+        counted_by: if bit(2) { CountedBy::Work } else { CountedBy::Request },
+        request_classes: request_classes.collect(),
+        tenants: vec![tenant("a", 20.0), tenant("b", 10.0)],
         allowed: Allowed {
             cancel: bit(0),
             retry_after: bit(3),
             max_retry_after: bit(2).then_some(ms(150)),
-            max_executions: Some(1 + (seed % 3) as u32),
+            max_attempts: Some(1 + (seed % 3) as u32),
             ..Allowed::default()
         },
         rules: Rules {
@@ -118,17 +120,17 @@
             ask_within: bit(0).then_some(ms(400)),
             ..Rules::default()
         },
-        copies: Copies {
-            orders: bit(2) || bit(0),
-            tells_warm: bit(1),
-            tells_crowd: bit(1),
+        copies: CacheSettings {
+            load_commands: bit(2) || bit(0),
+            reports_cache_status: bit(1),
+            reports_concurrency: bit(1),
             keep: Some(ms(6000)),
             memory_mb_by_kind: vec![4000.0, 16000.0],
             idle_memory_price: Some(0.01),
-            load_free: Some(4.0),
-            load_share: Some(0.05),
-            load_window: bit(3).then_some(ms(5000)),
-            ..Copies::default()
+            load_quota_burst: Some(4.0),
+            load_quota_share: Some(0.05),
+            load_quota_window: bit(3).then_some(ms(5000)),
+            ..CacheSettings::default()
         },
         report_source: ReportSource::Answers,
         report_fields: fields,
@@ -140,18 +142,18 @@
 /// Actions in a form that does not follow the names of types and fields.
 fn written(action: &Action) -> String {
     match action {
-        Action::Execute { job, worker, time_limit } => format!("send {job} {worker} {time_limit:?}"),
-        Action::PushBack { job, come_back } => format!("reject {job} {come_back:?}"),
-        Action::Kill { job } => format!("fail {job}"),
-        Action::Cancel { job, execution } => format!("cancel {job} {execution}"),
-        Action::Timer { delay, mark } => format!("timer {delay:?} {mark}"),
-        Action::Probe { worker } => format!("probe {worker}"),
+        Action::StartAttempt { request, worker, timeout } => format!("send {request} {worker} {timeout:?}"),
+        Action::Reject { request, retry_after } => format!("reject {request} {retry_after:?}"),
+        Action::Fail { request } => format!("fail {request}"),
+        Action::CancelAttempt { request, attempt } => format!("cancel {request} {attempt}"),
+        Action::SetTimer { delay, name } => format!("timer {delay:?} {name}"),
+        Action::CheckHealth { worker } => format!("probe {worker}"),
         Action::CloseIdle { worker } => format!("close {worker}"),
-        Action::Tell { to, bytes } => format!("tell {to:?} {bytes:?}"),
+        Action::SendToPeer { to, bytes } => format!("tell {to:?} {bytes:?}"),
         Action::Load { worker, function, copies } => format!("load {worker} {function} {copies}"),
         Action::Unload { worker, function } => format!("unload {worker} {function}"),
         Action::Watch { on } => format!("watch {on}"),
-        Action::AskList => "list".to_owned(),
+        Action::PollEndpoints => "list".to_owned(),
         Action::Log { text } => format!("log {text}"),
     }
 }
@@ -163,8 +165,8 @@
         Day {
             seed,
             scheduler: Scheduler::new(&settings, random.next()),
-            classes: settings.workloads.len(),
-            tenants: settings.customers.len() as u32,
+            classes: settings.request_classes.len(),
+            tenants: settings.tenants.len() as u32,
             fields: settings.report_fields.len(),
             random,
             now: Duration::from_secs(1),
@@ -175,7 +177,7 @@
             out: BTreeMap::new(),
             started: vec![None; WORKERS],
             sick: vec![0; WORKERS],
-            next_job: 0,
+            next_request: 0,
             actions: Vec::new(),
         }
     }
@@ -196,70 +198,70 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Execute { job, worker, time_limit } => {
-                let attempt = self.attempts.entry(job).or_insert(0);
-                let execution = *attempt;
-                *attempt += 1;
+            Action::StartAttempt { request, worker, timeout } => {
+                let next = self.attempts.entry(request).or_insert(0);
+                let attempt = *next;
+                *next += 1;
                 let loads = self.random.chance(25);
-                let took = if loads { self.random.millis(200, 900) } else { self.random.millis(20, 250) };
-                let after = time_limit.map_or(took, |limit| took.min(limit));
+                let duration = if loads { self.random.millis(200, 900) } else { self.random.millis(20, 250) };
+                let after = timeout.map_or(duration, |limit| duration.min(limit));
                 let (worker, sent) = (worker.to_string(), self.now);
-                let key = self.plan(after, Coming::Ending { job, execution, worker, sent });
-                self.out.insert((job, execution), key);
+                let key = self.plan(after, Coming::Ending { request, attempt, worker, sent });
+                self.out.insert((request, attempt), key);
             }
-            Action::PushBack { job, .. } | Action::Kill { job } => drop(self.open.remove(&job)),
-            Action::Cancel { job, execution } => {
-                let Some(key) = self.out.get(&(job, execution)).copied() else { return };
+            Action::Reject { request, .. } | Action::Fail { request } => drop(self.open.remove(&request)),
+            Action::CancelAttempt { request, attempt } => {
+                let Some(key) = self.out.get(&(request, attempt)).copied() else { return };
                 if let Some(Coming::Ending { worker, sent, .. }) = self.coming.remove(&key) {
-                    self.out.remove(&(job, execution));
+                    self.out.remove(&(request, attempt));
                     let after = Duration::from_micros(10);
                     let sent = sent + Duration::from_secs(1_000_000); // marks a cancelled one
-                    self.plan(after, Coming::Ending { job, execution, worker, sent });
+                    self.plan(after, Coming::Ending { request, attempt, worker, sent });
                 }
             }
-            Action::Timer { delay, mark } => {
-                self.plan(delay, Coming::Timer(mark));
+            Action::SetTimer { delay, name } => {
+                self.plan(delay, Coming::Timer(name));
             }
             Action::Load { worker, function, copies } => {
-                let took = self.random.millis(100, 700);
+                let duration = self.random.millis(100, 700);
                 let (worker, function, sent) = (worker.to_string(), function.to_string(), self.now);
-                self.plan(took, Coming::Loaded { worker, function, copies, sent });
+                self.plan(duration, Coming::Loaded { worker, function, copies, sent });
             }
-            Action::Watch { .. } | Action::AskList => {
+            Action::Watch { .. } | Action::PollEndpoints => {
                 self.plan(Duration::from_millis(30), Coming::List);
             }
-            Action::Probe { .. }
+            Action::CheckHealth { .. }
             | Action::CloseIdle { .. }
-            | Action::Tell { .. }
+            | Action::SendToPeer { .. }
             | Action::Unload { .. }
             | Action::Log { .. } => {}
         }
     }
 
-    fn list(&mut self, form: ListForm) {
+    fn list(&mut self, form: EndpointListKind) {
         let names: Vec<String> = (0..WORKERS).map(|at| format!("10.0.0.{at}:80")).collect();
-        if form != ListForm::Saved && self.random.chance(40) {
+        if form != EndpointListKind::Snapshot && self.random.chance(40) {
             let at = self.random.below(WORKERS as u64) as usize;
             self.started[at] = Some(self.now);
         }
         let mut entries = Vec::new();
         for (at, worker) in names.iter().enumerate() {
             let state = match self.random.below(12) {
-                0 if form != ListForm::Saved => State::Draining,
-                1 if form == ListForm::Changes => State::Gone,
-                _ => State::Up,
+                0 if form != EndpointListKind::Snapshot => EndpointState::Draining,
+                1 if form == EndpointListKind::Changes => EndpointState::Gone,
+                _ => EndpointState::Up,
             };
-            if form == ListForm::Changes && self.random.chance(70) {
+            if form == EndpointListKind::Changes && self.random.chance(70) {
                 continue;
             }
             let (kind, zone, cell) = (at as u32 % 2, at as u32 % 3, at as u32 / 5);
             let started = self.started[at];
-            entries.push(Entry { worker, capacity_hint: None, cell, kind, zone, started, state });
+            entries.push(Endpoint { worker, capacity_hint: None, cell, kind, zone, started, state });
         }
-        if form == ListForm::Failed {
+        if form == EndpointListKind::Failed {
             entries.clear();
         }
-        self.feed(Event::List { form, entries });
+        self.feed(Event::EndpointList { form, entries });
     }
 
     fn arrival(&mut self) {
@@ -267,23 +269,24 @@
         let busy = self.now > DAY / 3 && self.now < DAY * 2 / 3;
         let gap = if busy { self.random.millis(1, 9) } else { self.random.millis(4, 30) };
         self.plan(gap, Coming::Arrival);
-        self.next_job += 1;
-        let job = self.next_job;
+        self.next_request += 1;
+        let request = self.next_request;
         let function = format!("f{}", self.random.below(4) * self.random.below(6));
         let left = self.random.millis(800, 3000);
-        let asked = JobAsked {
-            job,
-            workload: self.random.below(self.classes as u64 + u64::from(job.is_multiple_of(97))) as u32,
-            customer: self.random.below(u64::from(self.tenants)) as u32,
+        let asked = Request {
+            request,
+            request_class: self.random.below(self.classes as u64 + u64::from(request.is_multiple_of(97)))
+                as u32,
+            tenant: self.random.below(u64::from(self.tenants)) as u32,
             function: &function,
             left,
-            memory_mb: (!job.is_multiple_of(3)).then_some(200.0),
-            lanes: (!job.is_multiple_of(2)).then_some(1.0 + (job % 4) as f64),
-            ..JobAsked::default()
+            memory_mb: (!request.is_multiple_of(3)).then_some(200.0),
+            concurrency_slots: (!request.is_multiple_of(2)).then_some(1.0 + (request % 4) as f64),
+            ..Request::default()
         };
-        self.open.insert(job);
-        self.plan(left, Coming::Expiry(job));
-        self.feed(Event::Job(asked));
+        self.open.insert(request);
+        self.plan(left, Coming::Expiry(request));
+        self.feed(Event::Request(asked));
     }
 
     fn report(&mut self) -> Vec<Option<f64>> {
@@ -291,8 +294,8 @@
         (0..self.fields).map(|_| field(&mut self.random)).collect()
     }
 
-    fn ending(&mut self, job: JobId, execution: u32, worker: &str, sent: Duration) {
-        self.out.remove(&(job, execution));
+    fn ending(&mut self, request: RequestId, attempt: u32, worker: &str, sent: Duration) {
+        self.out.remove(&(request, attempt));
         let cancelled = sent > self.now;
         let at: usize = worker[7..worker.len() - 3].parse().unwrap();
         if self.random.chance(1) {
@@ -303,52 +306,62 @@
         let outcome = match self.random.below(if sick { 8 } else { 60 }) {
             _ if cancelled => Outcome::Cancelled,
             0 => Outcome::Error,
-            1 => Outcome::Full,
+            1 => Outcome::AtCapacity,
             2 => Outcome::TimedOut,
             3 => Outcome::ConnectFailed,
             4 => Outcome::Reset,
-            5 => Outcome::Miss,
-            6 => Outcome::Moot,
-            _ => Outcome::Finished,
+            5 => Outcome::CacheMiss,
+            6 => Outcome::NeverSent,
+            _ => Outcome::Succeeded,
         };
-        let found = match self.random.below(8) {
-            0 => Found::Untold,
-            1 => Found::BeganLoad,
-            2 => Found::AwaitedLoad,
-            3 if outcome == Outcome::Miss => Found::LoadFailed,
-            _ => Found::Warm,
+        let cache_result = match self.random.below(8) {
+            0 => CacheResult::Unknown,
+            1 => CacheResult::StartedLoad,
+            2 => CacheResult::AwaitedLoad,
+            3 if outcome == Outcome::CacheMiss => CacheResult::LoadFailed,
+            _ => CacheResult::Warm,
         };
-        let took = if cancelled { self.random.millis(1, 400) } else { self.now - sent };
-        let over = outcome == Outcome::Finished || !self.open.contains(&job);
-        if over {
-            self.open.remove(&job);
+        let duration = if cancelled { self.random.millis(1, 400) } else { self.now - sent };
+        let concluded = outcome == Outcome::Succeeded || !self.open.contains(&request);
+        if concluded {
+            self.open.remove(&request);
         }
         let report = self.report();
-        self.feed(Event::Ended { job, execution, worker, outcome, took, over, found, crowd: None, report });
+        self.feed(Event::AttemptEnded {
+            request,
+            attempt,
+            worker,
+            outcome,
+            duration,
+            concluded,
+            cache_result,
+            concurrency: None,
+            report,
+        });
     }
 
     fn forecast(&mut self) {
         self.plan(Duration::from_millis(700), Coming::Forecast);
         let function = format!("f{}", self.random.below(16));
-        let expected = Expectation {
+        let expected = UsageForecast {
             function: &function,
-            workload: self.random.below(self.classes as u64) as u32,
+            request_class: self.random.below(self.classes as u64) as u32,
             within: self.random.millis(500, 9000),
-            sure: self.random.below(100) as f64 / 100.0,
-            jobs_per_second: self.random.chance(50).then_some(3.0),
+            probability: self.random.below(100) as f64 / 100.0,
+            requests_per_second: self.random.chance(50).then_some(3.0),
             memory_mb: Some(200.0),
-            lanes: Some(1.0),
+            concurrency_slots: Some(1.0),
             load_hint: self.random.chance(50).then_some(Duration::from_millis(600)),
         };
-        self.feed(Event::Expected(expected));
+        self.feed(Event::UsageForecast(expected));
         match self.random.below(20) {
             0 => {
                 let schedulers = 1 + self.random.below(6) as u32;
-                self.feed(Event::Schedulers(schedulers));
+                self.feed(Event::SchedulerCount(schedulers));
             }
             1 => {
                 let before = self.scheduler.measured.clone();
-                self.feed(Event::Measured(before));
+                self.feed(Event::RestoredMeasurements(before));
             }
             _ => {}
         }
@@ -357,19 +370,19 @@
     fn step(&mut self, what: Coming) {
         match what {
             Coming::Arrival => self.arrival(),
-            Coming::Ending { job, execution, worker, sent } => self.ending(job, execution, &worker, sent),
-            Coming::Expiry(job) => {
-                if self.open.remove(&job) {
-                    self.feed(Event::Expired { job });
+            Coming::Ending { request, attempt, worker, sent } => self.ending(request, attempt, &worker, sent),
+            Coming::Expiry(request) => {
+                if self.open.remove(&request) {
+                    self.feed(Event::RequestCancelled { request });
                 }
             }
-            Coming::Timer(mark) => self.feed(Event::Timer { mark }),
+            Coming::Timer(name) => self.feed(Event::Timer { name }),
             Coming::List => {
                 self.plan(Duration::from_millis(2500), Coming::List);
                 let form = match self.random.below(6) {
-                    0 => ListForm::Failed,
-                    1 | 2 => ListForm::Full,
-                    _ => ListForm::Changes,
+                    0 => EndpointListKind::Failed,
+                    1 | 2 => EndpointListKind::Full,
+                    _ => EndpointListKind::Changes,
                 };
                 self.list(form);
             }
@@ -377,19 +390,19 @@
             Coming::Loaded { worker, function, copies, sent } => {
                 let (outcome, copies) = match self.random.below(10) {
                     0 => (Outcome::Error, 0),
-                    1 => (Outcome::Full, 0),
-                    2 => (Outcome::Finished, 0),
-                    _ => (Outcome::Finished, copies),
+                    1 => (Outcome::AtCapacity, 0),
+                    2 => (Outcome::Succeeded, 0),
+                    _ => (Outcome::Succeeded, copies),
                 };
-                let took = self.now - sent;
+                let duration = self.now - sent;
                 let (worker, function) = (&*worker, &*function);
-                self.feed(Event::Loaded { worker, function, outcome, took, copies });
+                self.feed(Event::LoadEnded { worker, function, outcome, duration, copies });
             }
         }
     }
 
     fn play(mut self) -> Vec<String> {
-        self.list(ListForm::Saved);
+        self.list(EndpointListKind::Snapshot);
         self.plan(Duration::from_millis(5), Coming::Arrival);
         self.plan(Duration::from_millis(1500), Coming::List);
         self.plan(Duration::from_millis(2000), Coming::Forecast);
