--- a/crates/quartzdrift-choice/tests/scenarios.rs
+++ b/crates/quartzdrift-scheduler/tests/scenarios.rs
@@ -26,8 +26,8 @@
 //!     restart knowing            a new start that is told what the old one had measured; `restart`: it is not; what
 //!                                was sent counts anew
 //!     forget                     drops the actions since
-use quartzdrift_choice::choice::Scheduler;
-use quartzdrift_choice::interface::*;
+use quartzdrift_scheduler::interface::*;
+use quartzdrift_scheduler::scheduler::Scheduler;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -39,11 +39,11 @@
     scheduler: Option<Scheduler>,
     now: Duration,
     pending: Vec<Action>,
-    /// Job to worker and number of the execution that is out.
-    out: BTreeMap<JobId, (String, u32)>,
-    executions: BTreeMap<JobId, u32>,
+    /// Request to worker and number of the attempt that is out.
+    out: BTreeMap<RequestId, (String, u32)>,
+    attempts: BTreeMap<RequestId, u32>,
     sends: BTreeMap<String, u32>,
-    functions: BTreeMap<JobId, String>,
+    functions: BTreeMap<RequestId, String>,
     pairs: BTreeSet<(String, String)>,
     kinds: BTreeMap<String, String>,
     /// Where the last load order found went.
@@ -64,8 +64,8 @@
     text.and_then(|t| t.parse().ok()).ok_or(format!("no number: {text:?}"))
 }
 
-fn entry(text: &str) -> Result<Entry<'_>, String> {
-    let mut entry = Entry { state: State::Up, ..Entry::default() };
+fn entry(text: &str) -> Result<Endpoint<'_>, String> {
+    let mut entry = Endpoint { state: EndpointState::Up, ..Endpoint::default() };
     let end = text.find([':', '^', '@', '*']).unwrap_or(text.len());
     entry.worker = &text[..end];
     let mut rest = &text[end..];
@@ -73,8 +73,8 @@
         let end = rest[1..].find([':', '^', '@', '*']).map_or(rest.len(), |at| at + 1);
         let value = &rest[1..end];
         match (sign, value) {
-            (':', "draining") => entry.state = State::Draining,
-            (':', "gone") => entry.state = State::Gone,
+            (':', "draining") => entry.state = EndpointState::Draining,
+            (':', "gone") => entry.state = EndpointState::Gone,
             ('^', _) => entry.started = Some(span(value)?),
             ('*', _) => entry.kind = number(Some(&value))?,
             ('@', _) => entry.zone = number(Some(&value))?,
@@ -93,34 +93,35 @@
 impl Play {
     fn set(&mut self, words: &[&str]) -> Line<'_> {
         let s = &mut self.settings;
-        if s.workloads.is_empty() {
-            s.workloads.push(Workload { time_limit: Some(Duration::from_secs(3)), ..Workload::default() });
+        if s.request_classes.is_empty() {
+            s.request_classes
+                .push(RequestClass { timeout: Some(Duration::from_secs(3)), ..RequestClass::default() });
         }
-        let workload = &mut s.workloads[0];
+        let request_class = &mut s.request_classes[0];
         let value = words.get(1).copied().unwrap_or("");
         match words[0] {
             "effect" => {
-                workload.effect = match value {
-                    "restartable" => Effect::Restartable,
-                    "fingerprinted" => Effect::Fingerprinted,
-                    "run-once" => Effect::RunOnce,
+                request_class.idempotency = match value {
+                    "restartable" => Idempotency::Idempotent,
+                    "fingerprinted" => Idempotency::IdempotentWithKey,
+                    "run-once" => Idempotency::NonIdempotent,
                     _ => return Err(format!("no effect: {value}")),
                 }
             }
-            "group" if value == "zone" => workload.group = Group::Zone,
-            "window" => workload.window = Some(span(value)?),
-            "executions" => s.allowed.max_executions = Some(number(words.get(1))?),
+            "group" if value == "zone" => request_class.deduplication_scope = DeduplicationScope::Zone,
+            "window" => request_class.window = Some(span(value)?),
+            "executions" => s.allowed.max_attempts = Some(number(words.get(1))?),
             "schedulers" => s.schedulers = Some(number(words.get(1))?),
             "customers" => {
-                let customer = Customer { jobs_per_second: Some(10.0), ..Customer::default() };
-                s.customers.resize(number(words.get(1))?, customer);
+                let tenant = Tenant { requests_per_second: Some(10.0), ..Tenant::default() };
+                s.tenants.resize(number(words.get(1))?, tenant);
             }
             "importance" => {
-                for (workload, word) in s.workloads.iter_mut().zip(&words[1..]) {
-                    workload.importance = Some(number(Some(word))?);
+                for (request_class, word) in s.request_classes.iter_mut().zip(&words[1..]) {
+                    request_class.priority_weight = Some(number(Some(word))?);
                 }
             }
-            "workloads" => s.workloads.resize(number(words.get(1))?, s.workloads[0].clone()),
+            "workloads" => s.request_classes.resize(number(words.get(1))?, s.request_classes[0].clone()),
             "keep" => s.copies.keep = Some(span(value)?),
             "fall" => {
                 let told = |at| words.get(at).copied().filter(|word: &&str| *word != "-");
@@ -130,13 +131,13 @@
                 s.rules.fall_window = told(4).map(span).transpose()?;
             }
             "memory" => s.copies.memory_mb_by_kind = vec![number(Some(&value))?],
-            "told" => s.copies.tells_warm = true,
+            "told" => s.copies.reports_cache_status = true,
             "cancel" => s.allowed.cancel = true,
             "orders" => {
-                s.copies.orders = true;
-                s.copies.load_free = value_of(words, "free").map(|w| number(Some(&w))).transpose()?;
-                s.copies.load_share = value_of(words, "share").map(|w| number(Some(&w))).transpose()?;
-                s.copies.load_window = value_of(words, "window").map(span).transpose()?;
+                s.copies.load_commands = true;
+                s.copies.load_quota_burst = value_of(words, "free").map(|w| number(Some(&w))).transpose()?;
+                s.copies.load_quota_share = value_of(words, "share").map(|w| number(Some(&w))).transpose()?;
+                s.copies.load_quota_window = value_of(words, "window").map(span).transpose()?;
                 s.prices.origin = value_of(words, "fetch").map_or(Ok(0.0), |w| number(Some(&w)))?;
                 s.copies.idle_memory_price =
                     value_of(words, "memory").map(|w| number(Some(&w))).transpose()?;
@@ -144,8 +145,8 @@
             }
             "report" if value == "memory" => s.report_fields = vec![ReportField::MemoryTaken],
             "report" if value == "held" => s.report_fields = vec![ReportField::Held],
-            "discovery" if value == "ask" => s.discovery = Discovery::Ask,
-            "target" => workload.start_target = Some(span(value)?),
+            "discovery" if value == "ask" => s.discovery = DiscoveryMode::Poll,
+            "target" => request_class.latency_objective = Some(span(value)?),
             "ask-within" => s.rules.ask_within = Some(span(value)?),
             "retry-after" => {
                 s.allowed.retry_after = true;
@@ -159,59 +160,71 @@
     fn give(&mut self, event: Event) {
         let scheduler = self.scheduler.get_or_insert_with(|| Scheduler::new(&self.settings, 11));
         for action in scheduler.handle(self.now, event) {
-            if let Action::Execute { job, worker, .. } = &action {
-                let executions = self.executions.entry(*job).or_default();
-                let before = self.out.insert(*job, (worker.to_string(), *executions));
-                assert!(before.is_none(), "job {job} has two executions out");
-                *executions += 1;
+            if let Action::StartAttempt { request, worker, .. } = &action {
+                let attempts = self.attempts.entry(*request).or_default();
+                let before = self.out.insert(*request, (worker.to_string(), *attempts));
+                assert!(before.is_none(), "job {request} has two executions out");
+                *attempts += 1;
                 *self.sends.entry(worker.to_string()).or_default() += 1;
-                self.pairs.extend(self.functions.get(job).map(|of| (of.clone(), worker.to_string())));
+                self.pairs.extend(self.functions.get(request).map(|of| (of.clone(), worker.to_string())));
             }
             self.pending.push(action);
         }
     }
 
-    fn job(&mut self, job: JobId, function: &str, words: &[&str]) -> Line<'_> {
+    fn request(&mut self, request: RequestId, function: &str, words: &[&str]) -> Line<'_> {
         let count = |key| value_of(words, key).map_or(Ok(0), |w| number(Some(&w)));
-        let (workload, customer) = (count("workload")?, count("customer")?);
+        let (request_class, tenant) = (count("workload")?, count("customer")?);
         let left = span(value_of(words, "left").unwrap_or("3s"))?;
         let memory_mb = value_of(words, "mb").map(|w| number(Some(&w))).transpose()?;
-        let asked = JobAsked { job, function, left, workload, customer, memory_mb, ..JobAsked::default() };
-        self.functions.insert(job, function.to_owned());
-        self.give(Event::Job(asked));
+        let asked =
+            Request { request, function, left, request_class, tenant, memory_mb, ..Request::default() };
+        self.functions.insert(request, function.to_owned());
+        self.give(Event::Request(asked));
         Ok(())
     }
 
-    fn end(&mut self, job: JobId, words: &[&str]) -> Line<'_> {
-        let (worker, execution) = self.out.remove(&job).ok_or(format!("job {job} has no execution out"))?;
+    fn end(&mut self, request: RequestId, words: &[&str]) -> Line<'_> {
+        let (worker, attempt) =
+            self.out.remove(&request).ok_or(format!("job {request} has no execution out"))?;
         let outcome = match words[0] {
-            "finished" => Outcome::Finished,
+            "finished" => Outcome::Succeeded,
             "error" => Outcome::Error,
-            "full" => Outcome::Full,
+            "full" => Outcome::AtCapacity,
             "timed-out" => Outcome::TimedOut,
             "connect-failed" => Outcome::ConnectFailed,
             "reset" => Outcome::Reset,
             "cancelled" => Outcome::Cancelled,
-            "moot" => Outcome::Moot,
-            "miss" => Outcome::Miss,
+            "moot" => Outcome::NeverSent,
+            "miss" => Outcome::CacheMiss,
             other => return Err(format!("no outcome: {other}")),
         };
-        let (mut over, mut found) = (outcome == Outcome::Finished, Found::Untold);
-        let (mut took, mut report) = (Duration::from_millis(100), Vec::new());
+        let (mut concluded, mut cache_result) = (outcome == Outcome::Succeeded, CacheResult::Unknown);
+        let (mut duration, mut report) = (Duration::from_millis(100), Vec::new());
         for word in &words[1..] {
             match word.split_once('=') {
-                None if *word == "over" => over = true,
-                None if *word == "open" => over = false,
-                None if *word == "warm" => found = Found::Warm,
-                None if *word == "began" => found = Found::BeganLoad,
-                None if *word == "unloadable" => found = Found::LoadFailed,
-                Some(("took", value)) => took = span(value)?,
+                None if *word == "over" => concluded = true,
+                None if *word == "open" => concluded = false,
+                None if *word == "warm" => cache_result = CacheResult::Warm,
+                None if *word == "began" => cache_result = CacheResult::StartedLoad,
+                None if *word == "unloadable" => cache_result = CacheResult::LoadFailed,
+                Some(("took", value)) => duration = span(value)?,
                 Some(("held", value)) => report = vec![Some(number(Some(&value))?)],
                 _ => return Err(format!("no detail of an end: {word}")),
             }
         }
         let worker = worker.as_str();
-        self.give(Event::Ended { job, execution, worker, outcome, took, over, found, crowd: None, report });
+        self.give(Event::AttemptEnded {
+            request,
+            attempt,
+            worker,
+            outcome,
+            duration,
+            concluded,
+            cache_result,
+            concurrency: None,
+            report,
+        });
         Ok(())
     }
 
@@ -222,78 +235,81 @@
     }
 
     fn line(&mut self, words: &[&str]) -> Line<'_> {
-        let job = || number::<JobId>(words.get(1));
+        let request = || number::<RequestId>(words.get(1));
         match words[0] {
             "set" if words.len() > 1 => self.set(&words[1..])?,
             "at" => self.now = span(words.get(1).unwrap_or(&""))?,
             "list" => {
                 let form = match words.get(1) {
-                    Some(&"full") => ListForm::Full,
-                    Some(&"saved") => ListForm::Saved,
-                    Some(&"changes") => ListForm::Changes,
-                    Some(&"failed") => ListForm::Failed,
+                    Some(&"full") => EndpointListKind::Full,
+                    Some(&"saved") => EndpointListKind::Snapshot,
+                    Some(&"changes") => EndpointListKind::Changes,
+                    Some(&"failed") => EndpointListKind::Failed,
                     other => return Err(format!("no form of list: {other:?}")),
                 };
                 let entries = words[2..].iter().map(|w| entry(w)).collect::<Result<Vec<_>, _>>()?;
                 self.kinds.extend(entries.iter().map(|e| (e.worker.to_owned(), e.kind.to_string())));
-                self.give(Event::List { form, entries });
+                self.give(Event::EndpointList { form, entries });
             }
             "job" => {
-                self.job(job()?, words.get(2).unwrap_or(&"f"), words)?;
+                self.request(request()?, words.get(2).unwrap_or(&"f"), words)?;
             }
             "jobs" => {
                 let functions = words.get(3..).filter(|f| !f.is_empty()).ok_or("no functions")?;
                 let functions: Vec<_> = functions.iter().filter(|f| !f.contains('=')).collect();
                 let every = value_of(words, "every").map(span).transpose()?;
-                for job in job()?..number(words.get(2))? {
-                    let function = functions[job as usize % functions.len()];
+                for request in request()?..number(words.get(2))? {
+                    let function = functions[request as usize % functions.len()];
                     self.now += every.unwrap_or_default();
-                    self.job(job, function, words)?;
-                    if every.is_some() && self.out.contains_key(&job) {
-                        let slow = self.kinds.get(&self.out[&job].0)
+                    self.request(request, function, words)?;
+                    if every.is_some() && self.out.contains_key(&request) {
+                        let slow = self.kinds.get(&self.out[&request].0)
                             == value_of(words, "slow").map(String::from).as_ref();
-                        self.end(job, if slow { &["finished", "took=300ms"] } else { &["finished"] })?;
+                        self.end(request, if slow { &["finished", "took=300ms"] } else { &["finished"] })?;
                     }
                 }
             }
-            "end" if words.len() > 2 => self.end(job()?, &words[2..])?,
+            "end" if words.len() > 2 => self.end(request()?, &words[2..])?,
             "end-all" if words.len() > 1 => {
-                for job in self.out.keys().copied().collect::<Vec<_>>() {
-                    self.end(job, &words[1..])?;
+                for request in self.out.keys().copied().collect::<Vec<_>>() {
+                    self.end(request, &words[1..])?;
                 }
             }
-            "tick" => self.give(Event::Timer { mark: "tick" }),
-            "expire" => self.give(Event::Expired { job: job()? }),
+            "tick" => self.give(Event::Timer { name: "tick" }),
+            "expire" => self.give(Event::RequestCancelled { request: request()? }),
             "sent" => {
-                let wanted = job()?;
+                let wanted = request()?;
                 let fits = |worker: &str| match (words.get(2), words.get(3)) {
                     (Some(&"to"), Some(name)) => worker == *name,
                     (Some(&"not"), Some(name)) => worker != *name,
                     _ => true,
                 };
                 let sent = |a: &Action| match a {
-                    Action::Execute { job, worker, .. } => *job == wanted && fits(worker),
+                    Action::StartAttempt { request, worker, .. } => *request == wanted && fits(worker),
                     _ => false,
                 };
                 self.expect(&words.join(" "), sent)?;
             }
             "pushed-back" => {
-                let wanted = job()?;
+                let wanted = request()?;
                 let Allowed { retry_after, max_retry_after: most, .. } = self.settings.allowed;
                 let allowed = |back: Duration| !back.is_zero() && most.is_none_or(|most| back <= most);
                 let named = |back: Option<Duration>| back.map_or(!retry_after, |b| retry_after && allowed(b));
                 self.expect(
                     "push-back, with a time to come back where settings allow",
-                    |a| matches!(a, Action::PushBack { job, come_back } if *job == wanted && named(*come_back)),
+                    |a| matches!(a, Action::Reject { request, retry_after } if *request == wanted && named(*retry_after)),
                 )?;
             }
             "killed" => {
-                let wanted = job()?;
-                self.expect("kill", |a| *a == Action::Kill { job: wanted })?;
+                let wanted = request()?;
+                self.expect("kill", |a| *a == Action::Fail { request: wanted })?;
             }
             "cancelled" => {
-                let wanted = job()?;
-                self.expect("cancel", |a| matches!(a, Action::Cancel { job, .. } if *job == wanted))?;
+                let wanted = request()?;
+                self.expect(
+                    "cancel",
+                    |a| matches!(a, Action::CancelAttempt { request, .. } if *request == wanted),
+                )?;
             }
             "watched" => self.expect("watch", |a| *a == Action::Watch { on: true })?,
             "replace" => {
@@ -302,20 +318,20 @@
                 for n in 0..count {
                     self.now += every;
                     let (new, old) = (format!("r{n}"), format!("r{}", n.wrapping_sub(up)));
-                    let entry = |worker, state| Entry { worker, state, ..Entry::default() };
-                    let entries = vec![entry(&new, State::Up), entry(&old, State::Gone)];
-                    self.give(Event::List { form: ListForm::Changes, entries });
-                    self.job(1_000_000 + n as JobId, "f", &[])?;
-                    self.end(1_000_000 + n as JobId, &["finished"])?;
+                    let entry = |worker, state| Endpoint { worker, state, ..Endpoint::default() };
+                    let entries = vec![entry(&new, EndpointState::Up), entry(&old, EndpointState::Gone)];
+                    self.give(Event::EndpointList { form: EndpointListKind::Changes, entries });
+                    self.request(1_000_000 + n as RequestId, "f", &[])?;
+                    self.end(1_000_000 + n as RequestId, &["finished"])?;
                 }
             }
             "places-most" | "places-least" => {
-                let (workers, functions, jobs) =
+                let (workers, functions, requests) =
                     self.scheduler.as_ref().map(|s| s.places()).unwrap_or_default();
                 let kept = match words.get(1) {
                     Some(&"workers") => workers,
                     Some(&"functions") => functions,
-                    _ => jobs,
+                    _ => requests,
                 };
                 let bound: usize = number(words.get(2))?;
                 if if words[0] == "places-most" { kept > bound } else { kept < bound } {
@@ -324,11 +340,12 @@
             }
             "expect" => {
                 let within = span(value_of(words, "within").unwrap_or("8s"))?;
-                let sure = value_of(words, "sure").map_or(Ok(1.0), |w| number(Some(&w)))?;
+                let probability = value_of(words, "sure").map_or(Ok(1.0), |w| number(Some(&w)))?;
                 let memory_mb = value_of(words, "mb").map(|w| number(Some(&w))).transpose()?;
                 let function = words.get(1).copied().unwrap_or("f");
-                let of = Expectation { function, within, sure, memory_mb, ..Expectation::default() };
-                self.give(Event::Expected(of));
+                let of =
+                    UsageForecast { function, within, probability, memory_mb, ..UsageForecast::default() };
+                self.give(Event::UsageForecast(of));
             }
             "ordered" => {
                 let function = words.get(1).copied().unwrap_or("f");
@@ -344,24 +361,24 @@
                 let (worker, function) = (self.ordered.clone(), words.get(1).copied().unwrap_or("f"));
                 let (outcome, copies) = match words.get(2) {
                     Some(&"error") => (Outcome::Error, 0),
-                    Some(&"full") => (Outcome::Full, 0),
-                    _ => (Outcome::Finished, 1),
+                    Some(&"full") => (Outcome::AtCapacity, 0),
+                    _ => (Outcome::Succeeded, 1),
                 };
-                let took = Duration::from_millis(500);
-                self.give(Event::Loaded { worker: &worker, function, outcome, took, copies });
+                let duration = Duration::from_millis(500);
+                self.give(Event::LoadEnded { worker: &worker, function, outcome, duration, copies });
             }
             "sent-there" => {
-                let (job, worker) = (job()?, self.ordered.clone());
+                let (request, worker) = (request()?, self.ordered.clone());
                 self.expect("send to where it was loaded", |a| {
-                    matches!(a, Action::Execute { job: of, worker: to, .. } if *of == job && **to == *worker)
+                    matches!(a, Action::StartAttempt { request: of, worker: to, .. } if *of == request && **to == *worker)
                 })?;
             }
-            "schedulers" => self.give(Event::Schedulers(number(words.get(1))?)),
+            "schedulers" => self.give(Event::SchedulerCount(number(words.get(1))?)),
             "restart" => {
                 let before = self.scheduler.take().map(|old| old.measured);
                 self.sends.clear();
                 if let (Some(before), Some(&"knowing")) = (before, words.get(1)) {
-                    self.give(Event::Measured(before));
+                    self.give(Event::RestoredMeasurements(before));
                 }
             }
             "forget" => self.pending.clear(),
@@ -375,7 +392,7 @@
                 }
             }
             "quiet" => {
-                self.pending.retain(|a| !matches!(a, Action::Timer { .. }));
+                self.pending.retain(|a| !matches!(a, Action::SetTimer { .. }));
                 if !self.pending.is_empty() {
                     return Err(format!("not quiet: {:?}", self.pending));
                 }
--- a/crates/quartzdrift-timers/src/lib.rs
+++ b/crates/quartzdrift-schedules/src/lib.rs
@@ -1,7 +1,7 @@
 //! Which timer fires when. No I/O, no clock: times are since 1970 and come from the caller.
 //!
 //! [`Timers::new`] from the settings and the moment up to which an earlier start looked, or that of this start; [`Timers::due`] for what fires now. A firing is a
-//! job like any other; [`Timers::over`] tells that it has had its final answer, for timers that may not overlap.
+//! request like any other; [`Timers::over`] tells that it has had its final answer, for timers that may not overlap.
 //!
 //! A firing is *missed* where the process was busy or asleep past its moment by more than [`LATE`], or where the
 //! clock was set ahead, or where the process was down since its last look. In the hour that a zone repeats in autumn, a time of day comes once; in the hour that
@@ -16,7 +16,7 @@
 /// Past its moment by more than this, a firing counts as missed: far longer than a busy turn of the loop.
 pub const LATE: Duration = Duration::from_secs(5);
 /// Missed firings made up for at once, where all are to be: a clock set ahead by a year must not be a storm.
-const MADE_UP_MOST: usize = 100;
+const MAX_MADE_UP: usize = 100;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Missed {
@@ -38,7 +38,7 @@
     /// Firings are put off by a chance part of this.
     pub jitter: Duration,
     pub missed: Missed,
-    /// May fire while its last job is not over.
+    /// May fire while its last request is not over.
     pub overlap: bool,
 }
 
@@ -60,7 +60,7 @@
     pub at: Duration,
 }
 
-/// What became of a moment that was due without a job for it.
+/// What became of a moment that was due without a request for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Note {
     Missed { timer: String, count: usize },
@@ -110,7 +110,7 @@
             let mut missed = vec![at];
             while let Some(more) = missed.last().and_then(|last| next(timer, *last)).filter(|at| *at <= now) {
                 missed.push(more);
-                if missed.len() > MADE_UP_MOST {
+                if missed.len() > MAX_MADE_UP {
                     missed.remove(0);
                 }
             }
@@ -135,7 +135,7 @@
         firings.push(Firing { timer: timer.name.clone(), function: timer.function.clone(), at });
     }
 
-    /// The job of a firing is over.
+    /// The request of a firing is over.
     pub fn over(&mut self, timer: &str) {
         let ix = self.timers.iter().position(|t| t.name == timer);
         if let Some(out) = ix.and_then(|ix| self.out.get_mut(&ix)) {
@@ -207,7 +207,7 @@
             assert!(timers.next_due().unwrap() > start + Duration::from_secs(600));
         }
         let mut timers = Timers::new(vec![timer("* * * * *", "UTC", Missed::All, true)], 1, start);
-        assert_eq!(timers.due(start + Duration::from_secs(86_400 * 30)).0.len(), MADE_UP_MOST);
+        assert_eq!(timers.due(start + Duration::from_secs(86_400 * 30)).0.len(), MAX_MADE_UP);
     }
 
     #[test]
--- a/crates/quartzdrift-store/src/frame.rs
+++ b/crates/quartzdrift-wal/src/frame.rs
@@ -11,7 +11,7 @@
 pub const VERSION: u32 = 1;
 pub const HEAD: usize = 16;
 /// Bytes of a frame at most: a length beyond it is damage.
-pub const FRAME_MOST: usize = 64 << 20;
+pub const MAX_FRAME: usize = 64 << 20;
 
 pub fn head() -> Vec<u8> {
     let mut bytes = NAME.to_vec();
@@ -54,7 +54,7 @@
 
 /// `None`: a batch that is too long.
 pub fn write(changes: &[Change]) -> Option<Vec<u8>> {
-    let body = postcard::to_stdvec(changes).ok().filter(|body| body.len() <= FRAME_MOST)?;
+    let body = postcard::to_stdvec(changes).ok().filter(|body| body.len() <= MAX_FRAME)?;
     let mut bytes = Vec::with_capacity(body.len() + 8);
     bytes.extend((body.len() as u32).to_le_bytes());
     bytes.extend(crc32fast::hash(&body).to_le_bytes());
@@ -67,7 +67,7 @@
     let length = number(bytes, at)? as usize;
     let sum = number(bytes, at + 4)?;
     // Zeros, which a file system may leave after a crash, are no frame.
-    if length == 0 || length > FRAME_MOST {
+    if length == 0 || length > MAX_FRAME {
         return None;
     }
     let body = bytes.get(at + 8..at + 8 + length)?;
--- a/crates/quartzdrift-store/src/lib.rs
+++ b/crates/quartzdrift-wal/src/lib.rs
@@ -1,6 +1,6 @@
-//! Deferred jobs on disk: a write-ahead log in segments.
+//! Asynchronous requests on disk: a write-ahead log in segments.
 //!
-//! [`Log::open`] reads what is there and gives the jobs that are not over; [`Log::commit`] writes changes, all or none of a
+//! [`Log::open`] reads what is there and gives the requests that are not over; [`Log::commit`] writes changes, all or none of a
 //! batch, and returns once they last. A log that could not write is of no more use until it is opened again: what is on the
 //! disk after a failed sync is not known.
 //!
@@ -16,7 +16,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A job that is not over. Times are microseconds since 1970.
+/// A request that is not over. Times are microseconds since 1970.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Live {
     pub id: u64,
@@ -28,15 +28,15 @@
     pub confined_us: Option<u64>,
     /// A try left then and has not ended as far as is known: it may have run.
     pub out_us: Option<u64>,
-    /// The job itself, as its owner writes it.
-    pub job: Vec<u8>,
+    /// The request itself, as its owner writes it.
+    pub request: Vec<u8>,
 }
 
 impl Live {
-    /// All of it but the job itself.
-    fn without_job(&self) -> Live {
-        let &Live { id, taken_us, due_us, tries, confined_us, out_us, job: _ } = self;
-        Live { id, taken_us, due_us, tries, confined_us, out_us, job: Vec::new() }
+    /// All of it but the request itself.
+    fn without_request(&self) -> Live {
+        let &Live { id, taken_us, due_us, tries, confined_us, out_us, request: _ } = self;
+        Live { id, taken_us, due_us, tries, confined_us, out_us, request: Vec::new() }
     }
 
     /// What becomes of it by a change that neither makes nor ends it.
--- a/crates/quartzdrift-store/src/log.rs
+++ b/crates/quartzdrift-wal/src/log.rs
@@ -7,9 +7,9 @@
 use std::io;
 
 /// A segment is closed once it is longer.
-const SEGMENT_MOST: u64 = 8 << 20;
+const MAX_SEGMENT: u64 = 8 << 20;
 /// Segments from which on the oldest is emptied, where most of all is no longer needed.
-const SEGMENTS_LEAST: usize = 3;
+const MIN_SEGMENTS: usize = 3;
 
 /// Why a store cannot be used as it is.
 #[derive(Debug)]
@@ -60,7 +60,7 @@
     name.strip_prefix("deferred-")?.strip_suffix(".log")?.parse().ok()
 }
 
-/// A job's place, and all of it but itself.
+/// A request's place, and all of it but itself.
 struct Entry {
     segment: u64,
     state: Live,
@@ -93,7 +93,7 @@
     pub faults: Vec<Unusable>,
 }
 
-/// Segments by number, and jobs by id with the segment that holds each.
+/// Segments by number, and requests by id with the segment that holds each.
 type Contents = (BTreeMap<u64, Segment>, BTreeMap<u64, (u64, Live)>, Looked);
 
 /// Reads all segments; what follows damage in a segment is passed over and told.
@@ -101,7 +101,7 @@
     let mut numbers: Vec<u64> = files.list()?.iter().filter_map(|name| number(name)).collect();
     numbers.sort_unstable();
     let mut looked = Looked { segments: numbers.len(), ..Looked::default() };
-    let (mut segments, mut jobs) = (BTreeMap::new(), BTreeMap::<u64, (u64, Live)>::new());
+    let (mut segments, mut requests) = (BTreeMap::new(), BTreeMap::<u64, (u64, Live)>::new());
     for (n, segment) in numbers.iter().enumerate() {
         let last = n + 1 == numbers.len();
         let bytes = files.read(&name(*segment))?;
@@ -139,43 +139,43 @@
             };
             at = next;
             for change in changes {
-                apply(&mut jobs, *segment, change);
+                apply(&mut requests, *segment, change);
             }
         }
         segments.insert(*segment, Segment { length: at as u64, live: 0 });
     }
-    Ok((segments, jobs, looked))
+    Ok((segments, requests, looked))
 }
 
-fn apply(jobs: &mut BTreeMap<u64, (u64, Live)>, segment: u64, change: Change) {
+fn apply(requests: &mut BTreeMap<u64, (u64, Live)>, segment: u64, change: Change) {
     match change {
-        Change::Kept(live) => drop(jobs.insert(live.id, (segment, live))),
-        Change::Over { id } => drop(jobs.remove(&id)),
+        Change::Kept(live) => drop(requests.insert(live.id, (segment, live))),
+        Change::Over { id } => drop(requests.remove(&id)),
         Change::Out { id, .. } | Change::Waits { id, .. } => {
-            if let Some((_, live)) = jobs.get_mut(&id) {
+            if let Some((_, live)) = requests.get_mut(&id) {
                 live.change(&change);
             }
         }
     }
 }
 
-/// The jobs themselves, by id.
-fn live(jobs: BTreeMap<u64, (u64, Live)>) -> Vec<Live> {
-    jobs.into_values().map(|(_, live)| live).collect()
+/// The requests themselves, by id.
+fn live(requests: BTreeMap<u64, (u64, Live)>) -> Vec<Live> {
+    requests.into_values().map(|(_, live)| live).collect()
 }
 
 /// Looks at a store without changing it.
 pub fn look<F: Files>(files: &F) -> Result<Looked, io::Error> {
-    read(files).map(|(_, jobs, looked)| Looked { live: live(jobs), ..looked })
+    read(files).map(|(_, requests, looked)| Looked { live: live(requests), ..looked })
 }
 
 /// Writes what can be read into one new segment and removes the others; segments of other releases stay, and nothing is done.
 pub fn repair<F: Files>(mut files: F) -> Result<Looked, Unusable> {
-    let (_, jobs, mut looked) = read(&files)?;
+    let (_, requests, mut looked) = read(&files)?;
     if let Some(at) = looked.faults.iter().position(|fault| matches!(fault, Unusable::Version(..))) {
         return Err(looked.faults.swap_remove(at));
     }
-    looked.live = live(jobs);
+    looked.live = live(requests);
     let old: Vec<String> = files.list()?.into_iter().filter(|name| number(name).is_some()).collect();
     let new = old.iter().filter_map(|name| number(name)).max().unwrap_or(0) + 1;
     files.append(&name(new), &frame::head())?;
@@ -193,14 +193,14 @@
 }
 
 impl<F: Files> Log<F> {
-    /// Reads a store and cuts off what a crash left half written; gives the jobs that are not over, by id.
+    /// Reads a store and cuts off what a crash left half written; gives the requests that are not over, by id.
     pub fn open(files: F) -> Result<(Log<F>, Vec<Live>), Unusable> {
-        Log::open_with(files, SEGMENT_MOST)
+        Log::open_with(files, MAX_SEGMENT)
     }
 
     /// The same with segments of another length.
     pub fn open_with(mut files: F, segment_most: u64) -> Result<(Log<F>, Vec<Live>), Unusable> {
-        let (segments, jobs, mut looked) = read(&files)?;
+        let (segments, requests, mut looked) = read(&files)?;
         if !looked.faults.is_empty() {
             return Err(looked.faults.swap_remove(0));
         }
@@ -211,9 +211,9 @@
         }
         let entries = BTreeMap::new();
         let mut log = Log { files, entries, segments, live_bytes: 0, segment_most, failed: false };
-        jobs.values().for_each(|(segment, live)| log.keep(*segment, live));
+        requests.values().for_each(|(segment, live)| log.keep(*segment, live));
         log.first()?;
-        Ok((log, live(jobs)))
+        Ok((log, live(requests)))
     }
 
     /// The last segment has its head.
@@ -283,23 +283,23 @@
         }
     }
 
-    /// Notes where a job is, and all of it but itself.
+    /// Notes where a request is, and all of it but itself.
     fn keep(&mut self, segment: u64, live: &Live) {
         self.drop_entry(live.id);
-        let size = live.job.len() as u64;
+        let size = live.request.len() as u64;
         self.live_bytes += size;
         if let Some(of) = self.segments.get_mut(&segment) {
             of.live += 1;
         }
-        self.entries.insert(live.id, Entry { segment, state: live.without_job(), size });
+        self.entries.insert(live.id, Entry { segment, state: live.without_request(), size });
     }
 
-    /// Removes the oldest segments that hold no job any more, and empties one more where most of all is of no use.
+    /// Removes the oldest segments that hold no request any more, and empties one more where most of all is of no use.
     fn tidy(&mut self) -> Result<(), Unusable> {
         self.remove_empty()?;
         let bytes: u64 = self.segments.values().map(|of| of.length).sum();
         let useless = self.live_bytes * 2 < bytes.saturating_sub(self.segment_most);
-        if self.segments.len() < SEGMENTS_LEAST || !useless {
+        if self.segments.len() < MIN_SEGMENTS || !useless {
             return Ok(());
         }
         let Some(oldest) = self.segments.keys().next().copied() else { return Ok(()) };
@@ -311,7 +311,7 @@
                 if let Change::Kept(live) = change
                     && let Some(entry) = self.entries.get(&live.id).filter(|entry| entry.segment == oldest)
                 {
-                    moved.insert(live.id, Live { job: live.job, ..entry.state.clone() });
+                    moved.insert(live.id, Live { request: live.request, ..entry.state.clone() });
                 }
             }
         }
@@ -334,7 +334,7 @@
         if removed { Ok(self.files.sync_names()?) } else { Ok(()) }
     }
 
-    /// Jobs that are not over, segments, and bytes in them.
+    /// Requests that are not over, segments, and bytes in them.
     pub fn sizes(&self) -> (usize, usize, u64) {
         (self.entries.len(), self.segments.len(), self.segments.values().map(|of| of.length).sum())
     }
--- a/crates/quartzdrift-store/tests/crashes.rs
+++ b/crates/quartzdrift-wal/tests/crashes.rs
@@ -1,6 +1,6 @@
 //! A crash at every step, a disk that fails, and damage.
 use proptest::prelude::*;
-use quartzdrift_store::{Change, Files, Folder, Live, Log, Unusable, look, repair};
+use quartzdrift_wal::{Change, Files, Folder, Live, Log, Unusable, look, repair};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -130,14 +130,14 @@
     }
 }
 
-/// Small, so that a few jobs fill some segments.
+/// Small, so that a few requests fill some segments.
 const SEGMENT: u64 = 300;
 
 fn kept(id: u64) -> Change {
-    Change::Kept(Live { id, taken_us: id, due_us: id, job: vec![id as u8; 40], ..Live::default() })
+    Change::Kept(Live { id, taken_us: id, due_us: id, request: vec![id as u8; 40], ..Live::default() })
 }
 
-/// A life of twelve jobs: taken, out, waiting again, over, some never.
+/// A life of twelve requests: taken, out, waiting again, over, some never.
 fn batches() -> Vec<Vec<Change>> {
     let mut all = Vec::new();
     for id in 1..=12 {
@@ -157,22 +157,23 @@
 
 /// What should be there after so many batches.
 fn expected(batches: &[Vec<Change>]) -> BTreeMap<u64, Live> {
-    let mut jobs: BTreeMap<u64, Live> = BTreeMap::new();
+    let mut requests: BTreeMap<u64, Live> = BTreeMap::new();
     for change in batches.iter().flatten().cloned() {
         match change {
-            Change::Kept(live) => drop(jobs.insert(live.id, live)),
-            Change::Over { id } => drop(jobs.remove(&id)),
+            Change::Kept(live) => drop(requests.insert(live.id, live)),
+            Change::Over { id } => drop(requests.remove(&id)),
             Change::Out { id, at_us, tries } => {
-                let job = jobs.get_mut(&id).unwrap();
-                (job.out_us, job.tries) = (Some(at_us), tries);
+                let request = requests.get_mut(&id).unwrap();
+                (request.out_us, request.tries) = (Some(at_us), tries);
             }
             Change::Waits { id, due_us, tries, confined_us } => {
-                let job = jobs.get_mut(&id).unwrap();
-                (job.due_us, job.tries, job.confined_us, job.out_us) = (due_us, tries, confined_us, None);
+                let request = requests.get_mut(&id).unwrap();
+                (request.due_us, request.tries, request.confined_us, request.out_us) =
+                    (due_us, tries, confined_us, None);
             }
         }
     }
-    jobs
+    requests
 }
 
 fn open(disk: &Shared) -> Result<(Log<Shared>, Vec<Live>), Unusable> {
@@ -223,8 +224,8 @@
         log.commit(vec![kept(id)]).unwrap();
         log.commit(vec![Change::Out { id, at_us: 1, tries: 1 }, Change::Over { id }]).unwrap();
     }
-    let (jobs, segments, bytes) = log.sizes();
-    assert!(jobs == 1 && segments <= 4 && bytes < 5 * SEGMENT, "{segments} segments, {bytes} bytes");
+    let (requests, segments, bytes) = log.sizes();
+    assert!(requests == 1 && segments <= 4 && bytes < 5 * SEGMENT, "{segments} segments, {bytes} bytes");
     drop(log);
     assert_eq!(found(disk.0.borrow().after(0)).keys().copied().collect::<Vec<_>>(), [1]);
 }
--- a/crates/quartzdrift/src/durable.rs
+++ b/crates/quartzdrift/src/durable.rs
@@ -1,15 +1,15 @@
-//! Deferred jobs on disk, off the event loop: a thread writes what it is given, all that waits in one go, and says up to which
+//! Asynchronous requests on disk, off the event loop: a thread writes what it is given, all that waits in one go, and says up to which
 //! batch everything lasts.
 use calloop::channel::{self, Channel};
-use quartzdrift_deferred::{Change, Id, Kept, Submitted};
-use quartzdrift_store::{self as store, Folder, Live, Log, Unusable};
+use quartzdrift_async_queue::{Change, Id, Kept, Submitted};
+use quartzdrift_wal::{self as store, Folder, Live, Log, Unusable};
 use std::path::Path;
 use std::sync::mpsc::{SyncSender, TrySendError, sync_channel};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Batches that wait for the disk at most; then changes gather in the queue, and new jobs are pushed back.
-const WAITING_MOST: usize = 256;
+/// Batches that wait for the disk at most; then changes gather in the queue, and new requests are rejected.
+const MAX_WAITING: usize = 256;
 
 /// What the thread says: all up to this batch lasts, or nothing from here on will.
 #[derive(Debug)]
@@ -31,9 +31,9 @@
 
 fn written(change: Change) -> store::Change {
     match change {
-        Change::Taken { id, at, job } => {
+        Change::Taken { id, at, request } => {
             let (taken_us, due_us) = (micros(at), micros(at));
-            store::Change::Kept(Live { id: id.0, taken_us, due_us, job, ..Live::default() })
+            store::Change::Kept(Live { id: id.0, taken_us, due_us, request, ..Live::default() })
         }
         Change::Out { id, at, tries } => store::Change::Out { id: id.0, at_us: micros(at), tries },
         Change::Waits { id, until, tries, confined } => {
@@ -44,11 +44,11 @@
     }
 }
 
-/// A job as the queue takes it back; `None`: another release wrote it.
+/// A request as the queue takes it back; `None`: another release wrote it.
 pub fn kept(live: &Live) -> Option<Kept> {
     Some(Kept {
         id: Id(live.id),
-        job: Submitted::from_bytes(&live.job)?,
+        request: Submitted::from_bytes(&live.request)?,
         taken: Duration::from_micros(live.taken_us),
         due: Duration::from_micros(live.due_us),
         tries: live.tries,
@@ -58,10 +58,10 @@
 }
 
 impl Durable {
-    /// Opens the store and starts its thread; gives the jobs that are not over.
+    /// Opens the store and starts its thread; gives the requests that are not over.
     pub fn start(path: &Path) -> Result<(Durable, Vec<Live>, Channel<Said>), Unusable> {
         let (mut log, live) = Log::open(Folder::open(path)?)?;
-        let (sender, batches) = sync_channel::<(u64, Vec<Change>)>(WAITING_MOST);
+        let (sender, batches) = sync_channel::<(u64, Vec<Change>)>(MAX_WAITING);
         let (says, said) = channel::channel();
         let work = move || {
             while let Ok((mut number, changes)) = batches.recv() {
--- a/crates/quartzdrift/src/gateway/ahead.rs
+++ b/crates/quartzdrift/src/gateway/ahead.rs
@@ -1,17 +1,17 @@
-//! Forecasts of use, and loads ahead of need: what is expected goes to the desk, and what came of an order to the
+//! Forecasts of use, and loads ahead of need: what is expected goes to the request table, and what came of an order to the
 //! ledger. Whether anything is loaded, and where, is the decision module's.
 use super::Gateway;
 use crate::saved;
 use crate::settings::Function;
-use quartzdrift_choice::interface::{Expectation, Outcome};
 use quartzdrift_forecast::{Ahead, Forecasts};
+use quartzdrift_scheduler::interface::{Outcome, UsageForecast};
 use std::collections::HashMap;
 use std::time::Duration;
 
 pub(super) struct Loads {
     ahead: Ahead,
     /// Load orders that are out: when each left, and for which function.
-    orders: HashMap<u64, (Duration, String)>,
+    commands: HashMap<u64, (Duration, String)>,
     save_at: Duration,
 }
 
@@ -36,36 +36,36 @@
             Some(Err(why)) => tracing::warn!(%why, "the saved forecasts are set aside; they begin anew"),
             None => {}
         }
-        self.ahead = Some(Loads { ahead, orders: HashMap::new(), save_at: now + told.every });
+        self.ahead = Some(Loads { ahead, commands: HashMap::new(), save_at: now + told.every });
     }
 
-    /// Every job that is taken is a use of its function.
-    pub(super) fn note_use(&mut self, name: &str, function: &Function, customer: u32, left: Duration) {
+    /// Every request that is taken is a use of its function.
+    pub(super) fn note_use(&mut self, name: &str, function: &Function, tenant: u32, left: Duration) {
         let now = self.now();
         if let Some(loads) = &mut self.ahead {
             loads.ahead.used(now, name, function.load);
         }
         if let Some(recorder) = &mut self.recorder {
-            recorder.job(now, name, function.workload, customer, left);
+            recorder.request(now, name, function.request_class, tenant, left);
         }
     }
 
-    pub(super) fn ahead_ordered(&mut self, order: u64, function: &str) {
+    pub(super) fn ahead_ordered(&mut self, command: u64, function: &str) {
         let now = self.now();
         let memory = self.settings.function(function).and_then(|f| f.memory_mb).unwrap_or(0.0);
         if let Some(loads) = &mut self.ahead {
             loads.ahead.ordered(now, function, memory);
-            loads.orders.insert(order, (now, function.to_owned()));
+            loads.commands.insert(command, (now, function.to_owned()));
             tracing::debug!(function, "load ahead ordered");
         }
     }
 
-    pub(super) fn ahead_loaded(&mut self, order: u64, outcome: Outcome) {
+    pub(super) fn ahead_loaded(&mut self, command: u64, outcome: Outcome) {
         let now = self.now();
         if let Some(loads) = &mut self.ahead
-            && let Some((at, function)) = loads.orders.remove(&order)
+            && let Some((at, function)) = loads.commands.remove(&command)
         {
-            loads.ahead.loaded(now, &function, outcome == Outcome::Finished, now.saturating_sub(at));
+            loads.ahead.loaded(now, &function, outcome == Outcome::Succeeded, now.saturating_sub(at));
         }
     }
 
@@ -77,17 +77,17 @@
         let let_in = self.returning.as_ref().is_none_or(|returning| returning.machine.loads_ahead(now));
         for of in expected.into_iter().filter(|_| let_in) {
             let Some(function) = self.settings.function(&of.function) else { continue };
-            let expectation = Expectation {
+            let expectation = UsageForecast {
                 function: &of.function,
-                workload: function.workload,
+                request_class: function.request_class,
                 within: of.within,
-                sure: of.sure,
-                jobs_per_second: of.jobs_per_second,
+                probability: of.probability,
+                requests_per_second: of.requests_per_second,
                 memory_mb: function.memory_mb,
-                lanes: function.lanes,
+                concurrency_slots: function.concurrency_slots,
                 load_hint: function.load,
             };
-            self.desk.expected(now, expectation);
+            self.request_table.forecast(now, expectation);
             self.carry_out();
         }
         if saves {
@@ -105,7 +105,7 @@
         let standing = loads.ahead.forecasts.standing;
         tracing::info!(
             functions,
-            orders = sums.orders,
+            commands = sums.orders,
             fetches = sums.fetches,
             failed = sums.failed,
             used = sums.used,
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -1,12 +1,12 @@
-//! Calls of clients: read, made into jobs, and answered.
+//! Calls of clients: read, made into requests, and answered.
 use super::{Gateway, Origin, Work};
 use crate::settings::Function;
-use quartzdrift_choice::interface::Effect;
-use quartzdrift_deferred::Submitted;
-use quartzdrift_desk::{FinalAnswer, NewJob, Why};
+use quartzdrift_async_queue::Submitted;
 use quartzdrift_http::{BadRequest, Exchange, Headers, Request, Response};
-use quartzdrift_invoke::answer::{self, KilledFor, Problem, Said};
+use quartzdrift_invoke::answer::{self, FailureKind, Problem, Said};
 use quartzdrift_invoke::call::{self, Asked, Call, Mode};
+use quartzdrift_lifecycle::{FailureReason, FinalAnswer, NewRequest};
+use quartzdrift_scheduler::interface::Idempotency;
 use std::rc::Rc;
 use std::time::Duration;
 use uuid::Uuid;
@@ -55,12 +55,12 @@
         self.http.answer(exchange, &answer);
     }
 
-    /// Makes a request into a job; `Some` where it is answered at once.
+    /// Makes a request into a request; `Some` where it is answered at once.
     fn take(&mut self, exchange: Exchange, request: Request, id: Uuid) -> Result<Option<Said>, Problem> {
         let Request { head, body, .. } = request;
         let call = match call::read(&head.method, &head.target, |name| head.headers.get(name))? {
             Asked::Ready => {
-                let ready = self.stopping.is_none() && self.desk.workers_up() > 0;
+                let ready = self.stopping.is_none() && self.request_table.workers_up() > 0;
                 return Ok(Some(answer::ready(ready)));
             }
             Asked::Invoke(call) => call,
@@ -70,7 +70,7 @@
         }
         let name = call.function.loaded();
         let function = self.settings.function(&name).ok_or(Problem::NoSuchFunction)?;
-        let customer = self.customer(&head.headers)?;
+        let tenant = self.tenant(&head.headers)?;
         if call.mode == Mode::DryRun {
             return Ok(Some(answer::dry_run()));
         }
@@ -78,18 +78,20 @@
             return Err(Problem::Busy(Some(STOPPING)));
         }
         self.counts.taken += 1;
-        if call.mode == Mode::Deferred {
-            return self.defer(exchange, id, call, &name, &function, customer, body);
+        if call.mode == Mode::Asynchronous {
+            return self.defer(exchange, id, call, &name, &function, tenant, body);
         }
-        let workload = &self.settings.choice.workloads[function.workload as usize];
-        let limit = workload.time_limit.unwrap_or(Duration::MAX);
+        let request_class = &self.settings.scheduler.request_classes[function.request_class as usize];
+        let limit = request_class.timeout.unwrap_or(Duration::MAX);
         let left = call.left_ms.map_or(limit, |ms| limit.min(Duration::from_millis(ms)));
         let is_retry = head.headers.get("x-quartzdrift-retry").is_some();
-        let let_in = self.let_in(function.workload, call.mark.is_some(), is_retry);
+        let let_in = self.let_in(function.request_class, call.mark.is_some(), is_retry);
         let_in.map_err(|wait| Problem::Busy(Some(wait)))?;
-        // A fingerprinted job that came without a mark is marked by its own identity, for further executions.
-        let mark = call.mark.or_else(|| (workload.effect == Effect::Fingerprinted).then(|| id.to_string()));
-        let streams = workload.streams;
+        // A request with an idempotency key that came without a mark is marked by its own identity, for further attempts.
+        let mark = call.mark.or_else(|| {
+            (request_class.idempotency == Idempotency::IdempotentWithKey).then(|| id.to_string())
+        });
+        let streams = request_class.streams;
         let tries = self.paced(&name).map_err(|wait| Problem::Busy(Some(wait)))?;
         let work = Work {
             id,
@@ -97,17 +99,17 @@
             payload: body.into(),
             context: call.context,
             mark,
-            customer: customer.1,
+            tenant: tenant.1,
             streams,
-            workload: function.workload,
+            request_class: function.request_class,
             taken: self.now(),
             tries,
         };
-        self.note_use(&name, &function, customer.0, left);
-        let new = new_job(&function, name.into(), customer.0, left, is_retry, Rc::new(work));
-        match self.desk.job(self.now(), new) {
-            Ok(job) => {
-                self.exchanges.insert(exchange, job);
+        self.note_use(&name, &function, tenant.0, left);
+        let new = new_request(&function, name.into(), tenant.0, left, is_retry, Rc::new(work));
+        match self.request_table.submit(self.now(), new) {
+            Ok(request) => {
+                self.exchanges.insert(exchange, request);
                 self.carry_out();
                 Ok(None)
             }
@@ -115,13 +117,13 @@
         }
     }
 
-    /// The customer's place in the settings, and its name for workers.
-    fn customer(&self, headers: &Headers) -> Result<(u32, Option<String>), Problem> {
-        let Some(field) = &self.settings.customer_field else { return Ok((0, None)) };
+    /// The tenant's place in the settings, and its name for workers.
+    fn tenant(&self, headers: &Headers) -> Result<(u32, Option<String>), Problem> {
+        let Some(field) = &self.settings.tenant_field else { return Ok((0, None)) };
         let Some(told) = headers.get(field) else {
             return Err(Problem::BadParameter("the field that tells the customer is missing"));
         };
-        match self.settings.customers.get(told) {
+        match self.settings.tenants.get(told) {
             Some(&at) => Ok((at, Some(told.to_owned()))),
             None => Err(Problem::BadParameter("the customer is in no settings")),
         }
@@ -136,34 +138,36 @@
         call: Call,
         name: &str,
         function: &Function,
-        customer: (u32, Option<String>),
+        tenant: (u32, Option<String>),
         body: Vec<u8>,
     ) -> Result<Option<Said>, Problem> {
         if self.store.as_ref().is_some_and(|store| !store.takes()) {
-            return Err(Problem::Busy(Some(self.settings.deferred.first)));
+            return Err(Problem::Busy(Some(self.settings.asynchronous.first)));
         }
-        let job = self.submitted(name, function, customer.0, body.into());
-        let job = Submitted { context: call.context, mark: call.mark.or(job.mark), ..job };
-        match self.submit(job) {
+        let request = self.submitted(name, function, tenant.0, body.into());
+        let request = Submitted { context: call.context, mark: call.mark.or(request.mark), ..request };
+        match self.submit(request) {
             Ok(_) if self.answer_later(exchange, id) => Ok(None),
             Ok(_) => Ok(Some(answer::taken())),
             Err(why) => {
                 tracing::warn!(?why, function = name, "a deferred job was not taken: no room");
-                Err(Problem::Busy(Some(self.settings.deferred.first)))
+                Err(Problem::Busy(Some(self.settings.asynchronous.first)))
             }
         }
     }
 
     pub(super) fn client_gone(&mut self, exchange: Exchange) {
-        let Some(job) = self.exchanges.remove(&exchange) else { return };
-        let streams = self.streaming_call(job);
-        self.desk.client_gone(self.now(), job);
+        let Some(request) = self.exchanges.remove(&exchange) else { return };
+        let streams = self.streaming_call(request);
+        self.request_table.client_gone(self.now(), request);
         self.carry_out();
-        if let Some(execution) = streams {
+        if let Some(attempt) = streams {
             // Nobody reads on, and no limit would end it.
-            self.drop_execution(job, execution);
-            let ended = quartzdrift_desk::Ended::silent(quartzdrift_choice::interface::Outcome::Cancelled);
-            self.desk.ended(self.now(), job, execution, ended);
+            self.drop_attempt(request, attempt);
+            let ended = quartzdrift_lifecycle::AttemptResult::silent(
+                quartzdrift_scheduler::interface::Outcome::Cancelled,
+            );
+            self.request_table.attempt_ended(self.now(), request, attempt, ended);
             self.carry_out();
         }
     }
@@ -177,7 +181,7 @@
     ) {
         self.exchanges.remove(&exchange);
         let said = match answer {
-            FinalAnswer::Finished => match said {
+            FinalAnswer::Succeeded => match said {
                 Some(worker) => {
                     let mut headers = Headers::new();
                     let passed = worker.headers.iter().filter(|(name, _)| PASSED_ON.contains(name));
@@ -191,18 +195,18 @@
                 // A streamed answer went out part by part.
                 None => return,
             },
-            FinalAnswer::PushedBack { come_back, .. } => {
-                response(answer::pushed_back(come_back), Some(work.id))
+            FinalAnswer::Rejected { retry_after, .. } => {
+                response(answer::rejected(retry_after), Some(work.id))
             }
-            FinalAnswer::Killed { why } => {
+            FinalAnswer::Failed { why } => {
                 let why = match why {
-                    Why::Time => KilledFor::Time,
-                    Why::Doubt => KilledFor::Doubt,
-                    Why::Stop => KilledFor::Stop,
+                    FailureReason::DeadlineExceeded => FailureKind::DeadlineExceeded,
+                    FailureReason::OutcomeUnknown => FailureKind::OutcomeUnknown,
+                    FailureReason::ShuttingDown => FailureKind::ShuttingDown,
                 };
-                response(answer::killed(why), Some(work.id))
+                response(answer::failed(why), Some(work.id))
             }
-            FinalAnswer::Expired => return,
+            FinalAnswer::Cancelled => return,
         };
         let closing = self.stopping.is_some();
         let said = match closing {
@@ -213,23 +217,23 @@
     }
 }
 
-/// A job for the desk, of a function as the settings know it.
-pub(super) fn new_job(
+/// A request for the request table, of a function as the settings know it.
+pub(super) fn new_request(
     function: &Function,
     name: Rc<str>,
-    customer: u32,
+    tenant: u32,
     left: Duration,
     is_retry: bool,
     payload: Rc<Work>,
-) -> NewJob<Rc<Work>> {
-    NewJob {
-        workload: function.workload,
-        customer,
+) -> NewRequest<Rc<Work>> {
+    NewRequest {
+        request_class: function.request_class,
+        tenant,
         function: name,
         left,
         work_hint: function.work,
         memory_mb: function.memory_mb,
-        lanes: function.lanes,
+        concurrency_slots: function.concurrency_slots,
         load_hint: function.load,
         is_retry,
         writes: function.writes,
--- a/crates/quartzdrift/src/gateway/roster.rs
+++ b/crates/quartzdrift/src/gateway/discovery.rs
@@ -1,11 +1,11 @@
 //! Where the list of workers comes from: asked for now and then, and pushed over server-sent events.
 use super::{Gateway, Use};
 use crate::settings::Settings;
-use quartzdrift_choice::interface::{Discovery, ListForm};
+use quartzdrift_discovery::belief::Believed;
+use quartzdrift_discovery::list::{self, Listed};
+use quartzdrift_discovery::stream::Reader;
 use quartzdrift_http::{CallId, Headers, Outgoing};
-use quartzdrift_roster::belief::Believed;
-use quartzdrift_roster::list::{self, Listed};
-use quartzdrift_roster::stream::Reader;
+use quartzdrift_scheduler::interface::{DiscoveryMode, EndpointListKind};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -28,9 +28,9 @@
 
 impl Source {
     pub fn new(settings: &Settings) -> Source {
-        let wanted = settings.roster.is_some() && settings.choice.discovery == Discovery::Push;
+        let wanted = settings.discovery.is_some() && settings.scheduler.discovery == DiscoveryMode::Push;
         let at = wanted.then_some(Duration::ZERO);
-        let streams = settings.roster.as_ref().is_some_and(|roster| roster.stream);
+        let streams = settings.discovery.as_ref().is_some_and(|discovery| discovery.stream);
         Source {
             wanted,
             asked: None,
@@ -55,97 +55,97 @@
 }
 
 impl Gateway {
-    pub(super) fn roster_due(&mut self, now: Duration) {
-        if let Some((call, _)) = self.roster.asked.take_if(|(_, until)| *until <= now) {
+    pub(super) fn discovery_due(&mut self, now: Duration) {
+        if let Some((call, _)) = self.discovery.asked.take_if(|(_, until)| *until <= now) {
             self.calls.remove(&call);
             self.http.cancel(call);
             self.list_failed("no answer in time");
         }
-        if self.roster.ask_at.take_if(|at| *at <= now).is_some() {
+        if self.discovery.ask_at.take_if(|at| *at <= now).is_some() {
             self.ask_list();
         }
-        if self.roster.stream_at.take_if(|at| *at <= now).is_some() {
+        if self.discovery.stream_at.take_if(|at| *at <= now).is_some() {
             self.open_stream();
         }
     }
 
-    fn roster_call(&mut self, accept: &str, streams: bool, of: Use) -> Option<CallId> {
-        let roster = self.settings.roster.as_ref()?;
+    fn discovery_call(&mut self, accept: &str, streams: bool, of: Use) -> Option<CallId> {
+        let discovery = self.settings.discovery.as_ref()?;
         let request = Outgoing {
             method: "GET",
-            target: roster.target.clone(),
+            target: discovery.target.clone(),
             headers: Headers::new().with("accept", accept),
             body: Rc::from([]),
-            connect_timeout: roster.timeout,
+            connect_timeout: discovery.timeout,
             streams,
         };
-        let call = self.http.call(roster.address, request);
+        let call = self.http.call(discovery.address, request);
         self.calls.insert(call, of);
         Some(call)
     }
 
     pub(super) fn ask_list(&mut self) {
-        let Some(timeout) = self.settings.roster.as_ref().map(|roster| roster.timeout) else {
-            return self.no_roster();
+        let Some(timeout) = self.settings.discovery.as_ref().map(|discovery| discovery.timeout) else {
+            return self.no_discovery();
         };
-        if self.roster.asked.is_none() {
+        if self.discovery.asked.is_none() {
             let until = self.now() + timeout;
-            let call = self.roster_call("application/json", false, Use::List);
-            self.roster.asked = call.map(|call| (call, until));
+            let call = self.discovery_call("application/json", false, Use::List);
+            self.discovery.asked = call.map(|call| (call, until));
         }
     }
 
     fn open_stream(&mut self) {
-        if self.roster.stream.is_none() {
-            self.roster.reader = Reader::default();
-            self.roster.stream = self.roster_call("text/event-stream", true, Use::Stream);
+        if self.discovery.stream.is_none() {
+            self.discovery.reader = Reader::default();
+            self.discovery.stream = self.discovery_call("text/event-stream", true, Use::Stream);
         }
     }
 
     /// Without a source, the list of the settings is the list.
-    fn no_roster(&mut self) {
+    fn no_discovery(&mut self) {
         let workers = self.settings.workers.clone();
-        self.give_list(ListForm::Full, &workers);
+        self.give_list(EndpointListKind::Full, &workers);
         self.carry_out();
     }
 
     pub(super) fn watch(&mut self, on: bool) {
-        if self.settings.roster.is_none() {
+        if self.settings.discovery.is_none() {
             if on {
-                self.no_roster();
+                self.no_discovery();
             }
             return;
         }
-        self.roster.wanted = on;
+        self.discovery.wanted = on;
         if on {
             self.ask_list();
-            if self.settings.roster.as_ref().is_some_and(|roster| roster.stream) {
+            if self.settings.discovery.as_ref().is_some_and(|discovery| discovery.stream) {
                 self.open_stream();
             }
         } else {
-            (self.roster.ask_at, self.roster.stream_at) = (None, None);
-            if let Some(call) = self.roster.stream.take() {
+            (self.discovery.ask_at, self.discovery.stream_at) = (None, None);
+            if let Some(call) = self.discovery.stream.take() {
                 self.calls.remove(&call);
                 self.http.cancel(call);
             }
         }
     }
 
-    /// Hands a list to the desk.
-    pub(super) fn give_list(&mut self, form: ListForm, workers: &[Listed]) {
+    /// Hands a list to the request table.
+    pub(super) fn give_list(&mut self, form: EndpointListKind, workers: &[Listed]) {
         let entries = workers.iter().map(Listed::entry).collect();
-        self.desk.list(self.now(), form, entries);
+        self.request_table.update_endpoints(self.now(), form, entries);
         self.carry_out();
     }
 
     fn plan_ask(&mut self) {
-        let every = self.settings.roster.as_ref().map(|roster| roster.every);
-        let next = every.filter(|_| self.roster.wanted).map(|every| self.now() + every);
-        self.roster.ask_at = next;
+        let every = self.settings.discovery.as_ref().map(|discovery| discovery.every);
+        let next = every.filter(|_| self.discovery.wanted).map(|every| self.now() + every);
+        self.discovery.ask_at = next;
     }
 
     pub(super) fn list_came(&mut self, status: u16, body: &[u8]) {
-        self.roster.asked = None;
+        self.discovery.asked = None;
         if status != 200 {
             return self.list_failed(&format!("status {status}"));
         }
@@ -160,21 +160,21 @@
         for why in &list.unread {
             tracing::warn!(why, "a line of the list of workers is left out");
         }
-        self.roster.came = true;
+        self.discovery.came = true;
         let whole = list.unread.is_empty();
-        if whole && list.workers == self.roster.last && !list.workers.is_empty() {
+        if whole && list.workers == self.discovery.last && !list.workers.is_empty() {
             return Ok(());
         }
         match self.belief.full(list) {
             Believed::Full(workers) => {
                 tracing::info!(workers = workers.len(), "list of workers");
-                self.give_list(ListForm::Full, &workers);
-                self.roster.last = workers;
+                self.give_list(EndpointListKind::Full, &workers);
+                self.discovery.last = workers;
             }
             Believed::Named { workers, why } => {
                 tracing::warn!(why, "a list of workers is doubted");
-                self.give_list(ListForm::Changes, &workers);
-                self.roster.last.clear();
+                self.give_list(EndpointListKind::Changes, &workers);
+                self.discovery.last.clear();
             }
         }
         self.save_list();
@@ -189,28 +189,28 @@
 
     /// The old list still applies; the module is told only where it asks for lists itself.
     pub(super) fn list_failed(&mut self, why: &str) {
-        self.roster.asked = None;
+        self.discovery.asked = None;
         tracing::warn!(why, "the list of workers cannot be had; the last one stands");
-        if self.settings.choice.discovery == Discovery::Ask {
-            self.roster.wanted = false;
-            self.give_list(ListForm::Failed, &[]);
+        if self.settings.scheduler.discovery == DiscoveryMode::Poll {
+            self.discovery.wanted = false;
+            self.give_list(EndpointListKind::Failed, &[]);
         }
         self.plan_ask();
     }
 
-    pub(super) fn roster_stream_began(&mut self, call: CallId, status: u16) {
+    pub(super) fn discovery_stream_began(&mut self, call: CallId, status: u16) {
         if status != 200 {
             self.calls.remove(&call);
             self.http.cancel(call);
-            self.roster_stream_lost(&format!("status {status}"));
+            self.discovery_stream_lost(&format!("status {status}"));
         }
     }
 
-    pub(super) fn roster_part(&mut self, call: CallId, bytes: &[u8]) {
-        let Ok(events) = self.roster.reader.feed(bytes) else {
+    pub(super) fn discovery_part(&mut self, call: CallId, bytes: &[u8]) {
+        let Ok(events) = self.discovery.reader.feed(bytes) else {
             self.calls.remove(&call);
             self.http.cancel(call);
-            return self.roster_stream_lost("an event was too large");
+            return self.discovery_stream_lost("an event was too large");
         };
         for event in events {
             let done = match event.name.as_str() {
@@ -218,8 +218,8 @@
                 "changes" => list::read(event.data.as_bytes(), &self.settings.known).map(|list| {
                     list.unread.iter().for_each(|why| tracing::warn!(why, "a change is left out"));
                     self.belief.changes(&list.workers);
-                    self.roster.last.clear();
-                    self.give_list(ListForm::Changes, &list.workers);
+                    self.discovery.last.clear();
+                    self.give_list(EndpointListKind::Changes, &list.workers);
                     self.save_list();
                 }),
                 _ => Ok(()),
@@ -231,15 +231,15 @@
     }
 
     /// Changes may have been missed: the whole list is asked for at once, and the stream soon after.
-    pub(super) fn roster_stream_lost(&mut self, why: &str) {
+    pub(super) fn discovery_stream_lost(&mut self, why: &str) {
         tracing::warn!(why, "the stream of changes was lost");
-        self.roster.stream = None;
-        if self.settings.choice.discovery == Discovery::Ask {
-            self.roster.wanted = false;
-            return self.give_list(ListForm::Failed, &[]);
+        self.discovery.stream = None;
+        if self.settings.scheduler.discovery == DiscoveryMode::Poll {
+            self.discovery.wanted = false;
+            return self.give_list(EndpointListKind::Failed, &[]);
         }
-        if self.roster.wanted {
-            self.roster.stream_at = Some(self.now() + STREAM_AGAIN);
+        if self.discovery.wanted {
+            self.discovery.stream_at = Some(self.now() + STREAM_AGAIN);
             self.ask_list();
         }
     }
--- a/crates/quartzdrift/src/gateway/fleet.rs
+++ b/crates/quartzdrift/src/gateway/fleet.rs
@@ -1,11 +1,11 @@
 //! The fleet of schedulers: datagrams of members come and go by a UDP socket, and the decision module is told how many
-//! schedulers there are. What is believed of whom, and how many are told, is decided in `quartzdrift-members`.
+//! schedulers there are. What is believed of whom, and how many are told, is decided in `quartzdrift-membership`.
 use super::Gateway;
 use crate::saved;
 use crate::settings::Fleet as Told;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
-use quartzdrift_members::{Count, Members, Output, Refused, State};
+use quartzdrift_membership::{Count, Members, Output, Refused, State};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Datagrams taken at a time, before the loop turns to other things.
-const TAKE_MOST: usize = 64;
+const MAX_TAKE: usize = 64;
 /// How often the state is saved for `quartzdrift members` and for the next start.
 const SAVE_EVERY: Duration = Duration::from_secs(5);
 /// And after a change, so that many changes at once are saved together.
@@ -22,7 +22,7 @@
 /// The same cause of refused datagrams is said so often in the log at most.
 const SAY_EVERY: Duration = Duration::from_secs(60);
 /// Causes and senders that are remembered as said.
-const SAID_MOST: usize = 256;
+const MAX_SAID: usize = 256;
 
 pub(super) struct Fleet {
     socket: Rc<UdpSocket>,
@@ -156,7 +156,7 @@
             .filter(|m| m.state != State::Left)
             .map(|m| m.address)
             .collect();
-        let least = self.settings.choice.schedulers.unwrap_or(1);
+        let least = self.settings.scheduler.schedulers.unwrap_or(1);
         let now = self.now();
         tracing::info!(name = %members.name, address = %members.address, known = known.len(), "member of a fleet");
         // Never the same twice for a name: replayed datagrams of an earlier start are told by it.
@@ -172,7 +172,7 @@
         let now = self.now();
         let Some(fleet) = &mut self.fleet else { return };
         let mut buffer = [0; 2048];
-        for _ in 0..TAKE_MOST {
+        for _ in 0..MAX_TAKE {
             match socket.recv_from(&mut buffer) {
                 Ok((length, from)) => fleet.members.packet(now, from, &buffer[..length]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
@@ -218,7 +218,7 @@
                     let key = (from.ip(), why);
                     let again = fleet.said.get(&key).is_some_and(|at| now < *at + SAY_EVERY);
                     if !again {
-                        if fleet.said.len() >= SAID_MOST {
+                        if fleet.said.len() >= MAX_SAID {
                             fleet.said.pop_first();
                         }
                         fleet.said.insert(key, now);
@@ -236,7 +236,7 @@
         if schedulers != fleet.told {
             tracing::info!(before = fleet.told, schedulers, "number of schedulers");
             fleet.told = schedulers;
-            self.desk.schedulers(now, schedulers);
+            self.request_table.set_scheduler_count(now, schedulers);
             self.carry_out();
         }
         self.hear(now, met, told);
--- a/crates/quartzdrift/src/gateway/fronts.rs
+++ b/crates/quartzdrift/src/gateway/fronts.rs
@@ -1,12 +1,12 @@
-//! The fronts beside clients' calls: deferred jobs and timers. They make jobs and receive final answers.
-use super::clients::new_job;
+//! The fronts beside clients' calls: asynchronous requests and timers. They make requests and receive final answers.
+use super::clients::new_request;
 use super::{Gateway, Origin, Use, Work};
 use crate::settings::{Function, destination};
-use quartzdrift_choice::interface::Effect;
-use quartzdrift_deferred::{Calls, Destination, End, Id, Refused, Step, Submitted};
-use quartzdrift_desk::FinalAnswer;
+use quartzdrift_async_queue::{Calls, Destination, End, Id, Refused, Step, Submitted};
 use quartzdrift_http::{Headers, Outgoing, Response};
-use quartzdrift_timers::Note;
+use quartzdrift_lifecycle::FinalAnswer;
+use quartzdrift_scheduler::interface::Idempotency;
+use quartzdrift_schedules::Note;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,31 +15,32 @@
 /// Tries of a record at an HTTP destination.
 const DESTINATION_TRIES: u32 = 3;
 /// Records on their way to HTTP destinations at a time; more are given up with a log line.
-const DESTINATIONS_MOST: usize = 1024;
+const MAX_DESTINATIONS: usize = 1024;
 /// Bytes of payloads in a record; longer ones are left out of it.
-const RECORD_MOST: usize = 128 << 10;
+const MAX_RECORD: usize = 128 << 10;
 
 impl Gateway {
     pub(super) fn submitted(
         &mut self,
         name: &str,
         function: &Function,
-        customer: u32,
+        tenant: u32,
         payload: Rc<[u8]>,
     ) -> Submitted {
-        let workload = &self.settings.choice.workloads[function.workload as usize];
-        let (effect, window) = (workload.effect, workload.window.unwrap_or_default());
-        let anywhere = workload.group == quartzdrift_choice::interface::Group::All;
+        let request_class = &self.settings.scheduler.request_classes[function.request_class as usize];
+        let (idempotency, window) = (request_class.idempotency, request_class.window.unwrap_or_default());
+        let anywhere =
+            request_class.deduplication_scope == quartzdrift_scheduler::interface::DeduplicationScope::All;
         let or = |own: &Option<Destination>, all: &Option<Destination>| own.clone().or_else(|| all.clone());
         let on_success = or(&function.on_success, &self.settings.on_success);
         let on_failure = or(&function.on_failure, &self.settings.on_failure);
         // One mark for all tries: workers know the second by it.
-        let mark = (effect == Effect::Fingerprinted).then(|| self.draw_id().to_string());
+        let mark = (idempotency == Idempotency::IdempotentWithKey).then(|| self.draw_id().to_string());
         let (function, context, timer, hops) = (name.to_owned(), None, None, 0);
         Submitted {
             function,
-            customer,
-            effect,
+            tenant,
+            idempotency,
             anywhere,
             window,
             payload,
@@ -52,9 +53,9 @@
         }
     }
 
-    pub(super) fn submit(&mut self, job: Submitted) -> Result<Id, Refused> {
-        let id = self.deferred.submit(self.now(), job)?;
-        self.counts.deferred += 1;
+    pub(super) fn submit(&mut self, request: Submitted) -> Result<Id, Refused> {
+        let id = self.asynchronous.submit(self.now(), request)?;
+        self.counts.asynchronous += 1;
         Ok(id)
     }
 
@@ -62,10 +63,10 @@
         if self.timers_due().is_some_and(|at| at <= now) {
             self.fire(now);
         }
-        while self.deferred_due().is_some_and(|at| at <= now)
-            && let Some((id, job, _, left)) = self.deferred.take_due(now)
+        while self.asynchronous_due().is_some_and(|at| at <= now)
+            && let Some((id, request, _, left)) = self.asynchronous.take_due(now)
         {
-            self.leave(id, job, left);
+            self.leave(id, request, left);
         }
     }
 
@@ -86,58 +87,60 @@
             let of = self.settings.timers.iter().find(|(timer, _)| timer.name == firing.timer);
             let payload = of.map_or_else(|| Rc::from([]), |(_, payload)| payload.clone());
             let Some(function) = self.settings.function(&firing.function) else { continue };
-            let job = self.submitted(&firing.function, &function, 0, payload);
-            let job = Submitted { timer: Some(firing.timer.clone()), ..job };
+            let request = self.submitted(&firing.function, &function, 0, payload);
+            let request = Submitted { timer: Some(firing.timer.clone()), ..request };
             self.counts.fired += 1;
-            if let Err(why) = self.submit(job) {
+            if let Err(why) = self.submit(request) {
                 tracing::error!(timer = firing.timer, ?why, "a firing was lost: no room for deferred jobs");
                 self.timers.over(&firing.timer);
             }
         }
     }
 
-    pub(super) fn try_deferred(&mut self, id: Id, job: Submitted, left: Option<Duration>) {
-        let Some(function) = self.settings.function(&job.function) else {
-            return self.step(id, End::Killed, None);
+    pub(super) fn try_asynchronous(&mut self, id: Id, request: Submitted, left: Option<Duration>) {
+        let Some(function) = self.settings.function(&request.function) else {
+            return self.step(id, End::Failed, None);
         };
-        let limit = self.settings.choice.workloads[function.workload as usize].time_limit;
+        let limit = self.settings.scheduler.request_classes[function.request_class as usize].timeout;
         let limit = limit.unwrap_or(Duration::MAX);
         let work = Work {
             id: self.draw_id(),
-            origin: Origin::Deferred(id),
-            payload: job.payload,
-            context: job.context,
-            mark: job.mark,
-            customer: self.settings.choice.customers.get(job.customer as usize).map(|c| c.name.clone()),
+            origin: Origin::Asynchronous(id),
+            payload: request.payload,
+            context: request.context,
+            mark: request.mark,
+            tenant: self.settings.scheduler.tenants.get(request.tenant as usize).map(|c| c.name.clone()),
             streams: false,
-            workload: function.workload,
+            request_class: function.request_class,
             taken: self.now(),
             tries: None,
         };
         let left = left.map_or(limit, |left| left.min(limit));
-        self.note_use(&job.function, &function, job.customer, left);
-        let new = new_job(&function, job.function.into(), job.customer, left, false, Rc::new(work));
-        match self.desk.job(self.now(), new) {
+        self.note_use(&request.function, &function, request.tenant, left);
+        let new = new_request(&function, request.function.into(), request.tenant, left, false, Rc::new(work));
+        match self.request_table.submit(self.now(), new) {
             Ok(_) => self.carry_out(),
-            Err(_) => self.step(id, End::PushedBack { come_back: None, ran: None }, None),
+            Err(_) => self.step(id, End::Rejected { retry_after: None, may_have_executed: None }, None),
         }
     }
 
     pub(super) fn try_ended(&mut self, id: Id, answer: FinalAnswer, said: Option<Response>) {
         let end = match answer {
-            FinalAnswer::Finished => {
+            FinalAnswer::Succeeded => {
                 let failed =
                     said.as_ref().is_some_and(|said| said.headers.get("x-amz-function-error").is_some());
-                End::Finished { function_error: failed }
+                End::Succeeded { function_error: failed }
             }
-            FinalAnswer::PushedBack { come_back, ran } => End::PushedBack { come_back, ran },
-            FinalAnswer::Killed { .. } | FinalAnswer::Expired => End::Killed,
+            FinalAnswer::Rejected { retry_after, may_have_executed } => {
+                End::Rejected { retry_after, may_have_executed }
+            }
+            FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => End::Failed,
         };
         self.step(id, end, said);
     }
 
     pub(super) fn step(&mut self, id: Id, end: End, said: Option<Response>) {
-        let step = self.deferred.ended(self.now(), id, end);
+        let step = self.asynchronous.ended(self.now(), id, end);
         self.stepped(id, step, said);
     }
 
@@ -146,11 +149,11 @@
         match step {
             Some(Step::Again { at }) => tracing::debug!(id = id.0, ?at, "deferred job waits again"),
             Some(Step::Over(calls)) => {
-                if let Some(timer) = &calls.job.timer {
+                if let Some(timer) = &calls.request.timer {
                     self.timers.over(timer);
                 }
                 if calls.condition != "Success" {
-                    let function = &calls.job.function;
+                    let function = &calls.request.function;
                     tracing::warn!(id = id.0, %function, condition = calls.condition, "deferred job is dead");
                 }
                 self.destination(&calls, said);
@@ -165,9 +168,9 @@
         match to {
             Destination::Function(name) => {
                 let Some(function) = self.settings.function(name) else { return };
-                let job = self.submitted(name, &function, calls.job.customer, record);
-                let job = Submitted { hops: calls.job.hops + 1, ..job };
-                if let Err(why) = self.submit(job) {
+                let request = self.submitted(name, &function, calls.request.tenant, record);
+                let request = Submitted { hops: calls.request.hops + 1, ..request };
+                if let Err(why) = self.submit(request) {
                     tracing::error!(to = %name, ?why, "a record for a destination was lost: no room");
                 }
             }
@@ -180,7 +183,7 @@
 
     pub(super) fn tell_destination(&mut self, left: u32, to: (SocketAddr, String), record: Rc<[u8]>) {
         let on_their_way = self.calls.values().filter(|of| matches!(of, Use::Destination { .. })).count();
-        if left == 0 || on_their_way >= DESTINATIONS_MOST {
+        if left == 0 || on_their_way >= MAX_DESTINATIONS {
             return tracing::error!(to = %to.0, target = to.1, "a record for a destination was lost");
         }
         let request = Outgoing {
@@ -197,23 +200,23 @@
 
     /// Names what this instance held and nobody will hear of again.
     pub(super) fn say_lost(&self) {
-        let left: Vec<_> = self.deferred.left().collect();
+        let left: Vec<_> = self.asynchronous.left().collect();
         if self.store.as_ref().is_some_and(|store| !store.failed) {
-            return tracing::info!(jobs = left.len(), "deferred jobs are kept for the next start");
+            return tracing::info!(requests = left.len(), "deferred jobs are kept for the next start");
         }
         if left.is_empty() {
             return;
         }
-        tracing::error!(jobs = left.len(), "deferred jobs are lost with this process");
-        for (id, job, out) in left {
-            tracing::error!(id = id.0, function = %job.function, may_have_run = out, "lost deferred job");
+        tracing::error!(requests = left.len(), "deferred jobs are lost with this process");
+        for (id, request, out) in left {
+            tracing::error!(id = id.0, function = %request.function, may_have_run = out, "lost deferred job");
         }
     }
 }
 
 /// The published record of an asynchronous invocation.
 fn record(calls: &Calls, said: Option<&Response>, now: Duration) -> Vec<u8> {
-    let body = |bytes: &[u8]| match bytes.len() <= RECORD_MOST {
+    let body = |bytes: &[u8]| match bytes.len() <= MAX_RECORD {
         true => serde_json::from_slice(bytes).unwrap_or(Value::Null),
         false => Value::Null,
     };
@@ -226,11 +229,11 @@
         "timestamp": time,
         "requestContext": {
             "requestId": calls.id.0.to_string(),
-            "functionArn": calls.job.function,
+            "functionArn": calls.request.function,
             "condition": calls.condition,
             "approximateInvokeCount": calls.tries,
         },
-        "requestPayload": body(&calls.job.payload),
+        "requestPayload": body(&calls.request.payload),
         "responseContext": response,
         "responsePayload": said.map(|said| body(&said.body)),
     });
--- a/crates/quartzdrift/src/gateway/mod.rs
+++ b/crates/quartzdrift/src/gateway/mod.rs
@@ -1,19 +1,19 @@
-//! The state of the event loop: what comes from the sockets goes to the desk, and what the desk says is done.
+//! The state of the event loop: what comes from the sockets goes to the request table, and what the request table says is done.
 //!
-//! * `clients`: calls become jobs, final answers go back.
-//! * `workers`: executions, orders and probes.
-//! * `roster`: where the list of workers comes from.
+//! * `clients`: calls become requests, final answers go back.
+//! * `workers`: attempts, orders and probes.
+//! * `discovery`: where the list of workers comes from.
 //! * `ahead`: forecasts of use, and loads ahead of need.
 //! * `fleet`: other schedulers.
-//! * `store`: deferred jobs on disk.
-//! * `fronts`: deferred jobs and timers.
+//! * `store`: asynchronous requests on disk.
+//! * `fronts`: asynchronous requests and timers.
 //! * `recovery`: from the start to full service.
 mod ahead;
 mod clients;
+mod discovery;
 pub mod fleet;
 mod fronts;
 mod recovery;
-mod roster;
 mod store;
 mod workers;
 
@@ -22,27 +22,27 @@
 use crate::saved::{self, Saver};
 use crate::settings::Settings;
 use calloop::LoopHandle;
-use quartzdrift_choice::interface::{JobId, ListForm, Outcome};
-use quartzdrift_deferred::{Changes, Id, Queue};
-use quartzdrift_desk::{Desk, FinalAnswer, Output};
+use quartzdrift_async_queue::{Changes, Id, Queue};
+use quartzdrift_discovery::belief::Belief;
+use quartzdrift_discovery::list;
 use quartzdrift_http::{CallId, Exchange, HasHttp, Http, HttpEvent, Response};
-use quartzdrift_roster::belief::Belief;
-use quartzdrift_roster::list;
-use quartzdrift_timers::Timers;
+use quartzdrift_lifecycle::{FinalAnswer, Output, RequestTable};
+use quartzdrift_scheduler::interface::{EndpointListKind, Outcome, RequestId};
+use quartzdrift_schedules::Timers;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// Which front a job came from, and where its final answer goes.
+/// Which front a request came from, and where its final answer goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     Client(Exchange),
-    Deferred(Id),
+    Asynchronous(Id),
 }
 
-/// What is sent to workers for a job; the desk carries it without looking.
+/// What is sent to workers for a request; the request table carries it without looking.
 #[derive(Debug)]
 pub struct Work {
     pub id: Uuid,
@@ -50,9 +50,9 @@
     pub payload: Rc<[u8]>,
     pub context: Option<String>,
     pub mark: Option<String>,
-    pub customer: Option<String>,
+    pub tenant: Option<String>,
     pub streams: bool,
-    pub workload: u32,
+    pub request_class: u32,
     pub taken: Duration,
     /// Its function's number, where it tries whether the store bears the load after a loss.
     pub tries: Option<u32>,
@@ -60,18 +60,18 @@
 
 /// What a call of ours is for.
 enum Use {
-    Execution {
-        job: JobId,
-        execution: u32,
+    Attempt {
+        request: RequestId,
+        attempt: u32,
         work: Rc<Work>,
         worker: Rc<str>,
         began: bool,
     },
     Probe {
-        order: u64,
+        command: u64,
     },
     Load {
-        order: u64,
+        command: u64,
     },
     /// No news of it is wanted.
     Unload,
@@ -88,37 +88,37 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub taken: u64,
-    pub finished: u64,
-    pub pushed_back: u64,
-    pub killed: u64,
-    pub expired: u64,
+    pub succeeded: u64,
+    pub rejected: u64,
+    pub failed: u64,
+    pub cancelled: u64,
     pub refused: u64,
-    pub executions: u64,
-    pub deferred: u64,
+    pub attempts: u64,
+    pub asynchronous: u64,
     pub fired: u64,
 }
 
 pub struct Gateway {
     settings: Rc<Settings>,
     clock: Clock,
-    /// Drawn anew at each start, whatever the seed: names of jobs are never used twice.
+    /// Drawn anew at each start, whatever the seed: names of requests are never used twice.
     identity: u64,
     drawn: u64,
     http: Http<Gateway>,
-    desk: Desk<Rc<Work>>,
+    request_table: RequestTable<Rc<Work>>,
     calls: HashMap<CallId, Use>,
-    executions: HashMap<(JobId, u32), CallId>,
-    orders: HashMap<u64, CallId>,
-    exchanges: HashMap<Exchange, JobId>,
-    /// The answer of the execution that is being ended.
+    attempts: HashMap<(RequestId, u32), CallId>,
+    commands: HashMap<u64, CallId>,
+    exchanges: HashMap<Exchange, RequestId>,
+    /// The answer of the attempt that is being ended.
     in_hand: Option<Response>,
-    /// The execution whose end is being taken failed with its load.
+    /// The attempt whose end is being taken failed with its load.
     load_failed: bool,
-    deferred: Queue<Changes>,
+    asynchronous: Queue<Changes>,
     store: Option<store::Store>,
     timers: Timers,
     belief: Belief,
-    roster: roster::Source,
+    discovery: discovery::Source,
     ahead: Option<ahead::Loads>,
     fleet: Option<fleet::Fleet>,
     returning: Option<recovery::Returning>,
@@ -134,14 +134,14 @@
     }
 }
 
-/// Whether anything of an execution may have left.
+/// Whether anything of an attempt may have left.
 fn has_left(
-    executions: &HashMap<(JobId, u32), CallId>,
+    attempts: &HashMap<(RequestId, u32), CallId>,
     http: &Http<Gateway>,
-    job: JobId,
-    execution: u32,
+    request: RequestId,
+    attempt: u32,
 ) -> bool {
-    executions.get(&(job, execution)).is_none_or(|call| !http.unsent_call(*call))
+    attempts.get(&(request, attempt)).is_none_or(|call| !http.unsent_call(*call))
 }
 
 impl Gateway {
@@ -161,19 +161,23 @@
             identity: rand::random(),
             drawn: 0,
             http: Http::new(handle.clone(), settings.limits.clone()),
-            desk: Desk::new(&settings.choice, seed),
+            request_table: RequestTable::new(&settings.scheduler, seed),
             calls: HashMap::new(),
-            executions: HashMap::new(),
-            orders: HashMap::new(),
+            attempts: HashMap::new(),
+            commands: HashMap::new(),
             exchanges: HashMap::new(),
             in_hand: None,
             load_failed: false,
-            deferred: Queue::new(settings.deferred.clone(), Changes::new(settings.store.is_some()), seed),
+            asynchronous: Queue::new(
+                settings.asynchronous.clone(),
+                Changes::new(settings.store.is_some()),
+                seed,
+            ),
             store: None,
             timers: Timers::new(timers, seed, looked),
             clock,
             belief: Belief::default(),
-            roster: roster::Source::new(&settings),
+            discovery: discovery::Source::new(&settings),
             ahead: None,
             fleet: None,
             returning: None,
@@ -205,7 +209,7 @@
         };
         self.belief.changes(&workers);
         self.belief.of_before(self.returning.as_ref().is_some_and(|of| !of.machine.found().was_clean()));
-        self.give_list(ListForm::Saved, &workers);
+        self.give_list(EndpointListKind::Snapshot, &workers);
     }
 
     /// Time since 1970, steady.
@@ -223,11 +227,11 @@
             return Duration::ZERO;
         }
         let own = [
-            self.desk.next_due(),
-            self.deferred_due(),
+            self.request_table.next_deadline(),
+            self.asynchronous_due(),
             self.timers_due(),
             self.recovery_next(),
-            self.roster.next_due(),
+            self.discovery.next_due(),
             self.ahead.as_ref().and_then(ahead::Loads::next_due),
             self.fleet.as_ref().map(fleet::Fleet::next_due),
             self.stopping,
@@ -242,12 +246,12 @@
             self.http_event(event);
         }
         let now = self.now();
-        if self.desk.next_due().is_some_and(|at| at <= now) {
-            let (executions, http) = (&self.executions, &self.http);
-            self.desk.due(now, |job, execution| has_left(executions, http, job, execution));
+        if self.request_table.next_deadline().is_some_and(|at| at <= now) {
+            let (attempts, http) = (&self.attempts, &self.http);
+            self.request_table.due(now, |request, attempt| has_left(attempts, http, request, attempt));
             self.carry_out();
         }
-        self.roster_due(now);
+        self.discovery_due(now);
         self.ahead_due(now);
         self.fleet_due(now);
         self.recovery_due(now);
@@ -266,10 +270,10 @@
         }
     }
 
-    /// Does what the desk says, until it says no more.
+    /// Does what the request table says, until it says no more.
     fn carry_out(&mut self) {
         loop {
-            let outputs = self.desk.outputs();
+            let outputs = self.request_table.outputs();
             if outputs.is_empty() {
                 return;
             }
@@ -281,32 +285,34 @@
 
     fn output(&mut self, output: Output<Rc<Work>>) {
         match output {
-            Output::Execute { job, execution, worker, function, payload, wait: _ } => {
-                self.execute(job, execution, worker, function, payload)
+            Output::StartAttempt { request, attempt, worker, function, payload, wait: _ } => {
+                self.execute(request, attempt, worker, function, payload)
             }
-            Output::Cancel { job, execution } => self.drop_execution(job, execution),
-            Output::Withdraw { job, execution } => {
-                if !has_left(&self.executions, &self.http, job, execution) {
-                    self.drop_execution(job, execution);
-                    self.desk.withdrawn(self.now(), job, execution);
+            Output::CancelAttempt { request, attempt } => self.drop_attempt(request, attempt),
+            Output::RecallAttempt { request, attempt } => {
+                if !has_left(&self.attempts, &self.http, request, attempt) {
+                    self.drop_attempt(request, attempt);
+                    self.request_table.attempt_recalled(self.now(), request, attempt);
                 }
             }
-            Output::Final { job, payload, answer } => self.final_answer(job, &payload, answer),
-            Output::Probe { order, worker } => self.probe(order, &worker),
-            Output::Load { order, worker, function, copies } => self.load(order, &worker, &function, copies),
-            Output::WithdrawOrder { order } => {
-                let call = self.orders.get(&order).copied();
+            Output::Respond { request, payload, answer } => self.final_answer(request, &payload, answer),
+            Output::CheckHealth { command, worker } => self.probe(command, &worker),
+            Output::Load { command, worker, function, copies } => {
+                self.load(command, &worker, &function, copies)
+            }
+            Output::RecallCommand { command } => {
+                let call = self.commands.get(&command).copied();
                 if let Some(call) = call.filter(|call| self.http.unsent_call(*call)) {
-                    self.orders.remove(&order);
-                    self.ahead_loaded(order, Outcome::Moot);
+                    self.commands.remove(&command);
+                    self.ahead_loaded(command, Outcome::NeverSent);
                     self.calls.remove(&call);
                     self.http.cancel(call);
-                    self.desk.order_ended(self.now(), order, Outcome::Moot, 0, Vec::new());
+                    self.request_table.command_ended(self.now(), command, Outcome::NeverSent, 0, Vec::new());
                 }
             }
-            Output::DropOrder { order } => {
-                self.ahead_loaded(order, Outcome::TimedOut);
-                if let Some(call) = self.orders.remove(&order) {
+            Output::AbandonCommand { command } => {
+                self.ahead_loaded(command, Outcome::TimedOut);
+                if let Some(call) = self.commands.remove(&command) {
                     self.calls.remove(&call);
                     self.http.cancel(call);
                 }
@@ -318,31 +324,33 @@
                 }
             }
             // The module sends nothing to other schedulers today.
-            Output::Tell { to, bytes } => tracing::warn!(?to, bytes = bytes.len(), "there is nobody to tell"),
+            Output::SendToPeer { to, bytes } => {
+                tracing::warn!(?to, bytes = bytes.len(), "there is nobody to tell")
+            }
             Output::Watch { on } => self.watch(on),
-            Output::AskList => self.ask_list(),
+            Output::PollEndpoints => self.ask_list(),
             Output::Log { text } => tracing::info!(text, "decision"),
         }
     }
 
-    fn final_answer(&mut self, job: JobId, work: &Work, answer: FinalAnswer) {
+    fn final_answer(&mut self, request: RequestId, work: &Work, answer: FinalAnswer) {
         let count = match answer {
-            FinalAnswer::Finished => &mut self.counts.finished,
-            FinalAnswer::PushedBack { .. } => &mut self.counts.pushed_back,
-            FinalAnswer::Killed { .. } => &mut self.counts.killed,
-            FinalAnswer::Expired => &mut self.counts.expired,
+            FinalAnswer::Succeeded => &mut self.counts.succeeded,
+            FinalAnswer::Rejected { .. } => &mut self.counts.rejected,
+            FinalAnswer::Failed { .. } => &mut self.counts.failed,
+            FinalAnswer::Cancelled => &mut self.counts.cancelled,
         };
         *count += 1;
-        tracing::debug!(job, id = %work.id, ?answer, "final answer");
+        tracing::debug!(request, id = %work.id, ?answer, "final answer");
         let said = self.in_hand.take();
-        self.job_answered(work, answer);
+        self.request_answered(work, answer);
         match work.origin {
             Origin::Client(exchange) => self.answer_client(exchange, work, answer, said),
-            Origin::Deferred(id) => self.try_ended(id, answer, said),
+            Origin::Asynchronous(id) => self.try_ended(id, answer, said),
         }
     }
 
-    /// A new identity, unlike that of any other job of this or another instance.
+    /// A new identity, unlike that of any other request of this or another instance.
     fn draw_id(&mut self) -> Uuid {
         self.drawn += 1;
         Uuid::from_u64_pair(self.identity, self.drawn)
@@ -354,15 +362,15 @@
             let until = self.now() + self.settings.drain;
             self.stopping = Some(until);
             self.http.stop_listening();
-            let (open, deferred) = (self.desk.open(), self.deferred.len());
-            tracing::info!(open, deferred, drain = ?self.settings.drain, "stopping: nothing new is taken");
+            let (open, asynchronous) = (self.request_table.open_requests(), self.asynchronous.len());
+            tracing::info!(open, asynchronous, drain = ?self.settings.drain, "stopping: nothing new is taken");
         }
     }
 
-    /// When a deferred job is to be tried here. With a store, what waits outlasts this process: one that stops begins nothing
+    /// When an asynchronous request is to be tried here. With a store, what waits outlasts this process: one that stops begins nothing
     /// of it.
-    fn deferred_due(&self) -> Option<Duration> {
-        self.deferred.next_due().filter(|_| self.stopping.is_none() || self.store.is_none())
+    fn asynchronous_due(&self) -> Option<Duration> {
+        self.asynchronous.next_due().filter(|_| self.stopping.is_none() || self.store.is_none())
     }
 
     /// When a timer fires here.
@@ -377,16 +385,16 @@
         let now = self.now();
         // Beside a successor at the same address, connections that are there get their last answers here.
         let clients = self.settings.share_port && self.http.clients() > 0;
-        let due = self.deferred_due().is_some_and(|at| at <= now);
+        let due = self.asynchronous_due().is_some_and(|at| at <= now);
         let kept = self.store.as_ref().is_none_or(store::Store::idle);
-        let idle = self.desk.open() == 0 && !clients && kept && !due;
+        let idle = self.request_table.open_requests() == 0 && !clients && kept && !due;
         now >= until || idle && !self.http.unsent()
     }
 
     /// Final answers for all that is still open, and the last word on what is lost.
     pub fn finish(&mut self) {
-        let (now, executions, http) = (self.now(), &self.executions, &self.http);
-        self.desk.stop(now, |job, execution| has_left(executions, http, job, execution));
+        let (now, attempts, http) = (self.now(), &self.attempts, &self.http);
+        self.request_table.shut_down(now, |request, attempt| has_left(attempts, http, request, attempt));
         self.carry_out();
         self.say_lost();
         self.close_store();
@@ -406,7 +414,7 @@
     }
 
     pub fn open(&self) -> usize {
-        self.desk.open()
+        self.request_table.open_requests()
     }
 }
 
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -3,13 +3,13 @@
 use super::{Gateway, Origin, Work};
 use crate::saved::{self, ASIDE, FORCE, MARK, MEASURED, MEMBERS, STAGES, WORKERS};
 use crate::settings::Settings;
-use quartzdrift_choice::interface::{Effect, ListForm, State};
-use quartzdrift_deferred::After;
-use quartzdrift_desk::FinalAnswer;
+use quartzdrift_async_queue::After;
+use quartzdrift_lifecycle::FinalAnswer;
 use quartzdrift_recovery::{
     Came, Disk, Found, Kind, Mark, Moment, Output, Recovery, Settings as Told, Stage,
 };
-use quartzdrift_store::{Folder, Live};
+use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, Idempotency};
+use quartzdrift_wal::{Folder, Live};
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::Path;
@@ -19,14 +19,14 @@
 const NOTE_EVERY: Duration = Duration::from_secs(2);
 /// How often an operator's word is looked for while service returns.
 const FORCE_EVERY: Duration = Duration::from_millis(500);
-/// How late a job may start where no start target is told, beside its own work.
-const TARGET_UNTOLD: Duration = Duration::from_secs(1);
+/// How late a request may start where no latency objective is told, beside its own work.
+const DEFAULT_TARGET: Duration = Duration::from_secs(1);
 
 pub(super) struct Returning {
     pub machine: Recovery,
     note_at: Duration,
     force_at: Duration,
-    /// Deferred jobs of before, until it is known what they may do.
+    /// Asynchronous requests of before, until it is known what they may do.
     pub held: Vec<Live>,
     /// Held by the process that this state is of; one that takes over gets it once the other has ended.
     lock: Option<Folder>,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Whose a store of deferred jobs is, beside it.
+/// Whose a store of asynchronous requests is, beside it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Owner {
     pub name: String,
@@ -79,7 +79,7 @@
     })
 }
 
-/// The store's owner, as noted there; `Err`: another scheduler's, whose jobs must not run here as well.
+/// The store's owner, as noted there; `Err`: another scheduler's, whose requests must not run here as well.
 pub(super) fn owner(path: &Path, settings: &Settings) -> io::Result<Option<u64>> {
     let Some(bytes) = saved::last(path, MARK)? else { return Ok(None) };
     let owner: Owner = serde_json::from_slice(&bytes).map_err(io::Error::other)?;
@@ -108,10 +108,10 @@
             fleet: settings.fleet.is_some(),
             ask: settings.recovery.ask,
             longest: settings.recovery.longest,
-            fingerprints_on_disk: settings.recovery.fingerprints_on_disk,
-            load_window: settings.choice.copies.load_window.unwrap_or_default(),
-            fall_window: settings.choice.rules.fall_window.unwrap_or_default(),
-            out: settings.deferred.out,
+            idempotency_keys_on_disk: settings.recovery.idempotency_keys_on_disk,
+            load_quota_window: settings.scheduler.copies.load_quota_window.unwrap_or_default(),
+            fall_window: settings.scheduler.rules.fall_window.unwrap_or_default(),
+            out: settings.asynchronous.out,
             pace: settings.recovery.pace,
             store,
             life: self.identity,
@@ -159,7 +159,7 @@
         returning.machine.note(now);
         // Until the module has been told of it, what an earlier start measured stays.
         if !returning.machine.keeps_measured()
-            && let Ok(bytes) = postcard::to_stdvec(self.desk.measured())
+            && let Ok(bytes) = postcard::to_stdvec(self.request_table.measurements())
         {
             saver.save(MEASURED, bytes);
         }
@@ -195,7 +195,7 @@
                 returning.machine.force(now);
             }
         }
-        if returning.machine.stage() == Stage::Backlog && !self.deferred.is_busy(now) {
+        if returning.machine.stage() == Stage::Backlog && !self.asynchronous.is_busy(now) {
             returning.machine.backlog_through(now);
         }
         let notes = returning.note_at <= now;
@@ -233,7 +233,7 @@
                 Output::TellMeasured => self.tell_measured(),
             }
         }
-        self.allow_deferred();
+        self.allow_asynchronous();
     }
 
     /// The decision module's budget for cold workers is what it measured of warm ones: before the loss they did so much.
@@ -242,7 +242,7 @@
         let saved = saved::found(self.settings.state.as_deref(), MEASURED, otherwise);
         match saved.map(|bytes| postcard::from_bytes(&bytes)) {
             Some(Ok(before)) => {
-                self.desk.measured_before(self.now(), before);
+                self.request_table.restore_measurements(self.now(), before);
                 self.carry_out();
             }
             Some(Err(e)) => tracing::warn!(error = %e, "what was measured before is set aside"),
@@ -252,16 +252,16 @@
 
     /// Workers that no list has told of since are cold: they lost power too.
     fn doubt_workers(&mut self) {
-        if self.roster.has_come() {
+        if self.discovery.has_come() {
             return;
         }
         let now = self.now();
         let mut workers = self.belief.workers();
-        workers.iter_mut().filter(|w| w.state == State::Up).for_each(|w| w.started = Some(now));
-        self.give_list(ListForm::Changes, &workers);
+        workers.iter_mut().filter(|w| w.state == EndpointState::Up).for_each(|w| w.started = Some(now));
+        self.give_list(EndpointListKind::Changes, &workers);
     }
 
-    /// Deferred jobs of before, once it is known what they may do.
+    /// Asynchronous requests of before, once it is known what they may do.
     fn restore_held(&mut self) {
         let Some(returning) = &mut self.returning else { return };
         let held = std::mem::take(&mut returning.held);
@@ -271,36 +271,37 @@
         self.restore(held, after, unproven);
     }
 
-    fn allow_deferred(&mut self) {
-        let most = self.settings.deferred.out;
+    fn allow_asynchronous(&mut self) {
+        let most = self.settings.asynchronous.out;
         let allowed = self.returning.as_ref().and_then(|returning| returning.machine.backlog());
-        self.deferred.allow(allowed.unwrap_or(most));
+        self.asynchronous.allow(allowed.unwrap_or(most));
     }
 
-    /// Whether a call may become a job now; else when to come back. `mark`: its client's own.
-    pub(super) fn let_in(&self, workload: u32, mark: bool, is_retry: bool) -> Result<(), Duration> {
-        let of = &self.settings.choice.workloads[workload as usize];
-        let marks_retries = self.settings.choice.clients_mark_retries;
-        let may_repeat = of.effect == Effect::Fingerprinted && mark && (is_retry || !marks_retries);
+    /// Whether a call may become a request now; else when to come back. `mark`: its client's own.
+    pub(super) fn let_in(&self, request_class: u32, mark: bool, is_retry: bool) -> Result<(), Duration> {
+        let of = &self.settings.scheduler.request_classes[request_class as usize];
+        let marks_retries = self.settings.scheduler.clients_mark_retries;
+        let may_repeat =
+            of.idempotency == Idempotency::IdempotentWithKey && mark && (is_retry || !marks_retries);
         let Some(returning) = self.returning.as_ref().filter(|_| may_repeat) else { return Ok(()) };
         let wait = returning.machine.repeats_wait(self.now(), of.window.unwrap_or_default());
         wait.map_or(Ok(()), Err)
     }
 
-    /// Whether a call for this function may become a job while copies return, and the number it tries; else when to come back.
+    /// Whether a call for this function may become a request while copies return, and the number it tries; else when to come back.
     pub(super) fn paced(&mut self, function: &str) -> Result<Option<u32>, Duration> {
         let now = self.now();
         self.returning.as_mut().map_or(Ok(None), |returning| returning.machine.let_in(now, function))
     }
 
-    /// A job had its final answer.
-    pub(super) fn job_answered(&mut self, work: &Work, answer: FinalAnswer) {
+    /// A request had its final answer.
+    pub(super) fn request_answered(&mut self, work: &Work, answer: FinalAnswer) {
         let now = self.now();
         if let (Some(number), Some(returning)) = (work.tries, &mut self.returning) {
             let came = match answer {
-                FinalAnswer::Finished => Came::Stands,
+                FinalAnswer::Succeeded => Came::Stands,
                 _ if self.load_failed => Came::Refused,
-                FinalAnswer::PushedBack { .. } | FinalAnswer::Killed { .. } | FinalAnswer::Expired => {
+                FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => {
                     Came::Nothing
                 }
             };
@@ -309,11 +310,11 @@
         let Some(returning) = self.returning.as_mut().filter(|of| of.machine.stage() != Stage::Full) else {
             return;
         };
-        let of = &self.settings.choice.workloads[work.workload as usize];
-        let target = of.start_target.unwrap_or(TARGET_UNTOLD);
-        let finished = answer == FinalAnswer::Finished;
-        if matches!(work.origin, Origin::Client(_)) && answer != FinalAnswer::Expired {
-            returning.machine.answered(finished && now.saturating_sub(work.taken) <= target);
+        let of = &self.settings.scheduler.request_classes[work.request_class as usize];
+        let target = of.latency_objective.unwrap_or(DEFAULT_TARGET);
+        let succeeded = answer == FinalAnswer::Succeeded;
+        if matches!(work.origin, Origin::Client(_)) && answer != FinalAnswer::Cancelled {
+            returning.machine.answered(succeeded && now.saturating_sub(work.taken) <= target);
         }
     }
 
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -1,22 +1,22 @@
-//! Deferred jobs on disk: what was taken is answered once it lasts, and a try that must not be made twice leaves once it is
-//! noted. A store that fails is an error in the log, and push-backs from then on.
+//! Asynchronous requests on disk: what was taken is answered once it lasts, and a try that must not be made twice leaves once it is
+//! noted. A store that fails is an error in the log, and rejections from then on.
 use super::Gateway;
 use super::clients::response;
 use crate::durable::{self, Durable, Said};
 use calloop::LoopHandle;
 use calloop::channel::Event;
-use quartzdrift_choice::interface::Effect;
-use quartzdrift_deferred::{After, End, Id, Kept, Submitted};
+use quartzdrift_async_queue::{After, End, Id, Kept, Submitted};
 use quartzdrift_http::Exchange;
 use quartzdrift_invoke::answer::{self, Problem};
-use quartzdrift_store::Live;
+use quartzdrift_scheduler::interface::Idempotency;
+use quartzdrift_wal::Live;
 use std::collections::VecDeque;
 use std::io;
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// Jobs that wait to last at most, before more are pushed back.
-const ANSWERS_MOST: usize = 65_536;
+/// Requests that wait to last at most, before more are rejected.
+const MAX_ANSWERS: usize = 65_536;
 
 /// What waits for a batch to last.
 #[derive(Default)]
@@ -37,9 +37,9 @@
 }
 
 impl Store {
-    /// Whether new jobs may be taken.
+    /// Whether new requests may be taken.
     pub fn takes(&self) -> bool {
-        !self.failed && !self.behind && self.answers < ANSWERS_MOST
+        !self.failed && !self.behind && self.answers < MAX_ANSWERS
     }
 
     /// Whether nothing waits for the disk.
@@ -63,9 +63,9 @@
         handle.insert_source(said, hears).map_err(|e| io::Error::other(e.to_string()))?;
         let (next, handed) = (Waiting::default(), VecDeque::new());
         self.store = Some(Store { durable, next, handed, answers: 0, behind: false, failed: false });
-        self.deferred.reserve(Id(live.iter().map(|of| of.id).max().unwrap_or(0)));
-        let jobs = live.len();
-        tracing::info!(jobs, took = ?start.elapsed(), "deferred jobs read from the store");
+        self.asynchronous.reserve(Id(live.iter().map(|of| of.id).max().unwrap_or(0)));
+        let requests = live.len();
+        tracing::info!(requests, duration = ?start.elapsed(), "deferred jobs read from the store");
         match &mut self.returning {
             // Until it is known what they may do, they stay where they are.
             Some(returning) => returning.held = live,
@@ -74,7 +74,7 @@
         Ok(())
     }
 
-    /// Takes jobs back; `forgiven`: time in which they are not taken to have aged.
+    /// Takes requests back; `forgiven`: time in which they are not taken to have aged.
     pub(super) fn restore(&mut self, live: Vec<Live>, after: After, forgiven: Duration) {
         if live.is_empty() {
             return;
@@ -88,22 +88,22 @@
             };
             let id = kept.id;
             let taken = (kept.taken + forgiven).min(now.max(kept.taken));
-            let step = self.deferred.restore(now, Kept { taken, ..kept }, after);
-            over += u32::from(matches!(step, Some(quartzdrift_deferred::Step::Over(_))));
+            let step = self.asynchronous.restore(now, Kept { taken, ..kept }, after);
+            over += u32::from(matches!(step, Some(quartzdrift_async_queue::Step::Over(_))));
             self.stepped(id, step, None);
         }
         if strange > 0 {
             tracing::error!(
-                jobs = strange,
+                requests = strange,
                 "deferred jobs of another release stay in the store and are not run"
             );
         }
-        let jobs = self.deferred.len();
-        tracing::info!(jobs, over, ?after, "deferred jobs taken back from the store");
+        let requests = self.asynchronous.len();
+        tracing::info!(requests, over, ?after, "deferred jobs taken back from the store");
         self.hand_over();
     }
 
-    /// Whether a job that was just taken is answered once it lasts; it then is.
+    /// Whether a request that was just taken is answered once it lasts; it then is.
     pub(super) fn answer_later(&mut self, exchange: Exchange, id: Uuid) -> bool {
         let early = self.settings.answer_early;
         match &mut self.store {
@@ -117,10 +117,12 @@
     }
 
     /// A try is due. It leaves once it is noted that it may have run, unless it may run again anyway.
-    pub(super) fn leave(&mut self, id: Id, job: Submitted, left: Option<Duration>) {
+    pub(super) fn leave(&mut self, id: Id, request: Submitted, left: Option<Duration>) {
         match &mut self.store {
-            Some(store) if job.effect != Effect::Restartable => store.next.leaving.push((id, job, left)),
-            Some(_) | None => self.try_deferred(id, job, left),
+            Some(store) if request.idempotency != Idempotency::Idempotent => {
+                store.next.leaving.push((id, request, left))
+            }
+            Some(_) | None => self.try_asynchronous(id, request, left),
         }
     }
 
@@ -128,11 +130,11 @@
     pub(super) fn hand_over(&mut self) {
         let Some(store) = &mut self.store else { return };
         if store.failed {
-            self.deferred.store_mut().take();
+            self.asynchronous.store_mut().take();
             let next = std::mem::take(&mut store.next);
             return self.given_up(next);
         }
-        let changes = self.deferred.store_mut().take();
+        let changes = self.asynchronous.store_mut().take();
         if changes.is_empty() {
             return;
         }
@@ -143,7 +145,7 @@
             }
             Err(changes) => {
                 store.behind = true;
-                self.deferred.store_mut().put_back(changes);
+                self.asynchronous.store_mut().put_back(changes);
             }
         }
     }
@@ -160,8 +162,8 @@
                 }
                 self.http.answer(exchange, &answer);
             }
-            for (id, job, left) in waiting.leaving {
-                self.try_deferred(id, job, left);
+            for (id, request, left) in waiting.leaving {
+                self.try_asynchronous(id, request, left);
             }
         }
         // What the disk kept waiting.
@@ -177,7 +179,7 @@
         self.hand_over();
     }
 
-    /// Nothing of it is known to last: no job is said to be taken, and no try leaves that must not be made twice.
+    /// Nothing of it is known to last: no request is said to be taken, and no try leaves that must not be made twice.
     fn given_up(&mut self, waiting: Waiting) {
         if let Some(store) = &mut self.store {
             store.answers -= waiting.answers.len();
@@ -186,13 +188,13 @@
             self.http.answer(exchange, &response(Problem::Unsure.said(), Some(id)));
         }
         for (id, ..) in waiting.leaving {
-            self.step(id, End::PushedBack { come_back: None, ran: None }, None);
+            self.step(id, End::Rejected { retry_after: None, may_have_executed: None }, None);
         }
     }
 
     /// Waits for the last batch.
     pub(super) fn close_store(&mut self) {
-        let changes = self.deferred.store_mut().take();
+        let changes = self.asynchronous.store_mut().take();
         if let Some(mut store) = self.store.take().filter(|_| !changes.is_empty()) {
             store.durable.hand_last(changes);
         }
--- a/crates/quartzdrift/src/invoke.rs
+++ b/crates/quartzdrift/src/invoke.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 
 /// Bytes of an answer that are read at most.
-const ANSWER_MOST: usize = 64 << 20;
-const HEAD_MOST: usize = 64 << 10;
+const MAX_ANSWER: usize = 64 << 20;
+const MAX_HEAD: usize = 64 << 10;
 
 #[derive(Clone, Debug)]
 pub struct Invoke {
     pub to: SocketAddr,
     pub function: String,
     pub payload: Vec<u8>,
-    pub deferred: bool,
+    pub asynchronous: bool,
     pub mark: Option<String>,
     pub timeout: Duration,
 }
@@ -25,7 +25,7 @@
         .with("host", &call.to.to_string())
         .with("content-type", "application/json")
         .with("connection", "close");
-    if call.deferred {
+    if call.asynchronous {
         headers.push("x-amz-invocation-type", "Event");
     }
     if let Some(mark) = &call.mark {
@@ -50,13 +50,13 @@
         }
         match stream.read(&mut part)? {
             0 => return Err(bad("the connection ended before an answer")),
-            n if held.len() + n <= HEAD_MOST => held.extend_from_slice(&part[..n]),
+            n if held.len() + n <= MAX_HEAD => held.extend_from_slice(&part[..n]),
             _ => return Err(bad("the answer's head is too long")),
         }
     };
     let head = head::response(&held[..end]).map_err(|_| bad("the answer cannot be read"))?;
     held.drain(..end);
-    let mut reader = BodyReader::new(head.framing, ANSWER_MOST).map_err(|_| bad("the answer is too long"))?;
+    let mut reader = BodyReader::new(head.framing, MAX_ANSWER).map_err(|_| bad("the answer is too long"))?;
     loop {
         let used = reader.feed(&held).map_err(|_| bad("the answer's body cannot be read"))?;
         held.drain(..used);
--- a/crates/quartzdrift/src/logs.rs
+++ b/crates/quartzdrift/src/logs.rs
@@ -6,7 +6,7 @@
 use tracing_subscriber::EnvFilter;
 
 /// Bytes of a line at most: so many a pipe that is ready takes without waiting (PIPE_BUF on Linux).
-const LINE_MOST: usize = 4096;
+const MAX_LINE: usize = 4096;
 
 /// Lines that nobody took.
 static LOST: AtomicU64 = AtomicU64::new(0);
@@ -40,8 +40,8 @@
         }
         // A line that is too long ends with a whole character.
         let begins = |at: &usize| line.get(*at).is_none_or(|byte| byte & 0xc0 != 0x80);
-        let (text, end) = match line.len() > LINE_MOST {
-            true => (&line[..(0..LINE_MOST).rev().find(begins).unwrap_or(0)], &b"\n"[..]),
+        let (text, end) = match line.len() > MAX_LINE {
+            true => (&line[..(0..MAX_LINE).rev().find(begins).unwrap_or(0)], &b"\n"[..]),
             false => (line, &b""[..]),
         };
         if !Lines::is_ready() || error.write_all(&[text, end].concat()).is_err() {
--- a/crates/quartzdrift/src/main.rs
+++ b/crates/quartzdrift/src/main.rs
@@ -3,8 +3,9 @@
 use quartzdrift::gateway::fleet::View;
 use quartzdrift::platform::run;
 use quartzdrift::{invoke, logs, saved, serve, settings};
-use quartzdrift_deferred::Submitted;
-use quartzdrift_store::{Folder, look, repair};
+use quartzdrift_async_queue::Submitted;
+use quartzdrift_scheduler::interface::Idempotency;
+use quartzdrift_wal::{Folder, look, repair};
 use std::io::{Read, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -64,7 +65,7 @@
         #[arg(long)]
         force: bool,
     },
-    /// Look at a store of deferred jobs, or repair a damaged one
+    /// Look at a store of asynchronous requests, or repair a damaged one
     Store {
         #[command(subcommand)]
         what: StoreCommand,
@@ -87,7 +88,7 @@
         /// Deferred: answered once taken, run later
         #[arg(long)]
         event: bool,
-        /// A mark by which workers know a repeat of a fingerprinted job
+        /// A mark by which workers know a repeat of a request with an idempotency key
         #[arg(long)]
         mark: Option<String>,
         /// How long to wait for the answer
@@ -100,12 +101,21 @@
 enum StoreCommand {
     /// Say what is in it and whether it is whole; exit status 1 where it is not
     Check { folder: PathBuf },
-    /// Print its jobs, one JSON object a line
+    /// Print its requests, one JSON object a line
     Dump { folder: PathBuf },
     /// Keep what can be read of a damaged one; the gateway that uses it must be stopped
     Repair { folder: PathBuf },
 }
 
+/// The name by which operators' tools know a kind of request in the output of `store dump`.
+fn stored_name(idempotency: Idempotency) -> &'static str {
+    match idempotency {
+        Idempotency::Idempotent => "Restartable",
+        Idempotency::IdempotentWithKey => "Fingerprinted",
+        Idempotency::NonIdempotent => "RunOnce",
+    }
+}
+
 fn store(what: &StoreCommand) -> Result<ExitCode, Box<dyn std::error::Error>> {
     match what {
         StoreCommand::Check { folder } => {
@@ -124,12 +134,12 @@
         StoreCommand::Dump { folder } => {
             let mut out = std::io::stdout().lock();
             for live in look(&Folder::open(folder)?)?.live {
-                let job = Submitted::from_bytes(&live.job);
+                let request = Submitted::from_bytes(&live.request);
                 let line = serde_json::json!({
                     "id": live.id,
-                    "function": job.as_ref().map(|job| &job.function),
-                    "effect": job.as_ref().map(|job| format!("{:?}", job.effect)),
-                    "payload": job.as_ref().map(|job| String::from_utf8_lossy(&job.payload).into_owned()),
+                    "function": request.as_ref().map(|request| &request.function),
+                    "effect": request.as_ref().map(|request| stored_name(request.idempotency)),
+                    "payload": request.as_ref().map(|request| String::from_utf8_lossy(&request.payload).into_owned()),
                     "taken_us": live.taken_us,
                     "due_us": live.due_us,
                     "tries": live.tries,
@@ -170,9 +180,9 @@
         Command::Check { file } => match settings::load(&file) {
             Ok(settings) => {
                 let (functions, workers) = (settings.functions.len(), settings.workers.len());
-                let workloads = settings.choice.workloads.len();
+                let request_classes = settings.scheduler.request_classes.len();
                 println!(
-                    "{}: good: {workloads} workloads, {functions} functions, {workers} workers named",
+                    "{}: good: {request_classes} workloads, {functions} functions, {workers} workers named",
                     file.display()
                 );
                 ExitCode::SUCCESS
@@ -189,7 +199,7 @@
             Err(faults) => say(&faults),
         },
         Command::Invoke { function, at, payload, file, event, mark, timeout } => {
-            let to = match quartzdrift_roster::list::address(&at) {
+            let to = match quartzdrift_discovery::list::address(&at) {
                 Ok(to) => to,
                 Err(why) => return fail(&why),
             };
@@ -206,7 +216,7 @@
                 Ok(payload) => payload,
                 Err(e) => return fail(&format!("the payload cannot be read: {e}")),
             };
-            let call = invoke::Invoke { to, function, payload, deferred: event, mark, timeout };
+            let call = invoke::Invoke { to, function, payload, asynchronous: event, mark, timeout };
             match invoke::invoke(&call) {
                 Ok(answer) => told(&answer),
                 Err(e) => fail(&format!("no answer from {to}: {e}")),
--- a/crates/quartzdrift/src/platform/clients.rs
+++ b/crates/quartzdrift/src/platform/clients.rs
@@ -1,10 +1,10 @@
-//! Clients over FastCGI: requests become jobs, and every one that is owed an answer gets it at once.
+//! Clients over FastCGI: requests become requests, and every one that is owed an answer gets it at once.
 use super::{Node, Peer, Work};
-use quartzdrift_choice::interface::{JobId, Outcome};
-use quartzdrift_desk::{Ended, FinalAnswer, NewJob, Why};
 use quartzdrift_fastcgi::{self as fastcgi, Answer, Bad, Params, Responder, Told};
 use quartzdrift_http::links::{Link, LinkId, Links};
+use quartzdrift_lifecycle::{AttemptResult, FailureReason, FinalAnswer, NewRequest};
 use quartzdrift_platform::asked::{self, Fields, Wrong};
+use quartzdrift_scheduler::interface::{Outcome, RequestId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,9 +18,9 @@
 /// For a client to take what waits for it; then it is cut, so that it can tell.
 const SEND: Duration = Duration::from_secs(5);
 /// Bytes that wait for a client at most: its 32 answers with room; more, and it is cut off.
-const UNREAD_MOST: usize = 1 << 20;
+const MAX_UNREAD: usize = 1 << 20;
 /// Told to those for whom there is no room at all.
-const BUSY_COME_BACK: Duration = Duration::from_millis(200);
+const BUSY_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// What a client's connection is waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 
 pub(crate) struct Client {
     responder: Responder,
-    jobs: BTreeMap<u16, JobId>,
+    requests: BTreeMap<u16, RequestId>,
     limit: Limit,
     /// The request whose rest is waited for.
     awaited: Option<u64>,
@@ -66,8 +66,8 @@
         id: params.text("HTTP_X_REQUEST_ID"),
         time: params.text("HTTP_X_TIMEOUT_MS"),
         function: params.text("HTTP_X_OBJECT"),
-        fingerprint: optional(params, "HTTP_IDEMPOTENCY_KEY", Wrong::Fingerprint)?,
-        customer: optional(params, "HTTP_X_TENANT", Wrong::Customer)?,
+        idempotency_key: optional(params, "HTTP_IDEMPOTENCY_KEY", Wrong::IdempotencyKey)?,
+        tenant: optional(params, "HTTP_X_TENANT", Wrong::Tenant)?,
         figures: optional(params, "HTTP_X_SPEC", Wrong::Figures)?,
         length: optional(params, "CONTENT_LENGTH", Wrong::Length)?,
         body,
@@ -96,7 +96,7 @@
                 continue;
             }
             let responder = Responder::new(LIMITS);
-            let client = Client { responder, jobs: BTreeMap::new(), limit: Limit::First, awaited: None };
+            let client = Client { responder, requests: BTreeMap::new(), limit: Limit::First, awaited: None };
             if let Ok(id) = self.links.insert(stream, Peer::Client(client)) {
                 self.clients += 1;
                 self.links.set_deadline(id, Some(RECEIVE));
@@ -204,8 +204,9 @@
                 Told::Bad { number, bad: Bad::Params } => self.say(id, number, 400, "parameters", None),
                 Told::Bad { number, bad: Bad::TooLarge } => self.say(id, number, 413, "too large", None),
                 Told::Aborted { number } => {
-                    let job = client(&mut self.links, id).and_then(|client| client.jobs.remove(&number));
-                    job.into_iter().for_each(|job| self.leave(job));
+                    let request =
+                        client(&mut self.links, id).and_then(|client| client.requests.remove(&number));
+                    request.into_iter().for_each(|request| self.leave(request));
                 }
             }
         }
@@ -239,7 +240,7 @@
         if spoilt && responder.waiting().next().is_none() {
             return self.close_after(id);
         }
-        let (limit, after) = if unread > UNREAD_MOST {
+        let (limit, after) = if unread > MAX_UNREAD {
             self.counts.cut += 1;
             return self.close_client(id);
         } else if !spoilt && !responder.has_asked() {
@@ -289,7 +290,7 @@
         let Some(client) = client(&mut self.links, id) else { return };
         match client.limit {
             // Overdue without a limit: there was no descriptor for a newcomer, and this one is to make room.
-            Limit::None if !hears && client.jobs.is_empty() => {
+            Limit::None if !hears && client.requests.is_empty() => {
                 self.counts.cut += 1;
                 self.close_client(id);
             }
@@ -304,7 +305,7 @@
                 self.links.set_deadline(id, left);
             }
             // Others are open on it: they are answered first.
-            Limit::Rest if !client.jobs.is_empty() => {
+            Limit::Rest if !client.requests.is_empty() => {
                 client.responder.spoil();
                 self.limit_client(id);
             }
@@ -319,23 +320,28 @@
     fn close_client(&mut self, id: LinkId) {
         let Some(Peer::Client(client)) = self.links.close(id) else { return };
         self.clients -= 1;
-        client.jobs.into_values().for_each(|job| self.leave(job));
+        client.requests.into_values().for_each(|request| self.leave(request));
     }
 
-    /// Nobody waits for a job any more. What has not left is taken back whatever the settings say, so that nothing of
-    /// it reaches a worker from now on; an execution that is out is given up where they allow it.
-    fn leave(&mut self, job: JobId) {
+    /// Nobody waits for a request any more. What has not left is taken back whatever the settings say, so that nothing of
+    /// it reaches a worker from now on; an attempt that is out is given up where they allow it.
+    fn leave(&mut self, request: RequestId) {
         let now = self.now();
         let cancel = self.config.settings.allowed.cancel;
-        let out: Vec<u32> = self.desk.executions_of(job).collect();
-        self.desk.client_gone(now, job);
+        let out: Vec<u32> = self.request_table.attempts_of(request).collect();
+        self.request_table.client_gone(now, request);
         self.carry_out();
-        for execution in out {
-            if self.take_back(job, execution) {
-                self.desk.withdrawn(now, job, execution);
+        for attempt in out {
+            if self.take_back(request, attempt) {
+                self.request_table.attempt_recalled(now, request, attempt);
             } else if cancel {
-                self.give_up(job, execution);
-                self.desk.ended(now, job, execution, Ended::silent(Outcome::Cancelled));
+                self.give_up(request, attempt);
+                self.request_table.attempt_ended(
+                    now,
+                    request,
+                    attempt,
+                    AttemptResult::silent(Outcome::Cancelled),
+                );
             }
         }
         self.carry_out();
@@ -343,7 +349,7 @@
 
     fn request(&mut self, id: LinkId, number: u16, params: &Params, body: Vec<u8>) {
         if params.get("SCRIPT_NAME") == Some(b"/check") {
-            let ready = self.stopping.is_none() && self.desk.workers_up() > 0;
+            let ready = self.stopping.is_none() && self.request_table.workers_up() > 0;
             let (status, text) = if ready { (200, "ready") } else { (503, "not ready") };
             return self.say(id, number, status, text, None);
         }
@@ -359,55 +365,62 @@
         if let Some(&other) = self.open.get(&asked.id) {
             return self.id_taken(id, number, other);
         }
-        let fingerprint = asked.fingerprint.map(str::to_owned);
-        let work = Work { id: asked.id, client: id, number, workload: asked.workload, fingerprint, body };
-        let new = NewJob {
-            workload: asked.workload,
-            customer: asked.customer,
+        let idempotency_key = asked.idempotency_key.map(str::to_owned);
+        let work = Work {
+            id: asked.id,
+            client: id,
+            number,
+            request_class: asked.request_class,
+            idempotency_key,
+            body,
+        };
+        let new = NewRequest {
+            request_class: asked.request_class,
+            tenant: asked.tenant,
             function: asked.function.into(),
             left: asked.left,
             work_hint: asked.work,
             memory_mb: asked.memory_mb,
-            lanes: asked.lanes,
+            concurrency_slots: asked.concurrency_slots,
             load_hint: asked.load,
             is_retry: false,
             writes: false,
             payload: Rc::new(work),
         };
-        match self.desk.job(self.now(), new) {
-            Ok(job) => {
+        match self.request_table.submit(self.now(), new) {
+            Ok(request) => {
                 self.counts.taken += 1;
-                self.open.insert(asked.id, job);
+                self.open.insert(asked.id, request);
                 if let Some(client) = client(&mut self.links, id) {
-                    client.jobs.insert(number, job);
+                    client.requests.insert(number, request);
                 }
                 self.carry_out();
             }
-            Err(_) => self.say(id, number, 503, "full", Some(BUSY_COME_BACK)),
+            Err(_) => self.say(id, number, 503, "full", Some(BUSY_RETRY_AFTER)),
         }
     }
 
-    /// The id of an open job: workers would take the one for the other. Where both came over one connection,
+    /// The id of an open request: workers would take the one for the other. Where both came over one connection,
     /// neither can be trusted.
-    fn id_taken(&mut self, id: LinkId, number: u16, other: JobId) {
+    fn id_taken(&mut self, id: LinkId, number: u16, other: RequestId) {
         self.counts.wrong += 1;
         self.say(id, number, 409, "this id is open", None);
         let Some(client) = client(&mut self.links, id) else { return };
-        let first = client.jobs.iter().find(|(_, job)| **job == other).map(|(number, _)| *number);
+        let first = client.requests.iter().find(|(_, request)| **request == other).map(|(number, _)| *number);
         if let Some(first) = first {
-            client.jobs.remove(&first);
+            client.requests.remove(&first);
             self.leave(other);
             self.say(id, first, 409, "this id came twice", None);
         }
     }
 
     /// An answer of our own.
-    fn say(&mut self, id: LinkId, number: u16, status: u16, text: &str, come_back: Option<Duration>) {
-        self.answer(id, number, status, text.as_bytes(), come_back);
+    fn say(&mut self, id: LinkId, number: u16, status: u16, text: &str, retry_after: Option<Duration>) {
+        self.answer(id, number, status, text.as_bytes(), retry_after);
     }
 
-    fn answer(&mut self, id: LinkId, number: u16, status: u16, body: &[u8], come_back: Option<Duration>) {
-        let ms = come_back.map(|span| span.as_nanos().div_ceil(1_000_000).to_string());
+    fn answer(&mut self, id: LinkId, number: u16, status: u16, body: &[u8], retry_after: Option<Duration>) {
+        let ms = retry_after.map(|span| span.as_nanos().div_ceil(1_000_000).to_string());
         let field = ms.as_deref().map(|ms| ("Retry-After-Ms", ms));
         let answer = Answer { status, reason: reason(status), fields: field.as_slice(), body };
         let unread = self.links.get(id).is_some_and(|link| link.waiting() > 0);
@@ -423,35 +436,37 @@
         }
     }
 
-    pub(super) fn final_answer(&mut self, job: JobId, work: &Work, answer: FinalAnswer) {
-        if self.open.get(&work.id) == Some(&job) {
+    pub(super) fn final_answer(&mut self, request: RequestId, work: &Work, answer: FinalAnswer) {
+        if self.open.get(&work.id) == Some(&request) {
             self.open.remove(&work.id);
         }
-        let said = self.in_hand.take_if(|(of, _)| *of == job).map(|(_, body)| body);
+        let said = self.in_hand.take_if(|(of, _)| *of == request).map(|(_, body)| body);
         if let Some(client) = client(&mut self.links, work.client)
-            && client.jobs.get(&work.number) == Some(&job)
+            && client.requests.get(&work.number) == Some(&request)
         {
-            client.jobs.remove(&work.number);
+            client.requests.remove(&work.number);
         }
         let (id, number) = (work.client, work.number);
         let count = match answer {
-            FinalAnswer::Finished => &mut self.counts.finished,
-            FinalAnswer::PushedBack { .. } => &mut self.counts.pushed_back,
-            FinalAnswer::Killed { .. } => &mut self.counts.killed,
-            FinalAnswer::Expired => &mut self.counts.expired,
+            FinalAnswer::Succeeded => &mut self.counts.succeeded,
+            FinalAnswer::Rejected { .. } => &mut self.counts.rejected,
+            FinalAnswer::Failed { .. } => &mut self.counts.failed,
+            FinalAnswer::Cancelled => &mut self.counts.cancelled,
         };
         *count += 1;
         match (answer, said) {
-            (FinalAnswer::Finished, Some(body)) => self.answer(id, number, 200, &body, None),
-            (FinalAnswer::Finished, None) => self.say(id, number, 500, "no answer", None),
-            (FinalAnswer::PushedBack { come_back, .. }, _) => {
-                self.say(id, number, 503, "come back", come_back)
+            (FinalAnswer::Succeeded, Some(body)) => self.answer(id, number, 200, &body, None),
+            (FinalAnswer::Succeeded, None) => self.say(id, number, 500, "no answer", None),
+            (FinalAnswer::Rejected { retry_after, .. }, _) => {
+                self.say(id, number, 503, "come back", retry_after)
+            }
+            (FinalAnswer::Failed { why: FailureReason::DeadlineExceeded }, _) => {
+                self.say(id, number, 504, "its time is up", None)
             }
-            (FinalAnswer::Killed { why: Why::Time }, _) => self.say(id, number, 504, "its time is up", None),
-            (FinalAnswer::Killed { why: Why::Doubt | Why::Stop }, _) => {
+            (FinalAnswer::Failed { why: FailureReason::OutcomeUnknown | FailureReason::ShuttingDown }, _) => {
                 self.say(id, number, 500, "it may have run", None)
             }
-            (FinalAnswer::Expired, _) => {}
+            (FinalAnswer::Cancelled, _) => {}
         }
     }
 }
@@ -459,7 +474,7 @@
 /// A client without a request, which may make room for another.
 fn is_silent(link: &Link<Peer>) -> bool {
     match &link.state {
-        Peer::Client(client) => client.jobs.is_empty() && client.limit != Limit::Closing,
+        Peer::Client(client) => client.requests.is_empty() && client.limit != Limit::Closing,
         Peer::Lane(_) => false,
     }
 }
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -1,8 +1,8 @@
 //! The list of workers: one long poll that is always out, and what its answers change.
 use super::Node;
-use quartzdrift_choice::interface::{ListForm, State};
 use quartzdrift_http::{CallId, Failure, Headers, Outgoing, Response};
 use quartzdrift_platform::coordinator::{Change, Doubt, Follower, News, Told};
+use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,11 +14,11 @@
 const OVERDUE: Duration = Duration::from_millis(400);
 /// Before the next poll after one that failed, doubled up to the most.
 const AGAIN: Duration = Duration::from_millis(20);
-const AGAIN_MOST: Duration = Duration::from_millis(640);
+const MAX_AGAIN: Duration = Duration::from_millis(640);
 /// Between two polls of a coordinator that has nothing to tell and does not wait.
-const EMPTY_LEAST: Duration = Duration::from_millis(100);
+const MIN_EMPTY: Duration = Duration::from_millis(100);
 /// Gaps in a row after which the whole list is asked for.
-const GAPS_MOST: u32 = 2;
+const MAX_GAPS: u32 = 2;
 
 pub(super) struct Coordinator {
     address: SocketAddr,
@@ -72,7 +72,7 @@
         let failures = self.coordinator.failures;
         self.coordinator.call = None;
         self.coordinator.at =
-            self.now() + AGAIN.saturating_mul(2_u32.saturating_pow(failures)).min(AGAIN_MOST);
+            self.now() + AGAIN.saturating_mul(2_u32.saturating_pow(failures)).min(MAX_AGAIN);
         self.coordinator.failures += 1;
         tracing::debug!(why, failures, "a poll of the coordinator failed; the list stands");
         if failures == 0 {
@@ -97,7 +97,7 @@
             Ok(changes) => {
                 let asked = self.coordinator.call.take().map(|(_, until)| until - WAIT - OVERDUE);
                 let empty = self.coordinator.follower.last() == known;
-                let pause = if empty { EMPTY_LEAST } else { Duration::ZERO };
+                let pause = if empty { MIN_EMPTY } else { Duration::ZERO };
                 self.coordinator.at = asked.map_or(self.now(), |at| (at + pause).max(self.now()));
                 (self.coordinator.failures, self.coordinator.gaps) = (0, 0);
                 self.changes(changes);
@@ -115,7 +115,7 @@
     fn doubted(&mut self, doubt: &Doubt) {
         if let Doubt::Gap { .. } = doubt {
             self.coordinator.gaps += 1;
-            if self.coordinator.gaps >= GAPS_MOST {
+            if self.coordinator.gaps >= MAX_GAPS {
                 self.coordinator.gaps = 0;
                 self.coordinator.follower.restart();
             }
@@ -159,17 +159,21 @@
             let mut before = Vec::new();
             for Told { listed, address } in &workers {
                 match (listed.state, address) {
-                    (State::Up | State::Draining, Some(address)) => {
+                    (EndpointState::Up | EndpointState::Draining, Some(address)) => {
                         before.extend(self.worker_listed(&listed.worker, *address, listed.started));
                     }
-                    (State::Gone, _) => before.extend(self.worker_gone(&listed.worker)),
-                    (State::Up | State::Draining, None) => {}
+                    (EndpointState::Gone, _) => before.extend(self.worker_gone(&listed.worker)),
+                    (EndpointState::Up | EndpointState::Draining, None) => {}
                 }
             }
             let entries = workers.iter().map(|told| told.listed.entry()).collect();
-            self.desk.list(self.now(), if all { ListForm::Full } else { ListForm::Changes }, entries);
+            self.request_table.update_endpoints(
+                self.now(),
+                if all { EndpointListKind::Full } else { EndpointListKind::Changes },
+                entries,
+            );
             // Also where the worker is up again by the end of the event: what waits is not for the one there now.
-            before.into_iter().for_each(|(job, execution)| self.withdraw(job, execution));
+            before.into_iter().for_each(|(request, attempt)| self.recall(request, attempt));
             self.carry_out();
         }
     }
--- a/crates/quartzdrift/src/platform/mod.rs
+++ b/crates/quartzdrift/src/platform/mod.rs
@@ -1,8 +1,8 @@
 //! A scheduler on the operators' platform: the same desk and module, with FastCGI in front, frames to workers, and
 //! the coordinator's events for a list. State of the event loop; [`run`] is how it is started.
 //!
-//! * `clients`: requests become jobs, final answers go back.
-//! * `workers`: lanes to workers, and the executions on them.
+//! * `clients`: requests become requests, final answers go back.
+//! * `workers`: lanes to workers, and the attempts on them.
 //! * `coordinator`: one long poll that is always out.
 mod clients;
 mod coordinator;
@@ -13,12 +13,12 @@
 use calloop::LoopHandle;
 use clients::Client;
 use coordinator::Coordinator;
-use quartzdrift_choice::interface::{JobId, ListForm, Outcome};
-use quartzdrift_desk::{Desk, Output};
 use quartzdrift_http::links::{LinkId, Links};
 use quartzdrift_http::{HasHttp, Http, HttpEvent, Limits};
+use quartzdrift_lifecycle::{Output, RequestTable};
 use quartzdrift_platform::budget::Budget;
 use quartzdrift_platform::config::Config;
+use quartzdrift_scheduler::interface::{EndpointListKind, Outcome, RequestId};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -29,17 +29,17 @@
 /// After SIGTERM clients go on coming for up to 0.6 s (0.4 s on new connections, 0.2 s more on open ones); the rest
 /// is room for a slow machine.
 const STAY: Duration = Duration::from_millis(1200);
-/// SIGKILL may come so long after SIGTERM, past the longest time limit, which counts as `LIMIT_MOST` where it is
+/// SIGKILL may come so long after SIGTERM, past the longest time limit, which counts as `MAX_LIMIT` where it is
 /// longer (the platform's page on its protocol).
 const KILL: Duration = Duration::from_millis(700);
-const LIMIT_MOST: Duration = Duration::from_secs(3);
+const MAX_LIMIT: Duration = Duration::from_secs(3);
 /// Before the kill, for the last answers to leave and the process to end on a slow machine.
 const SPARE: Duration = Duration::from_millis(200);
 /// For clients to hear that their connections end, which takes a round trip, and to take what they were sent.
 const LINGER: Duration = Duration::from_millis(250);
 
-/// The lanes of the executions that are out.
-type Executions = HashMap<(JobId, u32), LinkId>;
+/// The lanes of the attempts that are out.
+type Attempts = HashMap<(RequestId, u32), LinkId>;
 
 /// What a link is.
 pub(crate) enum Peer {
@@ -47,15 +47,15 @@
     Lane(Lane),
 }
 
-/// What is sent to workers for a job, and who waits for it; the desk carries it without looking.
+/// What is sent to workers for a request, and who waits for it; the request table carries it without looking.
 #[derive(Debug)]
 pub struct Work {
     id: u64,
     client: LinkId,
     number: u16,
-    workload: u32,
+    request_class: u32,
     /// By which workers know a repeat.
-    fingerprint: Option<String>,
+    idempotency_key: Option<String>,
     body: Vec<u8>,
 }
 
@@ -63,15 +63,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub taken: u64,
-    pub finished: u64,
-    pub pushed_back: u64,
-    pub killed: u64,
-    pub expired: u64,
+    pub succeeded: u64,
+    pub rejected: u64,
+    pub failed: u64,
+    pub cancelled: u64,
     /// Turned away at the door.
     pub wrong: u64,
     /// Client connections closed by us: out of step, too slow, or no room.
     pub cut: u64,
-    pub executions: u64,
+    pub attempts: u64,
     /// Lanes opened, and lanes lost with something open on them.
     pub lanes: u64,
     pub lanes_lost: u64,
@@ -87,18 +87,18 @@
     clock: Clock,
     links: Links<Node, Peer>,
     http: Http<Node>,
-    desk: Desk<Rc<Work>>,
+    request_table: RequestTable<Rc<Work>>,
     budget: Budget,
     clients: usize,
     /// Clients to be closed once their last words have left.
     closing: Vec<LinkId>,
     lanes: usize,
     workers: HashMap<Rc<str>, Worker>,
-    executions: Executions,
-    /// Open jobs by the id that their client gave.
-    open: HashMap<u64, JobId>,
-    /// The answer of the execution that is being ended, and its job.
-    in_hand: Option<(JobId, Vec<u8>)>,
+    attempts: Attempts,
+    /// Open requests by the id that their client gave.
+    open: HashMap<u64, RequestId>,
+    /// The answer of the attempt that is being ended, and its request.
+    in_hand: Option<(RequestId, Vec<u8>)>,
     coordinator: Coordinator,
     stopping: Option<Stop>,
     /// When beliefs were last held against the sockets.
@@ -121,13 +121,13 @@
             clock: Clock::start(),
             links: Links::new(handle.clone(), |node| &mut node.links),
             http: Http::new(handle, limits),
-            desk: Desk::new(&config.settings, config.seed),
+            request_table: RequestTable::new(&config.settings, config.seed),
             budget: Budget::of(config.sockets),
             clients: 0,
             closing: Vec::new(),
             lanes: 0,
             workers: HashMap::new(),
-            executions: HashMap::new(),
+            attempts: HashMap::new(),
             open: HashMap::new(),
             in_hand: None,
             coordinator: Coordinator::new(config.coordinator),
@@ -137,7 +137,7 @@
             config,
         };
         let known = node.config.known.clone();
-        node.desk.list(node.now(), ListForm::Saved, Vec::new());
+        node.request_table.update_endpoints(node.now(), EndpointListKind::Snapshot, Vec::new());
         node.news(known);
         node.carry_out();
         node
@@ -158,7 +158,7 @@
             return Duration::ZERO;
         }
         let stop = self.stopping.and_then(|stop| stop.next_due(self.now()));
-        let own = [self.desk.next_due(), self.coordinator.next_due(), stop];
+        let own = [self.request_table.next_deadline(), self.coordinator.next_due(), stop];
         self.clock.until(own, [self.links.next_due(), self.http.next_deadline()])
     }
 
@@ -193,11 +193,12 @@
         }
         let now = self.now();
         // Before the limits on time, since that of whoever came during a stop is the same moment: what never left is
-        // pushed back then.
+        // rejected then.
         self.end_for_stop(now);
-        if self.desk.next_due().is_some_and(|at| at <= now) {
-            let (executions, links) = (&self.executions, &self.links);
-            self.desk.due(now, |job, execution| workers::has_left(executions, links, job, execution));
+        if self.request_table.next_deadline().is_some_and(|at| at <= now) {
+            let (attempts, links) = (&self.attempts, &self.links);
+            self.request_table
+                .due(now, |request, attempt| workers::has_left(attempts, links, request, attempt));
             self.carry_out();
         }
         self.coordinator_due(now);
@@ -213,28 +214,29 @@
         }
         self.compared = now;
         let [clients, workers, lanes, on_sockets, open] = self.held();
-        let (at_desk, desk_open) = (self.desk.executions_out(), self.desk.open());
-        let (names, functions, module_open) = self.desk.places();
-        let up = self.desk.workers_up();
+        let (at_request_table, request_table_open) =
+            (self.request_table.attempts_in_flight(), self.request_table.open_requests());
+        let (names, functions, module_open) = self.request_table.sizes();
+        let up = self.request_table.workers_up();
         tracing::debug!(
             clients,
             workers,
             up,
             lanes,
             on_sockets,
-            at_desk,
+            at_request_table,
             open,
-            desk_open,
+            request_table_open,
             module_open,
             "held"
         );
         tracing::debug!(names, functions, "module's places");
     }
 
-    /// Does what the desk says, until it says no more.
+    /// Does what the request table says, until it says no more.
     fn carry_out(&mut self) {
         loop {
-            let outputs = self.desk.outputs();
+            let outputs = self.request_table.outputs();
             if outputs.is_empty() {
                 return;
             }
@@ -246,51 +248,55 @@
 
     fn output(&mut self, output: Output<Rc<Work>>) {
         match output {
-            Output::Execute { job, execution, worker, function, wait, payload } => {
-                self.execute(job, execution, &worker, function, wait, payload)
+            Output::StartAttempt { request, attempt, worker, function, wait, payload } => {
+                self.execute(request, attempt, &worker, function, wait, payload)
             }
-            Output::Cancel { job, execution } => self.give_up(job, execution),
-            Output::Withdraw { job, execution } => self.withdraw(job, execution),
-            Output::Final { job, payload, answer } => self.final_answer(job, &payload, answer),
+            Output::CancelAttempt { request, attempt } => self.give_up(request, attempt),
+            Output::RecallAttempt { request, attempt } => self.recall(request, attempt),
+            Output::Respond { request, payload, answer } => self.final_answer(request, &payload, answer),
             Output::CloseIdle { worker } => self.close_idle(&worker),
             Output::Log { text } => tracing::info!(text, "decision"),
             // The platform's list comes on its own, and its settings allow neither orders nor probes.
-            Output::Probe { order, .. } | Output::Load { order, .. } => {
-                self.desk.order_ended(self.now(), order, Outcome::Moot, 0, Vec::new());
+            Output::CheckHealth { command, .. } | Output::Load { command, .. } => {
+                self.request_table.command_ended(self.now(), command, Outcome::NeverSent, 0, Vec::new());
             }
-            Output::WithdrawOrder { .. }
-            | Output::DropOrder { .. }
+            Output::RecallCommand { .. }
+            | Output::AbandonCommand { .. }
             | Output::Unload { .. }
-            | Output::Tell { .. }
+            | Output::SendToPeer { .. }
             | Output::Watch { .. }
-            | Output::AskList => {}
+            | Output::PollEndpoints => {}
         }
     }
 
-    /// What its tables hold: clients, workers, lanes, executions out, and jobs open by their clients' ids.
+    /// What its tables hold: clients, workers, lanes, attempts out, and requests open by their clients' ids.
     pub fn held(&self) -> [usize; 5] {
-        [self.clients, self.workers.len(), self.lanes, self.executions.len(), self.open.len()]
+        [self.clients, self.workers.len(), self.lanes, self.attempts.len(), self.open.len()]
     }
 
     /// SIGTERM: whoever still comes is served, and the process ends once all is answered, before the kill is due.
     pub fn stop(&mut self) {
         if self.stopping.is_none() {
-            let limits = self.config.settings.workloads.iter().map(|w| w.time_limit.unwrap_or(LIMIT_MOST));
-            let stop = Stop::new(self.now(), limits.max().unwrap_or(LIMIT_MOST));
+            let limits = self.config.settings.request_classes.iter().map(|w| w.timeout.unwrap_or(MAX_LIMIT));
+            let stop = Stop::new(self.now(), limits.max().unwrap_or(MAX_LIMIT));
             self.stopping = Some(stop);
-            self.desk.stops_at(stop.answered);
-            tracing::info!(open = self.desk.open(), "stopping: serving those that still come");
+            self.request_table.set_shutdown_deadline(stop.answered);
+            tracing::info!(
+                open = self.request_table.open_requests(),
+                "stopping: serving those that still come"
+            );
         }
     }
 
     /// Gives what is open its final answer once a stop leaves no more time for it.
     fn end_for_stop(&mut self, now: Duration) {
-        if self.stopping.is_none_or(|stop| now < stop.answered) || self.desk.open() == 0 {
+        if self.stopping.is_none_or(|stop| now < stop.answered) || self.request_table.open_requests() == 0 {
             return;
         }
-        tracing::info!(open = self.desk.open(), "no more time to stop: what is open ends");
-        let (executions, links) = (&self.executions, &self.links);
-        self.desk.stop(now, |job, execution| workers::has_left(executions, links, job, execution));
+        tracing::info!(open = self.request_table.open_requests(), "no more time to stop: what is open ends");
+        let (attempts, links) = (&self.attempts, &self.links);
+        self.request_table
+            .shut_down(now, |request, attempt| workers::has_left(attempts, links, request, attempt));
         self.carry_out();
     }
 
@@ -300,7 +306,7 @@
     pub fn stopped(&mut self) -> bool {
         let Some(stop) = self.stopping else { return false };
         let now = self.now();
-        let served = now >= stop.stays && self.desk.open() == 0 && !self.client_waits();
+        let served = now >= stop.stays && self.request_table.open_requests() == 0 && !self.client_waits();
         match stop.closes {
             _ if now >= stop.ends => true,
             Some(until) => self.clients == 0 || now >= until,
@@ -343,7 +349,7 @@
 
 impl Stop {
     fn new(now: Duration, longest: Duration) -> Stop {
-        let kill = now + longest.min(LIMIT_MOST) + KILL;
+        let kill = now + longest.min(MAX_LIMIT) + KILL;
         let answered = kill - SPARE;
         Stop { stays: answered.min(now + STAY), answered, closes: None, ends: kill - SPARE / 2 }
     }
--- a/crates/quartzdrift/src/platform/workers.rs
+++ b/crates/quartzdrift/src/platform/workers.rs
@@ -1,13 +1,13 @@
-//! Lanes to workers and the executions on them. What each end proves is the table in
-//! `quartzdrift_platform::proof`; which lane carries an execution is chosen in `quartzdrift_platform::lanes`.
-use super::{Executions, Node, Peer, Work};
-use quartzdrift_choice::interface::{Found, JobId};
-use quartzdrift_desk::Ended;
+//! Lanes to workers and the attempts on them. What each end proves is the table in
+//! `quartzdrift_platform::proof`; which lane carries an attempt is chosen in `quartzdrift_platform::lanes`.
+use super::{Attempts, Node, Peer, Work};
 use quartzdrift_http::links::{Link, LinkId, Links};
+use quartzdrift_lifecycle::AttemptResult;
 use quartzdrift_platform::frame::{self, Code};
 use quartzdrift_platform::lanes::{self, Choice};
 use quartzdrift_platform::proof::{self, Cut};
 use quartzdrift_platform::report;
+use quartzdrift_scheduler::interface::{CacheResult, RequestId};
 use rustix::io::Errno;
 use std::collections::VecDeque;
 use std::io;
@@ -15,17 +15,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Executions that a lane carries where the settings tell nothing.
-const STREAMS_UNTOLD: usize = 32;
-const CONNECT_UNTOLD: Duration = Duration::from_millis(250);
-const KEEPALIVE_UNTOLD: Duration = Duration::from_secs(10);
+/// Attempts that a lane carries where the settings tell nothing.
+const DEFAULT_STREAMS: usize = 32;
+const DEFAULT_CONNECT: Duration = Duration::from_millis(250);
+const DEFAULT_KEEPALIVE: Duration = Duration::from_secs(10);
 /// Part of the workers' own idle time after which we close a lane ourselves: theirs never crosses a command.
 const KEEPALIVE_PART: f64 = 0.8;
 /// Lanes that a command may be lost on without having left; then the worker counts as unreachable.
-const LANES_MOST: u32 = 3;
+const MAX_LANES: u32 = 3;
 
 /// Ids that a lane remembers to have carried; a second answer comes milliseconds after the first.
-const CARRIED_MOST: usize = 32;
+const MAX_CARRIED: usize = 32;
 
 pub(super) struct Worker {
     address: SocketAddr,
@@ -34,10 +34,10 @@
     lanes: Vec<LinkId>,
 }
 
-/// An execution on a lane, with what is needed to send it again where it never left.
+/// An attempt on a lane, with what is needed to send it again where it never left.
 struct Command {
-    job: JobId,
-    execution: u32,
+    request: RequestId,
+    attempt: u32,
     function: Rc<str>,
     until: Duration,
     work: Rc<Work>,
@@ -59,9 +59,9 @@
 }
 
 impl Lane {
-    /// Where among its commands an execution stands.
-    fn place(&self, job: JobId, execution: u32) -> Option<usize> {
-        self.commands.iter().position(|c| (c.job, c.execution) == (job, execution))
+    /// Where among its commands an attempt stands.
+    fn place(&self, request: RequestId, attempt: u32) -> Option<usize> {
+        self.commands.iter().position(|c| (c.request, c.attempt) == (request, attempt))
     }
 }
 
@@ -81,16 +81,16 @@
     }
 }
 
-/// Whether any byte of an execution has left.
+/// Whether any byte of an attempt has left.
 pub(super) fn has_left(
-    executions: &Executions,
+    attempts: &Attempts,
     links: &Links<Node, Peer>,
-    job: JobId,
-    execution: u32,
+    request: RequestId,
+    attempt: u32,
 ) -> bool {
-    let link = executions.get(&(job, execution)).and_then(|&id| links.get(id));
+    let link = attempts.get(&(request, attempt)).and_then(|&id| links.get(id));
     let Some((link, Peer::Lane(lane))) = link.map(|link| (link, &link.state)) else { return true };
-    let Some(at) = lane.place(job, execution) else { return true };
+    let Some(at) = lane.place(request, attempt) else { return true };
     lane.commands[at].span.is_some_and(|(from, _)| from < link.left())
 }
 
@@ -101,7 +101,7 @@
         uid: &str,
         address: SocketAddr,
         started: Option<Duration>,
-    ) -> Vec<(JobId, u32)> {
+    ) -> Vec<(RequestId, u32)> {
         let other = |of: &Worker| (of.address, of.started) != (address, started);
         let before =
             if self.workers.get(uid).is_some_and(other) { self.worker_gone(uid) } else { Vec::new() };
@@ -109,15 +109,15 @@
         before
     }
 
-    /// Returns the executions on lanes to the worker: what of them has left goes on to its end, the rest must be
+    /// Returns the attempts on lanes to the worker: what of them has left goes on to its end, the rest must be
     /// placed anew once the news is known.
-    pub(super) fn worker_gone(&mut self, uid: &str) -> Vec<(JobId, u32)> {
+    pub(super) fn worker_gone(&mut self, uid: &str) -> Vec<(RequestId, u32)> {
         let Some(worker) = self.workers.remove(uid) else { return Vec::new() };
         let mut out = Vec::new();
         for id in worker.lanes {
             self.close_if_idle(id);
             let of = lane(&mut self.links, id).into_iter().flat_map(|lane| &lane.commands);
-            out.extend(of.map(|command| (command.job, command.execution)));
+            out.extend(of.map(|command| (command.request, command.attempt)));
         }
         out
     }
@@ -141,29 +141,29 @@
             worker.lanes.retain(|of| *of != id);
         }
         for command in &lane.commands {
-            self.executions.remove(&(command.job, command.execution));
+            self.attempts.remove(&(command.request, command.attempt));
         }
         lane.commands
     }
 
     pub(super) fn execute(
         &mut self,
-        job: JobId,
-        execution: u32,
+        request: RequestId,
+        attempt: u32,
         worker: &Rc<str>,
         function: Rc<str>,
         wait: Duration,
         work: Rc<Work>,
     ) {
         let now = self.now();
-        if !self.desk.is_open(job) {
-            // Its client has left since the desk said so, in the same turn.
-            return self.desk.withdrawn(now, job, execution);
+        if !self.request_table.is_open(request) {
+            // Its client has left since the request table said so, in the same turn.
+            return self.request_table.attempt_recalled(now, request, attempt);
         }
-        self.counts.executions += 1;
-        tracing::trace!(job, execution, %worker, %function, "execution sent");
+        self.counts.attempts += 1;
+        tracing::trace!(request, attempt, %worker, %function, "execution sent");
         let until = now + wait;
-        let command = Command { job, execution, function, until, work, lost: 0, span: None };
+        let command = Command { request, attempt, function, until, work, lost: 0, span: None };
         self.send(worker, command);
     }
 
@@ -172,14 +172,19 @@
         let id = match self.lane_for(worker, command.work.id) {
             Ok(id) => id,
             Err(why) => {
-                let (job, execution) = (command.job, command.execution);
-                // Whoever carries out the desk's words hears of it next.
-                return self.desk.ended(self.now(), job, execution, Ended::silent(proof::cut(why)));
+                let (request, attempt) = (command.request, command.attempt);
+                // Whoever carries out the request table's words hears of it next.
+                return self.request_table.attempt_ended(
+                    self.now(),
+                    request,
+                    attempt,
+                    AttemptResult::silent(proof::cut(why)),
+                );
             }
         };
-        self.executions.insert((command.job, command.execution), id);
+        self.attempts.insert((command.request, command.attempt), id);
         let now = self.now();
-        let name = &self.config.settings.workloads[command.work.workload as usize].name;
+        let name = &self.config.settings.request_classes[command.work.request_class as usize].name;
         let of = lane(&mut self.links, id).map(|lane| (lane.stage, lane.commands.is_empty(), lane.rests));
         match of {
             Some((Stage::Up, true, rests)) if lanes::must_prove(now.saturating_sub(rests)) => {
@@ -209,13 +214,17 @@
     fn connect_timeout(&self) -> Duration {
         let told = self.config.settings.allowed.connect_timeout;
         // No connection is there in no time at all.
-        told.filter(|told| !told.is_zero()).unwrap_or(CONNECT_UNTOLD)
+        told.filter(|told| !told.is_zero()).unwrap_or(DEFAULT_CONNECT)
     }
 
     /// A lane to a worker for a command under the id `wanted`, or what it proves that there is none.
     fn lane_for(&mut self, worker: &Rc<str>, wanted: u64) -> Result<LinkId, Cut> {
-        let streams =
-            self.config.settings.allowed.streams_per_connection.map_or(STREAMS_UNTOLD, |n| n.max(1) as usize);
+        let streams = self
+            .config
+            .settings
+            .allowed
+            .streams_per_connection
+            .map_or(DEFAULT_STREAMS, |n| n.max(1) as usize);
         loop {
             let of = self.workers.get(worker).ok_or(Cut::NotConnected)?;
             let (address, ids) = (of.address, of.lanes.clone());
@@ -271,14 +280,14 @@
         true
     }
 
-    /// Tells the worker that nobody waits for an execution any more, or takes it back where it has not left.
-    pub(super) fn give_up(&mut self, job: JobId, execution: u32) {
-        if self.take_back(job, execution) {
+    /// Tells the worker that nobody waits for an attempt any more, or takes it back where it has not left.
+    pub(super) fn give_up(&mut self, request: RequestId, attempt: u32) {
+        if self.take_back(request, attempt) {
             return;
         }
-        let Some(id) = self.executions.remove(&(job, execution)) else { return };
+        let Some(id) = self.attempts.remove(&(request, attempt)) else { return };
         let Some(lane) = lane(&mut self.links, id) else { return };
-        let Some(command) = lane.place(job, execution).map(|at| lane.commands.swap_remove(at)) else {
+        let Some(command) = lane.place(request, attempt).map(|at| lane.commands.swap_remove(at)) else {
             return;
         };
         if let Some(output) = self.links.output(id) {
@@ -287,13 +296,13 @@
         self.rest_lane(id);
     }
 
-    /// Takes an execution off its lane if it cannot have reached its worker: nothing of it has left, or a part, and
+    /// Takes an attempt off its lane if it cannot have reached its worker: nothing of it has left, or a part, and
     /// its lane, which then is of no further use, carries nothing else.
-    pub(super) fn take_back(&mut self, job: JobId, execution: u32) -> bool {
-        let Some(&id) = self.executions.get(&(job, execution)) else { return false };
+    pub(super) fn take_back(&mut self, request: RequestId, attempt: u32) -> bool {
+        let Some(&id) = self.attempts.get(&(request, attempt)) else { return false };
         let Some(link) = self.links.get_mut(id) else { return false };
         let Peer::Lane(lane) = &link.state else { return false };
-        let Some(at) = lane.place(job, execution) else { return false };
+        let Some(at) = lane.place(request, attempt) else { return false };
         let (span, alone) = (lane.commands[at].span, lane.commands.len() == 1);
         if span.is_some_and(|(from, to)| !link.take_back(from, to)) {
             let partly = span.is_some_and(|(_, to)| link.left() < to);
@@ -312,14 +321,14 @@
                 (*from, *to) = (*from - taken, *to - taken);
             }
         }
-        self.executions.remove(&(job, execution));
+        self.attempts.remove(&(request, attempt));
         self.rest_lane(id);
         true
     }
 
-    pub(super) fn withdraw(&mut self, job: JobId, execution: u32) {
-        if self.take_back(job, execution) {
-            self.desk.withdrawn(self.now(), job, execution);
+    pub(super) fn recall(&mut self, request: RequestId, attempt: u32) {
+        if self.take_back(request, attempt) {
+            self.request_table.attempt_recalled(self.now(), request, attempt);
         }
     }
 
@@ -335,7 +344,7 @@
             self.close_lane(id);
             return;
         }
-        let keep = self.config.settings.allowed.keepalive.unwrap_or(KEEPALIVE_UNTOLD);
+        let keep = self.config.settings.allowed.keepalive.unwrap_or(DEFAULT_KEEPALIVE);
         self.links.set_deadline(id, Some(keep.mul_f64(KEEPALIVE_PART)));
     }
 
@@ -357,7 +366,7 @@
         }
     }
 
-    /// A lane is of no further use: each execution on it ends by what that proves. `unsent`: what it proves of a
+    /// A lane is of no further use: each attempt on it ends by what that proves. `unsent`: what it proves of a
     /// command that has not left whole.
     fn lose_lane(&mut self, id: LinkId, unsent: Cut) {
         let Some(link) = self.links.get(id) else { return };
@@ -365,8 +374,8 @@
         let Peer::Lane(lane) = &link.state else { return };
         let worker = lane.worker.clone();
         // Not to a worker that drains, has gone or was started again since.
-        let there =
-            self.desk.is_up(&worker) && self.workers.get(&worker).is_some_and(|w| w.lanes.contains(&id));
+        let there = self.request_table.is_up(&worker)
+            && self.workers.get(&worker).is_some_and(|w| w.lanes.contains(&id));
         let commands = self.close_lane(id);
         self.counts.lanes_lost += u64::from(!commands.is_empty());
         for mut command in commands {
@@ -375,15 +384,15 @@
                 Some(_) | None => unsent,
             };
             command.lost += 1;
-            let wanted = self.desk.is_open(command.job) && command.until > self.now();
-            if how == Cut::Unsent && command.lost < LANES_MOST && there && wanted {
+            let wanted = self.request_table.is_open(command.request) && command.until > self.now();
+            if how == Cut::Unsent && command.lost < MAX_LANES && there && wanted {
                 command.span = None;
                 self.send(&worker, command);
                 continue;
             }
-            tracing::debug!(job = command.job, %worker, ?how, "lane lost under an execution");
-            let ended = Ended::silent(proof::cut(how));
-            self.desk.ended(self.now(), command.job, command.execution, ended);
+            tracing::debug!(request = command.request, %worker, ?how, "lane lost under an execution");
+            let ended = AttemptResult::silent(proof::cut(how));
+            self.request_table.attempt_ended(self.now(), command.request, command.attempt, ended);
         }
         self.carry_out();
     }
@@ -415,7 +424,7 @@
         of.stage = Stage::Up;
         let mut commands = std::mem::take(&mut of.commands);
         for command in &mut commands {
-            let name = &self.config.settings.workloads[command.work.workload as usize].name;
+            let name = &self.config.settings.request_classes[command.work.request_class as usize].name;
             write_command(&mut self.links, id, name, command, now);
         }
         if let Some(of) = lane(&mut self.links, id) {
@@ -451,18 +460,22 @@
             let command = of.commands.swap_remove(at);
             let report = report::read(answer.fields, &self.config.settings.report_fields);
             let body = (answer.code == Code::Done).then(|| answer.body.to_vec());
-            ended.push((command, Ended { outcome, found: Found::Untold, crowd: None, report }, body));
+            ended.push((
+                command,
+                AttemptResult { outcome, cache_result: CacheResult::Unknown, concurrency: None, report },
+                body,
+            ));
         };
         link.consume(used);
         let over = link.ended() || unreadable.is_some();
         for (command, end, body) in ended {
-            self.executions.remove(&(command.job, command.execution));
-            tracing::trace!(job = command.job, execution = command.execution, outcome = ?end.outcome, "ended");
+            self.attempts.remove(&(command.request, command.attempt));
+            tracing::trace!(request = command.request, attempt = command.attempt, outcome = ?end.outcome, "ended");
             if !over {
                 self.rest_lane(id);
             }
-            self.in_hand = body.map(|body| (command.job, body));
-            self.desk.ended(self.now(), command.job, command.execution, end);
+            self.in_hand = body.map(|body| (command.request, body));
+            self.request_table.attempt_ended(self.now(), command.request, command.attempt, end);
             self.carry_out();
             self.in_hand = None;
         }
@@ -490,20 +503,20 @@
 fn write_command(
     links: &mut Links<Node, Peer>,
     id: LinkId,
-    workload: &str,
+    request_class: &str,
     command: &mut Command,
     now: Duration,
 ) {
     let Some(from) = links.get(id).map(Link::end) else { return };
     let left = command.until.saturating_sub(now).as_millis().max(1);
     let (code, work) = (frame::EXECUTE, &command.work);
-    let replay = work.fingerprint.as_ref().map(|of| format!(",replay={of}")).unwrap_or_default();
-    let fields = format!("profile={workload},thing={}{replay},max={left}", command.function);
+    let replay = work.idempotency_key.as_ref().map(|of| format!(",replay={of}")).unwrap_or_default();
+    let fields = format!("profile={request_class},thing={}{replay},max={left}", command.function);
     let Some(output) = links.output(id) else { return };
     frame::write(output, frame::FROM_SCHEDULER, code, work.id, fields.as_bytes(), &work.body);
     command.span = links.get(id).map(|link| (from, link.end()));
     if let Some(lane) = lane(links, id) {
-        lane.carried.truncate(CARRIED_MOST - 1);
+        lane.carried.truncate(MAX_CARRIED - 1);
         lane.carried.push_front(work.id);
     }
 }
--- a/crates/quartzdrift/src/record.rs
+++ b/crates/quartzdrift/src/record.rs
@@ -1,7 +1,7 @@
-//! A trace of all jobs that a gateway took: JSON lines, written by a thread of its own, bounded.
+//! A trace of all requests that a gateway took: JSON lines, written by a thread of its own, bounded.
 //!
-//! Each line: `at_us` since the trace began, `workload` (its place in the settings), `function`, `work_us` (what the
-//! settings say of its work, 0 where nothing), `gateway` (0), `customer`, `left_us`. The lab's emulator and load read it.
+//! Each line: `at_us` since the trace began, `request_class` (its place in the settings), `function`, `work_us` (what the
+//! settings say of its work, 0 where nothing), `gateway` (0), `tenant`, `left_us`. The lab's emulator and load read it.
 use crate::settings::Record;
 use flate2::Compression;
 use flate2::write::GzEncoder;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Lines that wait for the thread at most; more are left out and counted.
-const WAITING_MOST: usize = 10_000;
+const MAX_WAITING: usize = 10_000;
 
 pub struct Recorder {
     sender: Option<SyncSender<String>>,
@@ -36,7 +36,7 @@
 impl Recorder {
     pub fn start(record: &Record) -> io::Result<Recorder> {
         let mut out = create(&record.file)?;
-        let (sender, lines) = sync_channel::<String>(WAITING_MOST);
+        let (sender, lines) = sync_channel::<String>(MAX_WAITING);
         let work = move || {
             for line in lines {
                 if let Err(e) = out.write_all(line.as_bytes()) {
@@ -58,7 +58,14 @@
         })
     }
 
-    pub fn job(&mut self, now: Duration, function: &str, workload: u32, customer: u32, left: Duration) {
+    pub fn request(
+        &mut self,
+        now: Duration,
+        function: &str,
+        request_class: u32,
+        tenant: u32,
+        left: Duration,
+    ) {
         let Some(sender) = &self.sender else { return };
         let at = now.saturating_sub(*self.began.get_or_insert(now)).as_micros();
         let name = match self.hash_names {
@@ -72,8 +79,8 @@
         let name = serde_json::Value::String(name);
         let left_us = left.as_micros();
         let line = format!(
-            "{{\"at_us\":{at},\"workload\":{workload},\"function\":{name},\"work_us\":0,\"gateway\":0.0,\
-             \"customer\":{customer},\"left_us\":{left_us}}}\n"
+            "{{\"at_us\":{at},\"workload\":{request_class},\"function\":{name},\"work_us\":0,\"gateway\":0.0,\
+             \"customer\":{tenant},\"left_us\":{left_us}}}\n"
         );
         if line.len() as u64 > self.left {
             tracing::warn!("the trace is as long as the settings allow, and ends");
@@ -112,7 +119,7 @@
         let record = Record { file: file.clone(), bytes: 600, hash_names: true };
         let mut recorder = Recorder::start(&record).unwrap();
         for n in 0..100 {
-            recorder.job(Duration::from_millis(1000 + n), "secret", 1, 0, Duration::from_secs(3));
+            recorder.request(Duration::from_millis(1000 + n), "secret", 1, 0, Duration::from_secs(3));
         }
         drop(recorder);
         let text = std::fs::read_to_string(file).unwrap();
--- a/crates/quartzdrift/src/saved.rs
+++ b/crates/quartzdrift/src/saved.rs
@@ -14,7 +14,7 @@
 
 /// Other schedulers, as last believed.
 pub const MEMBERS: &str = "members.json";
-/// What a start goes on from; and, in the folder of deferred jobs, whose they are.
+/// What a start goes on from; and, in the folder of asynchronous requests, whose they are.
 pub const MARK: &str = "recovery.json";
 /// What the decision module has measured of workers.
 pub const MEASURED: &str = "measured.snapshot";
