--- a/crates/quartzdrift/src/settings/check.rs
+++ b/crates/quartzdrift/src/settings/check.rs
@@ -1,11 +1,11 @@
 //! Contradictions in settings, each with the line of what it is about and the mend.
-use super::raw::{Effect, File, To};
-use super::{Fault, Function, Log, Roster, Settings, line_of};
-use quartzdrift_choice::interface as choice;
-use quartzdrift_deferred::{Destination, Waits};
+use super::raw::{File, Idempotency, To};
+use super::{Discovery, Fault, Function, Log, Settings, line_of};
+use quartzdrift_async_queue::{Destination, Waits};
+use quartzdrift_discovery::list::{self, Known, Listed};
 use quartzdrift_http::Limits;
-use quartzdrift_roster::list::{self, Known, Listed};
-use quartzdrift_timers::{Missed, Timer};
+use quartzdrift_scheduler::interface as scheduler;
+use quartzdrift_schedules::{Missed, Timer};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -63,32 +63,32 @@
 
 pub fn check(file: &str, text: &str, raw: &File) -> Result<Settings, Vec<Fault>> {
     let mut faults = Faults { file, text, found: Vec::new() };
-    let choice = raw.choice();
+    let scheduler = raw.scheduler();
     let listen = listen(raw, &mut faults);
-    workloads(raw, &mut faults);
+    request_classes(raw, &mut faults);
     rules(raw, &mut faults);
-    customers(raw, &mut faults);
+    tenants(raw, &mut faults);
     limits(raw, &mut faults);
-    let functions = functions(raw, &choice, &mut faults);
+    let functions = functions(raw, &scheduler, &mut faults);
     let known = Known { zones: raw.scheduler.zones.clone(), kinds: raw.scheduler.kinds.clone() };
     let workers = workers(raw, &known, &mut faults);
-    let roster = roster(raw, &mut faults);
-    if workers.is_empty() && raw.roster.is_none() && raw.gateway.state.is_none() {
+    let discovery = discovery(raw, &mut faults);
+    if workers.is_empty() && raw.discovery.is_none() && raw.gateway.state.is_none() {
         let mend = "add [[workers]] with an address, or [roster] with a url";
         faults.add(faults.table("gateway"), "no worker is named and no roster that names any", mend);
     }
-    let default_function = raw.gateway.default_workload.as_ref().and_then(|told| {
-        let workload = workload_named(raw, told.get_ref());
-        if workload.is_none() {
+    let default_function = raw.gateway.default_request_class.as_ref().and_then(|told| {
+        let request_class = request_class_named(raw, told.get_ref());
+        if request_class.is_none() {
             let mend = format!("name one of: {}", names(raw));
             faults.add(told.span(), format!("there is no workload '{}'", told.get_ref()), mend);
         }
-        workload.map(|workload| Rc::new(Function { workload, ..Function::default() }))
+        request_class.map(|request_class| Rc::new(Function { request_class, ..Function::default() }))
     });
     let timers = timers(raw, &functions, default_function.is_some(), &mut faults);
-    let on_success = to(&raw.deferred.on_success, raw, faults.table("deferred"), &mut faults);
-    let on_failure = to(&raw.deferred.on_failure, raw, faults.table("deferred"), &mut faults);
-    let deferred = deferred(raw, &mut faults);
+    let on_success = to(&raw.asynchronous.on_success, raw, faults.table("deferred"), &mut faults);
+    let on_failure = to(&raw.asynchronous.on_failure, raw, faults.table("deferred"), &mut faults);
+    let asynchronous = asynchronous(raw, &mut faults);
     let forecasts = forecasts(raw, &mut faults);
     let fleet = fleet(raw, &mut faults);
     recovery(raw, &mut faults);
@@ -116,8 +116,8 @@
         seed: raw.gateway.seed,
         drain: raw.gateway.drain.0,
         require_json: raw.gateway.require_json,
-        customer_field: raw.gateway.customer_field.as_ref().map(|f| f.to_ascii_lowercase()),
-        customers: raw.customers.iter().zip(0..).map(|(c, at)| (c.get_ref().name.clone(), at)).collect(),
+        tenant_field: raw.gateway.tenant_field.as_ref().map(|f| f.to_ascii_lowercase()),
+        tenants: raw.tenants.iter().zip(0..).map(|(c, at)| (c.get_ref().name.clone(), at)).collect(),
         functions,
         default_function,
         limits: Limits {
@@ -132,15 +132,15 @@
             keepalive: raw.allowed.keepalive.0,
         },
         log: Log { json: raw.log.form == super::raw::LogForm::Json, filter: raw.log.filter.clone() },
-        choice,
+        scheduler,
         metrics: raw.reports.fields.iter().map(|m| m.metric.clone()).collect(),
         connect_timeout: raw.allowed.connect_timeout.0,
         workers,
         known,
-        roster,
-        deferred,
-        store: raw.deferred.store.as_ref().map(Into::into),
-        answer_early: raw.deferred.answer == super::raw::Answer::Early,
+        discovery,
+        asynchronous,
+        store: raw.asynchronous.store.as_ref().map(Into::into),
+        answer_early: raw.asynchronous.answer == super::raw::Answer::Early,
         on_success,
         on_failure,
         timers,
@@ -154,7 +154,7 @@
         recovery: super::Recovery {
             ask: raw.recovery.ask.0,
             longest: raw.recovery.longest.0,
-            fingerprints_on_disk: raw.recovery.fingerprints == super::raw::FingerprintsIn::Disk,
+            idempotency_keys_on_disk: raw.recovery.idempotency_keys == super::raw::IdempotencyKeysIn::Disk,
             pace: raw.recovery.pace,
         },
         share_port: raw.gateway.share_port,
@@ -162,7 +162,7 @@
 }
 
 /// Bytes of a fleet's key at least: what cannot be guessed.
-const KEY_LEAST: usize = 16;
+const MIN_KEY: usize = 16;
 
 /// A key from its file.
 fn key(path: &str) -> Result<Vec<u8>, String> {
@@ -170,7 +170,7 @@
         std::fs::read_to_string(path).map_err(|e| format!("the key file '{path}' cannot be read: {e}"))?;
     let key = hex::decode(text.trim()).map_err(|e| format!("the key file '{path}' holds no key: {e}"))?;
     match key.len() {
-        KEY_LEAST.. => Ok(key),
+        MIN_KEY.. => Ok(key),
         bytes => Err(format!("the key in '{path}' has {bytes} bytes; it can be guessed")),
     }
 }
@@ -181,8 +181,11 @@
         let mend = "write ask over nothing, and longest no shorter than it";
         faults.add(faults.table("recovery"), "others have no time to answer", mend);
     }
-    let keeps = |w: &toml::Spanned<super::raw::Workload>| w.get_ref().effect == Effect::Fingerprinted;
-    if told.fingerprints == super::raw::FingerprintsIn::Disk && !raw.workloads.iter().any(keeps) {
+    let keeps = |w: &toml::Spanned<super::raw::RequestClass>| {
+        w.get_ref().idempotency == Idempotency::IdempotentWithKey
+    };
+    if told.idempotency_keys == super::raw::IdempotencyKeysIn::Disk && !raw.request_classes.iter().any(keeps)
+    {
         let mend = "take fingerprints = \"disk\" out, or tell the workload whose effect is \"fingerprinted\"";
         faults.add(
             faults.table("recovery"),
@@ -194,8 +197,8 @@
 
 fn fleet(raw: &File, faults: &mut Faults) -> Option<super::Fleet> {
     let told = raw.fleet.as_ref()?;
-    let defaults = quartzdrift_members::Settings::default();
-    let most = quartzdrift_members::wire::NAME_MOST;
+    let defaults = quartzdrift_membership::Settings::default();
+    let most = quartzdrift_membership::wire::MAX_NAME;
     if told.name.is_empty() || told.name.len() > most {
         let mend = format!("write a name of 1 to {most} bytes that no other scheduler has");
         faults.add(faults.key("fleet", "name"), "the scheduler has no usable name", mend);
@@ -258,7 +261,7 @@
             "write a number over 0",
         );
     }
-    let members = quartzdrift_members::Settings {
+    let members = quartzdrift_membership::Settings {
         name: told.name.clone(),
         address: advertise?,
         cluster: told.cluster.clone(),
@@ -289,7 +292,7 @@
         let mend = "write two spans of a minute or more at most, like [\"1d\", \"7d\"]";
         faults.add(faults.key("forecasts", "seasons"), "there are too many seasons, or too short ones", mend);
     }
-    if !raw.copies.orders {
+    if !raw.copies.load_commands {
         let mend = "write orders = true under [copies], or leave [forecasts] out";
         faults.add(faults.table("forecasts"), "forecasts are kept, but load orders are not allowed", mend);
     }
@@ -322,54 +325,54 @@
 }
 
 fn names(raw: &File) -> String {
-    raw.workloads.iter().map(|w| w.get_ref().name.as_str()).collect::<Vec<_>>().join(", ")
+    raw.request_classes.iter().map(|w| w.get_ref().name.as_str()).collect::<Vec<_>>().join(", ")
 }
 
-fn workload_named(raw: &File, name: &str) -> Option<u32> {
-    raw.workloads.iter().position(|w| w.get_ref().name == name).map(|at| at as u32)
+fn request_class_named(raw: &File, name: &str) -> Option<u32> {
+    raw.request_classes.iter().position(|w| w.get_ref().name == name).map(|at| at as u32)
 }
 
-fn workloads(raw: &File, faults: &mut Faults) {
-    if raw.workloads.is_empty() {
+fn request_classes(raw: &File, faults: &mut Faults) {
+    if raw.request_classes.is_empty() {
         let mend = "add [[workloads]] with name, effect and time_limit";
         faults.add(faults.table("gateway"), "there is no workload", mend);
     }
-    for (at, told) in raw.workloads.iter().enumerate() {
+    for (at, told) in raw.request_classes.iter().enumerate() {
         let (span, w) = (told.span(), told.get_ref());
         let mut fault = |what: &str, mend: &str| {
             faults.add(span.clone(), format!("workload '{}': {what}", w.name), mend);
         };
-        if raw.workloads[..at].iter().any(|before| before.get_ref().name == w.name) {
+        if raw.request_classes[..at].iter().any(|before| before.get_ref().name == w.name) {
             fault("the name stands twice", "give each workload a name of its own");
         }
-        if w.time_limit.0 <= raw.rules.answer_slack.0 + raw.allowed.connect_timeout.0 {
+        if w.timeout.0 <= raw.rules.answer_slack.0 + raw.allowed.connect_timeout.0 {
             let mend = "make time_limit longer, or rules.answer_slack or allowed.connect_timeout shorter";
             fault("its time limit is not longer than the answer slack and a connect time-out together", mend);
         }
-        if w.start_target.is_some_and(|target| target > w.time_limit) {
+        if w.latency_objective.is_some_and(|target| target > w.timeout) {
             fault("its start target is past its time limit", "make start_target no longer than time_limit");
         }
-        let fingerprinted = w.effect == Effect::Fingerprinted;
-        if fingerprinted && w.window.is_none_or(|window| window.0.is_zero()) {
+        let keyed = w.idempotency == Idempotency::IdempotentWithKey;
+        if keyed && w.window.is_none_or(|window| window.0.is_zero()) {
             fault(
                 "it is fingerprinted, but for how long repeats are known is not told",
                 "add window = \"5s\" or so",
             );
         }
-        if fingerprinted && w.group.is_none() {
+        if keyed && w.deduplication_scope.is_none() {
             fault(
                 "it is fingerprinted, but which workers know a repeat is not told",
                 "add group = \"all\", \"zone\" or \"cell\"",
             );
         }
-        if !fingerprinted && (w.window.is_some() || w.group.is_some()) {
+        if !keyed && (w.window.is_some() || w.deduplication_scope.is_some()) {
             fault("group and window say nothing unless it is fingerprinted", "remove them, or change effect");
         }
         let share = |told: Option<f64>| told.is_some_and(|n| !(0.0..=1.0).contains(&n));
-        if share(w.late_share) {
+        if share(w.late_weight) {
             fault("late_share is no share", "write a number from 0 to 1");
         }
-        if w.importance.is_some_and(|n| !n.is_finite() || n < 0.0) {
+        if w.priority_weight.is_some_and(|n| !n.is_finite() || n < 0.0) {
             fault("importance is below nothing", "write a number from 0 on");
         }
     }
@@ -401,7 +404,11 @@
         );
     }
     let copies = &raw.copies;
-    let load = [copies.load_free.is_some(), copies.load_share.is_some(), copies.load_window.is_some()];
+    let load = [
+        copies.load_quota_burst.is_some(),
+        copies.load_quota_share.is_some(),
+        copies.load_quota_window.is_some(),
+    ];
     if load.contains(&true) && load.contains(&false) {
         let mend = "tell load_free, load_share and load_window, or none of them";
         faults.add(faults.table("copies"), "the ration of load orders is told in part", mend);
@@ -412,7 +419,7 @@
         let mend = "write one figure for each of scheduler.kinds";
         faults.add(faults.key("copies", "memory_mb_by_kind"), what, mend);
     }
-    if raw.allowed.max_executions == Some(0) {
+    if raw.allowed.max_attempts == Some(0) {
         let mend = "write 1 for no further executions";
         faults.add(faults.key("allowed", "max_executions"), "no execution is allowed at all", mend);
     }
@@ -442,24 +449,24 @@
     }
 }
 
-fn customers(raw: &File, faults: &mut Faults) {
-    for (at, told) in raw.customers.iter().enumerate() {
-        let customer = told.get_ref();
-        if raw.customers[..at].iter().any(|before| before.get_ref().name == customer.name) {
-            let what = format!("customer '{}' stands twice", customer.name);
+fn tenants(raw: &File, faults: &mut Faults) {
+    for (at, told) in raw.tenants.iter().enumerate() {
+        let tenant = told.get_ref();
+        if raw.tenants[..at].iter().any(|before| before.get_ref().name == tenant.name) {
+            let what = format!("customer '{}' stands twice", tenant.name);
             faults.add(told.span(), what, "give each customer a name of its own");
         }
-        if customer.share.is_some_and(|n| !(0.0..=1.0).contains(&n)) {
-            let what = format!("customer '{}': the share is no share", customer.name);
+        if tenant.share.is_some_and(|n| !(0.0..=1.0).contains(&n)) {
+            let what = format!("customer '{}': the share is no share", tenant.name);
             faults.add(told.span(), what, "write a number from 0 to 1");
         }
     }
-    let all: f64 = raw.customers.iter().filter_map(|c| c.get_ref().share).sum();
+    let all: f64 = raw.tenants.iter().filter_map(|c| c.get_ref().share).sum();
     if all > 1.001 {
-        let at = raw.customers.first().map_or(0..0, |c| c.span());
+        let at = raw.tenants.first().map_or(0..0, |c| c.span());
         faults.add(at, format!("the customers' shares come to {all:.3}"), "make them come to 1 at most");
     }
-    if raw.gateway.customer_field.is_some() && raw.customers.is_empty() {
+    if raw.gateway.tenant_field.is_some() && raw.tenants.is_empty() {
         let mend = "add [[customers]], or leave customer_field out";
         faults.add(
             faults.key("gateway", "customer_field"),
@@ -498,7 +505,7 @@
         To { function: Some(name), url: None } => {
             let plain = name.split(':').next().unwrap_or(name);
             let named = raw.functions.iter().any(|f| f.get_ref().name == *name || f.get_ref().name == plain);
-            if !named && raw.gateway.default_workload.is_none() {
+            if !named && raw.gateway.default_request_class.is_none() {
                 faults.add(
                     at,
                     format!("the destination '{name}' is no function"),
@@ -521,7 +528,11 @@
     }
 }
 
-fn functions(raw: &File, choice: &choice::Settings, faults: &mut Faults) -> HashMap<String, Rc<Function>> {
+fn functions(
+    raw: &File,
+    scheduler: &scheduler::Settings,
+    faults: &mut Faults,
+) -> HashMap<String, Rc<Function>> {
     let mut all = HashMap::new();
     for told in &raw.functions {
         let (span, f) = (told.span(), told.get_ref());
@@ -529,25 +540,31 @@
             let what = format!("'{}' is no function's name", f.name);
             faults.add(span.clone(), what, "use letters, digits, '-' and '_', and ':' before a version");
         }
-        let Some(workload) = workload_named(raw, &f.workload) else {
+        let Some(request_class) = request_class_named(raw, &f.request_class) else {
             let mend = format!("name one of: {}", names(raw));
-            faults.add(span, format!("function '{}': there is no workload '{}'", f.name, f.workload), mend);
+            faults.add(
+                span,
+                format!("function '{}': there is no workload '{}'", f.name, f.request_class),
+                mend,
+            );
             continue;
         };
-        let most = choice.copies.memory_mb_by_kind.iter().copied().fold(f64::NAN, f64::max);
+        let most = scheduler.copies.memory_mb_by_kind.iter().copied().fold(f64::NAN, f64::max);
         if f.memory_mb.is_some_and(|mb| mb > most) {
             let what = format!("function '{}': no kind of worker has the memory for a copy", f.name);
             faults.add(span.clone(), what, format!("the largest has {most} MB: make memory_mb smaller"));
         }
-        if f.lanes.is_some_and(|lanes| !(lanes >= 1.0 && lanes.is_finite())) {
+        if f.concurrency_slots
+            .is_some_and(|concurrency_slots| !(concurrency_slots >= 1.0 && concurrency_slots.is_finite()))
+        {
             faults.add(span.clone(), format!("function '{}': lanes is below 1", f.name), "write 1 or more");
         }
         let on_success = to(&f.on_success, raw, span.clone(), faults);
         let on_failure = to(&f.on_failure, raw, span.clone(), faults);
         let function = Function {
-            workload,
+            request_class,
             memory_mb: f.memory_mb,
-            lanes: f.lanes,
+            concurrency_slots: f.concurrency_slots,
             load: f.load.map(|s| s.0),
             work: f.work.map(|s| s.0),
             writes: f.writes,
@@ -558,7 +575,10 @@
             faults.add(span, format!("function '{}' stands twice", f.name), "remove one of them");
         }
     }
-    if raw.functions.is_empty() && raw.gateway.default_workload.is_none() && !raw.workloads.is_empty() {
+    if raw.functions.is_empty()
+        && raw.gateway.default_request_class.is_none()
+        && !raw.request_classes.is_empty()
+    {
         let mend = "add [[functions]], or gateway.default_workload for all that are not named";
         faults.add(faults.table("gateway"), "no function is known", mend);
     }
@@ -596,8 +616,8 @@
     all
 }
 
-fn roster(raw: &File, faults: &mut Faults) -> Option<Roster> {
-    let told = raw.roster.as_ref()?;
+fn discovery(raw: &File, faults: &mut Faults) -> Option<Discovery> {
+    let told = raw.discovery.as_ref()?;
     if told.every.0 < Duration::from_millis(50) {
         faults.add(faults.key("roster", "every"), "the list is asked for too often", "write 50ms or more");
     }
@@ -607,7 +627,7 @@
     match url(told.url.get_ref()) {
         Ok((address, target)) => {
             let (stream, every, timeout) = (told.stream, told.every.0, told.timeout.0);
-            Some(Roster { address, target, stream, every, timeout })
+            Some(Discovery { address, target, stream, every, timeout })
         }
         Err(why) => {
             faults.add(told.url.span(), why, "write it like \"http://127.0.0.1:9800/workers\"");
@@ -616,8 +636,8 @@
     }
 }
 
-fn deferred(raw: &File, faults: &mut Faults) -> Waits {
-    let told = &raw.deferred;
+fn asynchronous(raw: &File, faults: &mut Faults) -> Waits {
+    let told = &raw.asynchronous;
     if told.tries == 0 {
         faults.add(
             faults.key("deferred", "tries"),
@@ -641,7 +661,7 @@
         first: told.wait.0,
         longest: told.longest_wait.0,
         greatest_age: told.greatest_age.0,
-        jobs: told.jobs,
+        requests: told.requests,
         bytes: told.bytes,
         out: told.out,
     }
@@ -674,9 +694,9 @@
                 "write JSON in it",
             );
         }
-        let cron = quartzdrift_timers::cron(&t.cron)
+        let cron = quartzdrift_schedules::cron(&t.cron)
             .map_err(|why| faults.add(span.clone(), why, "write like \"*/5 * * * *\""));
-        let zone = quartzdrift_timers::zone(&t.zone)
+        let zone = quartzdrift_schedules::zone(&t.zone)
             .map_err(|why| faults.add(span.clone(), why, "write like \"Europe/Amsterdam\" or \"UTC\""));
         let (Ok(cron), Ok(zone)) = (cron, zone) else { continue };
         let timer = Timer {
--- a/crates/quartzdrift/src/settings/mod.rs
+++ b/crates/quartzdrift/src/settings/mod.rs
@@ -3,11 +3,11 @@
 pub use check::destination;
 pub mod raw;
 
-use quartzdrift_choice::interface::Settings as Choice;
-use quartzdrift_deferred::{Destination, Waits};
+use quartzdrift_async_queue::{Destination, Waits};
+use quartzdrift_discovery::list::{Known, Listed};
 use quartzdrift_http::Limits;
-use quartzdrift_roster::list::{Known, Listed};
-use quartzdrift_timers::Timer;
+use quartzdrift_scheduler::interface::Settings as Choice;
+use quartzdrift_schedules::Timer;
 use std::collections::HashMap;
 use std::fmt;
 use std::net::SocketAddr;
@@ -41,9 +41,9 @@
 /// A function as the settings know it.
 #[derive(Clone, Debug, Default)]
 pub struct Function {
-    pub workload: u32,
+    pub request_class: u32,
     pub memory_mb: Option<f64>,
-    pub lanes: Option<f64>,
+    pub concurrency_slots: Option<f64>,
     pub load: Option<Duration>,
     pub work: Option<Duration>,
     pub writes: bool,
@@ -52,7 +52,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Roster {
+pub struct Discovery {
     pub address: SocketAddr,
     pub target: String,
     pub stream: bool,
@@ -74,23 +74,23 @@
     pub seed: Option<u64>,
     pub drain: Duration,
     pub require_json: bool,
-    pub customer_field: Option<String>,
-    pub customers: HashMap<String, u32>,
+    pub tenant_field: Option<String>,
+    pub tenants: HashMap<String, u32>,
     pub functions: HashMap<String, Rc<Function>>,
     pub default_function: Option<Rc<Function>>,
     pub limits: Limits,
     pub log: Log,
-    pub choice: Choice,
+    pub scheduler: Choice,
     /// Names of the metrics that tell the module's report fields, in their order.
     pub metrics: Vec<String>,
     pub connect_timeout: Duration,
     pub workers: Vec<Listed>,
     pub known: Known,
-    pub roster: Option<Roster>,
-    pub deferred: Waits,
-    /// Where deferred jobs are kept; none: in memory only.
+    pub discovery: Option<Discovery>,
+    pub asynchronous: Waits,
+    /// Where asynchronous requests are kept; none: in memory only.
     pub store: Option<PathBuf>,
-    /// Whether a deferred job is answered as taken before it lasts.
+    /// Whether an asynchronous request is answered as taken before it lasts.
     pub answer_early: bool,
     pub on_success: Option<Destination>,
     pub on_failure: Option<Destination>,
@@ -106,7 +106,7 @@
 /// Membership of a fleet of schedulers.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    pub members: quartzdrift_members::Settings,
+    pub members: quartzdrift_membership::Settings,
     pub listen: SocketAddr,
     /// How long a silent scheduler counts as one that may be there.
     pub silent: Duration,
@@ -117,7 +117,7 @@
 pub struct Recovery {
     pub ask: Duration,
     pub longest: Duration,
-    pub fingerprints_on_disk: bool,
+    pub idempotency_keys_on_disk: bool,
     pub pace: bool,
 }
 
@@ -188,10 +188,10 @@
 mod tests {
     use super::*;
 
-    /// What is wrong with a small settings file that has these lines under its only workload, then these tables.
-    fn wrong(workload: &str, tables: &str) -> Vec<String> {
+    /// What is wrong with a small settings file that has these lines under its only request class, then these tables.
+    fn wrong(request_class: &str, tables: &str) -> Vec<String> {
         let text = format!(
-            "[gateway]\nlisten = [\"127.0.0.1:0\"]\n[[workloads]]\nname = \"a\"\ntime_limit = \"3s\"\n{workload}\n\
+            "[gateway]\nlisten = [\"127.0.0.1:0\"]\n[[workloads]]\nname = \"a\"\ntime_limit = \"3s\"\n{request_class}\n\
              [[functions]]\nname = \"f\"\nworkload = \"a\"\n[[workers]]\naddress = \"127.0.0.1:1\"\n{tables}\n"
         );
         let faults = read("test.toml", &text).err().unwrap_or_default();
--- a/crates/quartzdrift/src/settings/raw.rs
+++ b/crates/quartzdrift/src/settings/raw.rs
@@ -1,6 +1,6 @@
 //! The settings file as it is written. Every field of the decision module's settings can be told; a field that
 //! is unknown, of the wrong kind or in a bad unit is an error with its place.
-use quartzdrift_choice::interface as choice;
+use quartzdrift_scheduler::interface as scheduler;
 use serde::de::{Deserializer, Error, Visitor};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -41,15 +41,17 @@
     #[serde(default)]
     pub scheduler: Scheduler,
     #[serde(default)]
-    pub workloads: Vec<Spanned<Workload>>,
+    #[serde(rename = "workloads")]
+    pub request_classes: Vec<Spanned<RequestClass>>,
     #[serde(default)]
-    pub customers: Vec<Spanned<Customer>>,
+    #[serde(rename = "customers")]
+    pub tenants: Vec<Spanned<Tenant>>,
     #[serde(default)]
     pub allowed: Allowed,
     #[serde(default)]
     pub rules: Rules,
     #[serde(default)]
-    pub copies: Copies,
+    pub copies: CacheSettings,
     #[serde(default)]
     pub reports: Reports,
     #[serde(default)]
@@ -60,9 +62,11 @@
     pub functions: Vec<Spanned<Function>>,
     #[serde(default)]
     pub workers: Vec<Spanned<Worker>>,
-    pub roster: Option<Roster>,
+    #[serde(rename = "roster")]
+    pub discovery: Option<Discovery>,
     #[serde(default)]
-    pub deferred: Deferred,
+    #[serde(rename = "deferred")]
+    pub asynchronous: Asynchronous,
     #[serde(default)]
     pub timers: Vec<Spanned<Timer>>,
     pub forecasts: Option<Forecasts>,
@@ -80,15 +84,16 @@
     pub ask: Span,
     /// How long service may take to return in stages at most.
     pub longest: Span,
-    /// Where workers keep the fingerprints of what they have run.
-    pub fingerprints: FingerprintsIn,
+    /// Where workers keep the idempotency keys of what they have run.
+    #[serde(rename = "fingerprints")]
+    pub idempotency_keys: IdempotencyKeysIn,
     /// Whether calls are let in by a pace while copies return after a loss of many.
     pub pace: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum FingerprintsIn {
+pub enum IdempotencyKeysIn {
     /// Lost with their power.
     #[default]
     Memory,
@@ -101,7 +106,7 @@
         Recovery {
             ask: Span(Duration::from_secs(2)),
             longest: Span(Duration::from_secs(300)),
-            fingerprints: FingerprintsIn::Memory,
+            idempotency_keys: IdempotencyKeysIn::Memory,
             pace: true,
         }
     }
@@ -159,7 +164,7 @@
     }
 }
 
-/// A trace of all jobs, for the emulator and for load.
+/// A trace of all requests, for the emulator and for load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
@@ -192,10 +197,12 @@
     /// Whether a payload must be JSON, as the API has it.
     #[serde(default = "yes")]
     pub require_json: bool,
-    /// The field by which a trusted front tells the customer; none: all jobs are the first customer's.
-    pub customer_field: Option<String>,
-    /// The workload of functions that the settings do not name; none: they are not found.
-    pub default_workload: Option<Spanned<String>>,
+    /// The field by which a trusted front tells the tenant; none: all requests are the first tenant's.
+    #[serde(rename = "customer_field")]
+    pub tenant_field: Option<String>,
+    /// The request class of functions that the settings do not name; none: they are not found.
+    #[serde(rename = "default_workload")]
+    pub default_request_class: Option<Spanned<String>>,
     /// Whether another instance may listen at the same addresses, to take over before this one stops.
     #[serde(default)]
     pub share_port: bool,
@@ -246,10 +253,11 @@
 
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Discovery {
+pub enum DiscoveryMode {
     #[default]
     Push,
-    Ask,
+    #[serde(rename = "ask")]
+    Poll,
 }
 
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
@@ -266,7 +274,8 @@
 #[serde(rename_all = "kebab-case")]
 pub enum CountedBy {
     #[default]
-    Job,
+    #[serde(rename = "job")]
+    Request,
     Work,
 }
 
@@ -282,24 +291,28 @@
     pub tiers: Vec<String>,
     pub family: String,
     pub resolution: Option<Span>,
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     pub weights: Weights,
     pub counted_by: CountedBy,
-    pub over_share_importance: Option<f64>,
+    #[serde(rename = "over_share_importance")]
+    pub over_quota_weight: Option<f64>,
     pub clients_mark_retries: bool,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Effect {
-    Restartable,
-    Fingerprinted,
-    RunOnce,
+pub enum Idempotency {
+    #[serde(rename = "restartable")]
+    Idempotent,
+    #[serde(rename = "fingerprinted")]
+    IdempotentWithKey,
+    #[serde(rename = "run-once")]
+    NonIdempotent,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Group {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
@@ -307,15 +320,22 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Workload {
+pub struct RequestClass {
     pub name: String,
-    pub effect: Effect,
-    pub time_limit: Span,
-    pub start_target: Option<Span>,
-    pub target_stretch: Option<f64>,
-    pub importance: Option<f64>,
-    pub late_share: Option<f64>,
-    pub group: Option<Group>,
+    #[serde(rename = "effect")]
+    pub idempotency: Idempotency,
+    #[serde(rename = "time_limit")]
+    pub timeout: Span,
+    #[serde(rename = "start_target")]
+    pub latency_objective: Option<Span>,
+    #[serde(rename = "target_stretch")]
+    pub latency_objective_stretch: Option<f64>,
+    #[serde(rename = "importance")]
+    pub priority_weight: Option<f64>,
+    #[serde(rename = "late_share")]
+    pub late_weight: Option<f64>,
+    #[serde(rename = "group")]
+    pub deduplication_scope: Option<DeduplicationScope>,
     pub window: Option<Span>,
     #[serde(default)]
     pub streams: bool,
@@ -323,10 +343,11 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Customer {
+pub struct Tenant {
     pub name: String,
     pub share: Option<f64>,
-    pub jobs_per_second: Option<f64>,
+    #[serde(rename = "jobs_per_second")]
+    pub requests_per_second: Option<f64>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -335,15 +356,18 @@
     pub cancel: bool,
     pub probes: bool,
     pub peers: bool,
-    pub second_copies: bool,
+    #[serde(rename = "second_copies")]
+    pub hedging: bool,
     pub retry_after: bool,
     pub max_retry_after: Option<Span>,
-    pub max_executions: Option<u32>,
+    #[serde(rename = "max_executions")]
+    pub max_attempts: Option<u32>,
     pub max_open: Option<u32>,
     pub connect_timeout: Span,
     pub keepalive: Span,
     pub cpu_us_per_second: Option<f64>,
-    pub cpu_us_per_job: Option<f64>,
+    #[serde(rename = "cpu_us_per_job")]
+    pub cpu_us_per_request: Option<f64>,
     pub streams_per_connection: Option<u32>,
 }
 
@@ -353,15 +377,15 @@
             cancel: true,
             probes: false,
             peers: false,
-            second_copies: false,
+            hedging: false,
             retry_after: true,
             max_retry_after: Some(Span(Duration::from_secs(10))),
-            max_executions: Some(3),
+            max_attempts: Some(3),
             max_open: None,
             connect_timeout: Span(Duration::from_millis(250)),
             keepalive: Span(Duration::from_secs(15)),
             cpu_us_per_second: None,
-            cpu_us_per_job: None,
+            cpu_us_per_request: None,
             streams_per_connection: None,
         }
     }
@@ -403,18 +427,25 @@
 
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Copies {
+pub struct CacheSettings {
     pub on_miss: OnMiss,
-    pub orders: bool,
-    pub tells_warm: bool,
-    pub tells_crowd: bool,
+    #[serde(rename = "orders")]
+    pub load_commands: bool,
+    #[serde(rename = "tells_warm")]
+    pub reports_cache_status: bool,
+    #[serde(rename = "tells_crowd")]
+    pub reports_concurrency: bool,
     pub keep: Option<Span>,
     pub memory_mb_by_kind: Vec<f64>,
     pub idle_memory_price: Option<f64>,
-    pub load_free: Option<f64>,
-    pub load_share: Option<f64>,
-    pub load_window: Option<Span>,
-    pub order_timeout: Option<Span>,
+    #[serde(rename = "load_free")]
+    pub load_quota_burst: Option<f64>,
+    #[serde(rename = "load_share")]
+    pub load_quota_share: Option<f64>,
+    #[serde(rename = "load_window")]
+    pub load_quota_window: Option<Span>,
+    #[serde(rename = "order_timeout")]
+    pub load_command_timeout: Option<Span>,
 }
 
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
@@ -433,7 +464,8 @@
     Queued,
     Busy,
     LatencyMs,
-    FinishedPerSecond,
+    #[serde(rename = "finished-per-second")]
+    SucceededPerSecond,
     ErrorsPerSecond,
     MemoryTaken,
     Loads,
@@ -460,7 +492,8 @@
     pub connection: f64,
     pub cross_zone: f64,
     pub handshake: f64,
-    pub late_kill: f64,
+    #[serde(rename = "late_kill")]
+    pub late_failure: f64,
     pub moves: f64,
     pub origin: f64,
     pub peer: f64,
@@ -474,8 +507,10 @@
 pub struct Goal {
     pub whole: f64,
     pub worst_window: f64,
-    pub worst_workload: f64,
-    pub worst_customer: f64,
+    #[serde(rename = "worst_workload")]
+    pub worst_request_class: f64,
+    #[serde(rename = "worst_customer")]
+    pub worst_tenant: f64,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -489,9 +524,11 @@
 #[serde(deny_unknown_fields)]
 pub struct Function {
     pub name: String,
-    pub workload: String,
+    #[serde(rename = "workload")]
+    pub request_class: String,
     pub memory_mb: Option<f64>,
-    pub lanes: Option<f64>,
+    #[serde(rename = "lanes")]
+    pub concurrency_slots: Option<f64>,
     pub load: Option<Span>,
     pub work: Option<Span>,
     #[serde(default)]
@@ -513,7 +550,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Roster {
+pub struct Discovery {
     /// Where the list is, like "http://127.0.0.1:9800/workers".
     pub url: Spanned<String>,
     /// Changes come over server-sent events at the same address.
@@ -523,7 +560,7 @@
     #[serde(default = "every")]
     pub every: Span,
     /// An answer not there by then has failed.
-    #[serde(default = "roster_timeout")]
+    #[serde(default = "discovery_timeout")]
     pub timeout: Span,
 }
 
@@ -531,25 +568,26 @@
     Span(Duration::from_secs(5))
 }
 
-fn roster_timeout() -> Span {
+fn discovery_timeout() -> Span {
     Span(Duration::from_secs(2))
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Deferred {
+pub struct Asynchronous {
     pub tries: u32,
     pub wait: Span,
     pub longest_wait: Span,
     pub greatest_age: Span,
-    pub jobs: usize,
+    #[serde(rename = "jobs")]
+    pub requests: usize,
     pub bytes: usize,
     pub out: usize,
     pub on_success: Option<To>,
     pub on_failure: Option<To>,
-    /// Folder in which jobs outlast the process; none: they do not.
+    /// Folder in which requests outlast the process; none: they do not.
     pub store: Option<String>,
-    /// When a job is answered as taken.
+    /// When a request is answered as taken.
     pub answer: Answer,
 }
 
@@ -563,14 +601,14 @@
     Early,
 }
 
-impl Default for Deferred {
-    fn default() -> Deferred {
-        Deferred {
+impl Default for Asynchronous {
+    fn default() -> Asynchronous {
+        Asynchronous {
             tries: 3,
             wait: Span(Duration::from_secs(1)),
             longest_wait: Span(Duration::from_secs(300)),
             greatest_age: Span(Duration::from_secs(6 * 3600)),
-            jobs: 100_000,
+            requests: 100_000,
             bytes: 256 << 20,
             out: 256,
             on_success: None,
@@ -615,62 +653,62 @@
     told.map(|span| span.0)
 }
 
-impl From<Effect> for choice::Effect {
-    fn from(effect: Effect) -> Self {
-        match effect {
-            Effect::Restartable => choice::Effect::Restartable,
-            Effect::Fingerprinted => choice::Effect::Fingerprinted,
-            Effect::RunOnce => choice::Effect::RunOnce,
+impl From<Idempotency> for scheduler::Idempotency {
+    fn from(idempotency: Idempotency) -> Self {
+        match idempotency {
+            Idempotency::Idempotent => scheduler::Idempotency::Idempotent,
+            Idempotency::IdempotentWithKey => scheduler::Idempotency::IdempotentWithKey,
+            Idempotency::NonIdempotent => scheduler::Idempotency::NonIdempotent,
         }
     }
 }
 
-impl From<ReportField> for choice::ReportField {
+impl From<ReportField> for scheduler::ReportField {
     fn from(field: ReportField) -> Self {
         match field {
-            ReportField::Held => choice::ReportField::Held,
-            ReportField::Queued => choice::ReportField::Queued,
-            ReportField::Busy => choice::ReportField::Busy,
-            ReportField::LatencyMs => choice::ReportField::LatencyMs,
-            ReportField::FinishedPerSecond => choice::ReportField::FinishedPerSecond,
-            ReportField::ErrorsPerSecond => choice::ReportField::ErrorsPerSecond,
-            ReportField::MemoryTaken => choice::ReportField::MemoryTaken,
-            ReportField::Loads => choice::ReportField::Loads,
+            ReportField::Held => scheduler::ReportField::Held,
+            ReportField::Queued => scheduler::ReportField::Queued,
+            ReportField::Busy => scheduler::ReportField::Busy,
+            ReportField::LatencyMs => scheduler::ReportField::LatencyMs,
+            ReportField::SucceededPerSecond => scheduler::ReportField::SucceededPerSecond,
+            ReportField::ErrorsPerSecond => scheduler::ReportField::ErrorsPerSecond,
+            ReportField::MemoryTaken => scheduler::ReportField::MemoryTaken,
+            ReportField::Loads => scheduler::ReportField::Loads,
         }
     }
 }
 
 impl File {
     /// The decision module's part of the settings.
-    pub fn choice(&self) -> choice::Settings {
+    pub fn scheduler(&self) -> scheduler::Settings {
         let (scheduler, allowed) = (self.scheduler.clone(), &self.allowed);
         let zone = scheduler.zone.as_ref().and_then(|told| {
             scheduler.zones.iter().position(|zone| zone == told.get_ref()).map(|at| at as u32)
         });
-        let workload = |w: &Spanned<Workload>| {
+        let request_class = |w: &Spanned<RequestClass>| {
             let w = w.get_ref();
-            choice::Workload {
+            scheduler::RequestClass {
                 name: w.name.clone(),
-                effect: w.effect.into(),
-                start_target: span(w.start_target),
-                target_stretch: w.target_stretch,
-                time_limit: Some(w.time_limit.0),
-                importance: w.importance,
-                late_share: w.late_share,
-                group: match w.group {
-                    None | Some(Group::All) => choice::Group::All,
-                    Some(Group::Zone) => choice::Group::Zone,
-                    Some(Group::Cell) => choice::Group::Cell,
+                idempotency: w.idempotency.into(),
+                latency_objective: span(w.latency_objective),
+                latency_objective_stretch: w.latency_objective_stretch,
+                timeout: Some(w.timeout.0),
+                priority_weight: w.priority_weight,
+                late_weight: w.late_weight,
+                deduplication_scope: match w.deduplication_scope {
+                    None | Some(DeduplicationScope::All) => scheduler::DeduplicationScope::All,
+                    Some(DeduplicationScope::Zone) => scheduler::DeduplicationScope::Zone,
+                    Some(DeduplicationScope::Cell) => scheduler::DeduplicationScope::Cell,
                 },
                 window: span(w.window),
                 streams: w.streams,
             }
         };
-        let customer = |c: &Spanned<Customer>| {
-            let Customer { name, share, jobs_per_second } = c.get_ref().clone();
-            choice::Customer { name, share, jobs_per_second }
+        let tenant = |c: &Spanned<Tenant>| {
+            let Tenant { name, share, requests_per_second } = c.get_ref().clone();
+            scheduler::Tenant { name, share, requests_per_second }
         };
-        choice::Settings {
+        scheduler::Settings {
             me: scheduler.me,
             schedulers: scheduler.schedulers,
             zone,
@@ -681,39 +719,39 @@
             family: scheduler.family,
             resolution: span(scheduler.resolution),
             discovery: match scheduler.discovery {
-                Discovery::Push => choice::Discovery::Push,
-                Discovery::Ask => choice::Discovery::Ask,
+                DiscoveryMode::Push => scheduler::DiscoveryMode::Push,
+                DiscoveryMode::Poll => scheduler::DiscoveryMode::Poll,
             },
             weights: match scheduler.weights {
-                Weights::Silent => choice::Weights::Silent,
-                Weights::Nominal => choice::Weights::Nominal,
-                Weights::Rough => choice::Weights::Rough,
-                Weights::Live => choice::Weights::Live,
+                Weights::Silent => scheduler::Weights::Silent,
+                Weights::Nominal => scheduler::Weights::Nominal,
+                Weights::Rough => scheduler::Weights::Rough,
+                Weights::Live => scheduler::Weights::Live,
             },
             counted_by: match scheduler.counted_by {
-                CountedBy::Job => choice::CountedBy::Job,
-                CountedBy::Work => choice::CountedBy::Work,
+                CountedBy::Request => scheduler::CountedBy::Request,
+                CountedBy::Work => scheduler::CountedBy::Work,
             },
-            over_share_importance: scheduler.over_share_importance,
+            over_quota_weight: scheduler.over_quota_weight,
             clients_mark_retries: scheduler.clients_mark_retries,
-            workloads: self.workloads.iter().map(workload).collect(),
-            customers: self.customers.iter().map(customer).collect(),
-            allowed: choice::Allowed {
+            request_classes: self.request_classes.iter().map(request_class).collect(),
+            tenants: self.tenants.iter().map(tenant).collect(),
+            allowed: scheduler::Allowed {
                 cancel: allowed.cancel,
                 probes: allowed.probes,
                 peers: allowed.peers,
-                second_copies: allowed.second_copies,
+                hedging: allowed.hedging,
                 retry_after: allowed.retry_after,
                 max_retry_after: span(allowed.max_retry_after),
-                max_executions: allowed.max_executions,
+                max_attempts: allowed.max_attempts,
                 max_open: allowed.max_open,
                 connect_timeout: Some(allowed.connect_timeout.0),
                 keepalive: Some(allowed.keepalive.0),
                 cpu_us_per_second: allowed.cpu_us_per_second,
-                cpu_us_per_job: allowed.cpu_us_per_job,
+                cpu_us_per_request: allowed.cpu_us_per_request,
                 streams_per_connection: allowed.streams_per_connection,
             },
-            rules: choice::Rules {
+            rules: scheduler::Rules {
                 answer_slack: Some(self.rules.answer_slack.0),
                 ask_within: span(self.rules.ask_within),
                 cold_from: self.rules.cold_from,
@@ -722,33 +760,33 @@
                 fall_multiple: self.rules.fall_multiple,
                 fall_window: span(self.rules.fall_window),
             },
-            copies: choice::Copies {
+            copies: scheduler::CacheSettings {
                 on_miss: match self.copies.on_miss {
-                    OnMiss::Load => choice::OnMiss::Load,
-                    OnMiss::Miss => choice::OnMiss::Miss,
+                    OnMiss::Load => scheduler::OnMiss::Load,
+                    OnMiss::Miss => scheduler::OnMiss::Miss,
                 },
-                orders: self.copies.orders,
-                tells_warm: self.copies.tells_warm,
-                tells_crowd: self.copies.tells_crowd,
+                load_commands: self.copies.load_commands,
+                reports_cache_status: self.copies.reports_cache_status,
+                reports_concurrency: self.copies.reports_concurrency,
                 keep: span(self.copies.keep),
                 memory_mb_by_kind: self.copies.memory_mb_by_kind.clone(),
                 idle_memory_price: self.copies.idle_memory_price,
-                load_free: self.copies.load_free,
-                load_share: self.copies.load_share,
-                load_window: span(self.copies.load_window),
-                order_timeout: span(self.copies.order_timeout),
+                load_quota_burst: self.copies.load_quota_burst,
+                load_quota_share: self.copies.load_quota_share,
+                load_quota_window: span(self.copies.load_quota_window),
+                load_command_timeout: span(self.copies.load_command_timeout),
             },
             report_source: match self.reports.source {
-                ReportSource::Answers => choice::ReportSource::Answers,
-                ReportSource::Probes => choice::ReportSource::Probes,
-                ReportSource::Silent => choice::ReportSource::Silent,
+                ReportSource::Answers => scheduler::ReportSource::Answers,
+                ReportSource::Probes => scheduler::ReportSource::Probes,
+                ReportSource::Silent => scheduler::ReportSource::Silent,
             },
             report_fields: self.reports.fields.iter().map(|m| m.field.into()).collect(),
-            prices: choice::Prices {
+            prices: scheduler::Prices {
                 connection: self.prices.connection,
                 cross_zone: self.prices.cross_zone,
                 handshake: self.prices.handshake,
-                late_kill: self.prices.late_kill,
+                late_failure: self.prices.late_failure,
                 moves: self.prices.moves,
                 origin: self.prices.origin,
                 peer: self.prices.peer,
@@ -756,11 +794,11 @@
                 discovery: self.prices.discovery,
                 waste: self.prices.waste,
             },
-            goal: choice::Goal {
+            goal: scheduler::Goal {
                 whole: self.goal.whole,
                 worst_window: self.goal.worst_window,
-                worst_workload: self.goal.worst_workload,
-                worst_customer: self.goal.worst_customer,
+                worst_request_class: self.goal.worst_request_class,
+                worst_tenant: self.goal.worst_tenant,
             },
         }
     }
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -1,13 +1,13 @@
 //! What earlier releases stored is read, and means the same: files that a gateway of 2026-12-02 left, killed with
 //! invocations of each kind open. Each is written again and compared byte for byte.
 use quartzdrift::{durable, saved};
-use quartzdrift_choice::interface::{Effect, State};
-use quartzdrift_choice::measure::Measured;
-use quartzdrift_deferred::Destination;
+use quartzdrift_async_queue::Destination;
+use quartzdrift_discovery::list::{self, Known};
 use quartzdrift_forecast::Forecasts;
 use quartzdrift_recovery::{Kind, Mark, Stage, View};
-use quartzdrift_roster::list::{self, Known};
-use quartzdrift_store::{Folder, Log, look};
+use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
+use quartzdrift_scheduler::measure::Measurements;
+use quartzdrift_wal::{Folder, Log, look};
 use serde_json::Value;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -59,32 +59,39 @@
         .iter()
         .map(|live| {
             let kept = durable::kept(live).expect("it is of this release's form");
-            assert_eq!(kept.job.to_bytes(), live.job, "written again it is the same");
-            (kept.id.0, kept.job.function.clone(), kept.job.effect, kept.tries, kept.out.is_some(), kept.job)
+            assert_eq!(kept.request.to_bytes(), live.request, "written again it is the same");
+            (
+                kept.id.0,
+                kept.request.function.clone(),
+                kept.request.idempotency,
+                kept.tries,
+                kept.out.is_some(),
+                kept.request,
+            )
         })
         .collect();
     let told: Vec<_> = read
         .iter()
-        .map(|(id, function, effect, tries, out, _)| (*id, &**function, *effect, *tries, *out))
+        .map(|(id, function, idempotency, tries, out, _)| (*id, &**function, *idempotency, *tries, *out))
         .collect();
     assert_eq!(
         told,
         [
-            (1, "fail", Effect::Restartable, 1, false),
-            (2, "echo", Effect::Restartable, 1, true),
-            (3, "slow", Effect::RunOnce, 1, true),
-            (4, "mark", Effect::Fingerprinted, 1, true),
+            (1, "fail", Idempotency::Idempotent, 1, false),
+            (2, "echo", Idempotency::Idempotent, 1, true),
+            (3, "slow", Idempotency::NonIdempotent, 1, true),
+            (4, "mark", Idempotency::IdempotentWithKey, 1, true),
         ]
     );
-    let jobs: Vec<_> = read.into_iter().map(|(.., job)| job).collect();
-    assert_eq!(jobs[0].on_failure, Some(Destination::Url("http://127.0.0.1:19999/dead".to_owned())));
-    assert_eq!(jobs[1].on_failure, Some(Destination::Function("dead".to_owned())));
-    assert_eq!((jobs[3].mark.as_deref(), jobs[3].window), (Some("k-1"), Duration::from_secs(60)));
-    assert_eq!(&jobs[2].payload[..], br#"{"n":3}"#);
+    let requests: Vec<_> = read.into_iter().map(|(.., request)| request).collect();
+    assert_eq!(requests[0].on_failure, Some(Destination::Url("http://127.0.0.1:19999/dead".to_owned())));
+    assert_eq!(requests[1].on_failure, Some(Destination::Function("dead".to_owned())));
+    assert_eq!((requests[3].mark.as_deref(), requests[3].window), (Some("k-1"), Duration::from_secs(60)));
+    assert_eq!(&requests[2].payload[..], br#"{"n":3}"#);
     // It goes on where the old process ended.
     let (mut log, live) = Log::open(Folder::open(folder.path()).unwrap_or_else(|e| panic!("{e}"))).unwrap();
     assert_eq!(live.len(), 4);
-    log.commit(vec![quartzdrift_store::Change::Over { id: 2 }]).unwrap();
+    log.commit(vec![quartzdrift_wal::Change::Over { id: 2 }]).unwrap();
     drop(log);
     assert_eq!(look(&Folder::open(folder.path()).unwrap()).unwrap().live.len(), 3);
 }
@@ -99,11 +106,11 @@
     let (one, two) = (&list.workers[0], &list.workers[1]);
     assert_eq!(
         (&*one.worker, one.state, one.started),
-        ("127.0.0.1:19801", State::Up, Some(Duration::from_millis(1_796_190_000_250)))
+        ("127.0.0.1:19801", EndpointState::Up, Some(Duration::from_millis(1_796_190_000_250)))
     );
     assert_eq!(
         (two.state, two.zone, two.kind, two.cell, two.capacity),
-        (State::Draining, 1, 1, 3, Some(2.5))
+        (EndpointState::Draining, 1, 1, 3, Some(2.5))
     );
     let again = list::read(&list::write(&list.workers, &known), &known).unwrap();
     assert_eq!(again.workers, list.workers);
@@ -129,7 +136,7 @@
 #[test]
 fn what_was_measured_and_forecast_is_read_and_written_again() {
     let bytes = last(saved::MEASURED);
-    let measured: Measured = postcard::from_bytes(&bytes).unwrap();
+    let measured: Measurements = postcard::from_bytes(&bytes).unwrap();
     assert_eq!(
         (measured.peaks.len(), measured.most_up[&None], measured.usual),
         (2, 2, Some(Duration::from_nanos(2_326_081)))
@@ -151,12 +158,22 @@
     let settings = quartzdrift::settings::load(&stored().join("settings.toml")).unwrap_or_else(|faults| {
         panic!("{}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
     });
-    let effects: Vec<Effect> = settings.choice.workloads.iter().map(|class| class.effect).collect();
-    assert_eq!(effects, [Effect::Restartable, Effect::Fingerprinted, Effect::RunOnce]);
-    assert_eq!((settings.choice.allowed.max_executions, settings.choice.report_fields.len()), (Some(2), 8));
-    assert_eq!((settings.choice.copies.orders, settings.choice.copies.load_share), (true, Some(0.1)));
+    let idempotency_kinds: Vec<Idempotency> =
+        settings.scheduler.request_classes.iter().map(|class| class.idempotency).collect();
     assert_eq!(
-        (settings.choice.over_share_importance, settings.choice.goal.worst_customer),
+        idempotency_kinds,
+        [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent]
+    );
+    assert_eq!(
+        (settings.scheduler.allowed.max_attempts, settings.scheduler.report_fields.len()),
+        (Some(2), 8)
+    );
+    assert_eq!(
+        (settings.scheduler.copies.load_commands, settings.scheduler.copies.load_quota_share),
+        (true, Some(0.1))
+    );
+    assert_eq!(
+        (settings.scheduler.over_quota_weight, settings.scheduler.goal.worst_tenant),
         (Some(0.05), 0.1)
     );
 }
