--- a/crates/quartzdrift-adapter/src/main.rs
+++ b/crates/quartzdrift-adapter/src/main.rs
@@ -65,7 +65,9 @@
             "req" => Event::Request(Request {
                 request: request()?,
                 // One that cannot be read is none of ours: some other's rule on repeats would be kept for it.
-                request_class: line.text("tier-class").map_or(0, |told| told.parse().unwrap_or(u32::MAX)),
+                request_class: line
+                    .text("tier-class")
+                    .map_or(0, |told| told.parse().unwrap_or(u32::MAX)),
                 tenant: line.count("user-group").unwrap_or(0),
                 function: line.text("image").unwrap_or(""),
                 left: line.span("grace-ns").unwrap_or_default(),
@@ -78,7 +80,9 @@
                 is_retry: line.flag("is-retry"),
                 writes: line.flag("mutates"),
             }),
-            "fired" => Event::Timer { name: line.text("mark").ok_or_else(need("mark"))? },
+            "fired" => Event::Timer {
+                name: line.text("mark").ok_or_else(need("mark"))?,
+            },
             "sampled" => Event::HealthChecked {
                 worker: worker()?,
                 outcome: outcome()?,
@@ -93,7 +97,10 @@
                     worker: worker()?,
                     // Passed concluded, its request would go unanswered: it may have run.
                     outcome: outcome().unwrap_or_else(|why| {
-                        eprintln!("job {}: {why}; it is taken for an error", line.text("tid").unwrap_or(""));
+                        eprintln!(
+                            "job {}: {why}; it is taken for an error",
+                            line.text("tid").unwrap_or("")
+                        );
                         Outcome::Error
                     }),
                     duration: duration(),
@@ -111,7 +118,10 @@
             },
             "heard" => Event::PeerMessage {
                 from: line.count("sender").unwrap_or(0),
-                bytes: line.text("body").and_then(wire::bytes_of).ok_or_else(need("body"))?,
+                bytes: line
+                    .text("body")
+                    .and_then(wire::bytes_of)
+                    .ok_or_else(need("body"))?,
             },
             "expired" => Event::RequestCancelled { request: request()? },
             _ => Event::LoadEnded {
@@ -122,7 +132,9 @@
                 copies: line.count("n-inst").unwrap_or(0),
             },
         };
-        let Some(scheduler) = self.instances.get_mut(&instance) else { return Ok(()) };
+        let Some(scheduler) = self.instances.get_mut(&instance) else {
+            return Ok(());
+        };
         for action in scheduler.handle(self.now, event) {
             let written = wire::write(&mut self.reply, instance, &action);
             written.map_err(|e| e.to_string())?;
@@ -152,7 +164,8 @@
                     None => eprintln!("cannot read line: {text}: 'moment-ns' is missing or unreadable"),
                 }
             } else if line.name == "open_instance" {
-                self.open(&line).map_err(|why| format!("the settings cannot be used: {why}"))?;
+                self.open(&line)
+                    .map_err(|why| format!("the settings cannot be used: {why}"))?;
             } else if let Err(why) = self.event(&line, entries) {
                 eprintln!("cannot read line: {text}: {why}");
             }
@@ -173,7 +186,9 @@
         }
         if batch[start..].trim_ascii_end() == b"commit" {
             host.batch(&String::from_utf8_lossy(&batch[..start]))?;
-            let written = output.write_all(host.reply.as_bytes()).and_then(|()| output.flush());
+            let written = output
+                .write_all(host.reply.as_bytes())
+                .and_then(|()| output.flush());
             written.map_err(|e| e.to_string())?;
             batch.clear();
         }
@@ -212,7 +227,9 @@
             assert!(why.starts_with("the settings cannot be used: "), "{why}");
         }
         assert!(play(SETTINGS, "").is_ok());
-        let seedless = START.replace("SETTINGS", SETTINGS).replace("nonce64=7", "nonce64=");
+        let seedless = START
+            .replace("SETTINGS", SETTINGS)
+            .replace("nonce64=7", "nonce64=");
         assert!(host(seedless.as_bytes(), Vec::new()).is_err());
     }
 
@@ -223,9 +240,15 @@
         let told = format!("{REQUEST}answer\ti=0\ttid=5\tseq-no=0\tworker=10.0.0.1:1\tdisposition=eaten\n");
         assert!(play(SETTINGS, &told).unwrap().contains("push_back\ti=0\ttid=5"));
         let once = SETTINGS.replace("retryable", "fragile");
-        assert!(play(&once, &told).unwrap().contains("drop_request\ti=0\ttid=5"), "it may have run");
+        assert!(
+            play(&once, &told).unwrap().contains("drop_request\ti=0\ttid=5"),
+            "it may have run"
+        );
         let class = play(SETTINGS, &REQUEST.replace("image", "tier-class=-1\timage")).unwrap();
-        assert!(class.contains("push_back\ti=0\ttid=5") && !class.contains("pass_on"), "{class}");
+        assert!(
+            class.contains("push_back\ti=0\ttid=5") && !class.contains("pass_on"),
+            "{class}"
+        );
     }
 
     #[test]
@@ -235,7 +258,10 @@
             "form=INCREMENTAL\tlines=1\nworker\tworker=10.0.0.1:1",
         ] {
             let sent = play(SETTINGS, &format!("targets\ti=0\t{news}\n{REQUEST}")).unwrap();
-            assert!(sent.contains("push_back\ti=0\ttid=5") && !sent.contains("pass_on"), "{sent}");
+            assert!(
+                sent.contains("push_back\ti=0\ttid=5") && !sent.contains("pass_on"),
+                "{sent}"
+            );
         }
     }
 }
--- a/crates/quartzdrift-adapter/src/wire.rs
+++ b/crates/quartzdrift-adapter/src/wire.rs
@@ -16,7 +16,9 @@
     }
 
     pub fn text(&self, key: &str) -> Option<&'a str> {
-        self.rest.split('\t').find_map(|part| part.strip_prefix(key)?.strip_prefix('='))
+        self.rest
+            .split('\t')
+            .find_map(|part| part.strip_prefix(key)?.strip_prefix('='))
     }
 
     /// A value that runs to the end of the line.
@@ -40,7 +42,10 @@
 
     pub fn span(&self, key: &str) -> Option<Duration> {
         let value = self.text(key)?;
-        let nanos = value.parse::<i64>().ok().or_else(|| value.parse::<f64>().ok().map(|n| n as i64));
+        let nanos = value
+            .parse::<i64>()
+            .ok()
+            .or_else(|| value.parse::<f64>().ok().map(|n| n as i64));
         nanos.map(|n| Duration::from_nanos(n.max(0) as u64))
     }
 
@@ -64,7 +69,9 @@
     }
 
     pub fn report(&self) -> Vec<Option<f64>> {
-        let Some(row) = self.text("health-info") else { return Vec::new() };
+        let Some(row) = self.text("health-info") else {
+            return Vec::new();
+        };
         let value = |v: &str| v.parse::<f64>().ok().filter(|n| n.is_finite());
         row.split(',').map(value).collect()
     }
@@ -106,7 +113,9 @@
     }
     let digit = |c: u8| (c as char).to_digit(16).map(|d| d as u8);
     let pairs = hex.as_bytes().chunks(2);
-    pairs.map(|pair| Some(digit(pair[0])? << 4 | digit(*pair.get(1)?)?)).collect()
+    pairs
+        .map(|pair| Some(digit(pair[0])? << 4 | digit(*pair.get(1)?)?))
+        .collect()
 }
 
 fn hex_of(bytes: &[u8]) -> String {
@@ -118,7 +127,11 @@
 
 pub fn write(out: &mut String, i: u64, action: &Action) -> std::fmt::Result {
     match action {
-        Action::StartAttempt { request, worker, timeout } => {
+        Action::StartAttempt {
+            request,
+            worker,
+            timeout,
+        } => {
             write!(out, "pass_on\ti={i}\ttid={request}\tworker={worker}")?;
             if let Some(limit) = timeout {
                 write!(out, "\tmax-wait-ns={}", limit.as_nanos())?;
@@ -134,24 +147,35 @@
         Action::CancelAttempt { request, attempt } => {
             write!(out, "abort_attempt\ti={i}\ttid={request}\tseq-no={attempt}")?
         }
-        Action::SetTimer { delay, name } => {
-            write!(out, "notify_me\ti={i}\tdelay-ns={}\tmark={name}", delay.as_nanos())?
-        }
+        Action::SetTimer { delay, name } => write!(
+            out,
+            "notify_me\ti={i}\tdelay-ns={}\tmark={name}",
+            delay.as_nanos()
+        )?,
         Action::CheckHealth { worker } => write!(out, "ping\ti={i}\tworker={worker}")?,
         Action::CloseIdle { worker } => write!(out, "shut_idle\ti={i}\tworker={worker}")?,
         Action::SendToPeer { to, bytes } => {
             let to = to.map_or("all".to_owned(), |n| n.to_string());
             write!(out, "share\ti={i}\tdst={to}\tbody={}", hex_of(bytes))?
         }
-        Action::Load { worker, function, copies } => {
-            write!(out, "load\ti={i}\tworker={worker}\timage={function}\tn-inst={copies}")?
-        }
+        Action::Load {
+            worker,
+            function,
+            copies,
+        } => write!(
+            out,
+            "load\ti={i}\tworker={worker}\timage={function}\tn-inst={copies}"
+        )?,
         Action::Unload { worker, function } => {
             write!(out, "unload\ti={i}\tworker={worker}\timage={function}")?
         }
         Action::Watch { on } => write!(out, "watch\ti={i}\tactive={}", u8::from(*on))?,
         Action::PollEndpoints => write!(out, "snapshot\ti={i}")?,
-        Action::Log { text } => write!(out, "trace\ti={i}\ttext={}", text.replace(['\n', '\r', '\t'], " "))?,
+        Action::Log { text } => write!(
+            out,
+            "trace\ti={i}\ttext={}",
+            text.replace(['\n', '\r', '\t'], " ")
+        )?,
     }
     out.push('\n');
     Ok(())
--- a/crates/quartzdrift-async-queue/src/queue.rs
+++ b/crates/quartzdrift-async-queue/src/queue.rs
@@ -87,8 +87,13 @@
 /// The final answer of a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    Succeeded { function_error: bool },
-    Rejected { retry_after: Option<Duration>, may_have_executed: Option<Duration> },
+    Succeeded {
+        function_error: bool,
+    },
+    Rejected {
+        retry_after: Option<Duration>,
+        may_have_executed: Option<Duration>,
+    },
     Failed,
 }
 
@@ -190,8 +195,15 @@
         self.store.taken(id, now, &request);
         self.bytes += size;
         self.waits_from(request.tenant, now, id);
-        let held =
-            Held { request, taken: now, due: now, tries: 0, rejections: 0, out: false, confined: None };
+        let held = Held {
+            request,
+            taken: now,
+            due: now,
+            tries: 0,
+            rejections: 0,
+            out: false,
+            confined: None,
+        };
         self.held.insert(id, held);
         Ok(id)
     }
@@ -204,12 +216,28 @@
     /// that is harmless, in its window where workers know it, and is over elsewhere. Bounds are those of the time when it was
     /// taken.
     pub fn restore(&mut self, now: Duration, kept: Kept, after: After) -> Option<Step> {
-        let Kept { id, request, taken, due, tries, confined, out } = kept;
+        let Kept {
+            id,
+            request,
+            taken,
+            due,
+            tries,
+            confined,
+            out,
+        } = kept;
         self.drawn = self.drawn.max(id.0);
         self.bytes += request.payload.len() + OVERHEAD;
         let (idempotency, anywhere, window) = (request.idempotency, request.anywhere, request.window);
         let tenant = request.tenant;
-        let held = Held { request, taken, due, tries, rejections: 0, out: out.is_some(), confined };
+        let held = Held {
+            request,
+            taken,
+            due,
+            tries,
+            rejections: 0,
+            out: out.is_some(),
+            confined,
+        };
         self.held.insert(id, held);
         let Some(at) = out else {
             if after.older && idempotency != Idempotency::Idempotent {
@@ -222,7 +250,10 @@
         let end = match idempotency {
             Idempotency::Idempotent => End::Failed,
             Idempotency::IdempotentWithKey if anywhere && after.repeats_known && now < at + window => {
-                End::Rejected { retry_after: None, may_have_executed: Some(at) }
+                End::Rejected {
+                    retry_after: None,
+                    may_have_executed: Some(at),
+                }
             }
             Idempotency::IdempotentWithKey | Idempotency::NonIdempotent => End::Failed,
         };
@@ -254,13 +285,22 @@
 
     /// When [`Queue::take_due`] has something to say.
     pub fn next_due(&self) -> Option<Duration> {
-        let first = self.due.values().filter_map(|due| due.first()).map(|(at, _)| *at).min();
+        let first = self
+            .due
+            .values()
+            .filter_map(|due| due.first())
+            .map(|(at, _)| *at)
+            .min();
         first.filter(|_| self.out < self.allowed)
     }
 
     /// Whether a request's time has come, whether it may go out or not; or one is out.
     pub fn is_busy(&self, now: Duration) -> bool {
-        self.out > 0 || self.due.values().any(|due| due.first().is_some_and(|(at, _)| *at <= now))
+        self.out > 0
+            || self
+                .due
+                .values()
+                .any(|due| due.first().is_some_and(|(at, _)| *at <= now))
     }
 
     /// A request whose time has come, to be tried now: its id, the request, how often it was tried, and what remains of
@@ -269,7 +309,10 @@
         if self.out >= self.allowed {
             return None;
         }
-        let due = self.due.iter().filter_map(|(tenant, due)| Some((*tenant, *due.first()?)));
+        let due = self
+            .due
+            .iter()
+            .filter_map(|(tenant, due)| Some((*tenant, *due.first()?)));
         let due = due.filter(|(_, (at, _))| *at <= now);
         let turn = |tenant: u32| self.turns.get(&tenant).copied().unwrap_or(0);
         let (tenant, (at, id)) = due.min_by_key(|(tenant, of)| (turn(*tenant), *of))?;
@@ -293,7 +336,9 @@
         let idempotent = held.request.idempotency == Idempotency::Idempotent;
         let left = held.tries < self.waits.tries;
         let wait = match end {
-            End::Succeeded { function_error: false } => return self.over(id, true, "Success"),
+            End::Succeeded {
+                function_error: false,
+            } => return self.over(id, true, "Success"),
             End::Succeeded { function_error: true } | End::Failed if idempotent && left => {
                 let wait = self.waits.first * (1 << (held.tries - 1).min(MAX_DOUBLINGS));
                 // Half of it by chance: requests that failed together do not come back together.
@@ -301,7 +346,10 @@
                 wait / 2 + (wait / 2).mul_f64(self.chance.random_range(0.0..1.0))
             }
             End::Succeeded { .. } | End::Failed => return self.over(id, false, "RetriesExhausted"),
-            End::Rejected { retry_after, may_have_executed } => {
+            End::Rejected {
+                retry_after,
+                may_have_executed,
+            } => {
                 // It did not run, or running again is harmless: only its age counts.
                 held.tries -= 1;
                 held.rejections += 1;
@@ -314,7 +362,9 @@
                 let told = retry_after.unwrap_or_default();
                 let spread = self.waits.first * (1 << held.rejections.min(MAX_DOUBLINGS));
                 // Full jitter (M. Brooker, "Exponential backoff and jitter"), never sooner than told.
-                told + spread.min(self.waits.longest).mul_f64(self.chance.random_range(0.0..1.0))
+                told + spread
+                    .min(self.waits.longest)
+                    .mul_f64(self.chance.random_range(0.0..1.0))
             }
         };
         let at = now + wait;
@@ -347,7 +397,13 @@
             false => held.request.on_failure.clone(),
         };
         let to = to.filter(|_| held.request.hops < MAX_HOPS);
-        Some(Step::Over(Box::new(Calls { id, tries: held.tries, to, condition, request: held.request })))
+        Some(Step::Over(Box::new(Calls {
+            id,
+            tries: held.tries,
+            to,
+            condition,
+            request: held.request,
+        })))
     }
 }
 
@@ -409,10 +465,19 @@
             (Idempotency::NonIdempotent, End::Failed, "RetriesExhausted"),
             (
                 Idempotency::NonIdempotent,
-                End::Rejected { retry_after: None, may_have_executed: None },
+                End::Rejected {
+                    retry_after: None,
+                    may_have_executed: None,
+                },
                 "again",
             ),
-            (Idempotency::NonIdempotent, End::Succeeded { function_error: false }, "Success"),
+            (
+                Idempotency::NonIdempotent,
+                End::Succeeded {
+                    function_error: false,
+                },
+                "Success",
+            ),
         ] {
             let mut queue = queue();
             let id = queue.submit(Duration::ZERO, request(idempotency)).unwrap();
@@ -426,28 +491,46 @@
     fn a_keyed_request_that_may_have_run_is_not_sent_past_its_window() {
         let mut queue = queue();
         let start = Duration::from_secs(100);
-        let id = queue.submit(start, request(Idempotency::IdempotentWithKey)).unwrap();
+        let id = queue
+            .submit(start, request(Idempotency::IdempotentWithKey))
+            .unwrap();
         queue.take_due(start).unwrap();
-        let end =
-            End::Rejected { retry_after: Some(Duration::from_millis(10)), may_have_executed: Some(start) };
-        let Some(Step::Again { at }) = queue.ended(start, id, end) else { panic!() };
+        let end = End::Rejected {
+            retry_after: Some(Duration::from_millis(10)),
+            may_have_executed: Some(start),
+        };
+        let Some(Step::Again { at }) = queue.ended(start, id, end) else {
+            panic!()
+        };
         let (.., left) = queue.take_due(at).unwrap();
         assert_eq!(left, Some(start + Duration::from_secs(5) - at));
-        let later = End::Rejected { retry_after: Some(Duration::from_secs(5)), may_have_executed: Some(at) };
+        let later = End::Rejected {
+            retry_after: Some(Duration::from_secs(5)),
+            may_have_executed: Some(at),
+        };
         assert_eq!(condition(queue.ended(at, id, later)), "RetriesExhausted");
     }
 
     #[test]
     fn rejections_use_up_age_and_no_tries() {
         let mut queue = queue();
-        let id = queue.submit(Duration::ZERO, request(Idempotency::NonIdempotent)).unwrap();
+        let id = queue
+            .submit(Duration::ZERO, request(Idempotency::NonIdempotent))
+            .unwrap();
         let (mut now, mut times) = (Duration::ZERO, 0);
         loop {
             queue.take_due(now).unwrap();
             times += 1;
             let told = Duration::from_secs(1);
             match queue
-                .ended(now, id, End::Rejected { retry_after: Some(told), may_have_executed: None })
+                .ended(
+                    now,
+                    id,
+                    End::Rejected {
+                        retry_after: Some(told),
+                        may_have_executed: None,
+                    },
+                )
                 .unwrap()
             {
                 Step::Again { at } => {
@@ -467,25 +550,75 @@
     #[test]
     fn what_was_out_at_a_crash_goes_on_only_where_it_may() {
         let s = Duration::from_secs;
-        let plain = After { repeats_known: true, older: false };
-        let (lost, older) = (After { repeats_known: false, ..plain }, After { older: true, ..plain });
+        let plain = After {
+            repeats_known: true,
+            older: false,
+        };
+        let (lost, older) = (
+            After {
+                repeats_known: false,
+                ..plain
+            },
+            After { older: true, ..plain },
+        );
         for (idempotency, anywhere, out, after, expected) in [
             (Idempotency::NonIdempotent, true, None, plain, "none"),
-            (Idempotency::NonIdempotent, true, Some(s(99)), plain, "RetriesExhausted"),
+            (
+                Idempotency::NonIdempotent,
+                true,
+                Some(s(99)),
+                plain,
+                "RetriesExhausted",
+            ),
             (Idempotency::Idempotent, true, Some(s(99)), plain, "again"),
             (Idempotency::IdempotentWithKey, true, Some(s(99)), plain, "again"),
-            (Idempotency::IdempotentWithKey, true, Some(s(90)), plain, "RetriesExhausted"),
-            (Idempotency::IdempotentWithKey, false, Some(s(99)), plain, "RetriesExhausted"),
-            (Idempotency::IdempotentWithKey, true, Some(s(99)), lost, "RetriesExhausted"),
+            (
+                Idempotency::IdempotentWithKey,
+                true,
+                Some(s(90)),
+                plain,
+                "RetriesExhausted",
+            ),
+            (
+                Idempotency::IdempotentWithKey,
+                false,
+                Some(s(99)),
+                plain,
+                "RetriesExhausted",
+            ),
+            (
+                Idempotency::IdempotentWithKey,
+                true,
+                Some(s(99)),
+                lost,
+                "RetriesExhausted",
+            ),
             (Idempotency::IdempotentWithKey, true, None, lost, "none"),
             (Idempotency::NonIdempotent, true, None, older, "RetriesExhausted"),
-            (Idempotency::IdempotentWithKey, true, None, older, "RetriesExhausted"),
+            (
+                Idempotency::IdempotentWithKey,
+                true,
+                None,
+                older,
+                "RetriesExhausted",
+            ),
             (Idempotency::Idempotent, true, None, older, "none"),
         ] {
             let mut queue = Queue::new(waits(), crate::Changes::new(true), 1);
-            let request = Submitted { anywhere, ..request(idempotency) };
+            let request = Submitted {
+                anywhere,
+                ..request(idempotency)
+            };
             let tries = u32::from(out.is_some());
-            let kept = Kept { id: Id(7), request, taken: s(80), due: s(85), tries, confined: None, out };
+            let kept = Kept {
+                id: Id(7),
+                request,
+                taken: s(80),
+                due: s(85),
+                tries,
+                confined: None,
+                out,
+            };
             let step = queue.restore(s(100), kept, after);
             assert_eq!(condition(step), expected, "{idempotency:?} {anywhere} {out:?}");
             assert_eq!(queue.store_mut().take().len(), usize::from(expected != "none"));
@@ -498,7 +631,16 @@
 
     #[test]
     fn tenants_take_turns_and_no_more_go_out_than_are_allowed() {
-        let mut queue = Queue::new(Waits { requests: 100, bytes: 100_000, out: 64, ..waits() }, Memory, 1);
+        let mut queue = Queue::new(
+            Waits {
+                requests: 100,
+                bytes: 100_000,
+                out: 64,
+                ..waits()
+            },
+            Memory,
+            1,
+        );
         queue.reserve(Id(40));
         for n in 0..30 {
             let request = Submitted {
@@ -511,8 +653,9 @@
         queue.allow(0);
         assert_eq!((queue.next_due(), queue.take_due(now)), (None, None));
         queue.allow(9);
-        let taken: Vec<u32> =
-            std::iter::from_fn(|| queue.take_due(now)).map(|(_, request, ..)| request.tenant).collect();
+        let taken: Vec<u32> = std::iter::from_fn(|| queue.take_due(now))
+            .map(|(_, request, ..)| request.tenant)
+            .collect();
         assert_eq!(taken, [0, 1, 2, 0, 1, 2, 0, 1, 2]);
         queue.allow(1000);
         assert_eq!(std::iter::from_fn(|| queue.take_due(now)).count(), 21);
@@ -522,10 +665,18 @@
     fn circles_of_destinations_end() {
         let mut queue = queue();
         let id = queue
-            .submit(Duration::ZERO, Submitted { hops: MAX_HOPS, ..request(Idempotency::NonIdempotent) })
+            .submit(
+                Duration::ZERO,
+                Submitted {
+                    hops: MAX_HOPS,
+                    ..request(Idempotency::NonIdempotent)
+                },
+            )
             .unwrap();
         queue.take_due(Duration::ZERO).unwrap();
-        let Some(Step::Over(calls)) = queue.ended(Duration::ZERO, id, End::Failed) else { panic!() };
+        let Some(Step::Over(calls)) = queue.ended(Duration::ZERO, id, End::Failed) else {
+            panic!()
+        };
         assert_eq!(calls.to, None);
     }
 
--- a/crates/quartzdrift-async-queue/src/store.rs
+++ b/crates/quartzdrift-async-queue/src/store.rs
@@ -27,10 +27,25 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    Taken { id: Id, at: Duration, request: Vec<u8> },
-    Out { id: Id, at: Duration, tries: u32 },
-    Waits { id: Id, until: Duration, tries: u32, confined: Option<Duration> },
-    Over { id: Id },
+    Taken {
+        id: Id,
+        at: Duration,
+        request: Vec<u8>,
+    },
+    Out {
+        id: Id,
+        at: Duration,
+        tries: u32,
+    },
+    Waits {
+        id: Id,
+        until: Duration,
+        tries: u32,
+        confined: Option<Duration>,
+    },
+    Over {
+        id: Id,
+    },
 }
 
 /// Collects the changes for whoever makes them last; nothing where it is off.
@@ -65,7 +80,11 @@
 
 impl Store for Changes {
     fn taken(&mut self, id: Id, at: Duration, request: &Submitted) {
-        self.add(|| Change::Taken { id, at, request: request.to_bytes() });
+        self.add(|| Change::Taken {
+            id,
+            at,
+            request: request.to_bytes(),
+        });
     }
 
     fn out(&mut self, id: Id, at: Duration, tries: u32) {
@@ -73,7 +92,12 @@
     }
 
     fn waits(&mut self, id: Id, until: Duration, tries: u32, confined: Option<Duration>) {
-        self.add(|| Change::Waits { id, until, tries, confined });
+        self.add(|| Change::Waits {
+            id,
+            until,
+            tries,
+            confined,
+        });
     }
 
     fn over(&mut self, id: Id) {
--- a/crates/quartzdrift-discovery/src/belief.rs
+++ b/crates/quartzdrift-discovery/src/belief.rs
@@ -61,8 +61,12 @@
     pub fn full(&mut self, list: List) -> Believed {
         let named: std::collections::BTreeSet<&str> =
             list.workers.iter().map(|w| w.worker.as_str()).collect();
-        let lacking: Vec<String> =
-            self.up.keys().filter(|worker| !named.contains(worker.as_str())).cloned().collect();
+        let lacking: Vec<String> = self
+            .up
+            .keys()
+            .filter(|worker| !named.contains(worker.as_str()))
+            .cloned()
+            .collect();
         let before = std::mem::take(&mut self.of_before);
         let many = !before && self.up.len() >= FEW && lacking.len() as f64 > MAX_LACK * self.up.len() as f64;
         let empty = !before && list.workers.is_empty() && !self.up.is_empty();
@@ -91,7 +95,10 @@
         );
         self.doubted = Some((lacking, times));
         self.changes(&list.workers);
-        Believed::Named { workers: list.workers, why }
+        Believed::Named {
+            workers: list.workers,
+            why,
+        }
     }
 }
 
@@ -100,7 +107,10 @@
     use super::*;
 
     fn list(names: &[&str]) -> List {
-        List { workers: names.iter().map(|n| Listed::up(n)).collect(), unread: Vec::new() }
+        List {
+            workers: names.iter().map(|n| Listed::up(n)).collect(),
+            unread: Vec::new(),
+        }
     }
 
     fn with(names: &[&str]) -> Belief {
@@ -144,7 +154,9 @@
         let mut belief = with(&["a", "b", "c", "d"]);
         let mut partial = list(&["a"]);
         partial.workers[0].state = EndpointState::Draining;
-        let Believed::Named { workers, .. } = belief.full(partial) else { panic!("believed") };
+        let Believed::Named { workers, .. } = belief.full(partial) else {
+            panic!("believed")
+        };
         assert_eq!(workers[0].state, EndpointState::Draining);
         belief.full(list(&["a"]));
         belief.full(list(&["b"]));
@@ -154,7 +166,10 @@
     #[test]
     fn lines_that_cannot_be_read_keep_the_workers_that_are_missing() {
         let mut belief = with(&["a", "b", "c", "d"]);
-        let torn = List { unread: vec!["x".into()], ..list(&["a", "b", "c"]) };
+        let torn = List {
+            unread: vec!["x".into()],
+            ..list(&["a", "b", "c"])
+        };
         assert!(matches!(belief.full(torn), Believed::Named { .. }));
         assert!(belief.knows("d"));
     }
--- a/crates/quartzdrift-discovery/src/list.rs
+++ b/crates/quartzdrift-discovery/src/list.rs
@@ -79,12 +79,17 @@
         Some(port) => format!("127.0.0.1:{port}"),
         None => text.to_owned(),
     };
-    text.parse().map_err(|_| format!("'{text}' is no address and port in numbers"))
+    text.parse()
+        .map_err(|_| format!("'{text}' is no address and port in numbers"))
 }
 
 fn index(names: &[String], told: &str) -> Option<u32> {
     let at = names.iter().position(|name| name == told);
-    at.map(|at| at as u32).or_else(|| told.parse().ok().filter(|&n: &u32| (n as usize) < names.len().max(1)))
+    at.map(|at| at as u32).or_else(|| {
+        told.parse()
+            .ok()
+            .filter(|&n: &u32| (n as usize) < names.len().max(1))
+    })
 }
 
 fn listed(target: &str, labels: &BTreeMap<String, String>, known: &Known) -> Result<Listed, String> {
@@ -162,8 +167,14 @@
         labels.extend(name(&known.kinds, one.kind).map(|kind| ("kind".to_owned(), kind)));
         labels.insert("cell".to_owned(), one.cell.to_string());
         labels.extend(one.capacity.map(|c| ("capacity".to_owned(), c.to_string())));
-        labels.extend(one.started.map(|s| ("started".to_owned(), format!("{:.6}", s.as_secs_f64()))));
-        Group { targets: vec![one.worker.clone()], labels }
+        labels.extend(
+            one.started
+                .map(|s| ("started".to_owned(), format!("{:.6}", s.as_secs_f64()))),
+        );
+        Group {
+            targets: vec![one.worker.clone()],
+            labels,
+        }
     };
     let groups: Vec<Group> = workers.iter().map(group).collect();
     serde_json::to_vec(&groups).unwrap_or_default()
@@ -174,7 +185,10 @@
     use super::*;
 
     fn known() -> Known {
-        Known { zones: vec!["east".into(), "west".into()], kinds: vec!["small".into()] }
+        Known {
+            zones: vec!["east".into(), "west".into()],
+            kinds: vec!["small".into()],
+        }
     }
 
     #[test]
@@ -187,7 +201,10 @@
         let list = read(text, &known()).unwrap();
         let names: Vec<&str> = list.workers.iter().map(|w| w.worker.as_str()).collect();
         assert_eq!(names, ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]);
-        assert_eq!((list.workers[0].zone, list.workers[2].state), (1, EndpointState::Draining));
+        assert_eq!(
+            (list.workers[0].zone, list.workers[2].state),
+            (1, EndpointState::Draining)
+        );
         assert_eq!(list.workers[2].started, Some(Duration::from_millis(12_500)));
         assert_eq!(list.unread.len(), 4);
         let again = read(&write(&list.workers, &known()), &known()).unwrap();
--- a/crates/quartzdrift-discovery/src/stream.rs
+++ b/crates/quartzdrift-discovery/src/stream.rs
@@ -52,7 +52,14 @@
                 return None;
             }
             data.pop();
-            return Some(Sent { name: if name.is_empty() { "message".to_owned() } else { name }, data });
+            return Some(Sent {
+                name: if name.is_empty() {
+                    "message".to_owned()
+                } else {
+                    name
+                },
+                data,
+            });
         }
         let (field, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
@@ -73,7 +80,8 @@
 /// One event as it goes on the wire.
 pub fn write(name: &str, data: &str) -> Vec<u8> {
     let mut text = format!("event: {name}\n");
-    data.lines().for_each(|line| text.push_str(&format!("data: {line}\n")));
+    data.lines()
+        .for_each(|line| text.push_str(&format!("data: {line}\n")));
     text.push('\n');
     text.into_bytes()
 }
--- a/crates/quartzdrift-fastcgi/src/params.rs
+++ b/crates/quartzdrift-fastcgi/src/params.rs
@@ -34,7 +34,10 @@
             let name = length(&bytes, &mut at).ok_or(BadParams)?;
             let value = length(&bytes, &mut at).ok_or(BadParams)?;
             let name_end = at.checked_add(name).ok_or(BadParams)?;
-            let end = name_end.checked_add(value).filter(|&end| end <= bytes.len()).ok_or(BadParams)?;
+            let end = name_end
+                .checked_add(value)
+                .filter(|&end| end <= bytes.len())
+                .ok_or(BadParams)?;
             if pairs.len() == MAX_PAIRS {
                 return Err(BadParams);
             }
@@ -48,7 +51,11 @@
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         let mut found = self.iter().filter(|(n, _)| *n == name.as_bytes());
         let first = found.next();
-        if found.next().is_some() { None } else { first.map(|(_, value)| value) }
+        if found.next().is_some() {
+            None
+        } else {
+            first.map(|(_, value)| value)
+        }
     }
 
     pub fn text(&self, name: &str) -> Option<&str> {
@@ -56,7 +63,9 @@
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
-        self.pairs.iter().map(|&(from, mid, to)| (&self.bytes[from..mid], &self.bytes[mid..to]))
+        self.pairs
+            .iter()
+            .map(|&(from, mid, to)| (&self.bytes[from..mid], &self.bytes[mid..to]))
     }
 }
 
--- a/crates/quartzdrift-fastcgi/src/record.rs
+++ b/crates/quartzdrift-fastcgi/src/record.rs
@@ -57,5 +57,7 @@
 /// Writes a piece of a stream in as many records as it needs; an empty piece writes nothing, since an empty
 /// record would end the stream.
 pub fn write_stream(out: &mut Vec<u8>, kind: u8, number: u16, content: &[u8]) {
-    content.chunks(MAX_CONTENT).for_each(|part| write_record(out, kind, number, part));
+    content
+        .chunks(MAX_CONTENT)
+        .for_each(|part| write_record(out, kind, number, part));
 }
--- a/crates/quartzdrift-fastcgi/src/responder.rs
+++ b/crates/quartzdrift-fastcgi/src/responder.rs
@@ -39,14 +39,9 @@
         body: Vec<u8>,
     },
     /// To be answered with an error; where it is too large, the connection can serve no longer.
-    Bad {
-        number: u16,
-        bad: Bad,
-    },
+    Bad { number: u16, bad: Bad },
     /// The client waits no longer. The end has been written; nothing more is owed.
-    Aborted {
-        number: u16,
-    },
+    Aborted { number: u16 },
 }
 
 /// The connection cannot be read on: all that is open on it is over.
@@ -117,12 +112,23 @@
 
 impl Responder {
     pub fn new(limits: Limits) -> Responder {
-        Responder { limits, open: BTreeMap::new(), stray: 0, spoilt: false, skip: 0, asked: false, begun: 0 }
+        Responder {
+            limits,
+            open: BTreeMap::new(),
+            stray: 0,
+            spoilt: false,
+            skip: 0,
+            asked: false,
+            begun: 0,
+        }
     }
 
     /// Numbers of requests that wait for an answer.
     pub fn waiting(&self) -> impl Iterator<Item = u16> {
-        self.open.iter().filter(|(_, open)| matches!(open.stage, Stage::Waiting)).map(|(number, _)| *number)
+        self.open
+            .iter()
+            .filter(|(_, open)| matches!(open.stage, Stage::Waiting))
+            .map(|(number, _)| *number)
     }
 
     /// No request is open, begun or waiting.
@@ -132,13 +138,18 @@
 
     /// A request has begun and is not yet whole.
     pub fn is_partial(&self) -> bool {
-        self.open.values().any(|open| !matches!(open.stage, Stage::Waiting))
+        self.open
+            .values()
+            .any(|open| !matches!(open.stage, Stage::Waiting))
     }
 
     /// Of the requests that are not yet whole the one that began first, named by how many had begun before it. `more`:
     /// bytes have come of a record that is not whole, which may begin the next one.
     pub fn awaited(&self, more: bool) -> Option<u64> {
-        let begun = self.open.values().filter(|open| !matches!(open.stage, Stage::Waiting));
+        let begun = self
+            .open
+            .values()
+            .filter(|open| !matches!(open.stage, Stage::Waiting));
         begun.map(|open| open.nth).min().or(more.then_some(self.begun))
     }
 
@@ -181,7 +192,9 @@
                 self.skip = HEAD + head.content + head.padding;
                 continue;
             }
-            let Some(content) = rest.get(HEAD..HEAD + head.content) else { break };
+            let Some(content) = rest.get(HEAD..HEAD + head.content) else {
+                break;
+            };
             if rest.len() < HEAD + head.content + head.padding {
                 break;
             }
@@ -212,7 +225,10 @@
         if let Some(open) = open {
             open.stage = Stage::Waiting;
         }
-        Some(Told::Bad { number: head.number, bad: Bad::TooLarge })
+        Some(Told::Bad {
+            number: head.number,
+            bad: Bad::TooLarge,
+        })
     }
 
     fn record(
@@ -252,11 +268,17 @@
 
     fn stray(&mut self) -> Result<(), Broken> {
         self.stray += 1;
-        if self.stray > MAX_STRAY { Err(Broken::Stray) } else { Ok(()) }
+        if self.stray > MAX_STRAY {
+            Err(Broken::Stray)
+        } else {
+            Ok(())
+        }
     }
 
     fn begin(&mut self, number: u16, content: &[u8], out: &mut Vec<u8>) -> Result<(), Broken> {
-        let [r1, r0, flags, ..] = *content else { return Err(Broken::Content(BEGIN)) };
+        let [r1, r0, flags, ..] = *content else {
+            return Err(Broken::Content(BEGIN));
+        };
         if self.open.contains_key(&number) {
             return Err(Broken::NumberTaken(number));
         }
@@ -278,22 +300,39 @@
                 self.stray()
             }
             None => {
-                self.open.insert(number, Open { keep, stage: Stage::Params(Vec::new()), nth });
+                self.open.insert(
+                    number,
+                    Open {
+                        keep,
+                        stage: Stage::Params(Vec::new()),
+                        nth,
+                    },
+                );
                 Ok(())
             }
         }
     }
 
     fn stream(&mut self, kind: u8, number: u16, content: &[u8], told: &mut Vec<Told>) -> Result<(), Broken> {
-        let Some(open) = self.open.get_mut(&number) else { return self.stray() };
+        let Some(open) = self.open.get_mut(&number) else {
+            return self.stray();
+        };
         match (&mut open.stage, kind) {
             (Stage::Params(bytes), PARAMS) if !content.is_empty() => bytes.extend_from_slice(content),
             (Stage::Params(bytes), PARAMS) => match Params::read(std::mem::take(bytes)) {
-                Ok(params) => open.stage = Stage::Body { params, body: Vec::new() },
+                Ok(params) => {
+                    open.stage = Stage::Body {
+                        params,
+                        body: Vec::new(),
+                    }
+                }
                 Err(BadParams) => {
                     open.stage = Stage::Waiting;
                     self.asked = true;
-                    told.push(Told::Bad { number, bad: Bad::Params });
+                    told.push(Told::Bad {
+                        number,
+                        bad: Bad::Params,
+                    });
                 }
             },
             (Stage::Body { body, .. }, STDIN) if !content.is_empty() => body.extend_from_slice(content),
@@ -310,7 +349,9 @@
     }
 
     fn values(&self, content: &[u8], out: &mut Vec<u8>) {
-        let Ok(asked) = Params::read(content.to_vec()) else { return };
+        let Ok(asked) = Params::read(content.to_vec()) else {
+            return;
+        };
         let mut said = Vec::new();
         for (name, _) in asked.iter() {
             let value = match name {
@@ -344,7 +385,11 @@
         write_record(out, STDOUT, number, b"");
         end(out, number, COMPLETE, 0);
         self.spoilt |= !open.keep;
-        if self.spoilt && self.waiting().next().is_none() { Ended::Close } else { Ended::Keep }
+        if self.spoilt && self.waiting().next().is_none() {
+            Ended::Close
+        } else {
+            Ended::Keep
+        }
     }
 }
 
--- a/crates/quartzdrift-fastcgi/tests/responder.rs
+++ b/crates/quartzdrift-fastcgi/tests/responder.rs
@@ -2,7 +2,11 @@
 use proptest::prelude::*;
 use quartzdrift_fastcgi::*;
 
-const LIMITS: Limits = Limits { params: 256, body: 1024, open: 4 };
+const LIMITS: Limits = Limits {
+    params: 256,
+    body: 1024,
+    open: 4,
+};
 
 fn responder() -> Responder {
     Responder::new(LIMITS)
@@ -14,7 +18,9 @@
 
 fn request(number: u16, flags: u8, params: &[(&[u8], &[u8])], body: &[u8]) -> Vec<u8> {
     let (mut out, mut pairs) = (Vec::new(), Vec::new());
-    params.iter().for_each(|(name, value)| write_pair(&mut pairs, name, value));
+    params
+        .iter()
+        .for_each(|(name, value)| write_pair(&mut pairs, name, value));
     begin(&mut out, number, 1, flags);
     write_stream(&mut out, PARAMS, number, &pairs);
     write_record(&mut out, PARAMS, number, b"");
@@ -42,19 +48,37 @@
 }
 
 fn answer(body: &[u8]) -> Answer<'_> {
-    Answer { status: 200, reason: "OK", fields: &[("Retry-After-Ms", "7")], body }
+    Answer {
+        status: 200,
+        reason: "OK",
+        fields: &[("Retry-After-Ms", "7")],
+        body,
+    }
 }
 
 #[test]
 fn an_answer_is_a_cgi_response_in_records() {
     let mut of = responder();
     let (_, told, _) = feed(&mut of, &request(3, 1, &[(b"A", b"b")], b"body"));
-    let [Told::Request { number: 3, params, body }] = &told[..] else { panic!("{told:?}") };
+    let [
+        Told::Request {
+            number: 3,
+            params,
+            body,
+        },
+    ] = &told[..]
+    else {
+        panic!("{told:?}")
+    };
     assert_eq!((params.text("A"), &body[..]), (Some("b"), &b"body"[..]));
     let mut out = Vec::new();
     assert_eq!(of.answer(3, &answer(b"said"), &mut out), Ended::Keep);
     let records = records(&out);
-    let text: Vec<u8> = records.iter().filter(|r| r.0 == STDOUT).flat_map(|r| r.2.clone()).collect();
+    let text: Vec<u8> = records
+        .iter()
+        .filter(|r| r.0 == STDOUT)
+        .flat_map(|r| r.2.clone())
+        .collect();
     let text = String::from_utf8(text).unwrap();
     assert!(text.starts_with("Status: 200 OK\r\n") && text.contains("Retry-After-Ms: 7\r\n"));
     assert!(text.ends_with("\r\n\r\nsaid"));
@@ -113,8 +137,11 @@
     let mut values = Vec::new();
     write_pair(&mut values, b"FCGI_MAX_REQS", b"4");
     let unknown_role = vec![0, 0, 0, 0, 3, 0, 0, 0];
-    let expected =
-        [(GET_VALUES_RESULT, 0, values), (UNKNOWN, 0, vec![77, 0, 0, 0, 0, 0, 0, 0]), (END, 9, unknown_role)];
+    let expected = [
+        (GET_VALUES_RESULT, 0, values),
+        (UNKNOWN, 0, vec![77, 0, 0, 0, 0, 0, 0, 0]),
+        (END, 9, unknown_role),
+    ];
     assert_eq!(records(&out), expected);
     assert!(told.is_empty());
 }
@@ -137,7 +164,10 @@
     write_record(&mut input, ABORT, 2, b"");
     let (_, told, out) = feed(&mut of, &input);
     assert_eq!(told[1..], [Told::Aborted { number: 1 }]);
-    assert_eq!(records(&out).iter().map(|r| (r.0, r.1)).collect::<Vec<_>>(), [(END, 1), (END, 2)]);
+    assert_eq!(
+        records(&out).iter().map(|r| (r.0, r.1)).collect::<Vec<_>>(),
+        [(END, 1), (END, 2)]
+    );
     assert!(of.is_idle());
     assert_eq!(of.answer(1, &answer(b""), &mut Vec::new()), Ended::NotOpen);
 }
@@ -154,7 +184,13 @@
         // The head alone, of content that has not come.
         input.extend_from_slice(&[1, kind, 0, 1, 0xff, 0xff, 0, 0]);
         let (_, told, _) = feed(&mut of, &input);
-        assert_eq!(told, [Told::Bad { number: 1, bad: Bad::TooLarge }]);
+        assert_eq!(
+            told,
+            [Told::Bad {
+                number: 1,
+                bad: Bad::TooLarge
+            }]
+        );
         assert!(of.is_spoilt());
         // The flag to keep the connection does not bind a responder that can read no more requests on it.
         assert_eq!(of.answer(1, &answer(b""), &mut Vec::new()), Ended::Close);
@@ -165,7 +201,10 @@
 fn what_cannot_be_read_on_ends_the_connection() {
     let twice: Vec<u8> = [request(1, 1, &[], b""), request(1, 1, &[], b"")].concat();
     assert_eq!(feed(&mut responder(), &twice).0, Err(Broken::NumberTaken(1)));
-    assert_eq!(feed(&mut responder(), b"GET / HTTP/1.1\r\n\r\n").0, Err(Broken::Version(b'G')));
+    assert_eq!(
+        feed(&mut responder(), b"GET / HTTP/1.1\r\n\r\n").0,
+        Err(Broken::Version(b'G'))
+    );
     let mut short = Vec::new();
     write_record(&mut short, BEGIN, 1, b"");
     assert_eq!(feed(&mut responder(), &short).0, Err(Broken::Content(BEGIN)));
@@ -176,7 +215,12 @@
 
 #[test]
 fn lengths_that_lie_make_no_pairs() {
-    for pairs in [&b"\x05\x00A"[..], b"\xff\xff\xff\xff\x00", b"\x80", b"\x01\x84\x00\x00\x00A"] {
+    for pairs in [
+        &b"\x05\x00A"[..],
+        b"\xff\xff\xff\xff\x00",
+        b"\x80",
+        b"\x01\x84\x00\x00\x00A",
+    ] {
         assert_eq!(Params::read(pairs.to_vec()), Err(BadParams), "{pairs:?}");
     }
     let mut twice = Vec::new();
@@ -241,7 +285,12 @@
 #[test]
 fn a_connection_that_ends_answers_what_waits_and_takes_nothing_new() {
     let mut of = responder();
-    let input = [request(1, 1, &[], b""), request(2, 0, &[], b""), request(3, 1, &[], b"")].concat();
+    let input = [
+        request(1, 1, &[], b""),
+        request(2, 0, &[], b""),
+        request(3, 1, &[], b""),
+    ]
+    .concat();
     assert_eq!(feed(&mut of, &input).1.len(), 3);
     assert_eq!(of.answer(2, &answer(b""), &mut Vec::new()), Ended::Keep);
     assert!(of.is_spoilt());
@@ -271,7 +320,16 @@
     let (read, told, _) = feed(&mut of, &input);
     assert_eq!(read, Ok(input.len()));
     assert!(
-        matches!(told[2..], [Told::Bad { number: 3, bad: Bad::TooLarge }, Told::Aborted { number: 1 }]),
+        matches!(
+            told[2..],
+            [
+                Told::Bad {
+                    number: 3,
+                    bad: Bad::TooLarge
+                },
+                Told::Aborted { number: 1 }
+            ]
+        ),
         "{told:?}"
     );
     assert_eq!(of.answer(3, &answer(b""), &mut Vec::new()), Ended::Keep);
--- a/crates/quartzdrift-forecast/src/ahead.rs
+++ b/crates/quartzdrift-forecast/src/ahead.rs
@@ -14,7 +14,10 @@
 impl Ahead {
     pub fn new(settings: Settings) -> Ahead {
         let ledger = Ledger::new(settings.keep);
-        Ahead { forecasts: Forecasts::new(settings), ledger }
+        Ahead {
+            forecasts: Forecasts::new(settings),
+            ledger,
+        }
     }
 
     /// A request of the function came; `load` is what its load is told to take.
@@ -41,7 +44,10 @@
     }
 
     pub fn next_due(&self) -> Option<Duration> {
-        [self.forecasts.next_due(), self.ledger.next_due()].into_iter().flatten().min()
+        [self.forecasts.next_due(), self.ledger.next_due()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// What is expected now.
--- a/crates/quartzdrift-forecast/src/forecasts.rs
+++ b/crates/quartzdrift-forecast/src/forecasts.rs
@@ -81,7 +81,12 @@
 
 impl Standing {
     fn add(&mut self, told: Judged) {
-        self.join(Standing { gaps: 1, chosen: told.chosen, last: told.last, always: told.always });
+        self.join(Standing {
+            gaps: 1,
+            chosen: told.chosen,
+            last: told.last,
+            always: told.always,
+        });
     }
 
     /// The means over both.
@@ -142,7 +147,9 @@
     }
 
     pub(crate) fn list(&mut self, function: &str) {
-        let Some(track) = self.tracks.get(function) else { return };
+        let Some(track) = self.tracks.get(function) else {
+            return;
+        };
         let key = (Self::age(track), function.to_owned());
         if track.history.uses > 1 {
             self.old.insert(key)
@@ -173,7 +180,12 @@
         self.unlist(function);
         let track = self.tracks.entry(function.to_owned()).or_default();
         if track.history.uses == SEASON_USES {
-            track.history.seasons = self.settings.seasons.iter().map(|period| Season::new(*period)).collect();
+            track.history.seasons = self
+                .settings
+                .seasons
+                .iter()
+                .map(|period| Season::new(*period))
+                .collect();
         }
         if let Some(told) = track.history.used(now, self.settings.keep.mul_f64(SHORT)) {
             self.standing.add(told);
@@ -210,8 +222,15 @@
 
     /// Chance of a use between two moments after the last one, given that none came before the first.
     fn chance(history: &History, of: Predictor, from: f64, to: f64) -> f64 {
-        let (a, b) = (history.within(of, from).unwrap_or(0.0), history.within(of, to).unwrap_or(0.0));
-        if a >= 1.0 - 1e-9 { 0.0 } else { ((b - a) / (1.0 - a)).clamp(0.0, 1.0) }
+        let (a, b) = (
+            history.within(of, from).unwrap_or(0.0),
+            history.within(of, to).unwrap_or(0.0),
+        );
+        if a >= 1.0 - 1e-9 {
+            0.0
+        } else {
+            ((b - a) / (1.0 - a)).clamp(0.0, 1.0)
+        }
     }
 
     /// How long what is ordered so long after the last use is there for it: a copy that stands is renewed at once,
@@ -222,36 +241,65 @@
 
     /// What a load of the function takes, in seconds.
     fn load(settings: &Settings, track: &Track) -> f64 {
-        if track.load_us > 0 { track.load_us as f64 / 1e6 } else { settings.load.as_secs_f64() }
+        if track.load_us > 0 {
+            track.load_us as f64 / 1e6
+        } else {
+            settings.load.as_secs_f64()
+        }
     }
 
     /// Sets the next moment at which something is worth saying of a function.
     fn plan(&mut self, now: Duration, function: &str) {
-        let Some(track) = self.tracks.get(function) else { return };
-        let Some((best, _)) = track.history.best() else { return };
+        let Some(track) = self.tracks.get(function) else {
+            return;
+        };
+        let Some((best, _)) = track.history.best() else {
+            return;
+        };
         if track.looks >= MAX_LOOKS {
             return;
         }
-        let (keep, load) = (self.settings.keep.as_secs_f64(), Self::load(&self.settings, track));
+        let (keep, load) = (
+            self.settings.keep.as_secs_f64(),
+            Self::load(&self.settings, track),
+        );
         let lead = load * LEAD;
         let since = now.as_secs_f64() - track.history.last;
         let renew = keep * LOOK_AGAIN;
-        let period = self.settings.seasons.iter().map(Duration::as_secs_f64).fold(keep * 4.0, f64::max);
+        let period = self
+            .settings
+            .seasons
+            .iter()
+            .map(Duration::as_secs_f64)
+            .fold(keep * 4.0, f64::max);
         // What was looked at just now is not looked at again before there is news.
-        let least = if track.looks > 0 { since + renew.min(keep) * 0.99 } else { since };
+        let least = if track.looks > 0 {
+            since + renew.min(keep) * 0.99
+        } else {
+            since
+        };
         let mut moments = vec![renew.max(least)];
         // Before each moment at which a use may come: time enough to load.
         moments.extend(
-            track.history.moments(period).into_iter().map(|at| at - lead).filter(|at| *at > since + 0.01),
+            track
+                .history
+                .moments(period)
+                .into_iter()
+                .map(|at| at - lead)
+                .filter(|at| *at > since + 0.01),
         );
         moments.sort_by(f64::total_cmp);
         let chance = |at: f64| Self::chance(&track.history, best, at, at + Self::span(keep, load, at));
         // Not the first moment at which there is some chance, but one at which there is most of it.
         let later = moments.iter().copied().filter(|at| *at >= least.max(renew));
         let most = later.clone().map(chance).fold(0.0, f64::max);
-        let at = later.into_iter().find(|at| chance(*at) >= MIN_SAY.max(most * MAX_NEAR));
+        let at = later
+            .into_iter()
+            .find(|at| chance(*at) >= MIN_SAY.max(most * MAX_NEAR));
         let Some(at) = at else { return };
-        let at = Duration::try_from_secs_f64(track.history.last + at).unwrap_or(now).max(now);
+        let at = Duration::try_from_secs_f64(track.history.last + at)
+            .unwrap_or(now)
+            .max(now);
         if let Some(track) = self.tracks.get_mut(function) {
             track.look = Some(at);
             track.looks += 1;
@@ -267,12 +315,17 @@
                 self.looks.insert((at, function));
                 break;
             }
-            let Some(track) = self.tracks.get_mut(&function) else { continue };
+            let Some(track) = self.tracks.get_mut(&function) else {
+                continue;
+            };
             track.look = None;
             let (history, quiet) = (&track.history, track.quiet_until > now);
             if let (Some((by, _)), false) = (history.best(), quiet) {
                 let since = now.as_secs_f64() - history.last;
-                let (keep, load) = (self.settings.keep.as_secs_f64(), Self::load(&self.settings, track));
+                let (keep, load) = (
+                    self.settings.keep.as_secs_f64(),
+                    Self::load(&self.settings, track),
+                );
                 let within = Duration::from_secs_f64(Self::span(keep, load, since));
                 let probability = Self::chance(history, by, since, since + within.as_secs_f64());
                 if probability >= MIN_SAY {
@@ -306,7 +359,10 @@
     use super::*;
 
     fn forecasts(functions: usize) -> Forecasts {
-        Forecasts::new(Settings { functions, ..Settings::default() })
+        Forecasts::new(Settings {
+            functions,
+            ..Settings::default()
+        })
     }
 
     const START: Duration = Duration::from_secs(1_000_000);
@@ -324,12 +380,18 @@
         }
         assert!(!said.is_empty() && said.len() <= 3, "{said:?}");
         let (at, first) = &said[0];
-        assert!(*at > Duration::from_secs(45) && *at <= Duration::from_millis(58_500), "{at:?}");
+        assert!(
+            *at > Duration::from_secs(45) && *at <= Duration::from_millis(58_500),
+            "{at:?}"
+        );
         assert!(said.iter().any(|(_, e)| e.probability > 0.8), "{said:?}");
         assert_eq!((first.function.as_str(), first.by), ("t", Predictor::Regular));
         // Of a timer "as the last time" is nearly right, "always near" is not.
         let standing = all.standing;
-        assert!(standing.gaps > 4 && standing.chosen < 0.1 * standing.always, "{standing:?}");
+        assert!(
+            standing.gaps > 4 && standing.chosen < 0.1 * standing.always,
+            "{standing:?}"
+        );
         assert!(standing.last < standing.always, "{standing:?}");
     }
 
@@ -351,7 +413,10 @@
             all.used(START + Duration::from_secs(60) * n, "t");
         }
         all.quiet("t", START + Duration::from_secs(3600));
-        while let Some(at) = all.next_due().filter(|at| *at < START + Duration::from_secs(3000)) {
+        while let Some(at) = all
+            .next_due()
+            .filter(|at| *at < START + Duration::from_secs(3000))
+        {
             assert_eq!(all.due(at), []);
         }
     }
--- a/crates/quartzdrift-forecast/src/ledger.rs
+++ b/crates/quartzdrift-forecast/src/ledger.rs
@@ -60,7 +60,10 @@
 
 impl Ledger {
     pub fn new(keep: Duration) -> Ledger {
-        Ledger { keep, ..Ledger::default() }
+        Ledger {
+            keep,
+            ..Ledger::default()
+        }
     }
 
     pub fn sums(&self) -> Sums {
@@ -68,13 +71,19 @@
     }
 
     pub fn by_function(&self) -> impl Iterator<Item = (&str, Sums)> {
-        self.lines.iter().map(|(function, line)| (function.as_str(), line.sums))
+        self.lines
+            .iter()
+            .map(|(function, line)| (function.as_str(), line.sums))
     }
 
     fn change(&mut self, function: &str, now: Duration, of: impl Fn(&mut Sums)) {
         of(&mut self.all);
         if !self.lines.contains_key(function) && self.lines.len() >= MAX_LINES {
-            let oldest = self.lines.iter().min_by_key(|(_, line)| line.last).map(|(name, _)| name.clone());
+            let oldest = self
+                .lines
+                .iter()
+                .min_by_key(|(_, line)| line.last)
+                .map(|(name, _)| name.clone());
             oldest.and_then(|name| self.lines.remove(&name));
         }
         let line = self.lines.entry(function.to_owned()).or_default();
@@ -172,7 +181,9 @@
         over.sort();
         let mut quiet = Vec::new();
         for function in over {
-            let Some(open) = self.close(&function) else { continue };
+            let Some(open) = self.close(&function) else {
+                continue;
+            };
             let held = open.memory_mb * self.keep.as_secs_f64();
             self.change(&function, now, |sums| {
                 sums.unused += 1;
@@ -216,7 +227,12 @@
             let now = 100 * S * (n + 1);
             ledger.ordered(now, "f", 1.0);
             ledger.loaded(now + S, "f", true, true);
-            quiets.extend(ledger.due(now + 20 * S).into_iter().map(|(_, until)| until - now - 20 * S));
+            quiets.extend(
+                ledger
+                    .due(now + 20 * S)
+                    .into_iter()
+                    .map(|(_, until)| until - now - 20 * S),
+            );
         }
         assert_eq!(quiets[..3], [60 * S, 120 * S, 240 * S]);
     }
--- a/crates/quartzdrift-forecast/src/predict.rs
+++ b/crates/quartzdrift-forecast/src/predict.rs
@@ -40,8 +40,13 @@
 }
 
 impl Predictor {
-    pub const ALL: [Predictor; 5] =
-        [Predictor::Steady, Predictor::Trend, Predictor::Regular, Predictor::Day, Predictor::Week];
+    pub const ALL: [Predictor; 5] = [
+        Predictor::Steady,
+        Predictor::Trend,
+        Predictor::Regular,
+        Predictor::Day,
+        Predictor::Week,
+    ];
 }
 
 /// Uses by the time of a period: a mean count for each slot, over the periods seen.
@@ -60,7 +65,13 @@
 impl Season {
     pub fn new(period: Duration) -> Season {
         let period = period.as_secs_f64();
-        Season { period, means: vec![0.0; SLOTS], counts: vec![0; SLOTS], slot: 0, periods: 0 }
+        Season {
+            period,
+            means: vec![0.0; SLOTS],
+            counts: vec![0; SLOTS],
+            slot: 0,
+            periods: 0,
+        }
     }
 
     fn slot_of(&self, at: f64) -> u64 {
@@ -234,12 +245,20 @@
 
     /// The predictor that has done best of late, with its score; `None` before anything was scored.
     pub fn best(&self) -> Option<(Predictor, f64)> {
-        let told =
-            Predictor::ALL.into_iter().zip(self.scores).filter(|(of, _)| self.within(*of, 1.0).is_some());
-        let worse =
-            |of: Predictor, score: f32| if of == Predictor::Regular { score * REGULAR_WORSE } else { score };
+        let told = Predictor::ALL
+            .into_iter()
+            .zip(self.scores)
+            .filter(|(of, _)| self.within(*of, 1.0).is_some());
+        let worse = |of: Predictor, score: f32| {
+            if of == Predictor::Regular {
+                score * REGULAR_WORSE
+            } else {
+                score
+            }
+        };
         let best = told.min_by(|a, b| worse(a.0, a.1).total_cmp(&worse(b.0, b.1)));
-        best.filter(|_| self.scored > 0).map(|(of, score)| (of, f64::from(score)))
+        best.filter(|_| self.scored > 0)
+            .map(|(of, score)| (of, f64::from(score)))
     }
 
     /// Uses a second that are expected just after `at`.
@@ -283,14 +302,19 @@
     fn chance(mean: f64) -> impl Iterator<Item = f64> {
         let mut state = 12345u64;
         std::iter::repeat_with(move || {
-            state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            state = state
+                .wrapping_mul(6364136223846793005)
+                .wrapping_add(1442695040888963407);
             -(1.0 - (state >> 11) as f64 / (1u64 << 53) as f64).ln() * mean
         })
     }
 
     #[test]
     fn a_timer_is_told_from_chance() {
-        assert_eq!(history(std::iter::repeat_n(30.0, 20)).best().unwrap().0, Predictor::Regular);
+        assert_eq!(
+            history(std::iter::repeat_n(30.0, 20)).best().unwrap().0,
+            Predictor::Regular
+        );
         let (best, _) = history(chance(30.0).take(200)).best().unwrap();
         assert!(matches!(best, Predictor::Steady | Predictor::Trend), "{best:?}");
     }
@@ -306,7 +330,10 @@
     #[test]
     fn a_daily_rush_is_expected_the_next_day() {
         let day = Duration::from_secs(960);
-        let mut history = History { seasons: vec![Season::new(day)], ..History::default() };
+        let mut history = History {
+            seasons: vec![Season::new(day)],
+            ..History::default()
+        };
         for round in 0..6u32 {
             for n in 0..40u32 {
                 history.used(
@@ -316,7 +343,11 @@
             }
         }
         // From the end of the sixth rush: little before the seventh, much at it.
-        let after = |gap| history.seasons[0].expected(history.last + 1.0, history.last + gap).unwrap();
+        let after = |gap| {
+            history.seasons[0]
+                .expected(history.last + 1.0, history.last + gap)
+                .unwrap()
+        };
         let (quiet, rush) = (after(900.0), after(965.0));
         assert!(quiet < 0.1 && rush > 10.0, "{quiet} {rush}");
         assert!(history.within(Predictor::Day, 965.0).unwrap() > 0.99);
@@ -325,8 +356,17 @@
     #[test]
     fn the_score_is_best_for_the_truth() {
         let history = history(chance(20.0).take(400));
-        let score = |of| chance(20.0).skip(1000).take(400).map(|gap| history.score(of, gap)).sum::<f64>();
+        let score = |of| {
+            chance(20.0)
+                .skip(1000)
+                .take(400)
+                .map(|gap| history.score(of, gap))
+                .sum::<f64>()
+        };
         assert!(score(Predictor::Steady) < score(Predictor::Regular) * 1.2);
-        assert!(score(Predictor::Steady) < score(Predictor::Day), "what says nothing scores worse");
+        assert!(
+            score(Predictor::Steady) < score(Predictor::Day),
+            "what says nothing scores worse"
+        );
     }
 }
--- a/crates/quartzdrift-forecast/src/snapshot.rs
+++ b/crates/quartzdrift-forecast/src/snapshot.rs
@@ -95,7 +95,10 @@
         assert_eq!(again.save(now), bytes);
         again.used(now, "f");
         assert!(again.next_due().is_some());
-        let small = Settings { functions: 1, ..Settings::default() };
+        let small = Settings {
+            functions: 1,
+            ..Settings::default()
+        };
         assert!(Forecasts::restore(small, &bytes, now).unwrap().len() <= 2);
     }
 
--- a/crates/quartzdrift-http/src/body.rs
+++ b/crates/quartzdrift-http/src/body.rs
@@ -42,7 +42,11 @@
             Framing::Chunked => (State::Size, 0),
             Framing::UntilClose => (State::UntilClose, 0),
         };
-        Ok(BodyReader { state, limit, bytes: Vec::with_capacity(expected) })
+        Ok(BodyReader {
+            state,
+            limit,
+            bytes: Vec::with_capacity(expected),
+        })
     }
 
     pub fn done(&self) -> bool {
@@ -89,14 +93,22 @@
                 State::Size => match httparse::parse_chunk_size(rest) {
                     Ok(httparse::Status::Complete((used, size))) => {
                         at += used;
-                        self.state = if size == 0 { State::Trailer(0) } else { State::Chunk(size) };
+                        self.state = if size == 0 {
+                            State::Trailer(0)
+                        } else {
+                            State::Chunk(size)
+                        };
                     }
                     Ok(httparse::Status::Partial) if rest.len() <= MAX_LINE => return Ok(at),
                     Ok(httparse::Status::Partial) | Err(_) => return Err(BodyError::Malformed),
                 },
                 State::ChunkEnd => {
                     if !rest.starts_with(b"\r\n") {
-                        return if rest == b"\r" { Ok(at) } else { Err(BodyError::Malformed) };
+                        return if rest == b"\r" {
+                            Ok(at)
+                        } else {
+                            Err(BodyError::Malformed)
+                        };
                     }
                     at += 2;
                     self.state = State::Size;
@@ -114,7 +126,11 @@
                     if !empty && seen + end > MAX_LINE {
                         return Err(BodyError::Malformed);
                     }
-                    self.state = if empty { State::Done } else { State::Trailer(seen + end) };
+                    self.state = if empty {
+                        State::Done
+                    } else {
+                        State::Trailer(seen + end)
+                    };
                 }
             }
         }
@@ -158,7 +174,10 @@
 
     #[test]
     fn limits_hold() {
-        assert_eq!(BodyReader::new(Framing::Length(101), 100).unwrap_err(), BodyError::TooLarge);
+        assert_eq!(
+            BodyReader::new(Framing::Length(101), 100).unwrap_err(),
+            BodyError::TooLarge
+        );
         let mut reader = BodyReader::new(Framing::Chunked, 4).unwrap();
         assert_eq!(reader.feed(b"5\r\nhello\r\n").unwrap_err(), BodyError::TooLarge);
         let mut reader = BodyReader::new(Framing::Chunked, 4).unwrap();
--- a/crates/quartzdrift-http/src/conn.rs
+++ b/crates/quartzdrift-http/src/conn.rs
@@ -100,6 +100,9 @@
 pub(crate) fn without_framing(headers: &Headers) -> Headers {
     let ours = ["content-length", "transfer-encoding", "connection", "keep-alive"];
     let mut kept = Headers::new();
-    headers.iter().filter(|(name, _)| !ours.contains(name)).for_each(|(name, value)| kept.push(name, value));
+    headers
+        .iter()
+        .filter(|(name, _)| !ours.contains(name))
+        .for_each(|(name, value)| kept.push(name, value));
     kept
 }
--- a/crates/quartzdrift-http/src/head.rs
+++ b/crates/quartzdrift-http/src/head.rs
@@ -21,7 +21,10 @@
     }
 
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
-        self.0.iter().filter(move |(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.0
+            .iter()
+            .filter(move |(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
@@ -31,7 +34,8 @@
     /// Adds a field. Control characters in the value become spaces, so that no value can end its line.
     pub fn push(&mut self, name: &str, value: &str) {
         let clean = |c: char| if c.is_control() && c != '\t' { ' ' } else { c };
-        self.0.push((name.to_ascii_lowercase(), value.chars().map(clean).collect()));
+        self.0
+            .push((name.to_ascii_lowercase(), value.chars().map(clean).collect()));
     }
 
     pub fn with(mut self, name: &str, value: &str) -> Headers {
@@ -99,12 +103,20 @@
 fn fields(parsed: &[httparse::Header]) -> Headers {
     // Bytes past ASCII are kept as ISO 8859-1, as the oldest reading has it: no value is refused for them.
     let text = |bytes: &[u8]| bytes.iter().map(|&b| b as char).collect::<String>();
-    Headers(parsed.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect())
+    Headers(
+        parsed
+            .iter()
+            .map(|h| (h.name.to_ascii_lowercase(), text(h.value)))
+            .collect(),
+    )
 }
 
 /// Body length as told; `None` where nothing is.
 fn framing(headers: &Headers) -> Result<Option<Framing>, HeadError> {
-    let mut lengths = headers.all("content-length").flat_map(|v| v.split(',')).map(str::trim);
+    let mut lengths = headers
+        .all("content-length")
+        .flat_map(|v| v.split(','))
+        .map(str::trim);
     let length = match lengths.next() {
         None => None,
         Some(first) => {
@@ -114,7 +126,10 @@
             Some(first.parse::<u64>().map_err(|_| HeadError::Malformed)?)
         }
     };
-    let mut codings = headers.all("transfer-encoding").flat_map(|v| v.split(',')).map(str::trim);
+    let mut codings = headers
+        .all("transfer-encoding")
+        .flat_map(|v| v.split(','))
+        .map(str::trim);
     match (codings.next(), codings.next(), length) {
         (None, _, None) => Ok(None),
         (None, _, Some(length)) => Ok(Some(Framing::Length(length))),
@@ -129,7 +144,11 @@
         let mut tokens = headers.all("connection").flat_map(|v| v.split(','));
         tokens.any(|t| t.trim().eq_ignore_ascii_case(word))
     };
-    if version == Some(1) { !says("close") } else { says("keep-alive") }
+    if version == Some(1) {
+        !says("close")
+    } else {
+        says("keep-alive")
+    }
 }
 
 /// Reads a whole head, as [`head_end`] delimits it.
@@ -147,7 +166,9 @@
     if old && framing == Framing::Chunked {
         return Err(HeadError::Malformed);
     }
-    let expects = headers.get("expect").is_some_and(|v| v.eq_ignore_ascii_case("100-continue"));
+    let expects = headers
+        .get("expect")
+        .is_some_and(|v| v.eq_ignore_ascii_case("100-continue"));
     Ok(RequestHead {
         method: parsed.method.unwrap_or_default().to_owned(),
         target: parsed.path.unwrap_or_default().to_owned(),
@@ -174,7 +195,12 @@
         _ => framing(&headers)?.unwrap_or(Framing::UntilClose),
     };
     let keep_alive = keep_alive(&headers, parsed.version) && framing != Framing::UntilClose;
-    Ok(ResponseHead { status, headers, keep_alive, framing })
+    Ok(ResponseHead {
+        status,
+        headers,
+        keep_alive,
+        framing,
+    })
 }
 
 /// Reason phrase of the statuses that we send.
@@ -248,7 +274,11 @@
         ];
         for fields in bad {
             let head = format!("POST / HTTP/1.1\r\n{fields}\r\n\r\n");
-            assert_eq!(request(head.as_bytes()).unwrap_err(), HeadError::Malformed, "{fields}");
+            assert_eq!(
+                request(head.as_bytes()).unwrap_err(),
+                HeadError::Malformed,
+                "{fields}"
+            );
         }
         let gzip = b"POST / HTTP/1.1\r\ntransfer-encoding: gzip, chunked\r\n\r\n";
         assert_eq!(request(gzip).unwrap_err(), HeadError::Coding);
--- a/crates/quartzdrift-http/src/http.rs
+++ b/crates/quartzdrift-http/src/http.rs
@@ -134,7 +134,9 @@
 
     /// Whether bytes wait to be written to clients.
     pub fn unsent(&self) -> bool {
-        self.links.iter().any(|(_, link)| matches!(link.state.side, Side::Server(_)) && link.waiting() > 0)
+        self.links
+            .iter()
+            .any(|(_, link)| matches!(link.state.side, Side::Server(_)) && link.waiting() > 0)
     }
 
     /// Whether not a byte of a call has left; then taking it back proves that it never ran.
@@ -214,7 +216,9 @@
         for stream in self.links.accept(is_idle) {
             if self.clients >= self.limits.connections {
                 // Makes room; where none is idle the newcomer is closed unread: it may try again elsewhere.
-                let Some(idle) = self.links.longest_silent(is_idle) else { continue };
+                let Some(idle) = self.links.longest_silent(is_idle) else {
+                    continue;
+                };
                 self.close(idle);
             }
             let side = Side::Server(ServerState::Head { scanned: 0 });
@@ -257,31 +261,54 @@
     fn lost(&mut self, id: LinkId) {
         let Some(link) = self.links.get(id) else { return };
         let Conn { turn, side } = &link.state;
-        if matches!(side, Side::Server(ServerState::Waiting { .. } | ServerState::Streaming { .. })) {
-            self.events.push_back(HttpEvent::Gone { exchange: Exchange { conn: id, turn: *turn } });
+        if matches!(
+            side,
+            Side::Server(ServerState::Waiting { .. } | ServerState::Streaming { .. })
+        ) {
+            self.events.push_back(HttpEvent::Gone {
+                exchange: Exchange {
+                    conn: id,
+                    turn: *turn,
+                },
+            });
         }
         self.close(id);
     }
 
     fn bad(&mut self, id: LinkId, why: BadRequest) {
         self.links.set_deadline(id, None);
-        let Some(link) = self.links.get_mut(id) else { return };
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
         // Where its next request begins is not known: the connection ends with this answer.
-        link.state.side =
-            Side::Server(ServerState::Waiting { keep_alive: false, bodiless: false, old: false });
+        link.state.side = Side::Server(ServerState::Waiting {
+            keep_alive: false,
+            bodiless: false,
+            old: false,
+        });
         link.input.clear();
-        let exchange = Exchange { conn: id, turn: link.state.turn };
-        self.events.push_back(HttpEvent::Request { exchange, request: Err(why) });
+        let exchange = Exchange {
+            conn: id,
+            turn: link.state.turn,
+        };
+        self.events.push_back(HttpEvent::Request {
+            exchange,
+            request: Err(why),
+        });
     }
 
     /// Writes what waits for a client; `false` where more of it waits than the system takes, or it is gone.
     fn flush_server(&mut self, id: LinkId) -> bool {
-        let Some(waited) = self.links.get(id).map(|link| link.waiting() > 0) else { return false };
+        let Some(waited) = self.links.get(id).map(|link| link.waiting() > 0) else {
+            return false;
+        };
         if !waited {
             return true;
         }
         self.links.flush_one(id);
-        let Some(link) = self.links.get(id) else { return false };
+        let Some(link) = self.links.get(id) else {
+            return false;
+        };
         if link.is_broken() {
             self.lost(id);
             return false;
@@ -305,8 +332,12 @@
     fn drive_server(&mut self, id: LinkId) {
         let mut read = false;
         while self.flush_server(id) && self.parse_request(id) {
-            let Some(link) = self.links.get_mut(id) else { return };
-            let Side::Server(state) = &link.state.side else { return };
+            let Some(link) = self.links.get_mut(id) else {
+                return;
+            };
+            let Side::Server(state) = &link.state.side else {
+                return;
+            };
             let waits = matches!(state, ServerState::Waiting { .. } | ServerState::Streaming { .. });
             if waits && link.input.len() >= READ_STEP {
                 return;
@@ -328,8 +359,16 @@
     /// Reads on in what came; `false` once the connection is closed.
     fn parse_request(&mut self, id: LinkId) -> bool {
         loop {
-            let Some(link) = self.links.get_mut(id) else { return false };
-            let Conn { side: Side::Server(state), turn } = &mut link.state else { return false };
+            let Some(link) = self.links.get_mut(id) else {
+                return false;
+            };
+            let Conn {
+                side: Side::Server(state),
+                turn,
+            } = &mut link.state
+            else {
+                return false;
+            };
             match state {
                 ServerState::Waiting { .. } | ServerState::Streaming { .. } | ServerState::Lingering => {
                     return true;
@@ -387,13 +426,25 @@
                         return true;
                     }
                     let (keep_alive, bodiless, old) = (head.keep_alive, head.method == "HEAD", head.old);
-                    let exchange = Exchange { conn: id, turn: *turn };
-                    let waiting = Side::Server(ServerState::Waiting { keep_alive, bodiless, old });
+                    let exchange = Exchange {
+                        conn: id,
+                        turn: *turn,
+                    };
+                    let waiting = Side::Server(ServerState::Waiting {
+                        keep_alive,
+                        bodiless,
+                        old,
+                    });
                     let request = std::mem::replace(&mut link.state.side, waiting);
                     let (from, at) = (link.peer(), link.local());
                     link.consume(used);
                     if let Side::Server(ServerState::Body { head, reader }) = request {
-                        let request = Ok(Request { head, body: reader.bytes, from, at });
+                        let request = Ok(Request {
+                            head,
+                            body: reader.bytes,
+                            from,
+                            at,
+                        });
                         self.events.push_back(HttpEvent::Request { exchange, request });
                     }
                     self.links.set_deadline(id, None);
@@ -405,9 +456,19 @@
 
     /// Answers a request; of one that is gone nothing is sent.
     pub fn answer(&mut self, exchange: Exchange, answer: &Response) {
-        let Some(link) = self.waiting(exchange) else { return };
-        let Side::Server(ServerState::Waiting { keep_alive, bodiless, .. }) = link.state.side else { return };
-        let closes = answer.headers.get("connection").is_some_and(|told| told.eq_ignore_ascii_case("close"));
+        let Some(link) = self.waiting(exchange) else {
+            return;
+        };
+        let Side::Server(ServerState::Waiting {
+            keep_alive, bodiless, ..
+        }) = link.state.side
+        else {
+            return;
+        };
+        let closes = answer
+            .headers
+            .get("connection")
+            .is_some_and(|told| told.eq_ignore_ascii_case("close"));
         let keep_alive = keep_alive && !closes;
         let headers = without_framing(&answer.headers);
         let framing = match answer.status {
@@ -425,19 +486,33 @@
 
     /// Begins an answer whose length is not known yet; its parts follow by [`Http::push`].
     pub fn begin(&mut self, exchange: Exchange, status: u16, headers: &Headers) {
-        let Some(link) = self.waiting(exchange) else { return };
-        let Side::Server(ServerState::Waiting { keep_alive, old, .. }) = link.state.side else { return };
+        let Some(link) = self.waiting(exchange) else {
+            return;
+        };
+        let Side::Server(ServerState::Waiting { keep_alive, old, .. }) = link.state.side else {
+            return;
+        };
         link.state.side = Side::Server(ServerState::Streaming { keep_alive, old });
-        let framing = if old { Framing::UntilClose } else { Framing::Chunked };
+        let framing = if old {
+            Framing::UntilClose
+        } else {
+            Framing::Chunked
+        };
         let (headers, keep_alive) = (without_framing(headers), keep_alive && !old);
-        self.write(exchange.conn, |out| head::write_response(out, status, &headers, framing, keep_alive));
+        self.write(exchange.conn, |out| {
+            head::write_response(out, status, &headers, framing, keep_alive)
+        });
         self.drive_server(exchange.conn);
     }
 
     /// A part of a begun answer. `false` once the client is gone or more than `most` bytes wait for it.
     pub fn push(&mut self, exchange: Exchange, bytes: &[u8], most: usize) -> bool {
-        let Some(link) = self.waiting(exchange) else { return false };
-        let Side::Server(ServerState::Streaming { old, .. }) = link.state.side else { return false };
+        let Some(link) = self.waiting(exchange) else {
+            return false;
+        };
+        let Side::Server(ServerState::Streaming { old, .. }) = link.state.side else {
+            return false;
+        };
         if link.waiting() + bytes.len() > most {
             return false;
         }
@@ -455,8 +530,12 @@
 
     /// Ends a begun answer.
     pub fn finish(&mut self, exchange: Exchange) {
-        let Some(link) = self.waiting(exchange) else { return };
-        let Side::Server(ServerState::Streaming { keep_alive, old }) = link.state.side else { return };
+        let Some(link) = self.waiting(exchange) else {
+            return;
+        };
+        let Side::Server(ServerState::Streaming { keep_alive, old }) = link.state.side else {
+            return;
+        };
         if !old {
             self.write(exchange.conn, |out| chunk(out, b""));
         }
@@ -471,11 +550,15 @@
     }
 
     fn waiting(&mut self, exchange: Exchange) -> Option<&mut Link<Conn>> {
-        self.links.get_mut(exchange.conn).filter(|link| link.state.turn == exchange.turn)
+        self.links
+            .get_mut(exchange.conn)
+            .filter(|link| link.state.turn == exchange.turn)
     }
 
     fn next_request(&mut self, id: LinkId, keep_alive: bool) {
-        let Some(link) = self.links.get_mut(id) else { return };
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
         // An answer given twice must not reach the connection's next request.
         link.state.turn += 1;
         link.state.side = Side::Server(match keep_alive {
@@ -500,7 +583,9 @@
         while let Some(id) = self.servers.get_mut(&to).and_then(|servers| servers.idle.pop()) {
             // One that the server has closed meanwhile looks writable: what is sent there is lost without proof.
             self.links.look(id);
-            let Some(link) = self.links.get_mut(id) else { continue };
+            let Some(link) = self.links.get_mut(id) else {
+                continue;
+            };
             if link.ended() || !link.input.is_empty() {
                 self.close(id);
                 continue;
@@ -518,8 +603,15 @@
             self.calls.insert(call, id);
             return self.drive_client(id);
         }
-        if self.servers.get(&to).is_some_and(|servers| servers.open >= self.limits.connections_each) {
-            return self.events.push_back(HttpEvent::Failed { call, how: Failure::NoRoom });
+        if self
+            .servers
+            .get(&to)
+            .is_some_and(|servers| servers.open >= self.limits.connections_each)
+        {
+            return self.events.push_back(HttpEvent::Failed {
+                call,
+                how: Failure::NoRoom,
+            });
         }
         let timeout = request.connect_timeout;
         let client = Client {
@@ -530,8 +622,17 @@
             request: Some(request),
             from: 0,
         };
-        let Ok(id) = self.links.connect(to, Conn { turn: 0, side: Side::Client(client) }) else {
-            return self.events.push_back(HttpEvent::Failed { call, how: Failure::Connect });
+        let Ok(id) = self.links.connect(
+            to,
+            Conn {
+                turn: 0,
+                side: Side::Client(client),
+            },
+        ) else {
+            return self.events.push_back(HttpEvent::Failed {
+                call,
+                how: Failure::Connect,
+            });
         };
         self.opened += 1;
         self.servers.entry(to).or_default().open += 1;
@@ -555,7 +656,11 @@
     }
 
     pub fn close_idle(&mut self, to: SocketAddr) {
-        let idle = self.servers.get(&to).map(|servers| servers.idle.clone()).unwrap_or_default();
+        let idle = self
+            .servers
+            .get(&to)
+            .map(|servers| servers.idle.clone())
+            .unwrap_or_default();
         idle.into_iter().for_each(|id| self.close(id));
     }
 
@@ -569,7 +674,9 @@
     }
 
     fn drive_client(&mut self, id: LinkId) {
-        let Some(Side::Client(client)) = self.links.get(id).map(|link| &link.state.side) else { return };
+        let Some(Side::Client(client)) = self.links.get(id).map(|link| &link.state.side) else {
+            return;
+        };
         if matches!(client.state, ClientState::Connecting) {
             match self.links.connected(id) {
                 Some(Ok(())) => self.begin_call(id),
@@ -578,9 +685,13 @@
             }
         }
         self.links.flush_one(id);
-        let Some(link) = self.links.get_mut(id) else { return };
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
         let (left, broken) = (link.left(), link.is_broken());
-        let Side::Client(client) = &mut link.state.side else { return };
+        let Side::Client(client) = &mut link.state.side else {
+            return;
+        };
         // From the first byte on the request may be worked on.
         if left > client.from {
             client.request = None;
@@ -633,8 +744,12 @@
     /// Reads on in an answer; `false` once the connection is closed.
     fn parse_answer(&mut self, id: LinkId) -> bool {
         loop {
-            let Some(link) = self.links.get_mut(id) else { return false };
-            let Side::Client(client) = &mut link.state.side else { return false };
+            let Some(link) = self.links.get_mut(id) else {
+                return false;
+            };
+            let Side::Client(client) = &mut link.state.side else {
+                return false;
+            };
             match &mut client.state {
                 ClientState::Connecting => return true,
                 ClientState::Idle => {
@@ -667,7 +782,11 @@
                     };
                     if let (true, Some(call)) = (client.streams, client.call) {
                         let (status, headers) = (head.status, head.headers.clone());
-                        let answer = Response { status, headers, body: Vec::new() };
+                        let answer = Response {
+                            status,
+                            headers,
+                            body: Vec::new(),
+                        };
                         self.events.push_back(HttpEvent::Answer { call, answer });
                     }
                     client.state = ClientState::Body { head, reader };
@@ -677,7 +796,14 @@
                         Ok(used) => used,
                         Err(e) => {
                             let too_large = e == BodyError::TooLarge;
-                            self.fail(id, if too_large { Failure::TooLarge } else { Failure::Malformed });
+                            self.fail(
+                                id,
+                                if too_large {
+                                    Failure::TooLarge
+                                } else {
+                                    Failure::Malformed
+                                },
+                            );
                             return false;
                         }
                     };
@@ -701,18 +827,38 @@
 
     /// An answer is whole: hand it over, and keep the connection if it can serve again.
     fn whole(&mut self, id: LinkId) {
-        let Some(link) = self.links.get_mut(id) else { return };
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
         let spoilt = link.waiting() > 0 || link.ended() || !link.input.is_empty();
-        let Side::Client(client) = &mut link.state.side else { return };
-        let Some(call) = client.call.take() else { return self.close(id) };
+        let Side::Client(client) = &mut link.state.side else {
+            return;
+        };
+        let Some(call) = client.call.take() else {
+            return self.close(id);
+        };
         self.calls.remove(&call);
         let (to, streams) = (client.to, client.streams);
         let state = std::mem::replace(&mut client.state, ClientState::Idle);
-        let ClientState::Body { head, reader } = state else { return self.close(id) };
-        let ResponseHead { status, headers, keep_alive, .. } = head;
+        let ClientState::Body { head, reader } = state else {
+            return self.close(id);
+        };
+        let ResponseHead {
+            status,
+            headers,
+            keep_alive,
+            ..
+        } = head;
         self.events.push_back(match streams {
             true => HttpEvent::End { call },
-            false => HttpEvent::Answer { call, answer: Response { status, headers, body: reader.bytes } },
+            false => HttpEvent::Answer {
+                call,
+                answer: Response {
+                    status,
+                    headers,
+                    body: reader.bytes,
+                },
+            },
         });
         // A server that answered before it had read all leaves bytes behind that spoil the connection.
         if !keep_alive || spoilt {
--- a/crates/quartzdrift-http/src/links.rs
+++ b/crates/quartzdrift-http/src/links.rs
@@ -218,7 +218,15 @@
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (LinkId, &Link<T>)> {
-        self.links.iter().map(|(key, link)| (LinkId { key, serial: link.serial }, link))
+        self.links.iter().map(|(key, link)| {
+            (
+                LinkId {
+                    key,
+                    serial: link.serial,
+                },
+                link,
+            )
+        })
     }
 
     /// Takes connections from `listener` from now on.
@@ -231,7 +239,10 @@
             of(state).acceptable = true;
             Ok(PostAction::Continue)
         };
-        let token = self.handle.insert_source(source, accept).map_err(|e| io::Error::other(e.to_string()))?;
+        let token = self
+            .handle
+            .insert_source(source, accept)
+            .map_err(|e| io::Error::other(e.to_string()))?;
         self.listeners.push((listener, token));
         Ok(())
     }
@@ -374,7 +385,9 @@
 
     /// Reads a bounded piece into the link's input; what is left keeps the link ready.
     pub fn read(&mut self, id: LinkId) {
-        let Some(link) = find(&mut self.links, id) else { return };
+        let Some(link) = find(&mut self.links, id) else {
+            return;
+        };
         if link.readable && !link.ended {
             link.read_piece(&mut self.scratch);
         }
@@ -412,7 +425,9 @@
 
     /// Writes what waits on one link.
     pub fn flush_one(&mut self, id: LinkId) {
-        let Some(link) = find(&mut self.links, id) else { return };
+        let Some(link) = find(&mut self.links, id) else {
+            return;
+        };
         if std::mem::take(&mut link.dirty) {
             self.dirty.retain(|of| *of != id);
         }
@@ -429,7 +444,9 @@
     }
 
     pub fn set_deadline(&mut self, id: LinkId, after: Option<Duration>) {
-        let Some(link) = find(&mut self.links, id) else { return };
+        let Some(link) = find(&mut self.links, id) else {
+            return;
+        };
         if let Some(at) = link.deadline.take() {
             self.deadlines.remove(&(at, id));
         }
@@ -516,7 +533,9 @@
     #[test]
     fn what_waits_on_a_link_that_broke_can_be_taken_back_before_the_owner_hears_of_it() {
         let event_loop = EventLoop::<Owner>::try_new().unwrap();
-        let mut owner = Owner { links: Links::new(event_loop.handle(), |owner| &mut owner.links) };
+        let mut owner = Owner {
+            links: Links::new(event_loop.handle(), |owner| &mut owner.links),
+        };
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let (peer, _) = listener.accept().unwrap();
@@ -526,12 +545,17 @@
         let (from, to) = (4, 9);
         owner.links.output(id).unwrap().extend_from_slice(b"frame");
         // A reset, which the next write meets before the loop has told of it.
-        socket2::SockRef::from(&peer).set_linger(Some(Duration::ZERO)).unwrap();
+        socket2::SockRef::from(&peer)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
         drop(peer);
         owner.links.flush();
         let link = owner.links.get_mut(id).unwrap();
         assert!(link.is_broken() && link.left() == from);
-        assert!(link.take_back(from, to), "nothing of it has left, and nothing will");
+        assert!(
+            link.take_back(from, to),
+            "nothing of it has left, and nothing will"
+        );
         assert!(!link.take_back(0, 4), "this has left");
     }
 }
--- a/crates/quartzdrift-http/tests/sockets.rs
+++ b/crates/quartzdrift-http/tests/sockets.rs
@@ -27,7 +27,11 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
         state.0.listen(listener).unwrap();
-        Stage { event_loop, state, at }
+        Stage {
+            event_loop,
+            state,
+            at,
+        }
     }
 
     /// Turns the loop until something happens, and returns it.
@@ -36,7 +40,11 @@
         let mut events = self.state.0.take_events();
         while events.is_empty() {
             assert!(Instant::now() < until, "nothing happened");
-            let wait = self.state.0.next_deadline().map(|at| at.saturating_duration_since(Instant::now()));
+            let wait = self
+                .state
+                .0
+                .next_deadline()
+                .map(|at| at.saturating_duration_since(Instant::now()));
             let wait = wait.unwrap_or(Duration::from_secs(1)).min(Duration::from_secs(1));
             self.event_loop.dispatch(wait, &mut self.state).unwrap();
             self.state.0.expire(Instant::now());
@@ -48,14 +56,20 @@
 
     fn request(&mut self) -> (Exchange, Request) {
         match self.next() {
-            HttpEvent::Request { exchange, request: Ok(request) } => (exchange, request),
+            HttpEvent::Request {
+                exchange,
+                request: Ok(request),
+            } => (exchange, request),
             other => panic!("no request: {other:?}"),
         }
     }
 
     fn bad(&mut self) -> (Exchange, BadRequest) {
         match self.next() {
-            HttpEvent::Request { exchange, request: Err(why) } => (exchange, why),
+            HttpEvent::Request {
+                exchange,
+                request: Err(why),
+            } => (exchange, why),
             other => panic!("no bad request: {other:?}"),
         }
     }
@@ -83,7 +97,11 @@
 }
 
 fn answer(body: &str) -> Response {
-    Response { status: 200, headers: Headers::new(), body: body.as_bytes().to_vec() }
+    Response {
+        status: 200,
+        headers: Headers::new(),
+        body: body.as_bytes().to_vec(),
+    }
 }
 
 fn read_some(stream: &mut TcpStream, until: &str) -> String {
@@ -98,7 +116,13 @@
 
 fn short() -> Limits {
     let span = Duration::from_millis(60);
-    Limits { receive: span, idle: span, head: 256, request_body: 64, ..Limits::default() }
+    Limits {
+        receive: span,
+        idle: span,
+        head: 256,
+        request_body: 64,
+        ..Limits::default()
+    }
 }
 
 #[test]
@@ -106,7 +130,10 @@
     let mut stage = Stage::new(Limits::default());
     let mut client = stage.client(b"POST /1 HTTP/1.1\r\ncontent-length: 2\r\n\r\nabGET /2 HTTP/1.1\r\n\r\n");
     let (first, request) = stage.request();
-    assert_eq!((request.head.target.as_str(), &request.body[..]), ("/1", &b"ab"[..]));
+    assert_eq!(
+        (request.head.target.as_str(), &request.body[..]),
+        ("/1", &b"ab"[..])
+    );
     stage.state.0.answer(first, &answer("one"));
     // A second answer to the first must not reach the second request.
     stage.state.0.answer(first, &answer("again"));
@@ -123,7 +150,13 @@
     let mut client = stage.client(b"POST / HT");
     let (exchange, why) = stage.bad();
     assert_eq!(why, BadRequest::TooSlow);
-    stage.state.0.answer(exchange, &Response { status: 400, ..Response::default() });
+    stage.state.0.answer(
+        exchange,
+        &Response {
+            status: 400,
+            ..Response::default()
+        },
+    );
     let mut seen = String::new();
     client.read_to_string(&mut seen).unwrap();
     assert!(seen.starts_with("HTTP/1.1 400"), "{seen}");
@@ -132,12 +165,21 @@
 #[test]
 fn too_much_is_refused_before_it_is_held() {
     for (bytes, expected) in [
-        (&b"POST / HTTP/1.1\r\ncontent-length: 65\r\n\r\n"[..], BadRequest::BodyTooLarge),
-        (b"POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n41\r\n", BadRequest::Malformed),
+        (
+            &b"POST / HTTP/1.1\r\ncontent-length: 65\r\n\r\n"[..],
+            BadRequest::BodyTooLarge,
+        ),
+        (
+            b"POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n41\r\n",
+            BadRequest::Malformed,
+        ),
         (b"nonsense\r\n\r\n", BadRequest::Malformed),
         (&[b'x'; 300], BadRequest::HeadTooLarge),
     ] {
-        let mut stage = Stage::new(Limits { receive: Duration::from_secs(5), ..short() });
+        let mut stage = Stage::new(Limits {
+            receive: Duration::from_secs(5),
+            ..short()
+        });
         let mut client = stage.client(bytes);
         if expected == BadRequest::Malformed && bytes.ends_with(b"41\r\n") {
             client.write_all(&[b'x'; 65]).unwrap();
@@ -147,7 +189,13 @@
         }
         let (exchange, why) = stage.bad();
         assert_eq!(why, expected);
-        stage.state.0.answer(exchange, &Response { status: 413, ..Response::default() });
+        stage.state.0.answer(
+            exchange,
+            &Response {
+                status: 413,
+                ..Response::default()
+            },
+        );
         assert!(read_some(&mut client, "\r\n\r\n").contains("connection: close"));
     }
 }
@@ -181,7 +229,10 @@
 
 #[test]
 fn many_idle_connections_leave_room_for_one_that_works() {
-    let mut stage = Stage::new(Limits { connections: 30, ..Limits::default() });
+    let mut stage = Stage::new(Limits {
+        connections: 30,
+        ..Limits::default()
+    });
     let idle: Vec<TcpStream> = (0..100).map(|_| stage.client(b"")).collect();
     let _client = stage.client(b"GET /works HTTP/1.1\r\n\r\n");
     let (_, request) = stage.request();
@@ -221,7 +272,9 @@
         for _ in 0..2 {
             let (mut stream, _) = server.accept().unwrap();
             read_some(&mut stream, "payload");
-            stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").unwrap();
+            stream
+                .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
+                .unwrap();
             drop(stream);
             closed.send(()).unwrap();
         }
@@ -238,11 +291,20 @@
 #[test]
 fn an_answer_cut_short_or_past_the_limit_is_no_answer() {
     for (said, expected) in [
-        (&b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"[..], Failure::Reset),
-        (b"HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n", Failure::TooLarge),
+        (
+            &b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"[..],
+            Failure::Reset,
+        ),
+        (
+            b"HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n",
+            Failure::TooLarge,
+        ),
         (b"HTTP/2 what\r\n\r\n", Failure::Malformed),
     ] {
-        let mut stage = Stage::new(Limits { answer_body: 50, ..Limits::default() });
+        let mut stage = Stage::new(Limits {
+            answer_body: 50,
+            ..Limits::default()
+        });
         let server = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = server.local_addr().unwrap();
         let serving = std::thread::spawn(move || {
@@ -271,7 +333,10 @@
     let (mut stream, _) = server.accept().unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     // Nothing but the end comes.
-    stage.event_loop.dispatch(Duration::from_millis(20), &mut stage.state).unwrap();
+    stage
+        .event_loop
+        .dispatch(Duration::from_millis(20), &mut stage.state)
+        .unwrap();
     assert_eq!(stream.read(&mut [0; 10]).unwrap_or(0), 0);
 }
 
@@ -283,7 +348,10 @@
     stage.state.0.begin(exchange, 200, &Headers::new());
     assert!(stage.state.0.push(exchange, b"one", 1000));
     assert!(read_some(&mut client, "one").contains("transfer-encoding: chunked"));
-    assert!(!stage.state.0.push(exchange, &[0; 2000], 1000), "over what may wait");
+    assert!(
+        !stage.state.0.push(exchange, &[0; 2000], 1000),
+        "over what may wait"
+    );
     stage.state.0.finish(exchange);
     assert!(read_some(&mut client, "0\r\n\r\n").contains("0\r\n\r\n"));
 }
@@ -299,7 +367,9 @@
     let reset = raw.0.connect(at, ()).unwrap();
     let (taken, _) = server.accept().unwrap();
     // Closed without lingering: the other side is sent a reset.
-    socket2::SockRef::from(&taken).set_linger(Some(Duration::ZERO)).unwrap();
+    socket2::SockRef::from(&taken)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
     drop(taken);
     drop(server);
     let kind = |raw: &Raw, id| match raw.0.connected(id) {
--- a/crates/quartzdrift-invoke/src/answer.rs
+++ b/crates/quartzdrift-invoke/src/answer.rs
@@ -64,47 +64,84 @@
     let by = if status >= 500 { "Service" } else { "User" };
     Said {
         status,
-        fields: vec![("content-type", "application/json".to_owned()), ("x-amzn-errortype", kind.to_owned())],
-        body: json(&ErrorBody { kind: by, message, reason }),
+        fields: vec![
+            ("content-type", "application/json".to_owned()),
+            ("x-amzn-errortype", kind.to_owned()),
+        ],
+        body: json(&ErrorBody {
+            kind: by,
+            message,
+            reason,
+        }),
     }
 }
 
 impl Problem {
     pub fn said(self) -> Said {
         match self {
-            Problem::NoSuchPath => {
-                error(404, "ResourceNotFoundException", "there is nothing at this path", None)
-            }
-            Problem::WrongMethod => {
-                error(405, "InvalidRequestContentException", "the method is not POST", None)
-            }
+            Problem::NoSuchPath => error(
+                404,
+                "ResourceNotFoundException",
+                "there is nothing at this path",
+                None,
+            ),
+            Problem::WrongMethod => error(
+                405,
+                "InvalidRequestContentException",
+                "the method is not POST",
+                None,
+            ),
             Problem::BadParameter(what) => error(400, "InvalidParameterValueException", what, None),
             Problem::BadContent(what) => error(400, "InvalidRequestContentException", what, None),
-            Problem::NoSuchFunction => {
-                error(404, "ResourceNotFoundException", "the function is in no workload's settings", None)
-            }
-            Problem::TooLarge => {
-                error(413, "RequestTooLargeException", "the payload is over the limit", None)
-            }
-            Problem::MediaType => {
-                error(415, "UnsupportedMediaTypeException", "the content type is not JSON", None)
-            }
-            Problem::HeadTooLarge => {
-                error(431, "InvalidRequestContentException", "the fields are over the limit", None)
-            }
-            Problem::Malformed => {
-                error(400, "InvalidRequestContentException", "this is no HTTP/1.1 request", None)
-            }
-            Problem::Coding => {
-                error(501, "InvalidRequestContentException", "the transfer coding is unknown here", None)
-            }
-            Problem::TooSlow => {
-                error(400, "InvalidRequestContentException", "the request was not whole in time", None)
-            }
+            Problem::NoSuchFunction => error(
+                404,
+                "ResourceNotFoundException",
+                "the function is in no workload's settings",
+                None,
+            ),
+            Problem::TooLarge => error(
+                413,
+                "RequestTooLargeException",
+                "the payload is over the limit",
+                None,
+            ),
+            Problem::MediaType => error(
+                415,
+                "UnsupportedMediaTypeException",
+                "the content type is not JSON",
+                None,
+            ),
+            Problem::HeadTooLarge => error(
+                431,
+                "InvalidRequestContentException",
+                "the fields are over the limit",
+                None,
+            ),
+            Problem::Malformed => error(
+                400,
+                "InvalidRequestContentException",
+                "this is no HTTP/1.1 request",
+                None,
+            ),
+            Problem::Coding => error(
+                501,
+                "InvalidRequestContentException",
+                "the transfer coding is unknown here",
+                None,
+            ),
+            Problem::TooSlow => error(
+                400,
+                "InvalidRequestContentException",
+                "the request was not whole in time",
+                None,
+            ),
             Problem::Busy(retry_after) => rejected(retry_after),
-            Problem::Unsure => {
-                error(500, "ServiceException", "it is not known whether the job was kept", None)
-            }
+            Problem::Unsure => error(
+                500,
+                "ServiceException",
+                "it is not known whether the job was kept",
+                None,
+            ),
         }
     }
 }
@@ -122,7 +159,8 @@
         "no worker can take this job now; trying again is harmless",
         Some("ConcurrentInvocationLimitExceeded"),
     );
-    said.fields.push(("retry-after", whole_seconds(retry_after).to_string()));
+    said.fields
+        .push(("retry-after", whole_seconds(retry_after).to_string()));
     if let Some(told) = retry_after {
         // Whole seconds are coarse beside attempts of some milliseconds; our own clients read this one.
         let ms = told.as_millis() + u128::from(told.subsec_nanos() % 1_000_000 > 0);
@@ -144,15 +182,18 @@
 
 pub fn failed(why: FailureKind) -> Said {
     let (error_type, error_message) = match why {
-        FailureKind::DeadlineExceeded => {
-            ("Quartzdrift.TimeLimit", "the time limit came before an answer; the job may have run")
-        }
-        FailureKind::OutcomeUnknown => {
-            ("Quartzdrift.Killed", "the worker was lost before it answered; the job may have run")
-        }
-        FailureKind::ShuttingDown => {
-            ("Quartzdrift.Stopped", "the gateway stopped before an answer; the job may have run")
-        }
+        FailureKind::DeadlineExceeded => (
+            "Quartzdrift.TimeLimit",
+            "the time limit came before an answer; the job may have run",
+        ),
+        FailureKind::OutcomeUnknown => (
+            "Quartzdrift.Killed",
+            "the worker was lost before it answered; the job may have run",
+        ),
+        FailureKind::ShuttingDown => (
+            "Quartzdrift.Stopped",
+            "the gateway stopped before an answer; the job may have run",
+        ),
     };
     Said {
         status: 200,
@@ -160,21 +201,36 @@
             ("content-type", "application/json".to_owned()),
             ("x-amz-function-error", "Unhandled".to_owned()),
         ],
-        body: json(&FunctionError { error_type, error_message }),
+        body: json(&FunctionError {
+            error_type,
+            error_message,
+        }),
     }
 }
 
 pub fn taken() -> Said {
-    Said { status: 202, fields: Vec::new(), body: Vec::new() }
+    Said {
+        status: 202,
+        fields: Vec::new(),
+        body: Vec::new(),
+    }
 }
 
 pub fn dry_run() -> Said {
-    Said { status: 204, fields: Vec::new(), body: Vec::new() }
+    Said {
+        status: 204,
+        fields: Vec::new(),
+        body: Vec::new(),
+    }
 }
 
 pub fn ready(ready: bool) -> Said {
     let status = if ready { 200 } else { 503 };
-    Said { status, fields: Vec::new(), body: Vec::new() }
+    Said {
+        status,
+        fields: Vec::new(),
+        body: Vec::new(),
+    }
 }
 
 #[cfg(test)]
@@ -184,18 +240,33 @@
     #[test]
     fn a_time_to_come_back_is_never_cut() {
         for (told, seconds) in [(0, 1), (1, 1), (1000, 1), (1001, 2), (61_000, 61)] {
-            assert_eq!(whole_seconds(Some(Duration::from_millis(told))), seconds, "{told} ms");
+            assert_eq!(
+                whole_seconds(Some(Duration::from_millis(told))),
+                seconds,
+                "{told} ms"
+            );
         }
         let said = rejected(Some(Duration::from_micros(1500)));
-        assert!(said.fields.contains(&("x-quartzdrift-come-back-ms", "2".to_owned())));
+        assert!(
+            said.fields
+                .contains(&("x-quartzdrift-come-back-ms", "2".to_owned()))
+        );
     }
 
     #[test]
     fn a_kill_has_no_status_that_libraries_repeat() {
-        for why in [FailureKind::DeadlineExceeded, FailureKind::OutcomeUnknown, FailureKind::ShuttingDown] {
+        for why in [
+            FailureKind::DeadlineExceeded,
+            FailureKind::OutcomeUnknown,
+            FailureKind::ShuttingDown,
+        ] {
             let said = failed(why);
             assert_eq!(said.status, 200);
-            assert!(said.fields.iter().any(|(name, _)| *name == "x-amz-function-error"));
+            assert!(
+                said.fields
+                    .iter()
+                    .any(|(name, _)| *name == "x-amz-function-error")
+            );
         }
     }
 
--- a/crates/quartzdrift-invoke/src/call.rs
+++ b/crates/quartzdrift-invoke/src/call.rs
@@ -50,7 +50,10 @@
 }
 
 fn decoded(text: &str) -> Option<String> {
-    percent_decode_str(text).decode_utf8().ok().map(|t| t.into_owned())
+    percent_decode_str(text)
+        .decode_utf8()
+        .ok()
+        .map(|t| t.into_owned())
 }
 
 /// Reads a request's line and fields; `get` looks a field up by its name in lower case.
@@ -59,8 +62,12 @@
     if path == "/v2/health/ready" || path == "/v2/health/live" {
         return Ok(Asked::Ready);
     }
-    let name = path.strip_prefix(PREFIX).and_then(|rest| rest.strip_suffix(SUFFIX));
-    let Some(name) = name else { return Err(Problem::NoSuchPath) };
+    let name = path
+        .strip_prefix(PREFIX)
+        .and_then(|rest| rest.strip_suffix(SUFFIX));
+    let Some(name) = name else {
+        return Err(Problem::NoSuchPath);
+    };
     if method != "POST" {
         return Err(Problem::WrongMethod);
     }
@@ -91,7 +98,9 @@
         let bytes = base64::engine::general_purpose::STANDARD.decode(context);
         if bytes.is_ok_and(|b| b.len() <= MAX_CONTEXT && is_json(&b)) {
         } else {
-            return Err(Problem::BadContent("X-Amz-Client-Context is not base64 of JSON, or too long"));
+            return Err(Problem::BadContent(
+                "X-Amz-Client-Context is not base64 of JSON, or too long",
+            ));
         }
     }
     let mark = get("idempotency-key").map(str::to_owned);
@@ -100,19 +109,31 @@
     }
     let left_ms = match get("x-quartzdrift-time-left-ms").map(str::parse::<u64>) {
         Some(Err(_)) => {
-            return Err(Problem::BadParameter("X-Quartzdrift-Time-Left-Ms is no count of milliseconds"));
+            return Err(Problem::BadParameter(
+                "X-Quartzdrift-Time-Left-Ms is no count of milliseconds",
+            ));
         }
         left => left.and_then(Result::ok),
     };
-    Ok(Asked::Invoke(Call { function, mode, context, mark, left_ms }))
+    Ok(Asked::Invoke(Call {
+        function,
+        mode,
+        context,
+        mark,
+        left_ms,
+    }))
 }
 
 /// JSON is what the API takes; what common clients send unasked for a JSON body is let through as well.
 fn media_type_fits(told: Option<&str>) -> bool {
     let Some(told) = told else { return true };
     let kind = told.split(';').next().unwrap_or("").trim().to_ascii_lowercase();
-    let unasked =
-        ["", "application/octet-stream", "application/x-www-form-urlencoded", "binary/octet-stream"];
+    let unasked = [
+        "",
+        "application/octet-stream",
+        "application/x-www-form-urlencoded",
+        "binary/octet-stream",
+    ];
     kind == "application/json"
         || kind == "application/x-amz-json-1.0"
         || kind.starts_with("application/") && kind.ends_with("+json")
@@ -138,16 +159,25 @@
     use super::*;
 
     fn ask(target: &str, fields: &[(&str, &'static str)]) -> Result<Asked, Problem> {
-        read("POST", target, |name| fields.iter().find(|(n, _)| *n == name).map(|(_, v)| *v))
+        read("POST", target, |name| {
+            fields.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
+        })
     }
 
     #[test]
     fn calls_are_read() {
         let target = "/2015-03-31/functions/quote%3Av1/invocations?x=1&Qualifier=v1";
-        let Ok(Asked::Invoke(call)) = ask(target, &[("x-amz-invocation-type", "Event")]) else { panic!() };
-        assert_eq!((call.function.loaded().as_str(), call.mode), ("quote:v1", Mode::Asynchronous));
+        let Ok(Asked::Invoke(call)) = ask(target, &[("x-amz-invocation-type", "Event")]) else {
+            panic!()
+        };
+        assert_eq!(
+            (call.function.loaded().as_str(), call.mode),
+            ("quote:v1", Mode::Asynchronous)
+        );
         let again = super::target(&call.function.loaded());
-        let Ok(Asked::Invoke(second)) = ask(&again, &[]) else { panic!() };
+        let Ok(Asked::Invoke(second)) = ask(&again, &[]) else {
+            panic!()
+        };
         assert_eq!(second.function.loaded(), "quote:v1");
     }
 
@@ -155,9 +185,18 @@
     fn others_get_the_published_errors() {
         let path = "/2015-03-31/functions/quote/invocations";
         assert!(matches!(ask("/elsewhere", &[]), Err(Problem::NoSuchPath)));
-        assert!(matches!(ask(path, &[("content-type", "text/html")]), Err(Problem::MediaType)));
-        assert!(matches!(ask(path, &[("x-amz-invocation-type", "x")]), Err(Problem::BadParameter(_))));
-        assert!(matches!(ask(path, &[("x-amz-client-context", "&")]), Err(Problem::BadContent(_))));
+        assert!(matches!(
+            ask(path, &[("content-type", "text/html")]),
+            Err(Problem::MediaType)
+        ));
+        assert!(matches!(
+            ask(path, &[("x-amz-invocation-type", "x")]),
+            Err(Problem::BadParameter(_))
+        ));
+        assert!(matches!(
+            ask(path, &[("x-amz-client-context", "&")]),
+            Err(Problem::BadContent(_))
+        ));
         assert!(matches!(read("GET", path, |_| None), Err(Problem::WrongMethod)));
         assert!(is_json(b" {\"a\": [1]} ") && is_json(b"") && !is_json(b"{") && !is_json(b"1 2"));
     }
--- a/crates/quartzdrift-invoke/src/models.rs
+++ b/crates/quartzdrift-invoke/src/models.rs
@@ -29,25 +29,41 @@
 }
 
 pub fn load_target(function: &str) -> String {
-    format!("/v2/repository/models/{}/load", utf8_percent_encode(function, NON_ALPHANUMERIC))
+    format!(
+        "/v2/repository/models/{}/load",
+        utf8_percent_encode(function, NON_ALPHANUMERIC)
+    )
 }
 
 pub fn unload_target(function: &str) -> String {
-    format!("/v2/repository/models/{}/unload", utf8_percent_encode(function, NON_ALPHANUMERIC))
+    format!(
+        "/v2/repository/models/{}/unload",
+        utf8_percent_encode(function, NON_ALPHANUMERIC)
+    )
 }
 
 pub fn load_command(copies: u32) -> Vec<u8> {
-    serde_json::to_vec(&LoadCommand { parameters: Parameters { copies } }).unwrap_or_default()
+    serde_json::to_vec(&LoadCommand {
+        parameters: Parameters { copies },
+    })
+    .unwrap_or_default()
 }
 
 /// The copies that an order or its answer tells; none where nothing can be read.
 pub fn copies(body: &[u8]) -> Option<u32> {
-    serde_json::from_slice::<LoadCommand>(body).ok().map(|load_command| load_command.parameters.copies)
+    serde_json::from_slice::<LoadCommand>(body)
+        .ok()
+        .map(|load_command| load_command.parameters.copies)
 }
 
 /// What a path asks for, as a worker reads it.
 pub fn read(path: &str) -> Option<Asked> {
-    let name = |text: &str| percent_decode_str(text).decode_utf8().ok().map(|t| t.into_owned());
+    let name = |text: &str| {
+        percent_decode_str(text)
+            .decode_utf8()
+            .ok()
+            .map(|t| t.into_owned())
+    };
     if path == READY || path == "/v2/health/live" {
         return Some(Asked::Ready);
     }
@@ -74,8 +90,14 @@
     fn orders_are_read_as_written() {
         assert_eq!(read(&load_target("a:v1")), Some(Asked::Load("a:v1".to_owned())));
         assert_eq!(read(&unload_target("a/b")), Some(Asked::Unload("a/b".to_owned())));
-        assert_eq!((copies(&load_command(3)), copies(b"{}"), copies(b"x")), (Some(3), Some(0), None));
-        assert_eq!(read("/v2/models/q/ready"), Some(Asked::ModelReady("q".to_owned())));
+        assert_eq!(
+            (copies(&load_command(3)), copies(b"{}"), copies(b"x")),
+            (Some(3), Some(0), None)
+        );
+        assert_eq!(
+            read("/v2/models/q/ready"),
+            Some(Asked::ModelReady("q".to_owned()))
+        );
         assert_eq!(read("/v2/repository/models/q/drop"), None);
     }
 }
--- a/crates/quartzdrift-invoke/src/name.rs
+++ b/crates/quartzdrift-invoke/src/name.rs
@@ -32,7 +32,9 @@
         let mut parts: Vec<&str> = text.split(':').collect();
         let (mut region, mut account) = (None, None);
         if parts[0] == "arn" {
-            let [_, partition, service, told, ..] = parts[..] else { return Err("the ARN is cut short") };
+            let [_, partition, service, told, ..] = parts[..] else {
+                return Err("the ARN is cut short");
+            };
             if !partition.starts_with("aws") || service != "lambda" || !word(told, MAX_NAME) {
                 return Err("the ARN is not of a function");
             }
@@ -62,7 +64,12 @@
         if told.is_some_and(|q| !qualifier(q)) {
             return Err("the qualifier is neither $LATEST, a version nor an alias");
         }
-        Ok(FunctionName { name: name.to_owned(), qualifier: told.map(str::to_owned), account, region })
+        Ok(FunctionName {
+            name: name.to_owned(),
+            qualifier: told.map(str::to_owned),
+            account,
+            region,
+        })
     }
 
     /// With the qualifier that came beside the name; two that differ are an error.
@@ -98,7 +105,10 @@
             ("quote", ("quote", None, None)),
             ("quote:v1", ("quote", Some("v1"), None)),
             ("quote:$LATEST", ("quote", Some("$LATEST"), None)),
-            ("123456789012:function:quote", ("quote", None, Some("123456789012"))),
+            (
+                "123456789012:function:quote",
+                ("quote", None, Some("123456789012")),
+            ),
             (
                 "arn:aws:lambda:eu-west-1:123456789012:function:quote:3",
                 ("quote", Some("3"), Some("123456789012")),
@@ -106,20 +116,43 @@
         ];
         for (text, (name, told, account)) in cases {
             let read = FunctionName::parse(text).unwrap();
-            assert_eq!((read.name.as_str(), read.qualifier.as_deref()), (name, told), "{text}");
+            assert_eq!(
+                (read.name.as_str(), read.qualifier.as_deref()),
+                (name, told),
+                "{text}"
+            );
             assert_eq!(read.account.as_deref(), account, "{text}");
         }
         assert_eq!(FunctionName::parse("quote:$LATEST").unwrap().loaded(), "quote");
-        assert_eq!(FunctionName::parse("quote").unwrap().qualified(Some("v2")).unwrap().loaded(), "quote:v2");
+        assert_eq!(
+            FunctionName::parse("quote")
+                .unwrap()
+                .qualified(Some("v2"))
+                .unwrap()
+                .loaded(),
+            "quote:v2"
+        );
     }
 
     #[test]
     fn others_are_refused() {
-        let bad =
-            ["", "a b", "a:b:c", "arn:aws:lambda", "arn:aws:s3:x:123456789012:function:q", "1:function:q"];
-        bad.iter().for_each(|text| assert!(FunctionName::parse(text).is_err(), "{text}"));
+        let bad = [
+            "",
+            "a b",
+            "a:b:c",
+            "arn:aws:lambda",
+            "arn:aws:s3:x:123456789012:function:q",
+            "1:function:q",
+        ];
+        bad.iter()
+            .for_each(|text| assert!(FunctionName::parse(text).is_err(), "{text}"));
         assert!(FunctionName::parse("arn:aws:lambda:eu:x:layer:q").is_err());
-        assert!(FunctionName::parse("quote:v1").unwrap().qualified(Some("v2")).is_err());
+        assert!(
+            FunctionName::parse("quote:v1")
+                .unwrap()
+                .qualified(Some("v2"))
+                .is_err()
+        );
     }
 
     proptest::proptest! {
--- a/crates/quartzdrift-invoke/src/orca.rs
+++ b/crates/quartzdrift-invoke/src/orca.rs
@@ -22,7 +22,11 @@
 
     /// In the text form, as the field's value.
     pub fn text(&self) -> String {
-        let parts: Vec<String> = self.0.iter().map(|(name, value)| format!("{name}={value}")).collect();
+        let parts: Vec<String> = self
+            .0
+            .iter()
+            .map(|(name, value)| format!("{name}={value}"))
+            .collect();
         format!("TEXT {}", parts.join(","))
     }
 
@@ -75,7 +79,10 @@
     #[test]
     fn both_forms_are_read() {
         let text = Report::read("TEXT cpu_utilization=0.3, named_metrics.queue=4,bad,nan=NaN");
-        assert_eq!((text.get("cpu_utilization"), text.get("named_metrics.queue")), (Some(0.3), Some(4.0)));
+        assert_eq!(
+            (text.get("cpu_utilization"), text.get("named_metrics.queue")),
+            (Some(0.3), Some(4.0))
+        );
         assert_eq!(text.get("nan"), None);
         let json = Report::read(r#"JSON {"cpu_utilization": 0.3, "named_metrics": {"queue": 4}}"#);
         assert_eq!(json.get("named_metrics.queue"), Some(4.0));
--- a/crates/quartzdrift-invoke/src/verdict.rs
+++ b/crates/quartzdrift-invoke/src/verdict.rs
@@ -21,7 +21,10 @@
 /// How a call to a worker ended on its socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seen<'a> {
-    Answered { status: u16, error_type: Option<&'a str> },
+    Answered {
+        status: u16,
+        error_type: Option<&'a str>,
+    },
     Unreadable,
     NotConnected,
     NoConnectionLeft,
@@ -30,14 +33,23 @@
 
 pub fn outcome(seen: Seen) -> Outcome {
     // A type may carry a namespace or a link behind a colon.
-    let plain = |told: Option<&str>| told.and_then(|t| t.split(':').next()).unwrap_or("").trim().to_owned();
+    let plain = |told: Option<&str>| {
+        told.and_then(|t| t.split(':').next())
+            .unwrap_or("")
+            .trim()
+            .to_owned()
+    };
     match seen {
         Seen::Answered { status: 200, .. } => Outcome::Succeeded,
         Seen::Answered { status: 429, .. } => Outcome::AtCapacity,
-        Seen::Answered { status: 404, error_type } if plain(error_type) == "ResourceNotFoundException" => {
-            Outcome::CacheMiss
-        }
-        Seen::Answered { status: 503, error_type } if plain(error_type) == "NotTaken" => Outcome::AtCapacity,
+        Seen::Answered {
+            status: 404,
+            error_type,
+        } if plain(error_type) == "ResourceNotFoundException" => Outcome::CacheMiss,
+        Seen::Answered {
+            status: 503,
+            error_type,
+        } if plain(error_type) == "NotTaken" => Outcome::AtCapacity,
         Seen::Answered { .. } | Seen::Unreadable => Outcome::Error,
         Seen::NotConnected => Outcome::ConnectFailed,
         Seen::NoConnectionLeft => Outcome::AtCapacity,
@@ -61,7 +73,10 @@
 }
 
 pub fn concurrency(report: &Report) -> Option<u32> {
-    report.get(CONCURRENCY).filter(|told| *told >= 0.0).map(|told| told as u32)
+    report
+        .get(CONCURRENCY)
+        .filter(|told| *told >= 0.0)
+        .map(|told| told as u32)
 }
 
 #[cfg(test)]
@@ -73,10 +88,17 @@
         let answered = |status, error_type| outcome(Seen::Answered { status, error_type });
         assert_eq!(answered(200, None), Outcome::Succeeded);
         assert_eq!(answered(429, None), Outcome::AtCapacity);
-        assert_eq!(answered(404, Some("ResourceNotFoundException:x")), Outcome::CacheMiss);
-        for (status, kind) in
-            [(404, None), (503, None), (500, Some("ServiceException")), (301, None), (204, None)]
-        {
+        assert_eq!(
+            answered(404, Some("ResourceNotFoundException:x")),
+            Outcome::CacheMiss
+        );
+        for (status, kind) in [
+            (404, None),
+            (503, None),
+            (500, Some("ServiceException")),
+            (301, None),
+            (204, None),
+        ] {
             assert_eq!(answered(status, kind), Outcome::Error, "{status}");
         }
         assert_eq!(outcome(Seen::Closed), Outcome::Reset);
--- a/crates/quartzdrift-lab/src/actor.rs
+++ b/crates/quartzdrift-lab/src/actor.rs
@@ -48,12 +48,18 @@
             Told::Msg(command) => actor.command(command),
             Told::Closed => gone.set(true),
         };
-        event_loop.handle().insert_source(commands, told).map_err(|e| io::Error::other(e.to_string()))?;
+        event_loop
+            .handle()
+            .insert_source(commands, told)
+            .map_err(|e| io::Error::other(e.to_string()))?;
     }
     while !actor.stopped() && !gone.get() {
         let now = actor.now();
         let due = actor.next_due().map(|at| at.saturating_sub(now));
-        let sockets = actor.http().next_deadline().map(|at| at.saturating_duration_since(Instant::now()));
+        let sockets = actor
+            .http()
+            .next_deadline()
+            .map(|at| at.saturating_duration_since(Instant::now()));
         let waits = actor.http().has_events().then_some(Duration::ZERO);
         let wait = [due, sockets, waits].into_iter().flatten().min();
         event_loop.dispatch(wait, &mut actor).map_err(io::Error::other)?;
@@ -106,6 +112,12 @@
             eprintln!("stand-in at {address}: {e}");
         }
     };
-    let thread = std::thread::Builder::new().name("stand-in".to_owned()).spawn(work)?;
-    Ok(Running { address, sender: Some(sender), thread: Some(thread) })
+    let thread = std::thread::Builder::new()
+        .name("stand-in".to_owned())
+        .spawn(work)?;
+    Ok(Running {
+        address,
+        sender: Some(sender),
+        thread: Some(thread),
+    })
 }
--- a/crates/quartzdrift-lab/src/audit.rs
+++ b/crates/quartzdrift-lab/src/audit.rs
@@ -64,7 +64,13 @@
 
 impl fmt::Display for Broken {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{:.3} s: {}: {}", self.at_us as f64 / 1e6, self.rule, self.what)
+        write!(
+            f,
+            "{:.3} s: {}: {}",
+            self.at_us as f64 / 1e6,
+            self.rule,
+            self.what
+        )
     }
 }
 
@@ -113,14 +119,39 @@
         let at = *at_us;
         day.end = day.end.max(at);
         match seen {
-            Seen::Asked { call, gateway, key, request_class, asynchronous, limit_us } => {
+            Seen::Asked {
+                call,
+                gateway,
+                key,
+                request_class,
+                asynchronous,
+                limit_us,
+            } => {
                 let (gateway, asynchronous, limit) = (*gateway, *asynchronous, *limit_us);
-                day.asked.insert(*call, Asked { at, gateway, key, request_class, asynchronous, limit });
+                day.asked.insert(
+                    *call,
+                    Asked {
+                        at,
+                        gateway,
+                        key,
+                        request_class,
+                        asynchronous,
+                        limit,
+                    },
+                );
             }
             Seen::Answered { call, status, .. } => day.answers.entry(*call).or_default().push((at, *status)),
             Seen::Left { call } => drop(day.left.insert(*call, at)),
             Seen::Cut { call } => drop(day.cut.insert(*call, at)),
-            Seen::Came { worker, life, call, request, key, work_us, .. } => {
+            Seen::Came {
+                worker,
+                life,
+                call,
+                request,
+                key,
+                work_us,
+                ..
+            } => {
                 open.insert((worker, *life, *call), day.attempts.len());
                 day.attempts.push(Attempt {
                     worker,
@@ -134,7 +165,9 @@
                     began: false,
                 });
             }
-            Seen::Began { worker, life, call, .. } => {
+            Seen::Began {
+                worker, life, call, ..
+            } => {
                 if let Some(&of) = open.get(&(worker.as_str(), *life, *call)) {
                     day.attempts[of].began = true;
                 }
@@ -193,20 +226,36 @@
             let times = day.down.get(&asked.gateway);
             times.is_some_and(|times| times.iter().any(|(from, to)| *from <= by && asked.at <= *to))
         };
-        let mut add = |at_us: u64, what: String| broken.push(Broken { rule: Rule::RequestLost, at_us, what });
+        let mut add = |at_us: u64, what: String| {
+            broken.push(Broken {
+                rule: Rule::RequestLost,
+                at_us,
+                what,
+            })
+        };
         let answers = day.answers.get(call).map_or(&[][..], Vec::as_slice);
         match answers {
             [] => {
                 let left = day.left.get(call).is_some_and(|at| *at < until);
                 if !left && !killed(until) && until < day.end {
-                    let how = if day.cut.contains_key(call) { "was cut off" } else { "got no answer" };
-                    add(until, format!("call {call} to gateway {} {how} within its limit", asked.gateway));
+                    let how = if day.cut.contains_key(call) {
+                        "was cut off"
+                    } else {
+                        "got no answer"
+                    };
+                    add(
+                        until,
+                        format!("call {call} to gateway {} {how} within its limit", asked.gateway),
+                    );
                 }
             }
             [(at, _)] if *at > until => {
                 add(
                     *at,
-                    format!("call {call} was answered {} ms past its limit", (at - until + LAG_US) / 1000),
+                    format!(
+                        "call {call} was answered {} ms past its limit",
+                        (at - until + LAG_US) / 1000
+                    ),
                 );
             }
             [_] => {}
@@ -215,12 +264,25 @@
         if let (true, true, [(at, 202)]) = (asked.asynchronous, terms.asynchronous_over, answers) {
             let dead = format!("dead:{}", asked.key);
             let seen = handled.contains(asked.key) || day.attempts.iter().any(|e| e.key == dead);
-            let never_back =
-                day.down.get(&asked.gateway).is_some_and(|times| times.iter().any(|(_, to)| *to == u64::MAX));
-            let gone = day.disks.iter().any(|(of, at)| *of == asked.gateway && asked.at < *at);
-            let excused = gone || if terms.durable { never_back } else { killed(day.end) };
+            let never_back = day
+                .down
+                .get(&asked.gateway)
+                .is_some_and(|times| times.iter().any(|(_, to)| *to == u64::MAX));
+            let gone = day
+                .disks
+                .iter()
+                .any(|(of, at)| *of == asked.gateway && asked.at < *at);
+            let excused = gone
+                || if terms.durable {
+                    never_back
+                } else {
+                    killed(day.end)
+                };
             if !seen && !excused {
-                add(*at, format!("deferred job {} was taken and never run or given up", asked.key));
+                add(
+                    *at,
+                    format!("deferred job {} was taken and never run or given up", asked.key),
+                );
             }
         }
     }
@@ -232,25 +294,48 @@
     let request_class: BTreeMap<&str, &str> = day.asked.values().map(|a| (a.key, a.request_class)).collect();
     let mut first: BTreeMap<&str, u64> = BTreeMap::new();
     for attempt in day.attempts.iter().filter(|e| !e.refused && !e.key.is_empty()) {
-        let Some(request_class) = request_class.get(attempt.key) else { continue };
+        let Some(request_class) = request_class.get(attempt.key) else {
+            continue;
+        };
         let Some(&began) = first.get(attempt.key) else {
             first.insert(attempt.key, attempt.from);
             continue;
         };
         let (at_us, key) = (attempt.from, attempt.key);
         if terms.non_idempotent.contains(*request_class) {
-            let what = format!("run-once job {key} came to {} after it may have run", attempt.worker);
-            broken.push(Broken { rule: Rule::EffectTwice, at_us, what });
+            let what = format!(
+                "run-once job {key} came to {} after it may have run",
+                attempt.worker
+            );
+            broken.push(Broken {
+                rule: Rule::EffectTwice,
+                at_us,
+                what,
+            });
         }
         let window = terms.windows_us.get(*request_class);
         let forgot = day.forgot.iter().any(|at| began < *at && *at < at_us);
         if window.is_some() && forgot {
-            let what = format!("fingerprinted job {key} came to {} after workers forgot it", attempt.worker);
-            broken.push(Broken { rule: Rule::EffectTwice, at_us, what });
+            let what = format!(
+                "fingerprinted job {key} came to {} after workers forgot it",
+                attempt.worker
+            );
+            broken.push(Broken {
+                rule: Rule::EffectTwice,
+                at_us,
+                what,
+            });
         }
         if window.is_some_and(|window| at_us > began + window + LAG_US) {
-            let what = format!("fingerprinted job {key} came to {} past its window", attempt.worker);
-            broken.push(Broken { rule: Rule::EffectTwice, at_us, what });
+            let what = format!(
+                "fingerprinted job {key} came to {} past its window",
+                attempt.worker
+            );
+            broken.push(Broken {
+                rule: Rule::EffectTwice,
+                at_us,
+                what,
+            });
         }
     }
 }
@@ -267,7 +352,11 @@
             if pair[0].to.is_none_or(|to| to > pair[1].from + LAG_US) {
                 let (first, second) = (pair[0].worker, pair[1].worker);
                 let what = format!("job {request} came to {second} while it was out at {first}");
-                broken.push(Broken { rule: Rule::TwoAtOnce, at_us: pair[1].from, what });
+                broken.push(Broken {
+                    rule: Rule::TwoAtOnce,
+                    at_us: pair[1].from,
+                    what,
+                });
             }
         }
     }
@@ -287,7 +376,11 @@
                 if let Some(told) = told.filter(|told| *at_us > **told + terms.drain_grace_us + LAG_US) {
                     let late = (at_us - told) / 1000;
                     let what = format!("gateway {gateway} sent {worker} work {late} ms after it was told");
-                    broken.push(Broken { rule: Rule::Drain, at_us: *at_us, what });
+                    broken.push(Broken {
+                        rule: Rule::Drain,
+                        at_us: *at_us,
+                        what,
+                    });
                 }
             }
             _ => {}
@@ -299,12 +392,22 @@
     let mut starts: BTreeMap<(&str, u64), (u64, f64, f64, u64)> = BTreeMap::new();
     for Line { at_us, seen } in lines {
         match seen {
-            Seen::Started { worker, life, cores, cold_from, cold_us } => {
+            Seen::Started {
+                worker,
+                life,
+                cores,
+                cold_from,
+                cold_us,
+            } => {
                 starts.insert((worker, *life), (*at_us, *cores, *cold_from, *cold_us));
             }
             Seen::Fell { worker } => {
                 let what = format!("{worker} fell over");
-                broken.push(Broken { rule: Rule::ColdWorker, at_us: *at_us, what });
+                broken.push(Broken {
+                    rule: Rule::ColdWorker,
+                    at_us: *at_us,
+                    what,
+                });
             }
             _ => {}
         }
@@ -313,7 +416,10 @@
         return;
     }
     for ((worker, life), (start, cores, cold_from, cold_us)) in starts {
-        let came = day.attempts.iter().filter(|e| e.worker == worker && e.life == life);
+        let came = day
+            .attempts
+            .iter()
+            .filter(|e| e.worker == worker && e.life == life);
         let came: Vec<(u64, u64)> = came.map(|e| (e.from, e.work)).collect();
         let mut from = 0;
         for (n, (at, _)) in came.iter().enumerate() {
@@ -326,8 +432,15 @@
             let sum: u64 = came[from..=n].iter().map(|(_, work)| work).sum();
             let warmth = cold_from + (1.0 - cold_from) * (at - start) as f64 / cold_us as f64;
             if sum as f64 > terms.fall_multiple * cores * warmth * terms.fall_window_us as f64 {
-                let what = format!("{worker} was sent {} ms of work in a window while cold", sum / 1000);
-                broken.push(Broken { rule: Rule::ColdWorker, at_us: *at, what });
+                let what = format!(
+                    "{worker} was sent {} ms of work in a window while cold",
+                    sum / 1000
+                );
+                broken.push(Broken {
+                    rule: Rule::ColdWorker,
+                    at_us: *at,
+                    what,
+                });
                 break;
             }
         }
@@ -356,7 +469,11 @@
                     let what = format!(
                         "gateway {gateway} gave {ordered} orders to load where {most:.1} are allowed"
                     );
-                    broken.push(Broken { rule: Rule::Loads, at_us: *at_us, what });
+                    broken.push(Broken {
+                        rule: Rule::Loads,
+                        at_us: *at_us,
+                        what,
+                    });
                 }
             }
             _ => {}
@@ -384,29 +501,62 @@
     }
 
     fn line(ms: u64, seen: Seen) -> Line {
-        Line { at_us: ms * 1000, seen }
+        Line {
+            at_us: ms * 1000,
+            seen,
+        }
     }
 
     fn asked(call: u64, request_class: &str, asynchronous: bool) -> Seen {
         let (key, request_class) = (format!("k{call}"), request_class.to_owned());
-        Seen::Asked { call, gateway: 0, key, request_class, asynchronous, limit_us: 3_000_000 }
+        Seen::Asked {
+            call,
+            gateway: 0,
+            key,
+            request_class,
+            asynchronous,
+            limit_us: 3_000_000,
+        }
     }
 
     fn answered(call: u64, status: u16) -> Seen {
-        Seen::Answered { call, status, killed: false, function_error: false }
+        Seen::Answered {
+            call,
+            status,
+            killed: false,
+            function_error: false,
+        }
     }
 
     fn came(worker: &str, call: u64, key: &str) -> Seen {
         let (worker, key, request) = (worker.to_owned(), key.to_owned(), "j".to_owned());
-        Seen::Came { worker, life: 1, call, gateway: 0, request, attempt: 0, key, work_us: 1000 }
+        Seen::Came {
+            worker,
+            life: 1,
+            call,
+            gateway: 0,
+            request,
+            attempt: 0,
+            key,
+            work_us: 1000,
+        }
     }
 
     fn over(worker: &str, call: u64) -> Seen {
-        Seen::Over { worker: worker.to_owned(), life: 1, call }
+        Seen::Over {
+            worker: worker.to_owned(),
+            life: 1,
+            call,
+        }
     }
 
     fn began(worker: &str, call: u64) -> Seen {
-        Seen::Began { worker: worker.to_owned(), life: 1, call, warm: true }
+        Seen::Began {
+            worker: worker.to_owned(),
+            life: 1,
+            call,
+            warm: true,
+        }
     }
 
     /// A day on which all is kept.
@@ -415,16 +565,40 @@
             line(0, Seen::GatewayUp { gateway: 0 }),
             line(
                 0,
-                Seen::Started { worker: "a".into(), life: 1, cores: 1.0, cold_from: 0.2, cold_us: 5_000_000 },
+                Seen::Started {
+                    worker: "a".into(),
+                    life: 1,
+                    cores: 1.0,
+                    cold_from: 0.2,
+                    cold_us: 5_000_000,
+                },
             ),
             line(10, asked(1, "once", false)),
             line(11, came("a", 1, "k1")),
             line(15, began("a", 1)),
             line(15, over("a", 1)),
             line(16, answered(1, 200)),
-            line(20, Seen::ToldAway { gateway: 0, worker: "a".into() }),
-            line(30, Seen::Ordered { worker: "b".into(), gateway: 0 }),
-            line(9000, Seen::ToldUp { gateway: 0, worker: "a".into() }),
+            line(
+                20,
+                Seen::ToldAway {
+                    gateway: 0,
+                    worker: "a".into(),
+                },
+            ),
+            line(
+                30,
+                Seen::Ordered {
+                    worker: "b".into(),
+                    gateway: 0,
+                },
+            ),
+            line(
+                9000,
+                Seen::ToldUp {
+                    gateway: 0,
+                    worker: "a".into(),
+                },
+            ),
         ]
     }
 
@@ -432,7 +606,10 @@
         let mut lines = good();
         lines.extend(extra);
         lines.sort_by_key(|line| line.at_us);
-        audit(&lines, &terms()).into_iter().map(|broken| broken.rule).collect()
+        audit(&lines, &terms())
+            .into_iter()
+            .map(|broken| broken.rule)
+            .collect()
     }
 
     #[test]
@@ -474,7 +651,13 @@
         assert_eq!(rules(drain), [Rule::Drain]);
         let fell = vec![line(400, Seen::Fell { worker: "a".into() })];
         assert_eq!(rules(fell), [Rule::ColdWorker]);
-        let loads = vec![line(400, Seen::Ordered { worker: "b".into(), gateway: 0 })];
+        let loads = vec![line(
+            400,
+            Seen::Ordered {
+                worker: "b".into(),
+                gateway: 0,
+            },
+        )];
         assert_eq!(rules(loads), [Rule::Loads]);
     }
 
--- a/crates/quartzdrift-lab/src/badday.rs
+++ b/crates/quartzdrift-lab/src/badday.rs
@@ -60,14 +60,20 @@
 pub fn listens_at(out: &mut impl BufRead) -> io::Result<SocketAddr> {
     let mut line = String::new();
     out.read_line(&mut line)?;
-    let at = line.trim().split_once("listens at http://").and_then(|(_, at)| at.parse().ok());
+    let at = line
+        .trim()
+        .split_once("listens at http://")
+        .and_then(|(_, at)| at.parse().ok());
     at.ok_or_else(|| io::Error::other(format!("it did not say where it listens: {line:?}")))
 }
 
 impl Program {
     /// The lab's own program under one of its commands.
     pub fn lab(path: &Path, command: &str) -> Program {
-        Program { path: path.to_owned(), arguments: vec![command.to_owned()] }
+        Program {
+            path: path.to_owned(),
+            arguments: vec![command.to_owned()],
+        }
     }
 
     /// Whether it ends well when it is told to stop; the naive one is simply killed.
@@ -107,7 +113,11 @@
 }
 
 fn listed(worker: &str, state: EndpointState, started: Option<Duration>) -> Listed {
-    Listed { state, started, ..Listed::up(worker) }
+    Listed {
+        state,
+        started,
+        ..Listed::up(worker)
+    }
 }
 
 /// What makes a gateway a member of the day's fleet, with its asynchronous requests on disk.
@@ -169,12 +179,19 @@
         ms(script.keep),
         script.memory_mb,
         script.forecasts,
-        if script.fleet.is_some() { format!("store = \"{state}/deferred\"\n") } else { String::new() },
+        if script.fleet.is_some() {
+            format!("store = \"{state}/deferred\"\n")
+        } else {
+            String::new()
+        },
     );
     if script.forecasts {
         text.push_str("[forecasts]\nseasons = [\"60s\", \"120s\"]\n");
     }
-    let first = script.request_classes.first().map_or("", |request_class| request_class.name.as_str());
+    let first = script
+        .request_classes
+        .first()
+        .map_or("", |request_class| request_class.name.as_str());
     for request_class in &script.request_classes {
         let idempotency = match request_class.idempotency {
             Idempotency::Idempotent => "restartable",
@@ -190,8 +207,11 @@
             let _ = writeln!(text, "group = \"all\"\nwindow = {}", ms(request_class.window));
         }
         for n in 0..request_class.functions {
-            let (memory, lanes, load) =
-                (request_class.memory_mb, request_class.lanes, ms(request_class.load));
+            let (memory, lanes, load) = (
+                request_class.memory_mb,
+                request_class.lanes,
+                ms(request_class.load),
+            );
             let _ = write!(
                 text,
                 "[[functions]]\nname = \"{name}-{n}\"\nworkload = \"{name}\"\nmemory_mb = {memory:.1}\n\
@@ -232,21 +252,40 @@
     let mut specs = BTreeMap::new();
     for request_class in &script.request_classes {
         for n in 0..request_class.functions {
-            let (memory_mb, lanes, load, work) =
-                (request_class.memory_mb, request_class.lanes, request_class.load, request_class.work);
+            let (memory_mb, lanes, load, work) = (
+                request_class.memory_mb,
+                request_class.lanes,
+                request_class.load,
+                request_class.work,
+            );
             specs.insert(
                 format!("{}-{n}", request_class.name),
-                Spec { memory_mb, lanes, load, fetch: 0.6, work },
+                Spec {
+                    memory_mb,
+                    lanes,
+                    load,
+                    fetch: 0.6,
+                    work,
+                },
             );
         }
     }
-    let light = Spec { memory_mb: 1.0, load: Duration::from_millis(1), ..Spec::default() };
+    let light = Spec {
+        memory_mb: 1.0,
+        load: Duration::from_millis(1),
+        ..Spec::default()
+    };
     specs.insert("dead".to_owned(), light);
     specs
 }
 
 fn terms(script: &Script) -> Terms {
-    let of = |idempotency| script.request_classes.iter().filter(move |w| w.idempotency == idempotency);
+    let of = |idempotency| {
+        script
+            .request_classes
+            .iter()
+            .filter(move |w| w.idempotency == idempotency)
+    };
     Terms {
         non_idempotent: of(Idempotency::NonIdempotent).map(|w| w.name.clone()).collect(),
         windows_us: of(Idempotency::IdempotentWithKey)
@@ -265,7 +304,13 @@
 
 impl Stage<'_> {
     fn start_gateway(&mut self, n: usize) -> io::Result<()> {
-        let Gateway { settings, clock, boot, full, .. } = &self.gateways[n];
+        let Gateway {
+            settings,
+            clock,
+            boot,
+            full,
+            ..
+        } = &self.gateways[n];
         let full = *full;
         let mut arguments: Vec<std::ffi::OsString> = self.program.arguments.iter().map(Into::into).collect();
         arguments.push(settings.into());
@@ -275,19 +320,28 @@
             // No file may grow; the process hears of it as an error, not by a signal.
             true => {
                 let mut shell = Command::new("sh");
-                shell.args(["-c", "trap '' XFSZ; ulimit -f 0; exec \"$@\"", "sh"]).arg(&self.program.path);
+                shell
+                    .args(["-c", "trap '' XFSZ; ulimit -f 0; exec \"$@\"", "sh"])
+                    .arg(&self.program.path);
                 shell
             }
             false => Command::new(&self.program.path),
         };
         let mut child = command.args(&arguments).stdout(Stdio::piped()).spawn()?;
-        let out = child.stdout.take().ok_or_else(|| io::Error::other("a gateway has no output"))?;
+        let out = child
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other("a gateway has no output"))?;
         let first = listens_at(&mut BufReader::new(out));
         self.gateways[n].child = Some(child);
         if let Err(e) = first {
             // Where nothing can be written it says so and ends: no promise could be kept.
             if full {
-                self.gateways[n].child.take().map(|mut child| child.wait()).transpose()?;
+                self.gateways[n]
+                    .child
+                    .take()
+                    .map(|mut child| child.wait())
+                    .transpose()?;
                 return Ok(());
             }
             return Err(io::Error::other(format!("gateway {n} did not start: {e}")));
@@ -305,7 +359,8 @@
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let started = (state == EndpointState::Up).then_some(started);
         let worker = self.workers[n].address.to_string();
-        self.discovery.tell(discovery::Command::Set(listed(&worker, state, started)));
+        self.discovery
+            .tell(discovery::Command::Set(listed(&worker, state, started)));
     }
 
     fn cause(&mut self, trouble: &Trouble) -> io::Result<()> {
@@ -413,7 +468,9 @@
             }
         }
         if gateways.is_none() {
-            self.workers.iter().for_each(|worker| worker.tell(worker::Command::Crash));
+            self.workers
+                .iter()
+                .for_each(|worker| worker.tell(worker::Command::Crash));
             self.discovery.tell(discovery::Command::Stop(true));
             self.marks.lock().unwrap_or_else(PoisonError::into_inner).clear();
             self.recorder.see(Seen::WorkersLost);
@@ -429,7 +486,9 @@
         }
         match gap <= ONE_MOMENT {
             true => Ok(()),
-            false => Err(io::Error::other(format!("power went in {gap:?}, not in one moment"))),
+            false => Err(io::Error::other(format!(
+                "power went in {gap:?}, not in one moment"
+            ))),
         }
     }
 
@@ -492,7 +551,9 @@
         let until = Instant::now() + MAX_GATEWAY;
         for n in which {
             let gateway = &mut self.gateways[n];
-            let Some(mut child) = gateway.child.take() else { continue };
+            let Some(mut child) = gateway.child.take() else {
+                continue;
+            };
             loop {
                 if let Some(status) = child.try_wait()? {
                     if !status.success() && self.program.stops() {
@@ -514,7 +575,11 @@
 impl Drop for Stage<'_> {
     /// No gateway outlives its day, however that ends.
     fn drop(&mut self) {
-        for child in self.gateways.iter_mut().filter_map(|gateway| gateway.child.as_mut()) {
+        for child in self
+            .gateways
+            .iter_mut()
+            .filter_map(|gateway| gateway.child.as_mut())
+        {
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -542,7 +607,12 @@
     let store_config = store_config(script);
     let store = actor::spawn(any(), move |handle, _| Store::new(handle, store_config))?;
     let marks: worker::Marks = Arc::default();
-    let window = script.request_classes.iter().map(|w| w.window).max().unwrap_or_default();
+    let window = script
+        .request_classes
+        .iter()
+        .map(|w| w.window)
+        .max()
+        .unwrap_or_default();
     let mut workers = Vec::new();
     for n in 0..script.workers {
         let config = worker::Config {
@@ -555,24 +625,40 @@
             seed: seed ^ n as u64,
             ..worker::Config::default()
         };
-        workers.push(actor::spawn(any(), move |handle, address| FakeWorker::new(handle, address, config))?);
+        workers.push(actor::spawn(any(), move |handle, address| {
+            FakeWorker::new(handle, address, config)
+        })?);
     }
-    let first: Vec<Listed> =
-        workers.iter().map(|w| listed(&w.address.to_string(), EndpointState::Up, None)).collect();
+    let first: Vec<Listed> = workers
+        .iter()
+        .map(|w| listed(&w.address.to_string(), EndpointState::Up, None))
+        .collect();
     let (lag, of) = (script.lag, recorder.clone());
-    let discovery = actor::spawn(any(), move |handle, _| Discovery::new(handle, first, lag, Some(of)))?;
+    let discovery = actor::spawn(any(), move |handle, _| {
+        Discovery::new(handle, first, lag, Some(of))
+    })?;
     let mut relays = BTreeMap::new();
-    if script.troubles.iter().any(|(_, trouble)| matches!(trouble, Trouble::Link(..))) {
+    if script
+        .troubles
+        .iter()
+        .any(|(_, trouble)| matches!(trouble, Trouble::Link(..)))
+    {
         let pairs = (0..script.gateways).flat_map(|g| (0..workers.len()).map(move |w| (g, w)));
         for (g, w) in pairs {
             relays.insert((g, w), Relay::start(workers[w].address)?);
         }
         let told = |(&(g, w), relay): (&(usize, usize), &Relay)| {
-            ((g as u64, workers[w].address.to_string()), relay.address.to_string())
+            (
+                (g as u64, workers[w].address.to_string()),
+                relay.address.to_string(),
+            )
         };
         discovery.tell(discovery::Command::Relays(relays.iter().map(told).collect()));
     }
-    let switch = script.fleet.map(|_| Switch::start(script.gateways, seed)).transpose()?;
+    let switch = script
+        .fleet
+        .map(|_| Switch::start(script.gateways, seed))
+        .transpose()?;
     let key = folder.path().join("key");
     std::fs::write(&key, "00112233445566778899aabbccddeeff")?;
     let mut gateways = Vec::new();
@@ -587,7 +673,14 @@
         }
         std::fs::write(&file, text)?;
         let (clock, boot, full) = (Vec::new(), None, false);
-        gateways.push(Gateway { settings: file, state, child: None, clock, boot, full });
+        gateways.push(Gateway {
+            settings: file,
+            state,
+            child: None,
+            clock,
+            boot,
+            full,
+        });
         addresses.push(listen);
     }
     let faults = vec![Faults::default(); script.workers];
@@ -608,15 +701,24 @@
     for n in 0..stage.script.gateways {
         stage.start_gateway(n)?;
     }
-    let (open, tally) = (Arc::new(AtomicU64::new(0)), Arc::new(Mutex::new(Tally::default())));
+    let (open, tally) = (
+        Arc::new(AtomicU64::new(0)),
+        Arc::new(Mutex::new(Tally::default())),
+    );
     let of = recorder.clone();
     let (open_too, tally_too) = (open.clone(), tally.clone());
     let arrivals = traffic::arrivals(script, seed);
     let (repeats, haste) = (script.repeats, script.haste);
-    let plan =
-        clients::Plan { request_classes: script.request_classes.clone(), arrivals, seed, repeats, haste };
-    let clients =
-        actor::spawn(any(), move |handle, _| Clients::new(handle, of, addresses, plan, open_too, tally_too))?;
+    let plan = clients::Plan {
+        request_classes: script.request_classes.clone(),
+        arrivals,
+        seed,
+        repeats,
+        haste,
+    };
+    let clients = actor::spawn(any(), move |handle, _| {
+        Clients::new(handle, of, addresses, plan, open_too, tally_too)
+    })?;
     let start = Instant::now();
     for (at, trouble) in &script.troubles {
         std::thread::sleep(at.saturating_sub(start.elapsed()));
@@ -641,7 +743,11 @@
         let bytes = quartzdrift::saved::last(&gateway.state, quartzdrift::saved::STAGES).ok()??;
         serde_json::from_slice(&bytes).ok()
     };
-    let views = stage.gateways.iter().map(|gateway| gateway.child.as_ref().and(view(gateway))).collect();
+    let views = stage
+        .gateways
+        .iter()
+        .map(|gateway| gateway.child.as_ref().and(view(gateway)))
+        .collect();
     let stopped = stage.stop(0..=script.gateways - 1);
     drop(clients);
     stopped?;
@@ -653,7 +759,17 @@
     let fetches = count(|seen| matches!(seen, Seen::Fetch { .. }));
     let refused = count(|seen| matches!(seen, Seen::FetchRefused { .. }));
     let tally = tally.lock().unwrap_or_else(PoisonError::into_inner).clone();
-    Ok(Day { lines, terms, broken, tally, attempts, waited_for_load, fetches, refused, views })
+    Ok(Day {
+        lines,
+        terms,
+        broken,
+        tally,
+        attempts,
+        waited_for_load,
+        fetches,
+        refused,
+        views,
+    })
 }
 
 /// Writes a day's terms and record, one JSON object a line.
@@ -671,6 +787,8 @@
     let text = std::fs::read_to_string(path)?;
     let mut lines = text.lines();
     let terms = serde_json::from_str(lines.next().unwrap_or(""))?;
-    let lines = lines.map(serde_json::from_str).collect::<Result<Vec<Line>, _>>()?;
+    let lines = lines
+        .map(serde_json::from_str)
+        .collect::<Result<Vec<Line>, _>>()?;
     Ok((terms, lines))
 }
--- a/crates/quartzdrift-lab/src/clients.rs
+++ b/crates/quartzdrift-lab/src/clients.rs
@@ -94,9 +94,21 @@
         open: Arc<AtomicU64>,
         tally: Arc<Mutex<Tally>>,
     ) -> Clients {
-        let Plan { request_classes, arrivals, seed, repeats, haste } = plan;
+        let Plan {
+            request_classes,
+            arrivals,
+            seed,
+            repeats,
+            haste,
+        } = plan;
         Clients {
-            http: Http::new(handle, Limits { keepalive: Duration::from_secs(5), ..Limits::default() }),
+            http: Http::new(
+                handle,
+                Limits {
+                    keepalive: Duration::from_secs(5),
+                    ..Limits::default()
+                },
+            ),
             next: 0,
             start: recorder.now(),
             arrivals,
@@ -119,7 +131,11 @@
     }
 
     fn arrive(&mut self, arrival: &Arrival, now: Duration) {
-        let &Arrival { request_class, work_us, .. } = arrival;
+        let &Arrival {
+            request_class,
+            work_us,
+            ..
+        } = arrival;
         let of = &self.request_classes[request_class];
         let function = arrival.function.clone();
         let hangs_up = self.chance.random_range(0.0..1.0) < of.hang_up;
@@ -128,7 +144,18 @@
         let gateway = arrival.gateway_of(self.gateways.len());
         let (repeats, until, call, first) = (0, Duration::ZERO, 0, now);
         self.send(
-            Try { key, request_class, function, repeats, gateway, until, hangs_up, call, first, work_us },
+            Try {
+                key,
+                request_class,
+                function,
+                repeats,
+                gateway,
+                until,
+                hangs_up,
+                call,
+                first,
+                work_us,
+            },
             now,
         );
     }
@@ -190,7 +217,12 @@
         let function_error = answer.headers.get("x-amz-function-error").is_some();
         let killed = function_error && answer.body.windows(11).any(|part| part == b"Quartzdrift");
         let status = answer.status;
-        self.recorder.see(Seen::Answered { call: of.call, status, killed, function_error });
+        self.recorder.see(Seen::Answered {
+            call: of.call,
+            status,
+            killed,
+            function_error,
+        });
         self.count(|tally| match status {
             200 if killed => tally.killed += 1,
             200 => tally.finished += 1,
@@ -199,7 +231,10 @@
             _ => tally.other += 1,
         });
         if status == 429 {
-            let told = answer.headers.get("x-quartzdrift-come-back-ms").and_then(|ms| ms.parse().ok());
+            let told = answer
+                .headers
+                .get("x-quartzdrift-come-back-ms")
+                .and_then(|ms| ms.parse().ok());
             let told = Duration::from_millis(told.unwrap_or(100));
             let wait = told.mul_f64(self.haste * self.chance.random_range(1.0..2.0));
             self.again(of, wait);
@@ -241,29 +276,40 @@
     }
 
     fn next_due(&self) -> Option<Duration> {
-        let arrivals =
-            self.arrivals.get(self.next).map(|arrival| self.start + traffic::at(arrival)).into_iter();
+        let arrivals = self
+            .arrivals
+            .get(self.next)
+            .map(|arrival| self.start + traffic::at(arrival))
+            .into_iter();
         let later = self.later.iter().map(|(at, _)| *at);
         let until = self.out.values().map(|of| of.until);
         arrivals.chain(later).chain(until).min()
     }
 
     fn due(&mut self, now: Duration) {
-        while let Some(arrival) = self.arrivals.get(self.next).filter(|a| self.start + traffic::at(a) <= now)
+        while let Some(arrival) = self
+            .arrivals
+            .get(self.next)
+            .filter(|a| self.start + traffic::at(a) <= now)
         {
             let arrival = arrival.clone();
             self.next += 1;
             self.arrive(&arrival, now);
         }
-        let (due, left): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.later).into_iter().partition(|l| l.0 <= now);
+        let (due, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.later)
+            .into_iter()
+            .partition(|l| l.0 <= now);
         self.later = left;
         for (_, of) in due {
             self.send(of, now);
             self.open.fetch_sub(1, Ordering::Relaxed);
         }
-        let over: Vec<CallId> =
-            self.out.iter().filter(|(_, of)| of.until <= now).map(|(id, _)| *id).collect();
+        let over: Vec<CallId> = self
+            .out
+            .iter()
+            .filter(|(_, of)| of.until <= now)
+            .map(|(id, _)| *id)
+            .collect();
         for call in over {
             if let Some(of) = self.out.remove(&call) {
                 self.http.cancel(call);
--- a/crates/quartzdrift-lab/src/day.rs
+++ b/crates/quartzdrift-lab/src/day.rs
@@ -147,7 +147,12 @@
     }
     let kinds = &file.tiers.first().ok_or("the day has no tier of workers")?.kinds;
     let kind = kinds.first().ok_or("its tier has no kind of worker")?;
-    let cores = file.servers.iter().filter_map(|s| kinds.get(s.kind)).map(|k| k.cores).sum::<f64>()
+    let cores = file
+        .servers
+        .iter()
+        .filter_map(|s| kinds.get(s.kind))
+        .map(|k| k.cores)
+        .sum::<f64>()
         / file.servers.len().max(1) as f64;
     let memory_mb = file.fam.memory.first().copied().unwrap_or(2000.0);
     let sort = file.fam.sorts.first();
@@ -189,7 +194,11 @@
         workers: scale.workers,
         cores,
         memory_mb,
-        keep: if file.fam.keep > 0 { micros(file.fam.keep) } else { Duration::from_secs(8) },
+        keep: if file.fam.keep > 0 {
+            micros(file.fam.keep)
+        } else {
+            Duration::from_secs(8)
+        },
         cold_from: kind.cold_from,
         cold_for: micros(kind.cold),
         fall_multiple: file.fall_multiple,
@@ -224,7 +233,11 @@
     let (from, to) = (when(told.at), when(told.at.saturating_add(told.len)));
     let workers = scaled(&told.on, file.servers.len(), scale.workers);
     let gateways = scaled(&told.on, file.balancers.len(), scale.gateways);
-    let size = if told.size.is_finite() { told.size.clamp(0.0, 60.0) } else { 0.0 };
+    let size = if told.size.is_finite() {
+        told.size.clamp(0.0, 60.0)
+    } else {
+        0.0
+    };
     let share = size.min(1.0);
     let mut put = |at: Duration, trouble: Trouble| script.troubles.push((at, trouble));
     let mut spell = |of: &[usize], begin: &dyn Fn(usize) -> Trouble, end: &dyn Fn(usize) -> Trouble| {
@@ -240,7 +253,9 @@
         "answer_lost" => spell(&workers, &|n| Trouble::Lose(n, share), &Trouble::Well),
         "report_late" => {
             let late = Duration::from_secs_f64(size);
-            spell(&workers, &|n| Trouble::Late(n, late), &|n| Trouble::Late(n, Duration::ZERO));
+            spell(&workers, &|n| Trouble::Late(n, late), &|n| {
+                Trouble::Late(n, Duration::ZERO)
+            });
         }
         "balancer_crash" => spell(&gateways, &Trouble::KillGateway, &Trouble::StartGateway),
         "balancer_roll" => {
@@ -290,7 +305,11 @@
         )
     }
 
-    const SCALE: Scale = Scale { gateways: 2, workers: 10, length: Duration::from_secs(10) };
+    const SCALE: Scale = Scale {
+        gateways: 2,
+        workers: 10,
+        length: Duration::from_secs(10),
+    };
 
     #[test]
     fn a_day_is_scaled_in_size_and_time() {
@@ -308,10 +327,17 @@
         assert_eq!(day.left_out, ["comet"]);
         let request_class = &script.request_classes[0];
         assert_eq!(
-            (request_class.rate, request_class.functions, request_class.idempotency),
+            (
+                request_class.rate,
+                request_class.functions,
+                request_class.idempotency
+            ),
             (400.0, 50, Idempotency::IdempotentWithKey)
         );
-        assert_eq!((script.queue, script.cores, script.lag), (17, 4.0, Duration::from_millis(500)));
+        assert_eq!(
+            (script.queue, script.cores, script.lag),
+            (17, 4.0, Duration::from_millis(500))
+        );
         for (at, trouble) in [
             (s(5), Trouble::Hang(0)),
             (s(5), Trouble::Hang(9)),
@@ -322,15 +348,30 @@
             (s(4), Trouble::Start(5)),
             (s(10), Trouble::Late(2, Duration::ZERO)),
         ] {
-            assert!(script.troubles.contains(&(at, trouble.clone())), "{trouble:?} in {:?}", script.troubles);
+            assert!(
+                script.troubles.contains(&(at, trouble.clone())),
+                "{trouble:?} in {:?}",
+                script.troubles
+            );
         }
-        assert_eq!(script.troubles.iter().filter(|t| matches!(t.1, Trouble::Hang(_))).count(), 2);
+        assert_eq!(
+            script
+                .troubles
+                .iter()
+                .filter(|t| matches!(t.1, Trouble::Hang(_)))
+                .count(),
+            2
+        );
     }
 
     #[test]
     fn what_is_no_day_is_said() {
         assert!(read("{}", SCALE).unwrap_err().contains("no day"));
-        assert!(read(&day("").replace("\"cores\": 4", "\"cores\": 0"), SCALE).unwrap_err().contains("cores"));
+        assert!(
+            read(&day("").replace("\"cores\": 4", "\"cores\": 0"), SCALE)
+                .unwrap_err()
+                .contains("cores")
+        );
         assert!(read(&day(""), Scale { workers: 0, ..SCALE }).is_err());
     }
 }
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -57,7 +57,13 @@
         recorder: Option<Recorder>,
     ) -> Discovery {
         Discovery {
-            http: Http::new(handle, Limits { idle: Duration::from_secs(300), ..Limits::default() }),
+            http: Http::new(
+                handle,
+                Limits {
+                    idle: Duration::from_secs(300),
+                    ..Limits::default()
+                },
+            ),
             start: Instant::now(),
             recorder,
             lag,
@@ -90,18 +96,29 @@
     /// A worker as a gateway reaches it.
     fn reached(&self, gateway: u64, one: &Listed) -> Listed {
         let relay = self.relays.get(&(gateway, one.worker.clone()));
-        Listed { worker: relay.unwrap_or(&one.worker).clone(), ..one.clone() }
+        Listed {
+            worker: relay.unwrap_or(&one.worker).clone(),
+            ..one.clone()
+        }
     }
 
     fn listed(&self) -> Vec<Listed> {
         if self.empty {
             return Vec::new();
         }
-        self.told.values().filter(|one| one.state != EndpointState::Gone).cloned().collect()
+        self.told
+            .values()
+            .filter(|one| one.state != EndpointState::Gone)
+            .cloned()
+            .collect()
     }
 
     fn asked(&mut self, exchange: Exchange, target: &str, events: bool) {
-        let gateway = target.rsplit('/').next().and_then(|n| n.parse().ok()).unwrap_or(0);
+        let gateway = target
+            .rsplit('/')
+            .next()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0);
         if self.stalled.contains(&gateway) {
             return;
         }
@@ -109,21 +126,36 @@
             // A process that asks for the stream knows nothing yet.
             self.heard.retain(|(of, _), _| *of != gateway);
         }
-        let workers: Vec<Listed> = self.listed().iter().map(|one| self.reached(gateway, one)).collect();
+        let workers: Vec<Listed> = self
+            .listed()
+            .iter()
+            .map(|one| self.reached(gateway, one))
+            .collect();
         let text = list::write(&workers, &Known::default());
         if !self.empty {
             let all: Vec<Listed> = self.told.values().cloned().collect();
             self.note(gateway, &all);
         }
         if events {
-            self.http.begin(exchange, 200, &Headers::new().with("content-type", "text/event-stream"));
+            self.http.begin(
+                exchange,
+                200,
+                &Headers::new().with("content-type", "text/event-stream"),
+            );
             let full = stream::write("full", &String::from_utf8_lossy(&text));
             if self.http.push(exchange, &full, MAX_WAITING) {
                 self.streams.push((exchange, gateway));
             }
         } else {
             let headers = Headers::new().with("content-type", "application/json");
-            self.http.answer(exchange, &Response { status: 200, headers, body: text });
+            self.http.answer(
+                exchange,
+                &Response {
+                    status: 200,
+                    headers,
+                    body: text,
+                },
+            );
         }
     }
 }
@@ -139,7 +171,13 @@
                     let events = request.head.headers.get("accept") == Some("text/event-stream");
                     self.asked(exchange, &request.head.target, events);
                 }
-                Err(_) => self.http.answer(exchange, &Response { status: 400, ..Response::default() }),
+                Err(_) => self.http.answer(
+                    exchange,
+                    &Response {
+                        status: 400,
+                        ..Response::default()
+                    },
+                ),
             },
             HttpEvent::Gone { exchange } => self.streams.retain(|(of, _)| *of != exchange),
             HttpEvent::Answer { .. }
@@ -156,7 +194,9 @@
             Command::Stop(on) => {
                 self.stopped = on;
                 if on {
-                    std::mem::take(&mut self.streams).into_iter().for_each(|(of, _)| self.http.cut(of));
+                    std::mem::take(&mut self.streams)
+                        .into_iter()
+                        .for_each(|(of, _)| self.http.cut(of));
                 }
             }
             Command::Empty(on) => self.empty = on,
@@ -164,8 +204,9 @@
             Command::Stall(gateway, _) => {
                 // What it missed it hears when it asks again, over a connection that lives.
                 self.stalled.remove(&gateway);
-                let (its, others) =
-                    std::mem::take(&mut self.streams).into_iter().partition(|(_, of)| *of == gateway);
+                let (its, others) = std::mem::take(&mut self.streams)
+                    .into_iter()
+                    .partition(|(_, of)| *of == gateway);
                 self.streams = others;
                 let its: Vec<(Exchange, u64)> = its;
                 its.into_iter().for_each(|(of, _)| self.http.cut(of));
--- a/crates/quartzdrift-lab/src/emulate/clients.rs
+++ b/crates/quartzdrift-lab/src/emulate/clients.rs
@@ -48,8 +48,13 @@
                 Ok(tries) => self.clients[client].tries = tries.map(|number| (life, number)),
                 Err(wait) => {
                     let retry_after = Some(wait);
-                    return self
-                        .answered(client, FinalAnswer::Rejected { retry_after, may_have_executed: None });
+                    return self.answered(
+                        client,
+                        FinalAnswer::Rejected {
+                            retry_after,
+                            may_have_executed: None,
+                        },
+                    );
                 }
             }
         }
@@ -90,9 +95,25 @@
             of.repeats += 1;
             of.gateway = (of.gateway + 1) % self.schedulers.len();
             let at = self.now + after;
-            let Client { arrival, repeats, gateway, first, turn, .. } = *of;
+            let Client {
+                arrival,
+                repeats,
+                gateway,
+                first,
+                turn,
+                ..
+            } = *of;
             let (open, request, tries) = (false, None, None);
-            self.clients.push(Client { arrival, repeats, gateway, first, turn, open, request, tries });
+            self.clients.push(Client {
+                arrival,
+                repeats,
+                gateway,
+                first,
+                turn,
+                open,
+                request,
+                tries,
+            });
             let again = self.clients.len() - 1;
             self.put(at, Ev::Again(again));
         }
@@ -117,7 +138,10 @@
             return;
         }
         let finished = answer == FinalAnswer::Succeeded;
-        let (took, of) = (self.now - self.clients[client].first, self.clients[client].arrival);
+        let (took, of) = (
+            self.now - self.clients[client].first,
+            self.clients[client].arrival,
+        );
         let target = self.script.request_classes[self.arrivals[of].request_class].latency_objective;
         self.return_answered(client, finished, finished && took <= target);
         let of = &self.clients[client];
@@ -125,7 +149,8 @@
         match answer {
             FinalAnswer::Succeeded => {
                 self.figures.finished += 1;
-                self.waits.push((took.as_secs_f64() * 1000.0 - arrival.work_us as f64 / 1000.0).max(0.0));
+                self.waits
+                    .push((took.as_secs_f64() * 1000.0 - arrival.work_us as f64 / 1000.0).max(0.0));
                 if took <= target {
                     self.in_time.insert(of.arrival);
                 }
--- a/crates/quartzdrift-lab/src/emulate/fleet.rs
+++ b/crates/quartzdrift-lab/src/emulate/fleet.rs
@@ -73,15 +73,27 @@
         let (life, seed) = (self.chance.random_range(1..u64::MAX), self.drawn);
         let (saved, before) = std::mem::take(&mut self.schedulers[s].met);
         let members = Members::new(settings, life, &saved, seed, self.now);
-        let count = Count::new(self.settings.schedulers.unwrap_or(1), before, Duration::from_secs(3600));
+        let count = Count::new(
+            self.settings.schedulers.unwrap_or(1),
+            before,
+            Duration::from_secs(3600),
+        );
         let (since, planned) = (self.now, None);
-        self.schedulers[s].fleet = Some(Fleet { members, count, told: 0, since, planned });
+        self.schedulers[s].fleet = Some(Fleet {
+            members,
+            count,
+            told: 0,
+            since,
+            planned,
+        });
         self.fleet_changed(s);
     }
 
     pub(super) fn fleet_due(&mut self, s: usize) {
         let now = self.now;
-        let Some(fleet) = &mut self.schedulers[s].fleet else { return };
+        let Some(fleet) = &mut self.schedulers[s].fleet else {
+            return;
+        };
         fleet.planned = None;
         fleet.members.due(now);
         self.fleet_changed(s);
@@ -89,7 +101,9 @@
 
     pub(super) fn datagram(&mut self, s: usize, from: usize, bytes: &[u8]) {
         let now = self.now;
-        let Some(fleet) = &mut self.schedulers[s].fleet else { return };
+        let Some(fleet) = &mut self.schedulers[s].fleet else {
+            return;
+        };
         fleet.members.packet(now, address(from), bytes);
         self.fleet_changed(s);
         if self.variant.recovery {
@@ -102,7 +116,9 @@
         let now = self.now;
         let mut changed = false;
         loop {
-            let Some(fleet) = &mut self.schedulers[s].fleet else { return };
+            let Some(fleet) = &mut self.schedulers[s].fleet else {
+                return;
+            };
             let outputs = fleet.members.outputs();
             if outputs.is_empty() {
                 break;
@@ -112,7 +128,9 @@
                 self.fleet_output(s, output);
             }
         }
-        let Some(fleet) = &mut self.schedulers[s].fleet else { return };
+        let Some(fleet) = &mut self.schedulers[s].fleet else {
+            return;
+        };
         let told = fleet.count.now(now, changed, fleet.members.others());
         let next = fleet.members.next_due();
         let plans = fleet.planned.is_none_or(|at| next < at);
@@ -142,10 +160,16 @@
                 });
                 let lost = self.loss > 0.0 && self.chance.random_range(0.0..1.0) < self.loss;
                 let twice = self.doubled > 0.0 && self.chance.random_range(0.0..1.0) < self.doubled;
-                for _ in
-                    0..if to >= self.schedulers.len() || apart || lost { 0 } else { 1 + u32::from(twice) }
-                {
-                    let event = Ev::Datagram { to, from: s, bytes: bytes.clone() };
+                for _ in 0..if to >= self.schedulers.len() || apart || lost {
+                    0
+                } else {
+                    1 + u32::from(twice)
+                } {
+                    let event = Ev::Datagram {
+                        to,
+                        from: s,
+                        bytes: bytes.clone(),
+                    };
                     match self.late.is_zero() {
                         true => self.later(event),
                         false => {
@@ -157,8 +181,17 @@
             }
             Output::Changed(m) if m.state == State::Dead => {
                 let of = index(m.address);
-                let up = self.schedulers.get(of).is_some_and(|of| of.request_table.is_some());
-                match self.deaths.killed.iter_mut().rev().find(|killed| killed.scheduler == of) {
+                let up = self
+                    .schedulers
+                    .get(of)
+                    .is_some_and(|of| of.request_table.is_some());
+                match self
+                    .deaths
+                    .killed
+                    .iter_mut()
+                    .rev()
+                    .find(|killed| killed.scheduler == of)
+                {
                     Some(killed) if !up => {
                         let (first, last) = killed.found.get_or_insert((now, now));
                         (*first, *last) = ((*first).min(now), now);
@@ -186,16 +219,29 @@
 
     /// A scheduler is killed: what it had saved of the fleet is there at its next start.
     pub(super) fn fleet_killed(&mut self, s: usize) {
-        self.deaths.killed.push(Killed { scheduler: s, at: self.now, found: None });
+        self.deaths.killed.push(Killed {
+            scheduler: s,
+            at: self.now,
+            found: None,
+        });
         if let Some(fleet) = self.schedulers[s].fleet.take() {
             self.return_killed(s, fleet.members.there().map(|m| m.name.to_string()).collect());
-            let known = fleet.members.others().filter(|m| m.state != State::Left).map(|m| m.address);
+            let known = fleet
+                .members
+                .others()
+                .filter(|m| m.state != State::Left)
+                .map(|m| m.address);
             self.schedulers[s].met = (known.collect(), fleet.told);
         }
     }
 
     pub(super) fn fleet_restarted(&mut self, s: usize) {
-        let killed = self.deaths.killed.iter().rev().find(|killed| killed.scheduler == s);
+        let killed = self
+            .deaths
+            .killed
+            .iter()
+            .rev()
+            .find(|killed| killed.scheduler == s);
         if let Some(killed) = killed {
             self.deaths.restarted.push((s, killed.at, self.now));
         }
@@ -203,9 +249,16 @@
 
     /// Looks at the numbers that schedulers count against those that are there.
     pub(super) fn sample_fleet(&mut self) {
-        let up = self.schedulers.iter().filter(|s| s.request_table.is_some()).count() as f64;
-        let settled =
-            self.schedulers.iter().filter_map(|s| s.fleet.as_ref()).filter(|f| f.since + FIND <= self.now);
+        let up = self
+            .schedulers
+            .iter()
+            .filter(|s| s.request_table.is_some())
+            .count() as f64;
+        let settled = self
+            .schedulers
+            .iter()
+            .filter_map(|s| s.fleet.as_ref())
+            .filter(|f| f.since + FIND <= self.now);
         for fleet in settled {
             let share = f64::from(fleet.told) / up.max(1.0);
             self.deaths.told_least = Some(self.deaths.told_least.map_or(share, |least| least.min(share)));
@@ -222,7 +275,10 @@
             .iter()
             .filter_map(|killed| {
                 let (first, last) = killed.found?;
-                Some(((first - killed.at).as_secs_f64(), (last - killed.at).as_secs_f64()))
+                Some((
+                    (first - killed.at).as_secs_f64(),
+                    (last - killed.at).as_secs_f64(),
+                ))
             })
             .collect();
         let mean = |of: Vec<f64>| of.iter().sum::<f64>() / of.len().max(1) as f64;
@@ -232,25 +288,41 @@
         self.figures.member_bytes_s = self.deaths.bytes as f64 / length / self.schedulers.len() as f64;
         self.figures.told_least = self.deaths.told_least.unwrap_or(0.0);
         self.figures.told_most = self.deaths.told_most;
-        let judged: Vec<_> = self.schedulers.iter().filter_map(|s| s.returning.judged).collect();
-        let lost = judged.iter().filter(|(_, kind)| *kind == Kind::LossOfMany).count();
+        let judged: Vec<_> = self
+            .schedulers
+            .iter()
+            .filter_map(|s| s.returning.judged)
+            .collect();
+        let lost = judged
+            .iter()
+            .filter(|(_, kind)| *kind == Kind::LossOfMany)
+            .count();
         self.figures.judged_lost = lost as f64 / self.schedulers.len() as f64;
         let most = judged.iter().map(|(took, _)| *took).max().unwrap_or_default();
         self.figures.judged_most_s = most.as_secs_f64();
         self.power_figures();
         let restarts = std::mem::take(&mut self.deaths.restarted);
-        let times = restarts.iter().map(|(s, killed, at)| self.recovered(*s, *killed, *at).as_secs_f64());
+        let times = restarts
+            .iter()
+            .map(|(s, killed, at)| self.recovered(*s, *killed, *at).as_secs_f64());
         self.figures.recovered_s = mean(times.collect());
-        self.figures.cold_most =
-            self.workers.iter().map(|w| w.model.cold_most).fold(self.cold_most, f64::max);
+        self.figures.cold_most = self
+            .workers
+            .iter()
+            .map(|w| w.model.cold_most)
+            .fold(self.cold_most, f64::max);
     }
 
     /// Of the calls of this time, to one scheduler or to all, the share that was finished in time; `None`: there were none.
     pub(super) fn share(&self, s: Option<usize>, from: Duration, to: Duration) -> Option<f64> {
         let gateways = self.schedulers.len();
-        let first = self.arrivals.partition_point(|a| START + crate::traffic::at(a) < from);
-        let of =
-            self.arrivals[first..].iter().enumerate().take_while(|(_, a)| START + crate::traffic::at(a) < to);
+        let first = self
+            .arrivals
+            .partition_point(|a| START + crate::traffic::at(a) < from);
+        let of = self.arrivals[first..]
+            .iter()
+            .enumerate()
+            .take_while(|(_, a)| START + crate::traffic::at(a) < to);
         let own = of.filter(|(_, a)| s.is_none_or(|s| a.gateway_of(gateways) == s));
         let (mut all, mut good) = (0u32, 0u32);
         for (n, _) in own {
--- a/crates/quartzdrift-lab/src/emulate/mod.rs
+++ b/crates/quartzdrift-lab/src/emulate/mod.rs
@@ -306,7 +306,11 @@
     let cold = script.fall_multiple > 0.0;
     Settings {
         me: Some(me as u32),
-        schedulers: Some(if variant.schedulers > 0 { variant.schedulers } else { script.gateways as u32 }),
+        schedulers: Some(if variant.schedulers > 0 {
+            variant.schedulers
+        } else {
+            script.gateways as u32
+        }),
         request_classes: script.request_classes.iter().map(request_class).collect(),
         allowed: Allowed {
             cancel: true,
@@ -337,7 +341,10 @@
                 .then(|| Duration::from_secs_f64(variant.load_window_s)),
             ..CacheSettings::default()
         },
-        prices: Prices { origin: variant.fetch_price, ..Prices::default() },
+        prices: Prices {
+            origin: variant.fetch_price,
+            ..Prices::default()
+        },
         report_source: ReportSource::Answers,
         report_fields: vec![ReportField::Held, ReportField::MemoryTaken],
         ..Settings::default()
@@ -347,10 +354,14 @@
 /// Plays a day; `seed` draws what traffic leaves to chance.
 pub fn run(script: &Script, arrivals: &[Arrival], variant: &Variant, seed: u64) -> Figures {
     let machine = badday::machine(script);
-    let names: Vec<String> =
-        (0..script.workers).map(|n| format!("10.0.{}.{}:80", n / 250, n % 250)).collect();
+    let names: Vec<String> = (0..script.workers)
+        .map(|n| format!("10.0.{}.{}:80", n / 250, n % 250))
+        .collect();
     let specs = badday::specs(script);
-    let warm = Machine { cold_for: Duration::ZERO, ..machine.clone() };
+    let warm = Machine {
+        cold_for: Duration::ZERO,
+        ..machine.clone()
+    };
     let worker = |_| WorkerSim {
         model: Worker::new(warm.clone(), specs.clone(), START),
         up: true,
@@ -450,7 +461,9 @@
                 break;
             }
             self.now = at;
-            let Some(event) = self.events.remove(&id) else { continue };
+            let Some(event) = self.events.remove(&id) else {
+                continue;
+            };
             self.event(event, machine, seed);
         }
     }
@@ -458,7 +471,12 @@
     fn figures(mut self) -> Figures {
         self.fleet_figures();
         let mut ledgers = vec![self.sums];
-        ledgers.extend(self.schedulers.iter().filter_map(|s| s.ahead.as_ref()).map(|a| a.ledger.sums()));
+        ledgers.extend(
+            self.schedulers
+                .iter()
+                .filter_map(|s| s.ahead.as_ref())
+                .map(|a| a.ledger.sums()),
+        );
         let mut of = self.figures;
         of.orders_used = ledgers.iter().map(|sums| sums.used).sum();
         of.orders_unused = ledgers.iter().map(|sums| sums.unused).sum();
@@ -470,7 +488,10 @@
         of.fetches = self.store.served;
         of.in_time = self.in_time.len() as f64 / self.arrivals.len().max(1) as f64;
         self.waits.sort_by(f64::total_cmp);
-        let at = |share: f64| self.waits.get(((self.waits.len() as f64 - 1.0) * share).max(0.0) as usize);
+        let at = |share: f64| {
+            self.waits
+                .get(((self.waits.len() as f64 - 1.0) * share).max(0.0) as usize)
+        };
         (of.wait_p50_ms, of.wait_p95_ms) =
             (at(0.5).copied().unwrap_or(0.0), at(0.95).copied().unwrap_or(0.0));
         of.idle_memory = self.idle.0 / self.idle.1.max(1) as f64;
@@ -518,12 +539,22 @@
             Ev::ClientTimeout(client, turn) => self.client_timeout(client, turn),
             Ev::Again(client) => self.ask(client),
             Ev::RequestTableDue(s, life) => self.request_table_due(s, life),
-            Ev::Came { worker, scheduler, life, request, attempt, call, client } => {
-                self.came(worker, (scheduler, life, request, attempt), call, client)
-            }
-            Ev::Back { scheduler, life, request, attempt, ended } => {
-                self.back(scheduler, life, request, attempt, ended)
-            }
+            Ev::Came {
+                worker,
+                scheduler,
+                life,
+                request,
+                attempt,
+                call,
+                client,
+            } => self.came(worker, (scheduler, life, request, attempt), call, client),
+            Ev::Back {
+                scheduler,
+                life,
+                request,
+                attempt,
+                ended,
+            } => self.back(scheduler, life, request, attempt, ended),
             Ev::Cancel { worker, call } => self.cancel(worker, call),
             Ev::WorkerDue(w) => {
                 self.workers[w].planned = None;
@@ -539,16 +570,35 @@
                 }
                 self.plan_store();
             }
-            Ev::Order { worker, scheduler, life, order, function, copies } => {
-                self.order(worker, scheduler, life, order, &function, copies)
-            }
-            Ev::OrderBack { scheduler, life, order, outcome, copies } => {
-                self.order_back(scheduler, life, order, outcome, copies)
-            }
-            Ev::List { scheduler, worker, state, started } => {
+            Ev::Order {
+                worker,
+                scheduler,
+                life,
+                order,
+                function,
+                copies,
+            } => self.order(worker, scheduler, life, order, &function, copies),
+            Ev::OrderBack {
+                scheduler,
+                life,
+                order,
+                outcome,
+                copies,
+            } => self.order_back(scheduler, life, order, outcome, copies),
+            Ev::List {
+                scheduler,
+                worker,
+                state,
+                started,
+            } => {
                 let worker = self.names[worker].clone();
                 if let Some(request_table) = &mut self.schedulers[scheduler].request_table {
-                    let entry = Endpoint { worker: &worker, state, started, ..Endpoint::default() };
+                    let entry = Endpoint {
+                        worker: &worker,
+                        state,
+                        started,
+                        ..Endpoint::default()
+                    };
                     request_table.update_endpoints(self.now, EndpointListKind::Changes, vec![entry]);
                 }
                 self.outputs(scheduler);
@@ -574,7 +624,12 @@
                 self.save();
                 self.sample_fleet();
                 let all = self.script.memory_mb * self.workers.len() as f64;
-                let idle: f64 = self.workers.iter().filter(|w| w.up).map(|w| w.model.idle_mb()).sum();
+                let idle: f64 = self
+                    .workers
+                    .iter()
+                    .filter(|w| w.up)
+                    .map(|w| w.model.idle_mb())
+                    .sum();
                 self.idle = (self.idle.0 + idle / all, self.idle.1 + 1);
                 if self.now < START + self.script.length {
                     self.put(self.now + Duration::from_secs(1), Ev::Sample);
@@ -631,20 +686,42 @@
         let script = day();
         let arrivals = traffic::arrivals(&script, 2);
         let off = run(&script, &arrivals, &Variant::default(), 2);
-        let on = Variant { forecasting: Forecasting::On, ..Variant::default() };
+        let on = Variant {
+            forecasting: Forecasting::On,
+            ..Variant::default()
+        };
         let with = run(&script, &arrivals, &on, 2);
-        assert!((with.waited_for_load as f64) < 0.8 * off.waited_for_load as f64, "{off:?} {with:?}");
-        let rationed =
-            Variant { load_window_s: 5.0, load_quota_burst: 1.0, load_quota_share: 0.01, ..on.clone() };
+        assert!(
+            (with.waited_for_load as f64) < 0.8 * off.waited_for_load as f64,
+            "{off:?} {with:?}"
+        );
+        let rationed = Variant {
+            load_window_s: 5.0,
+            load_quota_burst: 1.0,
+            load_quota_share: 0.01,
+            ..on.clone()
+        };
         let rationed = run(&script, &arrivals, &rationed, 2);
         assert!(rationed.orders > 0 && rationed.ration_most <= 1.0, "{rationed:?}");
         // A scheduler that is killed goes on from what it saved: its timers are not learnt anew.
-        let saved = run(&script, &arrivals, &Variant { snapshot_s: 2.0, ..on.clone() }, 2);
+        let saved = run(
+            &script,
+            &arrivals,
+            &Variant {
+                snapshot_s: 2.0,
+                ..on.clone()
+            },
+            2,
+        );
         assert!(
             saved.gaps > with.gaps && saved.waited_for_load <= with.waited_for_load,
             "{with:?} {saved:?}"
         );
-        let none = Variant { load_window_s: 5.0, forecasting: Forecasting::On, ..Variant::default() };
+        let none = Variant {
+            load_window_s: 5.0,
+            forecasting: Forecasting::On,
+            ..Variant::default()
+        };
         assert_eq!(run(&script, &arrivals, &none, 2).orders, 0);
     }
 }
--- a/crates/quartzdrift-lab/src/emulate/power.rs
+++ b/crates/quartzdrift-lab/src/emulate/power.rs
@@ -34,8 +34,14 @@
         let Some(off) = self.power.off else { return };
         let restarts = &self.deaths.restarted;
         let last = restarts.iter().map(|(_, killed, _)| *killed).max().unwrap_or(off);
-        let back = restarts.iter().filter(|(_, killed, _)| *killed == last).map(|(.., at)| *at).min();
-        let back_s = back.map_or(LOOK_FOR, |back| self.power_back(off, back)).as_secs_f64();
+        let back = restarts
+            .iter()
+            .filter(|(_, killed, _)| *killed == last)
+            .map(|(.., at)| *at)
+            .min();
+        let back_s = back
+            .map_or(LOOK_FOR, |back| self.power_back(off, back))
+            .as_secs_f64();
         let bound_s = self.power_bound(off).as_secs_f64();
         let fetched = self.power.begun.values();
         self.figures.power_back_s = back_s;
@@ -67,7 +73,10 @@
         let end = (START + self.script.length).saturating_sub(WINDOW);
         let (mut from, mut since) = (back, back);
         while from < end {
-            if self.share(None, from, from + WINDOW).is_some_and(|share| share < before * RECOVERED) {
+            if self
+                .share(None, from, from + WINDOW)
+                .is_some_and(|share| share < before * RECOVERED)
+            {
                 since = from + STEP;
             }
             from += STEP;
@@ -82,7 +91,10 @@
         let mut asked: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         let of = |a: &&crate::traffic::Arrival| (from..off).contains(&(START + crate::traffic::at(a)));
         for arrival in self.arrivals.iter().filter(of) {
-            asked.entry(&arrival.function).or_insert((0, arrival.request_class)).0 += 1;
+            asked
+                .entry(&arrival.function)
+                .or_insert((0, arrival.request_class))
+                .0 += 1;
         }
         let all: usize = asked.values().map(|of| of.0).sum();
         let mut most: Vec<(usize, usize)> = asked.into_values().collect();
