--- a/crates/quartzdrift-lab/src/emulate/returning.rs
+++ b/crates/quartzdrift-lab/src/emulate/returning.rs
@@ -38,8 +38,16 @@
     fn moment(&self, s: usize) -> Moment {
         let boot = format!("{s}-{}", self.schedulers[s].returning.starts);
         let (by, ahead) = self.schedulers[s].returning.clock;
-        let wall = if ahead { self.now + by } else { self.now.saturating_sub(by) };
-        Moment { wall, boot, since_boot: BOOT }
+        let wall = if ahead {
+            self.now + by
+        } else {
+            self.now.saturating_sub(by)
+        };
+        Moment {
+            wall,
+            boot,
+            since_boot: BOOT,
+        }
     }
 
     pub(super) fn begin_return(&mut self, s: usize) {
@@ -47,7 +55,10 @@
             return;
         }
         self.schedulers[s].returning.starts += 1;
-        (self.schedulers[s].returning.since, self.schedulers[s].returning.judged) = (self.now, None);
+        (
+            self.schedulers[s].returning.since,
+            self.schedulers[s].returning.judged,
+        ) = (self.now, None);
         let (now, moment) = (self.now, self.moment(s));
         let name = format!("s{s}");
         let found = match self.schedulers[s].returning.noted.take() {
@@ -55,7 +66,13 @@
             None => {
                 let spoilt = std::mem::take(&mut self.schedulers[s].returning.spoilt);
                 let disk = if spoilt { Disk::Spoilt } else { Disk::Empty };
-                Found { mark: None, disk, known: Vec::new(), now: moment, beside: false }
+                Found {
+                    mark: None,
+                    disk,
+                    known: Vec::new(),
+                    now: moment,
+                    beside: false,
+                }
             }
         };
         let settings = Settings {
@@ -92,10 +109,16 @@
     pub(super) fn return_copied(&mut self, s: usize) {
         let moment = self.moment(s);
         let scheduler = &mut self.schedulers[s];
-        let known = scheduler.fleet.as_ref().map(|fleet| fleet.members.there().map(|m| m.name.to_string()));
+        let known = scheduler
+            .fleet
+            .as_ref()
+            .map(|fleet| fleet.members.there().map(|m| m.name.to_string()));
         let known: Vec<String> = known.into_iter().flatten().collect();
-        scheduler.returning.copy =
-            scheduler.returning.machine.as_ref().map(|machine| (machine.mark(moment), known));
+        scheduler.returning.copy = scheduler
+            .returning
+            .machine
+            .as_ref()
+            .map(|machine| (machine.mark(moment), known));
     }
 
     pub(super) fn return_spoilt(&mut self, s: usize, how: Spoil) {
@@ -131,7 +154,9 @@
     pub(super) fn return_answered(&mut self, client: usize, finished: bool, kept: bool) {
         let (now, of) = (self.now, &mut self.clients[client]);
         let scheduler = &mut self.schedulers[of.gateway];
-        let Some(machine) = &mut scheduler.returning.machine else { return };
+        let Some(machine) = &mut scheduler.returning.machine else {
+            return;
+        };
         machine.answered(kept);
         if let Some((life, number)) = of.tries.take()
             && life == scheduler.life
@@ -148,7 +173,9 @@
     /// Sends what the machine asks and answers; the rest is its own.
     pub(super) fn return_says(&mut self, s: usize) {
         let scheduler = &mut self.schedulers[s];
-        let Some(machine) = &mut scheduler.returning.machine else { return };
+        let Some(machine) = &mut scheduler.returning.machine else {
+            return;
+        };
         let outputs = machine.outputs();
         for output in outputs {
             match (output, &mut scheduler.fleet) {
--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -28,8 +28,12 @@
             ahead
         });
         let scheduler = &mut self.schedulers[s];
-        (scheduler.request_table, scheduler.ahead, scheduler.life, scheduler.planned) =
-            (Some(request_table), ahead, life, None);
+        (
+            scheduler.request_table,
+            scheduler.ahead,
+            scheduler.life,
+            scheduler.planned,
+        ) = (Some(request_table), ahead, life, None);
         self.begin_return(s);
         self.outputs(s);
         self.join(s);
@@ -47,9 +51,15 @@
         let (now, scheduler) = (self.now, &mut self.schedulers[s]);
         if let Some(request_table) = &mut scheduler.request_table {
             request_table.due(now, |_, _| true);
-            let expected = scheduler.ahead.as_mut().map(|ahead| ahead.due(now)).unwrap_or_default();
+            let expected = scheduler
+                .ahead
+                .as_mut()
+                .map(|ahead| ahead.due(now))
+                .unwrap_or_default();
             for of in expected {
-                let Some((n, request_class)) = self.script.request_class_of(&of.function) else { continue };
+                let Some((n, request_class)) = self.script.request_class_of(&of.function) else {
+                    continue;
+                };
                 request_table.forecast(
                     now,
                     expectation(
@@ -68,10 +78,17 @@
 
     pub(super) fn foresee(&mut self, n: usize) {
         // All are told equally early, so that one event can follow the other.
-        let loads = self.script.request_classes.iter().map(|request_class| request_class.load);
+        let loads = self
+            .script
+            .request_classes
+            .iter()
+            .map(|request_class| request_class.load);
         let early = loads.max().unwrap_or_default().mul_f64(1.5);
         if let Some(next) = self.arrivals.get(n + 1) {
-            self.put((START + traffic::at(next)).saturating_sub(early), Ev::Foresee(n + 1));
+            self.put(
+                (START + traffic::at(next)).saturating_sub(early),
+                Ev::Foresee(n + 1),
+            );
         }
         let arrival = &self.arrivals[n];
         let s = arrival.gateway_of(self.schedulers.len());
@@ -80,7 +97,14 @@
         if let Some(request_table) = &mut self.schedulers[s].request_table {
             request_table.forecast(
                 self.now,
-                expectation(&arrival.function, arrival.request_class, request_class, within, 1.0, None),
+                expectation(
+                    &arrival.function,
+                    arrival.request_class,
+                    request_class,
+                    within,
+                    1.0,
+                    None,
+                ),
             );
         }
         self.outputs(s);
@@ -89,7 +113,9 @@
     /// Carries out what a scheduler says, and plans its next turn.
     pub(super) fn outputs(&mut self, s: usize) {
         loop {
-            let Some(request_table) = &mut self.schedulers[s].request_table else { return };
+            let Some(request_table) = &mut self.schedulers[s].request_table else {
+                return;
+            };
             let outputs = request_table.outputs();
             if outputs.is_empty() {
                 break;
@@ -99,10 +125,20 @@
             }
         }
         let scheduler = &self.schedulers[s];
-        let Some(request_table) = &scheduler.request_table else { return };
+        let Some(request_table) = &scheduler.request_table else {
+            return;
+        };
         let ahead = scheduler.ahead.as_ref().and_then(Ahead::next_due);
-        let returns = scheduler.returning.machine.as_ref().and_then(quartzdrift_recovery::Recovery::next_due);
-        let Some(next) = [request_table.next_deadline(), ahead, returns].into_iter().flatten().min() else {
+        let returns = scheduler
+            .returning
+            .machine
+            .as_ref()
+            .and_then(quartzdrift_recovery::Recovery::next_due);
+        let Some(next) = [request_table.next_deadline(), ahead, returns]
+            .into_iter()
+            .flatten()
+            .min()
+        else {
             return;
         };
         if scheduler.planned.is_none_or(|at| next < at) {
@@ -115,13 +151,27 @@
     pub(super) fn output(&mut self, s: usize, output: Output<usize>) {
         let life = self.schedulers[s].life;
         match output {
-            Output::StartAttempt { request, attempt, worker, payload, .. } => {
+            Output::StartAttempt {
+                request,
+                attempt,
+                worker,
+                payload,
+                ..
+            } => {
                 let worker = self.by_name[&*worker];
                 self.figures.attempts += 1;
                 self.drawn += 1;
                 let call = self.drawn;
                 self.schedulers[s].sent.insert((request, attempt), (worker, call));
-                self.later(Ev::Came { worker, scheduler: s, life, request, attempt, call, client: payload });
+                self.later(Ev::Came {
+                    worker,
+                    scheduler: s,
+                    life,
+                    request,
+                    attempt,
+                    call,
+                    client: payload,
+                });
             }
             Output::CancelAttempt { request, attempt } => {
                 if let Some((worker, call)) = self.schedulers[s].sent.remove(&(request, attempt)) {
@@ -129,10 +179,18 @@
                 }
             }
             Output::Respond { payload, answer, .. } => self.answered(payload, answer),
-            Output::Load { command: order, worker, function, copies } => {
+            Output::Load {
+                command: order,
+                worker,
+                function,
+                copies,
+            } => {
                 self.figures.orders += 1;
                 let worker = self.by_name[&*worker];
-                let memory = self.script.request_class_of(&function).map_or(0.0, |(_, w)| w.memory_mb);
+                let memory = self
+                    .script
+                    .request_class_of(&function)
+                    .map_or(0.0, |(_, w)| w.memory_mb);
                 let now = self.now;
                 let scheduler = &mut self.schedulers[s];
                 scheduler.orders.insert(order, (now, function.clone()));
@@ -149,7 +207,14 @@
                     let share = count(&scheduler.given) / most.max(1e-9);
                     self.figures.ration_most = self.figures.ration_most.max(share);
                 }
-                self.later(Ev::Order { worker, scheduler: s, life, order, function, copies });
+                self.later(Ev::Order {
+                    worker,
+                    scheduler: s,
+                    life,
+                    order,
+                    function,
+                    copies,
+                });
             }
             // Messages leave at once here: nothing waits unsent. Probes, lists and messages are not asked for.
             Output::RecallAttempt { .. }
@@ -203,7 +268,10 @@
     names: &'a [String],
     discovery: &[(EndpointState, Option<Duration>)],
 ) -> Vec<Endpoint<'a>> {
-    let there = names.iter().zip(discovery).filter(|(_, (state, _))| *state != EndpointState::Gone);
+    let there = names
+        .iter()
+        .zip(discovery)
+        .filter(|(_, (state, _))| *state != EndpointState::Gone);
     let entry = |(worker, &(state, started)): (&'a String, &(EndpointState, Option<Duration>))| Endpoint {
         worker,
         state,
--- a/crates/quartzdrift-lab/src/emulate/troubles.rs
+++ b/crates/quartzdrift-lab/src/emulate/troubles.rs
@@ -10,7 +10,15 @@
         }
         for scheduler in 0..self.schedulers.len() {
             let at = self.now + self.lag + Duration::from_secs_f64(self.chance.random_range(0.0005..0.02));
-            self.put(at, Ev::List { scheduler, worker, state, started });
+            self.put(
+                at,
+                Ev::List {
+                    scheduler,
+                    worker,
+                    state,
+                    started,
+                },
+            );
         }
     }
 
--- a/crates/quartzdrift-lab/src/emulate/workers.rs
+++ b/crates/quartzdrift-lab/src/emulate/workers.rs
@@ -7,8 +7,13 @@
         if self.cancelled.remove(&call) {
             return;
         }
-        let back =
-            |outcome| Ev::Back { scheduler, life, request, attempt, ended: AttemptResult::silent(outcome) };
+        let back = |outcome| Ev::Back {
+            scheduler,
+            life,
+            request,
+            attempt,
+            ended: AttemptResult::silent(outcome),
+        };
         if !self.workers[w].up {
             return self.later(back(Outcome::ConnectFailed));
         }
@@ -22,7 +27,12 @@
             return self.later(back(Outcome::Error));
         }
         let arrival = &self.arrivals[self.clients[client].arrival];
-        worker.model.call(self.now, call, &arrival.function, Duration::from_micros(arrival.work_us));
+        worker.model.call(
+            self.now,
+            call,
+            &arrival.function,
+            Duration::from_micros(arrival.work_us),
+        );
         self.act(w);
     }
 
@@ -39,26 +49,44 @@
 
     pub(super) fn report(&mut self, w: usize) -> Vec<Option<f64>> {
         let (now, worker) = (self.now, &mut self.workers[w]);
-        if worker.reports.last().is_none_or(|(at, _)| *at + REPORT_EVERY <= now) {
+        if worker
+            .reports
+            .last()
+            .is_none_or(|(at, _)| *at + REPORT_EVERY <= now)
+        {
             let load = worker.model.load();
-            worker.reports.push((now, vec![Some(load.held as f64), Some(load.memory_taken)]));
+            worker
+                .reports
+                .push((now, vec![Some(load.held as f64), Some(load.memory_taken)]));
             let oldest = now.saturating_sub(worker.faults.late_reports + REPORT_EVERY * 4);
             worker.reports.retain(|(at, _)| *at >= oldest);
         }
         let told = now.saturating_sub(worker.faults.late_reports);
-        let of = worker.reports.iter().rev().find(|(at, _)| *at <= told).or(worker.reports.first());
+        let of = worker
+            .reports
+            .iter()
+            .rev()
+            .find(|(at, _)| *at <= told)
+            .or(worker.reports.first());
         of.map(|(_, report)| report.clone()).unwrap_or_default()
     }
 
     pub(super) fn act(&mut self, w: usize) {
         for say in self.workers[w].model.says() {
             match say {
-                Say::Ran { call, found, crowd, wanted } => {
-                    self.say(w, call, Outcome::Succeeded, found, crowd, wanted)
-                }
+                Say::Ran {
+                    call,
+                    found,
+                    crowd,
+                    wanted,
+                } => self.say(w, call, Outcome::Succeeded, found, crowd, wanted),
                 Say::Full { call } => self.say(w, call, Outcome::AtCapacity, Found::Warm, 0, true),
                 Say::Missed { call } => self.say(w, call, Outcome::CacheMiss, Found::LoadFailed, 0, true),
-                Say::Fetch { load, takes, function } => {
+                Say::Fetch {
+                    load,
+                    takes,
+                    function,
+                } => {
                     self.drawn += 1;
                     let (fetch, life) = (self.drawn, self.workers[w].life);
                     self.fetches.insert(fetch, (w, life, load));
@@ -69,10 +97,24 @@
                     }
                     self.plan_store();
                 }
-                Say::Stands { order, copies, enough } => {
+                Say::Stands {
+                    order,
+                    copies,
+                    enough,
+                } => {
                     if let Some((scheduler, life, order)) = self.workers[w].orders.remove(&order) {
-                        let outcome = if enough { Outcome::Succeeded } else { Outcome::AtCapacity };
-                        self.later(Ev::OrderBack { scheduler, life, order, outcome, copies: copies as u32 });
+                        let outcome = if enough {
+                            Outcome::Succeeded
+                        } else {
+                            Outcome::AtCapacity
+                        };
+                        self.later(Ev::OrderBack {
+                            scheduler,
+                            life,
+                            order,
+                            outcome,
+                            copies: copies as u32,
+                        });
                     }
                 }
                 Say::Fell => {
@@ -102,13 +144,17 @@
         crowd: usize,
         wanted: bool,
     ) {
-        let Some((scheduler, life, request, attempt)) = self.workers[w].calls.remove(&call) else { return };
+        let Some((scheduler, life, request, attempt)) = self.workers[w].calls.remove(&call) else {
+            return;
+        };
         if !wanted {
             return;
         }
         let faults = self.workers[w].faults.clone();
         if faults.silent {
-            self.workers[w].calls.insert(call, (scheduler, life, request, attempt));
+            self.workers[w]
+                .calls
+                .insert(call, (scheduler, life, request, attempt));
             return;
         }
         let lost = faults.lost > 0.0 && self.chance.random_range(0.0..1.0) < faults.lost;
@@ -128,7 +174,16 @@
             },
         };
         let at = self.now + faults.slow + Duration::from_secs_f64(self.chance.random_range(0.0002..0.0006));
-        self.put(at, Ev::Back { scheduler, life, request, attempt, ended });
+        self.put(
+            at,
+            Ev::Back {
+                scheduler,
+                life,
+                request,
+                attempt,
+                ended,
+            },
+        );
     }
 
     pub(super) fn order(
@@ -143,14 +198,22 @@
         let worker = &mut self.workers[w];
         if !worker.up {
             let outcome = Outcome::ConnectFailed;
-            return self.later(Ev::OrderBack { scheduler, life, order, outcome, copies: 0 });
+            return self.later(Ev::OrderBack {
+                scheduler,
+                life,
+                order,
+                outcome,
+                copies: 0,
+            });
         }
         if worker.faults.silent || worker.faults.hang {
             return;
         }
         self.drawn += 1;
         worker.orders.insert(self.drawn, (scheduler, life, order));
-        worker.model.order(self.now, self.drawn, function, copies as usize);
+        worker
+            .model
+            .order(self.now, self.drawn, function, copies as usize);
         self.act(w);
     }
 
@@ -189,7 +252,13 @@
             });
         }
         for (scheduler, life, order) in orders.into_values() {
-            self.later(Ev::OrderBack { scheduler, life, order, outcome: Outcome::Reset, copies: 0 });
+            self.later(Ev::OrderBack {
+                scheduler,
+                life,
+                order,
+                outcome: Outcome::Reset,
+                copies: 0,
+            });
         }
     }
 }
--- a/crates/quartzdrift-lab/src/experiment.rs
+++ b/crates/quartzdrift-lab/src/experiment.rs
@@ -72,7 +72,11 @@
             plan.extend((1..=experiment.seeds).map(|seed| (day, variant, seed)));
         }
     }
-    let bar = if shown { ProgressBar::new(plan.len() as u64) } else { ProgressBar::hidden() };
+    let bar = if shown {
+        ProgressBar::new(plan.len() as u64)
+    } else {
+        ProgressBar::hidden()
+    };
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {eta} left") {
         bar.set_style(style);
     }
@@ -83,13 +87,20 @@
             scope.spawn(|| {
                 loop {
                     let at = next.fetch_add(1, Ordering::Relaxed);
-                    let Some(&(day, variant, seed)) = plan.get(at) else { return };
+                    let Some(&(day, variant, seed)) = plan.get(at) else {
+                        return;
+                    };
                     let arrivals = traffic::arrivals(&scripts[day], seed);
                     let of = &experiment.variants[variant];
                     let figures = emulate::run(&scripts[day], &arrivals, &of.is, seed);
                     let (day, variant) = (experiment.days[day].name.clone(), of.name.clone());
                     if let Ok(mut rows) = rows.lock() {
-                        rows[at] = Some(Row { day, variant, seed, figures });
+                        rows[at] = Some(Row {
+                            day,
+                            variant,
+                            seed,
+                            figures,
+                        });
                     }
                     bar.inc(1);
                 }
@@ -97,14 +108,20 @@
         }
     });
     bar.finish_and_clear();
-    rows.into_inner().unwrap_or_default().into_iter().flatten().collect()
+    rows.into_inner()
+        .unwrap_or_default()
+        .into_iter()
+        .flatten()
+        .collect()
 }
 
 /// What the table and the plots tell of a run.
 type Figure = (&'static str, fn(&Figures) -> f64);
 
 pub const SHOWN: [Figure; 20] = [
-    ("waited for a load, % of finished", |f| 100.0 * f.waited_for_load as f64 / f.finished.max(1) as f64),
+    ("waited for a load, % of finished", |f| {
+        100.0 * f.waited_for_load as f64 / f.finished.max(1) as f64
+    }),
     ("store fetches", |f| f.fetches as f64),
     ("in time, %", |f| 100.0 * f.in_time),
     ("wait p50, ms", |f| f.wait_p50_ms),
@@ -136,7 +153,10 @@
 }
 
 fn values(rows: &[Row], day: &str, variant: &str, of: fn(&Figures) -> f64) -> Vec<f64> {
-    rows.iter().filter(|row| row.day == day && row.variant == variant).map(|row| of(&row.figures)).collect()
+    rows.iter()
+        .filter(|row| row.day == day && row.variant == variant)
+        .map(|row| of(&row.figures))
+        .collect()
 }
 
 /// A Markdown table for each day: means with their intervals, and against the first variant seed by seed.
@@ -175,7 +195,13 @@
                     in_time,wait_p50_ms,wait_p95_ms,idle_memory,orders,orders_used,orders_unused,fell_over,ration_most,\
                     gaps,score,score_last,score_always\n"
         .to_owned();
-    for Row { day, variant, seed, figures: f } in rows {
+    for Row {
+        day,
+        variant,
+        seed,
+        figures: f,
+    } in rows
+    {
         let _ = writeln!(
             text,
             "{day},{variant},{seed},{},{},{},{},{},{},{},{},{:.6},{:.4},{:.4},{:.6},{},{},{},{},{:.4},{},{:.6},{:.6},{:.6}",
@@ -216,7 +242,12 @@
     let points: Vec<(usize, usize, f64, f64)> = (0..experiment.days.len())
         .flat_map(|day| (0..experiment.variants.len()).map(move |variant| (day, variant)))
         .map(|(day, variant)| {
-            let of = values(rows, &experiment.days[day].name, &experiment.variants[variant].name, *of);
+            let of = values(
+                rows,
+                &experiment.days[day].name,
+                &experiment.variants[variant].name,
+                *of,
+            );
             let (mean, half) = interval(&of);
             (day, variant, mean, half)
         })
@@ -233,10 +264,18 @@
         .build_cartesian_2d(-0.5..days as f64 - 0.5, 0.0..most)?;
     let day = |at: &f64| {
         let near = at.round();
-        let of = experiment.days.get(near as usize).filter(|_| near >= 0.0 && (at - near).abs() < 0.01);
+        let of = experiment
+            .days
+            .get(near as usize)
+            .filter(|_| near >= 0.0 && (at - near).abs() < 0.01);
         of.map_or(String::new(), |day| day.name.clone())
     };
-    chart.configure_mesh().disable_x_mesh().x_labels(days * 2 + 1).x_label_formatter(&day).draw()?;
+    chart
+        .configure_mesh()
+        .disable_x_mesh()
+        .x_labels(days * 2 + 1)
+        .x_label_formatter(&day)
+        .draw()?;
     let variants = experiment.variants.len() as f64;
     for (n, variant) in experiment.variants.iter().enumerate() {
         let colour = Palette99::pick(n).to_rgba();
@@ -250,7 +289,11 @@
             .label(&variant.name)
             .legend(move |(x, y)| Circle::new((x + 8, y), 4, colour.filled()));
     }
-    chart.configure_series_labels().background_style(WHITE).border_style(BLACK).draw()?;
+    chart
+        .configure_series_labels()
+        .background_style(WHITE)
+        .border_style(BLACK)
+        .draw()?;
     area.present()?;
     Ok(())
 }
@@ -262,8 +305,11 @@
     std::fs::write(folder.join("rows.csv"), csv(rows))?;
     std::fs::write(folder.join("rows.json"), serde_json::to_vec_pretty(rows)?)?;
     for figure in &SHOWN {
-        let name: String =
-            figure.0.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).collect();
+        let name: String = figure
+            .0
+            .chars()
+            .map(|c| if c.is_ascii_alphanumeric() { c } else { '-' })
+            .collect();
         let path = folder.join(format!("{}.svg", name.trim_matches('-')));
         plot(experiment, rows, figure, &path).map_err(|e| io::Error::other(e.to_string()))?;
     }
--- a/crates/quartzdrift-lab/src/light.rs
+++ b/crates/quartzdrift-lab/src/light.rs
@@ -23,26 +23,46 @@
 impl Light {
     /// Answers on all of `listeners`, each call after `delay`.
     pub fn new(handle: LoopHandle<'static, Light>, listeners: Vec<TcpListener>, delay: Duration) -> Light {
-        let limits = Limits { idle: Duration::from_secs(600), connections: 100_000, ..Limits::default() };
+        let limits = Limits {
+            idle: Duration::from_secs(600),
+            connections: 100_000,
+            ..Limits::default()
+        };
         let mut http = Http::new(handle, limits);
         for listener in listeners {
             if let Err(e) = http.listen(listener) {
                 eprintln!("a light worker cannot listen: {e}");
             }
         }
-        let headers = Headers::new()
-            .with("content-type", "application/json")
-            .with("endpoint-load-metrics", "TEXT named_metrics.inflight=1,named_metrics.found=1");
-        let answer = Response { status: 200, headers, body: b"{\"ok\":true}".to_vec() };
-        Light { http, start: Instant::now(), delay, held: VecDeque::new(), answer }
+        let headers = Headers::new().with("content-type", "application/json").with(
+            "endpoint-load-metrics",
+            "TEXT named_metrics.inflight=1,named_metrics.found=1",
+        );
+        let answer = Response {
+            status: 200,
+            headers,
+            body: b"{\"ok\":true}".to_vec(),
+        };
+        Light {
+            http,
+            start: Instant::now(),
+            delay,
+            held: VecDeque::new(),
+            answer,
+        }
     }
 }
 
 /// Listeners at free ports, and their addresses.
 pub fn listeners(count: usize) -> std::io::Result<(Vec<TcpListener>, Vec<SocketAddr>)> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let all = (0..count).map(|_| quartzdrift_http::bind(any, false)).collect::<Result<Vec<_>, _>>()?;
-    let addresses = all.iter().map(TcpListener::local_addr).collect::<Result<Vec<_>, _>>()?;
+    let all = (0..count)
+        .map(|_| quartzdrift_http::bind(any, false))
+        .collect::<Result<Vec<_>, _>>()?;
+    let addresses = all
+        .iter()
+        .map(TcpListener::local_addr)
+        .collect::<Result<Vec<_>, _>>()?;
     Ok((all, addresses))
 }
 
@@ -50,7 +70,11 @@
     type Command = ();
 
     fn event(&mut self, event: HttpEvent) {
-        if let HttpEvent::Request { exchange, request: Ok(_) } = event {
+        if let HttpEvent::Request {
+            exchange,
+            request: Ok(_),
+        } = event
+        {
             if self.delay.is_zero() {
                 self.http.answer(exchange, &self.answer);
             } else {
--- a/crates/quartzdrift-lab/src/load.rs
+++ b/crates/quartzdrift-lab/src/load.rs
@@ -70,7 +70,11 @@
             )?;
         }
         let rate = self.count() as f64 / self.took.as_secs_f64();
-        write!(f, "{rate:.0} answers a second; {} calls not sent, as too many were out", self.not_sent)
+        write!(
+            f,
+            "{rate:.0} answers a second; {} calls not sent, as too many were out",
+            self.not_sent
+        )
     }
 }
 
@@ -104,7 +108,13 @@
             (call::target(function), sum)
         });
         Load {
-            http: Http::new(handle, Limits { connections_each: plan.out_most, ..Limits::default() }),
+            http: Http::new(
+                handle,
+                Limits {
+                    connections_each: plan.out_most,
+                    ..Limits::default()
+                },
+            ),
             start: Instant::now(),
             targets: targets.collect(),
             payload: Rc::from(plan.payload.as_bytes()),
@@ -115,7 +125,11 @@
             left: 0,
             sent: 0,
             out: HashMap::new(),
-            report: Report { times: BTreeMap::new(), not_sent: 0, took: plan.length },
+            report: Report {
+                times: BTreeMap::new(),
+                not_sent: 0,
+                took: plan.length,
+            },
             chance: StdRng::seed_from_u64(plan.seed),
             plan,
         }
@@ -124,7 +138,9 @@
     /// The target of the call that leaves now, and when the next one does.
     fn leaves(&mut self, at: Duration) -> (String, Option<Duration>) {
         if let Some(trace) = &self.plan.trace {
-            let target = trace.get(self.left).map(|arrival| call::target(&arrival.function));
+            let target = trace
+                .get(self.left)
+                .map(|arrival| call::target(&arrival.function));
             self.left += 1;
             return (target.unwrap_or_default(), trace.get(self.left).map(traffic::at));
         }
@@ -134,7 +150,11 @@
         };
         let next = Some(at + Duration::from_secs_f64(gap)).filter(|next| *next < self.plan.length);
         let drawn = self.chance.random_range(0.0..1.0);
-        let target = self.targets.iter().find(|(_, sum)| drawn < *sum).or(self.targets.last());
+        let target = self
+            .targets
+            .iter()
+            .find(|(_, sum)| drawn < *sum)
+            .or(self.targets.last());
         (target.map(|(target, _)| target.clone()).unwrap_or_default(), next)
     }
 
@@ -162,7 +182,9 @@
     }
 
     fn over(&mut self, call: CallId, outcome: &'static str) {
-        let Some((at, _)) = self.out.remove(&call) else { return };
+        let Some((at, _)) = self.out.remove(&call) else {
+            return;
+        };
         let took = (self.now().saturating_sub(at).as_micros() as u64).clamp(1, LONGEST_US);
         let times = self.report.times.entry(outcome).or_insert_with(|| {
             // The bounds are constants that the library takes.
@@ -200,7 +222,8 @@
 
     fn next_due(&self) -> Option<Duration> {
         // Time-outs are looked at with the arrivals, and once a while after the last.
-        self.next.or_else(|| self.out.values().map(|(_, until)| *until).min())
+        self.next
+            .or_else(|| self.out.values().map(|(_, until)| *until).min())
     }
 
     fn due(&mut self, now: Duration) {
@@ -210,8 +233,12 @@
             self.next = next;
         }
         if self.next.is_none() {
-            let over: Vec<CallId> =
-                self.out.iter().filter(|(_, (_, until))| *until <= now).map(|o| *o.0).collect();
+            let over: Vec<CallId> = self
+                .out
+                .iter()
+                .filter(|(_, (_, until))| *until <= now)
+                .map(|o| *o.0)
+                .collect();
             for call in over {
                 self.http.cancel(call);
                 self.over(call, "no-answer");
--- a/crates/quartzdrift-lab/src/losses.rs
+++ b/crates/quartzdrift-lab/src/losses.rs
@@ -23,7 +23,9 @@
     let gateways = chance.random_range(3..6);
     let workers = chance.random_range(3..6);
     let spoils = ["cut", "flip", "older", "other", "empty", "unreadable"];
-    let spoil = chance.random_bool(0.4).then(|| spoils[chance.random_range(0..spoils.len())]);
+    let spoil = chance
+        .random_bool(0.4)
+        .then(|| spoils[chance.random_range(0..spoils.len())]);
     let older = spoil == Some("older");
     let first = if older { OFF_OLDER_MS } else { OFF_MS };
     let mut text = format!(
@@ -49,27 +51,47 @@
         let back = off + chance.random_range(100..1_500);
         line(back + chance.random_range(0..800), "power on roster".to_owned());
         for n in 0..workers {
-            line(back + chance.random_range(0..800), format!("power on workers {n} {n}"));
+            line(
+                back + chance.random_range(0..800),
+                format!("power on workers {n} {n}"),
+            );
         }
         let never = chance.random_bool(0.2).then(|| chance.random_range(0..gateways));
         for n in (0..gateways).filter(|n| Some(*n) != never) {
-            line(back + chance.random_range(0..1_000), format!("power on gateways {n} {n}"));
+            line(
+                back + chance.random_range(0..1_000),
+                format!("power on gateways {n} {n}"),
+            );
         }
         if off == first {
             if let Some(spoil) = spoil {
                 line(off + 50, format!("spoil gateway 0 {spoil}"));
             }
             if chance.random_bool(0.4) {
-                let way = if chance.random_bool(0.5) { "ahead" } else { "behind" };
+                let way = if chance.random_bool(0.5) {
+                    "ahead"
+                } else {
+                    "behind"
+                };
                 line(off + 50, format!("clock gateway 1 {way} 1h"));
             }
             if chance.random_bool(0.3) && !older {
-                let way = if chance.random_bool(0.5) { "apart" } else { "unheard" };
-                line(off + 50, format!("{way} gateways 0 {}", chance.random_range(0..gateways - 1)));
+                let way = if chance.random_bool(0.5) {
+                    "apart"
+                } else {
+                    "unheard"
+                };
+                line(
+                    off + 50,
+                    format!("{way} gateways 0 {}", chance.random_range(0..gateways - 1)),
+                );
                 line(back + 2_500, "together gateways".to_owned());
             }
             if chance.random_bool(0.3) && !older {
-                line(OFF_MS / 2, format!("lose datagrams {:.2}", chance.random_range(0.05..0.4)));
+                line(
+                    OFF_MS / 2,
+                    format!("lose datagrams {:.2}", chance.random_range(0.05..0.4)),
+                );
                 line(OFF_MS / 2, "double datagrams 0.2".to_owned());
                 line(OFF_MS / 2, "late datagrams 20ms".to_owned());
             }
@@ -84,7 +106,11 @@
 pub fn returned(day: &Day, script: &Script) -> Option<f64> {
     const NEARLY: f64 = 0.95;
     let moments = |of: fn(&Trouble) -> bool| {
-        script.troubles.iter().filter(move |(_, t)| of(t)).map(|(at, _)| at.as_secs_f64())
+        script
+            .troubles
+            .iter()
+            .filter(move |(_, t)| of(t))
+            .map(|(at, _)| at.as_secs_f64())
     };
     let offs: Vec<f64> = moments(|t| matches!(t, Trouble::PowerOff { .. })).collect();
     let (first, last) = (*offs.first()?, *offs.last()?);
@@ -93,10 +119,22 @@
     let mut calls: BTreeMap<u64, &str> = BTreeMap::new();
     let mut keys: BTreeMap<&str, (f64, f64, bool)> = BTreeMap::new();
     // The record began before the troubles' clock, at the first gateway's start.
-    let start = day.lines.iter().find(|line| matches!(line.seen, Seen::Asked { .. }))?.at_us as f64 / 1e6;
+    let start = day
+        .lines
+        .iter()
+        .find(|line| matches!(line.seen, Seen::Asked { .. }))?
+        .at_us as f64
+        / 1e6;
     for line in &day.lines {
         let at = line.at_us as f64 / 1e6 - start;
-        if let Seen::Asked { call, key, request_class, asynchronous: false, .. } = &line.seen {
+        if let Seen::Asked {
+            call,
+            key,
+            request_class,
+            asynchronous: false,
+            ..
+        } = &line.seen
+        {
             let target = script
                 .request_classes
                 .iter()
@@ -106,7 +144,12 @@
             keys.entry(key).or_insert((at, target, false));
             calls.insert(*call, key);
         }
-        if let Seen::Answered { call, status: 200, killed: false, .. } = &line.seen
+        if let Seen::Answered {
+            call,
+            status: 200,
+            killed: false,
+            ..
+        } = &line.seen
             && let Some((asked, target, good)) = calls.get(call).and_then(|key| keys.get_mut(key))
         {
             *good |= at <= *asked + *target;
@@ -158,7 +201,9 @@
                         Ok(day) => day.broken.iter().map(|b| format!("{b}\n")).collect(),
                         Err(e) => e.to_string(),
                     };
-                    bad.lock().unwrap_or_else(PoisonError::into_inner).push(Bad { seed, what });
+                    bad.lock()
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .push(Bad { seed, what });
                 }
             });
         }
--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -216,7 +216,12 @@
 fn main() -> ExitCode {
     let done = match Arguments::parse().command {
         Command::Demo { listen, workers } => demo(listen, workers),
-        Command::Gateway { file, ahead, behind, boot } => {
+        Command::Gateway {
+            file,
+            ahead,
+            behind,
+            boot,
+        } => {
             let boot = boot.map(|name| (name, Duration::ZERO));
             clock::set(clock::Set { ahead, behind, boot });
             gateway(&file)
@@ -225,9 +230,19 @@
         Command::Naive { file } => settings::load(&file)
             .map_err(faults)
             .and_then(|settings| naive::run(settings, |at| serve::announce(&[at]))),
-        Command::Badday { script, seed, times, record, gateway, naive } => {
+        Command::Badday {
+            script,
+            seed,
+            times,
+            record,
+            gateway,
+            naive,
+        } => {
             let program = match gateway {
-                Some(path) => badday::Program { path, arguments: vec!["serve".to_owned()] },
+                Some(path) => badday::Program {
+                    path,
+                    arguments: vec!["serve".to_owned()],
+                },
                 None => match std::env::current_exe() {
                     Ok(path) => {
                         let command = if naive { "naive" } else { "gateway" };
@@ -241,32 +256,61 @@
             };
             return badday(script.as_deref(), seed..seed + times, record.as_deref(), &program);
         }
-        Command::Recovery { from, script: true, .. } => {
+        Command::Recovery {
+            from, script: true, ..
+        } => {
             print!("{}", losses::day(from));
             Ok(())
         }
-        Command::Recovery { seeds, from, at_a_time, script: false } => {
-            std::env::current_exe().and_then(|path| {
-                let program = badday::Program::lab(&path, "gateway");
-                let bad =
-                    losses::play(from..from + seeds, at_a_time, &program, |seed, played| match played {
-                        Ok(day) => {
-                            println!("seed {seed}: {} calls, {} breaches", day.tally.asked, day.broken.len());
-                            day.broken.iter().take(3).for_each(|broken| println!("    {broken}"));
-                        }
-                        Err(e) => println!("seed {seed}: {e}"),
-                    });
-                bad.iter().for_each(|bad| println!("seed {} is bad:\n{}", bad.seed, bad.what));
-                match bad.len() {
-                    0 => {
-                        println!("{seeds} days of power loss, every rule was kept");
-                        Ok(())
+        Command::Recovery {
+            seeds,
+            from,
+            at_a_time,
+            script: false,
+        } => std::env::current_exe().and_then(|path| {
+            let program = badday::Program::lab(&path, "gateway");
+            let bad = losses::play(
+                from..from + seeds,
+                at_a_time,
+                &program,
+                |seed, played| match played {
+                    Ok(day) => {
+                        println!(
+                            "seed {seed}: {} calls, {} breaches",
+                            day.tally.asked,
+                            day.broken.len()
+                        );
+                        day.broken
+                            .iter()
+                            .take(3)
+                            .for_each(|broken| println!("    {broken}"));
                     }
-                    many => Err(std::io::Error::other(format!("{many} of {seeds} days were bad"))),
+                    Err(e) => println!("seed {seed}: {e}"),
+                },
+            );
+            bad.iter()
+                .for_each(|bad| println!("seed {} is bad:\n{}", bad.seed, bad.what));
+            match bad.len() {
+                0 => {
+                    println!("{seeds} days of power loss, every rule was kept");
+                    Ok(())
                 }
-            })
-        }
-        Command::Load { to, mix, rate, length, payload, event, out, timeout, even, trace, seed } => {
+                many => Err(std::io::Error::other(format!("{many} of {seeds} days were bad"))),
+            }
+        }),
+        Command::Load {
+            to,
+            mix,
+            rate,
+            length,
+            payload,
+            event,
+            out,
+            timeout,
+            even,
+            trace,
+            seed,
+        } => {
             let (asynchronous, out_most) = (event, out);
             trace.as_deref().map(traffic::read).transpose().and_then(|trace| {
                 let plan = load::Plan {
@@ -285,14 +329,48 @@
                 load::run(plan).map(|report| println!("{report}"))
             })
         }
-        Command::Emulate { script, seed, forecasts, members, recovery, trace, write_trace } => {
-            let forecasting = if forecasts { emulate::Forecasting::On } else { emulate::Forecasting::Off };
-            let variant =
-                emulate::Variant { forecasting, members, recovery, pace: recovery, ..Default::default() };
-            emulated(script.as_deref(), seed, &variant, trace.as_deref(), write_trace.as_deref())
+        Command::Emulate {
+            script,
+            seed,
+            forecasts,
+            members,
+            recovery,
+            trace,
+            write_trace,
+        } => {
+            let forecasting = if forecasts {
+                emulate::Forecasting::On
+            } else {
+                emulate::Forecasting::Off
+            };
+            let variant = emulate::Variant {
+                forecasting,
+                members,
+                recovery,
+                pace: recovery,
+                ..Default::default()
+            };
+            emulated(
+                script.as_deref(),
+                seed,
+                &variant,
+                trace.as_deref(),
+                write_trace.as_deref(),
+            )
         }
-        Command::Replay { day, gateways, workers, length, seed, emulator } => {
-            let scale = day::Scale { gateways, workers, length };
+        Command::Replay {
+            day,
+            gateways,
+            workers,
+            length,
+            seed,
+            emulator,
+        } => {
+            let scale = day::Scale {
+                gateways,
+                workers,
+                length,
+            };
             return match replay(&day, scale, seed, emulator) {
                 Ok(code) => code,
                 Err(e) => {
@@ -322,21 +400,33 @@
         }
         Command::Worker { listen, store } => bind(listen).and_then(|(listener, address)| {
             println!("worker at {address}");
-            let config = worker::Config { store, ..worker::Config::default() };
-            actor::run(Some(listener), None, |handle| worker::FakeWorker::new(handle, address, config))
+            let config = worker::Config {
+                store,
+                ..worker::Config::default()
+            };
+            actor::run(Some(listener), None, |handle| {
+                worker::FakeWorker::new(handle, address, config)
+            })
         }),
         Command::Store { listen, config } => bind(listen).and_then(|(listener, address)| {
             println!("store at {address}");
-            let config =
-                store::Config { capacity: config.capacity, limit: config.limit, ..store::Config::default() };
+            let config = store::Config {
+                capacity: config.capacity,
+                limit: config.limit,
+                ..store::Config::default()
+            };
             actor::run(Some(listener), None, |handle| store::Store::new(handle, config))
         }),
         Command::Discovery { listen, workers } => bind(listen).and_then(|(listener, address)| {
             println!("roster at http://{address}/workers/0");
-            let workers =
-                workers.iter().map(|w| quartzdrift_discovery::list::Listed::up(&w.to_string())).collect();
+            let workers = workers
+                .iter()
+                .map(|w| quartzdrift_discovery::list::Listed::up(&w.to_string()))
+                .collect();
             let lag = Duration::ZERO;
-            actor::run(Some(listener), None, |handle| discovery::Discovery::new(handle, workers, lag, None))
+            actor::run(Some(listener), None, |handle| {
+                discovery::Discovery::new(handle, workers, lag, None)
+            })
         }),
     };
     match done {
@@ -383,17 +473,29 @@
 const MAX_SHOWN: usize = 20;
 
 fn judged(broken: &[audit::Broken]) -> ExitCode {
-    broken.iter().take(MAX_SHOWN).for_each(|broken| println!("BROKEN {broken}"));
+    broken
+        .iter()
+        .take(MAX_SHOWN)
+        .for_each(|broken| println!("BROKEN {broken}"));
     match broken.len() {
         0 => println!("every rule was kept"),
         n => {
             let mut counts = std::collections::BTreeMap::new();
-            broken.iter().for_each(|broken| *counts.entry(broken.rule).or_insert(0) += 1);
-            let counts: Vec<String> = counts.iter().map(|(rule, count)| format!("{rule}: {count}")).collect();
+            broken
+                .iter()
+                .for_each(|broken| *counts.entry(broken.rule).or_insert(0) += 1);
+            let counts: Vec<String> = counts
+                .iter()
+                .map(|(rule, count)| format!("{rule}: {count}"))
+                .collect();
             println!("{n} breaches ({})", counts.join(", "));
         }
     }
-    if broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if broken.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
 
 fn badday(
@@ -462,8 +564,9 @@
         Some(path) => traffic::read(path)?,
         None => traffic::arrivals(&script, seed),
     };
-    if let Some(arrival) =
-        arrivals.iter().find(|arrival| arrival.request_class >= script.request_classes.len())
+    if let Some(arrival) = arrivals
+        .iter()
+        .find(|arrival| arrival.request_class >= script.request_classes.len())
     {
         return Err(std::io::Error::other(format!(
             "the trace has a workload {} that the script lacks",
@@ -476,7 +579,11 @@
     let start = std::time::Instant::now();
     let figures = emulate::run(&script, &arrivals, variant, seed);
     println!("{}", serde_json::to_string_pretty(&figures)?);
-    eprintln!("{:.1?} of simulated time in {:.1?}", script.length, start.elapsed());
+    eprintln!(
+        "{:.1?} of simulated time in {:.1?}",
+        script.length,
+        start.elapsed()
+    );
     Ok(())
 }
 
@@ -491,7 +598,10 @@
             some => some.join(", "),
         }
     );
-    let variant = emulate::Variant { members: true, ..Default::default() };
+    let variant = emulate::Variant {
+        members: true,
+        ..Default::default()
+    };
     let modelled = emulate::run(&script, &traffic::arrivals(&script, seed), &variant, seed);
     let percent = |part: u64, all: u64| 100.0 * part as f64 / all.max(1) as f64;
     println!(
@@ -505,12 +615,24 @@
         );
     };
     let f = &modelled;
-    line("emulator", f.calls, [f.finished, f.rejected, f.killed, f.no_answer], f.attempts);
+    line(
+        "emulator",
+        f.calls,
+        [f.finished, f.rejected, f.killed, f.no_answer],
+        f.attempts,
+    );
     if f.fell_over > 0 {
-        println!("BROKEN {} cold workers were pushed over in the emulator", f.fell_over);
+        println!(
+            "BROKEN {} cold workers were pushed over in the emulator",
+            f.fell_over
+        );
     }
     if emulator {
-        return Ok(if f.fell_over == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE });
+        return Ok(if f.fell_over == 0 {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        });
     }
     let program = badday::Program::lab(&std::env::current_exe()?, "gateway");
     let played = badday::play(&script, &program, seed)?;
--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -60,18 +60,31 @@
         let folder = tempfile::tempdir()?;
         let file = folder.path().join("gateway.toml");
         std::fs::write(&file, text)?;
-        let mut child = Command::new(lab).arg("gateway").arg(&file).stdout(Stdio::piped()).spawn()?;
+        let mut child = Command::new(lab)
+            .arg("gateway")
+            .arg(&file)
+            .stdout(Stdio::piped())
+            .spawn()?;
         let out = child.stdout.take().ok_or_else(|| io::Error::other("no output"))?;
         let at = listens_at(&mut BufReader::new(out))?;
-        Ok(Gateway { child, at, _folder: folder })
+        Ok(Gateway {
+            child,
+            at,
+            _folder: folder,
+        })
     }
 
     /// Seconds of processor time so far.
     fn cpu(&self) -> io::Result<f64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let after = stat.rsplit(')').next().unwrap_or("");
-        let field =
-            |n: usize| after.split_whitespace().nth(n).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
+        let field = |n: usize| {
+            after
+                .split_whitespace()
+                .nth(n)
+                .and_then(|t| t.parse::<f64>().ok())
+                .unwrap_or(0.0)
+        };
         Ok((field(11) + field(12)) / TICKS)
     }
 
@@ -84,7 +97,9 @@
 fn memory_of(process: &str) -> io::Result<f64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status"))?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    let kb = line.and_then(|l| l.split_whitespace().next()).and_then(|n| n.parse::<f64>().ok());
+    let kb = line
+        .and_then(|l| l.split_whitespace().next())
+        .and_then(|n| n.parse::<f64>().ok());
     Ok(kb.unwrap_or(0.0) / 1024.0)
 }
 
@@ -118,8 +133,15 @@
 
 /// Calls a second with one instance busy, and processor time for each.
 fn busiest(lab: &Path, out: &mut impl Write) -> io::Result<()> {
-    writeln!(out, "calls a second, one instance, 64 calls out at a time, workers that answer at once")?;
-    writeln!(out, "{:>8} {:>10} {:>16} {:>10}", "workers", "calls/s", "CPU us a call", "of a core")?;
+    writeln!(
+        out,
+        "calls a second, one instance, 64 calls out at a time, workers that answer at once"
+    )?;
+    writeln!(
+        out,
+        "{:>8} {:>10} {:>16} {:>10}",
+        "workers", "calls/s", "CPU us a call", "of a core"
+    )?;
     for count in [30, 90, 300] {
         let (_running, addresses) = workers(count, Duration::ZERO)?;
         let gateway = Gateway::start(lab, &addresses, 4096)?;
@@ -128,7 +150,13 @@
         let report = load::run(plan(gateway.at, 100_000.0, 5.0, 64))?;
         let (cpu, took) = (gateway.cpu()? - cpu, start.elapsed().as_secs_f64());
         let calls = report.times.get("finished").map_or(0, |h| h.len()) as f64;
-        writeln!(out, "{count:>8} {:>10.0} {:>16.1} {:>10.2}", calls / took, cpu / calls * 1e6, cpu / took)?;
+        writeln!(
+            out,
+            "{count:>8} {:>10.0} {:>16.1} {:>10.2}",
+            calls / took,
+            cpu / calls * 1e6,
+            cpu / took
+        )?;
     }
     Ok(())
 }
@@ -152,7 +180,13 @@
         let through = times(&load::run(plan(gateway.at, rate, seconds, 1000))?);
         let three = |t: [f64; 3]| format!("{:.3}/{:.3}/{:.3}", t[0], t[1], t[2]);
         let more = [0, 1, 2].map(|n| through[n] - straight[n]);
-        writeln!(out, "{rate:>8} {:>22} {:>22} {:>22}", three(straight), three(through), three(more))?;
+        writeln!(
+            out,
+            "{rate:>8} {:>22} {:>22} {:>22}",
+            three(straight),
+            three(through),
+            three(more)
+        )?;
     }
     Ok(())
 }
@@ -166,7 +200,11 @@
         writeln!(out, "{:<34} {:>8.1}", "at rest", gateway.memory()?)?;
         // 1,000 of them deferred: each of the others takes two of the 20,000 descriptors that a process gets here.
         let at = gateway.at;
-        load::run(Plan { asynchronous: true, even: true, ..plan(at, 1000.0, 1.0, 100) })?;
+        load::run(Plan {
+            asynchronous: true,
+            even: true,
+            ..plan(at, 1000.0, 1.0, 100)
+        })?;
         let load = std::thread::spawn(move || load::run(plan(at, 5000.0, 2.0, 9000)));
         std::thread::sleep(Duration::from_secs(5));
         writeln!(out, "{:<34} {:>8.1}", "with 10,000 jobs out", gateway.memory()?)?;
@@ -215,7 +253,10 @@
         load::run(plan(at, 300.0, 1.0, 64))?;
         let alone = times(&load::run(plan(at, 300.0, 5.0, 1000))?);
         let beside = std::thread::spawn(move || load::run(plan(at, 300.0, 5.0, 1000)));
-        let report = load::run(Plan { asynchronous: true, ..plan(at, 100_000.0, 5.0, 64) })?;
+        let report = load::run(Plan {
+            asynchronous: true,
+            ..plan(at, 100_000.0, 5.0, 64)
+        })?;
         let beside = times(&beside.join().map_err(|_| io::Error::other("the load broke"))??);
         let taken = report.times.get("taken");
         let ms = |share| taken.map_or(f64::NAN, |h| h.value_at_quantile(share) as f64 / 1000.0);
@@ -234,8 +275,14 @@
 /// From the start of a process to its listening, with so many requests in the store that wait for tomorrow.
 fn recovery(lab: &Path, out: &mut impl Write) -> io::Result<()> {
     writeln!(out, "start with waiting jobs in the store, payloads of 100 bytes")?;
-    writeln!(out, "{:>9} {:>12} {:>10} {:>12}", "jobs", "store, MB", "start, s", "memory, MB")?;
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    writeln!(
+        out,
+        "{:>9} {:>12} {:>10} {:>12}",
+        "jobs", "store, MB", "start, s", "memory, MB"
+    )?;
+    let since = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
     let taken_us = since.as_micros() as u64;
     let request = Submitted {
         function: "f1".to_owned(),
@@ -263,8 +310,12 @@
                 request: bytes.clone(),
                 ..Live::default()
             };
-            log.commit((first + 1..=first + 1000).map(|id| Change::Kept(live(id))).collect())
-                .map_err(io::Error::other)?;
+            log.commit(
+                (first + 1..=first + 1000)
+                    .map(|id| Change::Kept(live(id)))
+                    .collect(),
+            )
+            .map_err(io::Error::other)?;
         }
         let stored = log.sizes().2 as f64 / 1e6;
         drop(log);
@@ -277,16 +328,29 @@
             &format!("store = \"{}\"\n", folder.path().display()),
         )?;
         let took = start.elapsed().as_secs_f64();
-        writeln!(out, "{requests:>9} {stored:>12.1} {took:>10.2} {:>12.1}", gateway.memory()?)?;
+        writeln!(
+            out,
+            "{requests:>9} {stored:>12.1} {took:>10.2} {:>12.1}",
+            gateway.memory()?
+        )?;
     }
     Ok(())
 }
 
 /// Cost of a decision with many replaced workers behind it, against the start.
 fn replaced(out: &mut impl Write) -> io::Result<()> {
-    writeln!(out, "microseconds for a decision with 30 workers up, by how many were replaced before")?;
-    let request_class = RequestClass { timeout: Some(Duration::from_secs(3)), ..RequestClass::default() };
-    let settings = Settings { request_classes: vec![request_class], ..Settings::default() };
+    writeln!(
+        out,
+        "microseconds for a decision with 30 workers up, by how many were replaced before"
+    )?;
+    let request_class = RequestClass {
+        timeout: Some(Duration::from_secs(3)),
+        ..RequestClass::default()
+    };
+    let settings = Settings {
+        request_classes: vec![request_class],
+        ..Settings::default()
+    };
     let mut scheduler = Scheduler::new(&settings, 1);
     let mut now = Duration::from_secs(1000);
     let mut request = 0;
@@ -297,8 +361,15 @@
             *now += Duration::from_millis(1);
             let function = ["f", "g", "h"][request as usize % 3];
             let left = Duration::from_secs(3);
-            let actions = scheduler
-                .handle(*now, Event::Request(Request { request, function, left, ..Request::default() }));
+            let actions = scheduler.handle(
+                *now,
+                Event::Request(Request {
+                    request,
+                    function,
+                    left,
+                    ..Request::default()
+                }),
+            );
             for action in actions {
                 if let Action::StartAttempt { request, worker, .. } = action {
                     let (outcome, took) = (Outcome::Succeeded, Duration::from_millis(5));
@@ -325,9 +396,19 @@
     for target in [30, 1000, 10_000] {
         while up < target {
             let (new, old) = (format!("w{up}"), format!("w{}", up as i64 - 30));
-            let entry = |worker, state| Endpoint { worker, state, ..Endpoint::default() };
+            let entry = |worker, state| Endpoint {
+                worker,
+                state,
+                ..Endpoint::default()
+            };
             let entries = vec![entry(&new, EndpointState::Up), entry(&old, EndpointState::Gone)];
-            scheduler.handle(now, Event::EndpointList { form: EndpointListKind::Changes, entries });
+            scheduler.handle(
+                now,
+                Event::EndpointList {
+                    form: EndpointListKind::Changes,
+                    entries,
+                },
+            );
             now += Duration::from_millis(10);
             up += 1;
         }
--- a/crates/quartzdrift-lab/src/model.rs
+++ b/crates/quartzdrift-lab/src/model.rs
@@ -26,7 +26,13 @@
 impl Default for Spec {
     fn default() -> Spec {
         let (load, work) = (Duration::from_millis(300), Duration::from_millis(2));
-        Spec { memory_mb: 200.0, lanes: 8, load, fetch: 0.5, work }
+        Spec {
+            memory_mb: 200.0,
+            lanes: 8,
+            load,
+            fetch: 0.5,
+            work,
+        }
     }
 }
 
@@ -75,13 +81,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Say {
     /// The call ran to its end, whether or not anybody still waits for it.
-    Ran { call: u64, found: Found, crowd: usize, wanted: bool },
+    Ran {
+        call: u64,
+        found: Found,
+        crowd: usize,
+        wanted: bool,
+    },
     /// Turned away unseen.
     Full { call: u64 },
     /// The load that it waited for failed; it never ran.
     Missed { call: u64 },
     /// Fetch a function from the store, which takes so long undisturbed; then [`Worker::fetched`].
-    Fetch { load: u64, function: String, takes: Duration },
+    Fetch {
+        load: u64,
+        function: String,
+        takes: Duration,
+    },
     /// An order is done, or cannot be.
     Stands { order: u64, copies: usize, enough: bool },
     /// Pushed over: it takes nothing any more.
@@ -191,7 +206,11 @@
 
     pub fn spec(&self, function: &str) -> Spec {
         let plain = function.split(':').next().unwrap_or(function);
-        self.specs.get(function).or_else(|| self.specs.get(plain)).cloned().unwrap_or_default()
+        self.specs
+            .get(function)
+            .or_else(|| self.specs.get(plain))
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// Share of its full speed that the worker has now.
@@ -207,7 +226,11 @@
     pub fn load(&self) -> Load {
         let running = self.calls.len() - self.waiting.len();
         let memory = self.memory(Copy::stays);
-        let loads = self.copies.iter().filter(|c| !matches!(c.stage, Stage::Ready { .. })).count();
+        let loads = self
+            .copies
+            .iter()
+            .filter(|c| !matches!(c.stage, Stage::Ready { .. }))
+            .count();
         Load {
             held: self.calls.len(),
             queued: self.waiting.len(),
@@ -219,7 +242,11 @@
 
     /// Memory of some copies, in MB.
     fn memory(&self, of: impl Fn(&Copy) -> bool) -> f64 {
-        self.copies.iter().filter(|c| of(c)).map(|c| self.spec(&c.function).memory_mb).sum()
+        self.copies
+            .iter()
+            .filter(|c| of(c))
+            .map(|c| self.spec(&c.function).memory_mb)
+            .sum()
     }
 
     /// Memory of copies that stand and run nothing, in MB.
@@ -246,7 +273,11 @@
     fn speed(&self) -> f64 {
         let running = self.calls.values().filter(|call| call.copy.is_some()).count();
         let cores = self.machine.cores * self.warmth(self.now);
-        if running == 0 { 0.0 } else { (cores / running as f64).min(1.0) }
+        if running == 0 {
+            0.0
+        } else {
+            (cores / running as f64).min(1.0)
+        }
     }
 
     /// A call came, with so much work.
@@ -259,15 +290,30 @@
             self.says.push(Say::Full { call });
             return;
         }
-        let crowd = self.calls.values().filter(|other| other.function == function).count();
-        let mut stages = self.copies.iter().filter(|c| c.function == function).map(|c| c.stage);
+        let crowd = self
+            .calls
+            .values()
+            .filter(|other| other.function == function)
+            .count();
+        let mut stages = self
+            .copies
+            .iter()
+            .filter(|c| c.function == function)
+            .map(|c| c.stage);
         let found = match stages.any(|stage| matches!(stage, Stage::Ready { .. })) {
             true => Found::Warm,
             false if self.copies.iter().any(|c| c.function == function) => Found::AwaitedLoad,
             false => Found::StartedLoad,
         };
         let left = work.as_secs_f64();
-        let of = Call { function: function.to_owned(), left, found, crowd, copy: None, wanted: true };
+        let of = Call {
+            function: function.to_owned(),
+            left,
+            found,
+            crowd,
+            copy: None,
+            wanted: true,
+        };
         self.calls.insert(call, of);
         self.waiting.push_back(call);
         self.place();
@@ -286,7 +332,11 @@
     fn pushed_over(&mut self, work: f64) -> bool {
         let (machine, now) = (&self.machine, self.now);
         self.arrived.push_back((now, work));
-        while self.arrived.front().is_some_and(|(at, _)| *at + machine.fall_window < now) {
+        while self
+            .arrived
+            .front()
+            .is_some_and(|(at, _)| *at + machine.fall_window < now)
+        {
             self.arrived.pop_front();
         }
         if machine.fall_multiple <= 0.0 || now.saturating_sub(self.started) >= machine.cold_for {
@@ -305,7 +355,11 @@
     /// Starts another copy where waiting calls are more than the loads under way will take.
     fn begin_load_for(&mut self, function: &str) -> bool {
         let spec = self.spec(function);
-        let waiting = self.waiting.iter().filter(|id| self.calls[id].function == function).count();
+        let waiting = self
+            .waiting
+            .iter()
+            .filter(|id| self.calls[id].function == function)
+            .count();
         let coming = |c: &&Copy| c.function == function && !matches!(c.stage, Stage::Ready { .. });
         let loading = self.copies.iter().filter(coming).count();
         if loading * spec.lanes >= waiting {
@@ -321,7 +375,12 @@
             return false;
         }
         self.drawn += 1;
-        let copy = Copy { id: self.drawn, function: function.to_owned(), stage: Stage::Queued, used: 0 };
+        let copy = Copy {
+            id: self.drawn,
+            function: function.to_owned(),
+            stage: Stage::Queued,
+            used: 0,
+        };
         self.copies.push(copy);
         true
     }
@@ -334,12 +393,16 @@
             if self.memory(|c| c.stage != Stage::Queued) + need <= self.machine.memory_mb {
                 return true;
             }
-            let idle = self.copies.iter().enumerate().filter_map(|(at, c)| match c.stage {
-                Stage::Ready { idle_since } if c.used == 0 && c.function != function => {
-                    Some((idle_since, at))
-                }
-                _ => None,
-            });
+            let idle = self
+                .copies
+                .iter()
+                .enumerate()
+                .filter_map(|(at, c)| match c.stage {
+                    Stage::Ready { idle_since } if c.used == 0 && c.function != function => {
+                        Some((idle_since, at))
+                    }
+                    _ => None,
+                });
             let Some((_, at)) = idle.min() else { return false };
             self.copies.remove(at);
         }
@@ -357,9 +420,16 @@
             if room.contains_key(function) || self.orders.iter().any(|(_, of, _)| of == function) {
                 continue;
             }
-            let wanted = needs.get(function).copied().unwrap_or(0).div_ceil(self.spec(function).lanes.max(1));
+            let wanted = needs
+                .get(function)
+                .copied()
+                .unwrap_or(0)
+                .div_ceil(self.spec(function).lanes.max(1));
             let loads = |c: &&Copy| c.function == function && c.loads();
-            room.insert(function.to_owned(), wanted.saturating_sub(self.copies.iter().filter(loads).count()));
+            room.insert(
+                function.to_owned(),
+                wanted.saturating_sub(self.copies.iter().filter(loads).count()),
+            );
         }
         self.copies.retain(|copy| match room.get_mut(&copy.function) {
             Some(left) if copy.stage == Stage::Queued => {
@@ -380,7 +450,9 @@
             let free = |c: &&mut Copy| {
                 c.function == *function && matches!(c.stage, Stage::Ready { .. }) && c.used < lanes
             };
-            let Some(copy) = self.copies.iter_mut().find(free) else { continue };
+            let Some(copy) = self.copies.iter_mut().find(free) else {
+                continue;
+            };
             copy.used += 1;
             let copy = copy.id;
             if let Some(call) = self.calls.get_mut(&id) {
@@ -413,14 +485,22 @@
                 free -= 1;
             }
             let spec = self.spec(&function);
-            self.says.push(Say::Fetch { load, function, takes: spec.load.mul_f64(spec.fetch) });
+            self.says.push(Say::Fetch {
+                load,
+                function,
+                takes: spec.load.mul_f64(spec.fetch),
+            });
         }
     }
 
     /// A fetch ended.
     pub fn fetched(&mut self, now: Duration, load: u64, good: bool) {
         self.advance(now);
-        let Some(at) = self.copies.iter().position(|c| c.id == load && c.stage == Stage::Fetching) else {
+        let Some(at) = self
+            .copies
+            .iter()
+            .position(|c| c.id == load && c.stage == Stage::Fetching)
+        else {
             return;
         };
         let function = self.copies[at].function.clone();
@@ -431,8 +511,12 @@
         } else {
             self.copies.remove(at);
             if !self.copies.iter().any(|c| c.function == function) {
-                let lost: Vec<u64> =
-                    self.waiting.iter().copied().filter(|id| self.calls[id].function == function).collect();
+                let lost: Vec<u64> = self
+                    .waiting
+                    .iter()
+                    .copied()
+                    .filter(|id| self.calls[id].function == function)
+                    .collect();
                 for call in lost {
                     self.calls.remove(&call);
                     self.waiting.retain(|&other| other != call);
@@ -447,7 +531,9 @@
     /// The caller gave up. Whether the work was dropped with it.
     pub fn cancel(&mut self, now: Duration, call: u64) -> bool {
         self.advance(now);
-        let Some(of) = self.calls.get_mut(&call) else { return false };
+        let Some(of) = self.calls.get_mut(&call) else {
+            return false;
+        };
         match of.copy {
             // Work that waits is dropped; work that runs may go on.
             None => {
@@ -478,7 +564,11 @@
     pub fn order(&mut self, now: Duration, order: u64, function: &str, copies: usize) {
         self.advance(now);
         let there = self.copies.iter().filter(|c| c.function == function).count();
-        for copy in self.copies.iter_mut().filter(|c| c.function == function && c.used == 0) {
+        for copy in self
+            .copies
+            .iter_mut()
+            .filter(|c| c.function == function && c.used == 0)
+        {
             if let Stage::Ready { idle_since } = &mut copy.stage {
                 *idle_since = self.now;
             }
@@ -486,7 +576,11 @@
         let room = !self.draining && !self.fallen && (there..copies).all(|_| self.begin_load(function));
         if !room || self.copies(function) >= copies {
             let enough = copies == 0 || self.copies(function) >= copies;
-            self.says.push(Say::Stands { order, copies: self.copies(function), enough });
+            self.says.push(Say::Stands {
+                order,
+                copies: self.copies(function),
+                enough,
+            });
         } else {
             self.orders.push((order, function.to_owned(), copies));
         }
@@ -503,7 +597,11 @@
         let done = |(_, of, copies): &(u64, String, usize)| of == function && (!good || standing >= *copies);
         let over: Vec<u64> = self.orders.iter().filter(|o| done(o)).map(|o| o.0).collect();
         self.orders.retain(|o| !done(o));
-        let says = over.into_iter().map(|order| Say::Stands { order, copies: standing, enough: good });
+        let says = over.into_iter().map(|order| Say::Stands {
+            order,
+            copies: standing,
+            enough: good,
+        });
         self.says.extend(says);
     }
 
@@ -513,7 +611,11 @@
         let soonest = running.map(|call| call.left.max(0.0)).min_by(f64::total_cmp);
         let work = soonest.filter(|_| speed > 0.0).map(|left| {
             let at = self.now + Duration::from_secs_f64(left / speed) + Duration::from_micros(1);
-            if self.warmth(self.now) < 1.0 { at.min(self.now + COLD_STEP) } else { at }
+            if self.warmth(self.now) < 1.0 {
+                at.min(self.now + COLD_STEP)
+            } else {
+                at
+            }
         });
         let copies = self.copies.iter().filter_map(|copy| match copy.stage {
             Stage::Starting { until } => Some(until),
@@ -529,10 +631,29 @@
             return;
         }
         let done = |call: &Call| call.copy.is_some() && call.left <= NOTHING;
-        let over: Vec<u64> = self.calls.iter().filter(|(_, call)| done(call)).map(|(id, _)| *id).collect();
+        let over: Vec<u64> = self
+            .calls
+            .iter()
+            .filter(|(_, call)| done(call))
+            .map(|(id, _)| *id)
+            .collect();
         for id in over {
-            let Some(Call { found, crowd, copy, wanted, .. }) = self.calls.remove(&id) else { continue };
-            self.says.push(Say::Ran { call: id, found, crowd, wanted });
+            let Some(Call {
+                found,
+                crowd,
+                copy,
+                wanted,
+                ..
+            }) = self.calls.remove(&id)
+            else {
+                continue;
+            };
+            self.says.push(Say::Ran {
+                call: id,
+                found,
+                crowd,
+                wanted,
+            });
             copy.into_iter().for_each(|copy| self.release(copy));
         }
         let mut ready = Vec::new();
@@ -582,19 +703,41 @@
         let mut worker = Worker::new(Machine::default(), BTreeMap::new(), Duration::ZERO);
         worker.call(Duration::ZERO, 1, "f", 10 * MS);
         let first = run(&mut worker, 1000 * MS);
-        let may_have_executed = first.iter().find(|(_, say)| matches!(say, Say::Ran { .. })).unwrap();
-        assert!(may_have_executed.0 >= 310 * MS && may_have_executed.0 < 315 * MS, "{may_have_executed:?}");
-        assert!(matches!(may_have_executed.1, Say::Ran { found: Found::StartedLoad, .. }));
+        let may_have_executed = first
+            .iter()
+            .find(|(_, say)| matches!(say, Say::Ran { .. }))
+            .unwrap();
+        assert!(
+            may_have_executed.0 >= 310 * MS && may_have_executed.0 < 315 * MS,
+            "{may_have_executed:?}"
+        );
+        assert!(matches!(
+            may_have_executed.1,
+            Say::Ran {
+                found: Found::StartedLoad,
+                ..
+            }
+        ));
         worker.call(1000 * MS, 2, "f", 10 * MS);
         let second = run(&mut worker, 2000 * MS);
-        assert!(matches!(second[0].1, Say::Ran { found: Found::Warm, crowd: 0, .. }));
+        assert!(matches!(
+            second[0].1,
+            Say::Ran {
+                found: Found::Warm,
+                crowd: 0,
+                ..
+            }
+        ));
         assert!(run(&mut worker, Duration::from_secs(30)).is_empty());
         assert_eq!(worker.copies("f"), 0);
     }
 
     #[test]
     fn memory_bounds_copies_and_idle_ones_give_way() {
-        let machine = Machine { memory_mb: 400.0, ..Machine::default() };
+        let machine = Machine {
+            memory_mb: 400.0,
+            ..Machine::default()
+        };
         let mut worker = Worker::new(machine, BTreeMap::new(), Duration::ZERO);
         for (call, function) in [(1, "a"), (2, "b"), (3, "c")] {
             worker.call(Duration::ZERO, call, function, MS);
@@ -604,7 +747,11 @@
 
     #[test]
     fn a_load_waits_without_room_and_is_dropped_with_its_last_call() {
-        let machine = Machine { memory_mb: 400.0, loads_most: 1, ..Machine::default() };
+        let machine = Machine {
+            memory_mb: 400.0,
+            loads_most: 1,
+            ..Machine::default()
+        };
         let mut worker = Worker::new(machine, BTreeMap::new(), Duration::ZERO);
         worker.call(Duration::ZERO, 1, "x", MS);
         run(&mut worker, 2000 * MS);
@@ -614,7 +761,11 @@
         }
         let fetched = |says: Vec<Say>| {
             let fetch = |say: Say| {
-                if let Say::Fetch { load, function, .. } = say { Some((load, function)) } else { None }
+                if let Say::Fetch { load, function, .. } = say {
+                    Some((load, function))
+                } else {
+                    None
+                }
             };
             says.into_iter().find_map(fetch).unwrap()
         };
@@ -655,14 +806,26 @@
         run(&mut worker, 310 * MS);
         worker.cancel(320 * MS, 1);
         let said = run(&mut worker, 1000 * MS);
-        assert!(matches!(said[..], [(_, Say::Ran { call: 1, wanted: false, .. })]));
+        assert!(matches!(
+            said[..],
+            [(
+                _,
+                Say::Ran {
+                    call: 1,
+                    wanted: false,
+                    ..
+                }
+            )]
+        ));
     }
 
     #[test]
     fn a_failed_load_misses_its_calls() {
         let mut worker = Worker::new(Machine::default(), BTreeMap::new(), Duration::ZERO);
         worker.call(Duration::ZERO, 1, "f", MS);
-        let Say::Fetch { load, .. } = worker.says().remove(0) else { panic!() };
+        let Say::Fetch { load, .. } = worker.says().remove(0) else {
+            panic!()
+        };
         worker.fetched(MS, load, false);
         assert_eq!(worker.says(), [Say::Missed { call: 1 }]);
         assert_eq!(worker.load(), Load::default());
--- a/crates/quartzdrift-lab/src/naive.rs
+++ b/crates/quartzdrift-lab/src/naive.rs
@@ -48,14 +48,27 @@
 impl Naive {
     fn outgoing(&self, method: &'static str, target: String, headers: Headers, body: Rc<[u8]>) -> Outgoing {
         let connect_timeout = Duration::from_millis(250);
-        Outgoing { method, target, headers, body, connect_timeout, streams: false }
+        Outgoing {
+            method,
+            target,
+            headers,
+            body,
+            connect_timeout,
+            streams: false,
+        }
     }
 
     fn send(&mut self, id: u64) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.sends += 1;
         request.again_at = self.start.elapsed() + IMPATIENT;
-        let (target, headers, body) = (request.target.clone(), request.headers.clone(), request.body.clone());
+        let (target, headers, body) = (
+            request.target.clone(),
+            request.headers.clone(),
+            request.body.clone(),
+        );
         if self.workers.is_empty() {
             return;
         }
@@ -75,17 +88,34 @@
             headers.push("idempotency-key", mark);
         }
         if request.head.headers.get("x-amz-invocation-type") == Some("Event") {
-            self.http.answer(exchange, &Response { status: 202, ..Response::default() });
+            self.http.answer(
+                exchange,
+                &Response {
+                    status: 202,
+                    ..Response::default()
+                },
+            );
         }
         let (target, body) = (request.head.target, request.body.into());
-        let request = ClientRequest { exchange, target, headers, body, sends: 0, again_at: Duration::ZERO };
+        let request = ClientRequest {
+            exchange,
+            target,
+            headers,
+            body,
+            sends: 0,
+            again_at: Duration::ZERO,
+        };
         self.requests.insert(self.drawn, request);
         self.send(self.drawn);
     }
 
     fn ended(&mut self, call: CallId, answer: Option<Response>) {
-        let Some(id) = self.calls.remove(&call) else { return };
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(id) = self.calls.remove(&call) else {
+            return;
+        };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         match answer {
             Some(answer) if answer.status == 200 || request.sends >= MAX_SENDS => {
                 if let Some(request) = self.requests.remove(&id) {
@@ -103,10 +133,17 @@
 
     fn event(&mut self, event: HttpEvent) {
         match event {
-            HttpEvent::Request { exchange, request: Ok(request) } => self.request(exchange, request),
+            HttpEvent::Request {
+                exchange,
+                request: Ok(request),
+            } => self.request(exchange, request),
             HttpEvent::Answer { call, answer } if self.list == Some(call) => {
                 let list = list::read(&answer.body, &self.settings.known).unwrap_or_default();
-                self.workers = list.workers.iter().filter_map(|w| list::address(&w.worker).ok()).collect();
+                self.workers = list
+                    .workers
+                    .iter()
+                    .filter_map(|w| list::address(&w.worker).ok())
+                    .collect();
             }
             HttpEvent::Answer { call, answer } => self.ended(call, Some(answer)),
             HttpEvent::Failed { call, .. } => self.ended(call, None),
@@ -129,8 +166,12 @@
 
     fn due(&mut self, now: Duration) {
         let late = |request: &ClientRequest| request.sends < MAX_SENDS && request.again_at <= now;
-        let again: Vec<u64> =
-            self.requests.iter().filter(|(_, request)| late(request)).map(|(id, _)| *id).collect();
+        let again: Vec<u64> = self
+            .requests
+            .iter()
+            .filter(|(_, request)| late(request))
+            .map(|(id, _)| *id)
+            .collect();
         again.into_iter().for_each(|id| self.send(id));
     }
 
@@ -141,7 +182,11 @@
 
 /// Serves until it is killed.
 pub fn run(settings: Settings, ready: impl FnOnce(SocketAddr)) -> std::io::Result<()> {
-    let at = settings.listen.first().copied().unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
+    let at = settings
+        .listen
+        .first()
+        .copied()
+        .unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
     let listener = quartzdrift_http::bind(at, false)?;
     ready(listener.local_addr()?);
     actor::run(Some(listener), None, |handle: LoopHandle<'static, Naive>| {
--- a/crates/quartzdrift-lab/src/platform.rs
+++ b/crates/quartzdrift-lab/src/platform.rs
@@ -66,9 +66,10 @@
         ] {
             write_pair(&mut pairs, name.as_bytes(), value.as_bytes());
         }
-        for (name, value) in
-            [("HTTP_IDEMPOTENCY_KEY", asked.idempotency_key), ("HTTP_X_TENANT", asked.tenant)]
-        {
+        for (name, value) in [
+            ("HTTP_IDEMPOTENCY_KEY", asked.idempotency_key),
+            ("HTTP_X_TENANT", asked.tenant),
+        ] {
             if !value.is_empty() {
                 write_pair(&mut pairs, name.as_bytes(), value.as_bytes());
             }
@@ -116,14 +117,23 @@
         loop {
             let mut head = [0; fastcgi::HEAD];
             self.stream.read_exact(&mut head)?;
-            let head = Head::read(&head).ok().flatten().ok_or_else(|| io::Error::other("no record"))?;
+            let head = Head::read(&head)
+                .ok()
+                .flatten()
+                .ok_or_else(|| io::Error::other("no record"))?;
             let mut content = vec![0; head.content + head.padding];
             self.stream.read_exact(&mut content)?;
             content.truncate(head.content);
-            let at = replies.iter().position(|reply| reply.number == head.number).unwrap_or_else(|| {
-                replies.push(Reply { number: head.number, ..Reply::default() });
-                replies.len() - 1
-            });
+            let at = replies
+                .iter()
+                .position(|reply| reply.number == head.number)
+                .unwrap_or_else(|| {
+                    replies.push(Reply {
+                        number: head.number,
+                        ..Reply::default()
+                    });
+                    replies.len() - 1
+                });
             if head.kind != fastcgi::END {
                 replies[at].body.append(&mut content);
                 continue;
@@ -195,7 +205,10 @@
         thread::spawn(move || {
             for (lane, stream) in listener.incoming().enumerate() {
                 let Ok(mut stream) = stream else { return };
-                if sender.send((Reached::Connected(lane), stream.try_clone().ok())).is_err() {
+                if sender
+                    .send((Reached::Connected(lane), stream.try_clone().ok()))
+                    .is_err()
+                {
                     return;
                 }
                 let (sender, cut, hold) = (sender.clone(), cut.clone(), hold.clone());
@@ -205,7 +218,11 @@
                         let asked = code == frame::ASK_ALIVE;
                         let held = hold.load(Ordering::SeqCst);
                         // The test may have seen enough.
-                        let said = if asked { Reached::Asked(lane) } else { Reached::Command(received) };
+                        let said = if asked {
+                            Reached::Asked(lane)
+                        } else {
+                            Reached::Command(received)
+                        };
                         let _ = sender.send((said, None));
                         let mut alive = Vec::new();
                         frame::write(&mut alive, frame::FROM_WORKER, ALIVE, id, b"", b"");
@@ -219,7 +236,14 @@
                 });
             }
         });
-        Ok(Worker { at, reached, lanes: Vec::new(), cut_idle, hold_proofs, open: 0 })
+        Ok(Worker {
+            at,
+            reached,
+            lanes: Vec::new(),
+            cut_idle,
+            hold_proofs,
+            open: 0,
+        })
     }
 
     /// Whether from now on nobody hears whether a lane works, but by [`Worker::prove`].
@@ -268,7 +292,10 @@
 
     /// The next thing that reaches it.
     pub fn reached(&mut self) -> Reached {
-        let reached = self.reached.recv_timeout(PATIENCE).expect("something reaches the worker");
+        let reached = self
+            .reached
+            .recv_timeout(PATIENCE)
+            .expect("something reaches the worker");
         self.take_note(reached)
     }
 
@@ -284,7 +311,10 @@
 
     /// Whether nothing has reached it that was not yet taken.
     pub fn untouched(&mut self) -> bool {
-        self.reached.try_recv().map(|reached| self.take_note(reached)).is_err()
+        self.reached
+            .try_recv()
+            .map(|reached| self.take_note(reached))
+            .is_err()
     }
 
     /// A command, if one has reached it by now.
@@ -307,7 +337,9 @@
     }
 
     pub fn send(&mut self, lane: usize, bytes: &[u8]) {
-        self.lanes[lane].write_all(bytes).expect("the lane takes what the worker says");
+        self.lanes[lane]
+            .write_all(bytes)
+            .expect("the lane takes what the worker says");
     }
 
     pub fn answer(&mut self, lane: usize, code: u8, id: u64, body: &[u8]) {
@@ -337,7 +369,9 @@
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(stream) = stream else { return };
-                let Ok(mut writer) = stream.try_clone() else { return };
+                let Ok(mut writer) = stream.try_clone() else {
+                    return;
+                };
                 let mut lines = BufReader::new(stream).lines();
                 while let Some(Ok(line)) = lines.next() {
                     if !line.starts_with("GET ") {
--- a/crates/quartzdrift-lab/src/record.rs
+++ b/crates/quartzdrift-lab/src/record.rs
@@ -131,14 +131,20 @@
 
 impl Default for Recorder {
     fn default() -> Recorder {
-        Recorder { start: Instant::now(), lines: Arc::default() }
+        Recorder {
+            start: Instant::now(),
+            lines: Arc::default(),
+        }
     }
 }
 
 impl Recorder {
     pub fn see(&self, seen: Seen) {
         let at_us = self.start.elapsed().as_micros() as u64;
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner).push(Line { at_us, seen });
+        self.lines
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(Line { at_us, seen });
     }
 
     pub fn now(&self) -> Duration {
--- a/crates/quartzdrift-lab/src/relay.rs
+++ b/crates/quartzdrift-lab/src/relay.rs
@@ -40,11 +40,19 @@
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.local_addr()?;
         listener.set_nonblocking(true)?;
-        let (link, stop) = (Arc::new(AtomicU8::new(Link::Well as u8)), Arc::new(AtomicBool::new(false)));
+        let (link, stop) = (
+            Arc::new(AtomicU8::new(Link::Well as u8)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let (of, ends) = (link.clone(), stop.clone());
         let work = move || accept(&listener, to, &of, &ends);
         let thread = std::thread::Builder::new().name("relay".to_owned()).spawn(work)?;
-        Ok(Relay { address, link, stop, thread: Some(thread) })
+        Ok(Relay {
+            address,
+            link,
+            stop,
+            thread: Some(thread),
+        })
     }
 
     pub fn set(&self, link: Link) {
@@ -73,7 +81,9 @@
         // Nobody there: the near end is closed, as a refused one would be a moment later.
         let Ok(far) = TcpStream::connect(to) else { continue };
         for (from, into, back) in [(&near, &far, false), (&far, &near, true)] {
-            let (Ok(from), Ok(into)) = (from.try_clone(), into.try_clone()) else { continue };
+            let (Ok(from), Ok(into)) = (from.try_clone(), into.try_clone()) else {
+                continue;
+            };
             let (link, stop) = (link.clone(), stop.clone());
             std::thread::spawn(move || pass(from, into, back, &link, &stop));
         }
@@ -82,7 +92,9 @@
 
 fn pass(mut from: TcpStream, mut into: TcpStream, back: bool, link: &AtomicU8, stop: &AtomicBool) {
     let mut buffer = [0; 16 << 10];
-    let set = from.set_nonblocking(false).and_then(|()| from.set_read_timeout(Some(LOOK)));
+    let set = from
+        .set_nonblocking(false)
+        .and_then(|()| from.set_read_timeout(Some(LOOK)));
     while set.is_ok() && !stop.load(Ordering::Relaxed) {
         match Link::read(link) {
             Link::Cut => break,
@@ -114,12 +126,21 @@
             end.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
         }
         let mut pass = |there: bool, text: &[u8]| {
-            let (from, into) = if there { (&mut near, &mut far) } else { (&mut far, &mut near) };
+            let (from, into) = if there {
+                (&mut near, &mut far)
+            } else {
+                (&mut far, &mut near)
+            };
             from.write_all(text).unwrap();
             let mut buffer = [0; 8];
-            into.read(&mut buffer).ok().map(|length| buffer[..length].to_vec())
+            into.read(&mut buffer)
+                .ok()
+                .map(|length| buffer[..length].to_vec())
         };
-        assert_eq!((pass(true, b"a"), pass(false, b"b")), (Some(b"a".to_vec()), Some(b"b".to_vec())));
+        assert_eq!(
+            (pass(true, b"a"), pass(false, b"b")),
+            (Some(b"a".to_vec()), Some(b"b".to_vec()))
+        );
         relay.set(Link::Deaf);
         // What is being read at that moment may still pass.
         std::thread::sleep(LOOK * 4);
@@ -129,11 +150,21 @@
         assert_eq!((pass(true, b"e"), pass(false, b"f")), (None, None));
         relay.set(Link::Well);
         std::thread::sleep(LOOK * 8);
-        assert_eq!(pass(true, b"g"), Some(b"e".to_vec()), "held back, and there first");
+        assert_eq!(
+            pass(true, b"g"),
+            Some(b"e".to_vec()),
+            "held back, and there first"
+        );
         relay.set(Link::Cut);
         let mut rest = Vec::new();
         near.read_to_end(&mut rest).unwrap();
         assert_eq!(rest, b"df", "what was held back came before the end");
-        assert_eq!(TcpStream::connect(relay.address).unwrap().read(&mut [0; 1]).unwrap(), 0);
+        assert_eq!(
+            TcpStream::connect(relay.address)
+                .unwrap()
+                .read(&mut [0; 1])
+                .unwrap(),
+            0
+        );
     }
 }
--- a/crates/quartzdrift-lab/src/script.rs
+++ b/crates/quartzdrift-lab/src/script.rs
@@ -182,15 +182,22 @@
 
 impl<'a> Words<'a> {
     fn at(&self, n: usize) -> Result<&'a str, String> {
-        self.0.get(n).copied().ok_or_else(|| "the line is cut short".to_owned())
+        self.0
+            .get(n)
+            .copied()
+            .ok_or_else(|| "the line is cut short".to_owned())
     }
 
     fn value(&self, key: &str) -> Option<&'a str> {
-        self.0.iter().find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
+        self.0
+            .iter()
+            .find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
     }
 
     fn number<T: std::str::FromStr>(&self, key: &str, or: T) -> Result<T, String> {
-        self.value(key).map_or(Ok(or), |v| v.parse().map_err(|_| format!("{key}={v} is no number")))
+        self.value(key).map_or(Ok(or), |v| {
+            v.parse().map_err(|_| format!("{key}={v} is no number"))
+        })
     }
 
     fn span(&self, key: &str, or: Duration) -> Result<Duration, String> {
@@ -199,7 +206,10 @@
 
     fn known(&self, keys: &[&str]) -> Result<(), String> {
         let strange = |word: &&&str| word.split_once('=').is_some_and(|(key, _)| !keys.contains(&key));
-        self.0.iter().find(strange).map_or(Ok(()), |word| Err(format!("'{word}' says nothing here")))
+        self.0
+            .iter()
+            .find(strange)
+            .map_or(Ok(()), |word| Err(format!("'{word}' says nothing here")))
     }
 }
 
@@ -235,7 +245,9 @@
     for (n, line) in text.lines().enumerate() {
         let words = Words(line.split('#').next().unwrap_or("").split_whitespace().collect());
         if !words.0.is_empty() {
-            script.line(&words).map_err(|why| format!("line {}: {why}", n + 1))?;
+            script
+                .line(&words)
+                .map_err(|why| format!("line {}: {why}", n + 1))?;
         }
     }
     if script.request_classes.is_empty() {
@@ -246,7 +258,9 @@
         if let Trouble::Link(_, worker, _) = trouble
             && *worker >= script.workers
         {
-            return Err(format!("{trouble:?} names a worker that is not there: they are counted from 0"));
+            return Err(format!(
+                "{trouble:?} names a worker that is not there: they are counted from 0"
+            ));
         }
         let (of, most) = match trouble {
             Trouble::KillGateway(n)
@@ -282,7 +296,9 @@
             | Trouble::LateDatagrams(_) => (0, 1),
         };
         if of >= most {
-            return Err(format!("{trouble:?} names one that is not there: they are counted from 0"));
+            return Err(format!(
+                "{trouble:?} names one that is not there: they are counted from 0"
+            ));
         }
     }
     Ok(script)
@@ -292,11 +308,19 @@
     /// The request class of a function, with its place: functions bear its name and a number.
     pub fn request_class_of(&self, function: &str) -> Option<(usize, &RequestClass)> {
         let (name, _) = function.rsplit_once('-')?;
-        self.request_classes.iter().enumerate().find(|(_, request_class)| request_class.name == name)
+        self.request_classes
+            .iter()
+            .enumerate()
+            .find(|(_, request_class)| request_class.name == name)
     }
 
     fn line(&mut self, words: &Words) -> Result<(), String> {
-        let count = || words.at(1)?.parse::<usize>().map_err(|_| "there is no count".to_owned());
+        let count = || {
+            words
+                .at(1)?
+                .parse::<usize>()
+                .map_err(|_| "there is no count".to_owned())
+        };
         match words.at(0)? {
             "gateways" => self.gateways = count()?,
             "workers" => {
@@ -349,8 +373,18 @@
     }
 
     fn trouble(&mut self, at: Duration, words: &Words) -> Result<(), String> {
-        let index = |n: usize| words.at(n)?.parse::<usize>().map_err(|_| "there is no number".to_owned());
-        let share = || words.at(4)?.parse::<f64>().map_err(|_| "there is no share".to_owned());
+        let index = |n: usize| {
+            words
+                .at(n)?
+                .parse::<usize>()
+                .map_err(|_| "there is no number".to_owned())
+        };
+        let share = || {
+            words
+                .at(4)?
+                .parse::<f64>()
+                .map_err(|_| "there is no share".to_owned())
+        };
         let trouble = match (words.at(2)?, words.at(3)?) {
             ("crash", "worker") => Trouble::Crash(index(4)?),
             ("start", "worker") => Trouble::Start(index(4)?),
@@ -385,16 +419,22 @@
             ("start", "gateway") => Trouble::StartGateway(index(4)?),
             ("pause", "gateway") => Trouble::PauseGateway(index(4)?, span(words.at(5)?)?),
             ("kill", "gateways") => {
-                self.troubles.extend((index(4)?..=index(5)?).map(|n| (at, Trouble::KillGateway(n))));
+                self.troubles
+                    .extend((index(4)?..=index(5)?).map(|n| (at, Trouble::KillGateway(n))));
                 return Ok(());
             }
             ("start", "gateways") => {
-                self.troubles.extend((index(4)?..=index(5)?).map(|n| (at, Trouble::StartGateway(n))));
+                self.troubles
+                    .extend((index(4)?..=index(5)?).map(|n| (at, Trouble::StartGateway(n))));
                 return Ok(());
             }
             ("apart", "gateways") | ("unheard", "gateways") => {
                 let one_way = words.at(2)? == "unheard";
-                Trouble::Apart { first: index(4)?, last: index(5)?, one_way }
+                Trouble::Apart {
+                    first: index(4)?,
+                    last: index(5)?,
+                    one_way,
+                }
             }
             ("together", "gateways") => Trouble::Together,
             ("lose", "datagrams") => Trouble::LoseDatagrams(share()?),
@@ -411,7 +451,11 @@
             ("link", "gateway") if words.at(5)? == "roster" => match words.at(6)? {
                 "stalled" => Trouble::DiscoveryStall(index(4)?, true),
                 "well" => Trouble::DiscoveryStall(index(4)?, false),
-                other => return Err(format!("the link to the roster is stalled or well, not '{other}'")),
+                other => {
+                    return Err(format!(
+                        "the link to the roster is stalled or well, not '{other}'"
+                    ));
+                }
             },
             ("link", "gateway") if words.at(5)? == "worker" => {
                 let link = match words.at(7)? {
@@ -428,7 +472,9 @@
             ("stop", "gateways") => Trouble::StopGateways(index(4)?, index(5)?),
             ("power", "off") => match words.at(4)? {
                 "all" => Trouble::PowerOff { gateways: None },
-                _ => Trouble::PowerOff { gateways: Some((index(5)?, index(6)?)) },
+                _ => Trouble::PowerOff {
+                    gateways: Some((index(5)?, index(6)?)),
+                },
             },
             ("power", "on") => {
                 let every = words.span("every", Duration::ZERO)?;
@@ -438,8 +484,16 @@
                     "roster" => |_| Trouble::DiscoveryStop(false),
                     other => return Err(format!("there is no power for '{other}'")),
                 };
-                let (first, last) = if words.at(4)? == "roster" { (0, 0) } else { (index(5)?, index(6)?) };
-                self.troubles.extend((first..=last).zip(0..).map(|(n, step)| (at + every * step, on(n))));
+                let (first, last) = if words.at(4)? == "roster" {
+                    (0, 0)
+                } else {
+                    (index(5)?, index(6)?)
+                };
+                self.troubles.extend(
+                    (first..=last)
+                        .zip(0..)
+                        .map(|(n, step)| (at + every * step, on(n))),
+                );
                 return Ok(());
             }
             (verb, of) => return Err(format!("'{verb} {of}' is no trouble")),
@@ -475,7 +529,10 @@
         "weekly" => Pattern::Weekly { period, most },
         "bursty" => Pattern::Bursty { every: period, most },
         "turning" => Pattern::Turning { every: period },
-        "timers" => Pattern::Timers { period, jitter: words.span("jitter", Duration::ZERO)?.as_secs_f64() },
+        "timers" => Pattern::Timers {
+            period,
+            jitter: words.span("jitter", Duration::ZERO)?.as_secs_f64(),
+        },
         "scan" => Pattern::Scan,
         "terms-end" => Pattern::TermsEnd { most },
         other => return Err(format!("'{other}' is no pattern")),
@@ -531,10 +588,17 @@
     fn scripts_are_read_and_mistakes_named() {
         let script = read("gateways 2\nworkers 4 cores=1\nworkload a run-once rate=5\nat 2s replace workers 0 1 every=3s\nat 1s lose worker 3 0.5").unwrap();
         assert_eq!(
-            (script.gateways, script.cores, script.request_classes[0].idempotency),
+            (
+                script.gateways,
+                script.cores,
+                script.request_classes[0].idempotency
+            ),
             (2, 1.0, Idempotency::NonIdempotent)
         );
-        assert_eq!(script.troubles[0], (Duration::from_secs(1), Trouble::Lose(3, 0.5)));
+        assert_eq!(
+            script.troubles[0],
+            (Duration::from_secs(1), Trouble::Lose(3, 0.5))
+        );
         assert_eq!(script.troubles.len(), 7);
         for (text, line) in [
             ("workers x", "line 1"),
--- a/crates/quartzdrift-lab/src/stage.rs
+++ b/crates/quartzdrift-lab/src/stage.rs
@@ -16,7 +16,10 @@
 /// The settings forbid to give up what is out.
 pub const NO_CANCEL: (&str, &str) = ("\"cancel\":true", "\"cancel\":false");
 /// Connections may take as long as they like.
-pub const PATIENT: (&str, &str) = ("\"connect-timeout-ns\":250000000", "\"connect-timeout-ns\":60000000000");
+pub const PATIENT: (&str, &str) = (
+    "\"connect-timeout-ns\":250000000",
+    "\"connect-timeout-ns\":60000000000",
+);
 /// Room for eight clients and eight lanes.
 pub const SCARCE: (&str, &str) = ("\"sockets\":128", "\"sockets\":40");
 /// How long a listener whose queue is full is tried before it counts as full.
@@ -64,7 +67,11 @@
 /// The lab's program as a scheduler with a configuration.
 pub fn scheduler(lab: &str, file: &Path) -> Command {
     let mut command = Command::new(lab);
-    command.arg("scheduler").env("GW_CONFIG", file).stdout(Stdio::piped()).stderr(Stdio::null());
+    command
+        .arg("scheduler")
+        .env("GW_CONFIG", file)
+        .stdout(Stdio::piped())
+        .stderr(Stdio::null());
     command
 }
 
@@ -90,8 +97,11 @@
     /// `changes`: parts of the configuration and what stands in their place.
     pub fn with(lab: &str, workers: usize, changes: &[(&str, &str)]) -> Stage {
         let workers: Vec<Worker> = (0..workers).map(|_| Worker::start().expect("a worker")).collect();
-        let targets: Vec<String> =
-            workers.iter().enumerate().map(|(n, w)| target(&format!("w{n}"), w.at, "Ready")).collect();
+        let targets: Vec<String> = workers
+            .iter()
+            .enumerate()
+            .map(|(n, w)| target(&format!("w{n}"), w.at, "Ready"))
+            .collect();
         let coordinator = Coordinator::start().expect("a coordinator");
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("config.json");
@@ -102,7 +112,15 @@
         }
         std::fs::write(&file, text).expect("the configuration is written");
         let (child, out, at) = started(lab, &file);
-        Stage { child, at, out, file, _folder: folder, coordinator, workers }
+        Stage {
+            child,
+            at,
+            out,
+            file,
+            _folder: folder,
+            coordinator,
+            workers,
+        }
     }
 
     pub fn front(&self) -> Front {
@@ -136,7 +154,9 @@
     /// Waits for its end.
     pub fn ends(&mut self) -> ExitStatus {
         let mut rest = String::new();
-        self.out.read_to_string(&mut rest).expect("what it says can be read");
+        self.out
+            .read_to_string(&mut rest)
+            .expect("what it says can be read");
         self.child.wait().expect("it ends")
     }
 
@@ -231,11 +251,22 @@
 /// A request that any scheduler takes.
 pub fn asked<'a>(path: &'a str, id: &'a str) -> Asked<'a> {
     let (function, figures) = ("7f3a9c21e0b4d655", "memory_mb:512;lanes:2;load_ms:640");
-    Asked { path, id, time: "50000", function, figures, idempotency_key: "", tenant: "", body: b"the body" }
+    Asked {
+        path,
+        id,
+        time: "50000",
+        function,
+        figures,
+        idempotency_key: "",
+        tenant: "",
+        body: b"the body",
+    }
 }
 
 pub fn ask(front: &mut Front, number: u16, asked: &Asked) {
-    front.send(&Front::request(number, asked)).expect("the scheduler takes a request");
+    front
+        .send(&Front::request(number, asked))
+        .expect("the scheduler takes a request");
 }
 
 pub fn ask_and_reply(front: &mut Front, asked: &Asked) -> Reply {
@@ -271,7 +302,10 @@
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
         socket.listen(0)?;
-        let at = socket.local_addr()?.as_socket().ok_or_else(|| io::Error::other("no address"))?;
+        let at = socket
+            .local_addr()?
+            .as_socket()
+            .ok_or_else(|| io::Error::other("no address"))?;
         let mut held = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&at, FULL) {
             held.push(stream);
--- a/crates/quartzdrift-lab/src/store.rs
+++ b/crates/quartzdrift-lab/src/store.rs
@@ -21,7 +21,12 @@
 
 impl Default for Config {
     fn default() -> Config {
-        Config { capacity: 16.0, limit: 64, stops_at: 0, stops_for: Duration::from_secs(3) }
+        Config {
+            capacity: 16.0,
+            limit: 64,
+            stops_at: 0,
+            stops_for: Duration::from_secs(3),
+        }
     }
 }
 
@@ -89,15 +94,23 @@
     }
 
     pub fn next_due(&self) -> Option<Duration> {
-        let first = self.fetches.iter().map(|fetch| fetch.1.max(0.0)).min_by(f64::total_cmp)?;
+        let first = self
+            .fetches
+            .iter()
+            .map(|fetch| fetch.1.max(0.0))
+            .min_by(f64::total_cmp)?;
         Some(self.at + Duration::from_secs_f64(first / self.speed()) + Duration::from_micros(1))
     }
 
     /// Fetches that are done.
     pub fn due(&mut self, now: Duration) -> Vec<u64> {
         self.advance(now);
-        let done: Vec<u64> =
-            self.fetches.iter().filter(|fetch| fetch.1 <= 1e-7).map(|fetch| fetch.0).collect();
+        let done: Vec<u64> = self
+            .fetches
+            .iter()
+            .filter(|fetch| fetch.1 <= 1e-7)
+            .map(|fetch| fetch.0)
+            .collect();
         self.fetches.retain(|fetch| fetch.1 > 1e-7);
         self.served += done.len() as u64;
         done
@@ -128,7 +141,13 @@
 impl Store {
     pub fn new(handle: LoopHandle<'static, Store>, config: Config) -> Store {
         Store {
-            http: Http::new(handle, Limits { idle: Duration::from_secs(300), ..Limits::default() }),
+            http: Http::new(
+                handle,
+                Limits {
+                    idle: Duration::from_secs(300),
+                    ..Limits::default()
+                },
+            ),
             start: Instant::now(),
             model: Model::new(config),
             open: HashMap::new(),
@@ -137,7 +156,13 @@
     }
 
     fn say(&mut self, exchange: Exchange, status: u16) {
-        self.http.answer(exchange, &Response { status, ..Response::default() });
+        self.http.answer(
+            exchange,
+            &Response {
+                status,
+                ..Response::default()
+            },
+        );
     }
 }
 
@@ -147,18 +172,35 @@
     fn event(&mut self, event: HttpEvent) {
         let now = self.now();
         match event {
-            HttpEvent::Request { exchange, request: Ok(request) } => {
-                let told = request.head.target.split_once("?us=").and_then(|(_, us)| us.parse::<u64>().ok());
+            HttpEvent::Request {
+                exchange,
+                request: Ok(request),
+            } => {
+                let told = request
+                    .head
+                    .target
+                    .split_once("?us=")
+                    .and_then(|(_, us)| us.parse::<u64>().ok());
                 self.drawn += 1;
-                if self.model.begin(now, self.drawn, Duration::from_micros(told.unwrap_or(0))) {
+                if self
+                    .model
+                    .begin(now, self.drawn, Duration::from_micros(told.unwrap_or(0)))
+                {
                     self.open.insert(self.drawn, exchange);
                 } else {
                     self.say(exchange, 503);
                 }
             }
-            HttpEvent::Request { exchange, request: Err(_) } => self.say(exchange, 400),
+            HttpEvent::Request {
+                exchange,
+                request: Err(_),
+            } => self.say(exchange, 400),
             HttpEvent::Gone { exchange } => {
-                let of = self.open.iter().find(|(_, open)| **open == exchange).map(|(fetch, _)| *fetch);
+                let of = self
+                    .open
+                    .iter()
+                    .find(|(_, open)| **open == exchange)
+                    .map(|(fetch, _)| *fetch);
                 if let Some(fetch) = of {
                     self.open.remove(&fetch);
                     self.model.drop_fetch(now, fetch);
--- a/crates/quartzdrift-lab/src/switch.rs
+++ b/crates/quartzdrift-lab/src/switch.rs
@@ -27,7 +27,11 @@
 /// gives to whoever asks for any.
 pub fn kept_port() -> io::Result<SocketAddr> {
     let range = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range").unwrap_or_default();
-    let lowest: u16 = range.split_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(32_768);
+    let lowest: u16 = range
+        .split_whitespace()
+        .next()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(32_768);
     // Processes that start one after the other look far from each other.
     let first = (std::process::id().wrapping_mul(1_237) % u32::from(PORTS)) as u16;
     for _ in 0..PORTS {
@@ -37,7 +41,10 @@
             return Ok(at);
         }
     }
-    Err(io::Error::new(io::ErrorKind::AddrInUse, "no port is free for a process that comes back"))
+    Err(io::Error::new(
+        io::ErrorKind::AddrInUse,
+        "no port is free for a process that comes back",
+    ))
 }
 
 /// What is wrong with the links.
@@ -64,18 +71,35 @@
 impl Switch {
     pub fn start(members: usize, seed: u64) -> io::Result<Switch> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let sockets: Vec<UdpSocket> =
-            (0..members).map(|_| UdpSocket::bind(any)).collect::<io::Result<_>>()?;
-        let outside = sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
-        let inside = (0..members).map(|_| kept_port()).collect::<io::Result<Vec<_>>>()?;
+        let sockets: Vec<UdpSocket> = (0..members)
+            .map(|_| UdpSocket::bind(any))
+            .collect::<io::Result<_>>()?;
+        let outside = sockets
+            .iter()
+            .map(UdpSocket::local_addr)
+            .collect::<io::Result<Vec<_>>>()?;
+        let inside = (0..members)
+            .map(|_| kept_port())
+            .collect::<io::Result<Vec<_>>>()?;
         for socket in &sockets {
             socket.set_read_timeout(Some(LOOK))?;
         }
-        let (links, stop) = (Arc::new(Mutex::new(Links::default())), Arc::new(AtomicBool::new(false)));
+        let (links, stop) = (
+            Arc::new(Mutex::new(Links::default())),
+            Arc::new(AtomicBool::new(false)),
+        );
         let (of, ends, to) = (links.clone(), stop.clone(), inside.clone());
         let work = move || pass(&sockets, &to, &of, &ends, StdRng::seed_from_u64(seed));
-        let thread = std::thread::Builder::new().name("switch".to_owned()).spawn(work)?;
-        Ok(Switch { outside, inside, links, stop, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("switch".to_owned())
+            .spawn(work)?;
+        Ok(Switch {
+            outside,
+            inside,
+            links,
+            stop,
+            thread: Some(thread),
+        })
     }
 
     pub fn change(&self, change: impl FnOnce(&mut Links)) {
@@ -115,7 +139,9 @@
     while !stop.load(Ordering::Relaxed) {
         for (to, socket) in sockets.iter().enumerate() {
             // What does not come, and what an earlier datagram came to, is the same here.
-            let Ok((length, from)) = socket.recv_from(&mut buffer) else { continue };
+            let Ok((length, from)) = socket.recv_from(&mut buffer) else {
+                continue;
+            };
             let Some(&from) = places.get(&from) else { continue };
             let now = links.lock().unwrap_or_else(PoisonError::into_inner).clone();
             if now.cut.contains(&(from, to)) || chance.random_range(0.0..1.0) < now.lost {
@@ -126,11 +152,17 @@
                 let late = now.late.mul_f64(chance.random_range(0.0..1.0));
                 drawn += 1;
                 if waiting.len() < MAX_WAITING {
-                    waiting.insert((Instant::now() + late, drawn), (from, to, buffer[..length].to_vec()));
+                    waiting.insert(
+                        (Instant::now() + late, drawn),
+                        (from, to, buffer[..length].to_vec()),
+                    );
                 }
             }
         }
-        while let Some(entry) = waiting.first_entry().filter(|entry| entry.key().0 <= Instant::now()) {
+        while let Some(entry) = waiting
+            .first_entry()
+            .filter(|entry| entry.key().0 <= Instant::now())
+        {
             let (from, to, bytes) = entry.remove();
             // Nobody there: lost, as on any network.
             let _ = sockets[from].send_to(&bytes, inside[to]);
@@ -145,8 +177,13 @@
     #[test]
     fn datagrams_pass_as_the_links_let_them() {
         let switch = Switch::start(2, 1).unwrap();
-        let ends: Vec<UdpSocket> = switch.inside.iter().map(|at| UdpSocket::bind(at).unwrap()).collect();
-        ends.iter().for_each(|end| end.set_read_timeout(Some(Duration::from_millis(300))).unwrap());
+        let ends: Vec<UdpSocket> = switch
+            .inside
+            .iter()
+            .map(|at| UdpSocket::bind(at).unwrap())
+            .collect();
+        ends.iter()
+            .for_each(|end| end.set_read_timeout(Some(Duration::from_millis(300))).unwrap());
         let pass = |from: usize, to: usize| {
             ends[from].send_to(b"x", switch.outside[to]).unwrap();
             ends[to].recv_from(&mut [0; 8]).ok().map(|(_, seen)| seen)
@@ -154,7 +191,12 @@
         assert_eq!(pass(0, 1), Some(switch.outside[0]));
         switch.apart(0, 0, true);
         assert_eq!((pass(0, 1), pass(1, 0)), (None, Some(switch.outside[1])));
-        switch.change(|links| *links = Links { doubled: 1.0, ..Links::default() });
+        switch.change(|links| {
+            *links = Links {
+                doubled: 1.0,
+                ..Links::default()
+            }
+        });
         assert!(pass(1, 0).is_some() && ends[0].recv_from(&mut [0; 8]).is_ok());
     }
 }
--- a/crates/quartzdrift-lab/src/traffic.rs
+++ b/crates/quartzdrift-lab/src/traffic.rs
@@ -77,7 +77,13 @@
         let mut add = |chance: &mut StdRng, at: f64, function: String, gateway: f64| {
             let work = request_class.work.as_secs_f64() * chance.random_range(0.5..1.5);
             let (at_us, work_us) = ((at * 1e6) as u64, (work * 1e6) as u64);
-            all.push(Arrival { at_us, request_class: n, function, work_us, gateway });
+            all.push(Arrival {
+                at_us,
+                request_class: n,
+                function,
+                work_us,
+                gateway,
+            });
         };
         if let Pattern::Timers { period, jitter } = request_class.pattern {
             // Each function has a timer, which fires through one gateway.
@@ -87,7 +93,12 @@
                 let own = period * chance.random_range(0.7..1.3);
                 while at < length {
                     let late = chance.random_range(0.0..1.0) * jitter;
-                    add(&mut chance, at + late, format!("{}-{f}", request_class.name), gateway);
+                    add(
+                        &mut chance,
+                        at + late,
+                        format!("{}-{f}", request_class.name),
+                        gateway,
+                    );
                     at += own;
                 }
             }
@@ -184,8 +195,11 @@
             script::read("length 70s\nworkload w restartable rate=20 pattern=weekly period=10s most=6")
                 .unwrap();
         let week = arrivals(&week, 7);
-        let count =
-            |from: u64| week.iter().filter(|a| (from..from + 10).contains(&(a.at_us / 1_000_000))).count();
+        let count = |from: u64| {
+            week.iter()
+                .filter(|a| (from..from + 10).contains(&(a.at_us / 1_000_000)))
+                .count()
+        };
         assert!((0..5).all(|day| count(day * 10) > 2 * count(50).max(count(60))));
         let folder = tempfile::tempdir().unwrap();
         for name in ["trace.jsonl", "trace.jsonl.gz"] {
@@ -193,6 +207,11 @@
             assert_eq!(read(&folder.path().join(name)).unwrap(), first);
         }
         std::fs::write(folder.path().join("bad"), "{\"at_us\": 1}\n").unwrap();
-        assert!(read(&folder.path().join("bad")).unwrap_err().to_string().contains("line 1"));
+        assert!(
+            read(&folder.path().join("bad"))
+                .unwrap_err()
+                .to_string()
+                .contains("line 1")
+        );
     }
 }
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -107,14 +107,22 @@
 
 /// Which gateway sent this, as it says itself.
 fn scheduler(headers: &Headers) -> u64 {
-    headers.get("x-quartzdrift-scheduler").and_then(|n| n.parse().ok()).unwrap_or(u64::MAX)
+    headers
+        .get("x-quartzdrift-scheduler")
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(u64::MAX)
 }
 
 /// The client's name for a request; of a record for a destination, that of the request it tells of.
 fn key(payload: &serde_json::Value) -> String {
     let own = payload.get("key").and_then(|k| k.as_str());
-    let told = payload.get("requestPayload").and_then(|p| p.get("key")).and_then(|k| k.as_str());
-    own.map(str::to_owned).or(told.map(|key| format!("dead:{key}"))).unwrap_or_default()
+    let told = payload
+        .get("requestPayload")
+        .and_then(|p| p.get("key"))
+        .and_then(|k| k.as_str());
+    own.map(str::to_owned)
+        .or(told.map(|key| format!("dead:{key}")))
+        .unwrap_or_default()
 }
 
 impl HasHttp for FakeWorker {
@@ -125,9 +133,19 @@
 
 impl FakeWorker {
     pub fn new(handle: LoopHandle<'static, FakeWorker>, address: SocketAddr, config: Config) -> FakeWorker {
-        let limits = Limits { idle: Duration::from_secs(300), ..Limits::default() };
-        let cold_for = if config.warm { Duration::ZERO } else { config.machine.cold_for };
-        let machine = Machine { cold_for, ..config.machine.clone() };
+        let limits = Limits {
+            idle: Duration::from_secs(300),
+            ..Limits::default()
+        };
+        let cold_for = if config.warm {
+            Duration::ZERO
+        } else {
+            config.machine.cold_for
+        };
+        let machine = Machine {
+            cold_for,
+            ..config.machine.clone()
+        };
         let mut worker = FakeWorker {
             http: Http::new(handle, limits),
             address,
@@ -202,7 +220,12 @@
                 work_us: work.as_micros() as u64,
             });
         }
-        let open = Open { exchange, function: function.clone(), payload: body.into(), mark: asked.mark };
+        let open = Open {
+            exchange,
+            function: function.clone(),
+            payload: body.into(),
+            mark: asked.mark,
+        };
         self.open.insert(id, open);
         self.by_exchange.insert(exchange, id);
         if self.faults.silent || self.faults.hang {
@@ -223,8 +246,10 @@
 
     /// Whether the group has met this mark within its window.
     fn repeats(&mut self, id: u64) -> bool {
-        let (Some(marks), Some(mark)) = (&self.config.marks, self.open.get(&id).and_then(|o| o.mark.clone()))
-        else {
+        let (Some(marks), Some(mark)) = (
+            &self.config.marks,
+            self.open.get(&id).and_then(|o| o.mark.clone()),
+        ) else {
             return false;
         };
         let mut marks = marks.lock().unwrap_or_else(PoisonError::into_inner);
@@ -236,7 +261,11 @@
     }
 
     fn not_taken(&mut self, id: u64) {
-        self.see(Seen::Refused { worker: self.address.to_string(), life: self.life, call: id });
+        self.see(Seen::Refused {
+            worker: self.address.to_string(),
+            life: self.life,
+            call: id,
+        });
         self.forget(id);
     }
 
@@ -256,11 +285,21 @@
         match asked {
             models::Asked::Ready => {
                 let headers = self.with_report(Headers::new(), None);
-                self.say(exchange, if self.model.draining { 503 } else { 200 }, headers, Vec::new());
+                self.say(
+                    exchange,
+                    if self.model.draining { 503 } else { 200 },
+                    headers,
+                    Vec::new(),
+                );
             }
             models::Asked::ModelReady(function) => {
                 let there = self.model.copies(&function) > 0;
-                self.say(exchange, if there { 200 } else { 404 }, Headers::new(), Vec::new());
+                self.say(
+                    exchange,
+                    if there { 200 } else { 404 },
+                    Headers::new(),
+                    Vec::new(),
+                );
             }
             models::Asked::Index => self.say(exchange, 200, Headers::new(), b"[]".to_vec()),
             models::Asked::Unload(function) => {
@@ -270,7 +309,10 @@
             models::Asked::Load(function) => {
                 let copies = models::copies(body).unwrap_or(1);
                 if copies > 0 {
-                    self.see(Seen::Ordered { worker: self.address.to_string(), gateway });
+                    self.see(Seen::Ordered {
+                        worker: self.address.to_string(),
+                        gateway,
+                    });
                 }
                 self.drawn += 1;
                 self.orders.insert(self.drawn, exchange);
@@ -282,7 +324,10 @@
 
     fn with_report(&mut self, headers: Headers, call: Option<(Found, usize)>) -> Headers {
         let now = self.now();
-        let fresh = self.reports.last().is_some_and(|(at, _)| *at + self.config.report_every > now);
+        let fresh = self
+            .reports
+            .last()
+            .is_some_and(|(at, _)| *at + self.config.report_every > now);
         if !fresh {
             let load = self.model.load();
             let mut report = Report::default();
@@ -296,7 +341,12 @@
             self.reports.retain(|(at, _)| *at >= oldest);
         }
         let told = now.saturating_sub(self.faults.late_reports);
-        let report = self.reports.iter().rev().find(|(at, _)| *at <= told).or(self.reports.first());
+        let report = self
+            .reports
+            .iter()
+            .rev()
+            .find(|(at, _)| *at <= told)
+            .or(self.reports.first());
         let mut report = report.map(|(_, report)| report.clone()).unwrap_or_default();
         if let Some((found, crowd)) = call {
             report.push("named_metrics.found", f64::from(found as u8));
@@ -308,12 +358,22 @@
     fn act(&mut self) {
         for say in self.model.says() {
             match say {
-                Say::Ran { call, found, crowd, wanted } => self.may_have_executed(call, found, crowd, wanted),
+                Say::Ran {
+                    call,
+                    found,
+                    crowd,
+                    wanted,
+                } => self.may_have_executed(call, found, crowd, wanted),
                 Say::Full { call } => {
                     self.not_taken(call);
                     let headers = Headers::new().with("x-amzn-errortype", "TooManyRequestsException");
                     let headers = self.with_report(headers, None);
-                    self.finish(call, 429, headers, b"{\"Type\":\"User\",\"message\":\"full\"}".to_vec());
+                    self.finish(
+                        call,
+                        429,
+                        headers,
+                        b"{\"Type\":\"User\",\"message\":\"full\"}".to_vec(),
+                    );
                 }
                 Say::Missed { call } => {
                     self.not_taken(call);
@@ -326,8 +386,16 @@
                         b"{\"Type\":\"User\",\"message\":\"not loaded\"}".to_vec(),
                     );
                 }
-                Say::Fetch { load, function, takes } => self.fetch(load, &function, takes),
-                Say::Stands { order, copies, enough } => {
+                Say::Fetch {
+                    load,
+                    function,
+                    takes,
+                } => self.fetch(load, &function, takes),
+                Say::Stands {
+                    order,
+                    copies,
+                    enough,
+                } => {
                     if let Some(exchange) = self.orders.remove(&order) {
                         let status = if enough { 200 } else { 429 };
                         let headers = Headers::new().with("content-type", "application/json");
@@ -335,7 +403,9 @@
                     }
                 }
                 Say::Fell => {
-                    self.see(Seen::Fell { worker: self.address.to_string() });
+                    self.see(Seen::Fell {
+                        worker: self.address.to_string(),
+                    });
                     self.crash();
                     return;
                 }
@@ -345,7 +415,12 @@
 
     fn may_have_executed(&mut self, call: u64, found: Found, crowd: usize, wanted: bool) {
         let (worker, life, warm) = (self.address.to_string(), self.life, found == Found::Warm);
-        self.see(Seen::Began { worker, life, call, warm });
+        self.see(Seen::Began {
+            worker,
+            life,
+            call,
+            warm,
+        });
         let Some(open) = self.open.get(&call) else { return };
         if !wanted {
             self.open.remove(&call);
@@ -361,7 +436,9 @@
     }
 
     fn fetch(&mut self, load: u64, function: &str, takes: Duration) {
-        self.see(Seen::Fetch { worker: self.address.to_string() });
+        self.see(Seen::Fetch {
+            worker: self.address.to_string(),
+        });
         let Some(store) = self.config.store else {
             let at = self.now() + takes;
             return self.local_fetches.push((at, load));
@@ -381,7 +458,11 @@
     /// Answers a call that was taken, perhaps late or not at all.
     fn finish(&mut self, id: u64, status: u16, headers: Headers, body: Vec<u8>) {
         let Some(open) = self.open.remove(&id) else { return };
-        let answer = Response { status, headers, body };
+        let answer = Response {
+            status,
+            headers,
+            body,
+        };
         if self.faults.silent || self.faults.hang {
             self.open.insert(id, open);
             return;
@@ -400,19 +481,34 @@
 
     fn over(&mut self, id: u64, exchange: Exchange) {
         if self.by_exchange.remove(&exchange).is_some() {
-            self.see(Seen::Over { worker: self.address.to_string(), life: self.life, call: id });
+            self.see(Seen::Over {
+                worker: self.address.to_string(),
+                life: self.life,
+                call: id,
+            });
         }
     }
 
     fn say(&mut self, exchange: Exchange, status: u16, headers: Headers, body: Vec<u8>) {
-        self.http.answer(exchange, &Response { status, headers, body });
+        self.http.answer(
+            exchange,
+            &Response {
+                status,
+                headers,
+                body,
+            },
+        );
     }
 
     fn crash(&mut self) {
         self.up = false;
         let open: Vec<(Exchange, u64)> = self.by_exchange.drain().collect();
         for (_, id) in open {
-            self.see(Seen::Over { worker: self.address.to_string(), life: self.life, call: id });
+            self.see(Seen::Over {
+                worker: self.address.to_string(),
+                life: self.life,
+                call: id,
+            });
         }
         self.http.close_all();
         (self.open, self.orders, self.fetches) = Default::default();
@@ -440,12 +536,18 @@
 
     fn event(&mut self, event: HttpEvent) {
         match event {
-            HttpEvent::Request { exchange, request: Ok(request) } => self.request(exchange, request),
-            HttpEvent::Request { exchange, request: Err(_) } => {
-                self.say(exchange, 400, Headers::new(), Vec::new())
-            }
+            HttpEvent::Request {
+                exchange,
+                request: Ok(request),
+            } => self.request(exchange, request),
+            HttpEvent::Request {
+                exchange,
+                request: Err(_),
+            } => self.say(exchange, 400, Headers::new(), Vec::new()),
             HttpEvent::Gone { exchange } => {
-                let Some(&id) = self.by_exchange.get(&exchange) else { return };
+                let Some(&id) = self.by_exchange.get(&exchange) else {
+                    return;
+                };
                 self.over(id, exchange);
                 self.held_back.retain(|(_, held, ..)| *held != id);
                 if !self.faults.hang {
@@ -460,7 +562,9 @@
                 if let Some(load) = self.fetches.remove(&call) {
                     let now = self.now();
                     if answer.status != 200 {
-                        self.see(Seen::FetchRefused { worker: self.address.to_string() });
+                        self.see(Seen::FetchRefused {
+                            worker: self.address.to_string(),
+                        });
                     }
                     self.model.fetched(now, load, answer.status == 200);
                     self.act();
@@ -510,16 +614,19 @@
             return;
         }
         if !self.faults.hang {
-            let (over, left) =
-                std::mem::take(&mut self.local_fetches).into_iter().partition(|(at, _)| *at <= now);
+            let (over, left) = std::mem::take(&mut self.local_fetches)
+                .into_iter()
+                .partition(|(at, _)| *at <= now);
             self.local_fetches = left;
             let over: Vec<(Duration, u64)> = over;
-            over.into_iter().for_each(|(_, load)| self.model.fetched(now, load, true));
+            over.into_iter()
+                .for_each(|(_, load)| self.model.fetched(now, load, true));
             self.model.due(now);
             self.act();
         }
-        let (over, left): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.held_back).into_iter().partition(|(at, ..)| *at <= now);
+        let (over, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held_back)
+            .into_iter()
+            .partition(|(at, ..)| *at <= now);
         self.held_back = left;
         for (_, id, exchange, answer) in over {
             self.http.answer(exchange, &answer);
--- a/crates/quartzdrift-lab/tests/closes.rs
+++ b/crates/quartzdrift-lab/tests/closes.rs
@@ -56,13 +56,17 @@
 fn requests_that_overlap_on_a_connection_do_not_end_it() {
     let stage = Stage::start(LAB, 1);
     let mut front = stage.front();
-    let requests: Vec<Vec<u8>> = (1..=12).map(|n| Front::request(n, &asked("/check", ID))).collect();
+    let requests: Vec<Vec<u8>> = (1..=12)
+        .map(|n| Front::request(n, &asked("/check", ID)))
+        .collect();
     let half = requests[0].len() / 2;
     front.send(&requests[0][..half]).unwrap();
     // Each is whole a fifth of a second after it began, but there is always one that is not.
     for (n, both) in (1..).zip(requests.windows(2)) {
         std::thread::sleep(Duration::from_millis(200));
-        front.send(&[&both[0][half..], &both[1][..half]].concat()).unwrap();
+        front
+            .send(&[&both[0][half..], &both[1][..half]].concat())
+            .unwrap();
         let reply = front.reply().unwrap();
         assert_eq!((reply.number, reply.status), (n, 200));
     }
@@ -77,10 +81,17 @@
         let Ok(reply) = other.reply() else { break };
         assert_eq!((reply.number, reply.status), (1, 200));
         served += 1;
-        assert!(began.elapsed() < Duration::from_secs(4), "its connection does not end");
+        assert!(
+            began.elapsed() < Duration::from_secs(4),
+            "its connection does not end"
+        );
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert!(served > 5 && began.elapsed() < Duration::from_secs(4), "{served} in {:?}", began.elapsed());
+    assert!(
+        served > 5 && began.elapsed() < Duration::from_secs(4),
+        "{served} in {:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
@@ -89,7 +100,13 @@
     let mut front = stage.front();
     // One is answered in the turn in which it came, the other one takes its time.
     front
-        .send(&[Front::request(1, &asked("/check", ID)), Front::request(2, &asked("/do/once", ID))].concat())
+        .send(
+            &[
+                Front::request(1, &asked("/check", ID)),
+                Front::request(2, &asked("/do/once", ID)),
+            ]
+            .concat(),
+        )
         .unwrap();
     assert_eq!(front.reply().unwrap().status, 200);
     let (lane, _, id, ..) = stage.workers[0].command();
@@ -116,14 +133,32 @@
     // a read, and requests behind them are still there. A number is used again when it has long been answered, and the
     // checks are so long that few of them exceed what may be open.
     let body = vec![7; 1000];
-    let check_of = |n| Front::request(n, &Asked { body: &body, ..asked("/check", ID) });
+    let check_of = |n| {
+        Front::request(
+            n,
+            &Asked {
+                body: &body,
+                ..asked("/check", ID)
+            },
+        )
+    };
     let unit = |first: u16| {
         let checks = (first..first + 7).flat_map(check_of);
         let request = Front::request(first + 7, &asked("/do/once", OTHER));
-        checks.chain(request).chain(Front::abort(first + 7)).collect::<Vec<u8>>()
+        checks
+            .chain(request)
+            .chain(Front::abort(first + 7))
+            .collect::<Vec<u8>>()
     };
     let units: Vec<Vec<u8>> = (1..=64_000).step_by(8).map(unit).collect();
-    assert!(units.iter().cycle().take(100_000).any(|unit| deaf.send(unit).is_err()), "it is cut off");
+    assert!(
+        units
+            .iter()
+            .cycle()
+            .take(100_000)
+            .any(|unit| deaf.send(unit).is_err()),
+        "it is cut off"
+    );
     assert_eq!(check(&mut stage.front()), 200);
     assert_eq!(ids(&stage.last_commands(0)), []);
 }
@@ -138,9 +173,15 @@
         stage.workers[0].command();
     }
     ask(&mut front, 9, &asked("/do/once", ID));
-    assert_eq!(front.reply().unwrap().status, 503, "there is no lane for it, and it never ran");
+    assert_eq!(
+        front.reply().unwrap().status,
+        503,
+        "there is no lane for it, and it never ran"
+    );
     // Half of them are withdrawn: there are lanes again, and nothing has been measured of the worker.
-    front.send(&(1..=4).flat_map(Front::abort).collect::<Vec<u8>>()).unwrap();
+    front
+        .send(&(1..=4).flat_map(Front::abort).collect::<Vec<u8>>())
+        .unwrap();
     for _ in 1..=4 {
         assert_eq!(front.reply().unwrap().status, 0);
         assert_eq!(stage.workers[0].command().1, frame::GIVE_UP);
@@ -153,15 +194,24 @@
 /// The lowest descriptor that a process does not hold: with this limit it can have no other.
 fn next_descriptor(process: u32) -> u64 {
     let folder = std::fs::read_dir(format!("/proc/{process}/fd")).unwrap();
-    let held: Vec<u64> =
-        folder.map(|entry| entry.unwrap().file_name().to_str().unwrap().parse().unwrap()).collect();
+    let held: Vec<u64> = folder
+        .map(|entry| entry.unwrap().file_name().to_str().unwrap().parse().unwrap())
+        .collect();
     (0..).find(|descriptor| !held.contains(descriptor)).unwrap()
 }
 
 fn limit_descriptors(process: u32, most: u64) {
     let maximum = getrlimit(Resource::Nofile).maximum;
     let pid = Pid::from_raw(process.try_into().unwrap());
-    prlimit(pid, Resource::Nofile, Rlimit { current: Some(most), maximum }).unwrap();
+    prlimit(
+        pid,
+        Resource::Nofile,
+        Rlimit {
+            current: Some(most),
+            maximum,
+        },
+    )
+    .unwrap();
 }
 
 #[test]
@@ -176,7 +226,11 @@
     let mut newcomer = stage.front();
     assert_eq!(check(&mut newcomer), 200);
     let ended = clients[0].reply().unwrap_err().kind();
-    assert_eq!(ended, ErrorKind::UnexpectedEof, "the one that was silent longest has made room");
+    assert_eq!(
+        ended,
+        ErrorKind::UnexpectedEof,
+        "the one that was silent longest has made room"
+    );
     // There is none for a lane either.
     ask(&mut newcomer, 1, &asked("/do/once", ID));
     assert_eq!(newcomer.reply().unwrap().status, 503);
@@ -190,7 +244,10 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let (mut worker, coordinator) = (Worker::start().unwrap(), Coordinator::start().unwrap());
-    let text = config(coordinator.at, &event(1, true, &[target("w0", worker.at, "Ready")]));
+    let text = config(
+        coordinator.at,
+        &event(1, true, &[target("w0", worker.at, "Ready")]),
+    );
     std::fs::write(&file, text).unwrap();
     let mut child = Command::new("sh")
         .args(["-c", "ulimit -n 48; exec \"$0\" scheduler", LAB])
@@ -243,17 +300,32 @@
             stage.workers[0].command();
         }
         let socket = narrow();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        socket
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         socket.listen(8).unwrap();
         let clogged = TcpListener::from(socket);
         let at = clogged.local_addr().unwrap();
         stage.coordinator.poll();
-        stage.tell(2, &[target("w0", stage.workers[0].at, "Terminating"), target("w1", at, "Ready")]);
+        stage.tell(
+            2,
+            &[
+                target("w0", stage.workers[0].at, "Terminating"),
+                target("w1", at, "Ready"),
+            ],
+        );
         let body = vec![7; 16 << 10];
         let of = |n: u16| format!("{:016x}", 100 + n);
         const ALL: u16 = 20;
         for n in 1..=ALL {
-            ask(&mut front, n, &Asked { body: &body, ..asked("/do/once", &of(n)) });
+            ask(
+                &mut front,
+                n,
+                &Asked {
+                    body: &body,
+                    ..asked("/do/once", &of(n))
+                },
+            );
         }
         // All of them are placed once what came behind them is answered.
         ask(&mut front, ALL + 1, &asked("/check", ID));
@@ -265,7 +337,14 @@
         }
         let mut answers = Vec::new();
         for n in 1..=ALL {
-            frame::write(&mut answers, frame::FROM_WORKER, DONE, number(&of(n)), b"report=queue:0", b"");
+            frame::write(
+                &mut answers,
+                frame::FROM_WORKER,
+                DONE,
+                number(&of(n)),
+                b"report=queue:0",
+                b"",
+            );
         }
         lane.write_all(&answers).unwrap();
         assert_eq!(check(&mut checks), 200);
@@ -301,7 +380,11 @@
             read_until(&mut lane, &mut sent, third);
         }
         let (sent, over) = frames(&sent);
-        let expected = |n: u16| (1..=n).map(|n| (frame::EXECUTE, number(&of(n)))).collect::<Vec<_>>();
+        let expected = |n: u16| {
+            (1..=n)
+                .map(|n| (frame::EXECUTE, number(&of(n))))
+                .collect::<Vec<_>>()
+        };
         if alone {
             assert_eq!((sent, frames(&further).0), (expected(left), vec![third]));
             assert!(over > 0, "one had left in part");
@@ -330,7 +413,10 @@
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("config.json");
         let (mut worker, coordinator) = (Worker::start().unwrap(), Coordinator::start().unwrap());
-        let text = config(coordinator.at, &event(1, true, &[target("w0", worker.at, "Ready")]));
+        let text = config(
+            coordinator.at,
+            &event(1, true, &[target("w0", worker.at, "Ready")]),
+        );
         std::fs::write(&file, &text).unwrap();
         let mut child = scheduler(LAB, &file)
             .env("RUST_LOG", "quartzdrift=trace")
@@ -359,7 +445,10 @@
         if let Some(mut log) = log {
             let mut said = String::new();
             log.read_to_string(&mut said).unwrap();
-            assert!(said.contains("lines of the log were lost") && said.ends_with('\n'), "{said}");
+            assert!(
+                said.contains("lines of the log were lost") && said.ends_with('\n'),
+                "{said}"
+            );
             assert!(said.contains("the old one stands"), "{said}");
         }
     }
@@ -370,7 +459,11 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let coordinator = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-    std::fs::write(&file, config(coordinator.local_addr().unwrap(), r#"{"index":0,"updates":[]}"#)).unwrap();
+    std::fs::write(
+        &file,
+        config(coordinator.local_addr().unwrap(), r#"{"index":0,"updates":[]}"#),
+    )
+    .unwrap();
     let (reader, writer) = std::io::pipe().unwrap();
     drop(reader);
     let mut child = scheduler(LAB, &file).stdout(writer).spawn().unwrap();
--- a/crates/quartzdrift-lab/tests/crossings.rs
+++ b/crates/quartzdrift-lab/tests/crossings.rs
@@ -64,7 +64,14 @@
     let mut front = stage.front();
     let lane = stage.rested(&mut front, ID);
     stage.workers[0].hold_proofs(true);
-    ask(&mut front, 1, &Asked { time: "300", ..asked("/do/once", OTHER) });
+    ask(
+        &mut front,
+        1,
+        &Asked {
+            time: "300",
+            ..asked("/do/once", OTHER)
+        },
+    );
     assert_eq!(stage.workers[0].asked(), lane);
     // It never ran, so trying again is harmless, and it has its final answer within its time.
     assert_eq!(front.reply().unwrap().status, 503);
@@ -80,7 +87,14 @@
     let vanished = Vanished::start().unwrap();
     stage.coordinator.poll();
     stage.tell(2, &[target("w0", vanished.at, "Ready")]);
-    ask(&mut front, 1, &Asked { time: "300", ..asked("/do/once", ID) });
+    ask(
+        &mut front,
+        1,
+        &Asked {
+            time: "300",
+            ..asked("/do/once", ID)
+        },
+    );
     assert_eq!(front.reply().unwrap().status, 503);
 }
 
@@ -121,7 +135,9 @@
         let mut front = stage.front();
         ask(&mut front, 2, &asked("/do/once", OTHER));
         let (other, ..) = stage.workers[0].command();
-        front.send(&Front::last_request(1, &asked("/do/once", ID))).unwrap();
+        front
+            .send(&Front::last_request(1, &asked("/do/once", ID)))
+            .unwrap();
         serve(&mut stage.workers[0], &mut front, b"first");
         if aborted {
             // Its withdrawal is heard, though nothing new is taken any more.
@@ -149,7 +165,11 @@
         // Eight lanes, and a ninth request that shares one.
         for n in 1..=9 {
             let (path, id) = ("/do/once", format!("{n:016x}"));
-            let bytes = if last && n == 9 { Front::last_request } else { Front::request };
+            let bytes = if last && n == 9 {
+                Front::last_request
+            } else {
+                Front::request
+            };
             front.send(&bytes(n, &asked(path, &id))).unwrap();
             at.push(stage.workers[0].command().0);
         }
@@ -163,7 +183,10 @@
         stage.workers[0].send(shared, &both);
         for _ in 0..2 {
             let reply = front.reply().unwrap();
-            assert_eq!(String::from_utf8_lossy(&reply.body), format!("of {}", reply.number));
+            assert_eq!(
+                String::from_utf8_lossy(&reply.body),
+                format!("of {}", reply.number)
+            );
         }
     }
 }
@@ -176,7 +199,10 @@
     let (lane, _, id) = serve(&mut stage.workers[0], &mut front, b"first");
     ask(&mut front, 1, &asked("/do/once", ID));
     let (next, ..) = stage.workers[0].command();
-    assert_ne!(next, lane, "a late answer on a lane that has carried the id could not be told from the next");
+    assert_ne!(
+        next, lane,
+        "a late answer on a lane that has carried the id could not be told from the next"
+    );
     stage.workers[0].answer(lane, DONE, id, b"first");
     assert_eq!(check(&mut stage.front()), 200);
     stage.workers[0].answer(next, DONE, id, b"second");
@@ -206,7 +232,12 @@
 fn what_waits_for_a_worker_that_is_replaced_or_moves_goes_to_the_one_that_is_there() {
     let mut there = Worker::start().unwrap();
     let at = there.at;
-    for way in ["gone, then another", "another, then gone", "moved", "gone and back in one event"] {
+    for way in [
+        "gone, then another",
+        "another, then gone",
+        "moved",
+        "gone and back in one event",
+    ] {
         let mut stage = Stage::with(LAB, 0, &[PATIENT]);
         let mut front = stage.front();
         let vanished = Vanished::start().unwrap();
@@ -243,7 +274,13 @@
     stage.tell(2, &[target("w0", vanished.at, "Ready")]);
     ask(&mut front, 1, &asked("/do/once", ID));
     assert_eq!(check(&mut stage.front()), 200);
-    stage.tell(3, &[target("w0", vanished.at, "Gone"), target("new", vanished.at, "Ready")]);
+    stage.tell(
+        3,
+        &[
+            target("w0", vanished.at, "Gone"),
+            target("new", vanished.at, "Ready"),
+        ],
+    );
     stage.workers.push(vanished.returns().unwrap());
     let (_, code, id) = serve(&mut stage.workers[0], &mut front, b"once");
     assert_eq!((code, id), (48, number(ID)));
@@ -337,7 +374,10 @@
     assert_eq!(check(&mut stage.front()), 200);
     stage.workers[0].answer(lane, DONE, id, b"whole");
     assert_eq!(front.reply().unwrap().body, b"whole");
-    assert!(front.reply().is_err(), "the half one cannot be answered, and its connection ends");
+    assert!(
+        front.reply().is_err(),
+        "the half one cannot be answered, and its connection ends"
+    );
 }
 
 #[test]
@@ -391,13 +431,21 @@
                 Err(_) => {}
             }
             // What drains counts as told 2 s after the end of the wait that was asked for, one second.
-            assert!(asked_at.elapsed() < Duration::from_secs(3), "nobody asks anew; drips: {drips}");
+            assert!(
+                asked_at.elapsed() < Duration::from_secs(3),
+                "nobody asks anew; drips: {drips}"
+            );
             std::thread::sleep(Duration::from_millis(20));
         };
         next.set_nonblocking(false).unwrap();
         let mut line = String::new();
-        BufReader::new(next.try_clone().unwrap()).read_line(&mut line).unwrap();
-        assert!(line.contains("follow=1&"), "what was cut off is not believed: {line}");
+        BufReader::new(next.try_clone().unwrap())
+            .read_line(&mut line)
+            .unwrap();
+        assert!(
+            line.contains("follow=1&"),
+            "what was cut off is not believed: {line}"
+        );
         let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{news}", news.len());
         next.write_all(whole.as_bytes()).unwrap();
         let mut again = String::new();
@@ -438,7 +486,10 @@
     stage.tell(2, &[target("w0", at, "Terminating")]);
     assert_eq!(check(&mut front), 503);
     let ready = target("w0", at, "Ready");
-    for old in [event(1, true, std::slice::from_ref(&ready)), event(2, false, std::slice::from_ref(&ready))] {
+    for old in [
+        event(1, true, std::slice::from_ref(&ready)),
+        event(2, false, std::slice::from_ref(&ready)),
+    ] {
         stage.say(2, &old);
         assert_eq!(check(&mut front), 503, "{old}");
     }
@@ -455,10 +506,17 @@
     let (mut front, at) = (stage.front(), stage.workers[0].at);
     stage.coordinator.poll();
     let of = |index: u64, state: &str| {
-        format!(r#"{{"index":{index},"endpoints":{{"all":false,"targets":[{}]}}}}"#, target("w0", at, state))
+        format!(
+            r#"{{"index":{index},"endpoints":{{"all":false,"targets":[{}]}}}}"#,
+            target("w0", at, state)
+        )
     };
     let both = |index: u64, first: &str, second: &str| {
-        format!(r#"{{"index":{index},"updates":[{},{}]}}"#, of(index - 1, first), of(index, second))
+        format!(
+            r#"{{"index":{index},"updates":[{},{}]}}"#,
+            of(index - 1, first),
+            of(index, second)
+        )
     };
     stage.say(3, &both(3, "Ready", "Terminating"));
     assert_eq!(check(&mut front), 503);
@@ -568,9 +626,17 @@
     ask(&mut front, 2, &asked("/do/once", OTHER));
     for _ in 0..2 {
         let reply = front.reply().unwrap();
-        assert_eq!(reply.status, 503, "{} never ran, so trying again is harmless", reply.number);
+        assert_eq!(
+            reply.status, 503,
+            "{} never ran, so trying again is harmless",
+            reply.number
+        );
     }
-    assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_millis(3700),
+        "{:?}",
+        told.elapsed()
+    );
     assert!(stage.ends().success());
 }
 
@@ -637,7 +703,10 @@
     assert!(made.success());
     let mut worker = Worker::start().unwrap();
     let coordinator = quartzdrift_lab::platform::Coordinator::start().unwrap();
-    let text = config(coordinator.at, &event(1, true, &[target("w0", worker.at, "Ready")]));
+    let text = config(
+        coordinator.at,
+        &event(1, true, &[target("w0", worker.at, "Ready")]),
+    );
     let mut child = quartzdrift_lab::stage::scheduler(LAB, &file).spawn().unwrap();
     // Opened for writing once it reads its configuration: before it listens, and after it has taken its signals.
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&file).unwrap();
@@ -704,17 +773,24 @@
         (good[..good.len() / 2].to_owned(), "EOF"),
         (String::new(), "EOF"),
         (good.replace("127.0.0.1:0", "nowhere"), "socket address"),
-        (good.replace("\"drain-grace-ns\":2000000000", "\"drain-grace-ns\":null"), "drain-grace-ns"),
+        (
+            good.replace("\"drain-grace-ns\":2000000000", "\"drain-grace-ns\":null"),
+            "drain-grace-ns",
+        ),
         (good.replace("\"sockets\":128", "\"sockets\":-1"), "invalid value"),
         (good.replace("\"classes\"", "\"other\""), "class"),
     ];
     for (text, why) in &cases {
         std::fs::write(&file, text).unwrap();
-        let ended =
-            quartzdrift_lab::stage::scheduler(LAB, &file).stderr(std::process::Stdio::piped()).output();
+        let ended = quartzdrift_lab::stage::scheduler(LAB, &file)
+            .stderr(std::process::Stdio::piped())
+            .output();
         let ended = ended.unwrap();
         let said = String::from_utf8_lossy(&ended.stderr);
         assert_eq!(ended.status.code(), Some(1), "{said}");
-        assert!(said.contains(why) && said.trim().lines().count() == 1, "{why}: {said}");
+        assert!(
+            said.contains(why) && said.trim().lines().count() == 1,
+            "{why}: {said}"
+        );
     }
 }
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -55,7 +55,10 @@
     }
 
     fn term(&self) {
-        Process::new("kill").args(["-TERM", &self.child.id().to_string()]).status().unwrap();
+        Process::new("kill")
+            .args(["-TERM", &self.child.id().to_string()])
+            .status()
+            .unwrap();
     }
 
     fn ended(&mut self) -> bool {
@@ -72,7 +75,15 @@
     fn call(&self, function: &str, payload: &str, asynchronous: bool) -> Response {
         let (to, function, payload) = (self.at, function.to_owned(), payload.as_bytes().to_vec());
         let timeout = Duration::from_secs(15);
-        invoke(&Invoke { to, function, payload, asynchronous, mark: None, timeout }).unwrap()
+        invoke(&Invoke {
+            to,
+            function,
+            payload,
+            asynchronous,
+            mark: None,
+            timeout,
+        })
+        .unwrap()
     }
 
     fn raw(&self, bytes: &[u8]) -> TcpStream {
@@ -132,11 +143,25 @@
         let recorder = Recorder::default();
         let folder = tempfile::tempdir().unwrap();
         let workers = (0..workers).map(|_| {
-            let machine = Machine { cores: 4.0, ..Machine::default() };
-            let config = Config { machine, recorder: Some(recorder.clone()), ..Config::default() };
-            spawn(any(), move |handle, address| FakeWorker::new(handle, address, config)).unwrap()
+            let machine = Machine {
+                cores: 4.0,
+                ..Machine::default()
+            };
+            let config = Config {
+                machine,
+                recorder: Some(recorder.clone()),
+                ..Config::default()
+            };
+            spawn(any(), move |handle, address| {
+                FakeWorker::new(handle, address, config)
+            })
+            .unwrap()
         });
-        Stage { folder, workers: workers.collect(), recorder }
+        Stage {
+            folder,
+            workers: workers.collect(),
+            recorder,
+        }
     }
 
     fn gateway_with(&self, gateway: &str, more: &str) -> Gateway {
@@ -219,14 +244,25 @@
     assert_eq!((answer.status, &answer.body[..]), (200, &br#"{"a": 1}"#[..]));
     assert!(answer.headers.get("x-amzn-requestid").is_some());
     assert_eq!(answer.headers.get("x-amz-executed-version"), Some("$LATEST"));
-    assert!(answer.headers.get("endpoint-load-metrics").is_none(), "reports are not for clients");
+    assert!(
+        answer.headers.get("endpoint-load-metrics").is_none(),
+        "reports are not for clients"
+    );
     for (function, payload, status, kind) in [
         ("nobody", "{}", 404, "ResourceNotFoundException"),
         ("echo", "{", 400, "InvalidRequestContentException"),
-        ("echo", &format!("\"{}\"", "x".repeat(1000)), 413, "RequestTooLargeException"),
+        (
+            "echo",
+            &format!("\"{}\"", "x".repeat(1000)),
+            413,
+            "RequestTooLargeException",
+        ),
     ] {
         let answer = gateway.invoke(function, payload);
-        assert_eq!((answer.status, answer.headers.get("x-amzn-errortype")), (status, Some(kind)));
+        assert_eq!(
+            (answer.status, answer.headers.get("x-amzn-errortype")),
+            (status, Some(kind))
+        );
         assert!(String::from_utf8_lossy(&answer.body).contains("\"Type\":\"User\""));
     }
 }
@@ -235,7 +271,10 @@
 fn a_silent_worker_costs_a_non_idempotent_request_its_time_and_no_second_attempt() {
     let stage = Stage::new(2);
     let gateway = stage.gateway();
-    stage.all(&Faults { silent: true, ..Faults::default() });
+    stage.all(&Faults {
+        silent: true,
+        ..Faults::default()
+    });
     let start = Instant::now();
     let answer = gateway.invoke("pay", r#"{"key": "p1"}"#);
     assert_eq!((answer.status, function_error(&answer)), (200, Some("Unhandled")));
@@ -248,16 +287,27 @@
 fn a_crashed_worker_sends_an_idempotent_request_elsewhere() {
     let stage = Stage::new(2);
     let gateway = stage.gateway();
-    stage.all(&Faults { silent: true, ..Faults::default() });
+    stage.all(&Faults {
+        silent: true,
+        ..Faults::default()
+    });
     std::thread::scope(|scope| {
         let request = scope.spawn(|| gateway.invoke("echo", r#"{"key": "e1"}"#));
         let worker = stage.wait("the job", |seen| came(seen, "e1"));
-        let crashed = stage.workers.iter().position(|w| w.address.to_string() == worker).unwrap();
+        let crashed = stage
+            .workers
+            .iter()
+            .position(|w| w.address.to_string() == worker)
+            .unwrap();
         stage.faults(1 - crashed, Faults::default());
         stage.answers(1 - crashed);
         stage.workers[crashed].tell(Command::Crash);
         let answer = request.join().unwrap();
-        assert!(answer.status == 200 && function_error(&answer).is_none(), "{}", answer.status);
+        assert!(
+            answer.status == 200 && function_error(&answer).is_none(),
+            "{}",
+            answer.status
+        );
     });
     assert!(stage.came("e1") == 2);
 }
@@ -266,11 +316,17 @@
 fn a_crashed_worker_kills_a_non_idempotent_request() {
     let stage = Stage::new(2);
     let gateway = stage.gateway();
-    stage.all(&Faults { silent: true, ..Faults::default() });
+    stage.all(&Faults {
+        silent: true,
+        ..Faults::default()
+    });
     std::thread::scope(|scope| {
         let request = scope.spawn(|| gateway.invoke("pay", r#"{"key": "p1"}"#));
         stage.wait("the job", |seen| came(seen, "p1"));
-        stage.workers.iter().for_each(|worker| worker.tell(Command::Crash));
+        stage
+            .workers
+            .iter()
+            .for_each(|worker| worker.tell(Command::Crash));
         let answer = request.join().unwrap();
         assert_eq!((answer.status, function_error(&answer)), (200, Some("Unhandled")));
     });
@@ -281,7 +337,10 @@
 fn a_worker_that_restarts_under_the_same_name_answers_no_old_request() {
     let stage = Stage::new(1);
     let gateway = stage.gateway();
-    stage.all(&Faults { silent: true, ..Faults::default() });
+    stage.all(&Faults {
+        silent: true,
+        ..Faults::default()
+    });
     std::thread::scope(|scope| {
         let old = scope.spawn(|| gateway.invoke("pay", r#"{"key": "old"}"#));
         stage.wait("the old job", |seen| came(seen, "old"));
@@ -298,7 +357,10 @@
 fn a_client_that_hangs_up_has_its_non_idempotent_request_sent_once() {
     let stage = Stage::new(2);
     let gateway = stage.gateway();
-    stage.all(&Faults { slow: 200 * MS, ..Faults::default() });
+    stage.all(&Faults {
+        slow: 200 * MS,
+        ..Faults::default()
+    });
     let body = r#"{"key": "left"}"#;
     let request = format!(
         "POST /2015-03-31/functions/pay/invocations HTTP/1.1\r\ncontent-length: {}\r\n\r\n{body}",
@@ -319,15 +381,27 @@
 fn with_every_worker_gone_calls_are_rejected_with_a_time() {
     let stage = Stage::new(2);
     let gateway = stage.gateway();
-    stage.workers.iter().for_each(|worker| worker.tell(Command::Crash));
-    stage.wait("nobody there", |_| TcpStream::connect(stage.workers[1].address).is_err().then_some(()));
+    stage
+        .workers
+        .iter()
+        .for_each(|worker| worker.tell(Command::Crash));
+    stage.wait("nobody there", |_| {
+        TcpStream::connect(stage.workers[1].address)
+            .is_err()
+            .then_some(())
+    });
     let answer = gateway.invoke("pay", "{}");
     assert_eq!(
         (answer.status, answer.headers.get("x-amzn-errortype")),
         (429, Some("TooManyRequestsException"))
     );
     let seconds: u64 = answer.headers.get("retry-after").unwrap().parse().unwrap();
-    let ms: u64 = answer.headers.get("x-quartzdrift-come-back-ms").unwrap().parse().unwrap();
+    let ms: u64 = answer
+        .headers
+        .get("x-quartzdrift-come-back-ms")
+        .unwrap()
+        .parse()
+        .unwrap();
     assert!(seconds * 1000 >= ms);
 }
 
@@ -386,10 +460,19 @@
     assert_eq!(gateway.call("echo", r#"{"key": "later"}"#, true).status, 202);
     stage.wait("the deferred job", |seen| came(seen, "later"));
     // A non-idempotent request whose worker was lost may have run: it is not tried again, its record goes to the dead.
-    stage.faults(0, Faults { lost: 1.0, ..Faults::default() });
+    stage.faults(
+        0,
+        Faults {
+            lost: 1.0,
+            ..Faults::default()
+        },
+    );
     assert_eq!(gateway.call("pay", r#"{"key": "doubt"}"#, true).status, 202);
     stage.wait("the end of the doubtful job", |seen| {
-        let over = seen.iter().filter(|seen| matches!(seen, Seen::Over { .. })).count();
+        let over = seen
+            .iter()
+            .filter(|seen| matches!(seen, Seen::Over { .. }))
+            .count();
         came(seen, "doubt").filter(|_| over >= 2)
     });
     stage.faults(0, Faults::default());
@@ -401,9 +484,13 @@
 fn asynchronous_requests_beyond_their_room_are_rejected() {
     let stage = Stage::new(1);
     let gateway = stage.gateway_with("", "[deferred]\nbytes = 2000\n");
-    stage.all(&Faults { silent: true, ..Faults::default() });
-    let answers: Vec<u16> =
-        (0..6).map(|_| gateway.call("echo", r#"{"pad": "xxxxxxxx"}"#, true).status).collect();
+    stage.all(&Faults {
+        silent: true,
+        ..Faults::default()
+    });
+    let answers: Vec<u16> = (0..6)
+        .map(|_| gateway.call("echo", r#"{"pad": "xxxxxxxx"}"#, true).status)
+        .collect();
     assert_eq!(answers, [202, 202, 202, 429, 429, 429]);
 }
 
@@ -450,17 +537,34 @@
 #[test]
 fn a_function_used_at_regular_times_is_loaded_ahead() {
     let recorder = Recorder::default();
-    let machine = Machine { keep: 400 * MS, ..Machine::default() };
-    let config = Config { machine, recorder: Some(recorder.clone()), ..Config::default() };
-    let worker = spawn(any(), move |handle, address| FakeWorker::new(handle, address, config)).unwrap();
-    let stage = Stage { folder: tempfile::tempdir().unwrap(), recorder, workers: vec![worker] };
+    let machine = Machine {
+        keep: 400 * MS,
+        ..Machine::default()
+    };
+    let config = Config {
+        machine,
+        recorder: Some(recorder.clone()),
+        ..Config::default()
+    };
+    let worker = spawn(any(), move |handle, address| {
+        FakeWorker::new(handle, address, config)
+    })
+    .unwrap();
+    let stage = Stage {
+        folder: tempfile::tempdir().unwrap(),
+        recorder,
+        workers: vec![worker],
+    };
     let state = stage.folder.path().join("state");
     let more = "[forecasts]\nseasons = []\nevery = \"1s\"\n";
     let trace = stage.folder.path().join("trace.jsonl.gz");
     let more = format!("{more}[record]\nfile = \"{}\"\n", trace.display());
     let file = stage.folder.path().join("gateway.toml");
     let request_classes = REQUEST_CLASSES
-        .replace("tells_warm = true", "tells_warm = true\norders = true\nkeep = \"400ms\"")
+        .replace(
+            "tells_warm = true",
+            "tells_warm = true\norders = true\nkeep = \"400ms\"",
+        )
         .replace("name = \"echo\"", "name = \"echo\"\nload = \"300ms\"");
     let text = format!(
         "[gateway]\nlisten = [\"127.0.0.1:0\"]\nstate = \"{}\"\n{request_classes}\n{more}[[workers]]\naddress = \"{}\"\n",
@@ -481,7 +585,9 @@
     gateway.term();
     assert!(gateway.ended());
     let bytes = saved::last(&state, saved::FORECASTS).unwrap().unwrap();
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap();
     let again = quartzdrift_forecast::Forecasts::restore(Default::default(), &bytes, now).unwrap();
     assert_eq!(again.len(), 1);
     let traced = quartzdrift_lab::traffic::read(&trace).unwrap();
@@ -493,7 +599,10 @@
     let stage = Stage::new(1);
     let mut gateway = stage.gateway_with("drain = \"5s\"", "");
     gateway.invoke("echo", "{}");
-    stage.all(&Faults { slow: 400 * MS, ..Faults::default() });
+    stage.all(&Faults {
+        slow: 400 * MS,
+        ..Faults::default()
+    });
     let body = r#"{"key": "held"}"#;
     let head = "POST /2015-03-31/functions/echo/invocations HTTP/1.1\r\ncontent-length";
     let mut held = gateway.raw(format!("{head}: {}\r\n\r\n{body}", body.len()).as_bytes());
@@ -501,7 +610,10 @@
     gateway.term();
     let mut said = String::new();
     held.read_to_string(&mut said).unwrap();
-    assert!(said.starts_with("HTTP/1.1 200") && said.contains("connection: close"), "{said}");
+    assert!(
+        said.starts_with("HTTP/1.1 200") && said.contains("connection: close"),
+        "{said}"
+    );
     assert!(gateway.ended());
     assert!(TcpStream::connect(gateway.at).is_err());
 }
@@ -512,19 +624,28 @@
     let workers: Vec<String> = stage.workers.iter().map(|w| w.address.to_string()).collect();
     let first = workers.iter().map(|worker| Listed::up(worker)).collect();
     let recorder = stage.recorder.clone();
-    let discovery =
-        spawn(any(), move |handle, _| Discovery::new(handle, first, Duration::ZERO, Some(recorder))).unwrap();
+    let discovery = spawn(any(), move |handle, _| {
+        Discovery::new(handle, first, Duration::ZERO, Some(recorder))
+    })
+    .unwrap();
     let state = stage.folder.path().join("state");
     let of = format!(
         "[roster]\nurl = \"http://{}/workers/1\"\nstream = true\nevery = \"100ms\"\n",
         discovery.address
     );
     let gateway = stage.gateway_with(&format!("state = \"{}\"", state.display()), &of);
-    stage.wait("the list", |_| (gateway.invoke("echo", "{}").status == 200).then_some(()));
-    let state_of = |worker: &str, state| Listed { state, ..Listed::up(worker) };
+    stage.wait("the list", |_| {
+        (gateway.invoke("echo", "{}").status == 200).then_some(())
+    });
+    let state_of = |worker: &str, state| Listed {
+        state,
+        ..Listed::up(worker)
+    };
     let draining = quartzdrift_scheduler::interface::EndpointState::Draining;
     discovery.tell(discovery::Command::Set(state_of(&workers[0], draining)));
-    stage.wait("the drain", |seen| seen.iter().find(|s| matches!(s, Seen::ToldAway { .. })).map(drop));
+    stage.wait("the drain", |seen| {
+        seen.iter().find(|s| matches!(s, Seen::ToldAway { .. })).map(drop)
+    });
     // The news is on the gateway's socket; give it the grace that the rule gives.
     std::thread::sleep(Duration::from_millis(250));
     for n in 0..30 {
@@ -559,10 +680,17 @@
     let script = script::read(day).unwrap();
     let good = badday::play(&script, &Program::lab(Path::new(LAB), "gateway"), 3).unwrap();
     assert_eq!(good.broken, [], "a rule was broken");
-    assert!(good.tally.finished > 200 && good.tally.taken > 10, "{:?}", good.tally);
+    assert!(
+        good.tally.finished > 200 && good.tally.taken > 10,
+        "{:?}",
+        good.tally
+    );
     let bad = badday::play(&script, &Program::lab(Path::new(LAB), "naive"), 3).unwrap();
     let rules: std::collections::BTreeSet<Rule> = bad.broken.iter().map(|broken| broken.rule).collect();
-    assert!(rules.contains(&Rule::EffectTwice) && rules.contains(&Rule::TwoAtOnce), "{rules:?}");
+    assert!(
+        rules.contains(&Rule::EffectTwice) && rules.contains(&Rule::TwoAtOnce),
+        "{rules:?}"
+    );
     assert!(!audit(&bad.lines, &bad.terms).is_empty());
 }
 
@@ -577,7 +705,9 @@
             let n = stream.read(&mut part).unwrap();
             seen.push_str(&String::from_utf8_lossy(&part[..n]));
         }
-        stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\none\r\n").unwrap();
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\none\r\n")
+            .unwrap();
         // The second part leaves only once the client has the first.
         may_go_on.recv().unwrap();
         stream.write_all(b"3\r\ntwo\r\n0\r\n\r\n").unwrap();
@@ -637,7 +767,10 @@
     let stage = Stage::new(1);
     let first = member(&stage, "a", &[]);
     let seed = view(&stage, "a", "its own address", |_| true).address;
-    let mut others: Vec<Gateway> = ["b", "c", "d"].iter().map(|name| member(&stage, name, &[seed])).collect();
+    let mut others: Vec<Gateway> = ["b", "c", "d"]
+        .iter()
+        .map(|name| member(&stage, name, &[seed]))
+        .collect();
     let alive =
         |view: &View, count: usize| view.members.iter().filter(|m| m.state == State::Alive).count() == count;
     for name in ["a", "b", "c", "d"] {
@@ -646,7 +779,11 @@
     }
     // Killed outright: found dead, and still counted, since nobody can tell that it does not send.
     drop(others.pop());
-    let dead = |view: &View| view.members.iter().any(|m| m.name == "d" && m.state == State::Dead);
+    let dead = |view: &View| {
+        view.members
+            .iter()
+            .any(|m| m.name == "d" && m.state == State::Dead)
+    };
     assert_eq!(view(&stage, "b", "the dead one", dead).schedulers, 4);
     // Back under its name, at another port, with what it saved.
     others.push(member(&stage, "d", &[]));
@@ -656,7 +793,11 @@
     // Stopped as operators stop it: it says so.
     others[0].term();
     assert!(others[0].ended());
-    let left = |view: &View| view.members.iter().any(|m| m.name == "b" && m.state == State::Left);
+    let left = |view: &View| {
+        view.members
+            .iter()
+            .any(|m| m.name == "b" && m.state == State::Left)
+    };
     view(&stage, "c", "the one that left", left);
     assert_eq!(first.invoke("echo", "{}").status, 200);
 }
@@ -694,9 +835,14 @@
         old.term();
         assert!(old.ended());
         let before = stage.recorder.lines().len();
-        stage.wait("calls at the successor", |seen| (seen.len() > before + 50).then_some(()));
+        stage.wait("calls at the successor", |seen| {
+            (seen.len() > before + 50).then_some(())
+        });
         stop.store(true, std::sync::atomic::Ordering::Relaxed);
-        let statuses: Vec<u16> = callers.into_iter().flat_map(|caller| caller.join().unwrap()).collect();
+        let statuses: Vec<u16> = callers
+            .into_iter()
+            .flat_map(|caller| caller.join().unwrap())
+            .collect();
         // It is written beside the loop, now and then.
         stage.wait("the successor's own start", |_| {
             let bytes = saved::last(&state, saved::STAGES).ok()??;
@@ -706,7 +852,10 @@
         drop(successor);
         statuses
     });
-    assert!(statuses.len() > 20 && statuses.iter().all(|status| *status == 200), "{statuses:?}");
+    assert!(
+        statuses.len() > 20 && statuses.iter().all(|status| *status == 200),
+        "{statuses:?}"
+    );
 }
 
 /// Kills a gateway outright again and again while asynchronous requests come, and looks at what workers saw.
@@ -722,7 +871,11 @@
     for round in 0..6 {
         let gateway = stage.gateway_with("", &more);
         for n in 0..12 {
-            let (function, list) = if n % 2 == 0 { ("echo", &mut again) } else { ("pay", &mut once) };
+            let (function, list) = if n % 2 == 0 {
+                ("echo", &mut again)
+            } else {
+                ("pay", &mut once)
+            };
             let key = format!("{round}-{n}");
             let payload = format!("{{\"key\":\"{key}\",\"work_ms\":{}}}", n % 4 * 10);
             assert_eq!(gateway.call(function, &payload, true).status, 202);
@@ -734,7 +887,9 @@
     }
     let _gateway = stage.gateway_with("", &more);
     let settled = |key: &str| stage.came(key) > 0 || stage.came(&format!("dead:{key}")) > 0;
-    stage.wait("all that was taken", |_| again.iter().chain(&once).all(|key| settled(key)).then_some(()));
+    stage.wait("all that was taken", |_| {
+        again.iter().chain(&once).all(|key| settled(key)).then_some(())
+    });
     assert!(again.iter().all(|key| stage.came(key) > 0));
     // Records of the dead go to a function that may run again, and may come twice themselves.
     for key in &once {
@@ -764,10 +919,14 @@
         .unwrap();
     assert!(!second.success());
     assert_eq!(first.invoke("echo", "{}").status, 200);
-    stage.wait("all that was taken", |_| keys.iter().all(|key| stage.came(key) > 0).then_some(()));
+    stage.wait("all that was taken", |_| {
+        keys.iter().all(|key| stage.came(key) > 0).then_some(())
+    });
     // And the first still has its store, whose requests nobody else has run.
     assert_eq!(first.call("pay", r#"{"key": "next"}"#, true).status, 202);
-    stage.wait("the next deferred job", |_| (stage.came("next") == 1).then_some(()));
+    stage.wait("the next deferred job", |_| {
+        (stage.came("next") == 1).then_some(())
+    });
     assert!(keys.iter().all(|key| stage.came(key) == 1));
 }
 
@@ -776,7 +935,10 @@
     let stage = Stage::new(1);
     let store = stage.folder.path().join("deferred");
     let more = format!("[deferred]\nstore = \"{}\"\n", store.display());
-    stage.all(&Faults { errors: 1.0, ..Faults::default() });
+    stage.all(&Faults {
+        errors: 1.0,
+        ..Faults::default()
+    });
     let mut gateway = stage.gateway_with("drain = \"200ms\"", &more);
     assert_eq!(gateway.call("echo", r#"{"key": "kept"}"#, true).status, 202);
     gateway.term();
@@ -803,7 +965,15 @@
     let payload = format!("{{\"key\":\"{mark}\"}}").into_bytes();
     let (function, mark) = ("stamp".to_owned(), Some(mark.to_owned()));
     let timeout = Duration::from_secs(15);
-    invoke(&Invoke { to: gateway.at, function, payload, asynchronous: false, mark, timeout }).unwrap()
+    invoke(&Invoke {
+        to: gateway.at,
+        function,
+        payload,
+        asynchronous: false,
+        mark,
+        timeout,
+    })
+    .unwrap()
 }
 
 #[test]
@@ -814,7 +984,10 @@
     let file = stage.folder.path().join("gateway.toml");
     assert_eq!(marked(&first, "once").status, 200);
     // A deferred one is out, at a worker that does not answer.
-    stage.all(&Faults { hang: true, ..Faults::default() });
+    stage.all(&Faults {
+        hang: true,
+        ..Faults::default()
+    });
     assert_eq!(first.call("stamp", r#"{"key": "out"}"#, true).status, 202);
     stage.wait("the deferred job at a worker", |seen| came(seen, "out"));
     drop(first);
@@ -822,8 +995,13 @@
     // The process alone was gone: workers know what they ran, and both go on at once.
     let second = stage.gateway_by("gateway.toml", &gateway, &more);
     assert_eq!(marked(&second, "once").status, 200);
-    stage.wait("the deferred job again", |_| (stage.came("out") == 2).then_some(()));
-    stage.all(&Faults { hang: true, ..Faults::default() });
+    stage.wait("the deferred job again", |_| {
+        (stage.came("out") == 2).then_some(())
+    });
+    stage.all(&Faults {
+        hang: true,
+        ..Faults::default()
+    });
     assert_eq!(second.call("stamp", r#"{"key": "lost"}"#, true).status, 202);
     stage.wait("the second one at a worker", |seen| came(seen, "lost"));
     drop(second);
@@ -832,23 +1010,36 @@
     let third = Gateway::start_on(&file, &["--boot", "anew", "--behind", "1h"]);
     let answer = marked(&third, "once");
     assert_eq!(answer.status, 429);
-    let wait = answer.headers.get("x-quartzdrift-come-back-ms").unwrap().parse::<u64>().unwrap();
+    let wait = answer
+        .headers
+        .get("x-quartzdrift-come-back-ms")
+        .unwrap()
+        .parse::<u64>()
+        .unwrap();
     assert!((1..=3000).contains(&wait), "{wait}");
-    stage.wait("the record of the one in doubt", |_| (stage.came("dead:lost") > 0).then_some(()));
+    stage.wait("the record of the one in doubt", |_| {
+        (stage.came("dead:lost") > 0).then_some(())
+    });
     std::thread::sleep(Duration::from_millis(wait));
     assert_eq!((marked(&third, "new").status, stage.came("lost")), (200, 1));
     drop(third);
     // Where workers are said to keep idempotency keys on disk, they know the repeat.
     let text = std::fs::read_to_string(&file).unwrap();
     std::fs::write(&file, format!("{text}\n[recovery]\nfingerprints = \"disk\"\n")).unwrap();
-    assert_eq!(marked(&Gateway::start_on(&file, &["--boot", "again"]), "new").status, 200);
+    assert_eq!(
+        marked(&Gateway::start_on(&file, &["--boot", "again"]), "new").status,
+        200
+    );
 }
 
 #[test]
 fn an_older_copy_of_a_store_runs_nothing_twice_and_another_ones_store_is_refused() {
     let stage = Stage::new(1);
     let (gateway, more) = alone(&stage);
-    let (store, copy) = (stage.folder.path().join("deferred"), stage.folder.path().join("copy"));
+    let (store, copy) = (
+        stage.folder.path().join("deferred"),
+        stage.folder.path().join("copy"),
+    );
     let copied = |from: &Path, to: &Path| {
         let _ = std::fs::remove_dir_all(to);
         std::fs::create_dir_all(to).unwrap();
@@ -858,23 +1049,35 @@
         }
     };
     // Nothing is taken by the only worker: the request waits, and is copied as it waits.
-    stage.all(&Faults { errors: 1.0, ..Faults::default() });
+    stage.all(&Faults {
+        errors: 1.0,
+        ..Faults::default()
+    });
     stage.workers[0].tell(Command::Crash);
     let first = stage.gateway_with(&gateway, &more);
     for key in ["pay", "echo"] {
-        assert_eq!(first.call(key, &format!("{{\"key\": \"{key}\"}}"), true).status, 202);
+        assert_eq!(
+            first.call(key, &format!("{{\"key\": \"{key}\"}}"), true).status,
+            202
+        );
     }
     drop(first);
     copied(&store, &copy);
     stage.all(&Faults::default());
     stage.workers[0].tell(Command::Start);
     let second = stage.gateway_with(&gateway, &more);
-    stage.wait("both", |_| (stage.came("pay") == 1 && stage.came("echo") == 1).then_some(()));
+    stage.wait("both", |_| {
+        (stage.came("pay") == 1 && stage.came("echo") == 1).then_some(())
+    });
     drop(second);
     copied(&copy, &store);
     let third = stage.gateway_with(&gateway, &more);
-    stage.wait("the record of the one in doubt", |_| (stage.came("dead:pay") > 0).then_some(()));
-    stage.wait("the one that may run again", |_| (stage.came("echo") == 2).then_some(()));
+    stage.wait("the record of the one in doubt", |_| {
+        (stage.came("dead:pay") > 0).then_some(())
+    });
+    stage.wait("the one that may run again", |_| {
+        (stage.came("echo") == 2).then_some(())
+    });
     assert_eq!(stage.came("pay"), 1);
     drop(third);
     // The same store under another scheduler's name.
@@ -884,28 +1087,47 @@
         "{more}\n[fleet]\nname = \"other\"\ncluster = \"test\"\nlisten = \"127.0.0.1:0\"\nkeys = [\"{}\"]\n",
         folder.join("key").display()
     );
-    let text = std::fs::read_to_string(folder.join("gateway.toml")).unwrap().replace(&more, &fleet);
+    let text = std::fs::read_to_string(folder.join("gateway.toml"))
+        .unwrap()
+        .replace(&more, &fleet);
     std::fs::write(folder.join("gateway.toml"), text).unwrap();
-    let refused = Process::new(LAB).arg("gateway").arg(folder.join("gateway.toml")).output().unwrap();
+    let refused = Process::new(LAB)
+        .arg("gateway")
+        .arg(folder.join("gateway.toml"))
+        .output()
+        .unwrap();
     let said = String::from_utf8_lossy(&refused.stderr).into_owned();
-    assert!(!refused.status.success() && said.contains("store of the scheduler ''"), "{said}");
+    assert!(
+        !refused.status.success() && said.contains("store of the scheduler ''"),
+        "{said}"
+    );
 }
 
 #[test]
 fn cold_workers_are_sent_what_was_measured_before_a_power_loss() {
     let stage = Stage::new(2);
-    let (state, file) = (stage.folder.path().join("state"), stage.folder.path().join("gateway.toml"));
+    let (state, file) = (
+        stage.folder.path().join("state"),
+        stage.folder.path().join("gateway.toml"),
+    );
     let more = "[rules]\ncold_from = 0.3\ncold_for = \"60s\"\nfall_multiple = 3.0\nfall_window = \"400ms\"\n";
     let gateway = stage.gateway_with(&format!("state = \"{}\"", state.display()), more);
     let until = Instant::now() + Duration::from_secs(20);
-    while saved::last(&state, saved::MEASURED).unwrap().is_none_or(|bytes| bytes.len() < 30) {
+    while saved::last(&state, saved::MEASURED)
+        .unwrap()
+        .is_none_or(|bytes| bytes.len() < 30)
+    {
         assert!(Instant::now() < until, "what is measured is saved");
         assert_eq!(gateway.invoke("echo", "{}").status, 200);
     }
     drop(gateway);
     // Both lost power as well: cold for a minute, as far as the gateway knows.
     let gateway = Gateway::start_on(&file, &["--boot", "anew"]);
-    assert_eq!(gateway.invoke("echo", "{}").status, 429, "within the cold rule's window nothing is spent");
+    assert_eq!(
+        gateway.invoke("echo", "{}").status,
+        429,
+        "within the cold rule's window nothing is spent"
+    );
     let until = Instant::now() + Duration::from_secs(20);
     while gateway.invoke("echo", "{}").status != 200 {
         assert!(Instant::now() < until, "cold workers are sent something");
@@ -925,24 +1147,41 @@
     let workers: Vec<String> = stage.workers.iter().map(|w| w.address.to_string()).collect();
     let first: Vec<Listed> = workers.iter().map(|worker| Listed::up(worker)).collect();
     let of = first.clone();
-    let discovery = spawn(any(), move |handle, _| Discovery::new(handle, of, Duration::ZERO, None)).unwrap();
+    let discovery = spawn(any(), move |handle, _| {
+        Discovery::new(handle, of, Duration::ZERO, None)
+    })
+    .unwrap();
     let state = stage.folder.path().join("state");
-    let more = format!("[roster]\nurl = \"http://{}/workers/1\"\nevery = \"60s\"\n", discovery.address);
+    let more = format!(
+        "[roster]\nurl = \"http://{}/workers/1\"\nevery = \"60s\"\n",
+        discovery.address
+    );
     let gateway = stage.gateway_with(&format!("state = \"{}\"", state.display()), &more);
-    stage.wait("the list", |_| (gateway.invoke("echo", "{}").status == 200).then_some(()));
-    stage.wait("the saved list", |_| saved::last(&state, saved::WORKERS).ok().flatten().map(drop));
+    stage.wait("the list", |_| {
+        (gateway.invoke("echo", "{}").status == 200).then_some(())
+    });
+    stage.wait("the saved list", |_| {
+        saved::last(&state, saved::WORKERS).ok().flatten().map(drop)
+    });
     drop(gateway);
     // All but one have not come back; their processes are left over here, and would answer.
     let gone = quartzdrift_scheduler::interface::EndpointState::Gone;
-    first[1..]
-        .iter()
-        .for_each(|one| discovery.tell(discovery::Command::Set(Listed { state: gone, ..one.clone() })));
+    first[1..].iter().for_each(|one| {
+        discovery.tell(discovery::Command::Set(Listed {
+            state: gone,
+            ..one.clone()
+        }))
+    });
     let file = stage.folder.path().join("gateway.toml");
     let gateway = Gateway::start_on(&file, &["--boot", "anew"]);
     // One list comes in this time, and is believed as it is.
     let only_one = |bytes: Vec<u8>| (!String::from_utf8_lossy(&bytes).contains(&workers[1])).then_some(());
-    stage
-        .wait("the list after it", |_| saved::last(&state, saved::WORKERS).ok().flatten().and_then(only_one));
+    stage.wait("the list after it", |_| {
+        saved::last(&state, saved::WORKERS)
+            .ok()
+            .flatten()
+            .and_then(only_one)
+    });
     for n in 0..20 {
         gateway.invoke("echo", &format!("{{\"key\": \"after-{n}\"}}"));
     }
--- a/crates/quartzdrift-lab/tests/platform.rs
+++ b/crates/quartzdrift-lab/tests/platform.rs
@@ -19,7 +19,10 @@
     let mut front = stage.front();
     ask(&mut front, 5, &asked("/do/again", ID));
     let (lane, code, id, fields, body) = stage.workers[0].command();
-    assert_eq!((code, id, &body[..]), (48, 0x9b1f_03aa_5c7e_2d41, &b"the body"[..]));
+    assert_eq!(
+        (code, id, &body[..]),
+        (48, 0x9b1f_03aa_5c7e_2d41, &b"the body"[..])
+    );
     let (fields, max) = fields.rsplit_once(",max=").unwrap();
     assert_eq!(fields, "profile=again,thing=7f3a9c21e0b4d655");
     assert!((1..=50000).contains(&max.parse::<u32>().unwrap()));
@@ -43,7 +46,14 @@
     let mut stage = Stage::with(LAB, 2, &[("\"effect\":\"fragile\"", dedup)]);
     let mut front = stage.front();
     assert_eq!(ask_and_reply(&mut front, &asked("/do/once", ID)).status, 400);
-    ask(&mut front, 1, &Asked { idempotency_key: "0f3a-77", ..asked("/do/once", ID) });
+    ask(
+        &mut front,
+        1,
+        &Asked {
+            idempotency_key: "0f3a-77",
+            ..asked("/do/once", ID)
+        },
+    );
     // The first may have run it; the second can tell the repeat, as it hears the same.
     let (first, (lane, _, _, fields, _)) = stage.command();
     assert!(fields.contains(",replay=0f3a-77,"), "{fields}");
@@ -60,7 +70,14 @@
     let mut stage = Stage::with(LAB, 2, &[("\"stats\"", tenants)]);
     let mut front = stage.front();
     // Full for this request, though by its report it has room: it has no more for this tenant.
-    ask(&mut front, 1, &Asked { tenant: "a", ..asked("/do/once", ID) });
+    ask(
+        &mut front,
+        1,
+        &Asked {
+            tenant: "a",
+            ..asked("/do/once", ID)
+        },
+    );
     let (turns, (lane, _, id, ..)) = stage.command();
     stage.workers[turns].answer(lane, FULL, id, b"");
     let (other, (lane, ..)) = stage.command();
@@ -70,7 +87,15 @@
     let mut met = |tenant, from| {
         let requests = (from..from + 12).map(|n| {
             let (id, function) = (format!("{n:016x}"), format!("{n:016x}"));
-            ask(&mut front, 1, &Asked { tenant, function: &function, ..asked("/do/once", &id) });
+            ask(
+                &mut front,
+                1,
+                &Asked {
+                    tenant,
+                    function: &function,
+                    ..asked("/do/once", &id)
+                },
+            );
             let (at, (lane, _, id, ..)) = stage.command();
             stage.workers[at].answer(lane, DONE, id, b"");
             assert_eq!(front.reply().unwrap().status, 200);
@@ -89,21 +114,66 @@
     let mut front = stage.front();
     let good = asked("/do/again", ID);
     for (bad, status) in [
-        (Asked { path: "/do/none", ..good }, 404),
-        (Asked { path: "/elsewhere", ..good }, 404),
+        (
+            Asked {
+                path: "/do/none",
+                ..good
+            },
+            404,
+        ),
+        (
+            Asked {
+                path: "/elsewhere",
+                ..good
+            },
+            404,
+        ),
         (Asked { id: "", ..good }, 400),
-        (Asked { id: "9b1f03aa5c7e2d4,", ..good }, 400),
-        (Asked { function: "7f3a9c21e0b4,x=1", ..good }, 400),
+        (
+            Asked {
+                id: "9b1f03aa5c7e2d4,",
+                ..good
+            },
+            400,
+        ),
+        (
+            Asked {
+                function: "7f3a9c21e0b4,x=1",
+                ..good
+            },
+            400,
+        ),
         (Asked { time: "-1", ..good }, 400),
-        (Asked { time: "99999999999", ..good }, 400),
-        (Asked { figures: "lanes:nan", ..good }, 400),
-        (Asked { idempotency_key: "a,x=1", ..good }, 400),
+        (
+            Asked {
+                time: "99999999999",
+                ..good
+            },
+            400,
+        ),
+        (
+            Asked {
+                figures: "lanes:nan",
+                ..good
+            },
+            400,
+        ),
+        (
+            Asked {
+                idempotency_key: "a,x=1",
+                ..good
+            },
+            400,
+        ),
     ] {
         assert_eq!(ask_and_reply(&mut front, &bad).status, status, "{bad:?}");
     }
     // Too large a body is refused from its head, and ends its connection.
     let body = vec![0; 20 << 10];
-    assert_eq!(ask_and_reply(&mut front, &Asked { body: &body, ..good }).status, 413);
+    assert_eq!(
+        ask_and_reply(&mut front, &Asked { body: &body, ..good }).status,
+        413
+    );
     assert!(front.reply().is_err());
     // What is not FastCGI is closed.
     let mut other = stage.front();
@@ -118,7 +188,17 @@
     let (mut first, mut second) = (stage.front(), stage.front());
     ask(&mut first, 1, &asked("/do/once", ID));
     let (lane, _, id, ..) = stage.workers[0].command();
-    assert_eq!(ask_and_reply(&mut second, &Asked { body: b"other", ..asked("/do/once", ID) }).status, 409);
+    assert_eq!(
+        ask_and_reply(
+            &mut second,
+            &Asked {
+                body: b"other",
+                ..asked("/do/once", ID)
+            }
+        )
+        .status,
+        409
+    );
     stage.workers[0].answer(lane, DONE, id, b"done");
     assert_eq!(first.reply().unwrap().body, b"done");
     // Where both come over one connection, neither is trusted, and the worker is told.
@@ -160,7 +240,13 @@
         stage.workers[at].send(lane, &bytes);
         // Killed: it may have run, so neither a further attempt nor a rejection may follow.
         assert_eq!(front.reply().unwrap().status, 500, "{what}");
-        assert!(stage.workers.iter_mut().all(|worker| worker.command_now().is_none()), "{what}");
+        assert!(
+            stage
+                .workers
+                .iter_mut()
+                .all(|worker| worker.command_now().is_none()),
+            "{what}"
+        );
     }
     ask(&mut front, 1, &asked("/do/once", ID));
     let (at, (lane, ..)) = stage.command();
@@ -204,7 +290,9 @@
     // Without a worker no request can be taken, and the check says so.
     assert_eq!(ask_and_reply(&mut front, &asked("/check", ID)).status, 503);
     stage.coordinator.poll();
-    stage.coordinator.tell(&event(2, false, &[target("w9", gone, "Ready")]));
+    stage
+        .coordinator
+        .tell(&event(2, false, &[target("w9", gone, "Ready")]));
     // The next poll follows from there: the news has been taken.
     assert!(stage.coordinator.poll().contains("follow=2"));
     assert_eq!(ask_and_reply(&mut front, &asked("/check", ID)).status, 200);
@@ -235,10 +323,15 @@
     let vanished = Vanished::start().unwrap();
     let at = vanished.at;
     stage.coordinator.poll();
-    stage.coordinator.tell(&event(2, false, &[target("w0", at, "Ready")]));
+    stage
+        .coordinator
+        .tell(&event(2, false, &[target("w0", at, "Ready")]));
     assert!(stage.coordinator.poll().contains("follow=2&"));
     let reply = ask_and_reply(&mut front, &asked("/do/once", ID));
-    assert!(reply.status == 503 && reply.head.contains("Retry-After-Ms: "), "it never ran: {reply:?}");
+    assert!(
+        reply.status == 503 && reply.head.contains("Retry-After-Ms: "),
+        "it never ran: {reply:?}"
+    );
 }
 
 #[test]
@@ -248,7 +341,9 @@
     let vanished = Vanished::start().unwrap();
     let at = vanished.at;
     stage.coordinator.poll();
-    stage.coordinator.tell(&event(2, false, &[target("w0", at, "Ready")]));
+    stage
+        .coordinator
+        .tell(&event(2, false, &[target("w0", at, "Ready")]));
     assert!(stage.coordinator.poll().contains("follow=2&"));
     ask(&mut front, 1, &asked("/do/once", ID));
     // The request has been taken once a later one on the same connection is answered.
@@ -296,7 +391,11 @@
     front.reply().unwrap();
     let at = stage.workers[0].at;
     stage.coordinator.poll();
-    stage.coordinator.tell(&event(2, false, &[target("w0", at, "Gone"), target("new", at, "Ready")]));
+    stage.coordinator.tell(&event(
+        2,
+        false,
+        &[target("w0", at, "Gone"), target("new", at, "Ready")],
+    ));
     // The lane to the one that has gone is closed, and the newcomer gets one of its own.
     loop {
         if let Reached::Closed(closed) = stage.workers[0].reached() {
@@ -315,7 +414,11 @@
 fn the_list_stands_through_a_coordinator_that_breaks_off() {
     let mut stage = Stage::start(LAB, 2);
     let cut = event(2, false, &[target("w0", stage.workers[0].at, "Terminating")]);
-    let half = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", cut.len(), &cut[..cut.len() / 2]);
+    let half = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
+        cut.len(),
+        &cut[..cut.len() / 2]
+    );
     for answer in ["", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "noise", &half] {
         assert!(stage.coordinator.poll().contains("follow=1&"), "{answer}");
         stage.coordinator.send(answer.as_bytes().to_vec());
@@ -381,7 +484,12 @@
     // Far past what buffers hold; without a bound this would end at the largest number of requests.
     while requests < 2000 && idle < 1000 {
         if idle == 0
-            && deaf.send(&Front::request(1, &asked("/do/again", &format!("{requests:016x}")))).is_err()
+            && deaf
+                .send(&Front::request(
+                    1,
+                    &asked("/do/again", &format!("{requests:016x}")),
+                ))
+                .is_err()
         {
             break;
         }
@@ -400,7 +508,10 @@
     while deaf.reply().is_ok() {
         whole += 1;
     }
-    assert!(whole < requests, "the end of what it was sent shows that not all is there");
+    assert!(
+        whole < requests,
+        "the end of what it was sent shows that not all is there"
+    );
 }
 
 #[test]
@@ -434,7 +545,11 @@
         for n in 2..=REPLACED {
             coordinator.poll();
             let (old, new) = (format!("w{}", n - 1), format!("w{n}"));
-            coordinator.tell(&event(n, false, &[target(&old, at, "Gone"), target(&new, at, "Ready")]));
+            coordinator.tell(&event(
+                n,
+                false,
+                &[target(&old, at, "Gone"), target(&new, at, "Ready")],
+            ));
         }
         assert!(coordinator.poll().contains(&format!("follow={REPLACED}&")));
     });
