--- a/crates/quartzdrift-lab/tests/recovery.rs
+++ b/crates/quartzdrift-lab/tests/recovery.rs
@@ -39,8 +39,20 @@
 /// Calls that finished after the moment, in seconds.
 fn finished_after(day: &Day, from: f64) -> usize {
     let late = |at_us: u64| at_us as f64 / 1e6 >= from;
-    let of = |seen: &Seen| matches!(seen, Seen::Answered { status: 200, killed: false, .. });
-    day.lines.iter().filter(|line| late(line.at_us) && of(&line.seen)).count()
+    let of = |seen: &Seen| {
+        matches!(
+            seen,
+            Seen::Answered {
+                status: 200,
+                killed: false,
+                ..
+            }
+        )
+    };
+    day.lines
+        .iter()
+        .filter(|line| late(line.at_us) && of(&line.seen))
+        .count()
 }
 
 #[test]
@@ -52,7 +64,11 @@
     );
     let lost = Some((Kind::LossOfMany, Disk::Whole));
     assert_eq!(kinds(&day), [lost, lost, lost, lost, None], "one never came back");
-    assert!(day.views.iter().flatten().all(|view| view.stage == Stage::Full), "{:?}", day.views);
+    assert!(
+        day.views.iter().flatten().all(|view| view.stage == Stage::Full),
+        "{:?}",
+        day.views
+    );
     assert!(finished_after(&day, 6.0) > 100);
 }
 
@@ -86,13 +102,18 @@
          at 6500ms clock gateway 2 behind 1h\nat 6700ms start gateway 2",
         4,
     );
-    let [_, one, two, _] = &kinds(&day)[..] else { panic!() };
+    let [_, one, two, _] = &kinds(&day)[..] else {
+        panic!()
+    };
     assert_eq!([one, two], [&Some((Kind::CrashOfOne, Disk::Whole)); 2]);
 }
 
 #[test]
 fn a_planned_restart_of_all_is_taken_for_none() {
-    let day = played("gateways 4\nlength 7s\nat 2s stop gateways 0 3\nat 3s start gateways 0 3", 5);
+    let day = played(
+        "gateways 4\nlength 7s\nat 2s stop gateways 0 3\nat 3s start gateways 0 3",
+        5,
+    );
     assert_eq!(kinds(&day), [Some((Kind::Planned, Disk::Whole)); 4]);
 }
 
@@ -129,8 +150,18 @@
          at 3200ms start gateways 0 5",
         8,
     );
-    let disks: Vec<Option<Disk>> = kinds(&day).into_iter().map(|of| of.map(|(_, disk)| disk)).collect();
-    let seen = [Disk::Spoilt, Disk::Spoilt, Disk::Old, Disk::Foreign, Disk::Spoilt, Disk::Gone];
+    let disks: Vec<Option<Disk>> = kinds(&day)
+        .into_iter()
+        .map(|of| of.map(|(_, disk)| disk))
+        .collect();
+    let seen = [
+        Disk::Spoilt,
+        Disk::Spoilt,
+        Disk::Old,
+        Disk::Foreign,
+        Disk::Spoilt,
+        Disk::Gone,
+    ];
     assert_eq!(disks[..6], seen.map(Some));
 }
 
@@ -186,7 +217,10 @@
                  at 4600ms power on gateways 0 4 every=100ms";
     let day = crowded(power, 11);
     let (fetches, refused) = fetches_after(&day, 4.0);
-    assert!(fetches >= 40 && refused * 2 < fetches, "{fetches} fetches, {refused} of them turned away");
+    assert!(
+        fetches >= 40 && refused * 2 < fetches,
+        "{fetches} fetches, {refused} of them turned away"
+    );
     assert!(finished_after(&day, 10.0) > 300, "service is back");
 }
 
@@ -198,7 +232,11 @@
         12,
     );
     assert!(finished_after(&day, 11.0) > 300, "service is back");
-    assert!(day.views.iter().flatten().all(|view| view.stage == Stage::Full), "{:?}", day.views);
+    assert!(
+        day.views.iter().flatten().all(|view| view.stage == Stage::Full),
+        "{:?}",
+        day.views
+    );
 }
 
 #[test]
@@ -220,6 +258,9 @@
 fn drawn_days_of_power_loss_keep_every_rule() {
     let program = Program::lab(Path::new(env!("CARGO_BIN_EXE_quartzdrift-lab")), "gateway");
     let bad = losses::play(1..11, 5, &program, |_, _| {});
-    let told: Vec<String> = bad.iter().map(|bad| format!("seed {}: {}", bad.seed, bad.what)).collect();
+    let told: Vec<String> = bad
+        .iter()
+        .map(|bad| format!("seed {}: {}", bad.seed, bad.what))
+        .collect();
     assert!(told.is_empty(), "{told:?}");
 }
--- a/crates/quartzdrift-lab/tests/stored.rs
+++ b/crates/quartzdrift-lab/tests/stored.rs
@@ -10,8 +10,10 @@
 #[test]
 fn a_recorded_trace_is_read() {
     let trace = traffic::read(&folder("tests/stored/trace.jsonl")).unwrap();
-    let read: Vec<_> =
-        trace.iter().map(|of| (of.at_us, of.request_class, &*of.function, of.work_us, of.gateway)).collect();
+    let read: Vec<_> = trace
+        .iter()
+        .map(|of| (of.at_us, of.request_class, &*of.function, of.work_us, of.gateway))
+        .collect();
     assert_eq!(read, [(0, 1, "echo", 0, 0.0), (1500, 0, "0f3a77", 12_000, 0.75)]);
 }
 
--- a/crates/quartzdrift-lab/tests/wire.rs
+++ b/crates/quartzdrift-lab/tests/wire.rs
@@ -19,7 +19,11 @@
 
 impl Process {
     fn start(mut command: Command) -> Process {
-        let mut child = command.stdout(Stdio::piped()).stderr(Stdio::null()).spawn().unwrap();
+        let mut child = command
+            .stdout(Stdio::piped())
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap();
         let at = listens_at(&mut BufReader::new(child.stdout.take().unwrap())).unwrap();
         Process { child, at }
     }
@@ -71,7 +75,9 @@
 
 /// `text` with what stands between `before` and the next of `ends` replaced by a word.
 fn without(text: &str, before: &str, ends: &[char], word: &str) -> String {
-    let Some(at) = text.find(before).map(|at| at + before.len()) else { return text.to_owned() };
+    let Some(at) = text.find(before).map(|at| at + before.len()) else {
+        return text.to_owned();
+    };
     let end = text[at..].find(ends).map_or(text.len(), |end| at + end);
     format!("{}<{word}>{}", &text[..at], &text[end..])
 }
@@ -133,18 +139,26 @@
     let gateway = Process::start(command);
     let mut client = gateway.connect();
     let fields = "x-customer: second\r\nidempotency-key: k-1\r\nx-amz-client-context: e30=\r\n";
-    client.write_all(invocation(fields, "{\"a\": 1}").as_bytes()).unwrap();
+    client
+        .write_all(invocation(fields, "{\"a\": 1}").as_bytes())
+        .unwrap();
     let mut lane = accept(&worker);
     let mut all = http_normal(&read_until(&mut lane, |all| all.ends_with(b"{\"a\": 1}")));
     let answer = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nendpoint-load-metrics: JSON {\"named_metrics\":{\"inflight\":1}}\r\n\
         x-other: 1\r\ncontent-length: 4\r\n\r\ndone";
     lane.write_all(answer.as_bytes()).unwrap();
     all.push_str("\n---\n");
-    all.push_str(&http_normal(&read_until(&mut client, |all| all.ends_with(b"done"))));
+    all.push_str(&http_normal(&read_until(&mut client, |all| {
+        all.ends_with(b"done")
+    })));
     // Refused at every worker: rejected, with a time to come again.
-    client.write_all(invocation("x-customer: first\r\n", "{}").as_bytes()).unwrap();
+    client
+        .write_all(invocation("x-customer: first\r\n", "{}").as_bytes())
+        .unwrap();
     all.push_str("\n---\n");
-    all.push_str(&http_normal(&read_until(&mut lane, |all| all.ends_with(b"\r\n\r\n{}"))));
+    all.push_str(&http_normal(&read_until(&mut lane, |all| {
+        all.ends_with(b"\r\n\r\n{}")
+    })));
     let full = "HTTP/1.1 429 Too Many Requests\r\nx-amzn-errortype: TooManyRequestsException\r\ncontent-length: 0\r\n\r\n";
     lane.write_all(full.as_bytes()).unwrap();
     all.push_str("\n---\n");
@@ -153,12 +167,17 @@
         (invocation("", "{}"), "}"),
         (invocation("x-customer: third\r\n", "{}"), "}"),
         (invocation("x-customer: first\r\n", "{"), "}"),
-        ("GET /v2/health/ready HTTP/1.1\r\nhost: x\r\n\r\n".to_owned(), "\r\n\r\n"),
+        (
+            "GET /v2/health/ready HTTP/1.1\r\nhost: x\r\n\r\n".to_owned(),
+            "\r\n\r\n",
+        ),
         ("GET /other HTTP/1.1\r\nhost: x\r\n\r\n".to_owned(), "}"),
     ] {
         client.write_all(asked.as_bytes()).unwrap();
         all.push_str("\n---\n");
-        all.push_str(&http_normal(&read_until(&mut client, |all| all.ends_with(last.as_bytes()))));
+        all.push_str(&http_normal(&read_until(&mut client, |all| {
+            all.ends_with(last.as_bytes())
+        })));
     }
     compare("gateway.txt", &all);
 }
@@ -172,7 +191,16 @@
 
 /// A FastCGI record as published: version, type, request, content, no padding.
 fn record(kind: u8, number: u8, content: &[u8]) -> Vec<u8> {
-    let mut bytes = vec![1, kind, 0, number, (content.len() >> 8) as u8, content.len() as u8, 0, 0];
+    let mut bytes = vec![
+        1,
+        kind,
+        0,
+        number,
+        (content.len() >> 8) as u8,
+        content.len() as u8,
+        0,
+        0,
+    ];
     bytes.extend_from_slice(content);
     bytes
 }
@@ -236,7 +264,9 @@
     let poll = read_until(&mut watch, |all| all.ends_with(b"\r\n\r\n"));
     let mut all = http_normal(&poll);
     let mut client = node.connect();
-    client.write_all(&fastcgi(1, "/do/again", "50000", b"the body")).unwrap();
+    client
+        .write_all(&fastcgi(1, "/do/again", "50000", b"the body"))
+        .unwrap();
     let mut lane = accept(&worker);
     let sent = command(&mut lane);
     // The check at the end is of fields that hold a time.
@@ -253,10 +283,15 @@
     );
     all.push_str(&format!("---\n{}\n", shown(&answer)));
     lane.write_all(&answer).unwrap();
-    all.push_str(&format!("---\n{}\n", shown(&read_until(&mut client, |all| ended(all, 1)))));
+    all.push_str(&format!(
+        "---\n{}\n",
+        shown(&read_until(&mut client, |all| ended(all, 1)))
+    ));
     // A worker that fails what must not run twice, then one that is full: nothing ran.
     for (number, path, code) in [(2, "/do/once", 68), (3, "/do/once", 67)] {
-        client.write_all(&fastcgi(number, path, "50000", b"again")).unwrap();
+        client
+            .write_all(&fastcgi(number, path, "50000", b"again"))
+            .unwrap();
         command(&mut lane);
         let mut answer = Vec::new();
         quartzdrift_platform::frame::write(
@@ -268,20 +303,31 @@
             b"",
         );
         lane.write_all(&answer).unwrap();
-        all.push_str(&format!("---\n{}\n", shown(&read_until(&mut client, |all| ended(all, number)))));
+        all.push_str(&format!(
+            "---\n{}\n",
+            shown(&read_until(&mut client, |all| ended(all, number)))
+        ));
     }
-    for (number, path, time) in
-        [(4, "/check", "1"), (5, "/do/other", "1"), (6, "/do/again", "x"), (7, "/", "1")]
-    {
+    for (number, path, time) in [
+        (4, "/check", "1"),
+        (5, "/do/other", "1"),
+        (6, "/do/again", "x"),
+        (7, "/", "1"),
+    ] {
         client.write_all(&fastcgi(number, path, time, b"")).unwrap();
-        all.push_str(&format!("---\n{}\n", shown(&read_until(&mut client, |all| ended(all, number)))));
+        all.push_str(&format!(
+            "---\n{}\n",
+            shown(&read_until(&mut client, |all| ended(all, number)))
+        ));
     }
     compare("platform.txt", &all);
 }
 
 /// Compares with a recorded text; `RECORD_WIRE=1` writes it anew.
 fn compare(name: &str, text: &str) {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/wire").join(name);
+    let file = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/wire")
+        .join(name);
     if std::env::var_os("RECORD_WIRE").is_some() {
         std::fs::write(&file, text).unwrap();
     }
--- a/crates/quartzdrift-lifecycle/src/request_table.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table.rs
@@ -69,7 +69,12 @@
 impl AttemptResult {
     /// Without an answer that tells more.
     pub fn silent(outcome: Outcome) -> AttemptResult {
-        AttemptResult { outcome, cache_result: CacheResult::Unknown, concurrency: None, report: Vec::new() }
+        AttemptResult {
+            outcome,
+            cache_result: CacheResult::Unknown,
+            concurrency: None,
+            report: Vec::new(),
+        }
     }
 }
 
@@ -170,8 +175,17 @@
 
 #[derive(Debug)]
 enum Command {
-    Probe { worker: Rc<str>, sent: Duration, timer: TimerId },
-    Load { worker: Rc<str>, function: Rc<str>, sent: Duration, timer: TimerId },
+    Probe {
+        worker: Rc<str>,
+        sent: Duration,
+        timer: TimerId,
+    },
+    Load {
+        worker: Rc<str>,
+        function: Rc<str>,
+        sent: Duration,
+        timer: TimerId,
+    },
 }
 
 /// Something for the module that came of its own action.
@@ -209,7 +223,10 @@
         RequestTable {
             scheduler: Scheduler::new(settings, seed),
             slack: settings.rules.answer_slack.unwrap_or_default(),
-            load_command_timeout: settings.copies.load_command_timeout.unwrap_or(DEFAULT_COMMAND_TIMEOUT),
+            load_command_timeout: settings
+                .copies
+                .load_command_timeout
+                .unwrap_or(DEFAULT_COMMAND_TIMEOUT),
             open_most: settings.allowed.max_open.map_or(MAX_OPEN, |n| n as usize),
             attempts_most: settings.allowed.max_attempts.unwrap_or(1),
             hedging: settings.allowed.hedging,
@@ -251,7 +268,9 @@
 
     /// Attempts of a request that are out.
     pub fn attempts_of(&self, request: RequestId) -> impl Iterator<Item = u32> {
-        self.out.range((request, 0)..=(request, u32::MAX)).map(|((_, attempt), _)| *attempt)
+        self.out
+            .range((request, 0)..=(request, u32::MAX))
+            .map(|((_, attempt), _)| *attempt)
     }
 
     /// Places that the module keeps for workers and functions, and requests that it holds open.
@@ -270,7 +289,10 @@
     }
 
     pub fn workers_up(&self) -> usize {
-        self.workers.values().filter(|state| **state == EndpointState::Up).count()
+        self.workers
+            .values()
+            .filter(|state| **state == EndpointState::Up)
+            .count()
     }
 
     pub fn workers(&self) -> impl Iterator<Item = (&str, EndpointState)> {
@@ -287,14 +309,30 @@
         }
         self.drawn += 1;
         let request = self.drawn;
-        let left = new.left.saturating_sub(self.slack).min(until_stop.unwrap_or(Duration::MAX));
+        let left = new
+            .left
+            .saturating_sub(self.slack)
+            .min(until_stop.unwrap_or(Duration::MAX));
         let until = self.now + left;
         let limit = self.timers.set(until, Due::Limit(request));
         let (function, payload) = (new.function.clone(), new.payload);
-        let idempotent = self.idempotent.get(new.request_class as usize).copied().unwrap_or(false);
+        let idempotent = self
+            .idempotent
+            .get(new.request_class as usize)
+            .copied()
+            .unwrap_or(false);
         let (attempts, out, may_have_executed, streaming) = (0, 0, None, false);
-        let open =
-            Open { payload, idempotent, function, until, limit, attempts, out, may_have_executed, streaming };
+        let open = Open {
+            payload,
+            idempotent,
+            function,
+            until,
+            limit,
+            attempts,
+            out,
+            may_have_executed,
+            streaming,
+        };
         self.requests.insert(request, open);
         self.feed(Event::Request(Request {
             request,
@@ -337,7 +375,9 @@
     /// The answer has begun to reach the client: from now on neither time limit nor further attempts count.
     pub fn streaming_started(&mut self, now: Duration, request: RequestId, attempt: u32) {
         self.turn(now);
-        let Some(out) = self.out.get_mut(&(request, attempt)) else { return };
+        let Some(out) = self.out.get_mut(&(request, attempt)) else {
+            return;
+        };
         let (worker, duration) = (out.worker.clone(), self.now.saturating_sub(out.sent));
         let own = out.timer.take();
         let limit = self.requests.get_mut(&request).map(|open| {
@@ -347,7 +387,12 @@
         for timer in own.into_iter().chain(limit) {
             self.timers.cancel(timer);
         }
-        self.feed(Event::StreamingStarted { request, attempt, worker: &worker, duration });
+        self.feed(Event::StreamingStarted {
+            request,
+            attempt,
+            worker: &worker,
+            duration,
+        });
         self.settle();
     }
 
@@ -369,9 +414,14 @@
         }
         self.feed(Event::EndpointList { form, entries });
         // What was chosen before the news and has not left yet would be new work to a worker that drains.
-        let unsent = self.out.iter().filter(|(_, out)| !self.is_up(&out.worker)).map(|(id, _)| *id);
-        let recall: Vec<_> =
-            unsent.map(|(request, attempt)| Output::RecallAttempt { request, attempt }).collect();
+        let unsent = self
+            .out
+            .iter()
+            .filter(|(_, out)| !self.is_up(&out.worker))
+            .map(|(id, _)| *id);
+        let recall: Vec<_> = unsent
+            .map(|(request, attempt)| Output::RecallAttempt { request, attempt })
+            .collect();
         self.outputs.extend(recall);
         let commands = self.commands.iter().filter_map(|(command, of)| match of {
             Command::Load { worker, .. } if !self.is_up(worker) => {
@@ -460,10 +510,13 @@
         self.turn(now);
         let open: Vec<RequestId> = self.requests.keys().copied().collect();
         for request in open {
-            let Some(of) = self.requests.get(&request) else { continue };
+            let Some(of) = self.requests.get(&request) else {
+                continue;
+            };
             let (may_have_executed, again) = (of.may_have_executed, of.idempotent && !of.streaming);
-            let (gone, waits): (Vec<u32>, Vec<u32>) =
-                self.attempts_of(request).partition(|&attempt| left(request, attempt));
+            let (gone, waits): (Vec<u32>, Vec<u32>) = self
+                .attempts_of(request)
+                .partition(|&attempt| left(request, attempt));
             let doubt = !gone.is_empty() || may_have_executed.is_some();
             let harmless = !doubt || again && (gone.is_empty() || self.cancel);
             let given_up = if harmless { gone } else { Vec::new() };
@@ -473,8 +526,13 @@
             self.conclude(
                 request,
                 match harmless {
-                    true => FinalAnswer::Rejected { retry_after: None, may_have_executed },
-                    false => FinalAnswer::Failed { why: FailureReason::ShuttingDown },
+                    true => FinalAnswer::Rejected {
+                        retry_after: None,
+                        may_have_executed,
+                    },
+                    false => FinalAnswer::Failed {
+                        why: FailureReason::ShuttingDown,
+                    },
                 },
             );
             for (attempts, outcome) in [(waits, Outcome::NeverSent), (given_up, Outcome::Cancelled)] {
@@ -509,14 +567,34 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::StartAttempt { request, worker, timeout } => self.execute(request, worker, timeout),
+            Action::StartAttempt {
+                request,
+                worker,
+                timeout,
+            } => self.execute(request, worker, timeout),
             Action::Reject { request, retry_after } => {
-                let may_have_executed = self.requests.get(&request).and_then(|open| open.may_have_executed);
-                self.conclude(request, FinalAnswer::Rejected { retry_after, may_have_executed });
+                let may_have_executed = self
+                    .requests
+                    .get(&request)
+                    .and_then(|open| open.may_have_executed);
+                self.conclude(
+                    request,
+                    FinalAnswer::Rejected {
+                        retry_after,
+                        may_have_executed,
+                    },
+                );
             }
             Action::Fail { request } => {
-                let late = self.requests.get(&request).is_some_and(|open| open.until <= self.now);
-                let why = if late { FailureReason::DeadlineExceeded } else { FailureReason::OutcomeUnknown };
+                let late = self
+                    .requests
+                    .get(&request)
+                    .is_some_and(|open| open.until <= self.now);
+                let why = if late {
+                    FailureReason::DeadlineExceeded
+                } else {
+                    FailureReason::OutcomeUnknown
+                };
                 self.conclude(request, FinalAnswer::Failed { why });
             }
             Action::CancelAttempt { request, attempt } => {
@@ -537,12 +615,26 @@
                 |worker, sent, timer| Command::Probe { worker, sent, timer },
                 |command, worker| Output::CheckHealth { command, worker },
             ),
-            Action::Load { worker, function, copies } => {
+            Action::Load {
+                worker,
+                function,
+                copies,
+            } => {
                 let of = function.clone();
                 self.command(
                     worker,
-                    |worker, sent, timer| Command::Load { worker, function: of, sent, timer },
-                    |command, worker| Output::Load { command, worker, function, copies },
+                    |worker, sent, timer| Command::Load {
+                        worker,
+                        function: of,
+                        sent,
+                        timer,
+                    },
+                    |command, worker| Output::Load {
+                        command,
+                        worker,
+                        function,
+                        copies,
+                    },
                 )
             }
             Action::Unload { worker, function } => self.outputs.push(Output::Unload { worker, function }),
@@ -551,7 +643,9 @@
             Action::Watch { on } => self.outputs.push(Output::Watch { on }),
             Action::PollEndpoints => self.outputs.push(Output::PollEndpoints),
             Action::Log { mut text } => {
-                let end = (0..=MAX_LOG.min(text.len())).rev().find(|&at| text.is_char_boundary(at));
+                let end = (0..=MAX_LOG.min(text.len()))
+                    .rev()
+                    .find(|&at| text.is_char_boundary(at));
                 text.truncate(end.unwrap_or(0));
                 self.outputs.push(Output::Log { text });
             }
@@ -574,7 +668,11 @@
             || !self.workers.contains_key(&worker);
         if refused {
             // The module learns that it never ran; on the ordinary path none of these comes up.
-            let out = Out { worker, sent: self.now, timer: None };
+            let out = Out {
+                worker,
+                sent: self.now,
+                timer: None,
+            };
             open.out += 1;
             self.out.insert((request, attempt), out);
             self.later.push_back(Later::AttemptResult(
@@ -588,9 +686,23 @@
         let (function, payload) = (open.function.clone(), open.payload.clone());
         let limit = timeout.filter(|limit| *limit < left);
         let timer = limit.map(|limit| self.timers.set(self.now + limit, Due::Attempt(request, attempt)));
-        self.out.insert((request, attempt), Out { worker: worker.clone(), sent: self.now, timer });
+        self.out.insert(
+            (request, attempt),
+            Out {
+                worker: worker.clone(),
+                sent: self.now,
+                timer,
+            },
+        );
         let wait = limit.unwrap_or(left);
-        self.outputs.push(Output::StartAttempt { request, attempt, worker, function, wait, payload });
+        self.outputs.push(Output::StartAttempt {
+            request,
+            attempt,
+            worker,
+            function,
+            wait,
+            payload,
+        });
     }
 
     fn command(
@@ -601,12 +713,18 @@
     ) {
         self.drawn += 1;
         let id = self.drawn;
-        let timer = self.timers.set(self.now + self.load_command_timeout, Due::Command(id));
+        let timer = self
+            .timers
+            .set(self.now + self.load_command_timeout, Due::Command(id));
         let known = self.workers.contains_key(&worker);
         let full = self.commands.len() >= MAX_COMMANDS;
         self.commands.insert(id, command(worker.clone(), self.now, timer));
         if full || !known {
-            let outcome = if known { Outcome::AtCapacity } else { Outcome::ConnectFailed };
+            let outcome = if known {
+                Outcome::AtCapacity
+            } else {
+                Outcome::ConnectFailed
+            };
             self.later.push_back(Later::CommandEnded(id, outcome));
         } else {
             self.outputs.push(output(id, worker));
@@ -626,17 +744,30 @@
                     report,
                 });
             }
-            Some(Command::Load { worker, function, sent, timer }) => {
+            Some(Command::Load {
+                worker,
+                function,
+                sent,
+                timer,
+            }) => {
                 self.timers.cancel(timer);
                 let (worker, function) = (&*worker, &*function);
-                self.feed(Event::LoadEnded { worker, function, outcome, duration: duration(sent), copies });
+                self.feed(Event::LoadEnded {
+                    worker,
+                    function,
+                    outcome,
+                    duration: duration(sent),
+                    copies,
+                });
             }
             None => {}
         }
     }
 
     fn end(&mut self, request: RequestId, attempt: u32, ended: AttemptResult) {
-        let Some(out) = self.out.remove(&(request, attempt)) else { return };
+        let Some(out) = self.out.remove(&(request, attempt)) else {
+            return;
+        };
         if let Some(timer) = out.timer {
             self.timers.cancel(timer);
         }
@@ -645,8 +776,10 @@
             open.out -= 1;
             match ended.outcome {
                 Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
-                    open.may_have_executed =
-                        Some(open.may_have_executed.map_or(out.sent, |first| first.min(out.sent)));
+                    open.may_have_executed = Some(
+                        open.may_have_executed
+                            .map_or(out.sent, |first| first.min(out.sent)),
+                    );
                 }
                 Outcome::Succeeded
                 | Outcome::AtCapacity
@@ -661,7 +794,12 @@
             self.conclude(request, FinalAnswer::Succeeded);
         }
         let concluded = !self.requests.contains_key(&request);
-        let AttemptResult { outcome, cache_result, concurrency, report } = ended;
+        let AttemptResult {
+            outcome,
+            cache_result,
+            concurrency,
+            report,
+        } = ended;
         let worker = &*out.worker;
         self.feed(Event::AttemptEnded {
             request,
@@ -680,20 +818,33 @@
         if let Some(out) = self.out.get_mut(&(request, attempt)) {
             out.timer = None;
             self.outputs.push(Output::CancelAttempt { request, attempt });
-            let outcome = if left(request, attempt) { Outcome::TimedOut } else { Outcome::NeverSent };
+            let outcome = if left(request, attempt) {
+                Outcome::TimedOut
+            } else {
+                Outcome::NeverSent
+            };
             self.end(request, attempt, AttemptResult::silent(outcome));
         }
     }
 
     /// A request's time is up: whatever is out has timed out, and the module says what becomes of the request.
     fn limit(&mut self, request: RequestId, left: &impl Fn(RequestId, u32) -> bool) {
-        let out: Vec<u32> =
-            self.out.range((request, 0)..=(request, u32::MAX)).map(|((_, n), _)| *n).collect();
-        out.into_iter().for_each(|attempt| self.time_out(request, attempt, left));
+        let out: Vec<u32> = self
+            .out
+            .range((request, 0)..=(request, u32::MAX))
+            .map(|((_, n), _)| *n)
+            .collect();
+        out.into_iter()
+            .for_each(|attempt| self.time_out(request, attempt, left));
         self.settle();
         if self.requests.contains_key(&request) {
             // The module holds on to it: the rule stands above that.
-            self.conclude(request, FinalAnswer::Failed { why: FailureReason::DeadlineExceeded });
+            self.conclude(
+                request,
+                FinalAnswer::Failed {
+                    why: FailureReason::DeadlineExceeded,
+                },
+            );
             self.feed(Event::RequestCancelled { request });
         }
     }
@@ -701,16 +852,24 @@
     /// The final answer, unless it has had one. An attempt still out goes on to its end: nobody may be told
     /// that it does not count, and a limit on its time stands.
     fn conclude(&mut self, request: RequestId, answer: FinalAnswer) -> bool {
-        let Some(open) = self.requests.remove(&request) else { return false };
+        let Some(open) = self.requests.remove(&request) else {
+            return false;
+        };
         self.timers.cancel(open.limit);
         if open.out > 0 && !open.streaming {
-            let left =
-                self.out.range_mut((request, 0)..=(request, u32::MAX)).filter(|(_, out)| out.timer.is_none());
+            let left = self
+                .out
+                .range_mut((request, 0)..=(request, u32::MAX))
+                .filter(|(_, out)| out.timer.is_none());
             for ((_, attempt), out) in left {
                 out.timer = Some(self.timers.set(open.until, Due::Attempt(request, *attempt)));
             }
         }
-        self.outputs.push(Output::Respond { request, payload: open.payload, answer });
+        self.outputs.push(Output::Respond {
+            request,
+            payload: open.payload,
+            answer,
+        });
         true
     }
 }
--- a/crates/quartzdrift-lifecycle/src/timers.rs
+++ b/crates/quartzdrift-lifecycle/src/timers.rs
@@ -14,7 +14,10 @@
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Timers { due: BTreeMap::new(), drawn: 0 }
+        Timers {
+            due: BTreeMap::new(),
+            drawn: 0,
+        }
     }
 }
 
--- a/crates/quartzdrift-lifecycle/tests/hard_cases.rs
+++ b/crates/quartzdrift-lifecycle/tests/hard_cases.rs
@@ -19,8 +19,16 @@
     };
     Settings {
         request_classes: idempotency_kinds.iter().map(request_class).collect(),
-        allowed: Allowed { cancel: true, max_attempts: Some(3), ..Allowed::default() },
-        rules: Rules { answer_slack: Some(SLACK), drain_grace: Some(250 * MS), ..Rules::default() },
+        allowed: Allowed {
+            cancel: true,
+            max_attempts: Some(3),
+            ..Allowed::default()
+        },
+        rules: Rules {
+            answer_slack: Some(SLACK),
+            drain_grace: Some(250 * MS),
+            ..Rules::default()
+        },
         ..Settings::default()
     }
 }
@@ -73,8 +81,14 @@
     }
 
     fn list(&mut self, form: EndpointListKind, workers: &[&str], state: EndpointState) {
-        let entries =
-            workers.iter().map(|worker| Endpoint { worker, state, ..Endpoint::default() }).collect();
+        let entries = workers
+            .iter()
+            .map(|worker| Endpoint {
+                worker,
+                state,
+                ..Endpoint::default()
+            })
+            .collect();
         self.request_table.update_endpoints(self.now, form, entries);
         self.look();
     }
@@ -82,7 +96,12 @@
     fn look(&mut self) {
         for output in self.request_table.outputs() {
             match output {
-                Output::StartAttempt { request, attempt, worker, .. } => {
+                Output::StartAttempt {
+                    request,
+                    attempt,
+                    worker,
+                    ..
+                } => {
                     let other = self.out.keys().any(|(of, _)| *of == request);
                     assert!(!other, "job {request} has two executions out");
                     self.sent.push((request, worker.to_string()));
@@ -99,7 +118,10 @@
     }
 
     fn request(&mut self, request_class: u32) -> RequestId {
-        let request = self.request_table.submit(self.now, new_request(request_class)).unwrap();
+        let request = self
+            .request_table
+            .submit(self.now, new_request(request_class))
+            .unwrap();
         self.look();
         request
     }
@@ -117,7 +139,8 @@
 
     fn end(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
         self.out.remove(&(request, attempt));
-        self.request_table.attempt_ended(self.now, request, attempt, AttemptResult::silent(outcome));
+        self.request_table
+            .attempt_ended(self.now, request, attempt, AttemptResult::silent(outcome));
         self.look();
     }
 
@@ -133,7 +156,12 @@
     let mut stage = Stage::new(Idempotency::NonIdempotent, &["a", "b"]);
     let (start, request) = (stage.now, stage.request(0));
     stage.until(start + LIMIT);
-    assert_eq!(stage.answer(request), FinalAnswer::Failed { why: FailureReason::DeadlineExceeded });
+    assert_eq!(
+        stage.answer(request),
+        FinalAnswer::Failed {
+            why: FailureReason::DeadlineExceeded
+        }
+    );
     assert_eq!(stage.finals[&request][0].0, start + LIMIT - SLACK);
     assert!(stage.out.is_empty());
 }
@@ -145,7 +173,12 @@
     stage.until(start + LIMIT);
     stage.end(request, 0, Outcome::Succeeded);
     stage.until(start + LIMIT * 3);
-    assert_eq!(stage.answer(request), FinalAnswer::Failed { why: FailureReason::DeadlineExceeded });
+    assert_eq!(
+        stage.answer(request),
+        FinalAnswer::Failed {
+            why: FailureReason::DeadlineExceeded
+        }
+    );
 }
 
 #[test]
@@ -153,7 +186,11 @@
     let mut stage = Stage::new(Idempotency::NonIdempotent, &["a", "b"]);
     let request = stage.request(0);
     let first = stage.sent[0].1.clone();
-    stage.list(EndpointListKind::Changes, &[first.as_str()], EndpointState::Draining);
+    stage.list(
+        EndpointListKind::Changes,
+        &[first.as_str()],
+        EndpointState::Draining,
+    );
     assert_eq!(stage.recall, [(request, 0)]);
     stage.out.clear();
     stage.request_table.attempt_recalled(stage.now, request, 0);
@@ -175,7 +212,13 @@
     let later = stage.now + LIMIT * 2;
     stage.until(later);
     assert_eq!(stage.sent.len(), 1);
-    assert_eq!((stage.request_table.open_requests(), stage.request_table.attempts_in_flight()), (0, 0));
+    assert_eq!(
+        (
+            stage.request_table.open_requests(),
+            stage.request_table.attempts_in_flight()
+        ),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -186,7 +229,10 @@
     stage.look();
     let later = stage.now + LIMIT;
     stage.until(later);
-    assert_eq!((stage.request_table.attempts_in_flight(), stage.out.len()), (0, 0));
+    assert_eq!(
+        (stage.request_table.attempts_in_flight(), stage.out.len()),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -194,7 +240,13 @@
     let mut stage = Stage::new(Idempotency::NonIdempotent, &["a", "b"]);
     stage.list(EndpointListKind::Full, &[], EndpointState::Up);
     let request = stage.request(0);
-    assert!(matches!(stage.answer(request), FinalAnswer::Rejected { may_have_executed: None, .. }));
+    assert!(matches!(
+        stage.answer(request),
+        FinalAnswer::Rejected {
+            may_have_executed: None,
+            ..
+        }
+    ));
 }
 
 #[test]
@@ -222,15 +274,31 @@
 
 #[test]
 fn what_has_never_left_at_its_limit_is_rejected_whatever_its_kind() {
-    for idempotency in [Idempotency::NonIdempotent, Idempotency::IdempotentWithKey, Idempotency::Idempotent] {
-        let mut stage = Stage { left: false, ..Stage::new(idempotency, &["a"]) };
+    for idempotency in [
+        Idempotency::NonIdempotent,
+        Idempotency::IdempotentWithKey,
+        Idempotency::Idempotent,
+    ] {
+        let mut stage = Stage {
+            left: false,
+            ..Stage::new(idempotency, &["a"])
+        };
         let (start, request) = (stage.now, stage.request(0));
         stage.until(start + LIMIT);
         assert!(
-            matches!(stage.answer(request), FinalAnswer::Rejected { may_have_executed: None, .. }),
+            matches!(
+                stage.answer(request),
+                FinalAnswer::Rejected {
+                    may_have_executed: None,
+                    ..
+                }
+            ),
             "{idempotency:?}"
         );
-        assert_eq!((stage.sent.len(), stage.request_table.attempts_in_flight()), (1, 0));
+        assert_eq!(
+            (stage.sent.len(), stage.request_table.attempts_in_flight()),
+            (1, 0)
+        );
     }
 }
 
@@ -240,7 +308,12 @@
     let request = stage.request(0);
     stage.request_table.shut_down(stage.now, |_, _| true);
     stage.look();
-    assert_eq!(stage.answer(request), FinalAnswer::Failed { why: FailureReason::ShuttingDown });
+    assert_eq!(
+        stage.answer(request),
+        FinalAnswer::Failed {
+            why: FailureReason::ShuttingDown
+        }
+    );
     assert_eq!(stage.request_table.open_requests(), 0);
 }
 
@@ -264,9 +337,20 @@
         stage.request_table.shut_down(stage.now, |_, _| left);
         stage.look();
         let answer = stage.answer(request);
-        let back = matches!(answer, FinalAnswer::Rejected { retry_after: None, may_have_executed: None });
+        let back = matches!(
+            answer,
+            FinalAnswer::Rejected {
+                retry_after: None,
+                may_have_executed: None
+            }
+        );
         assert_eq!(back, rejected, "{idempotency:?} {cancel} {left}: {answer:?}");
-        assert!(back || answer == FinalAnswer::Failed { why: FailureReason::ShuttingDown });
+        assert!(
+            back || answer
+                == FinalAnswer::Failed {
+                    why: FailureReason::ShuttingDown
+                }
+        );
         // Rejected, nothing of it is out any more.
         assert_eq!(stage.out.is_empty(), back, "{idempotency:?} {cancel} {left}");
         assert_eq!((stage.sent.len(), stage.request_table.open_requests()), (1, 0));
@@ -284,7 +368,12 @@
     stage.until(ends);
     assert_eq!(
         stage.finals[&request],
-        [(start + LIMIT / 4, FinalAnswer::Failed { why: FailureReason::DeadlineExceeded })]
+        [(
+            start + LIMIT / 4,
+            FinalAnswer::Failed {
+                why: FailureReason::DeadlineExceeded
+            }
+        )]
     );
     // Nothing of it ran, so trying again is harmless.
     assert_eq!(stage.request_table.submit(stage.now, new_request(0)), Err(7));
@@ -320,8 +409,11 @@
         Just(Outcome::Reset),
         Just(Outcome::CacheMiss),
     ];
-    let state =
-        prop_oneof![Just(EndpointState::Up), Just(EndpointState::Draining), Just(EndpointState::Gone)];
+    let state = prop_oneof![
+        Just(EndpointState::Up),
+        Just(EndpointState::Draining),
+        Just(EndpointState::Gone)
+    ];
     prop_oneof![
         4 => (0u32..3).prop_map(Step::Request),
         4 => (1u64..700).prop_map(Step::Wait),
--- a/crates/quartzdrift-membership/src/count.rs
+++ b/crates/quartzdrift-membership/src/count.rs
@@ -24,7 +24,13 @@
 impl Count {
     /// `least`: what the settings say; `before`: what was told before a restart; `silent`: how long a silent member counts.
     pub fn new(least: u32, before: u32, silent: Duration) -> Count {
-        Count { least: least.max(1), silent, told: before.max(least).max(1), less_since: None, looked: None }
+        Count {
+            least: least.max(1),
+            silent,
+            told: before.max(least).max(1),
+            less_since: None,
+            looked: None,
+        }
     }
 
     pub fn told(&self) -> u32 {
@@ -59,7 +65,14 @@
     fn member(state: State, since: u64) -> Member {
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
         let since = Duration::from_secs(since);
-        Member { name: "m".into(), address, life: 1, incarnation: 0, state, since }
+        Member {
+            name: "m".into(),
+            address,
+            life: 1,
+            incarnation: 0,
+            state,
+            since,
+        }
     }
 
     #[test]
--- a/crates/quartzdrift-membership/src/members.rs
+++ b/crates/quartzdrift-membership/src/members.rs
@@ -242,11 +242,21 @@
     }
 
     pub fn next_due(&self) -> Duration {
-        let probe = self.probe.iter().map(|p| if p.asked == 0 { p.ask_at.min(p.end) } else { p.end });
-        let relays = self.relays.values().map(|r| if r.nacked { r.end } else { r.nack_at });
+        let probe = self
+            .probe
+            .iter()
+            .map(|p| if p.asked == 0 { p.ask_at.min(p.end) } else { p.end });
+        let relays = self
+            .relays
+            .values()
+            .map(|r| if r.nacked { r.end } else { r.nack_at });
         let suspects = self.suspects.values().copied();
         let join = (!self.joined && !self.leaving).then_some(self.join_at);
-        probe.chain(relays).chain(suspects).chain(join).fold(self.period_at, Duration::min)
+        probe
+            .chain(relays)
+            .chain(suspects)
+            .chain(join)
+            .fold(self.period_at, Duration::min)
     }
 
     /// A few of those who fit, by chance.
@@ -288,8 +298,10 @@
             k.member.state != State::Alive || k.window.life != 0 && k.window.life != k.member.life
         };
         let name = self.places.get(&to).and_then(|place| place.name.as_ref());
-        let doubted =
-            name.and_then(|name| self.known.get(name)).filter(|k| k.member.address == to).filter(wrong);
+        let doubted = name
+            .and_then(|name| self.known.get(name))
+            .filter(|k| k.member.address == to)
+            .filter(wrong);
         if let Some(known) = doubted {
             writer.add(&Part::News(known.member.news(0)));
         }
@@ -297,14 +309,18 @@
             writer.add(part);
         });
         let size = self.size();
-        self.rumours.pass_on(size, |news| writer.add(&Part::News(news.clone())));
+        self.rumours
+            .pass_on(size, |news| writer.add(&Part::News(news.clone())));
         self.end(to, writer);
     }
 
     /// Signs a datagram; it leaves next.
     fn end(&mut self, to: SocketAddr, writer: Writer) {
         if let Some(key) = self.settings.keys.first() {
-            self.outputs.push(Output::Send { to, bytes: writer.end(key) });
+            self.outputs.push(Output::Send {
+                to,
+                bytes: writer.end(key),
+            });
         }
     }
 
@@ -370,7 +386,9 @@
         if !self.known.contains_key(&name) {
             self.believe(alive());
         }
-        let Some(known) = self.known.get_mut(&name) else { return Err(Refused::TooMany) };
+        let Some(known) = self.known.get_mut(&name) else {
+            return Err(Refused::TooMany);
+        };
         let there = is_there(known.member.state);
         if there && known.member.address != from && known.member.life != head.life {
             return Err(Refused::NameTaken);
@@ -404,8 +422,14 @@
         let place = self.places.entry(from).or_default();
         let before = std::mem::replace(&mut place.life, head.life);
         // What we believe of it goes along: it may have to contradict.
-        let believed = self.known.get(&*head.from).map(|known| Part::News(known.member.news(0)));
-        let parts: Vec<Part> = [Part::Hello { answers: head.number }].into_iter().chain(believed).collect();
+        let believed = self
+            .known
+            .get(&*head.from)
+            .map(|known| Part::News(known.member.news(0)));
+        let parts: Vec<Part> = [Part::Hello { answers: head.number }]
+            .into_iter()
+            .chain(believed)
+            .collect();
         self.send(from, &parts);
         if let Some(place) = self.places.get_mut(&from).filter(|_| before != 0) {
             // Only a datagram that names our life proves another life there.
@@ -433,15 +457,20 @@
                     self.send(from, &[Part::Ask { after: last }]);
                 }
             }
-            Part::Told { topic, bytes } => {
-                self.outputs.push(Output::Told { from: name.clone(), topic, bytes })
-            }
+            Part::Told { topic, bytes } => self.outputs.push(Output::Told {
+                from: name.clone(),
+                topic,
+                bytes,
+            }),
         }
     }
 
     /// Our life was not known there; it is now.
     fn hello(&mut self, from: SocketAddr, answers: u64) {
-        let ours = self.places.get(&from).is_some_and(|place| place.sent.contains(&answers));
+        let ours = self
+            .places
+            .get(&from)
+            .is_some_and(|place| place.sent.contains(&answers));
         if ours {
             self.send(from, &[Part::Ask { after: String::new() }]);
         }
@@ -451,7 +480,9 @@
     fn page(&mut self, to: SocketAddr, after: &str) {
         let head = self.head(to);
         let mut writer = Writer::new(&head, self.settings.datagram_most.saturating_sub(PAGE_END));
-        let rest = self.known.range::<str, _>((std::ops::Bound::Excluded(after), std::ops::Bound::Unbounded));
+        let rest = self
+            .known
+            .range::<str, _>((std::ops::Bound::Excluded(after), std::ops::Bound::Unbounded));
         let (mut last, mut more) = (after.to_owned(), false);
         for (name, known) in rest {
             more = !writer.add(&Part::News(known.member.news(0)));
@@ -496,7 +527,9 @@
                 self.unwell();
             }
             // Each datagram carries the new incarnation; some members get one at once.
-            self.some(RELAYS, |_| true).into_iter().for_each(|to| self.send(to, &[]));
+            self.some(RELAYS, |_| true)
+                .into_iter()
+                .for_each(|to| self.send(to, &[]));
         }
     }
 
@@ -518,12 +551,25 @@
                 return;
             }
             let (address, life, incarnation, state) = (news.address, news.life, news.incarnation, news.state);
-            let member = Member { name: name.clone(), address, life, incarnation, state, since: now };
-            let known = Known { member, window: Window::default(), accusers: BTreeSet::new() };
+            let member = Member {
+                name: name.clone(),
+                address,
+                life,
+                incarnation,
+                state,
+                since: now,
+            };
+            let known = Known {
+                member,
+                window: Window::default(),
+                accusers: BTreeSet::new(),
+            };
             self.known.insert(name.clone(), known);
             self.there += usize::from(is_there(news.state));
         } else {
-            let Some(known) = self.known.get_mut(&name) else { return };
+            let Some(known) = self.known.get_mut(&name) else {
+                return;
+            };
             // Another life at the same incarnation is a start of which we have not heard.
             let alive = known.member.state == State::Alive && news.state == State::Alive;
             let restarted = known.member.incarnation == news.incarnation
@@ -551,7 +597,9 @@
             (member.incarnation, member.state, member.since) = (news.incarnation, news.state, now);
         }
         let suspicion = self.suspicion(1);
-        let Some(known) = self.known.get_mut(&name) else { return };
+        let Some(known) = self.known.get_mut(&name) else {
+            return;
+        };
         known.accusers.clear();
         self.suspects.remove(&name);
         let (to, suspect) = (known.member.address, news.state == State::Suspect);
@@ -608,7 +656,16 @@
         let now = self.now;
         let nack_at = now + self.settings.probe_timeout.mul_f64(NACK_AT);
         let end = now + self.settings.period;
-        self.relays.insert(self.probes, Relay { to: from, number, nack_at, nacked: false, end });
+        self.relays.insert(
+            self.probes,
+            Relay {
+                to: from,
+                number,
+                nack_at,
+                nacked: false,
+                end,
+            },
+        );
         let probe = self.probes;
         self.send(about.address, &[Part::Ping { probe }]);
     }
@@ -622,8 +679,12 @@
         }
         self.relays_due(now);
         self.probe_due(now);
-        let over: Vec<Rc<str>> =
-            self.suspects.iter().filter(|(_, until)| **until <= now).map(|(name, _)| name.clone()).collect();
+        let over: Vec<Rc<str>> = self
+            .suspects
+            .iter()
+            .filter(|(_, until)| **until <= now)
+            .map(|(name, _)| name.clone())
+            .collect();
         over.iter().for_each(|name| self.doubt(name, State::Dead));
         if !self.joined && self.join_at <= now && !self.leaving {
             self.join();
@@ -648,9 +709,16 @@
 
     fn relays_due(&mut self, now: Duration) {
         let due = |r: &Relay| !r.nacked && r.nack_at <= now;
-        let late: Vec<u32> = self.relays.iter().filter(|(_, r)| due(r)).map(|(n, _)| *n).collect();
+        let late: Vec<u32> = self
+            .relays
+            .iter()
+            .filter(|(_, r)| due(r))
+            .map(|(n, _)| *n)
+            .collect();
         for probe in late {
-            let Some(relay) = self.relays.get_mut(&probe) else { continue };
+            let Some(relay) = self.relays.get_mut(&probe) else {
+                continue;
+            };
             relay.nacked = true;
             let (to, number) = (relay.to, relay.number);
             self.send(to, &[Part::Nack { probe: number }]);
@@ -671,7 +739,9 @@
         }
         if probe.asked == 0 && probe.ask_at <= now {
             let (target, number) = (probe.target.clone(), probe.number);
-            let Some(about) = self.known.get(&target).map(|known| known.member.news(0)) else { return };
+            let Some(about) = self.known.get(&target).map(|known| known.member.news(0)) else {
+                return;
+            };
             let others = self.some(RELAYS, |m| m.name != target && m.state == State::Alive);
             if let Some(probe) = &mut self.probe {
                 probe.asked = others.len() as u32;
@@ -680,7 +750,13 @@
                 }
             }
             for to in others {
-                self.send(to, &[Part::Relay { probe: number, about: about.clone() }]);
+                self.send(
+                    to,
+                    &[Part::Relay {
+                        probe: number,
+                        about: about.clone(),
+                    }],
+                );
             }
         }
     }
@@ -699,7 +775,12 @@
     fn period(&mut self) {
         let (now, forget) = (self.now, self.settings.forget);
         let old = |k: &Known| !is_there(k.member.state) && k.member.since + forget < now;
-        let gone: Vec<Rc<str>> = self.known.iter().filter(|(_, k)| old(k)).map(|(n, _)| n.clone()).collect();
+        let gone: Vec<Rc<str>> = self
+            .known
+            .iter()
+            .filter(|(_, k)| old(k))
+            .map(|(n, _)| n.clone())
+            .collect();
         for name in gone {
             self.rumours.forget(&name);
             self.known.remove(&name);
@@ -712,7 +793,12 @@
         }
         while let Some(target) = self.order.pop() {
             let there = |k: &&Known| is_there(k.member.state);
-            let Some(to) = self.known.get(&target).filter(there).map(|known| known.member.address) else {
+            let Some(to) = self
+                .known
+                .get(&target)
+                .filter(there)
+                .map(|known| known.member.address)
+            else {
                 continue;
             };
             return self.ping(target, to);
@@ -732,15 +818,30 @@
         let (number, now) = (self.probes, self.now);
         let ask_at = now + self.slower(self.settings.probe_timeout);
         let end = now + self.slower(self.settings.period);
-        self.probe = Some(Probe { target, number, ask_at, end, asked: 0, nacks: 0 });
+        self.probe = Some(Probe {
+            target,
+            number,
+            ask_at,
+            end,
+            asked: 0,
+            nacks: 0,
+        });
         self.send(to, &[Part::Ping { probe: number }]);
     }
 
     /// All that is known, with one who is there; and a question to one who is not, or to a seed.
     fn exchange(&mut self) {
         let there: Vec<SocketAddr> = self.there().map(|m| m.address).collect();
-        let dead = self.others().filter(|m| m.state == State::Dead).map(|m| m.address);
-        let seeds = self.settings.seeds.iter().copied().filter(|seed| !there.contains(seed));
+        let dead = self
+            .others()
+            .filter(|m| m.state == State::Dead)
+            .map(|m| m.address);
+        let seeds = self
+            .settings
+            .seeds
+            .iter()
+            .copied()
+            .filter(|seed| !there.contains(seed));
         let lost: Vec<SocketAddr> = dead.chain(seeds).collect();
         for of in [there, lost] {
             if !of.is_empty() {
@@ -756,6 +857,11 @@
 
     /// What memory holds: members, addresses, news to pass on, relayed probes.
     pub fn sizes(&self) -> (usize, usize, usize, usize) {
-        (self.known.len(), self.places.len(), self.rumours.len(), self.relays.len())
+        (
+            self.known.len(),
+            self.places.len(),
+            self.rumours.len(),
+            self.relays.len(),
+        )
     }
 }
--- a/crates/quartzdrift-membership/src/news.rs
+++ b/crates/quartzdrift-membership/src/news.rs
@@ -41,8 +41,21 @@
 
 impl Member {
     pub fn news(&self, accuser: u64) -> News {
-        let &Member { address, life, incarnation, state, .. } = self;
-        News { name: self.name.to_string(), address, life, incarnation, state, accuser }
+        let &Member {
+            address,
+            life,
+            incarnation,
+            state,
+            ..
+        } = self;
+        News {
+            name: self.name.to_string(),
+            address,
+            life,
+            incarnation,
+            state,
+            accuser,
+        }
     }
 
     /// Whether news overrides what is believed.
--- a/crates/quartzdrift-membership/src/replay.rs
+++ b/crates/quartzdrift-membership/src/replay.rs
@@ -34,7 +34,9 @@
             return true;
         }
         let back = self.highest - number;
-        let bit = 1u64.checked_shl(back.min(u64::from(u32::MAX)) as u32).unwrap_or(0);
+        let bit = 1u64
+            .checked_shl(back.min(u64::from(u32::MAX)) as u32)
+            .unwrap_or(0);
         let new = bit != 0 && self.taken & bit == 0;
         self.taken |= bit;
         new
@@ -48,9 +50,15 @@
     #[test]
     fn each_is_taken_once_and_lives_do_not_come_back() {
         let mut window = Window::default();
-        for (number, new) in
-            [(1, true), (1, false), (5, true), (3, true), (3, false), (200, true), (100, false)]
-        {
+        for (number, new) in [
+            (1, true),
+            (1, false),
+            (5, true),
+            (3, true),
+            (3, false),
+            (200, true),
+            (100, false),
+        ] {
             assert_eq!(window.take(7, number), new, "{number}");
         }
         assert!(window.take(8, 1));
--- a/crates/quartzdrift-membership/src/wire.rs
+++ b/crates/quartzdrift-membership/src/wire.rs
@@ -128,13 +128,20 @@
         let mut bytes = NAME.to_vec();
         bytes.push(VERSION);
         bytes.extend(postcard::to_stdvec(head).unwrap_or_default());
-        Writer { bytes, most: most.saturating_sub(TAG) }
+        Writer {
+            bytes,
+            most: most.saturating_sub(TAG),
+        }
     }
 
     /// Whether there was room.
     pub fn add(&mut self, part: &Part) -> bool {
-        let Ok(own) = postcard::to_stdvec(part) else { return false };
-        let Ok(length) = u16::try_from(own.len()) else { return false };
+        let Ok(own) = postcard::to_stdvec(part) else {
+            return false;
+        };
+        let Ok(length) = u16::try_from(own.len()) else {
+            return false;
+        };
         let fits = self.bytes.len() + 2 + own.len() <= self.most;
         if fits {
             self.bytes.extend(length.to_le_bytes());
@@ -170,7 +177,10 @@
     if head.cluster != cluster {
         return Err(Refused::Cluster);
     }
-    if !keys.iter().any(|key| tag(key, signed).verify_truncated_left(made).is_ok()) {
+    if !keys
+        .iter()
+        .any(|key| tag(key, signed).verify_truncated_left(made).is_ok())
+    {
         return Err(Refused::Forged);
     }
     if head.from.is_empty() || head.from.len() > MAX_NAME {
@@ -194,7 +204,9 @@
 pub fn cluster(name: &str) -> u64 {
     use sha2::Digest;
     let hash = Sha256::digest(name.as_bytes());
-    hash.iter().take(8).fold(0, |all, byte| all << 8 | u64::from(*byte))
+    hash.iter()
+        .take(8)
+        .fold(0, |all, byte| all << 8 | u64::from(*byte))
 }
 
 #[cfg(test)]
@@ -202,7 +214,14 @@
     use super::*;
 
     fn head() -> Head {
-        Head { cluster: 7, from: "a".to_owned(), life: 1, to: 2, number: 3, incarnation: 4 }
+        Head {
+            cluster: 7,
+            from: "a".to_owned(),
+            life: 1,
+            to: 2,
+            number: 3,
+            incarnation: 4,
+        }
     }
 
     fn made(key: &[u8]) -> Vec<u8> {
@@ -243,13 +262,24 @@
         let parts = [
             Part::Ping { probe: 1 },
             Part::Ack { probe: 2 },
-            Part::Relay { probe: 3, about: news.clone() },
+            Part::Relay {
+                probe: 3,
+                about: news.clone(),
+            },
             Part::Nack { probe: 4 },
             Part::News(news),
             Part::Hello { answers: 500 },
-            Part::Ask { after: "m".to_owned() },
-            Part::Page { last: "z".to_owned(), more: true },
-            Part::Told { topic: 1, bytes: vec![1, 2, 3] },
+            Part::Ask {
+                after: "m".to_owned(),
+            },
+            Part::Page {
+                last: "z".to_owned(),
+                more: true,
+            },
+            Part::Told {
+                topic: 1,
+                bytes: vec![1, 2, 3],
+            },
         ];
         let mut writer = Writer::new(&head(), 1200);
         parts.iter().for_each(|part| assert!(writer.add(part)));
@@ -272,7 +302,9 @@
     #[test]
     fn a_tag_is_the_published_one() {
         // RFC 4231, test case 2.
-        let made = tag(b"Jefe", b"what do ya want for nothing?").finalize().into_bytes();
+        let made = tag(b"Jefe", b"what do ya want for nothing?")
+            .finalize()
+            .into_bytes();
         assert_eq!(made[..8], [0x5b, 0xdc, 0xc1, 0x46, 0xbf, 0x60, 0x75, 0x4e]);
         assert_eq!(cluster("abc"), 0xba78_16bf_8f01_cfea);
     }
--- a/crates/quartzdrift-membership/tests/fleet.rs
+++ b/crates/quartzdrift-membership/tests/fleet.rs
@@ -79,7 +79,9 @@
     }
 
     fn at(to: SocketAddr) -> usize {
-        let SocketAddr::V4(to) = to else { unreachable!("all are of the fourth version") };
+        let SocketAddr::V4(to) = to else {
+            unreachable!("all are of the fourth version")
+        };
         usize::from(to.ip().octets()[2]) * 250 + usize::from(to.ip().octets()[3])
     }
 
@@ -109,7 +111,8 @@
         }
         self.drawn += 1;
         let at = self.now + Duration::from_micros(self.chance.random_range(500..3000));
-        self.air.insert((at.max(self.paused[to]), self.drawn), (from, to, bytes));
+        self.air
+            .insert((at.max(self.paused[to]), self.drawn), (from, to, bytes));
     }
 
     fn run(&mut self, length: Duration) {
@@ -120,10 +123,14 @@
                 .min();
             let air = self.air.first_key_value().map(|(key, _)| key.0);
             let due = next.map(|(at, _)| at);
-            let Some(at) = due.into_iter().chain(air).min().filter(|at| *at <= end) else { break };
+            let Some(at) = due.into_iter().chain(air).min().filter(|at| *at <= end) else {
+                break;
+            };
             self.now = self.now.max(at);
             if air == Some(at) && due.is_none_or(|due| at <= due) {
-                let Some((_, (from, to, bytes))) = self.air.pop_first() else { break };
+                let Some((_, (from, to, bytes))) = self.air.pop_first() else {
+                    break;
+                };
                 if let Some(member) = &mut self.members[to] {
                     member.packet(self.now, address(from), &bytes);
                 }
@@ -140,17 +147,27 @@
 
     fn state(&self, of: usize, about: usize) -> Option<State> {
         let name = format!("m{about}");
-        self.members[of].as_ref()?.others().find(|m| *m.name == *name).map(|m| m.state)
+        self.members[of]
+            .as_ref()?
+            .others()
+            .find(|m| *m.name == *name)
+            .map(|m| m.state)
     }
 
     /// Whether each of these believes all of them to be alive.
     fn whole(&self, of: impl Iterator<Item = usize> + Clone) -> bool {
-        of.clone().all(|a| of.clone().all(|b| a == b || self.state(a, b) == Some(State::Alive)))
+        of.clone().all(|a| {
+            of.clone()
+                .all(|b| a == b || self.state(a, b) == Some(State::Alive))
+        })
     }
 
     fn first(&self, about: usize, state: State) -> Option<Duration> {
         let name = format!("m{about}");
-        self.changes.iter().find(|c| c.2 == name && c.3 == state).map(|c| c.0)
+        self.changes
+            .iter()
+            .find(|c| c.2 == name && c.3 == state)
+            .map(|c| c.0)
     }
 }
 
@@ -162,7 +179,11 @@
     net.members[5] = None;
     let died = net.now;
     net.run(60 * S);
-    assert!((0..17).filter(|n| *n != 5).all(|n| net.state(n, 5) == Some(State::Dead)));
+    assert!(
+        (0..17)
+            .filter(|n| *n != 5)
+            .all(|n| net.state(n, 5) == Some(State::Dead))
+    );
     let found = net.first(5, State::Dead).unwrap() - died;
     assert!(found > 4 * S && found < 45 * S, "{found:?}");
     // Restarted under its name it is there again at once.
@@ -197,7 +218,11 @@
     net.run(S);
     (0..10).for_each(|n| net.start(n));
     net.run(20 * S);
-    assert!(net.whole(0..20), "{:?}", net.changes.iter().rev().take(4).collect::<Vec<_>>());
+    assert!(
+        net.whole(0..20),
+        "{:?}",
+        net.changes.iter().rev().take(4).collect::<Vec<_>>()
+    );
     assert!(!net.changes.iter().any(|c| c.3 == State::Dead));
 }
 
@@ -241,7 +266,11 @@
     net.run(40 * S);
     assert!(net.whole(0..12));
     // It blames nobody for its own sleep.
-    assert!(!net.changes[before..].iter().any(|c| c.1 == 2 && c.3 == State::Dead && c.2 != "m7"));
+    assert!(
+        !net.changes[before..]
+            .iter()
+            .any(|c| c.1 == 2 && c.3 == State::Dead && c.2 != "m7")
+    );
 }
 
 #[test]
@@ -266,7 +295,11 @@
     net.run(S);
     net.members[3] = None;
     net.run(30 * S);
-    assert!((0..8).filter(|n| *n != 3).all(|n| net.state(n, 3) == Some(State::Left)));
+    assert!(
+        (0..8)
+            .filter(|n| *n != 3)
+            .all(|n| net.state(n, 3) == Some(State::Left))
+    );
     assert!(!net.changes.iter().any(|c| c.3 == State::Dead));
 }
 
@@ -276,16 +309,33 @@
     net.run(8 * S);
     net.members.push(None);
     net.paused.push(Duration::ZERO);
-    net.start_with(6, Settings { name: "m2".to_owned(), address: address(6), ..settings(2) });
+    net.start_with(
+        6,
+        Settings {
+            name: "m2".to_owned(),
+            address: address(6),
+            ..settings(2)
+        },
+    );
     net.run(30 * S);
     assert!(net.taken.contains(&6), "{:?}", net.taken);
     assert!(net.whole(0..6));
-    let of = net.members[0].as_ref().unwrap().others().find(|m| *m.name == *"m2").unwrap();
+    let of = net.members[0]
+        .as_ref()
+        .unwrap()
+        .others()
+        .find(|m| *m.name == *"m2")
+        .unwrap();
     assert_eq!(of.address, address(2));
     // Once the first is gone the name is free.
     net.members[2] = None;
     net.run(120 * S);
-    let of = net.members[0].as_ref().unwrap().others().find(|m| *m.name == *"m2").unwrap();
+    let of = net.members[0]
+        .as_ref()
+        .unwrap()
+        .others()
+        .find(|m| *m.name == *"m2")
+        .unwrap();
     assert_eq!((of.address, of.state), (address(6), State::Alive));
 }
 
@@ -295,10 +345,20 @@
     net.run(8 * S);
     let keys = |keys: &[&[u8]]| keys.iter().map(|key| key.to_vec()).collect::<Vec<_>>();
     // One after the other is restarted, first with the new key as second, then as first, then alone.
-    for keys in [keys(&[b"first", b"new"]), keys(&[b"new", b"first"]), keys(&[b"new"])] {
+    for keys in [
+        keys(&[b"first", b"new"]),
+        keys(&[b"new", b"first"]),
+        keys(&[b"new"]),
+    ] {
         for n in 0..5 {
             net.members[n] = None;
-            net.start_with(n, Settings { keys: keys.clone(), ..settings(n) });
+            net.start_with(
+                n,
+                Settings {
+                    keys: keys.clone(),
+                    ..settings(n)
+                },
+            );
             net.run(3 * S);
         }
         net.run(20 * S);
@@ -312,7 +372,13 @@
     assert!(net.refused.iter().any(|r| r.1 == Refused::Forged));
     assert!((0..5).all(|n| net.state(n, 5).is_none()));
     net.members[5] = None;
-    net.start_with(5, Settings { cluster: "other".to_owned(), ..settings(5) });
+    net.start_with(
+        5,
+        Settings {
+            cluster: "other".to_owned(),
+            ..settings(5)
+        },
+    );
     net.run(10 * S);
     assert!(net.refused.iter().any(|r| r.1 == Refused::Cluster));
 }
--- a/crates/quartzdrift-platform/src/asked.rs
+++ b/crates/quartzdrift-platform/src/asked.rs
@@ -99,15 +99,31 @@
 
 fn figure(text: &str, least: f64, most: f64) -> Result<f64, Wrong> {
     let plain = |b: u8| b.is_ascii_digit() || b == b'.';
-    let value = text.parse::<f64>().ok().filter(|_| text.bytes().all(plain)).ok_or(Wrong::Figures)?;
-    if value >= least && value <= most { Ok(value) } else { Err(Wrong::Figures) }
+    let value = text
+        .parse::<f64>()
+        .ok()
+        .filter(|_| text.bytes().all(plain))
+        .ok_or(Wrong::Figures)?;
+    if value >= least && value <= most {
+        Ok(value)
+    } else {
+        Err(Wrong::Figures)
+    }
 }
 
 pub fn read<'a>(fields: &Fields<'a>, settings: &Settings) -> Result<Asked<'a>, Wrong> {
-    let class = fields.path.and_then(|path| path.strip_prefix("/do/")).ok_or(Wrong::Path)?;
-    let request_class =
-        settings.request_classes.iter().position(|w| w.name == class).ok_or(Wrong::RequestClass)?;
-    let id = hex(fields.id).and_then(|id| u64::from_str_radix(id, 16).ok()).ok_or(Wrong::Id)?;
+    let class = fields
+        .path
+        .and_then(|path| path.strip_prefix("/do/"))
+        .ok_or(Wrong::Path)?;
+    let request_class = settings
+        .request_classes
+        .iter()
+        .position(|w| w.name == class)
+        .ok_or(Wrong::RequestClass)?;
+    let id = hex(fields.id)
+        .and_then(|id| u64::from_str_radix(id, 16).ok())
+        .ok_or(Wrong::Id)?;
     let function = hex(fields.function).ok_or(Wrong::Function)?;
     let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
     let word = |text: &&str| (1..=MAX_IDEMPOTENCY_KEY).contains(&text.len()) && text.bytes().all(plain);
@@ -118,20 +134,30 @@
         return Err(Wrong::IdempotencyKey);
     }
     let digits = |text: &&str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-    let ms = fields.time.filter(digits).and_then(|text| text.parse::<u64>().ok()).ok_or(Wrong::Time)?;
+    let ms = fields
+        .time
+        .filter(digits)
+        .and_then(|text| text.parse::<u64>().ok())
+        .ok_or(Wrong::Time)?;
     let left = Duration::from_millis(ms);
-    let limit = settings.request_classes[request_class].timeout.unwrap_or(Duration::MAX);
+    let limit = settings.request_classes[request_class]
+        .timeout
+        .unwrap_or(Duration::MAX);
     if left.is_zero() || left > limit.saturating_add(TIME_ROUNDING) {
         return Err(Wrong::Time);
     }
     if let Some(length) = fields.length.filter(|text| !text.is_empty()) {
-        let told = Some(length).filter(digits).and_then(|text| text.parse::<usize>().ok());
+        let told = Some(length)
+            .filter(digits)
+            .and_then(|text| text.parse::<usize>().ok());
         if told != Some(fields.body) {
             return Err(Wrong::Length);
         }
     }
     let tenants = &settings.tenants;
-    let tenant = tenants.iter().position(|one| Some(&one.name[..]) == fields.tenant);
+    let tenant = tenants
+        .iter()
+        .position(|one| Some(&one.name[..]) == fields.tenant);
     let mut asked = Asked {
         id,
         request_class: request_class as u32,
@@ -144,7 +170,12 @@
         load: None,
         work: None,
     };
-    for one in fields.figures.unwrap_or("").split(';').filter(|one| !one.is_empty()) {
+    for one in fields
+        .figures
+        .unwrap_or("")
+        .split(';')
+        .filter(|one| !one.is_empty())
+    {
         let (name, value) = one.split_once(':').ok_or(Wrong::Figures)?;
         let millis = |value| figure(value, 0.0, MAX_LOAD_MS).map(|ms| Duration::from_secs_f64(ms / 1e3));
         match name {
@@ -167,8 +198,15 @@
 
     fn settings() -> Settings {
         let timeout = Some(Duration::from_secs(4));
-        let map = RequestClass { name: "map".to_owned(), timeout, ..RequestClass::default() };
-        Settings { request_classes: vec![map], ..Settings::default() }
+        let map = RequestClass {
+            name: "map".to_owned(),
+            timeout,
+            ..RequestClass::default()
+        };
+        Settings {
+            request_classes: vec![map],
+            ..Settings::default()
+        }
     }
 
     /// One character more than an idempotency key may have.
@@ -195,17 +233,35 @@
     fn a_good_one_is_read_as_it_came() {
         let asked = read(&good(), &settings()).unwrap();
         assert_eq!(asked.tenant, 0, "no customers are told, and none is named");
-        assert_eq!((asked.id, asked.function), (0x9b1f_03aa_5c7e_2d41, "7f3a9c21e0b4d655"));
-        assert_eq!((asked.left, asked.memory_mb), (Duration::from_millis(1500), Some(512.0)));
-        assert_eq!((asked.concurrency_slots, asked.load), (Some(2.0), Some(Duration::from_millis(640))));
+        assert_eq!(
+            (asked.id, asked.function),
+            (0x9b1f_03aa_5c7e_2d41, "7f3a9c21e0b4d655")
+        );
+        assert_eq!(
+            (asked.left, asked.memory_mb),
+            (Duration::from_millis(1500), Some(512.0))
+        );
+        assert_eq!(
+            (asked.concurrency_slots, asked.load),
+            (Some(2.0), Some(Duration::from_millis(640)))
+        );
     }
 
     #[test]
     fn tenants_are_those_of_the_settings_and_all_others_are_one_more() {
-        let name = |name: &str| Tenant { name: name.to_owned(), ..Tenant::default() };
-        let settings = Settings { tenants: vec![name("a"), name("b")], ..settings() };
+        let name = |name: &str| Tenant {
+            name: name.to_owned(),
+            ..Tenant::default()
+        };
+        let settings = Settings {
+            tenants: vec![name("a"), name("b")],
+            ..settings()
+        };
         let of = |tenant| read(&Fields { tenant, ..good() }, &settings).unwrap().tenant;
-        assert_eq!([Some("a"), Some("b"), Some("c"), Some(""), None].map(of), [0, 1, 2, 2, 2]);
+        assert_eq!(
+            [Some("a"), Some("b"), Some("c"), Some(""), None].map(of),
+            [0, 1, 2, 2, 2]
+        );
     }
 
     #[test]
@@ -217,22 +273,42 @@
         };
         assert_eq!(wrong(&|f| f.path = Some("/other")), Wrong::Path);
         assert_eq!(wrong(&|f| f.path = Some("/do/map,x=1")), Wrong::RequestClass);
-        for id in
-            [None, Some(""), Some("9b1f03aa5c7e2d4"), Some("9b1f03aa5c7e2d41a"), Some("+b1f03aa5c7e2d41")]
-        {
+        for id in [
+            None,
+            Some(""),
+            Some("9b1f03aa5c7e2d4"),
+            Some("9b1f03aa5c7e2d41a"),
+            Some("+b1f03aa5c7e2d41"),
+        ] {
             assert_eq!(wrong(&|f| f.id = id), Wrong::Id);
         }
         assert_eq!(wrong(&|f| f.function = Some("7f3a9c21,x=4d655")), Wrong::Function);
-        for time in
-            [None, Some("0"), Some("-5"), Some("+5"), Some("1e3"), Some("4006"), Some("99999999999999999999")]
-        {
+        for time in [
+            None,
+            Some("0"),
+            Some("-5"),
+            Some("+5"),
+            Some("1e3"),
+            Some("4006"),
+            Some("99999999999999999999"),
+        ] {
             assert_eq!(wrong(&|f| f.time = time), Wrong::Time);
         }
-        for figures in ["lanes:-1", "lanes:0", "memory_mb:nan", "memory_mb:1e400", "load_ms:x", "lanes"] {
+        for figures in [
+            "lanes:-1",
+            "lanes:0",
+            "memory_mb:nan",
+            "memory_mb:1e400",
+            "load_ms:x",
+            "lanes",
+        ] {
             assert_eq!(wrong(&|f| f.figures = Some(figures)), Wrong::Figures);
         }
         for idempotency_key in ["a,b", "a=b", "a b", "\u{e9}", LONG] {
-            assert_eq!(wrong(&|f| f.idempotency_key = Some(idempotency_key)), Wrong::IdempotencyKey);
+            assert_eq!(
+                wrong(&|f| f.idempotency_key = Some(idempotency_key)),
+                Wrong::IdempotencyKey
+            );
         }
         for length in ["4", "-1", "99999999999999999999", "x"] {
             assert_eq!(wrong(&|f| f.length = Some(length)), Wrong::Length);
@@ -246,12 +322,21 @@
         settings.request_classes[0].idempotency = Idempotency::IdempotentWithKey;
         for missing in [None, Some("")] {
             assert_eq!(
-                read(&Fields { idempotency_key: missing, ..fields }, &settings),
+                read(
+                    &Fields {
+                        idempotency_key: missing,
+                        ..fields
+                    },
+                    &settings
+                ),
                 Err(Wrong::IdempotencyKey)
             );
         }
         fields.idempotency_key = Some("9f-03_Aa");
-        assert_eq!(read(&fields, &settings).unwrap().idempotency_key, Some("9f-03_Aa"));
+        assert_eq!(
+            read(&fields, &settings).unwrap().idempotency_key,
+            Some("9f-03_Aa")
+        );
     }
 
     proptest! {
--- a/crates/quartzdrift-platform/src/budget.rs
+++ b/crates/quartzdrift-platform/src/budget.rs
@@ -17,7 +17,10 @@
     pub fn of(sockets: usize) -> Budget {
         let shared = sockets.saturating_sub(RESERVE);
         let clients = (shared / 2).max(MIN_SIDE);
-        Budget { clients, workers: shared.saturating_sub(clients).max(MIN_SIDE) }
+        Budget {
+            clients,
+            workers: shared.saturating_sub(clients).max(MIN_SIDE),
+        }
     }
 }
 
--- a/crates/quartzdrift-platform/src/config.rs
+++ b/crates/quartzdrift-platform/src/config.rs
@@ -56,7 +56,9 @@
 /// What a file holds, if a configuration may be that large.
 pub fn load(from: impl std::io::Read) -> Result<Vec<u8>, String> {
     let mut bytes = Vec::new();
-    from.take(MAX_BYTES + 1).read_to_end(&mut bytes).map_err(|e| e.to_string())?;
+    from.take(MAX_BYTES + 1)
+        .read_to_end(&mut bytes)
+        .map_err(|e| e.to_string())?;
     if bytes.len() as u64 > MAX_BYTES {
         return Err(format!("it has more than {MAX_BYTES} bytes"));
     }
@@ -71,7 +73,10 @@
         name: raw.name,
         listen: raw.listen,
         seed: seed(&raw.seed),
-        sockets: raw.limits.and_then(|limits| limits.sockets).unwrap_or(DEFAULT_SOCKETS),
+        sockets: raw
+            .limits
+            .and_then(|limits| limits.sockets)
+            .unwrap_or(DEFAULT_SOCKETS),
         coordinator: raw.coordinator,
         known: raw.known,
         settings,
@@ -94,7 +99,11 @@
         assert_eq!((config.seed, config.sockets), (0x8c1f_30d2_7a5b_e964, 256));
         assert_eq!(config.settings.request_classes[0].name, "map");
         assert_eq!(config.settings.report_fields, [ReportField::Queued]);
-        for (good, bad) in [("127.0.0.4:8443", "nowhere"), ("\"map\"", "7,"), ("\"classes\"", "\"other\"")] {
+        for (good, bad) in [
+            ("127.0.0.4:8443", "nowhere"),
+            ("\"map\"", "7,"),
+            ("\"classes\"", "\"other\""),
+        ] {
             assert!(read(GOOD.replace(good, bad).as_bytes()).is_err(), "{bad}");
         }
         assert!(read(&GOOD.as_bytes()[..200]).is_err());
--- a/crates/quartzdrift-platform/src/coordinator.rs
+++ b/crates/quartzdrift-platform/src/coordinator.rs
@@ -96,9 +96,11 @@
 fn place(value: &Value, names: &[String], of: &str) -> u32 {
     let known = |at: &u64| *at < u64::from(NAMELESS) && (names.is_empty() || *at < names.len() as u64);
     let told = match value {
-        Value::String(name) => {
-            names.iter().position(|known| known == name).map(|at| at as u64).ok_or(name.clone())
-        }
+        Value::String(name) => names
+            .iter()
+            .position(|known| known == name)
+            .map(|at| at as u64)
+            .ok_or(name.clone()),
         Value::Null => Err(format!("of {of}")),
         other => other.as_u64().filter(known).ok_or(other.to_string()),
     };
@@ -114,7 +116,11 @@
 
 /// A kind of machine: all that no list names are one kind, since nothing but measures tells them apart.
 fn kind(value: &Value, names: &[String]) -> u32 {
-    let most = if names.is_empty() { NAMELESS } else { names.len() as u32 };
+    let most = if names.is_empty() {
+        NAMELESS
+    } else {
+        names.len() as u32
+    };
     match value {
         Value::Null => 0,
         _ => place(value, names, "").min(most),
@@ -139,7 +145,10 @@
             worker: self.uid,
             state,
         };
-        Told { listed, address: self.endpoint }
+        Told {
+            listed,
+            address: self.endpoint,
+        }
     }
 }
 
@@ -154,7 +163,11 @@
         let news: News = serde_json::from_slice(body).map_err(|e| Doubt::Unreadable(e.to_string()))?;
         let (have, got) = (self.last, news.index.unwrap_or(u64::MAX));
         let changes = self.take(news, zones, kinds)?;
-        if self.last == have && got < have { Err(Doubt::Behind { have, got }) } else { Ok(changes) }
+        if self.last == have && got < have {
+            Err(Doubt::Behind { have, got })
+        } else {
+            Ok(changes)
+        }
     }
 
     /// What has changed since the last event. Events that are known already are passed over; where one is missing
@@ -167,14 +180,22 @@
                 continue;
             }
             if update.index > last + 1 && !whole {
-                return Err(Doubt::Gap { have: last, got: update.index });
+                return Err(Doubt::Gap {
+                    have: last,
+                    got: update.index,
+                });
             }
             last = update.index;
-            let Some(Endpoints { all, targets }) = update.endpoints else { continue };
+            let Some(Endpoints { all, targets }) = update.endpoints else {
+                continue;
+            };
             if targets.len() > MAX_TARGETS {
                 return Err(Doubt::Unreadable("too many workers in an event".to_owned()));
             }
-            let workers = targets.into_iter().map(|target| target.told(zones, kinds)).collect();
+            let workers = targets
+                .into_iter()
+                .map(|target| target.told(zones, kinds))
+                .collect();
             changes.push(Change { all, workers });
         }
         self.last = last;
@@ -208,14 +229,22 @@
     }
 
     fn read(follower: &mut Follower, body: &[u8]) -> Result<Vec<Change>, Doubt> {
-        follower.read(body, &["west".to_owned(), "east".to_owned()], &["std".to_owned(), "big".to_owned()])
+        follower.read(
+            body,
+            &["west".to_owned(), "east".to_owned()],
+            &["std".to_owned(), "big".to_owned()],
+        )
     }
 
     #[test]
     fn events_are_taken_in_their_order_and_once() {
         let mut follower = Follower::default();
         let first = event(1, true, &[("a", "127.0.0.1:1", "Ready")]);
-        let second = event(2, false, &[("a", "127.0.0.1:1", "Terminating"), ("b", "127.0.0.1:1", "Ready")]);
+        let second = event(
+            2,
+            false,
+            &[("a", "127.0.0.1:1", "Terminating"), ("b", "127.0.0.1:1", "Ready")],
+        );
         let changes = read(&mut follower, &news(1, std::slice::from_ref(&first))).unwrap();
         assert!(changes[0].all);
         let a = &changes[0].workers[0].listed;
@@ -223,8 +252,11 @@
         assert_eq!(a.started, Some(Duration::from_millis(1500)));
         let changes = read(&mut follower, &news(2, &[first, second])).unwrap();
         assert_eq!(changes.len(), 1);
-        let states: Vec<(&str, EndpointState)> =
-            changes[0].workers.iter().map(|told| (&told.listed.worker[..], told.listed.state)).collect();
+        let states: Vec<(&str, EndpointState)> = changes[0]
+            .workers
+            .iter()
+            .map(|told| (&told.listed.worker[..], told.listed.state))
+            .collect();
         assert_eq!(states, [("a", EndpointState::Draining), ("b", EndpointState::Up)]);
         assert_eq!(follower.last(), 2);
     }
@@ -233,16 +265,25 @@
     fn a_gap_or_half_an_answer_changes_nothing() {
         let mut follower = Follower::default();
         read(&mut follower, &news(1, &[event(1, true, &[])])).unwrap();
-        let (two, four) = (event(2, false, &[("a", "127.0.0.1:1", "Ready")]), event(4, false, &[]));
+        let (two, four) = (
+            event(2, false, &[("a", "127.0.0.1:1", "Ready")]),
+            event(4, false, &[]),
+        );
         let whole = news(4, &[two, four]);
         assert_eq!(read(&mut follower, &whole), Err(Doubt::Gap { have: 2, got: 4 }));
         for cut in [0, 1, whole.len() / 2, whole.len() - 1] {
-            assert!(matches!(read(&mut follower, &whole[..cut]), Err(Doubt::Unreadable(_))), "{cut}");
+            assert!(
+                matches!(read(&mut follower, &whole[..cut]), Err(Doubt::Unreadable(_))),
+                "{cut}"
+            );
         }
         assert_eq!(follower.last(), 1);
         // The whole list mends a gap.
-        let again =
-            read(&mut follower, &news(7, &[event(7, true, &[("c", "127.0.0.1:3", "Ready")])])).unwrap();
+        let again = read(
+            &mut follower,
+            &news(7, &[event(7, true, &[("c", "127.0.0.1:3", "Ready")])]),
+        )
+        .unwrap();
         assert!(again[0].all && follower.last() == 7);
     }
 
@@ -251,9 +292,15 @@
         let mut follower = Follower::default();
         let other = r#"{"index":1,"shards":{}}"#.to_owned();
         assert!(read(&mut follower, &news(1, &[other])).unwrap().is_empty());
-        let changes =
-            read(&mut follower, &news(2, &[event(2, false, &[("a", "127.0.0.1:1", "Odd")])])).unwrap();
-        assert_eq!((changes[0].workers[0].listed.state, follower.last()), (EndpointState::Draining, 2));
+        let changes = read(
+            &mut follower,
+            &news(2, &[event(2, false, &[("a", "127.0.0.1:1", "Odd")])]),
+        )
+        .unwrap();
+        assert_eq!(
+            (changes[0].workers[0].listed.state, follower.last()),
+            (EndpointState::Draining, 2)
+        );
     }
 
     #[test]
@@ -262,7 +309,10 @@
         let ready = |index| event(index, true, &[("a", "127.0.0.1:1", "Ready")]);
         read(&mut follower, &news(5, &[ready(5)])).unwrap();
         for old in [news(3, &[ready(3)]), news(0, &[])] {
-            assert!(matches!(read(&mut follower, &old), Err(Doubt::Behind { have: 5, .. })));
+            assert!(matches!(
+                read(&mut follower, &old),
+                Err(Doubt::Behind { have: 5, .. })
+            ));
         }
         // Nothing new, and no word on the last event.
         assert_eq!(read(&mut follower, &news(5, &[ready(5)])), Ok(Vec::new()));
@@ -277,22 +327,35 @@
             let target =
                 format!(r#"{{"uid":"w{index}","endpoint":"127.0.0.1:1","state":"Ready","{field}":{value}}}"#);
             let event = format!(r#"{{"index":{index},"endpoints":{{"all":false,"targets":[{target}]}}}}"#);
-            read(&mut follower, &news(index, &[event])).unwrap()[0].workers[0].listed.clone()
+            read(&mut follower, &news(index, &[event])).unwrap()[0].workers[0]
+                .listed
+                .clone()
         };
         // West and east are named.
         let named = [told(1, "az", "\"west\"").zone, told(2, "az", "1").zone];
         assert_eq!(named, [0, 1]);
         let north = told(3, "az", "\"north\"").zone;
         assert_eq!(north, told(4, "az", "\"north\"").zone);
-        let others = [told(5, "az", "null").zone, told(6, "az", "null").zone, told(7, "az", "2").zone, north];
+        let others = [
+            told(5, "az", "null").zone,
+            told(6, "az", "null").zone,
+            told(7, "az", "2").zone,
+            north,
+        ];
         let all: std::collections::BTreeSet<u32> = named.into_iter().chain(others).collect();
         assert_eq!(all.len(), 6, "{all:?}");
-        let cells =
-            [told(8, "pod_group", "4").cell, told(9, "pod_group", "null").cell, told(10, "rev", "1").cell];
+        let cells = [
+            told(8, "pod_group", "4").cell,
+            told(9, "pod_group", "null").cell,
+            told(10, "rev", "1").cell,
+        ];
         assert!(cells[0] == 4 && cells[1] != cells[2] && cells[1..].iter().all(|cell| *cell >= NAMELESS));
         // Kinds that are not named are one more kind, so that no list of them grows.
         let kinds = ["\"odd\"", "\"other\"", "7", "4000000000", "\"big\"", "null"];
-        let kinds: Vec<u32> = (11..).zip(kinds).map(|(at, name)| told(at, "model", name).kind).collect();
+        let kinds: Vec<u32> = (11..)
+            .zip(kinds)
+            .map(|(at, name)| told(at, "model", name).kind)
+            .collect();
         assert_eq!(kinds, [2, 2, 2, 2, 1, 0]);
     }
 }
--- a/crates/quartzdrift-platform/src/frame.rs
+++ b/crates/quartzdrift-platform/src/frame.rs
@@ -71,26 +71,41 @@
 /// Reads the first answer in `bytes`; `None` while it is not all there. What its head already shows to be wrong
 /// is refused at once.
 pub fn read(bytes: &[u8]) -> Result<Option<Answer<'_>>, Unreadable> {
-    let Some(&mark) = bytes.first() else { return Ok(None) };
+    let Some(&mark) = bytes.first() else {
+        return Ok(None);
+    };
     if mark != FROM_WORKER {
         return Err(Unreadable::Mark(mark));
     }
-    let Some(&code) = bytes.get(1) else { return Ok(None) };
+    let Some(&code) = bytes.get(1) else {
+        return Ok(None);
+    };
     let code = Code::read(code).ok_or(Unreadable::Code(code))?;
     let (Some(fields), Some(body), Some(id)) = (number(bytes, 2), number(bytes, 4), number(bytes, 8)) else {
         return Ok(None);
     };
-    let (fields, body) = (usize::from(u16::from_be_bytes(fields)), u32::from_be_bytes(body) as usize);
+    let (fields, body) = (
+        usize::from(u16::from_be_bytes(fields)),
+        u32::from_be_bytes(body) as usize,
+    );
     if fields > MAX_FIELDS || body > MAX_BODY {
         return Err(Unreadable::Length((fields + body) as u64));
     }
     let (mid, end) = (HEAD + fields, HEAD + fields + body);
-    let Some(check) = number(bytes, end) else { return Ok(None) };
+    let Some(check) = number(bytes, end) else {
+        return Ok(None);
+    };
     if crc32fast::hash(&bytes[HEAD..end]) != u32::from_be_bytes(check) {
         return Err(Unreadable::Check);
     }
     let id = u64::from_be_bytes(id);
-    Ok(Some(Answer { code, id, fields: &bytes[HEAD..mid], body: &bytes[mid..end], length: end + CHECK }))
+    Ok(Some(Answer {
+        code,
+        id,
+        fields: &bytes[HEAD..mid],
+        body: &bytes[mid..end],
+        length: end + CHECK,
+    }))
 }
 
 /// Writes a frame. The caller's fields and body are within the bounds that it checked at its own door.
@@ -121,9 +136,15 @@
     #[test]
     fn a_frame_is_laid_out_as_published() {
         let bytes = frame(64, b"a=b", b"xyz");
-        assert_eq!(&bytes[..HEAD], &[193, 64, 0, 3, 0, 0, 0, 3, 1, 2, 3, 4, 5, 6, 7, 8]);
+        assert_eq!(
+            &bytes[..HEAD],
+            &[193, 64, 0, 3, 0, 0, 0, 3, 1, 2, 3, 4, 5, 6, 7, 8]
+        );
         // The check value that the CRC-32's definition gives for these nine digits.
-        assert_eq!(frame(64, b"123456789", b"")[HEAD + 9..], 0xcbf4_3926_u32.to_be_bytes());
+        assert_eq!(
+            frame(64, b"123456789", b"")[HEAD + 9..],
+            0xcbf4_3926_u32.to_be_bytes()
+        );
     }
 
     #[test]
--- a/crates/quartzdrift-platform/src/lanes.rs
+++ b/crates/quartzdrift-platform/src/lanes.rs
@@ -56,9 +56,15 @@
     fn each_has_its_own_while_descriptors_last() {
         let lane = |open, up| Lane { open, up };
         assert_eq!(choose(&[], 32, || true), Choice::Connect);
-        assert_eq!(choose(&[lane(1, true), lane(0, false), lane(0, true)], 32, || true), Choice::Use(2));
+        assert_eq!(
+            choose(&[lane(1, true), lane(0, false), lane(0, true)], 32, || true),
+            Choice::Use(2)
+        );
         assert_eq!(choose(&[lane(1, true)], 32, || true), Choice::Connect);
-        assert_eq!(choose(&[lane(3, true), lane(2, true)], 32, || false), Choice::Use(1));
+        assert_eq!(
+            choose(&[lane(3, true), lane(2, true)], 32, || false),
+            Choice::Use(1)
+        );
         assert_eq!(choose(&[lane(32, true)], 32, || false), Choice::Full);
         // Nobody gives up a connection for a worker that has an idle one.
         let asked = || panic!("room is asked for without need");
--- a/crates/quartzdrift-platform/src/proof.rs
+++ b/crates/quartzdrift-platform/src/proof.rs
@@ -58,13 +58,27 @@
 
     #[test]
     fn only_what_cannot_have_run_is_told_as_such() {
-        let harmless = [Outcome::CacheMiss, Outcome::AtCapacity, Outcome::NeverSent, Outcome::ConnectFailed];
+        let harmless = [
+            Outcome::CacheMiss,
+            Outcome::AtCapacity,
+            Outcome::NeverSent,
+            Outcome::ConnectFailed,
+        ];
         for code in [Code::Miss, Code::Full, Code::Over] {
-            assert!(answered(code).is_some_and(|outcome| harmless.contains(&outcome)), "{code:?}");
+            assert!(
+                answered(code).is_some_and(|outcome| harmless.contains(&outcome)),
+                "{code:?}"
+            );
         }
         assert_eq!(answered(Code::Error), Some(Outcome::Error));
         assert_eq!(answered(Code::Alive), None);
-        assert_eq!((cut(Cut::Unsent), cut(Cut::Sent)), (Outcome::NeverSent, Outcome::Reset));
-        assert_eq!((cut(Cut::NotConnected), cut(Cut::NoLane)), (Outcome::ConnectFailed, Outcome::AtCapacity));
+        assert_eq!(
+            (cut(Cut::Unsent), cut(Cut::Sent)),
+            (Outcome::NeverSent, Outcome::Reset)
+        );
+        assert_eq!(
+            (cut(Cut::NotConnected), cut(Cut::NoLane)),
+            (Outcome::ConnectFailed, Outcome::AtCapacity)
+        );
     }
 }
--- a/crates/quartzdrift-platform/src/report.rs
+++ b/crates/quartzdrift-platform/src/report.rs
@@ -13,7 +13,12 @@
 ];
 
 fn field(name: &str) -> ReportField {
-    settings::field(ALIASES.iter().find(|(alias, _)| *alias == name).map_or(name, |a| a.1))
+    settings::field(
+        ALIASES
+            .iter()
+            .find(|(alias, _)| *alias == name)
+            .map_or(name, |a| a.1),
+    )
 }
 
 /// The values in the order of the settings; empty where there is no report, `None` where one value is missing, no
@@ -40,7 +45,10 @@
         let names = ["q", "x0", "x1"].map(settings::field);
         let read = |text: &str| read(text.as_bytes(), &names);
         assert_eq!(read("report=x0:0.5;queue:7"), [Some(7.0), Some(0.5), None]);
-        assert_eq!(read("remark=1,report=q:3;x0:nan;x1:2"), [Some(3.0), None, Some(2.0)]);
+        assert_eq!(
+            read("remark=1,report=q:3;x0:nan;x1:2"),
+            [Some(3.0), None, Some(2.0)]
+        );
         assert!(read("remark=1").is_empty());
     }
 }
--- a/crates/quartzdrift-platform/src/settings.rs
+++ b/crates/quartzdrift-platform/src/settings.rs
@@ -58,8 +58,14 @@
 const RULING_CLASS: [&str; 3] = ["/deadline-ns", "/on-time-ns", "/window-ns"];
 /// Without the first of each the others say nothing.
 const WHOLE: [(&str, &[&str]); 2] = [
-    ("/safety/cold-ns", &["/safety/cold-from", "/safety/fall-multiple", "/safety/fall-ns"]),
-    ("/family-info/load-period-ns", &["/family-info/load-free", "/family-info/load-share"]),
+    (
+        "/safety/cold-ns",
+        &["/safety/cold-from", "/safety/fall-multiple", "/safety/fall-ns"],
+    ),
+    (
+        "/family-info/load-period-ns",
+        &["/family-info/load-free", "/family-info/load-share"],
+    ),
 ];
 
 /// What is wrong with settings that no scheduler can keep the rules by.
@@ -76,12 +82,16 @@
         }
     }
     let told = |at: &str| all.pointer(at).is_some();
-    let part = WHOLE.iter().find(|(first, others)| !told(first) && others.iter().any(|at| told(at)));
+    let part = WHOLE
+        .iter()
+        .find(|(first, others)| !told(first) && others.iter().any(|at| told(at)));
     part.map(|(first, _)| format!("a rule is told in part: '{first}' is missing"))
 }
 
 fn names(from: &Value, key: &str) -> Vec<String> {
-    list(from, key).map(|name| name.as_str().unwrap_or("").to_owned()).collect()
+    list(from, key)
+        .map(|name| name.as_str().unwrap_or("").to_owned())
+        .collect()
 }
 
 fn request_class(from: &Value) -> RequestClass {
@@ -203,7 +213,9 @@
             reports_cache_status: flag(copies, "tells-warm"),
             reports_concurrency: flag(copies, "tells-crowd"),
             keep: span(copies, "stays-loaded-ns"),
-            memory_mb_by_kind: list(copies, "memory-mb-by-kind").filter_map(Value::as_f64).collect(),
+            memory_mb_by_kind: list(copies, "memory-mb-by-kind")
+                .filter_map(Value::as_f64)
+                .collect(),
             idle_memory_price: number(copies, "idle-memory-cost"),
             load_quota_burst: number(copies, "load-free"),
             load_quota_share: number(copies, "load-share"),
@@ -215,7 +227,9 @@
             "pull" => ReportSource::Probes,
             _ => ReportSource::Silent,
         },
-        report_fields: list(reports, "fields").map(|f| field(f.as_str().unwrap_or(""))).collect(),
+        report_fields: list(reports, "fields")
+            .map(|f| field(f.as_str().unwrap_or("")))
+            .collect(),
         prices: Prices {
             connection: price("connection"),
             cross_zone: price("cross-zone"),
@@ -284,11 +298,25 @@
 
     #[test]
     fn what_is_not_told_or_not_known_counts_as_what_binds_most() {
-        let class = |key, word| with(&format!("/classes/0/{key}"), word).unwrap().request_classes.remove(0);
+        let class = |key, word| {
+            with(&format!("/classes/0/{key}"), word)
+                .unwrap()
+                .request_classes
+                .remove(0)
+        };
         for word in [None, Some(json!("")), Some(json!("planet")), Some(json!(7))] {
-            assert_eq!(class("key-scope", word.clone()).deduplication_scope, DeduplicationScope::Cell);
-            assert_eq!(class("effect", word.clone()).idempotency, Idempotency::NonIdempotent);
-            assert_eq!(with("/registry-mode", word).unwrap().discovery, DiscoveryMode::Poll);
+            assert_eq!(
+                class("key-scope", word.clone()).deduplication_scope,
+                DeduplicationScope::Cell
+            );
+            assert_eq!(
+                class("effect", word.clone()).idempotency,
+                Idempotency::NonIdempotent
+            );
+            assert_eq!(
+                with("/registry-mode", word).unwrap().discovery,
+                DiscoveryMode::Poll
+            );
         }
         let most = |told| with("/allowed/max-attempts", told).unwrap().allowed.max_attempts;
         assert_eq!((most(None), most(Some(json!(1e12)))), (None, Some(u32::MAX)));
--- a/crates/quartzdrift-recovery/src/backlog.rs
+++ b/crates/quartzdrift-recovery/src/backlog.rs
@@ -29,7 +29,13 @@
 
 impl Backlog {
     pub fn new(now: Duration, most: usize) -> Backlog {
-        Backlog { out: 0, most: most.max(1), known: usize::MAX, second: (now, 0, 0), well: 0 }
+        Backlog {
+            out: 0,
+            most: most.max(1),
+            known: usize::MAX,
+            second: (now, 0, 0),
+            well: 0,
+        }
     }
 
     pub fn out(&self) -> usize {
--- a/crates/quartzdrift-recovery/src/moment.rs
+++ b/crates/quartzdrift-recovery/src/moment.rs
@@ -63,7 +63,11 @@
 
     fn at(wall: u64, boot: &str, since_boot: u64) -> Moment {
         let s = Duration::from_secs;
-        Moment { wall: s(wall), boot: boot.to_owned(), since_boot: s(since_boot) }
+        Moment {
+            wall: s(wall),
+            boot: boot.to_owned(),
+            since_boot: s(since_boot),
+        }
     }
 
     #[test]
--- a/crates/quartzdrift-recovery/src/pace.rs
+++ b/crates/quartzdrift-recovery/src/pace.rs
@@ -110,8 +110,13 @@
     /// Whether a call for this function may become a request now, and whether it is a try; else when to come back.
     pub fn let_in(&mut self, now: Duration, function: u32) -> Result<bool, Duration> {
         match self.known.get(&function) {
-            Some(Known { copy: Copy::Stands, .. }) => return Ok(false),
-            Some(Known { copy: Copy::Tried, until }) if *until > now => return Err(self.back(0.5)),
+            Some(Known {
+                copy: Copy::Stands, ..
+            }) => return Ok(false),
+            Some(Known {
+                copy: Copy::Tried,
+                until,
+            }) if *until > now => return Err(self.back(0.5)),
             Some(_) => {}
             None if self.known.len() >= MAX_FUNCTIONS => return Ok(false),
             None => {}
@@ -132,7 +137,9 @@
 
     /// A try of ours is over: the call's request has its final answer.
     pub fn tried(&mut self, now: Duration, function: u32, came: Came) {
-        let Some(since) = self.out.remove(&function) else { return };
+        let Some(since) = self.out.remove(&function) else {
+            return;
+        };
         match came {
             Came::Stands => {}
             Came::Refused => {
@@ -175,7 +182,13 @@
             None => self.known.len() < MAX_FUNCTIONS && copy != Copy::Open,
         };
         if news {
-            self.known.insert(function, Known { copy, until: now + MAX_TRY });
+            self.known.insert(
+                function,
+                Known {
+                    copy,
+                    until: now + MAX_TRY,
+                },
+            );
             self.news.retain(|((of, _), _)| *of != function);
             self.news.push_front((piece, u32::MAX));
         }
@@ -200,15 +213,18 @@
         let rounds = members.len().ilog2() + 2;
         let mut told = Vec::new();
         for _ in 0..TELL_PIECES.min(self.news.len()) {
-            let Some((piece, left)) = self.news.pop_front() else { break };
+            let Some((piece, left)) = self.news.pop_front() else {
+                break;
+            };
             told.push(piece);
             let left = left.min(rounds) - 1;
             if left > 0 {
                 self.news.push_back((piece, left));
             }
         }
-        let mut to: Vec<usize> =
-            (0..TELL_TO).map(|_| (self.draw() % members.len() as u64) as usize).collect();
+        let mut to: Vec<usize> = (0..TELL_TO)
+            .map(|_| (self.draw() % members.len() as u64) as usize)
+            .collect();
         to.sort_unstable();
         to.dedup();
         Some((to.into_iter().map(|at| members[at].clone()).collect(), told))
@@ -231,7 +247,10 @@
         assert_eq!(pace.let_in(S, 2), Ok(true));
         assert!(pace.let_in(S, 3).is_err(), "two at a time at first");
         pace.tried(S + 300 * MS, 1, Came::Stands);
-        assert_eq!((pace.let_in(S * 2, 1), pace.let_in(S * 2, 1)), (Ok(false), Ok(false)));
+        assert_eq!(
+            (pace.let_in(S * 2, 1), pace.let_in(S * 2, 1)),
+            (Ok(false), Ok(false))
+        );
         // One that came to nothing is tried again; one of which nothing is heard is over.
         pace.tried(S * 2, 2, Came::Nothing);
         assert_eq!(pace.let_in(S * 2, 2), Ok(true));
@@ -289,7 +308,9 @@
             while all.iter().any(|of| of.next_due().is_some()) {
                 for n in 0..members {
                     let others: Vec<&String> = names.iter().filter(|name| **name != names[n]).collect();
-                    let Some((to, pieces)) = all[n].tell(now, &others) else { continue };
+                    let Some((to, pieces)) = all[n].tell(now, &others) else {
+                        continue;
+                    };
                     for name in to {
                         drawn += 1;
                         let mut hasher = DefaultHasher::new();
@@ -303,10 +324,15 @@
                 now += TELL_EVERY;
                 assert!(now < S * 3, "it is told without end");
             }
-            let knows =
-                all.iter_mut().filter_map(|of| (of.let_in(now, 7) == Ok(false)).then_some(())).count();
+            let knows = all
+                .iter_mut()
+                .filter_map(|of| (of.let_in(now, 7) == Ok(false)).then_some(()))
+                .count();
             assert!(knows * 10 >= members * 9, "{knows} of {members}");
-            assert!(told <= members * TELL_TO * (members.ilog2() as usize + 2), "{told} datagrams");
+            assert!(
+                told <= members * TELL_TO * (members.ilog2() as usize + 2),
+                "{told} datagrams"
+            );
         }
     }
 }
--- a/crates/quartzdrift-recovery/src/recovery.rs
+++ b/crates/quartzdrift-recovery/src/recovery.rs
@@ -114,13 +114,25 @@
             "stage {} for {} s, start {}, up {} s\n",
             self.stage, self.stage_for, self.starts, self.up
         );
-        if let Some(Verdict { kind, disk, answered, lost, silent, .. }) = &self.verdict {
+        if let Some(Verdict {
+            kind,
+            disk,
+            answered,
+            lost,
+            silent,
+            ..
+        }) = &self.verdict
+        {
             text.push_str(&format!(
                 "{kind}: {answered} others answered, {lost} of them ended with us, {silent} did not answer; disk {disk:?}\n"
             ));
         }
         for (thing, belief, why) in &self.beliefs {
-            text.push_str(&format!("{:<13} {:<9} {why}\n", format!("{thing:?}"), format!("{belief:?}")));
+            text.push_str(&format!(
+                "{:<13} {:<9} {why}\n",
+                format!("{thing:?}"),
+                format!("{belief:?}")
+            ));
         }
         if !self.waits_for.is_empty() {
             text.push_str(&format!("waits for answers of {}\n", self.waits_for.join(", ")));
@@ -188,7 +200,11 @@
         known.truncate(MAX_ASKED);
         let asked = known.into_iter().map(|name| (name, Asked::default())).collect();
         // A mark is noted now and then: the last life may have gone on after it, but not into this one.
-        let ration = if found.disk == Disk::Empty { Duration::ZERO } else { settings.load_quota_window };
+        let ration = if found.disk == Disk::Empty {
+            Duration::ZERO
+        } else {
+            settings.load_quota_window
+        };
         let mut recovery = Recovery {
             backlog: Backlog::new(now, settings.out),
             begun: now,
@@ -275,11 +291,23 @@
         if self.met.is_empty() || notes == 0 {
             return;
         }
-        let bytes = Said::Noted { starts: self.starts, notes }.bytes();
+        let bytes = Said::Noted {
+            starts: self.starts,
+            notes,
+        }
+        .bytes();
         // Each in its turn, so that all know one that is not far behind.
         let first = (notes as usize * NOTES_TO) % self.met.len();
-        let to = self.met.iter().cycle().skip(first).take(NOTES_TO.min(self.met.len()));
-        self.outputs.extend(to.map(|to| Output::Tell { to: to.clone(), bytes: bytes.clone() }));
+        let to = self
+            .met
+            .iter()
+            .cycle()
+            .skip(first)
+            .take(NOTES_TO.min(self.met.len()));
+        self.outputs.extend(to.map(|to| Output::Tell {
+            to: to.clone(),
+            bytes: bytes.clone(),
+        }));
     }
 
     /// A planned stop: all that was open has its final answer.
@@ -303,13 +331,18 @@
 
     fn ask(&mut self, now: Duration, name: &str) {
         let me = self.about(now);
-        let Some(asked) =
-            self.asked.get_mut(name).filter(|asked| asked.heard.is_none() && asked.again <= now)
+        let Some(asked) = self
+            .asked
+            .get_mut(name)
+            .filter(|asked| asked.heard.is_none() && asked.again <= now)
         else {
             return;
         };
         asked.again = now + ASK_AGAIN;
-        self.outputs.push(Output::Tell { to: name.to_owned(), bytes: Said::Ask { me }.bytes() });
+        self.outputs.push(Output::Tell {
+            to: name.to_owned(),
+            bytes: Said::Ask { me }.bytes(),
+        });
     }
 
     /// What the number of starts heard of a member was before its present start; and notes the present one.
@@ -337,10 +370,20 @@
         match Said::read(bytes)? {
             Said::Ask { me } => {
                 let yours = self.see(from, &me);
-                let notes =
-                    self.seen_notes.get(from).filter(|(starts, _)| *starts == yours).map_or(0, |of| of.1);
-                let said = Said::Answer { me: self.about(now), yours, notes };
-                self.outputs.push(Output::Tell { to: from.to_owned(), bytes: said.bytes() });
+                let notes = self
+                    .seen_notes
+                    .get(from)
+                    .filter(|(starts, _)| *starts == yours)
+                    .map_or(0, |of| of.1);
+                let said = Said::Answer {
+                    me: self.about(now),
+                    yours,
+                    notes,
+                };
+                self.outputs.push(Output::Tell {
+                    to: from.to_owned(),
+                    bytes: said.bytes(),
+                });
             }
             Said::Noted { starts, notes } => {
                 let room = self.seen_notes.len() < MAX_SEEN || self.seen_notes.contains_key(from);
@@ -372,14 +415,21 @@
             return;
         }
         let all = !self.asked.is_empty() && self.asked.values().all(|asked| asked.heard.is_some());
-        let early = if self.found.known.is_empty() { self.settings.ask / 2 } else { Duration::ZERO };
+        let early = if self.found.known.is_empty() {
+            self.settings.ask / 2
+        } else {
+            Duration::ZERO
+        };
         if now >= self.begun + self.settings.ask || all && now >= self.begun + early {
             self.judge(now);
         }
     }
 
     fn heard(&self) -> Vec<Heard> {
-        self.asked.values().filter_map(|asked| asked.heard.clone()).collect()
+        self.asked
+            .values()
+            .filter_map(|asked| asked.heard.clone())
+            .collect()
     }
 
     /// Where those who answered prove a loss, copies return at a pace before all have answered.
@@ -400,7 +450,11 @@
             self.pace = Some(Pace::new(now, self.settings.life));
         }
         if !std::mem::replace(&mut self.tells, true) {
-            let off = if self.found.machine_ran() { Duration::ZERO } else { self.found.now.since_boot };
+            let off = if self.found.machine_ran() {
+                Duration::ZERO
+            } else {
+                self.found.now.since_boot
+            };
             self.tell_at = Some(now.max(self.begun + self.settings.fall_window.saturating_sub(off)));
         }
     }
@@ -455,7 +509,11 @@
             Stage::Timers => Some(self.look_at),
             Stage::Full => None,
         };
-        let news = self.pace.as_ref().filter(|_| !self.met.is_empty()).and_then(Pace::next_due);
+        let news = self
+            .pace
+            .as_ref()
+            .filter(|_| !self.met.is_empty())
+            .and_then(Pace::next_due);
         stage.into_iter().chain(self.tell_at).chain(news).min()
     }
 
@@ -467,7 +525,10 @@
             let members: Vec<&String> = self.met.iter().collect();
             if let Some((members, pieces)) = pace.tell(now, &members) {
                 let bytes = Said::CacheSettings { pieces }.bytes();
-                let tell = |to| Output::Tell { to, bytes: bytes.clone() };
+                let tell = |to| Output::Tell {
+                    to,
+                    bytes: bytes.clone(),
+                };
                 self.outputs.extend(members.into_iter().map(tell));
             }
         }
@@ -501,7 +562,9 @@
 
     /// Whether a request that the store shows as waiting may have run all the same.
     pub fn waiting_in_doubt(&self) -> bool {
-        self.verdict.as_ref().is_none_or(|verdict| waiting_in_doubt(verdict, self.settings.store))
+        self.verdict
+            .as_ref()
+            .is_none_or(|verdict| waiting_in_doubt(verdict, self.settings.store))
     }
 
     /// Whether what was measured before is still to be told, or it is not known yet whether it is.
@@ -538,7 +601,9 @@
     /// Whether a call for this function may become a request now, and the number to tell [`Recovery::tried`] of its end where it is
     /// a try; else when to come back.
     pub fn let_in(&mut self, now: Duration, function: &str) -> Result<Option<u32>, Duration> {
-        let Some(pace) = &mut self.pace else { return Ok(None) };
+        let Some(pace) = &mut self.pace else {
+            return Ok(None);
+        };
         // Its lower half: what a collision costs is a load more.
         let number = xxhash_rust::xxh3::xxh3_64(function.as_bytes()) as u32;
         let let_in = pace.let_in(now, number).map(|tries| tries.then_some(number));
@@ -604,10 +669,13 @@
     }
 
     pub fn view(&self, now: Duration) -> View {
-        let rows = self
-            .verdict
-            .as_ref()
-            .map(|verdict| beliefs(verdict, self.settings.idempotency_keys_on_disk, self.settings.store));
+        let rows = self.verdict.as_ref().map(|verdict| {
+            beliefs(
+                verdict,
+                self.settings.idempotency_keys_on_disk,
+                self.settings.store,
+            )
+        });
         let silent = |(name, asked): (&String, &Asked)| asked.heard.is_none().then(|| name.clone());
         View {
             starts: self.starts,
@@ -657,16 +725,41 @@
 
     /// One that ended uncleanly three seconds ago, and counted these others.
     fn lost(name: &str, known: &[&str]) -> Recovery {
-        let at = Moment { wall: ZERO - S * 3, boot: "a".into(), since_boot: S * 500 };
-        let mark = Mark { name: name.into(), starts: 4, settled: true, at, ..Mark::default() };
-        let now = Moment { wall: ZERO, boot: "b".into(), since_boot: S };
+        let at = Moment {
+            wall: ZERO - S * 3,
+            boot: "a".into(),
+            since_boot: S * 500,
+        };
+        let mark = Mark {
+            name: name.into(),
+            starts: 4,
+            settled: true,
+            at,
+            ..Mark::default()
+        };
+        let now = Moment {
+            wall: ZERO,
+            boot: "b".into(),
+            since_boot: S,
+        };
         let known = known.iter().map(|&name| name.to_owned()).collect();
         Recovery::new(settings(name), Found::marked(mark, name, known, now), ZERO)
     }
 
     fn answer(up: Duration, was_clean: bool) -> Vec<u8> {
-        let me = About { starts: 9, life: 1, up_ms: up.as_millis() as u64, was_clean, full: false };
-        Said::Answer { me, yours: 4, notes: 0 }.bytes()
+        let me = About {
+            starts: 9,
+            life: 1,
+            up_ms: up.as_millis() as u64,
+            was_clean,
+            full: false,
+        };
+        Said::Answer {
+            me,
+            yours: 4,
+            notes: 0,
+        }
+        .bytes()
     }
 
     fn stages(of: &mut Recovery) -> Vec<Stage> {
@@ -695,7 +788,10 @@
                 }
             }
             assert!(of.verdict().is_some(), "the wait does not end: {answers}");
-            assert!(now <= ZERO + S * 2 && of.verdict().unwrap().kind == Kind::LossOfMany, "{answers}");
+            assert!(
+                now <= ZERO + S * 2 && of.verdict().unwrap().kind == Kind::LossOfMany,
+                "{answers}"
+            );
         }
     }
 
@@ -705,7 +801,11 @@
         let (mut now, mut asks) = (ZERO, 0);
         of.member(now, "b");
         while of.verdict().is_none() {
-            asks += of.outputs().iter().filter(|output| matches!(output, Output::Tell { .. })).count();
+            asks += of
+                .outputs()
+                .iter()
+                .filter(|output| matches!(output, Output::Tell { .. }))
+                .count();
             now = of.next_due().unwrap().max(now);
             of.due(now);
         }
@@ -715,13 +815,20 @@
         of.member(now, "c");
         of.told(now, "b", &answer(S * 900, true)).unwrap();
         assert_eq!(of.verdict().unwrap().kind, Kind::LossOfMany);
-        assert!(!of.outputs().iter().any(|output| matches!(output, Output::Tell { .. })));
+        assert!(
+            !of.outputs()
+                .iter()
+                .any(|output| matches!(output, Output::Tell { .. }))
+        );
     }
 
     #[test]
     fn service_returns_in_its_order_and_what_may_repeat_stays_away_for_its_window() {
         let mut of = lost("a", &[]);
-        assert_eq!((of.repeats_wait(ZERO, S * 5), of.backlog()), (Some(DEFAULT_RETRY_AFTER), Some(0)));
+        assert_eq!(
+            (of.repeats_wait(ZERO, S * 5), of.backlog()),
+            (Some(DEFAULT_RETRY_AFTER), Some(0))
+        );
         let mut now = ZERO;
         let mut seen = Vec::new();
         while of.stage() != Stage::Full {
@@ -733,20 +840,51 @@
             of.due(now);
             seen.extend(stages(&mut of));
         }
-        assert_eq!(seen, [Stage::Synchronous, Stage::Backlog, Stage::Timers, Stage::Full]);
-        assert!(now > ZERO + S * 8, "synchronous work was not well before: {now:?}");
+        assert_eq!(
+            seen,
+            [Stage::Synchronous, Stage::Backlog, Stage::Timers, Stage::Full]
+        );
+        assert!(
+            now > ZERO + S * 8,
+            "synchronous work was not well before: {now:?}"
+        );
         assert_eq!(of.backlog(), None);
         assert!(!of.repeats_known());
         assert_eq!(of.repeats_wait(ZERO + S * 3, S * 5), Some(S * 2));
         assert_eq!(
-            (of.repeats_wait(ZERO + S * 5, S * 5), of.repeats_wait(ZERO + S * 3, S * 3)),
+            (
+                of.repeats_wait(ZERO + S * 5, S * 5),
+                of.repeats_wait(ZERO + S * 3, S * 3)
+            ),
             (None, None)
         );
         // The next life of one that crashes within that window keeps to it.
-        let at = Moment { wall: ZERO + S * 2, boot: "b".into(), since_boot: S * 3 };
-        let again = Found::marked(of.mark(at.clone()), "a", vec![], Moment { since_boot: S * 4, ..at });
-        let again = Recovery::new(Settings { fleet: false, ..settings("a") }, again, ZERO + S * 3);
-        assert_eq!((again.verdict().unwrap().kind, again.stage()), (Kind::CrashOfOne, Stage::Full));
+        let at = Moment {
+            wall: ZERO + S * 2,
+            boot: "b".into(),
+            since_boot: S * 3,
+        };
+        let again = Found::marked(
+            of.mark(at.clone()),
+            "a",
+            vec![],
+            Moment {
+                since_boot: S * 4,
+                ..at
+            },
+        );
+        let again = Recovery::new(
+            Settings {
+                fleet: false,
+                ..settings("a")
+            },
+            again,
+            ZERO + S * 3,
+        );
+        assert_eq!(
+            (again.verdict().unwrap().kind, again.stage()),
+            (Kind::CrashOfOne, Stage::Full)
+        );
         assert_eq!(again.repeats_wait(ZERO + S * 3, S * 5), Some(S * 2));
         assert!(
             !again.loads_ahead(ZERO + S * 12) && again.loads_ahead(ZERO + S * 13),
@@ -787,7 +925,9 @@
         }
         // One of seventeen that crashed alone meets no pace; nor does one that stopped as planned.
         let mut one = lost("a", &known.iter().map(String::as_str).collect::<Vec<_>>());
-        known.iter().for_each(|name| one.told(ZERO, name, &answer(S * 900, true)).unwrap());
+        known
+            .iter()
+            .for_each(|name| one.told(ZERO, name, &answer(S * 900, true)).unwrap());
         assert!(one.verdict().is_some() && one.let_in(ZERO, "f") == Ok(None) && one.stage() == Stage::Full);
     }
 
@@ -810,7 +950,13 @@
     fn a_number_used_twice_is_told_by_its_life() {
         let mut other = lost("o", &[]);
         let yours = |other: &mut Recovery, starts, life| {
-            let me = About { starts, life, up_ms: 0, was_clean: false, full: false };
+            let me = About {
+                starts,
+                life,
+                up_ms: 0,
+                was_clean: false,
+                full: false,
+            };
             other.told(ZERO, "x", &Said::Ask { me }.bytes()).unwrap();
             other.outputs().into_iter().find_map(|output| match output {
                 Output::Tell { bytes, .. } => match Said::read(&bytes) {
--- a/crates/quartzdrift-recovery/src/start.rs
+++ b/crates/quartzdrift-recovery/src/start.rs
@@ -72,8 +72,20 @@
     /// Of a mark that could be read, for a scheduler of this name.
     pub fn marked(mark: Mark, name: &str, known: Vec<String>, now: Moment) -> Found {
         match mark.name == name {
-            true => Found { mark: Some(mark), disk: Disk::Whole, known, now, beside: false },
-            false => Found { mark: None, disk: Disk::Foreign, known: Vec::new(), now, beside: false },
+            true => Found {
+                mark: Some(mark),
+                disk: Disk::Whole,
+                known,
+                now,
+                beside: false,
+            },
+            false => Found {
+                mark: None,
+                disk: Disk::Foreign,
+                known: Vec::new(),
+                now,
+                beside: false,
+            },
         }
     }
 
@@ -168,7 +180,10 @@
     let alone = heard.is_empty() && silent == 0;
     let many = missing >= 2 && missing * MANY > heard.len() + silent;
     // What the last start was is not known: it may have been one after a loss.
-    let unsettled = found.mark.as_ref().is_some_and(|mark| !mark.clean && !mark.settled);
+    let unsettled = found
+        .mark
+        .as_ref()
+        .is_some_and(|mark| !mark.clean && !mark.settled);
     let kind = match clean {
         _ if many => Kind::LossOfMany,
         true if disk == Disk::Empty => Kind::First,
@@ -179,7 +194,16 @@
         false => Kind::CrashOfOne,
     };
     let others_full = heard.iter().any(|h| h.me.full);
-    Verdict { kind, disk, answered: heard.len(), lost, silent, others_full, latest, noted_later }
+    Verdict {
+        kind,
+        disk,
+        answered: heard.len(),
+        lost,
+        silent,
+        others_full,
+        latest,
+        noted_later,
+    }
 }
 
 /// Whether those who answered so far prove that many were lost, whatever the others of `asked` members will say.
@@ -216,7 +240,13 @@
     }
 
     fn heard(up: u64, was_clean: bool, yours: u64) -> Heard {
-        let me = About { starts: 1, life: 1, up_ms: up * 1000, was_clean, full: false };
+        let me = About {
+            starts: 1,
+            life: 1,
+            up_ms: up * 1000,
+            was_clean,
+            full: false,
+        };
         Heard { me, yours, notes: 0 }
     }
 
@@ -231,10 +261,34 @@
         let new = heard(2, false, 4);
         let crashed = found(false, 3, "k");
         for (what, of, heard, silent, wanted) in [
-            ("one crashed, others lived on", &crashed, vec![long.clone(); 4], 0, Kind::CrashOfOne),
-            ("all came back with us", &crashed, vec![new.clone(); 4], 0, Kind::LossOfMany),
-            ("one is back, the rest never", &crashed, vec![], 4, Kind::LossOfMany),
-            ("half answer, new ones", &crashed, vec![new.clone(), new.clone()], 2, Kind::LossOfMany),
+            (
+                "one crashed, others lived on",
+                &crashed,
+                vec![long.clone(); 4],
+                0,
+                Kind::CrashOfOne,
+            ),
+            (
+                "all came back with us",
+                &crashed,
+                vec![new.clone(); 4],
+                0,
+                Kind::LossOfMany,
+            ),
+            (
+                "one is back, the rest never",
+                &crashed,
+                vec![],
+                4,
+                Kind::LossOfMany,
+            ),
+            (
+                "half answer, new ones",
+                &crashed,
+                vec![new.clone(), new.clone()],
+                2,
+                Kind::LossOfMany,
+            ),
             (
                 "two of thirty crash by chance",
                 &crashed,
@@ -243,10 +297,37 @@
                 Kind::CrashOfOne,
             ),
             ("alone, the machine ran on", &crashed, vec![], 0, Kind::CrashOfOne),
-            ("alone, the machine was off", &found(false, 3, "other"), vec![], 0, Kind::LossOfMany),
-            ("hands over", &Found { beside: true, ..found(false, 1, "k") }, vec![], 0, Kind::Planned),
-            ("stopped as planned", &found(true, 3, "k"), vec![long.clone(); 4], 0, Kind::Planned),
-            ("all stopped as planned", &found(true, 3, "k"), vec![heard(2, true, 4); 3], 1, Kind::Planned),
+            (
+                "alone, the machine was off",
+                &found(false, 3, "other"),
+                vec![],
+                0,
+                Kind::LossOfMany,
+            ),
+            (
+                "hands over",
+                &Found {
+                    beside: true,
+                    ..found(false, 1, "k")
+                },
+                vec![],
+                0,
+                Kind::Planned,
+            ),
+            (
+                "stopped as planned",
+                &found(true, 3, "k"),
+                vec![long.clone(); 4],
+                0,
+                Kind::Planned,
+            ),
+            (
+                "all stopped as planned",
+                &found(true, 3, "k"),
+                vec![heard(2, true, 4); 3],
+                1,
+                Kind::Planned,
+            ),
             (
                 "stopped as planned, and power went",
                 &found(true, 30, "k"),
@@ -255,7 +336,13 @@
                 Kind::LossOfMany,
             ),
             // Back after a minute with old news: those who lost power then began after our end.
-            ("back late", &found(false, 60, "k"), vec![heard(55, false, 4); 4], 0, Kind::LossOfMany),
+            (
+                "back late",
+                &found(false, 60, "k"),
+                vec![heard(55, false, 4); 4],
+                0,
+                Kind::LossOfMany,
+            ),
         ] {
             assert_eq!(kind(of, &heard, silent), (wanted, Disk::Whole), "{what}");
         }
@@ -264,21 +351,45 @@
     #[test]
     fn a_disk_is_doubted_by_proof_and_not_by_old_news() {
         let whole = found(false, 3, "k");
-        assert_eq!(kind(&whole, &[heard(900, true, 3)], 0).1, Disk::Whole, "a member with old news");
-        assert_eq!(kind(&whole, &[heard(900, true, 5), heard(900, true, 3)], 0).1, Disk::Old);
+        assert_eq!(
+            kind(&whole, &[heard(900, true, 3)], 0).1,
+            Disk::Whole,
+            "a member with old news"
+        );
+        assert_eq!(
+            kind(&whole, &[heard(900, true, 5), heard(900, true, 3)], 0).1,
+            Disk::Old
+        );
         // A copy from before a planned stop is no planned stop.
-        assert_eq!(kind(&found(true, 3, "k"), &[heard(900, true, 9)], 0), (Kind::CrashOfOne, Disk::Old));
-        let empty =
-            Found { mark: None, disk: Disk::Empty, known: vec![], now: moment(0, "k"), beside: false };
+        assert_eq!(
+            kind(&found(true, 3, "k"), &[heard(900, true, 9)], 0),
+            (Kind::CrashOfOne, Disk::Old)
+        );
+        let empty = Found {
+            mark: None,
+            disk: Disk::Empty,
+            known: vec![],
+            now: moment(0, "k"),
+            beside: false,
+        };
         assert_eq!(kind(&empty, &[heard(9, true, 0)], 0), (Kind::First, Disk::Empty));
-        assert_eq!(kind(&empty, &[heard(900, false, 1)], 0), (Kind::CrashOfOne, Disk::Gone));
+        assert_eq!(
+            kind(&empty, &[heard(900, false, 1)], 0),
+            (Kind::CrashOfOne, Disk::Gone)
+        );
         assert_eq!(
             kind(&empty, &[heard(5, false, 1), heard(5, false, 0)], 0),
             (Kind::LossOfMany, Disk::Gone)
         );
-        let other = Mark { name: "b".into(), ..Mark::default() };
+        let other = Mark {
+            name: "b".into(),
+            ..Mark::default()
+        };
         let foreign = Found::marked(other, "a", vec!["c".into()], moment(0, "k"));
-        assert_eq!((foreign.disk, foreign.was_clean(), foreign.known.len()), (Disk::Foreign, false, 0));
+        assert_eq!(
+            (foreign.disk, foreign.was_clean(), foreign.known.len()),
+            (Disk::Foreign, false, 0)
+        );
     }
 
     #[test]
@@ -286,9 +397,16 @@
         let mut copy = found(false, 1, "k");
         copy.mark.as_mut().unwrap().notes = 3;
         for (yours, notes, disk) in [(4, 3, Disk::Whole), (4, 4, Disk::Old), (3, 9, Disk::Whole)] {
-            let heard = Heard { notes, ..heard(900, true, yours) };
+            let heard = Heard {
+                notes,
+                ..heard(900, true, yours)
+            };
             let verdict = judge(&copy, &[heard], 0, S);
-            assert_eq!((verdict.disk, verdict.noted_later), (disk, disk == Disk::Old), "{yours} {notes}");
+            assert_eq!(
+                (verdict.disk, verdict.noted_later),
+                (disk, disk == Disk::Old),
+                "{yours} {notes}"
+            );
         }
     }
 
--- a/crates/quartzdrift-recovery/src/topics.rs
+++ b/crates/quartzdrift-recovery/src/topics.rs
@@ -92,12 +92,31 @@
 
     #[test]
     fn what_is_said_is_in_the_form_of_earlier_releases() {
-        let me = About { starts: 3, life: 400, up_ms: 50_000, was_clean: true, full: false };
+        let me = About {
+            starts: 3,
+            life: 400,
+            up_ms: 50_000,
+            was_clean: true,
+            full: false,
+        };
         let pieces = vec![(7, Copy::Open), (70_000, Copy::Tried), (9, Copy::Stands)];
         for (said, recorded) in [
             (Said::Ask { me: me.clone() }, "00039003d086030100"),
-            (Said::Answer { me, yours: 2, notes: 600 }, "01039003d08603010002d804"),
-            (Said::Noted { starts: 4, notes: 700 }, "0204bc05"),
+            (
+                Said::Answer {
+                    me,
+                    yours: 2,
+                    notes: 600,
+                },
+                "01039003d08603010002d804",
+            ),
+            (
+                Said::Noted {
+                    starts: 4,
+                    notes: 700,
+                },
+                "0204bc05",
+            ),
             (Said::CacheSettings { pieces }, "03030700f0a204010902"),
         ] {
             let hex: String = said.bytes().iter().map(|byte| format!("{byte:02x}")).collect();
--- a/crates/quartzdrift-recovery/src/trust.rs
+++ b/crates/quartzdrift-recovery/src/trust.rs
@@ -41,31 +41,62 @@
 pub fn beliefs(verdict: &Verdict, on_disk: bool, store: Option<u64>) -> [(Thing, Belief, &'static str); 7] {
     use Belief::{Aside, Kept, Lessened};
     let lost = verdict.kind == Kind::LossOfMany;
-    let readable = !matches!(verdict.disk, Disk::Spoilt | Disk::Foreign | Disk::Empty | Disk::Gone);
+    let readable = !matches!(
+        verdict.disk,
+        Disk::Spoilt | Disk::Foreign | Disk::Empty | Disk::Gone
+    );
     let kept = if readable { Kept } else { Aside };
     let lessened = if readable { Lessened } else { Aside };
     let row = |thing, belief, why| (thing, belief, why);
     [
         match lost {
-            true => {
-                row(Thing::Workers, lessened, "workers lost power: cold and empty until a list tells more")
-            }
+            true => row(
+                Thing::Workers,
+                lessened,
+                "workers lost power: cold and empty until a list tells more",
+            ),
             false => row(Thing::Workers, kept, "until a list comes"),
         },
-        row(Thing::Schedulers, kept, "those that are not back count until they were silent for long enough"),
-        row(Thing::Rations, Aside, "no load ahead within the ration's window of the last life"),
-        row(Thing::Forecasts, lessened, "the outage is no evidence that nobody calls"),
+        row(
+            Thing::Schedulers,
+            kept,
+            "those that are not back count until they were silent for long enough",
+        ),
+        row(
+            Thing::Rations,
+            Aside,
+            "no load ahead within the ration's window of the last life",
+        ),
+        row(
+            Thing::Forecasts,
+            lessened,
+            "the outage is no evidence that nobody calls",
+        ),
         match repeats_known(verdict, on_disk) {
-            true => row(Thing::IdempotencyKeys, Kept, "workers ran on, or keep fingerprints on disk"),
-            false => row(Thing::IdempotencyKeys, Aside, "workers lost power and with it what they had run"),
+            true => row(
+                Thing::IdempotencyKeys,
+                Kept,
+                "workers ran on, or keep fingerprints on disk",
+            ),
+            false => row(
+                Thing::IdempotencyKeys,
+                Aside,
+                "workers lost power and with it what they had run",
+            ),
         },
         match waiting_in_doubt(verdict, store) {
-            true => {
-                row(Thing::Waiting, Lessened, "only restartable jobs run: the store is older than what ran")
-            }
+            true => row(
+                Thing::Waiting,
+                Lessened,
+                "only restartable jobs run: the store is older than what ran",
+            ),
             false => row(Thing::Waiting, Kept, "the store is the last one"),
         },
-        row(Thing::Timers, kept, "firings missed since the last note are treated by each timer's setting"),
+        row(
+            Thing::Timers,
+            kept,
+            "firings missed since the last note are treated by each timer's setting",
+        ),
     ]
 }
 
@@ -85,18 +116,40 @@
             latest: 4,
             noted_later: true,
         };
-        assert!(waiting_in_doubt(&within, Some(4)), "a copy made within the same start");
+        assert!(
+            waiting_in_doubt(&within, Some(4)),
+            "a copy made within the same start"
+        );
         for kind in [Kind::First, Kind::Planned, Kind::CrashOfOne, Kind::LossOfMany] {
             let (answered, lost, silent, others_full) = (0, 0, 0, false);
             let (disk, noted_later) = (Disk::Whole, false);
-            let verdict = Verdict { kind, disk, answered, lost, silent, others_full, latest: 4, noted_later };
+            let verdict = Verdict {
+                kind,
+                disk,
+                answered,
+                lost,
+                silent,
+                others_full,
+                latest: 4,
+                noted_later,
+            };
             let many = kind == Kind::LossOfMany;
-            assert_eq!((repeats_known(&verdict, false), repeats_known(&verdict, true)), (!many, true));
+            assert_eq!(
+                (repeats_known(&verdict, false), repeats_known(&verdict, true)),
+                (!many, true)
+            );
             for (store, doubted) in [(None, false), (Some(3), true), (Some(4), false), (Some(5), false)] {
                 assert_eq!(waiting_in_doubt(&verdict, store), doubted);
                 let rows = beliefs(&verdict, false, store);
-                let belief = |of| rows.iter().find(|(thing, ..)| *thing == of).map(|(_, belief, _)| *belief);
-                assert_eq!(belief(Thing::Workers), Some(if many { Belief::Lessened } else { Belief::Kept }));
+                let belief = |of| {
+                    rows.iter()
+                        .find(|(thing, ..)| *thing == of)
+                        .map(|(_, belief, _)| *belief)
+                };
+                assert_eq!(
+                    belief(Thing::Workers),
+                    Some(if many { Belief::Lessened } else { Belief::Kept })
+                );
                 assert_eq!(
                     belief(Thing::IdempotencyKeys),
                     Some(if many { Belief::Aside } else { Belief::Kept })
--- a/crates/quartzdrift-schedules/src/lib.rs
+++ b/crates/quartzdrift-schedules/src/lib.rs
@@ -44,7 +44,8 @@
 
 /// Reads a cron expression of five fields, or six with seconds first.
 pub fn cron(text: &str) -> Result<Cron, String> {
-    text.parse::<Cron>().map_err(|e| format!("'{text}' is no cron expression: {e}"))
+    text.parse::<Cron>()
+        .map_err(|e| format!("'{text}' is no cron expression: {e}"))
 }
 
 pub fn zone(text: &str) -> Result<Tz, String> {
@@ -77,7 +78,12 @@
 
 impl Timers {
     pub fn new(timers: Vec<Timer>, seed: u64, now: Duration) -> Timers {
-        let mut all = Timers { seed, timers, due: BTreeSet::new(), out: BTreeMap::new() };
+        let mut all = Timers {
+            seed,
+            timers,
+            due: BTreeSet::new(),
+            out: BTreeMap::new(),
+        };
         (0..all.timers.len()).for_each(|ix| all.plan(ix, now));
         all
     }
@@ -108,7 +114,11 @@
             }
             let timer = &self.timers[ix];
             let mut missed = vec![at];
-            while let Some(more) = missed.last().and_then(|last| next(timer, *last)).filter(|at| *at <= now) {
+            while let Some(more) = missed
+                .last()
+                .and_then(|last| next(timer, *last))
+                .filter(|at| *at <= now)
+            {
                 missed.push(more);
                 if missed.len() > MAX_MADE_UP {
                     missed.remove(0);
@@ -119,8 +129,13 @@
                 Missed::Once => missed.last().copied().into_iter().collect(),
                 Missed::All => missed.clone(),
             };
-            notes.push(Note::Missed { timer: timer.name.clone(), count: missed.len() });
-            made_up.into_iter().for_each(|at| self.fire(ix, at, &mut firings, &mut notes));
+            notes.push(Note::Missed {
+                timer: timer.name.clone(),
+                count: missed.len(),
+            });
+            made_up
+                .into_iter()
+                .for_each(|at| self.fire(ix, at, &mut firings, &mut notes));
             self.plan(ix, now);
         }
         (firings, notes)
@@ -129,10 +144,17 @@
     fn fire(&mut self, ix: usize, at: Duration, firings: &mut Vec<Firing>, notes: &mut Vec<Note>) {
         let (timer, out) = (&self.timers[ix], self.out.entry(ix).or_default());
         if *out > 0 && !timer.overlap {
-            return notes.push(Note::Overlapped { timer: timer.name.clone(), at });
+            return notes.push(Note::Overlapped {
+                timer: timer.name.clone(),
+                at,
+            });
         }
         *out += 1;
-        firings.push(Firing { timer: timer.name.clone(), function: timer.function.clone(), at });
+        firings.push(Firing {
+            timer: timer.name.clone(),
+            function: timer.function.clone(),
+            at,
+        });
     }
 
     /// The request of a firing is over.
@@ -146,7 +168,10 @@
 
 fn next(timer: &Timer, after: Duration) -> Option<Duration> {
     let after = DateTime::<Utc>::from_timestamp(after.as_secs().try_into().ok()?, after.subsec_nanos())?;
-    let next = timer.cron.find_next_occurrence(&after.with_timezone(&timer.zone), false).ok()?;
+    let next = timer
+        .cron
+        .find_next_occurrence(&after.with_timezone(&timer.zone), false)
+        .ok()?;
     let next = next.with_timezone(&Utc);
     let seconds = u64::try_from(next.timestamp()).ok()?;
     Some(Duration::from_secs(seconds))
@@ -175,19 +200,29 @@
     #[test]
     fn a_time_of_day_follows_the_zone_over_its_changes() {
         let start = at("2026-03-27T12:00:00Z");
-        let mut timers =
-            Timers::new(vec![timer("30 2 * * *", "Europe/Amsterdam", Missed::Skip, true)], 1, start);
+        let mut timers = Timers::new(
+            vec![timer("30 2 * * *", "Europe/Amsterdam", Missed::Skip, true)],
+            1,
+            start,
+        );
         let mut seen = Vec::new();
         for _ in 0..3 {
             let now = timers.next_due().unwrap();
             seen.extend(timers.due(now).0.into_iter().map(|f| f.at));
         }
         // On the 29th there is no half past two there: clocks go from two to three.
-        let expected = ["2026-03-28T01:30:00Z", "2026-03-29T01:00:00Z", "2026-03-30T00:30:00Z"];
+        let expected = [
+            "2026-03-28T01:30:00Z",
+            "2026-03-29T01:00:00Z",
+            "2026-03-30T00:30:00Z",
+        ];
         assert_eq!(seen, expected.map(at));
         let autumn = at("2026-10-24T12:00:00Z");
-        let mut timers =
-            Timers::new(vec![timer("30 2 * * *", "Europe/Amsterdam", Missed::Skip, true)], 1, autumn);
+        let mut timers = Timers::new(
+            vec![timer("30 2 * * *", "Europe/Amsterdam", Missed::Skip, true)],
+            1,
+            autumn,
+        );
         let first = timers.next_due().unwrap();
         timers.due(first);
         assert_eq!(
@@ -203,11 +238,20 @@
             let mut timers = Timers::new(vec![timer("* * * * *", "UTC", missed, true)], 1, start);
             let (firings, notes) = timers.due(start + Duration::from_secs(600));
             assert_eq!(firings.len(), fired, "{missed:?}");
-            assert_eq!(notes, [Note::Missed { timer: "t".into(), count: 10 }]);
+            assert_eq!(
+                notes,
+                [Note::Missed {
+                    timer: "t".into(),
+                    count: 10
+                }]
+            );
             assert!(timers.next_due().unwrap() > start + Duration::from_secs(600));
         }
         let mut timers = Timers::new(vec![timer("* * * * *", "UTC", Missed::All, true)], 1, start);
-        assert_eq!(timers.due(start + Duration::from_secs(86_400 * 30)).0.len(), MAX_MADE_UP);
+        assert_eq!(
+            timers.due(start + Duration::from_secs(86_400 * 30)).0.len(),
+            MAX_MADE_UP
+        );
     }
 
     #[test]
--- a/crates/quartzdrift-wal/src/files.rs
+++ b/crates/quartzdrift-wal/src/files.rs
@@ -27,22 +27,36 @@
     /// `Err` of kind `WouldBlock`: another process holds it.
     pub fn open(path: &Path) -> io::Result<Folder> {
         fs::create_dir_all(path)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join("lock"))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path.join("lock"))?;
         lock.try_lock().map_err(|e| match e {
-            fs::TryLockError::WouldBlock => {
-                io::Error::new(io::ErrorKind::WouldBlock, format!("another process uses {}", path.display()))
-            }
+            fs::TryLockError::WouldBlock => io::Error::new(
+                io::ErrorKind::WouldBlock,
+                format!("another process uses {}", path.display()),
+            ),
             fs::TryLockError::Error(e) => e,
         })?;
-        Ok(Folder { path: path.to_owned(), open: HashMap::new(), _lock: lock })
+        Ok(Folder {
+            path: path.to_owned(),
+            open: HashMap::new(),
+            _lock: lock,
+        })
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
         if !self.open.contains_key(name) {
-            let file = OpenOptions::new().create(true).append(true).open(self.path.join(name))?;
+            let file = OpenOptions::new()
+                .create(true)
+                .append(true)
+                .open(self.path.join(name))?;
             self.open.insert(name.to_owned(), file);
         }
-        self.open.get_mut(name).ok_or_else(|| io::Error::other("it was just opened"))
+        self.open
+            .get_mut(name)
+            .ok_or_else(|| io::Error::other("it was just opened"))
     }
 }
 
--- a/crates/quartzdrift-wal/src/frame.rs
+++ b/crates/quartzdrift-wal/src/frame.rs
@@ -54,7 +54,9 @@
 
 /// `None`: a batch that is too long.
 pub fn write(changes: &[Change]) -> Option<Vec<u8>> {
-    let body = postcard::to_stdvec(changes).ok().filter(|body| body.len() <= MAX_FRAME)?;
+    let body = postcard::to_stdvec(changes)
+        .ok()
+        .filter(|body| body.len() <= MAX_FRAME)?;
     let mut bytes = Vec::with_capacity(body.len() + 8);
     bytes.extend((body.len() as u32).to_le_bytes());
     bytes.extend(crc32fast::hash(&body).to_le_bytes());
@@ -79,7 +81,9 @@
 
 /// Whether a good frame follows a bad one: then it is damage, and no write that a crash cut short.
 pub fn goes_on(bytes: &[u8], at: usize) -> bool {
-    let Some(length) = number(bytes, at) else { return false };
+    let Some(length) = number(bytes, at) else {
+        return false;
+    };
     let next = at.saturating_add(8).saturating_add(length as usize);
     length > 0 && next < bytes.len() && read(bytes, next).is_some()
 }
--- a/crates/quartzdrift-wal/src/lib.rs
+++ b/crates/quartzdrift-wal/src/lib.rs
@@ -35,15 +35,36 @@
 impl Live {
     /// All of it but the request itself.
     fn without_request(&self) -> Live {
-        let &Live { id, taken_us, due_us, tries, confined_us, out_us, request: _ } = self;
-        Live { id, taken_us, due_us, tries, confined_us, out_us, request: Vec::new() }
+        let &Live {
+            id,
+            taken_us,
+            due_us,
+            tries,
+            confined_us,
+            out_us,
+            request: _,
+        } = self;
+        Live {
+            id,
+            taken_us,
+            due_us,
+            tries,
+            confined_us,
+            out_us,
+            request: Vec::new(),
+        }
     }
 
     /// What becomes of it by a change that neither makes nor ends it.
     fn change(&mut self, change: &Change) {
         match *change {
             Change::Out { at_us, tries, .. } => (self.out_us, self.tries) = (Some(at_us), tries),
-            Change::Waits { due_us, tries, confined_us, .. } => {
+            Change::Waits {
+                due_us,
+                tries,
+                confined_us,
+                ..
+            } => {
                 (self.due_us, self.tries, self.confined_us, self.out_us) = (due_us, tries, confined_us, None);
             }
             Change::Kept(_) | Change::Over { .. } => {}
--- a/crates/quartzdrift-wal/src/log.rs
+++ b/crates/quartzdrift-wal/src/log.rs
@@ -33,10 +33,17 @@
             Unusable::Io(e) => e.fmt(f),
             Unusable::Foreign(name) => write!(f, "{name} is no segment of deferred jobs"),
             Unusable::Version(name, version) => {
-                write!(f, "{name} is of version {version}, and {} is read here", frame::VERSION)
+                write!(
+                    f,
+                    "{name} is of version {version}, and {} is read here",
+                    frame::VERSION
+                )
             }
             Unusable::Corrupt(name, at) => {
-                write!(f, "{name} is damaged at byte {at}; `quartzdrift store repair` keeps what can be read")
+                write!(
+                    f,
+                    "{name} is damaged at byte {at}; `quartzdrift store repair` keeps what can be read"
+                )
             }
             Unusable::Failed => f.write_str("an earlier write failed"),
             Unusable::TooLong => f.write_str("a batch is too long"),
@@ -100,7 +107,10 @@
 fn read<F: Files>(files: &F) -> Result<Contents, io::Error> {
     let mut numbers: Vec<u64> = files.list()?.iter().filter_map(|name| number(name)).collect();
     numbers.sort_unstable();
-    let mut looked = Looked { segments: numbers.len(), ..Looked::default() };
+    let mut looked = Looked {
+        segments: numbers.len(),
+        ..Looked::default()
+    };
     let (mut segments, mut requests) = (BTreeMap::new(), BTreeMap::<u64, (u64, Live)>::new());
     for (n, segment) in numbers.iter().enumerate() {
         let last = n + 1 == numbers.len();
@@ -142,7 +152,13 @@
                 apply(&mut requests, *segment, change);
             }
         }
-        segments.insert(*segment, Segment { length: at as u64, live: 0 });
+        segments.insert(
+            *segment,
+            Segment {
+                length: at as u64,
+                live: 0,
+            },
+        );
     }
     Ok((segments, requests, looked))
 }
@@ -166,17 +182,28 @@
 
 /// Looks at a store without changing it.
 pub fn look<F: Files>(files: &F) -> Result<Looked, io::Error> {
-    read(files).map(|(_, requests, looked)| Looked { live: live(requests), ..looked })
+    read(files).map(|(_, requests, looked)| Looked {
+        live: live(requests),
+        ..looked
+    })
 }
 
 /// Writes what can be read into one new segment and removes the others; segments of other releases stay, and nothing is done.
 pub fn repair<F: Files>(mut files: F) -> Result<Looked, Unusable> {
     let (_, requests, mut looked) = read(&files)?;
-    if let Some(at) = looked.faults.iter().position(|fault| matches!(fault, Unusable::Version(..))) {
+    if let Some(at) = looked
+        .faults
+        .iter()
+        .position(|fault| matches!(fault, Unusable::Version(..)))
+    {
         return Err(looked.faults.swap_remove(at));
     }
     looked.live = live(requests);
-    let old: Vec<String> = files.list()?.into_iter().filter(|name| number(name).is_some()).collect();
+    let old: Vec<String> = files
+        .list()?
+        .into_iter()
+        .filter(|name| number(name).is_some())
+        .collect();
     let new = old.iter().filter_map(|name| number(name)).max().unwrap_or(0) + 1;
     files.append(&name(new), &frame::head())?;
     for live in &looked.live {
@@ -210,8 +237,17 @@
             files.truncate(&name(*last), segment.length)?;
         }
         let entries = BTreeMap::new();
-        let mut log = Log { files, entries, segments, live_bytes: 0, segment_most, failed: false };
-        requests.values().for_each(|(segment, live)| log.keep(*segment, live));
+        let mut log = Log {
+            files,
+            entries,
+            segments,
+            live_bytes: 0,
+            segment_most,
+            failed: false,
+        };
+        requests
+            .values()
+            .for_each(|(segment, live)| log.keep(*segment, live));
         log.first()?;
         Ok((log, live(requests)))
     }
@@ -229,7 +265,13 @@
         self.files.append(&name(segment), &frame::head())?;
         self.files.sync(&name(segment))?;
         self.files.sync_names()?;
-        self.segments.insert(segment, Segment { length: HEAD as u64, live: 0 });
+        self.segments.insert(
+            segment,
+            Segment {
+                length: HEAD as u64,
+                live: 0,
+            },
+        );
         Ok(())
     }
 
@@ -291,7 +333,14 @@
         if let Some(of) = self.segments.get_mut(&segment) {
             of.live += 1;
         }
-        self.entries.insert(live.id, Entry { segment, state: live.without_request(), size });
+        self.entries.insert(
+            live.id,
+            Entry {
+                segment,
+                state: live.without_request(),
+                size,
+            },
+        );
     }
 
     /// Removes the oldest segments that hold no request any more, and empties one more where most of all is of no use.
@@ -302,7 +351,9 @@
         if self.segments.len() < MIN_SEGMENTS || !useless {
             return Ok(());
         }
-        let Some(oldest) = self.segments.keys().next().copied() else { return Ok(()) };
+        let Some(oldest) = self.segments.keys().next().copied() else {
+            return Ok(());
+        };
         let bytes = self.files.read(&name(oldest))?;
         let (mut at, mut moved) = (HEAD, BTreeMap::new());
         while let Some((changes, next)) = frame::read(&bytes, at) {
@@ -311,7 +362,13 @@
                 if let Change::Kept(live) = change
                     && let Some(entry) = self.entries.get(&live.id).filter(|entry| entry.segment == oldest)
                 {
-                    moved.insert(live.id, Live { request: live.request, ..entry.state.clone() });
+                    moved.insert(
+                        live.id,
+                        Live {
+                            request: live.request,
+                            ..entry.state.clone()
+                        },
+                    );
                 }
             }
         }
@@ -331,11 +388,19 @@
             self.segments.remove(&oldest);
             removed = true;
         }
-        if removed { Ok(self.files.sync_names()?) } else { Ok(()) }
+        if removed {
+            Ok(self.files.sync_names()?)
+        } else {
+            Ok(())
+        }
     }
 
     /// Requests that are not over, segments, and bytes in them.
     pub fn sizes(&self) -> (usize, usize, u64) {
-        (self.entries.len(), self.segments.len(), self.segments.values().map(|of| of.length).sum())
+        (
+            self.entries.len(),
+            self.segments.len(),
+            self.segments.values().map(|of| of.length).sum(),
+        )
     }
 }
--- a/crates/quartzdrift-wal/tests/crashes.rs
+++ b/crates/quartzdrift-wal/tests/crashes.rs
@@ -54,7 +54,14 @@
             }
             let length = (of.synced + kept).min(of.bytes.len());
             let bytes = of.bytes[..length].to_vec();
-            disk.files.insert(name.clone(), Content { synced: bytes.len(), bytes, named: true });
+            disk.files.insert(
+                name.clone(),
+                Content {
+                    synced: bytes.len(),
+                    bytes,
+                    named: true,
+                },
+            );
         }
         disk
     }
@@ -67,7 +74,10 @@
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         let disk = self.0.borrow();
-        disk.files.get(name).map(|of| of.bytes.clone()).ok_or_else(|| io::ErrorKind::NotFound.into())
+        disk.files
+            .get(name)
+            .map(|of| of.bytes.clone())
+            .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -134,7 +144,13 @@
 const SEGMENT: u64 = 300;
 
 fn kept(id: u64) -> Change {
-    Change::Kept(Live { id, taken_us: id, due_us: id, request: vec![id as u8; 40], ..Live::default() })
+    Change::Kept(Live {
+        id,
+        taken_us: id,
+        due_us: id,
+        request: vec![id as u8; 40],
+        ..Live::default()
+    })
 }
 
 /// A life of twelve requests: taken, out, waiting again, over, some never.
@@ -142,9 +158,18 @@
     let mut all = Vec::new();
     for id in 1..=12 {
         all.push(vec![kept(id)]);
-        all.push(vec![Change::Out { id, at_us: 100 + id, tries: 1 }]);
+        all.push(vec![Change::Out {
+            id,
+            at_us: 100 + id,
+            tries: 1,
+        }]);
         if id % 3 == 0 {
-            all.push(vec![Change::Waits { id, due_us: 900, tries: 1, confined_us: Some(950) }]);
+            all.push(vec![Change::Waits {
+                id,
+                due_us: 900,
+                tries: 1,
+                confined_us: Some(950),
+            }]);
         }
         if id % 4 != 0 {
             // Over, and its record for a destination taken: both or neither.
@@ -166,7 +191,12 @@
                 let request = requests.get_mut(&id).unwrap();
                 (request.out_us, request.tries) = (Some(at_us), tries);
             }
-            Change::Waits { id, due_us, tries, confined_us } => {
+            Change::Waits {
+                id,
+                due_us,
+                tries,
+                confined_us,
+            } => {
                 let request = requests.get_mut(&id).unwrap();
                 (request.due_us, request.tries, request.confined_us, request.out_us) =
                     (due_us, tries, confined_us, None);
@@ -183,7 +213,10 @@
 /// Plays the batches until the disk ends it; how many were told to last.
 fn play(disk: &Shared) -> usize {
     let Ok((mut log, _)) = open(disk) else { return 0 };
-    batches().into_iter().take_while(|batch| log.commit(batch.clone()).is_ok()).count()
+    batches()
+        .into_iter()
+        .take_while(|batch| log.commit(batch.clone()).is_ok())
+        .count()
 }
 
 fn found(disk: Disk) -> BTreeMap<u64, Live> {
@@ -209,7 +242,11 @@
                 let next = (told + 1).min(batches.len());
                 // The batch under way may have come to last, whole; nothing else.
                 let good = [told, next].iter().any(|n| found == expected(&batches[..*n]));
-                assert!(good, "stop {stop} part {part} kept {kept}: {told} told, found {:?}", found.keys());
+                assert!(
+                    good,
+                    "stop {stop} part {part} kept {kept}: {told} told, found {:?}",
+                    found.keys()
+                );
             }
         }
     }
@@ -222,12 +259,29 @@
     log.commit(vec![kept(1)]).unwrap();
     for id in 2..500 {
         log.commit(vec![kept(id)]).unwrap();
-        log.commit(vec![Change::Out { id, at_us: 1, tries: 1 }, Change::Over { id }]).unwrap();
+        log.commit(vec![
+            Change::Out {
+                id,
+                at_us: 1,
+                tries: 1,
+            },
+            Change::Over { id },
+        ])
+        .unwrap();
     }
     let (requests, segments, bytes) = log.sizes();
-    assert!(requests == 1 && segments <= 4 && bytes < 5 * SEGMENT, "{segments} segments, {bytes} bytes");
+    assert!(
+        requests == 1 && segments <= 4 && bytes < 5 * SEGMENT,
+        "{segments} segments, {bytes} bytes"
+    );
     drop(log);
-    assert_eq!(found(disk.0.borrow().after(0)).keys().copied().collect::<Vec<_>>(), [1]);
+    assert_eq!(
+        found(disk.0.borrow().after(0))
+            .keys()
+            .copied()
+            .collect::<Vec<_>>(),
+        [1]
+    );
 }
 
 #[test]
@@ -242,13 +296,19 @@
             }
             let (mut log, _) = open(&disk).unwrap();
             let batches = batches();
-            let told = batches.iter().take_while(|batch| log.commit((*batch).clone()).is_ok()).count();
+            let told = batches
+                .iter()
+                .take_while(|batch| log.commit((*batch).clone()).is_ok())
+                .count();
             assert!(told < batches.len());
             assert!(matches!(log.commit(vec![kept(99)]), Err(Unusable::Failed)));
             drop(log);
             let found = found(disk.0.borrow().after(0));
             let next = (told + 1).min(batches.len());
-            assert!([told, next].iter().any(|n| found == expected(&batches[..*n])), "{at}: {told}");
+            assert!(
+                [told, next].iter().any(|n| found == expected(&batches[..*n])),
+                "{at}: {told}"
+            );
         }
     }
 }
@@ -268,7 +328,11 @@
     let open = || Log::open_with(Folder::open(folder.path()).unwrap(), SEGMENT).map(|(_, live)| live.len());
     assert!(matches!(open(), Err(Unusable::Corrupt(name, 16)) if name.contains("0002")));
     let looked = look(&Folder::open(folder.path()).unwrap()).unwrap();
-    assert!(looked.live.len() < 20 && looked.faults.len() == 1, "{}", looked.live.len());
+    assert!(
+        looked.live.len() < 20 && looked.faults.len() == 1,
+        "{}",
+        looked.live.len()
+    );
     let kept = repair(Folder::open(folder.path()).unwrap()).unwrap().live.len();
     assert_eq!((open().unwrap(), kept > 10), (kept, true));
     // A later release's segment is left alone.
--- a/crates/quartzdrift/src/clock.rs
+++ b/crates/quartzdrift/src/clock.rs
@@ -22,20 +22,39 @@
 
 fn wall() -> Duration {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    SET.get().map_or(wall, |(set, _)| (wall + set.ahead).saturating_sub(set.behind))
+    SET.get()
+        .map_or(wall, |(set, _)| (wall + set.ahead).saturating_sub(set.behind))
 }
 
 /// What this machine's clocks say; where the system does not tell its run, none is named.
 pub fn moment() -> Moment {
     let read = |name: &str| std::fs::read_to_string(name).unwrap_or_default();
-    if let Some((Set { boot: Some((boot, on)), .. }, since)) = SET.get() {
-        return Moment { wall: wall(), boot: boot.clone(), since_boot: *on + since.elapsed() };
+    if let Some((
+        Set {
+            boot: Some((boot, on)),
+            ..
+        },
+        since,
+    )) = SET.get()
+    {
+        return Moment {
+            wall: wall(),
+            boot: boot.clone(),
+            since_boot: *on + since.elapsed(),
+        };
     }
     let boot = read("/proc/sys/kernel/random/boot_id").trim().to_owned();
-    let up = read("/proc/uptime").split_whitespace().next().and_then(|s| s.parse::<f64>().ok());
+    let up = read("/proc/uptime")
+        .split_whitespace()
+        .next()
+        .and_then(|s| s.parse::<f64>().ok());
     let since_boot = up.and_then(|s| Duration::try_from_secs_f64(s).ok());
     let boot = if since_boot.is_some() { boot } else { String::new() };
-    Moment { wall: wall(), boot, since_boot: since_boot.unwrap_or_default() }
+    Moment {
+        wall: wall(),
+        boot,
+        since_boot: since_boot.unwrap_or_default(),
+    }
 }
 
 /// A loop looks up at least this often: a clock that another process sets ahead is noticed.
@@ -49,17 +68,26 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        Clock { zero: Instant::now(), epoch: wall() }
+        Clock {
+            zero: Instant::now(),
+            epoch: wall(),
+        }
     }
 
     /// A clock that goes on from what was noted before, whatever the wall clock was set to since.
     pub fn resume(now: &Moment, before: Option<&Moment>) -> Clock {
-        Clock { zero: Instant::now(), epoch: before.map_or(now.wall, |before| now.steady(before)) }
+        Clock {
+            zero: Instant::now(),
+            epoch: before.map_or(now.wall, |before| now.steady(before)),
+        }
     }
 
     /// The moment for the next start to go on from.
     pub fn note(&self) -> Moment {
-        Moment { wall: self.now(), ..moment() }
+        Moment {
+            wall: self.now(),
+            ..moment()
+        }
     }
 
     pub fn now(&self) -> Duration {
@@ -74,7 +102,15 @@
     ) -> Duration {
         let (now, at) = (self.now(), Instant::now());
         let due = due.into_iter().flatten().min().map(|due| due.saturating_sub(now));
-        let sockets = sockets.into_iter().flatten().min().map(|due| due.saturating_duration_since(at));
-        due.into_iter().chain(sockets).min().unwrap_or(LOOK_UP).min(LOOK_UP)
+        let sockets = sockets
+            .into_iter()
+            .flatten()
+            .min()
+            .map(|due| due.saturating_duration_since(at));
+        due.into_iter()
+            .chain(sockets)
+            .min()
+            .unwrap_or(LOOK_UP)
+            .min(LOOK_UP)
     }
 }
--- a/crates/quartzdrift/src/durable.rs
+++ b/crates/quartzdrift/src/durable.rs
@@ -33,12 +33,32 @@
     match change {
         Change::Taken { id, at, request } => {
             let (taken_us, due_us) = (micros(at), micros(at));
-            store::Change::Kept(Live { id: id.0, taken_us, due_us, request, ..Live::default() })
+            store::Change::Kept(Live {
+                id: id.0,
+                taken_us,
+                due_us,
+                request,
+                ..Live::default()
+            })
         }
-        Change::Out { id, at, tries } => store::Change::Out { id: id.0, at_us: micros(at), tries },
-        Change::Waits { id, until, tries, confined } => {
+        Change::Out { id, at, tries } => store::Change::Out {
+            id: id.0,
+            at_us: micros(at),
+            tries,
+        },
+        Change::Waits {
+            id,
+            until,
+            tries,
+            confined,
+        } => {
             let (due_us, confined_us) = (micros(until), confined.map(micros));
-            store::Change::Waits { id: id.0, due_us, tries, confined_us }
+            store::Change::Waits {
+                id: id.0,
+                due_us,
+                tries,
+                confined_us,
+            }
         }
         Change::Over { id } => store::Change::Over { id: id.0 },
     }
@@ -81,13 +101,25 @@
                 }
             }
         };
-        let thread = std::thread::Builder::new().name("deferred".to_owned()).spawn(work)?;
-        Ok((Durable { sender: Some(sender), thread: Some(thread), handed: 0 }, live, said))
+        let thread = std::thread::Builder::new()
+            .name("deferred".to_owned())
+            .spawn(work)?;
+        Ok((
+            Durable {
+                sender: Some(sender),
+                thread: Some(thread),
+                handed: 0,
+            },
+            live,
+            said,
+        ))
     }
 
     /// Hands a batch over; `Err` gives it back: the disk does not keep up, or has failed.
     pub fn hand(&mut self, changes: Vec<Change>) -> Result<u64, Vec<Change>> {
-        let Some(sender) = &self.sender else { return Err(changes) };
+        let Some(sender) = &self.sender else {
+            return Err(changes);
+        };
         match sender.try_send((self.handed + 1, changes)) {
             Ok(()) => {
                 self.handed += 1;
--- a/crates/quartzdrift/src/gateway/ahead.rs
+++ b/crates/quartzdrift/src/gateway/ahead.rs
@@ -23,7 +23,9 @@
 
 impl Gateway {
     pub(super) fn start_ahead(&mut self) {
-        let Some(told) = self.settings.forecasts.clone() else { return };
+        let Some(told) = self.settings.forecasts.clone() else {
+            return;
+        };
         let now = self.now();
         let mut ahead = Ahead::new(told.settings.clone());
         let otherwise = "the saved forecasts cannot be read; they begin anew";
@@ -36,7 +38,11 @@
             Some(Err(why)) => tracing::warn!(%why, "the saved forecasts are set aside; they begin anew"),
             None => {}
         }
-        self.ahead = Some(Loads { ahead, commands: HashMap::new(), save_at: now + told.every });
+        self.ahead = Some(Loads {
+            ahead,
+            commands: HashMap::new(),
+            save_at: now + told.every,
+        });
     }
 
     /// Every request that is taken is a use of its function.
@@ -52,7 +58,11 @@
 
     pub(super) fn ahead_ordered(&mut self, command: u64, function: &str) {
         let now = self.now();
-        let memory = self.settings.function(function).and_then(|f| f.memory_mb).unwrap_or(0.0);
+        let memory = self
+            .settings
+            .function(function)
+            .and_then(|f| f.memory_mb)
+            .unwrap_or(0.0);
         if let Some(loads) = &mut self.ahead {
             loads.ahead.ordered(now, function, memory);
             loads.commands.insert(command, (now, function.to_owned()));
@@ -65,18 +75,31 @@
         if let Some(loads) = &mut self.ahead
             && let Some((at, function)) = loads.commands.remove(&command)
         {
-            loads.ahead.loaded(now, &function, outcome == Outcome::Succeeded, now.saturating_sub(at));
+            loads.ahead.loaded(
+                now,
+                &function,
+                outcome == Outcome::Succeeded,
+                now.saturating_sub(at),
+            );
         }
     }
 
     pub(super) fn ahead_due(&mut self, now: Duration) {
         let Some(loads) = &mut self.ahead else { return };
-        let expected =
-            if loads.next_due().is_some_and(|at| at <= now) { loads.ahead.due(now) } else { Vec::new() };
+        let expected = if loads.next_due().is_some_and(|at| at <= now) {
+            loads.ahead.due(now)
+        } else {
+            Vec::new()
+        };
         let saves = loads.save_at <= now;
-        let let_in = self.returning.as_ref().is_none_or(|returning| returning.machine.loads_ahead(now));
+        let let_in = self
+            .returning
+            .as_ref()
+            .is_none_or(|returning| returning.machine.loads_ahead(now));
         for of in expected.into_iter().filter(|_| let_in) {
-            let Some(function) = self.settings.function(&of.function) else { continue };
+            let Some(function) = self.settings.function(&of.function) else {
+                continue;
+            };
             let expectation = UsageForecast {
                 function: &of.function,
                 request_class: function.request_class,
@@ -98,7 +121,9 @@
     /// Saves what was learnt, and says in the log what loads ahead have cost and saved so far.
     pub(super) fn save_ahead(&mut self) {
         let now = self.now();
-        let Some(every) = self.settings.forecasts.as_ref().map(|told| told.every) else { return };
+        let Some(every) = self.settings.forecasts.as_ref().map(|told| told.every) else {
+            return;
+        };
         let Some(loads) = &mut self.ahead else { return };
         loads.save_at = now + every;
         let (sums, functions) = (loads.ahead.ledger.sums(), loads.ahead.forecasts.len());
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -12,18 +12,28 @@
 use uuid::Uuid;
 
 /// Fields of a worker's answer that go on to the client.
-const PASSED_ON: [&str; 4] =
-    ["content-type", "x-amz-function-error", "x-amz-executed-version", "x-amz-log-result"];
+const PASSED_ON: [&str; 4] = [
+    "content-type",
+    "x-amz-function-error",
+    "x-amz-executed-version",
+    "x-amz-log-result",
+];
 /// Told to those who come while the gateway stops: another instance is a moment away.
 const STOPPING: Duration = Duration::from_secs(1);
 
 pub(super) fn response(said: Said, id: Option<Uuid>) -> Response {
     let mut headers = Headers::new();
-    said.fields.iter().for_each(|(name, value)| headers.push(name, value));
+    said.fields
+        .iter()
+        .for_each(|(name, value)| headers.push(name, value));
     if let Some(id) = id {
         headers.push("x-amzn-requestid", &id.to_string());
     }
-    Response { status: said.status, headers, body: said.body }
+    Response {
+        status: said.status,
+        headers,
+        body: said.body,
+    }
 }
 
 fn problem(bad: BadRequest) -> Problem {
@@ -39,7 +49,10 @@
 impl Gateway {
     pub(super) fn request(&mut self, exchange: Exchange, request: Result<Request, BadRequest>) {
         let id = self.draw_id();
-        let said = match request.map_err(problem).and_then(|request| self.take(exchange, request, id)) {
+        let said = match request
+            .map_err(problem)
+            .and_then(|request| self.take(exchange, request, id))
+        {
             Ok(None) => return,
             Ok(Some(said)) => said,
             Err(problem) => {
@@ -83,7 +96,9 @@
         }
         let request_class = &self.settings.scheduler.request_classes[function.request_class as usize];
         let limit = request_class.timeout.unwrap_or(Duration::MAX);
-        let left = call.left_ms.map_or(limit, |ms| limit.min(Duration::from_millis(ms)));
+        let left = call
+            .left_ms
+            .map_or(limit, |ms| limit.min(Duration::from_millis(ms)));
         let is_retry = head.headers.get("x-quartzdrift-retry").is_some();
         let let_in = self.let_in(function.request_class, call.mark.is_some(), is_retry);
         let_in.map_err(|wait| Problem::Busy(Some(wait)))?;
@@ -119,9 +134,13 @@
 
     /// The tenant's place in the settings, and its name for workers.
     fn tenant(&self, headers: &Headers) -> Result<(u32, Option<String>), Problem> {
-        let Some(field) = &self.settings.tenant_field else { return Ok((0, None)) };
+        let Some(field) = &self.settings.tenant_field else {
+            return Ok((0, None));
+        };
         let Some(told) = headers.get(field) else {
-            return Err(Problem::BadParameter("the field that tells the customer is missing"));
+            return Err(Problem::BadParameter(
+                "the field that tells the customer is missing",
+            ));
         };
         match self.settings.tenants.get(told) {
             Some(&at) => Ok((at, Some(told.to_owned()))),
@@ -145,7 +164,11 @@
             return Err(Problem::Busy(Some(self.settings.asynchronous.first)));
         }
         let request = self.submitted(name, function, tenant.0, body.into());
-        let request = Submitted { context: call.context, mark: call.mark.or(request.mark), ..request };
+        let request = Submitted {
+            context: call.context,
+            mark: call.mark.or(request.mark),
+            ..request
+        };
         match self.submit(request) {
             Ok(_) if self.answer_later(exchange, id) => Ok(None),
             Ok(_) => Ok(Some(answer::taken())),
@@ -157,7 +180,9 @@
     }
 
     pub(super) fn client_gone(&mut self, exchange: Exchange) {
-        let Some(request) = self.exchanges.remove(&exchange) else { return };
+        let Some(request) = self.exchanges.remove(&exchange) else {
+            return;
+        };
         let streams = self.streaming_call(request);
         self.request_table.client_gone(self.now(), request);
         self.carry_out();
@@ -167,7 +192,8 @@
             let ended = quartzdrift_lifecycle::AttemptResult::silent(
                 quartzdrift_scheduler::interface::Outcome::Cancelled,
             );
-            self.request_table.attempt_ended(self.now(), request, attempt, ended);
+            self.request_table
+                .attempt_ended(self.now(), request, attempt, ended);
             self.carry_out();
         }
     }
@@ -190,7 +216,11 @@
                     if headers.get("x-amz-executed-version").is_none() {
                         headers.push("x-amz-executed-version", "$LATEST");
                     }
-                    Response { status: 200, headers, body: worker.body }
+                    Response {
+                        status: 200,
+                        headers,
+                        body: worker.body,
+                    }
                 }
                 // A streamed answer went out part by part.
                 None => return,
@@ -210,7 +240,10 @@
         };
         let closing = self.stopping.is_some();
         let said = match closing {
-            true => Response { headers: said.headers.with("connection", "close"), ..said },
+            true => Response {
+                headers: said.headers.with("connection", "close"),
+                ..said
+            },
             false => said,
         };
         self.http.answer(exchange, &said);
--- a/crates/quartzdrift/src/gateway/discovery.rs
+++ b/crates/quartzdrift/src/gateway/discovery.rs
@@ -30,7 +30,10 @@
     pub fn new(settings: &Settings) -> Source {
         let wanted = settings.discovery.is_some() && settings.scheduler.discovery == DiscoveryMode::Push;
         let at = wanted.then_some(Duration::ZERO);
-        let streams = settings.discovery.as_ref().is_some_and(|discovery| discovery.stream);
+        let streams = settings
+            .discovery
+            .as_ref()
+            .is_some_and(|discovery| discovery.stream);
         Source {
             wanted,
             asked: None,
@@ -85,7 +88,12 @@
     }
 
     pub(super) fn ask_list(&mut self) {
-        let Some(timeout) = self.settings.discovery.as_ref().map(|discovery| discovery.timeout) else {
+        let Some(timeout) = self
+            .settings
+            .discovery
+            .as_ref()
+            .map(|discovery| discovery.timeout)
+        else {
             return self.no_discovery();
         };
         if self.discovery.asked.is_none() {
@@ -119,7 +127,12 @@
         self.discovery.wanted = on;
         if on {
             self.ask_list();
-            if self.settings.discovery.as_ref().is_some_and(|discovery| discovery.stream) {
+            if self
+                .settings
+                .discovery
+                .as_ref()
+                .is_some_and(|discovery| discovery.stream)
+            {
                 self.open_stream();
             }
         } else {
@@ -140,7 +153,9 @@
 
     fn plan_ask(&mut self) {
         let every = self.settings.discovery.as_ref().map(|discovery| discovery.every);
-        let next = every.filter(|_| self.discovery.wanted).map(|every| self.now() + every);
+        let next = every
+            .filter(|_| self.discovery.wanted)
+            .map(|every| self.now() + every);
         self.discovery.ask_at = next;
     }
 
@@ -183,7 +198,10 @@
 
     fn save_list(&self) {
         if let Some(saver) = &self.saver {
-            saver.save(crate::saved::WORKERS, list::write(&self.belief.workers(), &self.settings.known));
+            saver.save(
+                crate::saved::WORKERS,
+                list::write(&self.belief.workers(), &self.settings.known),
+            );
         }
     }
 
@@ -216,7 +234,9 @@
             let done = match event.name.as_str() {
                 "full" => self.believe_full(event.data.as_bytes()),
                 "changes" => list::read(event.data.as_bytes(), &self.settings.known).map(|list| {
-                    list.unread.iter().for_each(|why| tracing::warn!(why, "a change is left out"));
+                    list.unread
+                        .iter()
+                        .for_each(|why| tracing::warn!(why, "a change is left out"));
                     self.belief.changes(&list.workers);
                     self.discovery.last.clear();
                     self.give_list(EndpointListKind::Changes, &list.workers);
--- a/crates/quartzdrift/src/gateway/fleet.rs
+++ b/crates/quartzdrift/src/gateway/fleet.rs
@@ -58,7 +58,13 @@
             "{} at {}, incarnation {}, health {}; {} schedulers counted; as of {age} s ago\n",
             self.name, self.address, self.incarnation, self.health, self.schedulers
         );
-        let wide = self.members.iter().map(|m| m.name.len()).max().unwrap_or(4).max(4);
+        let wide = self
+            .members
+            .iter()
+            .map(|m| m.name.len())
+            .max()
+            .unwrap_or(4)
+            .max(4);
         text.push_str(&format!(
             "{:<wide$}  {:<8}  {:>9}  {:>11}  address\n",
             "name", "state", "since", "incarnation"
@@ -120,18 +126,31 @@
 fn last(folder: Option<&std::path::Path>) -> Option<View> {
     let bytes = saved::found(folder, saved::MEMBERS, "the saved members cannot be read")?;
     let read = serde_json::from_slice(&bytes);
-    read.inspect_err(|e| tracing::warn!(error = %e, "the saved members are set aside")).ok()
+    read.inspect_err(|e| tracing::warn!(error = %e, "the saved members are set aside"))
+        .ok()
 }
 
 /// Names of those that counted when this was saved: all but the dead and those that left.
 pub(super) fn known(folder: Option<&std::path::Path>) -> Vec<String> {
     let there = |m: &Seen| matches!(m.state, State::Alive | State::Suspect);
-    last(folder).into_iter().flat_map(|view| view.members).filter(there).map(|m| m.name).collect()
+    last(folder)
+        .into_iter()
+        .flat_map(|view| view.members)
+        .filter(there)
+        .map(|m| m.name)
+        .collect()
 }
 
 impl Gateway {
     pub(super) fn start_fleet(&mut self, handle: &LoopHandle<'static, Gateway>) -> io::Result<()> {
-        let Some(Told { mut members, listen, silent }) = self.settings.fleet.clone() else { return Ok(()) };
+        let Some(Told {
+            mut members,
+            listen,
+            silent,
+        }) = self.settings.fleet.clone()
+        else {
+            return Ok(());
+        };
         let bound =
             |e: io::Error| io::Error::new(e.kind(), format!("cannot listen for members at {listen}: {e}"));
         let socket = Rc::new(UdpSocket::bind(listen).map_err(bound)?);
@@ -163,7 +182,15 @@
         let members = Members::new(members, rand::random(), &known, rand::random(), now);
         let count = Count::new(least, before, silent);
         let (told, save_at, said) = (0, now + SAVE_EVERY, BTreeMap::new());
-        self.fleet = Some(Fleet { socket, members, count, told, save_at, said, unsent: 0 });
+        self.fleet = Some(Fleet {
+            socket,
+            members,
+            count,
+            told,
+            save_at,
+            said,
+            unsent: 0,
+        });
         self.fleet_changed();
         Ok(())
     }
@@ -184,7 +211,9 @@
     }
 
     pub(super) fn fleet_due(&mut self, now: Duration) {
-        let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.next_due() <= now) else { return };
+        let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.next_due() <= now) else {
+            return;
+        };
         let saves = fleet.save_at <= now;
         if fleet.members.next_due() <= now {
             fleet.members.due(now);
@@ -315,7 +344,10 @@
             members: vec![seen("second", State::Alive, 40), seen("three", State::Dead, 7)],
         };
         let table = view.table(Duration::from_secs(105));
-        let lines: Vec<Vec<&str>> = table.lines().map(|line| line.split_whitespace().collect()).collect();
+        let lines: Vec<Vec<&str>> = table
+            .lines()
+            .map(|line| line.split_whitespace().collect())
+            .collect();
         assert!(table.starts_with(
             "one at 127.0.0.1:9790, incarnation 2, health 0; 3 schedulers counted; as of 5 s ago"
         ));
--- a/crates/quartzdrift/src/gateway/fronts.rs
+++ b/crates/quartzdrift/src/gateway/fronts.rs
@@ -28,7 +28,10 @@
         payload: Rc<[u8]>,
     ) -> Submitted {
         let request_class = &self.settings.scheduler.request_classes[function.request_class as usize];
-        let (idempotency, window) = (request_class.idempotency, request_class.window.unwrap_or_default());
+        let (idempotency, window) = (
+            request_class.idempotency,
+            request_class.window.unwrap_or_default(),
+        );
         let anywhere =
             request_class.deduplication_scope == quartzdrift_scheduler::interface::DeduplicationScope::All;
         let or = |own: &Option<Destination>, all: &Option<Destination>| own.clone().or_else(|| all.clone());
@@ -84,14 +87,27 @@
             self.note_mark();
         }
         for firing in firings {
-            let of = self.settings.timers.iter().find(|(timer, _)| timer.name == firing.timer);
+            let of = self
+                .settings
+                .timers
+                .iter()
+                .find(|(timer, _)| timer.name == firing.timer);
             let payload = of.map_or_else(|| Rc::from([]), |(_, payload)| payload.clone());
-            let Some(function) = self.settings.function(&firing.function) else { continue };
+            let Some(function) = self.settings.function(&firing.function) else {
+                continue;
+            };
             let request = self.submitted(&firing.function, &function, 0, payload);
-            let request = Submitted { timer: Some(firing.timer.clone()), ..request };
+            let request = Submitted {
+                timer: Some(firing.timer.clone()),
+                ..request
+            };
             self.counts.fired += 1;
             if let Err(why) = self.submit(request) {
-                tracing::error!(timer = firing.timer, ?why, "a firing was lost: no room for deferred jobs");
+                tracing::error!(
+                    timer = firing.timer,
+                    ?why,
+                    "a firing was lost: no room for deferred jobs"
+                );
                 self.timers.over(&firing.timer);
             }
         }
@@ -109,7 +125,12 @@
             payload: request.payload,
             context: request.context,
             mark: request.mark,
-            tenant: self.settings.scheduler.tenants.get(request.tenant as usize).map(|c| c.name.clone()),
+            tenant: self
+                .settings
+                .scheduler
+                .tenants
+                .get(request.tenant as usize)
+                .map(|c| c.name.clone()),
             streams: false,
             request_class: function.request_class,
             taken: self.now(),
@@ -117,23 +138,44 @@
         };
         let left = left.map_or(limit, |left| left.min(limit));
         self.note_use(&request.function, &function, request.tenant, left);
-        let new = new_request(&function, request.function.into(), request.tenant, left, false, Rc::new(work));
+        let new = new_request(
+            &function,
+            request.function.into(),
+            request.tenant,
+            left,
+            false,
+            Rc::new(work),
+        );
         match self.request_table.submit(self.now(), new) {
             Ok(_) => self.carry_out(),
-            Err(_) => self.step(id, End::Rejected { retry_after: None, may_have_executed: None }, None),
+            Err(_) => self.step(
+                id,
+                End::Rejected {
+                    retry_after: None,
+                    may_have_executed: None,
+                },
+                None,
+            ),
         }
     }
 
     pub(super) fn try_ended(&mut self, id: Id, answer: FinalAnswer, said: Option<Response>) {
         let end = match answer {
             FinalAnswer::Succeeded => {
-                let failed =
-                    said.as_ref().is_some_and(|said| said.headers.get("x-amz-function-error").is_some());
-                End::Succeeded { function_error: failed }
-            }
-            FinalAnswer::Rejected { retry_after, may_have_executed } => {
-                End::Rejected { retry_after, may_have_executed }
+                let failed = said
+                    .as_ref()
+                    .is_some_and(|said| said.headers.get("x-amz-function-error").is_some());
+                End::Succeeded {
+                    function_error: failed,
+                }
             }
+            FinalAnswer::Rejected {
+                retry_after,
+                may_have_executed,
+            } => End::Rejected {
+                retry_after,
+                may_have_executed,
+            },
             FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => End::Failed,
         };
         self.step(id, end, said);
@@ -167,9 +209,14 @@
         let record: Rc<[u8]> = record(calls, said.as_ref(), self.now()).into();
         match to {
             Destination::Function(name) => {
-                let Some(function) = self.settings.function(name) else { return };
+                let Some(function) = self.settings.function(name) else {
+                    return;
+                };
                 let request = self.submitted(name, &function, calls.request.tenant, record);
-                let request = Submitted { hops: calls.request.hops + 1, ..request };
+                let request = Submitted {
+                    hops: calls.request.hops + 1,
+                    ..request
+                };
                 if let Err(why) = self.submit(request) {
                     tracing::error!(to = %name, ?why, "a record for a destination was lost: no room");
                 }
@@ -182,7 +229,11 @@
     }
 
     pub(super) fn tell_destination(&mut self, left: u32, to: (SocketAddr, String), record: Rc<[u8]>) {
-        let on_their_way = self.calls.values().filter(|of| matches!(of, Use::Destination { .. })).count();
+        let on_their_way = self
+            .calls
+            .values()
+            .filter(|of| matches!(of, Use::Destination { .. }))
+            .count();
         if left == 0 || on_their_way >= MAX_DESTINATIONS {
             return tracing::error!(to = %to.0, target = to.1, "a record for a destination was lost");
         }
@@ -195,7 +246,14 @@
             streams: false,
         };
         let call = self.http.call(to.0, request);
-        self.calls.insert(call, Use::Destination { left: left - 1, to, record });
+        self.calls.insert(
+            call,
+            Use::Destination {
+                left: left - 1,
+                to,
+                record,
+            },
+        );
     }
 
     /// Names what this instance held and nobody will hear of again.
--- a/crates/quartzdrift/src/gateway/mod.rs
+++ b/crates/quartzdrift/src/gateway/mod.rs
@@ -141,7 +141,9 @@
     request: RequestId,
     attempt: u32,
 ) -> bool {
-    attempts.get(&(request, attempt)).is_none_or(|call| !http.unsent_call(*call))
+    attempts
+        .get(&(request, attempt))
+        .is_none_or(|call| !http.unsent_call(*call))
 }
 
 impl Gateway {
@@ -149,7 +151,10 @@
     pub fn new(settings: Settings, handle: LoopHandle<'static, Gateway>) -> std::io::Result<Gateway> {
         let moment = crate::clock::moment();
         let found = recovery::found(&settings, moment.clone());
-        let before = found.as_ref().and_then(|found| found.mark.as_ref()).map(|mark| mark.at.clone());
+        let before = found
+            .as_ref()
+            .and_then(|found| found.mark.as_ref())
+            .map(|mark| mark.at.clone());
         let clock = Clock::resume(&moment, before.as_ref());
         let seed = settings.seed.unwrap_or_else(rand::random);
         let saver = settings.state.clone().map(Saver::start).transpose()?;
@@ -208,7 +213,11 @@
             Some(Ok(_)) | None => self.settings.workers.clone(),
         };
         self.belief.changes(&workers);
-        self.belief.of_before(self.returning.as_ref().is_some_and(|of| !of.machine.found().was_clean()));
+        self.belief.of_before(
+            self.returning
+                .as_ref()
+                .is_some_and(|of| !of.machine.found().was_clean()),
+        );
         self.give_list(EndpointListKind::Snapshot, &workers);
     }
 
@@ -248,7 +257,8 @@
         let now = self.now();
         if self.request_table.next_deadline().is_some_and(|at| at <= now) {
             let (attempts, http) = (&self.attempts, &self.http);
-            self.request_table.due(now, |request, attempt| has_left(attempts, http, request, attempt));
+            self.request_table
+                .due(now, |request, attempt| has_left(attempts, http, request, attempt));
             self.carry_out();
         }
         self.discovery_due(now);
@@ -285,9 +295,14 @@
 
     fn output(&mut self, output: Output<Rc<Work>>) {
         match output {
-            Output::StartAttempt { request, attempt, worker, function, payload, wait: _ } => {
-                self.execute(request, attempt, worker, function, payload)
-            }
+            Output::StartAttempt {
+                request,
+                attempt,
+                worker,
+                function,
+                payload,
+                wait: _,
+            } => self.execute(request, attempt, worker, function, payload),
             Output::CancelAttempt { request, attempt } => self.drop_attempt(request, attempt),
             Output::RecallAttempt { request, attempt } => {
                 if !has_left(&self.attempts, &self.http, request, attempt) {
@@ -295,11 +310,18 @@
                     self.request_table.attempt_recalled(self.now(), request, attempt);
                 }
             }
-            Output::Respond { request, payload, answer } => self.final_answer(request, &payload, answer),
+            Output::Respond {
+                request,
+                payload,
+                answer,
+            } => self.final_answer(request, &payload, answer),
             Output::CheckHealth { command, worker } => self.probe(command, &worker),
-            Output::Load { command, worker, function, copies } => {
-                self.load(command, &worker, &function, copies)
-            }
+            Output::Load {
+                command,
+                worker,
+                function,
+                copies,
+            } => self.load(command, &worker, &function, copies),
             Output::RecallCommand { command } => {
                 let call = self.commands.get(&command).copied();
                 if let Some(call) = call.filter(|call| self.http.unsent_call(*call)) {
@@ -307,7 +329,8 @@
                     self.ahead_loaded(command, Outcome::NeverSent);
                     self.calls.remove(&call);
                     self.http.cancel(call);
-                    self.request_table.command_ended(self.now(), command, Outcome::NeverSent, 0, Vec::new());
+                    self.request_table
+                        .command_ended(self.now(), command, Outcome::NeverSent, 0, Vec::new());
                 }
             }
             Output::AbandonCommand { command } => {
@@ -370,13 +393,20 @@
     /// When an asynchronous request is to be tried here. With a store, what waits outlasts this process: one that stops begins nothing
     /// of it.
     fn asynchronous_due(&self) -> Option<Duration> {
-        self.asynchronous.next_due().filter(|_| self.stopping.is_none() || self.store.is_none())
+        self.asynchronous
+            .next_due()
+            .filter(|_| self.stopping.is_none() || self.store.is_none())
     }
 
     /// When a timer fires here.
     fn timers_due(&self) -> Option<Duration> {
-        let let_in = self.returning.as_ref().is_none_or(|returning| returning.machine.timers());
-        self.timers.next_due().filter(|_| self.stopping.is_none() && let_in)
+        let let_in = self
+            .returning
+            .as_ref()
+            .is_none_or(|returning| returning.machine.timers());
+        self.timers
+            .next_due()
+            .filter(|_| self.stopping.is_none() && let_in)
     }
 
     /// Whether a stop is complete.
@@ -394,7 +424,8 @@
     /// Final answers for all that is still open, and the last word on what is lost.
     pub fn finish(&mut self) {
         let (now, attempts, http) = (self.now(), &self.attempts, &self.http);
-        self.request_table.shut_down(now, |request, attempt| has_left(attempts, http, request, attempt));
+        self.request_table
+            .shut_down(now, |request, attempt| has_left(attempts, http, request, attempt));
         self.carry_out();
         self.say_lost();
         self.close_store();
