--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -52,14 +52,24 @@
 }
 
 fn name(settings: &Settings) -> String {
-    settings.fleet.as_ref().map(|fleet| fleet.members.name.clone()).unwrap_or_default()
+    settings
+        .fleet
+        .as_ref()
+        .map(|fleet| fleet.members.name.clone())
+        .unwrap_or_default()
 }
 
 /// What an earlier start left in its folder; for the clock as well.
 pub(super) fn found(settings: &Settings, now: Moment) -> Option<Found> {
     let folder = settings.state.as_deref()?;
     let known = super::fleet::known(Some(folder));
-    let without = |disk| Found { mark: None, disk, known: known.clone(), now: now.clone(), beside: false };
+    let without = |disk| Found {
+        mark: None,
+        disk,
+        known: known.clone(),
+        now: now.clone(),
+        beside: false,
+    };
     let read =
         saved::last(folder, MARK).map(|bytes| bytes.map(|bytes| serde_json::from_slice::<Mark>(&bytes)));
     Some(match read {
@@ -81,7 +91,9 @@
 
 /// The store's owner, as noted there; `Err`: another scheduler's, whose requests must not run here as well.
 pub(super) fn owner(path: &Path, settings: &Settings) -> io::Result<Option<u64>> {
-    let Some(bytes) = saved::last(path, MARK)? else { return Ok(None) };
+    let Some(bytes) = saved::last(path, MARK)? else {
+        return Ok(None);
+    };
     let owner: Owner = serde_json::from_slice(&bytes).map_err(io::Error::other)?;
     match owner.name == name(settings) {
         true => Ok(Some(owner.starts)),
@@ -95,14 +107,28 @@
 
 impl Gateway {
     pub(super) fn start_recovery(&mut self, found: Option<Found>) -> io::Result<()> {
-        let (Some(found), Some(folder)) = (found, self.settings.state.clone()) else { return Ok(()) };
+        let (Some(found), Some(folder)) = (found, self.settings.state.clone()) else {
+            return Ok(());
+        };
         let lock = lock(&folder).map_err(|e| {
-            io::Error::new(e.kind(), format!("the state in {} cannot be locked: {e}", folder.display()))
+            io::Error::new(
+                e.kind(),
+                format!("the state in {} cannot be locked: {e}", folder.display()),
+            )
         })?;
-        let found = Found { beside: lock.is_none(), ..found };
+        let found = Found {
+            beside: lock.is_none(),
+            ..found
+        };
         let settings = self.settings.clone();
-        let store = settings.store.as_deref().map(|path| owner(path, &settings)).transpose();
-        let store = store.map_err(|e| io::Error::other(format!("deferred jobs: {e}")))?.flatten();
+        let store = settings
+            .store
+            .as_deref()
+            .map(|path| owner(path, &settings))
+            .transpose();
+        let store = store
+            .map_err(|e| io::Error::other(format!("deferred jobs: {e}")))?
+            .flatten();
         let told = Told {
             name: name(&settings),
             fleet: settings.fleet.is_some(),
@@ -119,8 +145,14 @@
         let (now, was_clean) = (self.now(), found.was_clean());
         tracing::info!(disk = ?found.disk, age = ?found.age(), was_clean, "found of before");
         let machine = Recovery::new(told, found, now);
-        self.returning =
-            Some(Returning { machine, note_at: now, force_at: now, held: Vec::new(), lock, noted: 0 });
+        self.returning = Some(Returning {
+            machine,
+            note_at: now,
+            force_at: now,
+            held: Vec::new(),
+            lock,
+            noted: 0,
+        });
         // Noted before anything leaves: whoever starts next knows that this start was.
         self.note_start()
     }
@@ -135,11 +167,17 @@
             return Ok(());
         }
         let unusable = |folder: &Path, e: io::Error| {
-            io::Error::new(e.kind(), format!("the start cannot be noted in {}: {e}", folder.display()))
+            io::Error::new(
+                e.kind(),
+                format!("the start cannot be noted in {}: {e}", folder.display()),
+            )
         };
         if let Some(path) = &self.settings.store {
-            let owner = serde_json::to_vec(&Owner { name: name(&self.settings), starts })
-                .map_err(io::Error::other)?;
+            let owner = serde_json::to_vec(&Owner {
+                name: name(&self.settings),
+                starts,
+            })
+            .map_err(io::Error::other)?;
             std::fs::create_dir_all(path)
                 .and_then(|()| saved::write(path, MARK, &owner))
                 .map_err(|e| unusable(path, e))?;
@@ -154,7 +192,9 @@
     /// Has the mark for the next start written soon.
     pub(super) fn note_mark(&mut self) {
         let (now, at) = (self.now(), self.clock.note());
-        let (Some(returning), Some(saver)) = (&mut self.returning, &self.saver) else { return };
+        let (Some(returning), Some(saver)) = (&mut self.returning, &self.saver) else {
+            return;
+        };
         returning.note_at = now + NOTE_EVERY;
         returning.machine.note(now);
         // Until the module has been told of it, what an earlier start measured stays.
@@ -179,11 +219,16 @@
     pub(super) fn recovery_next(&self) -> Option<Duration> {
         let returning = self.returning.as_ref()?;
         let force = (returning.machine.stage() != Stage::Full).then_some(returning.force_at);
-        [Some(returning.note_at), returning.machine.next_due(), force].into_iter().flatten().min()
+        [Some(returning.note_at), returning.machine.next_due(), force]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     pub(super) fn recovery_due(&mut self, now: Duration) {
-        let Some(returning) = &mut self.returning else { return };
+        let Some(returning) = &mut self.returning else {
+            return;
+        };
         if returning.machine.next_due().is_some_and(|at| at <= now) {
             returning.machine.due(now);
         }
@@ -207,7 +252,9 @@
 
     /// Carries out what the machine says.
     pub(super) fn returned(&mut self) {
-        let Some(returning) = &mut self.returning else { return };
+        let Some(returning) = &mut self.returning else {
+            return;
+        };
         let outputs = returning.machine.outputs();
         for output in outputs {
             match output {
@@ -257,23 +304,34 @@
         }
         let now = self.now();
         let mut workers = self.belief.workers();
-        workers.iter_mut().filter(|w| w.state == EndpointState::Up).for_each(|w| w.started = Some(now));
+        workers
+            .iter_mut()
+            .filter(|w| w.state == EndpointState::Up)
+            .for_each(|w| w.started = Some(now));
         self.give_list(EndpointListKind::Changes, &workers);
     }
 
     /// Asynchronous requests of before, once it is known what they may do.
     fn restore_held(&mut self) {
-        let Some(returning) = &mut self.returning else { return };
+        let Some(returning) = &mut self.returning else {
+            return;
+        };
         let held = std::mem::take(&mut returning.held);
         let machine = &returning.machine;
-        let after = After { repeats_known: machine.repeats_known(), older: machine.waiting_in_doubt() };
+        let after = After {
+            repeats_known: machine.repeats_known(),
+            older: machine.waiting_in_doubt(),
+        };
         let unproven = machine.away_unproven();
         self.restore(held, after, unproven);
     }
 
     fn allow_asynchronous(&mut self) {
         let most = self.settings.asynchronous.out;
-        let allowed = self.returning.as_ref().and_then(|returning| returning.machine.backlog());
+        let allowed = self
+            .returning
+            .as_ref()
+            .and_then(|returning| returning.machine.backlog());
         self.asynchronous.allow(allowed.unwrap_or(most));
     }
 
@@ -283,15 +341,21 @@
         let marks_retries = self.settings.scheduler.clients_mark_retries;
         let may_repeat =
             of.idempotency == Idempotency::IdempotentWithKey && mark && (is_retry || !marks_retries);
-        let Some(returning) = self.returning.as_ref().filter(|_| may_repeat) else { return Ok(()) };
-        let wait = returning.machine.repeats_wait(self.now(), of.window.unwrap_or_default());
+        let Some(returning) = self.returning.as_ref().filter(|_| may_repeat) else {
+            return Ok(());
+        };
+        let wait = returning
+            .machine
+            .repeats_wait(self.now(), of.window.unwrap_or_default());
         wait.map_or(Ok(()), Err)
     }
 
     /// Whether a call for this function may become a request while copies return, and the number it tries; else when to come back.
     pub(super) fn paced(&mut self, function: &str) -> Result<Option<u32>, Duration> {
         let now = self.now();
-        self.returning.as_mut().map_or(Ok(None), |returning| returning.machine.let_in(now, function))
+        self.returning
+            .as_mut()
+            .map_or(Ok(None), |returning| returning.machine.let_in(now, function))
     }
 
     /// A request had its final answer.
@@ -307,14 +371,20 @@
             };
             returning.machine.tried(now, number, came);
         }
-        let Some(returning) = self.returning.as_mut().filter(|of| of.machine.stage() != Stage::Full) else {
+        let Some(returning) = self
+            .returning
+            .as_mut()
+            .filter(|of| of.machine.stage() != Stage::Full)
+        else {
             return;
         };
         let of = &self.settings.scheduler.request_classes[work.request_class as usize];
         let target = of.latency_objective.unwrap_or(DEFAULT_TARGET);
         let succeeded = answer == FinalAnswer::Succeeded;
         if matches!(work.origin, Origin::Client(_)) && answer != FinalAnswer::Cancelled {
-            returning.machine.answered(succeeded && now.saturating_sub(work.taken) <= target);
+            returning
+                .machine
+                .answered(succeeded && now.saturating_sub(work.taken) <= target);
         }
     }
 
@@ -325,7 +395,11 @@
             let mark: Mark = serde_json::from_slice(&saved::last(folder, MARK).ok()??).ok()?;
             Some(mark.starts > starts)
         };
-        let Some(starts) = self.returning.as_ref().map(|returning| returning.machine.starts()) else {
+        let Some(starts) = self
+            .returning
+            .as_ref()
+            .map(|returning| returning.machine.starts())
+        else {
             return;
         };
         // A successor beside us has noted its own start.
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -51,7 +51,9 @@
 impl Gateway {
     /// Opens the store, and takes back what it holds.
     pub(super) fn start_store(&mut self, handle: &LoopHandle<'static, Gateway>) -> io::Result<()> {
-        let Some(path) = self.settings.store.clone() else { return Ok(()) };
+        let Some(path) = self.settings.store.clone() else {
+            return Ok(());
+        };
         let start = Instant::now();
         let unusable = |e| io::Error::other(format!("deferred jobs in {}: {e}", path.display()));
         let (durable, live, said) = Durable::start(&path).map_err(unusable)?;
@@ -60,16 +62,33 @@
             Event::Msg(Said::Failed(why)) => gateway.store_failed(&why),
             Event::Closed => {}
         };
-        handle.insert_source(said, hears).map_err(|e| io::Error::other(e.to_string()))?;
+        handle
+            .insert_source(said, hears)
+            .map_err(|e| io::Error::other(e.to_string()))?;
         let (next, handed) = (Waiting::default(), VecDeque::new());
-        self.store = Some(Store { durable, next, handed, answers: 0, behind: false, failed: false });
-        self.asynchronous.reserve(Id(live.iter().map(|of| of.id).max().unwrap_or(0)));
+        self.store = Some(Store {
+            durable,
+            next,
+            handed,
+            answers: 0,
+            behind: false,
+            failed: false,
+        });
+        self.asynchronous
+            .reserve(Id(live.iter().map(|of| of.id).max().unwrap_or(0)));
         let requests = live.len();
         tracing::info!(requests, duration = ?start.elapsed(), "deferred jobs read from the store");
         match &mut self.returning {
             // Until it is known what they may do, they stay where they are.
             Some(returning) => returning.held = live,
-            None => self.restore(live, After { repeats_known: true, older: false }, Duration::ZERO),
+            None => self.restore(
+                live,
+                After {
+                    repeats_known: true,
+                    older: false,
+                },
+                Duration::ZERO,
+            ),
         }
         Ok(())
     }
@@ -171,7 +190,10 @@
     }
 
     fn store_failed(&mut self, why: &str) {
-        tracing::error!(why, "deferred jobs are no longer kept: new ones are pushed back until a restart");
+        tracing::error!(
+            why,
+            "deferred jobs are no longer kept: new ones are pushed back until a restart"
+        );
         let Some(store) = &mut self.store else { return };
         store.failed = true;
         let waiting: Vec<Waiting> = store.handed.drain(..).map(|(_, waiting)| waiting).collect();
@@ -185,10 +207,18 @@
             store.answers -= waiting.answers.len();
         }
         for (exchange, id) in waiting.answers {
-            self.http.answer(exchange, &response(Problem::Unsure.said(), Some(id)));
+            self.http
+                .answer(exchange, &response(Problem::Unsure.said(), Some(id)));
         }
         for (id, ..) in waiting.leaving {
-            self.step(id, End::Rejected { retry_after: None, may_have_executed: None }, None);
+            self.step(
+                id,
+                End::Rejected {
+                    retry_after: None,
+                    may_have_executed: None,
+                },
+                None,
+            );
         }
     }
 
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -34,7 +34,14 @@
         if let Some(me) = self.settings.scheduler.me {
             headers.push("x-quartzdrift-scheduler", &me.to_string());
         }
-        Outgoing { method, target, headers, body, connect_timeout, streams: false }
+        Outgoing {
+            method,
+            target,
+            headers,
+            body,
+            connect_timeout,
+            streams: false,
+        }
     }
 
     pub(super) fn execute(
@@ -75,7 +82,16 @@
         let call = self.http.call(address, Outgoing { streams, ..outgoing });
         tracing::trace!(request, attempt, %worker, %function, "execution sent");
         self.attempts.insert((request, attempt), call);
-        self.calls.insert(call, Use::Attempt { request, attempt, work, worker, began: false });
+        self.calls.insert(
+            call,
+            Use::Attempt {
+                request,
+                attempt,
+                work,
+                worker,
+                began: false,
+            },
+        );
     }
 
     /// Closes an attempt's connection; nothing more of it is heard.
@@ -89,39 +105,69 @@
     /// The attempt whose answer is on its way to the client, if there is one.
     pub(super) fn streaming_call(&self, request: RequestId) -> Option<u32> {
         let of = |of: &Use| match of {
-            Use::Attempt { request: of, attempt, began: true, .. } if *of == request => Some(*attempt),
+            Use::Attempt {
+                request: of,
+                attempt,
+                began: true,
+                ..
+            } if *of == request => Some(*attempt),
             _ => None,
         };
         // Few request classes stream: only for those is every call looked at.
-        let streams =
-            self.settings.scheduler.request_classes.iter().any(|request_class| request_class.streams);
-        if streams { self.calls.values().find_map(of) } else { None }
+        let streams = self
+            .settings
+            .scheduler
+            .request_classes
+            .iter()
+            .any(|request_class| request_class.streams);
+        if streams {
+            self.calls.values().find_map(of)
+        } else {
+            None
+        }
     }
 
     fn figures(&self, report: &Report) -> Vec<Option<f64>> {
-        self.settings.metrics.iter().map(|metric| report.get(metric)).collect()
+        self.settings
+            .metrics
+            .iter()
+            .map(|metric| report.get(metric))
+            .collect()
     }
 
     fn report(answer: &Response) -> Report {
-        answer.headers.get(orca::FIELD).map(Report::read).unwrap_or_default()
+        answer
+            .headers
+            .get(orca::FIELD)
+            .map(Report::read)
+            .unwrap_or_default()
     }
 
     fn end(&mut self, request: RequestId, attempt: u32, outcome: Outcome, answer: Option<Response>) {
         self.attempts.remove(&(request, attempt));
         let report = answer.as_ref().map(Self::report).unwrap_or_default();
         let (cache_result, concurrency) = (verdict::cache_result(&report), verdict::concurrency(&report));
-        let ended = AttemptResult { outcome, cache_result, concurrency, report: self.figures(&report) };
+        let ended = AttemptResult {
+            outcome,
+            cache_result,
+            concurrency,
+            report: self.figures(&report),
+        };
         tracing::trace!(request, attempt, ?outcome, "execution ended");
         self.in_hand = answer.filter(|_| outcome == Outcome::Succeeded);
         self.load_failed = cache_result == CacheResult::LoadFailed;
-        self.request_table.attempt_ended(self.now(), request, attempt, ended);
+        self.request_table
+            .attempt_ended(self.now(), request, attempt, ended);
         self.carry_out();
         (self.in_hand, self.load_failed) = (None, false);
     }
 
     pub(super) fn answered(&mut self, call: CallId, answer: Response) {
         let error_type = answer.headers.get("x-amzn-errortype");
-        let outcome = verdict::outcome(Seen::Answered { status: answer.status, error_type });
+        let outcome = verdict::outcome(Seen::Answered {
+            status: answer.status,
+            error_type,
+        });
         let streamed = matches!(self.calls.get(&call), Some(Use::Attempt { work, .. }) if work.streams
             && matches!(work.origin, Origin::Client(_)));
         if streamed {
@@ -138,15 +184,21 @@
                 self.commands.remove(&command);
                 let report = self.figures(&Self::report(&answer));
                 // A worker that says it is not ready has answered, but not well.
-                let outcome = if answer.status == 200 { Outcome::Succeeded } else { Outcome::Error };
-                self.request_table.command_ended(self.now(), command, outcome, 0, report);
+                let outcome = if answer.status == 200 {
+                    Outcome::Succeeded
+                } else {
+                    Outcome::Error
+                };
+                self.request_table
+                    .command_ended(self.now(), command, outcome, 0, report);
                 self.carry_out();
             }
             Some(Use::Load { command }) => {
                 self.commands.remove(&command);
                 let copies = models::copies(&answer.body).unwrap_or(0);
                 self.ahead_loaded(command, outcome);
-                self.request_table.command_ended(self.now(), command, outcome, copies, Vec::new());
+                self.request_table
+                    .command_ended(self.now(), command, outcome, copies, Vec::new());
                 self.carry_out();
             }
             Some(Use::List) => self.list_came(answer.status, &answer.body),
@@ -160,7 +212,14 @@
     }
 
     fn stream_began(&mut self, call: CallId, answer: Response, outcome: Outcome) {
-        let Some(Use::Attempt { request, attempt, work, began, .. }) = self.calls.get_mut(&call) else {
+        let Some(Use::Attempt {
+            request,
+            attempt,
+            work,
+            began,
+            ..
+        }) = self.calls.get_mut(&call)
+        else {
             return;
         };
         let (request, attempt, origin, id) = (*request, *attempt, work.origin, work.id);
@@ -194,7 +253,12 @@
 
     pub(super) fn stream_ended(&mut self, call: CallId) {
         match self.calls.remove(&call) {
-            Some(Use::Attempt { request, attempt, work, .. }) => {
+            Some(Use::Attempt {
+                request,
+                attempt,
+                work,
+                ..
+            }) => {
                 if let Origin::Client(exchange) = work.origin {
                     self.http.finish(exchange);
                 }
@@ -208,7 +272,13 @@
     pub(super) fn call_failed(&mut self, call: CallId, how: Failure) {
         let outcome = verdict::outcome(seen(how));
         match self.calls.remove(&call) {
-            Some(Use::Attempt { request, attempt, work, worker, began }) => {
+            Some(Use::Attempt {
+                request,
+                attempt,
+                work,
+                worker,
+                began,
+            }) => {
                 tracing::debug!(request, attempt, %worker, ?how, "execution failed");
                 if let (true, Origin::Client(exchange)) = (began, work.origin) {
                     // Cut off, so that the client does not take half an answer for a whole one.
@@ -219,7 +289,8 @@
             Some(Use::Probe { command } | Use::Load { command }) => {
                 self.commands.remove(&command);
                 self.ahead_loaded(command, outcome);
-                self.request_table.command_ended(self.now(), command, outcome, 0, Vec::new());
+                self.request_table
+                    .command_ended(self.now(), command, outcome, 0, Vec::new());
                 self.carry_out();
             }
             Some(Use::List) => self.list_failed(&format!("{how:?}")),
@@ -231,7 +302,9 @@
 
     fn command(&mut self, worker: &str, outgoing: Outgoing, command: u64, of: Use) {
         let Ok(address) = list::address(worker) else {
-            return self.request_table.command_ended(self.now(), command, NOT_SENT, 0, Vec::new());
+            return self
+                .request_table
+                .command_ended(self.now(), command, NOT_SENT, 0, Vec::new());
         };
         let call = self.http.call(address, outgoing);
         self.commands.insert(command, call);
@@ -252,9 +325,16 @@
     }
 
     pub(super) fn unload(&mut self, worker: &str, function: &str) {
-        let Ok(address) = list::address(worker) else { return };
+        let Ok(address) = list::address(worker) else {
+            return;
+        };
         let headers = Headers::new().with("content-type", "application/json");
-        let outgoing = self.outgoing("POST", models::unload_target(function), headers, Rc::from(&b"{}"[..]));
+        let outgoing = self.outgoing(
+            "POST",
+            models::unload_target(function),
+            headers,
+            Rc::from(&b"{}"[..]),
+        );
         let call = self.http.call(address, outgoing);
         self.calls.insert(call, Use::Unload);
     }
--- a/crates/quartzdrift/src/invoke.rs
+++ b/crates/quartzdrift/src/invoke.rs
@@ -33,7 +33,13 @@
     }
     let target = quartzdrift_invoke::call::target(&call.function);
     let mut out = Vec::new();
-    head::write_request(&mut out, "POST", &target, &headers, Framing::Length(call.payload.len() as u64));
+    head::write_request(
+        &mut out,
+        "POST",
+        &target,
+        &headers,
+        Framing::Length(call.payload.len() as u64),
+    );
     out.extend_from_slice(&call.payload);
     let mut stream = TcpStream::connect_timeout(&call.to, call.timeout)?;
     stream.set_read_timeout(Some(call.timeout))?;
@@ -58,7 +64,9 @@
     held.drain(..end);
     let mut reader = BodyReader::new(head.framing, MAX_ANSWER).map_err(|_| bad("the answer is too long"))?;
     loop {
-        let used = reader.feed(&held).map_err(|_| bad("the answer's body cannot be read"))?;
+        let used = reader
+            .feed(&held)
+            .map_err(|_| bad("the answer's body cannot be read"))?;
         held.drain(..used);
         if reader.done() {
             break;
@@ -69,5 +77,9 @@
             n => held.extend_from_slice(&part[..n]),
         }
     }
-    Ok(Response { status: head.status, headers: head.headers, body: reader.bytes })
+    Ok(Response {
+        status: head.status,
+        headers: head.headers,
+        body: reader.bytes,
+    })
 }
--- a/crates/quartzdrift/src/logs.rs
+++ b/crates/quartzdrift/src/logs.rs
@@ -20,14 +20,21 @@
     fn is_ready() -> bool {
         let error = io::stderr();
         let mut of = [PollFd::new(&error, PollFlags::OUT)];
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
+        let at_once = Timespec {
+            tv_sec: 0,
+            tv_nsec: 0,
+        };
         // Where the system cannot say, writing tells.
         poll(&mut of, Some(&at_once)).map_or(true, |ready| ready > 0)
     }
 
     fn lost(&self, count: u64) -> String {
         let what = format!("{count} lines of the log were lost, as nobody took them");
-        if self.json { format!("{{\"level\":\"WARN\",\"message\":\"{what}\"}}\n") } else { what + "\n" }
+        if self.json {
+            format!("{{\"level\":\"WARN\",\"message\":\"{what}\"}}\n")
+        } else {
+            what + "\n"
+        }
     }
 }
 
@@ -66,7 +73,9 @@
     let filter = EnvFilter::try_new(&log.filter).unwrap_or_else(|_| EnvFilter::new("info"));
     let colours = std::io::stderr().is_terminal();
     let json = log.json;
-    let lines = tracing_subscriber::fmt().with_env_filter(filter).with_ansi(colours);
+    let lines = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_ansi(colours);
     let lines = lines.with_writer(move || Lines { json });
     let started = match json {
         true => lines.json().flatten_event(true).try_init(),
--- a/crates/quartzdrift/src/main.rs
+++ b/crates/quartzdrift/src/main.rs
@@ -71,8 +71,10 @@
         what: StoreCommand,
     },
     /// Call a function through a gateway and print its answer
-    #[command(after_help = "Exit status: 0 finished or taken, 2 the function failed or the job was killed, \
-                            3 pushed back (trying again is harmless), 4 any other answer, 1 no answer.")]
+    #[command(
+        after_help = "Exit status: 0 finished or taken, 2 the function failed or the job was killed, \
+                            3 pushed back (trying again is harmless), 4 any other answer, 1 no answer."
+    )]
     Invoke {
         /// A name, name:alias or ARN
         function: String,
@@ -129,7 +131,11 @@
                 found.torn
             );
             found.faults.iter().for_each(|fault| println!("FAULT {fault}"));
-            Ok(if found.faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            Ok(if found.faults.is_empty() {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            })
         }
         StoreCommand::Dump { folder } => {
             let mut out = std::io::stdout().lock();
@@ -198,7 +204,15 @@
             Ok(settings) => recovery(&settings, force),
             Err(faults) => say(&faults),
         },
-        Command::Invoke { function, at, payload, file, event, mark, timeout } => {
+        Command::Invoke {
+            function,
+            at,
+            payload,
+            file,
+            event,
+            mark,
+            timeout,
+        } => {
             let to = match quartzdrift_discovery::list::address(&at) {
                 Ok(to) => to,
                 Err(why) => return fail(&why),
@@ -216,7 +230,14 @@
                 Ok(payload) => payload,
                 Err(e) => return fail(&format!("the payload cannot be read: {e}")),
             };
-            let call = invoke::Invoke { to, function, payload, asynchronous: event, mark, timeout };
+            let call = invoke::Invoke {
+                to,
+                function,
+                payload,
+                asynchronous: event,
+                mark,
+                timeout,
+            };
             match invoke::invoke(&call) {
                 Ok(answer) => told(&answer),
                 Err(e) => fail(&format!("no answer from {to}: {e}")),
@@ -230,8 +251,15 @@
     let (Some(folder), Some(_)) = (&settings.state, &settings.fleet) else {
         return fail("the settings need [fleet] and gateway.state, where the gateway tells what it sees");
     };
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    show(folder, saved::MEMBERS, "what was saved of the members", |view: View| view.table(now))
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
+    show(
+        folder,
+        saved::MEMBERS,
+        "what was saved of the members",
+        |view: View| view.table(now),
+    )
 }
 
 /// Prints one thing that a gateway saves as it runs; `what` names it where it cannot be read.
@@ -266,7 +294,9 @@
         };
     }
     let what = "what was noted of the start";
-    show(folder, saved::STAGES, what, |view: quartzdrift_recovery::View| view.table())
+    show(folder, saved::STAGES, what, |view: quartzdrift_recovery::View| {
+        view.table()
+    })
 }
 
 fn fail(what: &str) -> ExitCode {
--- a/crates/quartzdrift/src/platform/clients.rs
+++ b/crates/quartzdrift/src/platform/clients.rs
@@ -10,7 +10,11 @@
 use std::time::Duration;
 
 /// Bounds of the platform's pages, and a bound on parameters that is far above what they need.
-const LIMITS: fastcgi::Limits = fastcgi::Limits { params: 8 << 10, body: 16 << 10, open: 32 };
+const LIMITS: fastcgi::Limits = fastcgi::Limits {
+    params: 8 << 10,
+    body: 16 << 10,
+    open: 32,
+};
 /// For a first request to come whole, and for any that has begun: whoever cannot be served is owed an end in 3 s.
 const RECEIVE: Duration = Duration::from_secs(2);
 /// For a client to take the last that is written before its connection is closed.
@@ -96,7 +100,12 @@
                 continue;
             }
             let responder = Responder::new(LIMITS);
-            let client = Client { responder, requests: BTreeMap::new(), limit: Limit::First, awaited: None };
+            let client = Client {
+                responder,
+                requests: BTreeMap::new(),
+                limit: Limit::First,
+                awaited: None,
+            };
             if let Ok(id) = self.links.insert(stream, Peer::Client(client)) {
                 self.clients += 1;
                 self.links.set_deadline(id, Some(RECEIVE));
@@ -111,7 +120,9 @@
             if self.clients < self.budget.clients {
                 return true;
             }
-            let Some(silent) = self.links.longest_silent(is_silent) else { return false };
+            let Some(silent) = self.links.longest_silent(is_silent) else {
+                return false;
+            };
             if !self.hears(silent) {
                 self.counts.cut += 1;
                 self.close_client(silent);
@@ -122,9 +133,14 @@
 
     /// Looks whether something has come from a client that the loop has not yet told of, and works it.
     fn hears(&mut self, id: LinkId) -> bool {
-        let Some(had) = self.links.get(id).map(|link| link.input.len()) else { return true };
+        let Some(had) = self.links.get(id).map(|link| link.input.len()) else {
+            return true;
+        };
         self.links.look(id);
-        let news = self.links.get(id).is_none_or(|link| link.ended() || link.input.len() > had);
+        let news = self
+            .links
+            .get(id)
+            .is_none_or(|link| link.ended() || link.input.len() > had);
         if news {
             self.drive_client(id);
         }
@@ -145,11 +161,17 @@
                 || node.links.get(id).is_some_and(|link| !link.input.is_empty())
         };
         // All of them are asked, as each may have something to be worked.
-        clients.into_iter().filter(|&id| self.hears(id) || begun(self, id)).count() == 0
+        clients
+            .into_iter()
+            .filter(|&id| self.hears(id) || begun(self, id))
+            .count()
+            == 0
     }
 
     fn client_links(&self) -> impl Iterator<Item = (LinkId, &Link<Peer>)> {
-        self.links.iter().filter(|(_, link)| matches!(link.state, Peer::Client(_)))
+        self.links
+            .iter()
+            .filter(|(_, link)| matches!(link.state, Peer::Client(_)))
     }
 
     /// Whether bytes wait for a client.
@@ -175,7 +197,9 @@
     pub(super) fn drive_client(&mut self, id: LinkId) {
         self.links.flush_one(id);
         self.links.read(id);
-        let Some(link) = self.links.get_mut(id) else { return };
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
         let ended = link.ended();
         let Peer::Client(of) = &mut link.state else { return };
         if of.limit == Limit::Closing {
@@ -201,8 +225,14 @@
             }
             match told {
                 Told::Request { number, params, body } => self.request(id, number, &params, body),
-                Told::Bad { number, bad: Bad::Params } => self.say(id, number, 400, "parameters", None),
-                Told::Bad { number, bad: Bad::TooLarge } => self.say(id, number, 413, "too large", None),
+                Told::Bad {
+                    number,
+                    bad: Bad::Params,
+                } => self.say(id, number, 400, "parameters", None),
+                Told::Bad {
+                    number,
+                    bad: Bad::TooLarge,
+                } => self.say(id, number, 413, "too large", None),
                 Told::Aborted { number } => {
                     let request =
                         client(&mut self.links, id).and_then(|client| client.requests.remove(&number));
@@ -229,9 +259,13 @@
 
     /// Sets what the connection is waited for now.
     fn limit_client(&mut self, id: LinkId) {
-        let Some(link) = self.links.get_mut(id) else { return };
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
         let (partial, unread) = (!link.input.is_empty(), link.waiting());
-        let Peer::Client(client) = &mut link.state else { return };
+        let Peer::Client(client) = &mut link.state else {
+            return;
+        };
         let responder = &client.responder;
         let (spoilt, awaited) = (responder.is_spoilt(), responder.awaited(partial));
         if client.limit == Limit::Closing {
@@ -287,7 +321,9 @@
             return;
         }
         let stuck = self.links.get(id).and_then(|link| link.stuck_since());
-        let Some(client) = client(&mut self.links, id) else { return };
+        let Some(client) = client(&mut self.links, id) else {
+            return;
+        };
         match client.limit {
             // Overdue without a limit: there was no descriptor for a newcomer, and this one is to make room.
             Limit::None if !hears && client.requests.is_empty() => {
@@ -318,9 +354,14 @@
 
     /// Closes a client's connection; what is open on it is over.
     fn close_client(&mut self, id: LinkId) {
-        let Some(Peer::Client(client)) = self.links.close(id) else { return };
+        let Some(Peer::Client(client)) = self.links.close(id) else {
+            return;
+        };
         self.clients -= 1;
-        client.requests.into_values().for_each(|request| self.leave(request));
+        client
+            .requests
+            .into_values()
+            .for_each(|request| self.leave(request));
     }
 
     /// Nobody waits for a request any more. What has not left is taken back whatever the settings say, so that nothing of
@@ -405,8 +446,14 @@
     fn id_taken(&mut self, id: LinkId, number: u16, other: RequestId) {
         self.counts.wrong += 1;
         self.say(id, number, 409, "this id is open", None);
-        let Some(client) = client(&mut self.links, id) else { return };
-        let first = client.requests.iter().find(|(_, request)| **request == other).map(|(number, _)| *number);
+        let Some(client) = client(&mut self.links, id) else {
+            return;
+        };
+        let first = client
+            .requests
+            .iter()
+            .find(|(_, request)| **request == other)
+            .map(|(number, _)| *number);
         if let Some(first) = first {
             client.requests.remove(&first);
             self.leave(other);
@@ -422,9 +469,16 @@
     fn answer(&mut self, id: LinkId, number: u16, status: u16, body: &[u8], retry_after: Option<Duration>) {
         let ms = retry_after.map(|span| span.as_nanos().div_ceil(1_000_000).to_string());
         let field = ms.as_deref().map(|ms| ("Retry-After-Ms", ms));
-        let answer = Answer { status, reason: reason(status), fields: field.as_slice(), body };
+        let answer = Answer {
+            status,
+            reason: reason(status),
+            fields: field.as_slice(),
+            body,
+        };
         let unread = self.links.get(id).is_some_and(|link| link.waiting() > 0);
-        let Some(client) = client(&mut self.links, id) else { return };
+        let Some(client) = client(&mut self.links, id) else {
+            return;
+        };
         let mut out = Vec::with_capacity(body.len() + 128);
         let ended = client.responder.answer(number, &answer, &mut out);
         self.write(id, &out);
@@ -440,7 +494,10 @@
         if self.open.get(&work.id) == Some(&request) {
             self.open.remove(&work.id);
         }
-        let said = self.in_hand.take_if(|(of, _)| *of == request).map(|(_, body)| body);
+        let said = self
+            .in_hand
+            .take_if(|(of, _)| *of == request)
+            .map(|(_, body)| body);
         if let Some(client) = client(&mut self.links, work.client)
             && client.requests.get(&work.number) == Some(&request)
         {
@@ -460,12 +517,18 @@
             (FinalAnswer::Rejected { retry_after, .. }, _) => {
                 self.say(id, number, 503, "come back", retry_after)
             }
-            (FinalAnswer::Failed { why: FailureReason::DeadlineExceeded }, _) => {
-                self.say(id, number, 504, "its time is up", None)
-            }
-            (FinalAnswer::Failed { why: FailureReason::OutcomeUnknown | FailureReason::ShuttingDown }, _) => {
-                self.say(id, number, 500, "it may have run", None)
-            }
+            (
+                FinalAnswer::Failed {
+                    why: FailureReason::DeadlineExceeded,
+                },
+                _,
+            ) => self.say(id, number, 504, "its time is up", None),
+            (
+                FinalAnswer::Failed {
+                    why: FailureReason::OutcomeUnknown | FailureReason::ShuttingDown,
+                },
+                _,
+            ) => self.say(id, number, 500, "it may have run", None),
             (FinalAnswer::Cancelled, _) => {}
         }
     }
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -32,7 +32,14 @@
 impl Coordinator {
     pub fn new(address: SocketAddr) -> Coordinator {
         let follower = Follower::default();
-        Coordinator { address, follower, call: None, at: Duration::ZERO, failures: 0, gaps: 0 }
+        Coordinator {
+            address,
+            follower,
+            call: None,
+            at: Duration::ZERO,
+            failures: 0,
+            gaps: 0,
+        }
     }
 
     pub fn next_due(&self) -> Option<Duration> {
@@ -71,8 +78,10 @@
     fn poll_failed(&mut self, why: &str) {
         let failures = self.coordinator.failures;
         self.coordinator.call = None;
-        self.coordinator.at =
-            self.now() + AGAIN.saturating_mul(2_u32.saturating_pow(failures)).min(MAX_AGAIN);
+        self.coordinator.at = self.now()
+            + AGAIN
+                .saturating_mul(2_u32.saturating_pow(failures))
+                .min(MAX_AGAIN);
         self.coordinator.failures += 1;
         tracing::debug!(why, failures, "a poll of the coordinator failed; the list stands");
         if failures == 0 {
@@ -95,7 +104,11 @@
         let known = self.coordinator.follower.last();
         match self.coordinator.follower.read(&answer.body, zones, kinds) {
             Ok(changes) => {
-                let asked = self.coordinator.call.take().map(|(_, until)| until - WAIT - OVERDUE);
+                let asked = self
+                    .coordinator
+                    .call
+                    .take()
+                    .map(|(_, until)| until - WAIT - OVERDUE);
                 let empty = self.coordinator.follower.last() == known;
                 let pause = if empty { MIN_EMPTY } else { Duration::ZERO };
                 self.coordinator.at = asked.map_or(self.now(), |at| (at + pause).max(self.now()));
@@ -152,8 +165,12 @@
                 let mut named = HashSet::new();
                 workers.reverse();
                 workers.retain(|told| named.insert(told.listed.worker.clone()));
-                let left: Vec<Rc<str>> =
-                    self.workers.keys().filter(|uid| !named.contains(&***uid)).cloned().collect();
+                let left: Vec<Rc<str>> = self
+                    .workers
+                    .keys()
+                    .filter(|uid| !named.contains(&***uid))
+                    .cloned()
+                    .collect();
                 left.iter().for_each(|uid| drop(self.worker_gone(uid)));
             }
             let mut before = Vec::new();
@@ -169,11 +186,17 @@
             let entries = workers.iter().map(|told| told.listed.entry()).collect();
             self.request_table.update_endpoints(
                 self.now(),
-                if all { EndpointListKind::Full } else { EndpointListKind::Changes },
+                if all {
+                    EndpointListKind::Full
+                } else {
+                    EndpointListKind::Changes
+                },
                 entries,
             );
             // Also where the worker is up again by the end of the event: what waits is not for the one there now.
-            before.into_iter().for_each(|(request, attempt)| self.recall(request, attempt));
+            before
+                .into_iter()
+                .for_each(|(request, attempt)| self.recall(request, attempt));
             self.carry_out();
         }
     }
--- a/crates/quartzdrift/src/platform/mod.rs
+++ b/crates/quartzdrift/src/platform/mod.rs
@@ -115,7 +115,11 @@
 impl Node {
     /// A scheduler with the list of workers that its configuration knows. `path`: where a new one is read from.
     pub fn new(config: Config, path: std::path::PathBuf, handle: LoopHandle<'static, Node>) -> Node {
-        let limits = Limits { connections: 0, connections_each: 4, ..Limits::default() };
+        let limits = Limits {
+            connections: 0,
+            connections_each: 4,
+            ..Limits::default()
+        };
         let mut node = Node {
             path,
             clock: Clock::start(),
@@ -137,7 +141,8 @@
             config,
         };
         let known = node.config.known.clone();
-        node.request_table.update_endpoints(node.now(), EndpointListKind::Snapshot, Vec::new());
+        node.request_table
+            .update_endpoints(node.now(), EndpointListKind::Snapshot, Vec::new());
         node.news(known);
         node.carry_out();
         node
@@ -158,8 +163,13 @@
             return Duration::ZERO;
         }
         let stop = self.stopping.and_then(|stop| stop.next_due(self.now()));
-        let own = [self.request_table.next_deadline(), self.coordinator.next_due(), stop];
-        self.clock.until(own, [self.links.next_due(), self.http.next_deadline()])
+        let own = [
+            self.request_table.next_deadline(),
+            self.coordinator.next_due(),
+            stop,
+        ];
+        self.clock
+            .until(own, [self.links.next_due(), self.http.next_deadline()])
     }
 
     /// Works what the last wait of the loop brought, and all that is due.
@@ -197,8 +207,9 @@
         self.end_for_stop(now);
         if self.request_table.next_deadline().is_some_and(|at| at <= now) {
             let (attempts, links) = (&self.attempts, &self.links);
-            self.request_table
-                .due(now, |request, attempt| workers::has_left(attempts, links, request, attempt));
+            self.request_table.due(now, |request, attempt| {
+                workers::has_left(attempts, links, request, attempt)
+            });
             self.carry_out();
         }
         self.coordinator_due(now);
@@ -214,8 +225,10 @@
         }
         self.compared = now;
         let [clients, workers, lanes, on_sockets, open] = self.held();
-        let (at_request_table, request_table_open) =
-            (self.request_table.attempts_in_flight(), self.request_table.open_requests());
+        let (at_request_table, request_table_open) = (
+            self.request_table.attempts_in_flight(),
+            self.request_table.open_requests(),
+        );
         let (names, functions, module_open) = self.request_table.sizes();
         let up = self.request_table.workers_up();
         tracing::debug!(
@@ -248,17 +261,27 @@
 
     fn output(&mut self, output: Output<Rc<Work>>) {
         match output {
-            Output::StartAttempt { request, attempt, worker, function, wait, payload } => {
-                self.execute(request, attempt, &worker, function, wait, payload)
-            }
+            Output::StartAttempt {
+                request,
+                attempt,
+                worker,
+                function,
+                wait,
+                payload,
+            } => self.execute(request, attempt, &worker, function, wait, payload),
             Output::CancelAttempt { request, attempt } => self.give_up(request, attempt),
             Output::RecallAttempt { request, attempt } => self.recall(request, attempt),
-            Output::Respond { request, payload, answer } => self.final_answer(request, &payload, answer),
+            Output::Respond {
+                request,
+                payload,
+                answer,
+            } => self.final_answer(request, &payload, answer),
             Output::CloseIdle { worker } => self.close_idle(&worker),
             Output::Log { text } => tracing::info!(text, "decision"),
             // The platform's list comes on its own, and its settings allow neither orders nor probes.
             Output::CheckHealth { command, .. } | Output::Load { command, .. } => {
-                self.request_table.command_ended(self.now(), command, Outcome::NeverSent, 0, Vec::new());
+                self.request_table
+                    .command_ended(self.now(), command, Outcome::NeverSent, 0, Vec::new());
             }
             Output::RecallCommand { .. }
             | Output::AbandonCommand { .. }
@@ -271,13 +294,24 @@
 
     /// What its tables hold: clients, workers, lanes, attempts out, and requests open by their clients' ids.
     pub fn held(&self) -> [usize; 5] {
-        [self.clients, self.workers.len(), self.lanes, self.attempts.len(), self.open.len()]
+        [
+            self.clients,
+            self.workers.len(),
+            self.lanes,
+            self.attempts.len(),
+            self.open.len(),
+        ]
     }
 
     /// SIGTERM: whoever still comes is served, and the process ends once all is answered, before the kill is due.
     pub fn stop(&mut self) {
         if self.stopping.is_none() {
-            let limits = self.config.settings.request_classes.iter().map(|w| w.timeout.unwrap_or(MAX_LIMIT));
+            let limits = self
+                .config
+                .settings
+                .request_classes
+                .iter()
+                .map(|w| w.timeout.unwrap_or(MAX_LIMIT));
             let stop = Stop::new(self.now(), limits.max().unwrap_or(MAX_LIMIT));
             self.stopping = Some(stop);
             self.request_table.set_shutdown_deadline(stop.answered);
@@ -293,10 +327,14 @@
         if self.stopping.is_none_or(|stop| now < stop.answered) || self.request_table.open_requests() == 0 {
             return;
         }
-        tracing::info!(open = self.request_table.open_requests(), "no more time to stop: what is open ends");
+        tracing::info!(
+            open = self.request_table.open_requests(),
+            "no more time to stop: what is open ends"
+        );
         let (attempts, links) = (&self.attempts, &self.links);
-        self.request_table
-            .shut_down(now, |request, attempt| workers::has_left(attempts, links, request, attempt));
+        self.request_table.shut_down(now, |request, attempt| {
+            workers::has_left(attempts, links, request, attempt)
+        });
         self.carry_out();
     }
 
@@ -312,7 +350,10 @@
             Some(until) => self.clients == 0 || now >= until,
             None if served && self.is_quiet() => {
                 self.say_farewell();
-                self.stopping = Some(Stop { closes: Some((now + LINGER).min(stop.ends)), ..stop });
+                self.stopping = Some(Stop {
+                    closes: Some((now + LINGER).min(stop.ends)),
+                    ..stop
+                });
                 self.clients == 0
             }
             None => false,
@@ -322,7 +363,9 @@
     /// SIGHUP: the new configuration's coordinator from the next poll on; all else goes on as it was.
     pub fn reload(&mut self) {
         // Reading anything but a file could take for ever.
-        let file = std::fs::metadata(&self.path).map(|of| of.is_file()).unwrap_or(true);
+        let file = std::fs::metadata(&self.path)
+            .map(|of| of.is_file())
+            .unwrap_or(true);
         let read = match file {
             true => run::load(&self.path),
             false => Err("it is no regular file".to_owned()),
@@ -351,12 +394,22 @@
     fn new(now: Duration, longest: Duration) -> Stop {
         let kill = now + longest.min(MAX_LIMIT) + KILL;
         let answered = kill - SPARE;
-        Stop { stays: answered.min(now + STAY), answered, closes: None, ends: kill - SPARE / 2 }
+        Stop {
+            stays: answered.min(now + STAY),
+            answered,
+            closes: None,
+            ends: kill - SPARE / 2,
+        }
     }
 
     /// What the loop must wake for; a moment that has passed wakes nobody.
     fn next_due(&self, now: Duration) -> Option<Duration> {
-        let moments = [Some(self.stays), Some(self.answered), self.closes, Some(self.ends)];
+        let moments = [
+            Some(self.stays),
+            Some(self.answered),
+            self.closes,
+            Some(self.ends),
+        ];
         moments.into_iter().flatten().filter(|at| *at > now).min()
     }
 }
@@ -381,7 +434,14 @@
     #[test]
     fn a_stop_is_over_before_the_kill_whatever_the_time_limits_are() {
         let since = Duration::from_secs(5);
-        for (ms, kill) in [(0, 700), (1, 701), (500, 1200), (2000, 2700), (3000, 3700), (60_000, 3700)] {
+        for (ms, kill) in [
+            (0, 700),
+            (1, 701),
+            (500, 1200),
+            (2000, 2700),
+            (3000, 3700),
+            (60_000, 3700),
+        ] {
             let stop = Stop::new(since, Duration::from_millis(ms));
             assert!(stop.stays <= stop.answered && stop.answered < stop.ends);
             assert!(stop.ends < since + Duration::from_millis(kill), "{ms}");
--- a/crates/quartzdrift/src/platform/run.rs
+++ b/crates/quartzdrift/src/platform/run.rs
@@ -24,7 +24,9 @@
 
 /// What the file at `path` holds.
 pub(super) fn load(path: &Path) -> Result<Vec<u8>, String> {
-    std::fs::File::open(path).map_err(|e| e.to_string()).and_then(quartzdrift_platform::config::load)
+    std::fs::File::open(path)
+        .map_err(|e| e.to_string())
+        .and_then(quartzdrift_platform::config::load)
 }
 
 /// Serves by the configuration at `path`; `ready` is given the address that is listened at.
@@ -33,9 +35,15 @@
     let config = load(path).and_then(|bytes| quartzdrift_platform::config::read(&bytes));
     let mut config = config.map_err(|e| told(&e))?;
     // The system may grant fewer than the configuration tells, or than is taken where it tells none.
-    let granted = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |most| most as usize);
+    let granted = getrlimit(Resource::Nofile)
+        .current
+        .map_or(usize::MAX, |most| most as usize);
     if granted < config.sockets {
-        tracing::info!(told = config.sockets, granted, "fewer descriptors than the configuration allows");
+        tracing::info!(
+            told = config.sockets,
+            granted,
+            "fewer descriptors than the configuration allows"
+        );
         config.sockets = granted;
     }
     let mut event_loop = EventLoop::<Node>::try_new().map_err(io::Error::other)?;
@@ -44,7 +52,9 @@
         Signal::SIGHUP => node.reload(),
         _ => node.stop(),
     };
-    handle.insert_source(signals, signal).map_err(|e| io::Error::other(e.to_string()))?;
+    handle
+        .insert_source(signals, signal)
+        .map_err(|e| io::Error::other(e.to_string()))?;
     let (name, listen) = (config.name.clone(), config.listen);
     let mut node = Node::new(config, path.to_owned(), handle);
     let listener = quartzdrift_http::bind(listen, false)
@@ -54,7 +64,9 @@
     tracing::info!(name, %listen, "listening");
     ready(listen);
     while !node.stopped() {
-        event_loop.dispatch(node.until_next(), &mut node).map_err(io::Error::other)?;
+        event_loop
+            .dispatch(node.until_next(), &mut node)
+            .map_err(io::Error::other)?;
         node.turn();
     }
     tracing::info!(counts = ?node.counts, "stopped");
--- a/crates/quartzdrift/src/platform/workers.rs
+++ b/crates/quartzdrift/src/platform/workers.rs
@@ -61,7 +61,9 @@
 impl Lane {
     /// Where among its commands an attempt stands.
     fn place(&self, request: RequestId, attempt: u32) -> Option<usize> {
-        self.commands.iter().position(|c| (c.request, c.attempt) == (request, attempt))
+        self.commands
+            .iter()
+            .position(|c| (c.request, c.attempt) == (request, attempt))
     }
 }
 
@@ -89,8 +91,12 @@
     attempt: u32,
 ) -> bool {
     let link = attempts.get(&(request, attempt)).and_then(|&id| links.get(id));
-    let Some((link, Peer::Lane(lane))) = link.map(|link| (link, &link.state)) else { return true };
-    let Some(at) = lane.place(request, attempt) else { return true };
+    let Some((link, Peer::Lane(lane))) = link.map(|link| (link, &link.state)) else {
+        return true;
+    };
+    let Some(at) = lane.place(request, attempt) else {
+        return true;
+    };
     lane.commands[at].span.is_some_and(|(from, _)| from < link.left())
 }
 
@@ -103,27 +109,42 @@
         started: Option<Duration>,
     ) -> Vec<(RequestId, u32)> {
         let other = |of: &Worker| (of.address, of.started) != (address, started);
-        let before =
-            if self.workers.get(uid).is_some_and(other) { self.worker_gone(uid) } else { Vec::new() };
-        self.workers.entry(uid.into()).or_insert(Worker { address, started, lanes: Vec::new() });
+        let before = if self.workers.get(uid).is_some_and(other) {
+            self.worker_gone(uid)
+        } else {
+            Vec::new()
+        };
+        self.workers.entry(uid.into()).or_insert(Worker {
+            address,
+            started,
+            lanes: Vec::new(),
+        });
         before
     }
 
     /// Returns the attempts on lanes to the worker: what of them has left goes on to its end, the rest must be
     /// placed anew once the news is known.
     pub(super) fn worker_gone(&mut self, uid: &str) -> Vec<(RequestId, u32)> {
-        let Some(worker) = self.workers.remove(uid) else { return Vec::new() };
+        let Some(worker) = self.workers.remove(uid) else {
+            return Vec::new();
+        };
         let mut out = Vec::new();
         for id in worker.lanes {
             self.close_if_idle(id);
-            let of = lane(&mut self.links, id).into_iter().flat_map(|lane| &lane.commands);
+            let of = lane(&mut self.links, id)
+                .into_iter()
+                .flat_map(|lane| &lane.commands);
             out.extend(of.map(|command| (command.request, command.attempt)));
         }
         out
     }
 
     pub(super) fn close_idle(&mut self, worker: &str) {
-        let lanes = self.workers.get(worker).map(|worker| worker.lanes.clone()).unwrap_or_default();
+        let lanes = self
+            .workers
+            .get(worker)
+            .map(|worker| worker.lanes.clone())
+            .unwrap_or_default();
         lanes.into_iter().for_each(|id| self.close_if_idle(id));
     }
 
@@ -135,7 +156,9 @@
 
     /// Takes a lane out of all tables; what was on it is the caller's.
     fn close_lane(&mut self, id: LinkId) -> Vec<Command> {
-        let Some(Peer::Lane(lane)) = self.links.close(id) else { return Vec::new() };
+        let Some(Peer::Lane(lane)) = self.links.close(id) else {
+            return Vec::new();
+        };
         self.lanes -= 1;
         if let Some(worker) = self.workers.get_mut(&lane.worker) {
             worker.lanes.retain(|of| *of != id);
@@ -163,7 +186,15 @@
         self.counts.attempts += 1;
         tracing::trace!(request, attempt, %worker, %function, "execution sent");
         let until = now + wait;
-        let command = Command { request, attempt, function, until, work, lost: 0, span: None };
+        let command = Command {
+            request,
+            attempt,
+            function,
+            until,
+            work,
+            lost: 0,
+            span: None,
+        };
         self.send(worker, command);
     }
 
@@ -203,7 +234,9 @@
 
     /// Asks a lane whether it works: until it says so nothing is written to it that might run.
     fn prove_lane(&mut self, id: LinkId, ask: u64) {
-        let Some(of) = lane(&mut self.links, id) else { return };
+        let Some(of) = lane(&mut self.links, id) else {
+            return;
+        };
         of.stage = Stage::Proving;
         if let Some(output) = self.links.output(id) {
             frame::write(output, frame::FROM_SCHEDULER, frame::ASK_ALIVE, ask, b"", b"");
@@ -229,10 +262,14 @@
             let of = self.workers.get(worker).ok_or(Cut::NotConnected)?;
             let (address, ids) = (of.address, of.lanes.clone());
             let seen = |id: &LinkId| match self.links.get(*id).map(|link| &link.state) {
-                Some(Peer::Lane(lane)) if !lane.carried.contains(&wanted) => {
-                    lanes::Lane { open: lane.commands.len(), up: lane.stage == Stage::Up }
-                }
-                Some(Peer::Lane(_) | Peer::Client(_)) | None => lanes::Lane { open: usize::MAX, up: false },
+                Some(Peer::Lane(lane)) if !lane.carried.contains(&wanted) => lanes::Lane {
+                    open: lane.commands.len(),
+                    up: lane.stage == Stage::Up,
+                },
+                Some(Peer::Lane(_) | Peer::Client(_)) | None => lanes::Lane {
+                    open: usize::MAX,
+                    up: false,
+                },
             };
             let seen: Vec<lanes::Lane> = ids.iter().map(seen).collect();
             let room = || self.lanes < self.budget.workers || self.spare_lane(worker);
@@ -241,7 +278,11 @@
                     // One that the worker has closed meanwhile looks writable: what is sent there would be in doubt.
                     if seen[at].open == 0 && seen[at].up {
                         self.links.look(ids[at]);
-                        if self.links.get(ids[at]).is_none_or(|link| link.ended() || !link.input.is_empty()) {
+                        if self
+                            .links
+                            .get(ids[at])
+                            .is_none_or(|link| link.ended() || !link.input.is_empty())
+                        {
                             self.close_lane(ids[at]);
                             continue;
                         }
@@ -251,8 +292,17 @@
                 Choice::Connect => {
                     let (worker, stage, rests) = (worker.clone(), Stage::Connecting, Duration::ZERO);
                     let (commands, carried) = (Vec::new(), VecDeque::new());
-                    let lane = Lane { worker: worker.clone(), stage, rests, commands, carried };
-                    let id = self.links.connect(address, Peer::Lane(lane)).map_err(|e| not_begun(&e))?;
+                    let lane = Lane {
+                        worker: worker.clone(),
+                        stage,
+                        rests,
+                        commands,
+                        carried,
+                    };
+                    let id = self
+                        .links
+                        .connect(address, Peer::Lane(lane))
+                        .map_err(|e| not_begun(&e))?;
                     self.lanes += 1;
                     self.counts.lanes += 1;
                     self.links.set_deadline(id, Some(self.connect_timeout()));
@@ -275,7 +325,9 @@
             }
             Peer::Client(_) => None,
         };
-        let Some((_, id)) = self.links.iter().filter_map(rests).min() else { return false };
+        let Some((_, id)) = self.links.iter().filter_map(rests).min() else {
+            return false;
+        };
         self.close_lane(id);
         true
     }
@@ -285,13 +337,27 @@
         if self.take_back(request, attempt) {
             return;
         }
-        let Some(id) = self.attempts.remove(&(request, attempt)) else { return };
-        let Some(lane) = lane(&mut self.links, id) else { return };
-        let Some(command) = lane.place(request, attempt).map(|at| lane.commands.swap_remove(at)) else {
+        let Some(id) = self.attempts.remove(&(request, attempt)) else {
+            return;
+        };
+        let Some(lane) = lane(&mut self.links, id) else {
+            return;
+        };
+        let Some(command) = lane
+            .place(request, attempt)
+            .map(|at| lane.commands.swap_remove(at))
+        else {
             return;
         };
         if let Some(output) = self.links.output(id) {
-            frame::write(output, frame::FROM_SCHEDULER, frame::GIVE_UP, command.work.id, b"", b"");
+            frame::write(
+                output,
+                frame::FROM_SCHEDULER,
+                frame::GIVE_UP,
+                command.work.id,
+                b"",
+                b"",
+            );
         }
         self.rest_lane(id);
     }
@@ -299,10 +365,18 @@
     /// Takes an attempt off its lane if it cannot have reached its worker: nothing of it has left, or a part, and
     /// its lane, which then is of no further use, carries nothing else.
     pub(super) fn take_back(&mut self, request: RequestId, attempt: u32) -> bool {
-        let Some(&id) = self.attempts.get(&(request, attempt)) else { return false };
-        let Some(link) = self.links.get_mut(id) else { return false };
-        let Peer::Lane(lane) = &link.state else { return false };
-        let Some(at) = lane.place(request, attempt) else { return false };
+        let Some(&id) = self.attempts.get(&(request, attempt)) else {
+            return false;
+        };
+        let Some(link) = self.links.get_mut(id) else {
+            return false;
+        };
+        let Peer::Lane(lane) = &link.state else {
+            return false;
+        };
+        let Some(at) = lane.place(request, attempt) else {
+            return false;
+        };
         let (span, alone) = (lane.commands[at].span, lane.commands.len() == 1);
         if span.is_some_and(|(from, to)| !link.take_back(from, to)) {
             let partly = span.is_some_and(|(_, to)| link.left() < to);
@@ -316,8 +390,14 @@
             lane.commands.swap_remove(at);
             // On a link that broke nothing moves up: all that waited was dropped.
             let span = span.filter(|_| !broken);
-            for (from, to) in lane.commands.iter_mut().filter_map(|command| command.span.as_mut()) {
-                let taken = span.filter(|span| span.0 < *from).map_or(0, |span| span.1 - span.0);
+            for (from, to) in lane
+                .commands
+                .iter_mut()
+                .filter_map(|command| command.span.as_mut())
+            {
+                let taken = span
+                    .filter(|span| span.0 < *from)
+                    .map_or(0, |span| span.1 - span.0);
                 (*from, *to) = (*from - taken, *to - taken);
             }
         }
@@ -336,15 +416,25 @@
     fn rest_lane(&mut self, id: LinkId) {
         let now = self.now();
         let rests = |lane: &&mut Lane| lane.stage == Stage::Up && lane.commands.is_empty();
-        let Some(of) = lane(&mut self.links, id).filter(rests) else { return };
+        let Some(of) = lane(&mut self.links, id).filter(rests) else {
+            return;
+        };
         of.rests = now;
-        let listed = self.workers.get(&of.worker).is_some_and(|worker| worker.lanes.contains(&id));
+        let listed = self
+            .workers
+            .get(&of.worker)
+            .is_some_and(|worker| worker.lanes.contains(&id));
         if !listed {
             self.links.flush_one(id);
             self.close_lane(id);
             return;
         }
-        let keep = self.config.settings.allowed.keepalive.unwrap_or(DEFAULT_KEEPALIVE);
+        let keep = self
+            .config
+            .settings
+            .allowed
+            .keepalive
+            .unwrap_or(DEFAULT_KEEPALIVE);
         self.links.set_deadline(id, Some(keep.mul_f64(KEEPALIVE_PART)));
     }
 
@@ -392,13 +482,16 @@
             }
             tracing::debug!(request = command.request, %worker, ?how, "lane lost under an execution");
             let ended = AttemptResult::silent(proof::cut(how));
-            self.request_table.attempt_ended(self.now(), command.request, command.attempt, ended);
+            self.request_table
+                .attempt_ended(self.now(), command.request, command.attempt, ended);
         }
         self.carry_out();
     }
 
     pub(super) fn drive_lane(&mut self, id: LinkId) {
-        let Some(of) = lane(&mut self.links, id) else { return };
+        let Some(of) = lane(&mut self.links, id) else {
+            return;
+        };
         if of.stage == Stage::Connecting {
             match self.links.connected(id) {
                 Some(Ok(())) => self.lane_up(id),
@@ -420,7 +513,9 @@
     fn lane_up(&mut self, id: LinkId) {
         self.links.set_deadline(id, None);
         let now = self.now();
-        let Some(of) = lane(&mut self.links, id) else { return };
+        let Some(of) = lane(&mut self.links, id) else {
+            return;
+        };
         of.stage = Stage::Up;
         let mut commands = std::mem::take(&mut of.commands);
         for command in &mut commands {
@@ -436,7 +531,9 @@
     /// Reads all answers that are whole.
     fn answers(&mut self, id: LinkId) {
         let mut ended = Vec::new();
-        let Some(link) = self.links.get_mut(id) else { return };
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
         let left = link.left();
         let Peer::Lane(of) = &mut link.state else { return };
         let (mut used, mut proved) = (0, false);
@@ -462,7 +559,12 @@
             let body = (answer.code == Code::Done).then(|| answer.body.to_vec());
             ended.push((
                 command,
-                AttemptResult { outcome, cache_result: CacheResult::Unknown, concurrency: None, report },
+                AttemptResult {
+                    outcome,
+                    cache_result: CacheResult::Unknown,
+                    concurrency: None,
+                    report,
+                },
                 body,
             ));
         };
@@ -475,7 +577,8 @@
                 self.rest_lane(id);
             }
             self.in_hand = body.map(|body| (command.request, body));
-            self.request_table.attempt_ended(self.now(), command.request, command.attempt, end);
+            self.request_table
+                .attempt_ended(self.now(), command.request, command.attempt, end);
             self.carry_out();
             self.in_hand = None;
         }
@@ -507,13 +610,29 @@
     command: &mut Command,
     now: Duration,
 ) {
-    let Some(from) = links.get(id).map(Link::end) else { return };
+    let Some(from) = links.get(id).map(Link::end) else {
+        return;
+    };
     let left = command.until.saturating_sub(now).as_millis().max(1);
     let (code, work) = (frame::EXECUTE, &command.work);
-    let replay = work.idempotency_key.as_ref().map(|of| format!(",replay={of}")).unwrap_or_default();
-    let fields = format!("profile={request_class},thing={}{replay},max={left}", command.function);
+    let replay = work
+        .idempotency_key
+        .as_ref()
+        .map(|of| format!(",replay={of}"))
+        .unwrap_or_default();
+    let fields = format!(
+        "profile={request_class},thing={}{replay},max={left}",
+        command.function
+    );
     let Some(output) = links.output(id) else { return };
-    frame::write(output, frame::FROM_SCHEDULER, code, work.id, fields.as_bytes(), &work.body);
+    frame::write(
+        output,
+        frame::FROM_SCHEDULER,
+        code,
+        work.id,
+        fields.as_bytes(),
+        &work.body,
+    );
     command.span = links.get(id).map(|link| (from, link.end()));
     if let Some(lane) = lane(links, id) {
         lane.carried.truncate(MAX_CARRIED - 1);
--- a/crates/quartzdrift/src/record.rs
+++ b/crates/quartzdrift/src/record.rs
@@ -47,7 +47,9 @@
                 tracing::error!(error = %e, "the end of the trace was not written");
             }
         };
-        let thread = std::thread::Builder::new().name("recorder".to_owned()).spawn(work)?;
+        let thread = std::thread::Builder::new()
+            .name("recorder".to_owned())
+            .spawn(work)?;
         Ok(Recorder {
             sender: Some(sender),
             thread: Some(thread),
@@ -103,7 +105,10 @@
             drop(thread.join());
         }
         if self.left_out > 0 {
-            tracing::warn!(lines = self.left_out, "lines of the trace were left out: the disk was too slow");
+            tracing::warn!(
+                lines = self.left_out,
+                "lines of the trace were left out: the disk was too slow"
+            );
         }
     }
 }
@@ -116,15 +121,28 @@
     fn a_trace_is_bounded_and_hides_names() {
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("trace.jsonl");
-        let record = Record { file: file.clone(), bytes: 600, hash_names: true };
+        let record = Record {
+            file: file.clone(),
+            bytes: 600,
+            hash_names: true,
+        };
         let mut recorder = Recorder::start(&record).unwrap();
         for n in 0..100 {
-            recorder.request(Duration::from_millis(1000 + n), "secret", 1, 0, Duration::from_secs(3));
+            recorder.request(
+                Duration::from_millis(1000 + n),
+                "secret",
+                1,
+                0,
+                Duration::from_secs(3),
+            );
         }
         drop(recorder);
         let text = std::fs::read_to_string(file).unwrap();
         assert!(text.len() <= 600 && text.lines().count() >= 4 && !text.contains("secret"));
         let first: serde_json::Value = serde_json::from_str(text.lines().next().unwrap()).unwrap();
-        assert_eq!((first["at_us"].as_u64(), first["left_us"].as_u64()), (Some(0), Some(3_000_000)));
+        assert_eq!(
+            (first["at_us"].as_u64(), first["left_us"].as_u64()),
+            (Some(0), Some(3_000_000))
+        );
     }
 }
--- a/crates/quartzdrift/src/saved.rs
+++ b/crates/quartzdrift/src/saved.rs
@@ -40,7 +40,10 @@
         Some(at) if seal(&bytes[..at]) == bytes[at..] => bytes.truncate(at),
         None if !must => {}
         Some(_) | None => {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "it is damaged or cut short"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "it is damaged or cut short",
+            ));
         }
     }
     Ok(bytes)
@@ -98,7 +101,9 @@
                 while held.next.is_empty() && !held.stop {
                     held = bell.wait(held).unwrap_or_else(PoisonError::into_inner);
                 }
-                let Some((name, bytes)) = held.next.pop_first() else { return };
+                let Some((name, bytes)) = held.next.pop_first() else {
+                    return;
+                };
                 drop(held);
                 if let Err(e) = write(&folder, name, &bytes) {
                     tracing::error!(folder = %folder.display(), name, error = %e, "what is to outlast the process was not saved");
@@ -106,13 +111,20 @@
             }
         };
         let thread = std::thread::Builder::new().name("saver".to_owned()).spawn(work)?;
-        Ok(Saver { shared, thread: Some(thread) })
+        Ok(Saver {
+            shared,
+            thread: Some(thread),
+        })
     }
 
     /// Has `bytes` written soon, in place of what still waits under this name.
     pub fn save(&self, name: &'static str, bytes: Vec<u8>) {
         let (place, bell) = &*self.shared;
-        place.lock().unwrap_or_else(PoisonError::into_inner).next.insert(name, bytes);
+        place
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .next
+            .insert(name, bytes);
         bell.notify_one();
     }
 }
@@ -163,6 +175,9 @@
         (0..100).for_each(|n| saver.save(WORKERS, format!("[{n}]").into_bytes()));
         saver.save(FORECASTS, b"other".to_vec());
         drop(saver);
-        assert_eq!(last(&folder.path().join("state"), WORKERS).unwrap().unwrap(), b"[99]");
+        assert_eq!(
+            last(&folder.path().join("state"), WORKERS).unwrap().unwrap(),
+            b"[99]"
+        );
     }
 }
--- a/crates/quartzdrift/src/serve.rs
+++ b/crates/quartzdrift/src/serve.rs
@@ -18,7 +18,9 @@
 pub fn announce(addresses: &[std::net::SocketAddr]) {
     let mut out = io::stdout();
     // Whoever started it may not listen, and it serves all the same.
-    let _ = addresses.iter().try_for_each(|at| writeln!(out, "quartzdrift listens at http://{at}"));
+    let _ = addresses
+        .iter()
+        .try_for_each(|at| writeln!(out, "quartzdrift listens at http://{at}"));
     let _ = out.flush();
 }
 
@@ -32,7 +34,9 @@
     let mut event_loop = EventLoop::<Gateway>::try_new().map_err(io::Error::other)?;
     let handle = event_loop.handle();
     let stop = |_, _: &mut (), gateway: &mut Gateway| gateway.stop();
-    handle.insert_source(signals, stop).map_err(|e| io::Error::other(e.to_string()))?;
+    handle
+        .insert_source(signals, stop)
+        .map_err(|e| io::Error::other(e.to_string()))?;
     let (listen, share_port) = (settings.listen.clone(), settings.share_port);
     let mut gateway = Gateway::new(settings, handle)?;
     let mut addresses = Vec::new();
@@ -45,13 +49,17 @@
     tracing::info!(?addresses, "listening");
     ready(&addresses);
     while !gateway.stopped() {
-        event_loop.dispatch(gateway.until_next(), &mut gateway).map_err(io::Error::other)?;
+        event_loop
+            .dispatch(gateway.until_next(), &mut gateway)
+            .map_err(io::Error::other)?;
         gateway.turn();
     }
     gateway.finish();
     let until = Instant::now() + LAST_ANSWERS;
     while gateway.unsent() && Instant::now() < until {
-        event_loop.dispatch(Duration::from_millis(10), &mut gateway).map_err(io::Error::other)?;
+        event_loop
+            .dispatch(Duration::from_millis(10), &mut gateway)
+            .map_err(io::Error::other)?;
         gateway.last_words();
     }
     Ok(())
--- a/crates/quartzdrift/src/settings/check.rs
+++ b/crates/quartzdrift/src/settings/check.rs
@@ -22,7 +22,12 @@
 impl Faults<'_> {
     fn add(&mut self, at: Range<usize>, what: impl Into<String>, mend: impl Into<String>) {
         let line = line_of(self.text, at.start);
-        self.found.push(Fault { file: self.file.to_owned(), line, what: what.into(), mend: mend.into() });
+        self.found.push(Fault {
+            file: self.file.to_owned(),
+            line,
+            what: what.into(),
+            mend: mend.into(),
+        });
     }
 
     /// Where a table begins, by its header.
@@ -43,16 +48,25 @@
             let rest = line.trim_start().strip_prefix(key);
             rest.is_some_and(|rest| rest.trim_start().starts_with('='))
         };
-        let at = line.skip(1).take_while(|(_, l)| !l.trim_start().starts_with('[')).find(|(_, l)| is_key(l));
+        let at = line
+            .skip(1)
+            .take_while(|(_, l)| !l.trim_start().starts_with('['))
+            .find(|(_, l)| is_key(l));
         let at = at.map_or(from, |(at, _)| at);
         at..at
     }
 }
 
 fn url(told: &str) -> Result<(SocketAddr, String), String> {
-    let rest = told.strip_prefix("http://").ok_or("it does not begin with http://")?;
+    let rest = told
+        .strip_prefix("http://")
+        .ok_or("it does not begin with http://")?;
     let at = rest.find('/').unwrap_or(rest.len());
-    let target = if at == rest.len() { "/".to_owned() } else { rest[at..].to_owned() };
+    let target = if at == rest.len() {
+        "/".to_owned()
+    } else {
+        rest[at..].to_owned()
+    };
     Ok((list::address(&rest[..at])?, target))
 }
 
@@ -62,7 +76,11 @@
 }
 
 pub fn check(file: &str, text: &str, raw: &File) -> Result<Settings, Vec<Fault>> {
-    let mut faults = Faults { file, text, found: Vec::new() };
+    let mut faults = Faults {
+        file,
+        text,
+        found: Vec::new(),
+    };
     let scheduler = raw.scheduler();
     let listen = listen(raw, &mut faults);
     request_classes(raw, &mut faults);
@@ -70,29 +88,59 @@
     tenants(raw, &mut faults);
     limits(raw, &mut faults);
     let functions = functions(raw, &scheduler, &mut faults);
-    let known = Known { zones: raw.scheduler.zones.clone(), kinds: raw.scheduler.kinds.clone() };
+    let known = Known {
+        zones: raw.scheduler.zones.clone(),
+        kinds: raw.scheduler.kinds.clone(),
+    };
     let workers = workers(raw, &known, &mut faults);
     let discovery = discovery(raw, &mut faults);
     if workers.is_empty() && raw.discovery.is_none() && raw.gateway.state.is_none() {
         let mend = "add [[workers]] with an address, or [roster] with a url";
-        faults.add(faults.table("gateway"), "no worker is named and no roster that names any", mend);
+        faults.add(
+            faults.table("gateway"),
+            "no worker is named and no roster that names any",
+            mend,
+        );
     }
     let default_function = raw.gateway.default_request_class.as_ref().and_then(|told| {
         let request_class = request_class_named(raw, told.get_ref());
         if request_class.is_none() {
             let mend = format!("name one of: {}", names(raw));
-            faults.add(told.span(), format!("there is no workload '{}'", told.get_ref()), mend);
+            faults.add(
+                told.span(),
+                format!("there is no workload '{}'", told.get_ref()),
+                mend,
+            );
         }
-        request_class.map(|request_class| Rc::new(Function { request_class, ..Function::default() }))
+        request_class.map(|request_class| {
+            Rc::new(Function {
+                request_class,
+                ..Function::default()
+            })
+        })
     });
     let timers = timers(raw, &functions, default_function.is_some(), &mut faults);
-    let on_success = to(&raw.asynchronous.on_success, raw, faults.table("deferred"), &mut faults);
-    let on_failure = to(&raw.asynchronous.on_failure, raw, faults.table("deferred"), &mut faults);
+    let on_success = to(
+        &raw.asynchronous.on_success,
+        raw,
+        faults.table("deferred"),
+        &mut faults,
+    );
+    let on_failure = to(
+        &raw.asynchronous.on_failure,
+        raw,
+        faults.table("deferred"),
+        &mut faults,
+    );
     let asynchronous = asynchronous(raw, &mut faults);
     let forecasts = forecasts(raw, &mut faults);
     let fleet = fleet(raw, &mut faults);
     recovery(raw, &mut faults);
-    if raw.record.as_ref().is_some_and(|record| record.file.is_empty() || record.bytes == 0) {
+    if raw
+        .record
+        .as_ref()
+        .is_some_and(|record| record.file.is_empty() || record.bytes == 0)
+    {
         faults.add(
             faults.table("record"),
             "a trace needs a file and room",
@@ -101,7 +149,11 @@
     }
     if let Err(e) = tracing_subscriber::EnvFilter::try_new(&raw.log.filter) {
         let mend = "write a level like \"info\", or \"info,quartzdrift=debug\"";
-        faults.add(faults.key("log", "filter"), format!("the log filter cannot be read: {e}"), mend);
+        faults.add(
+            faults.key("log", "filter"),
+            format!("the log filter cannot be read: {e}"),
+            mend,
+        );
     }
     if !faults.found.is_empty() {
         faults.found.sort_by_key(|fault| fault.line);
@@ -117,7 +169,12 @@
         drain: raw.gateway.drain.0,
         require_json: raw.gateway.require_json,
         tenant_field: raw.gateway.tenant_field.as_ref().map(|f| f.to_ascii_lowercase()),
-        tenants: raw.tenants.iter().zip(0..).map(|(c, at)| (c.get_ref().name.clone(), at)).collect(),
+        tenants: raw
+            .tenants
+            .iter()
+            .zip(0..)
+            .map(|(c, at)| (c.get_ref().name.clone(), at))
+            .collect(),
         functions,
         default_function,
         limits: Limits {
@@ -131,7 +188,10 @@
             send: span(limit.send, defaults.send),
             keepalive: raw.allowed.keepalive.0,
         },
-        log: Log { json: raw.log.form == super::raw::LogForm::Json, filter: raw.log.filter.clone() },
+        log: Log {
+            json: raw.log.form == super::raw::LogForm::Json,
+            filter: raw.log.filter.clone(),
+        },
         scheduler,
         metrics: raw.reports.fields.iter().map(|m| m.metric.clone()).collect(),
         connect_timeout: raw.allowed.connect_timeout.0,
@@ -171,7 +231,9 @@
     let key = hex::decode(text.trim()).map_err(|e| format!("the key file '{path}' holds no key: {e}"))?;
     match key.len() {
         MIN_KEY.. => Ok(key),
-        bytes => Err(format!("the key in '{path}' has {bytes} bytes; it can be guessed")),
+        bytes => Err(format!(
+            "the key in '{path}' has {bytes} bytes; it can be guessed"
+        )),
     }
 }
 
@@ -201,7 +263,11 @@
     let most = quartzdrift_membership::wire::MAX_NAME;
     if told.name.is_empty() || told.name.len() > most {
         let mend = format!("write a name of 1 to {most} bytes that no other scheduler has");
-        faults.add(faults.key("fleet", "name"), "the scheduler has no usable name", mend);
+        faults.add(
+            faults.key("fleet", "name"),
+            "the scheduler has no usable name",
+            mend,
+        );
     }
     if told.cluster.is_empty() {
         faults.add(
@@ -222,7 +288,11 @@
     let seeds: Vec<SocketAddr> = told.seeds.iter().filter_map(&mut address).collect();
     if advertise.is_some_and(|at| at.ip().is_unspecified()) {
         let mend = "add advertise = with the address that others reach it by";
-        faults.add(told.listen.span(), "others cannot reach a member at an unspecified address", mend);
+        faults.add(
+            told.listen.span(),
+            "others cannot reach a member at an unspecified address",
+            mend,
+        );
     }
     if told.keys.is_empty() || told.keys.len() > 2 {
         let what = format!("{} keys are told", told.keys.len());
@@ -243,7 +313,11 @@
     let probe_timeout = told.probe_timeout.map_or(period.mul_f64(0.3), |span| span.0);
     if period < Duration::from_millis(10) || probe_timeout.is_zero() || probe_timeout * 2 > period {
         let mend = "write a period of 10ms or more, and a probe_timeout of half of it at most";
-        faults.add(faults.key("fleet", "period"), "period and probe_timeout do not fit together", mend);
+        faults.add(
+            faults.key("fleet", "period"),
+            "period and probe_timeout do not fit together",
+            mend,
+        );
     }
     let datagram_most = told.datagram_bytes.unwrap_or(defaults.datagram_most);
     if !(512..=2048).contains(&datagram_most) {
@@ -273,7 +347,11 @@
         members_most,
         ..defaults
     };
-    Some(super::Fleet { members, listen: listen?, silent: told.silent.0 })
+    Some(super::Fleet {
+        members,
+        listen: listen?,
+        silent: told.silent.0,
+    })
 }
 
 fn forecasts(raw: &File, faults: &mut Faults) -> Option<super::Forecasts> {
@@ -286,24 +364,47 @@
         );
     }
     if told.every.0 < Duration::from_secs(1) {
-        faults.add(faults.key("forecasts", "every"), "every is under a second", "write \"60s\" or so");
+        faults.add(
+            faults.key("forecasts", "every"),
+            "every is under a second",
+            "write \"60s\" or so",
+        );
     }
-    if told.seasons.len() > 2 || told.seasons.iter().any(|season| season.0 < Duration::from_secs(60)) {
+    if told.seasons.len() > 2
+        || told
+            .seasons
+            .iter()
+            .any(|season| season.0 < Duration::from_secs(60))
+    {
         let mend = "write two spans of a minute or more at most, like [\"1d\", \"7d\"]";
-        faults.add(faults.key("forecasts", "seasons"), "there are too many seasons, or too short ones", mend);
+        faults.add(
+            faults.key("forecasts", "seasons"),
+            "there are too many seasons, or too short ones",
+            mend,
+        );
     }
     if !raw.copies.load_commands {
         let mend = "write orders = true under [copies], or leave [forecasts] out";
-        faults.add(faults.table("forecasts"), "forecasts are kept, but load orders are not allowed", mend);
+        faults.add(
+            faults.table("forecasts"),
+            "forecasts are kept, but load orders are not allowed",
+            mend,
+        );
     }
-    let keep = raw.copies.keep.map_or(quartzdrift_forecast::Settings::default().keep, |keep| keep.0);
+    let keep = raw
+        .copies
+        .keep
+        .map_or(quartzdrift_forecast::Settings::default().keep, |keep| keep.0);
     let settings = quartzdrift_forecast::Settings {
         functions: told.functions,
         keep,
         seasons: told.seasons.iter().map(|season| season.0).collect(),
         ..quartzdrift_forecast::Settings::default()
     };
-    Some(super::Forecasts { settings, every: told.every.0 })
+    Some(super::Forecasts {
+        settings,
+        every: told.every.0,
+    })
 }
 
 fn listen(raw: &File, faults: &mut Faults) -> Vec<SocketAddr> {
@@ -325,11 +426,18 @@
 }
 
 fn names(raw: &File) -> String {
-    raw.request_classes.iter().map(|w| w.get_ref().name.as_str()).collect::<Vec<_>>().join(", ")
+    raw.request_classes
+        .iter()
+        .map(|w| w.get_ref().name.as_str())
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 fn request_class_named(raw: &File, name: &str) -> Option<u32> {
-    raw.request_classes.iter().position(|w| w.get_ref().name == name).map(|at| at as u32)
+    raw.request_classes
+        .iter()
+        .position(|w| w.get_ref().name == name)
+        .map(|at| at as u32)
 }
 
 fn request_classes(raw: &File, faults: &mut Faults) {
@@ -342,15 +450,24 @@
         let mut fault = |what: &str, mend: &str| {
             faults.add(span.clone(), format!("workload '{}': {what}", w.name), mend);
         };
-        if raw.request_classes[..at].iter().any(|before| before.get_ref().name == w.name) {
+        if raw.request_classes[..at]
+            .iter()
+            .any(|before| before.get_ref().name == w.name)
+        {
             fault("the name stands twice", "give each workload a name of its own");
         }
         if w.timeout.0 <= raw.rules.answer_slack.0 + raw.allowed.connect_timeout.0 {
             let mend = "make time_limit longer, or rules.answer_slack or allowed.connect_timeout shorter";
-            fault("its time limit is not longer than the answer slack and a connect time-out together", mend);
+            fault(
+                "its time limit is not longer than the answer slack and a connect time-out together",
+                mend,
+            );
         }
         if w.latency_objective.is_some_and(|target| target > w.timeout) {
-            fault("its start target is past its time limit", "make start_target no longer than time_limit");
+            fault(
+                "its start target is past its time limit",
+                "make start_target no longer than time_limit",
+            );
         }
         let keyed = w.idempotency == Idempotency::IdempotentWithKey;
         if keyed && w.window.is_none_or(|window| window.0.is_zero()) {
@@ -366,7 +483,10 @@
             );
         }
         if !keyed && (w.window.is_some() || w.deduplication_scope.is_some()) {
-            fault("group and window say nothing unless it is fingerprinted", "remove them, or change effect");
+            fault(
+                "group and window say nothing unless it is fingerprinted",
+                "remove them, or change effect",
+            );
         }
         let share = |told: Option<f64>| told.is_some_and(|n| !(0.0..=1.0).contains(&n));
         if share(w.late_weight) {
@@ -386,10 +506,18 @@
         ("fall_multiple", rules.fall_multiple.is_some()),
         ("fall_window", rules.fall_window.is_some()),
     ];
-    let missing: Vec<&str> = cold.iter().filter(|(_, told)| !told).map(|(name, _)| *name).collect();
+    let missing: Vec<&str> = cold
+        .iter()
+        .filter(|(_, told)| !told)
+        .map(|(name, _)| *name)
+        .collect();
     if !missing.is_empty() && missing.len() < cold.len() {
         let mend = format!("add {}, or leave all four out", missing.join(", "));
-        faults.add(faults.table("rules"), "the rule for cold workers is told in part", mend);
+        faults.add(
+            faults.table("rules"),
+            "the rule for cold workers is told in part",
+            mend,
+        );
     }
     if rules.cold_from.is_some_and(|from| !(from > 0.0 && from <= 1.0)) {
         let mend =
@@ -411,17 +539,28 @@
     ];
     if load.contains(&true) && load.contains(&false) {
         let mend = "tell load_free, load_share and load_window, or none of them";
-        faults.add(faults.table("copies"), "the ration of load orders is told in part", mend);
+        faults.add(
+            faults.table("copies"),
+            "the ration of load orders is told in part",
+            mend,
+        );
     }
     let kinds = raw.scheduler.kinds.len().max(1);
     if !copies.memory_mb_by_kind.is_empty() && copies.memory_mb_by_kind.len() != kinds {
-        let what = format!("memory is told for {} kinds of {kinds}", copies.memory_mb_by_kind.len());
+        let what = format!(
+            "memory is told for {} kinds of {kinds}",
+            copies.memory_mb_by_kind.len()
+        );
         let mend = "write one figure for each of scheduler.kinds";
         faults.add(faults.key("copies", "memory_mb_by_kind"), what, mend);
     }
     if raw.allowed.max_attempts == Some(0) {
         let mend = "write 1 for no further executions";
-        faults.add(faults.key("allowed", "max_executions"), "no execution is allowed at all", mend);
+        faults.add(
+            faults.key("allowed", "max_executions"),
+            "no execution is allowed at all",
+            mend,
+        );
     }
     if raw.allowed.connect_timeout.0.is_zero() {
         faults.add(
@@ -435,24 +574,39 @@
         && me >= all
     {
         let mend = "number the schedulers from 0 to one less than scheduler.schedulers";
-        faults.add(faults.key("scheduler", "me"), format!("me is {me} of {all} schedulers"), mend);
+        faults.add(
+            faults.key("scheduler", "me"),
+            format!("me is {me} of {all} schedulers"),
+            mend,
+        );
     }
     if let Some(zone) = &scheduler.zone
         && !scheduler.zones.contains(zone.get_ref())
     {
         let mend = format!("name one of scheduler.zones: {}", scheduler.zones.join(", "));
-        faults.add(zone.span(), format!("there is no zone '{}'", zone.get_ref()), mend);
+        faults.add(
+            zone.span(),
+            format!("there is no zone '{}'", zone.get_ref()),
+            mend,
+        );
     }
     if matches!(raw.reports.source, super::raw::ReportSource::Silent) && !raw.reports.fields.is_empty() {
         let mend = "write source = \"answers\", or leave the fields out";
-        faults.add(faults.table("reports"), "fields of reports are told, but no source of them", mend);
+        faults.add(
+            faults.table("reports"),
+            "fields of reports are told, but no source of them",
+            mend,
+        );
     }
 }
 
 fn tenants(raw: &File, faults: &mut Faults) {
     for (at, told) in raw.tenants.iter().enumerate() {
         let tenant = told.get_ref();
-        if raw.tenants[..at].iter().any(|before| before.get_ref().name == tenant.name) {
+        if raw.tenants[..at]
+            .iter()
+            .any(|before| before.get_ref().name == tenant.name)
+        {
             let what = format!("customer '{}' stands twice", tenant.name);
             faults.add(told.span(), what, "give each customer a name of its own");
         }
@@ -464,7 +618,11 @@
     let all: f64 = raw.tenants.iter().filter_map(|c| c.get_ref().share).sum();
     if all > 1.001 {
         let at = raw.tenants.first().map_or(0..0, |c| c.span());
-        faults.add(at, format!("the customers' shares come to {all:.3}"), "make them come to 1 at most");
+        faults.add(
+            at,
+            format!("the customers' shares come to {all:.3}"),
+            "make them come to 1 at most",
+        );
     }
     if raw.gateway.tenant_field.is_some() && raw.tenants.is_empty() {
         let mend = "add [[customers]], or leave customer_field out";
@@ -493,18 +651,32 @@
             );
         }
     }
-    for (name, told) in [("receive", limits.receive), ("idle", limits.idle), ("send", limits.send)] {
+    for (name, told) in [
+        ("receive", limits.receive),
+        ("idle", limits.idle),
+        ("send", limits.send),
+    ] {
         if told.is_some_and(|span| span.0.is_zero()) {
-            faults.add(faults.key("limits", name), format!("{name} is zero"), "write a span like \"20s\"");
+            faults.add(
+                faults.key("limits", name),
+                format!("{name} is zero"),
+                "write a span like \"20s\"",
+            );
         }
     }
 }
 
 fn to(told: &Option<To>, raw: &File, at: Range<usize>, faults: &mut Faults) -> Option<Destination> {
     match told.as_ref()? {
-        To { function: Some(name), url: None } => {
+        To {
+            function: Some(name),
+            url: None,
+        } => {
             let plain = name.split(':').next().unwrap_or(name);
-            let named = raw.functions.iter().any(|f| f.get_ref().name == *name || f.get_ref().name == plain);
+            let named = raw
+                .functions
+                .iter()
+                .any(|f| f.get_ref().name == *name || f.get_ref().name == plain);
             if !named && raw.gateway.default_request_class.is_none() {
                 faults.add(
                     at,
@@ -514,9 +686,16 @@
             }
             Some(Destination::Function(name.clone()))
         }
-        To { function: None, url: Some(told) } => {
+        To {
+            function: None,
+            url: Some(told),
+        } => {
             if let Err(why) = url(told) {
-                faults.add(at, format!("destination: {why}"), "write it like \"http://127.0.0.1:8080/path\"");
+                faults.add(
+                    at,
+                    format!("destination: {why}"),
+                    "write it like \"http://127.0.0.1:8080/path\"",
+                );
             }
             Some(Destination::Url(told.clone()))
         }
@@ -538,26 +717,49 @@
         let (span, f) = (told.span(), told.get_ref());
         if quartzdrift_invoke::name::FunctionName::parse(&f.name).is_err() {
             let what = format!("'{}' is no function's name", f.name);
-            faults.add(span.clone(), what, "use letters, digits, '-' and '_', and ':' before a version");
+            faults.add(
+                span.clone(),
+                what,
+                "use letters, digits, '-' and '_', and ':' before a version",
+            );
         }
         let Some(request_class) = request_class_named(raw, &f.request_class) else {
             let mend = format!("name one of: {}", names(raw));
             faults.add(
                 span,
-                format!("function '{}': there is no workload '{}'", f.name, f.request_class),
+                format!(
+                    "function '{}': there is no workload '{}'",
+                    f.name, f.request_class
+                ),
                 mend,
             );
             continue;
         };
-        let most = scheduler.copies.memory_mb_by_kind.iter().copied().fold(f64::NAN, f64::max);
+        let most = scheduler
+            .copies
+            .memory_mb_by_kind
+            .iter()
+            .copied()
+            .fold(f64::NAN, f64::max);
         if f.memory_mb.is_some_and(|mb| mb > most) {
-            let what = format!("function '{}': no kind of worker has the memory for a copy", f.name);
-            faults.add(span.clone(), what, format!("the largest has {most} MB: make memory_mb smaller"));
+            let what = format!(
+                "function '{}': no kind of worker has the memory for a copy",
+                f.name
+            );
+            faults.add(
+                span.clone(),
+                what,
+                format!("the largest has {most} MB: make memory_mb smaller"),
+            );
         }
         if f.concurrency_slots
             .is_some_and(|concurrency_slots| !(concurrency_slots >= 1.0 && concurrency_slots.is_finite()))
         {
-            faults.add(span.clone(), format!("function '{}': lanes is below 1", f.name), "write 1 or more");
+            faults.add(
+                span.clone(),
+                format!("function '{}': lanes is below 1", f.name),
+                "write 1 or more",
+            );
         }
         let on_success = to(&f.on_success, raw, span.clone(), faults);
         let on_failure = to(&f.on_failure, raw, span.clone(), faults);
@@ -572,7 +774,11 @@
             on_failure,
         };
         if all.insert(f.name.clone(), Rc::new(function)).is_some() {
-            faults.add(span, format!("function '{}' stands twice", f.name), "remove one of them");
+            faults.add(
+                span,
+                format!("function '{}' stands twice", f.name),
+                "remove one of them",
+            );
         }
     }
     if raw.functions.is_empty()
@@ -606,9 +812,19 @@
             Ok(address) => {
                 let worker = address.to_string();
                 if all.iter().any(|one| one.worker == worker) {
-                    faults.add(told.span(), format!("worker {worker} stands twice"), "remove one of them");
+                    faults.add(
+                        told.span(),
+                        format!("worker {worker} stands twice"),
+                        "remove one of them",
+                    );
                 }
-                all.push(Listed { zone, kind, cell: w.cell, capacity: w.capacity, ..Listed::up(&worker) });
+                all.push(Listed {
+                    zone,
+                    kind,
+                    cell: w.cell,
+                    capacity: w.capacity,
+                    ..Listed::up(&worker)
+                });
             }
             Err(why) => faults.add(told.span(), why, "write it like \"127.0.0.1:9801\""),
         }
@@ -619,18 +835,36 @@
 fn discovery(raw: &File, faults: &mut Faults) -> Option<Discovery> {
     let told = raw.discovery.as_ref()?;
     if told.every.0 < Duration::from_millis(50) {
-        faults.add(faults.key("roster", "every"), "the list is asked for too often", "write 50ms or more");
+        faults.add(
+            faults.key("roster", "every"),
+            "the list is asked for too often",
+            "write 50ms or more",
+        );
     }
     if told.timeout.0.is_zero() {
-        faults.add(faults.key("roster", "timeout"), "timeout is zero", "write \"2s\" or so");
+        faults.add(
+            faults.key("roster", "timeout"),
+            "timeout is zero",
+            "write \"2s\" or so",
+        );
     }
     match url(told.url.get_ref()) {
         Ok((address, target)) => {
             let (stream, every, timeout) = (told.stream, told.every.0, told.timeout.0);
-            Some(Discovery { address, target, stream, every, timeout })
+            Some(Discovery {
+                address,
+                target,
+                stream,
+                every,
+                timeout,
+            })
         }
         Err(why) => {
-            faults.add(told.url.span(), why, "write it like \"http://127.0.0.1:9800/workers\"");
+            faults.add(
+                told.url.span(),
+                why,
+                "write it like \"http://127.0.0.1:9800/workers\"",
+            );
             None
         }
     }
@@ -646,15 +880,27 @@
         );
     }
     if told.out == 0 {
-        faults.add(faults.key("deferred", "out"), "no deferred job may be out", "write a number over 0");
+        faults.add(
+            faults.key("deferred", "out"),
+            "no deferred job may be out",
+            "write a number over 0",
+        );
     }
     if told.store.is_none() && told.answer == super::raw::Answer::Early {
         let mend = "name a folder in store, or leave answer out";
-        faults.add(faults.key("deferred", "answer"), "answer says nothing without a store", mend);
+        faults.add(
+            faults.key("deferred", "answer"),
+            "answer says nothing without a store",
+            mend,
+        );
     }
     if told.wait > told.longest_wait {
         let mend = "make longest_wait no shorter than wait";
-        faults.add(faults.key("deferred", "wait"), "the first wait is longer than the longest", mend);
+        faults.add(
+            faults.key("deferred", "wait"),
+            "the first wait is longer than the longest",
+            mend,
+        );
     }
     Waits {
         tries: told.tries,
@@ -698,7 +944,9 @@
             .map_err(|why| faults.add(span.clone(), why, "write like \"*/5 * * * *\""));
         let zone = quartzdrift_schedules::zone(&t.zone)
             .map_err(|why| faults.add(span.clone(), why, "write like \"Europe/Amsterdam\" or \"UTC\""));
-        let (Ok(cron), Ok(zone)) = (cron, zone) else { continue };
+        let (Ok(cron), Ok(zone)) = (cron, zone) else {
+            continue;
+        };
         let timer = Timer {
             name: t.name.clone(),
             function: t.function.clone(),
--- a/crates/quartzdrift/src/settings/mod.rs
+++ b/crates/quartzdrift/src/settings/mod.rs
@@ -150,7 +150,12 @@
     let text = std::fs::read_to_string(path).map_err(|e| {
         let mend =
             "name a settings file that can be read; 'quartzdrift serve --help' shows a small one".to_owned();
-        vec![Fault { file: name.clone(), line: 0, what: format!("cannot be read: {e}"), mend }]
+        vec![Fault {
+            file: name.clone(),
+            line: 0,
+            what: format!("cannot be read: {e}"),
+            mend,
+        }]
     })?;
     read(&name, &text)
 }
@@ -160,7 +165,12 @@
     let raw: raw::File = toml::from_str(text).map_err(|e| {
         let line = e.span().map_or(0, |span| line_of(text, span.start));
         let (what, mend) = said(e.message());
-        vec![Fault { file: file.to_owned(), line, what, mend }]
+        vec![Fault {
+            file: file.to_owned(),
+            line,
+            what,
+            mend,
+        }]
     })?;
     check::check(file, text, &raw)
 }
@@ -204,11 +214,17 @@
         assert_eq!(wrong(whole, ""), Vec::<String>::new());
         for part in ["group = \"zone\"\n", "window = \"5s\""] {
             let told = wrong(&whole.replace(part, ""), "");
-            assert!(matches!(&told[..], [one] if one.contains("is not told")), "{part}: {told:?}");
+            assert!(
+                matches!(&told[..], [one] if one.contains("is not told")),
+                "{part}: {told:?}"
+            );
         }
         for part in ["[rules]\ncold_for = \"9s\"", "[copies]\nload_free = 6.0"] {
             let told = wrong("effect = \"restartable\"", part);
-            assert!(matches!(&told[..], [one] if one.contains("in part")), "{part}: {told:?}");
+            assert!(
+                matches!(&told[..], [one] if one.contains("in part")),
+                "{part}: {told:?}"
+            );
         }
     }
 }
--- a/crates/quartzdrift/src/settings/raw.rs
+++ b/crates/quartzdrift/src/settings/raw.rs
@@ -247,7 +247,10 @@
 
 impl Default for Log {
     fn default() -> Log {
-        Log { form: LogForm::Text, filter: "info".to_owned() }
+        Log {
+            form: LogForm::Text,
+            filter: "info".to_owned(),
+        }
     }
 }
 
@@ -683,7 +686,11 @@
     pub fn scheduler(&self) -> scheduler::Settings {
         let (scheduler, allowed) = (self.scheduler.clone(), &self.allowed);
         let zone = scheduler.zone.as_ref().and_then(|told| {
-            scheduler.zones.iter().position(|zone| zone == told.get_ref()).map(|at| at as u32)
+            scheduler
+                .zones
+                .iter()
+                .position(|zone| zone == told.get_ref())
+                .map(|at| at as u32)
         });
         let request_class = |w: &Spanned<RequestClass>| {
             let w = w.get_ref();
@@ -705,8 +712,16 @@
             }
         };
         let tenant = |c: &Spanned<Tenant>| {
-            let Tenant { name, share, requests_per_second } = c.get_ref().clone();
-            scheduler::Tenant { name, share, requests_per_second }
+            let Tenant {
+                name,
+                share,
+                requests_per_second,
+            } = c.get_ref().clone();
+            scheduler::Tenant {
+                name,
+                share,
+                requests_per_second,
+            }
         };
         scheduler::Settings {
             me: scheduler.me,
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -25,7 +25,11 @@
 fn is_written_again(name: &str, content: &[u8]) {
     let folder = tempfile::tempdir().unwrap();
     saved::write(folder.path(), name, content).unwrap();
-    assert_eq!(fs::read(folder.path().join(name)).unwrap(), fs::read(stored().join(name)).unwrap(), "{name}");
+    assert_eq!(
+        fs::read(folder.path().join(name)).unwrap(),
+        fs::read(stored().join(name)).unwrap(),
+        "{name}"
+    );
 }
 
 /// Whether two texts have the same keys in the same places, and values that are equal but for rounding.
@@ -33,7 +37,9 @@
     match (one, other) {
         (Value::Object(one), Value::Object(other)) => {
             one.len() == other.len()
-                && one.iter().all(|(key, of)| other.get(key).is_some_and(|to| alike(of, to)))
+                && one
+                    .iter()
+                    .all(|(key, of)| other.get(key).is_some_and(|to| alike(of, to)))
         }
         (Value::Array(one), Value::Array(other)) => {
             one.len() == other.len() && one.iter().zip(other).all(|(one, other)| alike(one, other))
@@ -59,7 +65,11 @@
         .iter()
         .map(|live| {
             let kept = durable::kept(live).expect("it is of this release's form");
-            assert_eq!(kept.request.to_bytes(), live.request, "written again it is the same");
+            assert_eq!(
+                kept.request.to_bytes(),
+                live.request,
+                "written again it is the same"
+            );
             (
                 kept.id.0,
                 kept.request.function.clone(),
@@ -84,9 +94,18 @@
         ]
     );
     let requests: Vec<_> = read.into_iter().map(|(.., request)| request).collect();
-    assert_eq!(requests[0].on_failure, Some(Destination::Url("http://127.0.0.1:19999/dead".to_owned())));
-    assert_eq!(requests[1].on_failure, Some(Destination::Function("dead".to_owned())));
-    assert_eq!((requests[3].mark.as_deref(), requests[3].window), (Some("k-1"), Duration::from_secs(60)));
+    assert_eq!(
+        requests[0].on_failure,
+        Some(Destination::Url("http://127.0.0.1:19999/dead".to_owned()))
+    );
+    assert_eq!(
+        requests[1].on_failure,
+        Some(Destination::Function("dead".to_owned()))
+    );
+    assert_eq!(
+        (requests[3].mark.as_deref(), requests[3].window),
+        (Some("k-1"), Duration::from_secs(60))
+    );
     assert_eq!(&requests[2].payload[..], br#"{"n":3}"#);
     // It goes on where the old process ended.
     let (mut log, live) = Log::open(Folder::open(folder.path()).unwrap_or_else(|e| panic!("{e}"))).unwrap();
@@ -98,15 +117,21 @@
 
 #[test]
 fn the_list_of_workers_is_read() {
-    let known =
-        Known { zones: vec!["east".into(), "west".into()], kinds: vec!["large".into(), "small".into()] };
+    let known = Known {
+        zones: vec!["east".into(), "west".into()],
+        kinds: vec!["large".into(), "small".into()],
+    };
     let bytes = fs::read(stored().join(saved::WORKERS)).unwrap();
     let list = list::read(&bytes, &known).unwrap();
     assert!(list.unread.is_empty() && list.workers.len() == 2, "{list:?}");
     let (one, two) = (&list.workers[0], &list.workers[1]);
     assert_eq!(
         (&*one.worker, one.state, one.started),
-        ("127.0.0.1:19801", EndpointState::Up, Some(Duration::from_millis(1_796_190_000_250)))
+        (
+            "127.0.0.1:19801",
+            EndpointState::Up,
+            Some(Duration::from_millis(1_796_190_000_250))
+        )
     );
     assert_eq!(
         (two.state, two.zone, two.kind, two.cell, two.capacity),
@@ -119,15 +144,28 @@
 #[test]
 fn members_checkpoint_and_stages_are_read_and_written_again() {
     let members: quartzdrift::gateway::fleet::View = serde_json::from_slice(&last(saved::MEMBERS)).unwrap();
-    assert_eq!((&*members.name, members.schedulers, &*members.members[0].name), ("a", 2, "b"));
+    assert_eq!(
+        (&*members.name, members.schedulers, &*members.members[0].name),
+        ("a", 2, "b")
+    );
     is_written_again(saved::MEMBERS, &serde_json::to_vec_pretty(&members).unwrap());
     let mark: Mark = serde_json::from_slice(&last(saved::MARK)).unwrap();
-    assert_eq!((&*mark.name, mark.starts, mark.clean, mark.settled, mark.notes), ("a", 1, false, true, 4));
-    assert_eq!((mark.at.since_boot, mark.seen["b"]), (Duration::from_millis(831_480), 1));
+    assert_eq!(
+        (&*mark.name, mark.starts, mark.clean, mark.settled, mark.notes),
+        ("a", 1, false, true, 4)
+    );
+    assert_eq!(
+        (mark.at.since_boot, mark.seen["b"]),
+        (Duration::from_millis(831_480), 1)
+    );
     is_written_again(saved::MARK, &serde_json::to_vec(&mark).unwrap());
     let view: View = serde_json::from_slice(&last(saved::STAGES)).unwrap();
     assert_eq!(
-        (view.stage, view.verdict.as_ref().map(|of| of.kind), view.beliefs.len()),
+        (
+            view.stage,
+            view.verdict.as_ref().map(|of| of.kind),
+            view.beliefs.len()
+        ),
         (Stage::Full, Some(Kind::First), 7)
     );
     is_written_again(saved::STAGES, &serde_json::to_vec_pretty(&view).unwrap());
@@ -156,24 +194,48 @@
 #[test]
 fn every_key_of_a_settings_file_is_known() {
     let settings = quartzdrift::settings::load(&stored().join("settings.toml")).unwrap_or_else(|faults| {
-        panic!("{}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+        panic!(
+            "{}",
+            faults
+                .iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>()
+                .join("\n")
+        )
     });
-    let idempotency_kinds: Vec<Idempotency> =
-        settings.scheduler.request_classes.iter().map(|class| class.idempotency).collect();
+    let idempotency_kinds: Vec<Idempotency> = settings
+        .scheduler
+        .request_classes
+        .iter()
+        .map(|class| class.idempotency)
+        .collect();
     assert_eq!(
         idempotency_kinds,
-        [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent]
+        [
+            Idempotency::Idempotent,
+            Idempotency::IdempotentWithKey,
+            Idempotency::NonIdempotent
+        ]
     );
     assert_eq!(
-        (settings.scheduler.allowed.max_attempts, settings.scheduler.report_fields.len()),
+        (
+            settings.scheduler.allowed.max_attempts,
+            settings.scheduler.report_fields.len()
+        ),
         (Some(2), 8)
     );
     assert_eq!(
-        (settings.scheduler.copies.load_commands, settings.scheduler.copies.load_quota_share),
+        (
+            settings.scheduler.copies.load_commands,
+            settings.scheduler.copies.load_quota_share
+        ),
         (true, Some(0.1))
     );
     assert_eq!(
-        (settings.scheduler.over_quota_weight, settings.scheduler.goal.worst_tenant),
+        (
+            settings.scheduler.over_quota_weight,
+            settings.scheduler.goal.worst_tenant
+        ),
         (Some(0.05), 0.1)
     );
 }
