--- a/crates/quartzdrift-lab/src/stage.rs
+++ b/crates/quartzdrift-lab/src/stage.rs
@@ -172,7 +172,7 @@
         ask(front, 1, &asked("/do/once", id));
         let (lane, ..) = serve(&mut self.workers[0], front, b"");
         let answered = Instant::now();
-        while answered.elapsed() < quartzdrift_platform::lanes::FRESH * 2 {
+        while answered.elapsed() < quartzdrift_platform::connection_choice::MAX_UNVERIFIED_IDLE * 2 {
             assert_eq!(check(front), 200);
         }
         lane
--- a/crates/quartzdrift-lab/tests/platform.rs
+++ b/crates/quartzdrift-lab/tests/platform.rs
@@ -568,7 +568,7 @@
             assert!([200, 503].contains(&reply.status), "{reply:?}");
         }
     });
-    let at_rest = |node: &Node| matches!(node.held(), [0, 1, 0..=2, 0, 0]);
+    let at_rest = |node: &Node| matches!(node.held_counts(), [0, 1, 0..=2, 0, 0]);
     while !(replacing.is_finished() && asking.is_finished() && at_rest(&node)) {
         event_loop.dispatch(node.until_next(), &mut node).unwrap();
         node.turn();
--- a/crates/quartzdrift-platform/src/proof.rs
+++ b/crates/quartzdrift-platform/src/attempt_outcome.rs
@@ -1,6 +1,6 @@
 //! What each end on a worker's connection proves.
 //!
-//! | seen | may it have run? | told to the module as |
+//! | seen | may it have run? | told to the scheduler as |
 //! | --- | --- | --- |
 //! | code 64 | it ran | finished |
 //! | code 66 | never | miss |
@@ -8,7 +8,7 @@
 //! | code 68 | it may have | error |
 //! | code 69 | never | moot |
 //! | connection refused, or not there in time | never | connect failed |
-//! | no connection left to us, on any lane | never | full |
+//! | no connection left to us, on any connection | never | full |
 //! | connection reset while it came up, or ended with the command not whole on it | never | sent again on another, then moot |
 //! | connection ended, the command whole on it | it may have | reset |
 //! | bytes on it that cannot be read | it may have, all that is open on it | reset |
@@ -18,19 +18,19 @@
 
 /// How an attempt's connection ended under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum ConnectionLoss {
     /// Refused, or not there in time: the worker is down or cut off.
     NotConnected,
     /// It never had one: all that we may hold are in use. For us the worker is full, and otherwise as it was.
-    NoLane,
+    NoConnectionLeft,
     /// Not the whole command had left: no worker can have read it.
-    Unsent,
+    NotSent,
     /// The whole command had left.
     Sent,
 }
 
 /// What an answer proves; `None` for one that speaks of the connection alone.
-pub fn answered(code: Code) -> Option<Outcome> {
+pub fn from_answer(code: Code) -> Option<Outcome> {
     match code {
         Code::Done => Some(Outcome::Succeeded),
         Code::Miss => Some(Outcome::CacheMiss),
@@ -42,13 +42,13 @@
 }
 
 /// What the end of a connection proves of an attempt on it.
-pub fn cut(how: Cut) -> Outcome {
+pub fn from_loss(how: ConnectionLoss) -> Outcome {
     match how {
-        Cut::NotConnected => Outcome::ConnectFailed,
-        Cut::NoLane => Outcome::AtCapacity,
+        ConnectionLoss::NotConnected => Outcome::ConnectFailed,
+        ConnectionLoss::NoConnectionLeft => Outcome::AtCapacity,
         // The worker took the connection, so it is not down.
-        Cut::Unsent => Outcome::NeverSent,
-        Cut::Sent => Outcome::Reset,
+        ConnectionLoss::NotSent => Outcome::NeverSent,
+        ConnectionLoss::Sent => Outcome::Reset,
     }
 }
 
@@ -66,18 +66,24 @@
         ];
         for code in [Code::Miss, Code::Full, Code::Over] {
             assert!(
-                answered(code).is_some_and(|outcome| harmless.contains(&outcome)),
+                from_answer(code).is_some_and(|outcome| harmless.contains(&outcome)),
                 "{code:?}"
             );
         }
-        assert_eq!(answered(Code::Error), Some(Outcome::Error));
-        assert_eq!(answered(Code::Alive), None);
+        assert_eq!(from_answer(Code::Error), Some(Outcome::Error));
+        assert_eq!(from_answer(Code::Alive), None);
         assert_eq!(
-            (cut(Cut::Unsent), cut(Cut::Sent)),
+            (
+                from_loss(ConnectionLoss::NotSent),
+                from_loss(ConnectionLoss::Sent)
+            ),
             (Outcome::NeverSent, Outcome::Reset)
         );
         assert_eq!(
-            (cut(Cut::NotConnected), cut(Cut::NoLane)),
+            (
+                from_loss(ConnectionLoss::NotConnected),
+                from_loss(ConnectionLoss::NoConnectionLeft)
+            ),
             (Outcome::ConnectFailed, Outcome::AtCapacity)
         );
     }
--- a/crates/quartzdrift-platform/src/config.rs
+++ b/crates/quartzdrift-platform/src/config.rs
@@ -1,5 +1,5 @@
 //! The configuration that the platform gives a scheduler.
-use crate::coordinator::News;
+use crate::coordinator::WatchResponse;
 use serde::Deserialize;
 use serde_json::Value;
 use std::io::Read as _;
@@ -30,7 +30,7 @@
     limits: Option<Limits>,
     coordinator: SocketAddr,
     #[serde(default)]
-    known: News,
+    known: WatchResponse,
     settings: Value,
 }
 
@@ -42,7 +42,7 @@
     pub seed: u64,
     pub sockets: usize,
     pub coordinator: SocketAddr,
-    pub known: News,
+    pub known: WatchResponse,
     pub settings: quartzdrift_scheduler::interface::Settings,
 }
 
--- /dev/null
+++ b/crates/quartzdrift-platform/src/connection_choice.rs
@@ -0,0 +1,93 @@
+//! Which connection to a worker carries an attempt.
+//!
+//! Whatever spoils a connection puts all that is open on it in doubt, so each attempt has one to itself while
+//! descriptors last; beyond that they are shared, the least used one first.
+use std::time::Duration;
+
+/// For so long a connection that has just worked is taken to work. Hosts, and whatever is between them, forget idle
+/// connections sooner than they say, and a command written to one of those is in doubt, not refused: a question
+/// that can run nothing is cheaper.
+pub const MAX_UNVERIFIED_IDLE: Duration = Duration::from_millis(20);
+
+/// Whether a connection that has been idle for so long must prove that it works before it carries a command.
+pub fn needs_verification(idle: Duration) -> bool {
+    idle >= MAX_UNVERIFIED_IDLE
+}
+
+/// A connection as the choice sees it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionState {
+    /// Attempts open on it.
+    pub open: usize,
+    /// It has come up.
+    pub up: bool,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionChoice {
+    /// The connection at this place.
+    Use(usize),
+    /// A new connection.
+    Connect,
+    /// All are full, and none may be added.
+    Full,
+}
+
+/// Chooses among a worker's connections. `streams`: attempts that one carries at most; `may_connect`: a descriptor is
+/// left for one more, or can be won; asked only where a new connection is wanted.
+pub fn choose(
+    connections: &[ConnectionState],
+    streams: usize,
+    may_connect: impl FnOnce() -> bool,
+) -> ConnectionChoice {
+    let free = connections
+        .iter()
+        .enumerate()
+        .filter(|(_, connection)| connection.open < streams);
+    // Of equally used ones the one that is up, so that nobody waits for a handshake without need.
+    match free.min_by_key(|(_, connection)| (connection.open, !connection.up)) {
+        Some((at, connection)) if connection.open == 0 => ConnectionChoice::Use(at),
+        least_used => match (may_connect(), least_used) {
+            (true, _) => ConnectionChoice::Connect,
+            (false, Some((at, _))) => ConnectionChoice::Use(at),
+            (false, None) => ConnectionChoice::Full,
+        },
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    #[test]
+    fn each_has_its_own_while_descriptors_last() {
+        let connection = |open, up| ConnectionState { open, up };
+        assert_eq!(choose(&[], 32, || true), ConnectionChoice::Connect);
+        assert_eq!(
+            choose(
+                &[connection(1, true), connection(0, false), connection(0, true)],
+                32,
+                || true
+            ),
+            ConnectionChoice::Use(2)
+        );
+        assert_eq!(
+            choose(&[connection(1, true)], 32, || true),
+            ConnectionChoice::Connect
+        );
+        assert_eq!(
+            choose(&[connection(3, true), connection(2, true)], 32, || false),
+            ConnectionChoice::Use(1)
+        );
+        assert_eq!(
+            choose(&[connection(32, true)], 32, || false),
+            ConnectionChoice::Full
+        );
+        // Nobody gives up a connection for a worker that has an idle one.
+        let asked = || panic!("room is asked for without need");
+        assert_eq!(
+            choose(&[connection(1, true), connection(0, true)], 32, asked),
+            ConnectionChoice::Use(1)
+        );
+    }
+}
--- a/crates/quartzdrift-platform/src/coordinator.rs
+++ b/crates/quartzdrift-platform/src/coordinator.rs
@@ -14,7 +14,7 @@
 
 /// What a call to the coordinator brings.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct News {
+pub struct WatchResponse {
     /// The last event there is; `None` where that is not told.
     #[serde(default)]
     pub index: Option<u64>,
@@ -53,22 +53,22 @@
 
 /// A worker as an event tells of it, under its uid, and where it stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct EndpointUpdate {
     pub listed: Listed,
     pub address: Option<SocketAddr>,
 }
 
 /// What one event changes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct EndpointChange {
     /// Whoever is not named has left.
     pub all: bool,
-    pub workers: Vec<Told>,
+    pub workers: Vec<EndpointUpdate>,
 }
 
-/// Why news is not believed; the list as it is stays.
+/// Why an update is not believed; the list as it is stays.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Doubt {
+pub enum WatchError {
     Unreadable(String),
     /// Events between ours and the first that came are missing.
     Gap {
@@ -76,7 +76,7 @@
         got: u64,
     },
     /// Whoever tells knows fewer events than we do: numbers do not start over while a scheduler lives.
-    Behind {
+    Stale {
         have: u64,
         got: u64,
     },
@@ -84,18 +84,19 @@
 
 /// Which event was the last one.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Follower {
+pub struct EndpointWatch {
     last: u64,
 }
 
 /// Places that no list names are numbered from here on; a list of names is far shorter.
-const NAMELESS: u32 = 1 << 16;
+const FIRST_UNLISTED_PLACE: u32 = 1 << 16;
 
 /// A place by its name or number. One that no list names is none of those on it, and the same name is the same
 /// place; where nothing is told, `of` is a place of its own. Rules that hold within a place then bind most.
 fn place(value: &Value, names: &[String], of: &str) -> u32 {
-    let known = |at: &u64| *at < u64::from(NAMELESS) && (names.is_empty() || *at < names.len() as u64);
-    let told = match value {
+    let known =
+        |at: &u64| *at < u64::from(FIRST_UNLISTED_PLACE) && (names.is_empty() || *at < names.len() as u64);
+    let resolved = match value {
         Value::String(name) => names
             .iter()
             .position(|known| known == name)
@@ -104,12 +105,12 @@
         Value::Null => Err(format!("of {of}")),
         other => other.as_u64().filter(known).ok_or(other.to_string()),
     };
-    match told {
+    match resolved {
         Ok(at) => at as u32,
         Err(name) => {
             let mut hasher = DefaultHasher::new();
             name.hash(&mut hasher);
-            NAMELESS | hasher.finish() as u32
+            FIRST_UNLISTED_PLACE | hasher.finish() as u32
         }
     }
 }
@@ -117,7 +118,7 @@
 /// A kind of machine: all that no list names are one kind, since nothing but measures tells them apart.
 fn kind(value: &Value, names: &[String]) -> u32 {
     let most = if names.is_empty() {
-        NAMELESS
+        FIRST_UNLISTED_PLACE
     } else {
         names.len() as u32
     };
@@ -128,7 +129,7 @@
 }
 
 impl Target {
-    fn told(self, zones: &[String], kinds: &[String]) -> Told {
+    fn resolved(self, zones: &[String], kinds: &[String]) -> EndpointUpdate {
         let state = match self.state.as_str() {
             "Ready" => EndpointState::Up,
             "Gone" => EndpointState::Gone,
@@ -145,26 +146,32 @@
             worker: self.uid,
             state,
         };
-        Told {
+        EndpointUpdate {
             listed,
             address: self.endpoint,
         }
     }
 }
 
-impl Follower {
+impl EndpointWatch {
     /// Number of the last event, to follow from.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// Reads an answer of the coordinator; see [`Follower::take`].
-    pub fn read(&mut self, body: &[u8], zones: &[String], kinds: &[String]) -> Result<Vec<Change>, Doubt> {
-        let news: News = serde_json::from_slice(body).map_err(|e| Doubt::Unreadable(e.to_string()))?;
-        let (have, got) = (self.last, news.index.unwrap_or(u64::MAX));
-        let changes = self.take(news, zones, kinds)?;
+    /// Reads an answer of the coordinator; see [`EndpointWatch::take`].
+    pub fn read(
+        &mut self,
+        body: &[u8],
+        zones: &[String],
+        kinds: &[String],
+    ) -> Result<Vec<EndpointChange>, WatchError> {
+        let response: WatchResponse =
+            serde_json::from_slice(body).map_err(|e| WatchError::Unreadable(e.to_string()))?;
+        let (have, got) = (self.last, response.index.unwrap_or(u64::MAX));
+        let changes = self.take(response, zones, kinds)?;
         if self.last == have && got < have {
-            Err(Doubt::Behind { have, got })
+            Err(WatchError::Stale { have, got })
         } else {
             Ok(changes)
         }
@@ -172,15 +179,20 @@
 
     /// What has changed since the last event. Events that are known already are passed over; where one is missing
     /// nothing is taken, since later ones only tell of changes.
-    pub fn take(&mut self, news: News, zones: &[String], kinds: &[String]) -> Result<Vec<Change>, Doubt> {
+    pub fn take(
+        &mut self,
+        response: WatchResponse,
+        zones: &[String],
+        kinds: &[String],
+    ) -> Result<Vec<EndpointChange>, WatchError> {
         let (mut last, mut changes) = (self.last, Vec::new());
-        for update in news.updates {
+        for update in response.updates {
             let whole = update.endpoints.as_ref().is_some_and(|endpoints| endpoints.all);
             if update.index <= last {
                 continue;
             }
             if update.index > last + 1 && !whole {
-                return Err(Doubt::Gap {
+                return Err(WatchError::Gap {
                     have: last,
                     got: update.index,
                 });
@@ -190,13 +202,13 @@
                 continue;
             };
             if targets.len() > MAX_TARGETS {
-                return Err(Doubt::Unreadable("too many workers in an event".to_owned()));
+                return Err(WatchError::Unreadable("too many workers in an event".to_owned()));
             }
             let workers = targets
                 .into_iter()
-                .map(|target| target.told(zones, kinds))
+                .map(|target| target.resolved(zones, kinds))
                 .collect();
-            changes.push(Change { all, workers });
+            changes.push(EndpointChange { all, workers });
         }
         self.last = last;
         Ok(changes)
@@ -224,12 +236,12 @@
         format!(r#"{{"index":{index},"endpoints":{{"rev":1,"all":{all},"targets":[{targets}]}}}}"#)
     }
 
-    fn news(last: u64, events: &[String]) -> Vec<u8> {
+    fn response(last: u64, events: &[String]) -> Vec<u8> {
         format!(r#"{{"index":{last},"updates":[{}]}}"#, events.join(",")).into_bytes()
     }
 
-    fn read(follower: &mut Follower, body: &[u8]) -> Result<Vec<Change>, Doubt> {
-        follower.read(
+    fn read(watch: &mut EndpointWatch, body: &[u8]) -> Result<Vec<EndpointChange>, WatchError> {
+        watch.read(
             body,
             &["west".to_owned(), "east".to_owned()],
             &["std".to_owned(), "big".to_owned()],
@@ -238,123 +250,127 @@
 
     #[test]
     fn events_are_taken_in_their_order_and_once() {
-        let mut follower = Follower::default();
+        let mut watch = EndpointWatch::default();
         let first = event(1, true, &[("a", "127.0.0.1:1", "Ready")]);
         let second = event(
             2,
             false,
             &[("a", "127.0.0.1:1", "Terminating"), ("b", "127.0.0.1:1", "Ready")],
         );
-        let changes = read(&mut follower, &news(1, std::slice::from_ref(&first))).unwrap();
+        let changes = read(&mut watch, &response(1, std::slice::from_ref(&first))).unwrap();
         assert!(changes[0].all);
         let a = &changes[0].workers[0].listed;
         assert_eq!((a.zone, a.kind, a.cell, a.state), (1, 1, 2, EndpointState::Up));
         assert_eq!(a.started, Some(Duration::from_millis(1500)));
-        let changes = read(&mut follower, &news(2, &[first, second])).unwrap();
+        let changes = read(&mut watch, &response(2, &[first, second])).unwrap();
         assert_eq!(changes.len(), 1);
         let states: Vec<(&str, EndpointState)> = changes[0]
             .workers
             .iter()
-            .map(|told| (&told.listed.worker[..], told.listed.state))
+            .map(|resolved| (&resolved.listed.worker[..], resolved.listed.state))
             .collect();
         assert_eq!(states, [("a", EndpointState::Draining), ("b", EndpointState::Up)]);
-        assert_eq!(follower.last(), 2);
+        assert_eq!(watch.last(), 2);
     }
 
     #[test]
     fn a_gap_or_half_an_answer_changes_nothing() {
-        let mut follower = Follower::default();
-        read(&mut follower, &news(1, &[event(1, true, &[])])).unwrap();
+        let mut watch = EndpointWatch::default();
+        read(&mut watch, &response(1, &[event(1, true, &[])])).unwrap();
         let (two, four) = (
             event(2, false, &[("a", "127.0.0.1:1", "Ready")]),
             event(4, false, &[]),
         );
-        let whole = news(4, &[two, four]);
-        assert_eq!(read(&mut follower, &whole), Err(Doubt::Gap { have: 2, got: 4 }));
+        let whole = response(4, &[two, four]);
+        assert_eq!(read(&mut watch, &whole), Err(WatchError::Gap { have: 2, got: 4 }));
         for cut in [0, 1, whole.len() / 2, whole.len() - 1] {
             assert!(
-                matches!(read(&mut follower, &whole[..cut]), Err(Doubt::Unreadable(_))),
+                matches!(read(&mut watch, &whole[..cut]), Err(WatchError::Unreadable(_))),
                 "{cut}"
             );
         }
-        assert_eq!(follower.last(), 1);
+        assert_eq!(watch.last(), 1);
         // The whole list mends a gap.
         let again = read(
-            &mut follower,
-            &news(7, &[event(7, true, &[("c", "127.0.0.1:3", "Ready")])]),
+            &mut watch,
+            &response(7, &[event(7, true, &[("c", "127.0.0.1:3", "Ready")])]),
         )
         .unwrap();
-        assert!(again[0].all && follower.last() == 7);
+        assert!(again[0].all && watch.last() == 7);
     }
 
     #[test]
     fn unknown_events_and_states_are_no_reason_to_send() {
-        let mut follower = Follower::default();
+        let mut watch = EndpointWatch::default();
         let other = r#"{"index":1,"shards":{}}"#.to_owned();
-        assert!(read(&mut follower, &news(1, &[other])).unwrap().is_empty());
+        assert!(read(&mut watch, &response(1, &[other])).unwrap().is_empty());
         let changes = read(
-            &mut follower,
-            &news(2, &[event(2, false, &[("a", "127.0.0.1:1", "Odd")])]),
+            &mut watch,
+            &response(2, &[event(2, false, &[("a", "127.0.0.1:1", "Odd")])]),
         )
         .unwrap();
         assert_eq!(
-            (changes[0].workers[0].listed.state, follower.last()),
+            (changes[0].workers[0].listed.state, watch.last()),
             (EndpointState::Draining, 2)
         );
     }
 
     #[test]
     fn whoever_knows_fewer_events_is_not_believed() {
-        let mut follower = Follower::default();
+        let mut watch = EndpointWatch::default();
         let ready = |index| event(index, true, &[("a", "127.0.0.1:1", "Ready")]);
-        read(&mut follower, &news(5, &[ready(5)])).unwrap();
-        for old in [news(3, &[ready(3)]), news(0, &[])] {
+        read(&mut watch, &response(5, &[ready(5)])).unwrap();
+        for old in [response(3, &[ready(3)]), response(0, &[])] {
             assert!(matches!(
-                read(&mut follower, &old),
-                Err(Doubt::Behind { have: 5, .. })
+                read(&mut watch, &old),
+                Err(WatchError::Stale { have: 5, .. })
             ));
         }
         // Nothing new, and no word on the last event.
-        assert_eq!(read(&mut follower, &news(5, &[ready(5)])), Ok(Vec::new()));
-        assert_eq!(read(&mut follower, br#"{"updates":[]}"#), Ok(Vec::new()));
-        assert_eq!(follower.last(), 5);
+        assert_eq!(read(&mut watch, &response(5, &[ready(5)])), Ok(Vec::new()));
+        assert_eq!(read(&mut watch, br#"{"updates":[]}"#), Ok(Vec::new()));
+        assert_eq!(watch.last(), 5);
     }
 
     #[test]
     fn places_that_no_list_names_are_places_of_their_own() {
-        let mut follower = Follower::default();
-        let mut told = |index: u64, field: &str, value: &str| {
+        let mut watch = EndpointWatch::default();
+        let mut resolved = |index: u64, field: &str, value: &str| {
             let target =
                 format!(r#"{{"uid":"w{index}","endpoint":"127.0.0.1:1","state":"Ready","{field}":{value}}}"#);
             let event = format!(r#"{{"index":{index},"endpoints":{{"all":false,"targets":[{target}]}}}}"#);
-            read(&mut follower, &news(index, &[event])).unwrap()[0].workers[0]
+            read(&mut watch, &response(index, &[event])).unwrap()[0].workers[0]
                 .listed
                 .clone()
         };
         // West and east are named.
-        let named = [told(1, "az", "\"west\"").zone, told(2, "az", "1").zone];
+        let named = [resolved(1, "az", "\"west\"").zone, resolved(2, "az", "1").zone];
         assert_eq!(named, [0, 1]);
-        let north = told(3, "az", "\"north\"").zone;
-        assert_eq!(north, told(4, "az", "\"north\"").zone);
+        let north = resolved(3, "az", "\"north\"").zone;
+        assert_eq!(north, resolved(4, "az", "\"north\"").zone);
         let others = [
-            told(5, "az", "null").zone,
-            told(6, "az", "null").zone,
-            told(7, "az", "2").zone,
+            resolved(5, "az", "null").zone,
+            resolved(6, "az", "null").zone,
+            resolved(7, "az", "2").zone,
             north,
         ];
         let all: std::collections::BTreeSet<u32> = named.into_iter().chain(others).collect();
         assert_eq!(all.len(), 6, "{all:?}");
         let cells = [
-            told(8, "pod_group", "4").cell,
-            told(9, "pod_group", "null").cell,
-            told(10, "rev", "1").cell,
+            resolved(8, "pod_group", "4").cell,
+            resolved(9, "pod_group", "null").cell,
+            resolved(10, "rev", "1").cell,
         ];
-        assert!(cells[0] == 4 && cells[1] != cells[2] && cells[1..].iter().all(|cell| *cell >= NAMELESS));
+        assert!(
+            cells[0] == 4
+                && cells[1] != cells[2]
+                && cells[1..].iter().all(|cell| *cell >= FIRST_UNLISTED_PLACE)
+        );
         // Kinds that are not named are one more kind, so that no list of them grows.
         let kinds = ["\"odd\"", "\"other\"", "7", "4000000000", "\"big\"", "null"];
         let kinds: Vec<u32> = (11..)
             .zip(kinds)
-            .map(|(at, name)| told(at, "model", name).kind)
+            .map(|(at, name)| resolved(at, "model", name).kind)
             .collect();
         assert_eq!(kinds, [2, 2, 2, 2, 1, 0]);
     }
--- a/crates/quartzdrift-platform/src/frame.rs
+++ b/crates/quartzdrift-platform/src/frame.rs
@@ -57,7 +57,7 @@
 /// Bytes that are no answer: where the next one begins is not known, so the connection is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unreadable {
-    Mark(u8),
+    Magic(u8),
     Code(u8),
     /// Longer than any answer may be.
     Length(u64),
@@ -71,11 +71,11 @@
 /// Reads the first answer in `bytes`; `None` while it is not all there. What its head already shows to be wrong
 /// is refused at once.
 pub fn read(bytes: &[u8]) -> Result<Option<Answer<'_>>, Unreadable> {
-    let Some(&mark) = bytes.first() else {
+    let Some(&magic) = bytes.first() else {
         return Ok(None);
     };
-    if mark != FROM_WORKER {
-        return Err(Unreadable::Mark(mark));
+    if magic != FROM_WORKER {
+        return Err(Unreadable::Magic(magic));
     }
     let Some(&code) = bytes.get(1) else {
         return Ok(None);
@@ -109,9 +109,9 @@
 }
 
 /// Writes a frame. The caller's fields and body are within the bounds that it checked at its own door.
-pub fn write(out: &mut Vec<u8>, mark: u8, code: u8, id: u64, fields: &[u8], body: &[u8]) {
+pub fn write(out: &mut Vec<u8>, magic: u8, code: u8, id: u64, fields: &[u8], body: &[u8]) {
     out.reserve(HEAD + fields.len() + body.len() + CHECK);
-    out.extend_from_slice(&[mark, code]);
+    out.extend_from_slice(&[magic, code]);
     out.extend_from_slice(&(fields.len() as u16).to_be_bytes());
     out.extend_from_slice(&(body.len() as u32).to_be_bytes());
     out.extend_from_slice(&id.to_be_bytes());
@@ -149,7 +149,7 @@
 
     #[test]
     fn what_is_wrong_is_refused_from_the_first_byte_that_shows_it() {
-        assert_eq!(read(&[192]), Err(Unreadable::Mark(192)));
+        assert_eq!(read(&[192]), Err(Unreadable::Magic(192)));
         assert_eq!(read(&[193, 65]), Err(Unreadable::Code(65)));
         let three_gigabytes = [193, 64, 0, 0, 0xb2, 0xd0, 0x5e, 0, 0, 0, 0, 0, 0, 0, 0, 1];
         assert_eq!(read(&three_gigabytes), Err(Unreadable::Length(3_000_000_000)));
--- a/crates/quartzdrift-platform/src/report.rs
+++ b/crates/quartzdrift-platform/src/report.rs
@@ -23,17 +23,18 @@
 
 /// The values in the order of the settings; empty where there is no report, `None` where one value is missing, no
 /// number, or of a field that we do not know.
-pub fn read(fields: &[u8], wanted: &[ReportField]) -> Vec<Option<f64>> {
+pub fn read(fields: &[u8], expected: &[ReportField]) -> Vec<Option<f64>> {
     let text = std::str::from_utf8(fields).unwrap_or("");
     let Some(report) = text.split(',').find_map(|field| field.strip_prefix("report=")) else {
         return Vec::new();
     };
-    let value = |wanted: &ReportField| {
-        let mut told = report.split(';').filter_map(|one| one.split_once(':'));
-        let (_, value) = told.find(|(name, _)| field(name) == *wanted && *wanted != ReportField::Unknown)?;
+    let value = |expected: &ReportField| {
+        let mut reported = report.split(';').filter_map(|one| one.split_once(':'));
+        let (_, value) =
+            reported.find(|(name, _)| field(name) == *expected && *expected != ReportField::Unknown)?;
         value.parse::<f64>().ok().filter(|value| value.is_finite())
     };
-    wanted.iter().map(value).collect()
+    expected.iter().map(value).collect()
 }
 
 #[cfg(test)]
--- a/crates/quartzdrift-platform/src/asked.rs
+++ b/crates/quartzdrift-platform/src/request_fields.rs
@@ -3,7 +3,7 @@
 use quartzdrift_scheduler::interface::{Idempotency, Settings};
 use std::time::Duration;
 
-/// Largest figure of a request that is believed: more memory, lanes or load time than any machine has.
+/// Largest figure of a request that is believed: more memory, connections or load time than any machine has.
 const MAX_MEMORY_MB: f64 = 1e7;
 const MAX_LANES: f64 = 1e5;
 const MAX_LOAD_MS: f64 = 3.6e6;
@@ -15,7 +15,7 @@
 
 /// The fields as they came, by their names in CGI; `None` where one is missing.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fields<'a> {
+pub struct RequestFields<'a> {
     /// Path under which the program was called: `/do/CLASS`.
     pub path: Option<&'a str>,
     pub id: Option<&'a str>,
@@ -25,7 +25,7 @@
     pub idempotency_key: Option<&'a str>,
     /// Name of the tenant.
     pub tenant: Option<&'a str>,
-    pub figures: Option<&'a str>,
+    pub resource_hints: Option<&'a str>,
     /// The body's length as told, and as it came.
     pub length: Option<&'a str>,
     pub body: usize,
@@ -33,7 +33,7 @@
 
 /// What is asked, checked.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asked<'a> {
+pub struct PlatformRequest<'a> {
     pub id: u64,
     pub request_class: u32,
     /// Place among the settings' tenants; one that is not told or not among them has the place after the last.
@@ -41,7 +41,7 @@
     pub function: &'a str,
     /// To be passed on unchanged; always there where the request class is fingerprinted.
     pub idempotency_key: Option<&'a str>,
-    pub left: Duration,
+    pub time_remaining: Duration,
     pub memory_mb: Option<f64>,
     pub concurrency_slots: Option<f64>,
     pub load: Option<Duration>,
@@ -50,7 +50,7 @@
 
 /// What is wrong with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub enum FieldError {
     Path,
     RequestClass,
     Id,
@@ -58,37 +58,37 @@
     IdempotencyKey,
     Tenant,
     Time,
-    Figures,
+    ResourceHints,
     Length,
 }
 
-impl Wrong {
+impl FieldError {
     pub fn status(self) -> u16 {
         match self {
-            Wrong::Path | Wrong::RequestClass => 404,
-            Wrong::Id
-            | Wrong::Function
-            | Wrong::IdempotencyKey
-            | Wrong::Tenant
-            | Wrong::Time
-            | Wrong::Figures
-            | Wrong::Length => 400,
+            FieldError::Path | FieldError::RequestClass => 404,
+            FieldError::Id
+            | FieldError::Function
+            | FieldError::IdempotencyKey
+            | FieldError::Tenant
+            | FieldError::Time
+            | FieldError::ResourceHints
+            | FieldError::Length => 400,
         }
     }
 
     pub fn text(self) -> &'static str {
         match self {
-            Wrong::Path => "no such path",
-            Wrong::RequestClass => "no such class",
-            Wrong::Id => "the id is not 16 hex digits",
-            Wrong::Function => "the function is not 16 hex digits",
-            Wrong::IdempotencyKey => {
+            FieldError::Path => "no such path",
+            FieldError::RequestClass => "no such class",
+            FieldError::Id => "the id is not 16 hex digits",
+            FieldError::Function => "the function is not 16 hex digits",
+            FieldError::IdempotencyKey => {
                 "the idempotency key is missing, or no word of letters, digits, '-' and '_'"
             }
-            Wrong::Tenant => "the tenant is given twice, or is no text",
-            Wrong::Time => "the time is no number of milliseconds in range",
-            Wrong::Figures => "a figure is no number in range",
-            Wrong::Length => "the length told is not the body's",
+            FieldError::Tenant => "the tenant is given twice, or is no text",
+            FieldError::Time => "the time is no number of milliseconds in range",
+            FieldError::ResourceHints => "a figure is no number in range",
+            FieldError::Length => "the length told is not the body's",
         }
     }
 }
@@ -97,97 +97,98 @@
     text.filter(|text| text.len() == DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit()))
 }
 
-fn figure(text: &str, least: f64, most: f64) -> Result<f64, Wrong> {
+fn resource_hint(text: &str, least: f64, most: f64) -> Result<f64, FieldError> {
     let plain = |b: u8| b.is_ascii_digit() || b == b'.';
     let value = text
         .parse::<f64>()
         .ok()
         .filter(|_| text.bytes().all(plain))
-        .ok_or(Wrong::Figures)?;
+        .ok_or(FieldError::ResourceHints)?;
     if value >= least && value <= most {
         Ok(value)
     } else {
-        Err(Wrong::Figures)
+        Err(FieldError::ResourceHints)
     }
 }
 
-pub fn read<'a>(fields: &Fields<'a>, settings: &Settings) -> Result<Asked<'a>, Wrong> {
+pub fn read<'a>(fields: &RequestFields<'a>, settings: &Settings) -> Result<PlatformRequest<'a>, FieldError> {
     let class = fields
         .path
         .and_then(|path| path.strip_prefix("/do/"))
-        .ok_or(Wrong::Path)?;
+        .ok_or(FieldError::Path)?;
     let request_class = settings
         .request_classes
         .iter()
         .position(|w| w.name == class)
-        .ok_or(Wrong::RequestClass)?;
+        .ok_or(FieldError::RequestClass)?;
     let id = hex(fields.id)
         .and_then(|id| u64::from_str_radix(id, 16).ok())
-        .ok_or(Wrong::Id)?;
-    let function = hex(fields.function).ok_or(Wrong::Function)?;
+        .ok_or(FieldError::Id)?;
+    let function = hex(fields.function).ok_or(FieldError::Function)?;
     let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
     let word = |text: &&str| (1..=MAX_IDEMPOTENCY_KEY).contains(&text.len()) && text.bytes().all(plain);
     let idempotency_key = fields.idempotency_key.filter(|text| !text.is_empty());
     let keyed = settings.request_classes[request_class].idempotency == Idempotency::IdempotentWithKey;
     // Without it workers could not tell a repeat, and its effect would happen twice.
     if idempotency_key.is_none() && keyed || idempotency_key.is_some_and(|text| !word(&text)) {
-        return Err(Wrong::IdempotencyKey);
+        return Err(FieldError::IdempotencyKey);
     }
     let digits = |text: &&str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
     let ms = fields
         .time
         .filter(digits)
         .and_then(|text| text.parse::<u64>().ok())
-        .ok_or(Wrong::Time)?;
-    let left = Duration::from_millis(ms);
+        .ok_or(FieldError::Time)?;
+    let time_remaining = Duration::from_millis(ms);
     let limit = settings.request_classes[request_class]
         .timeout
         .unwrap_or(Duration::MAX);
-    if left.is_zero() || left > limit.saturating_add(TIME_ROUNDING) {
-        return Err(Wrong::Time);
+    if time_remaining.is_zero() || time_remaining > limit.saturating_add(TIME_ROUNDING) {
+        return Err(FieldError::Time);
     }
     if let Some(length) = fields.length.filter(|text| !text.is_empty()) {
-        let told = Some(length)
+        let parsed = Some(length)
             .filter(digits)
             .and_then(|text| text.parse::<usize>().ok());
-        if told != Some(fields.body) {
-            return Err(Wrong::Length);
+        if parsed != Some(fields.body) {
+            return Err(FieldError::Length);
         }
     }
     let tenants = &settings.tenants;
     let tenant = tenants
         .iter()
         .position(|one| Some(&one.name[..]) == fields.tenant);
-    let mut asked = Asked {
+    let mut request = PlatformRequest {
         id,
         request_class: request_class as u32,
         tenant: tenant.unwrap_or(tenants.len()) as u32,
         function,
         idempotency_key,
-        left,
+        time_remaining,
         memory_mb: None,
         concurrency_slots: None,
         load: None,
         work: None,
     };
     for one in fields
-        .figures
+        .resource_hints
         .unwrap_or("")
         .split(';')
         .filter(|one| !one.is_empty())
     {
-        let (name, value) = one.split_once(':').ok_or(Wrong::Figures)?;
-        let millis = |value| figure(value, 0.0, MAX_LOAD_MS).map(|ms| Duration::from_secs_f64(ms / 1e3));
+        let (name, value) = one.split_once(':').ok_or(FieldError::ResourceHints)?;
+        let millis =
+            |value| resource_hint(value, 0.0, MAX_LOAD_MS).map(|ms| Duration::from_secs_f64(ms / 1e3));
         match name {
-            "memory_mb" => asked.memory_mb = Some(figure(value, f64::MIN_POSITIVE, MAX_MEMORY_MB)?),
-            "lanes" => asked.concurrency_slots = Some(figure(value, 1.0, MAX_LANES)?),
-            "load_ms" => asked.load = Some(millis(value)?),
-            "hint" => asked.work = Some(millis(value)?),
+            "memory_mb" => request.memory_mb = Some(resource_hint(value, f64::MIN_POSITIVE, MAX_MEMORY_MB)?),
+            "lanes" => request.concurrency_slots = Some(resource_hint(value, 1.0, MAX_LANES)?),
+            "load_ms" => request.load = Some(millis(value)?),
+            "hint" => request.work = Some(millis(value)?),
             // A figure that we have no use for may have any form.
             _ => {}
         }
     }
-    Ok(asked)
+    Ok(request)
 }
 
 #[cfg(test)]
@@ -215,15 +216,15 @@
         Err(_) => panic!("it is ASCII"),
     };
 
-    fn good<'a>() -> Fields<'a> {
-        Fields {
+    fn good<'a>() -> RequestFields<'a> {
+        RequestFields {
             path: Some("/do/map"),
             id: Some("9b1f03aa5c7e2d41"),
             time: Some("1500"),
             function: Some("7f3a9c21e0b4d655"),
             idempotency_key: None,
             tenant: None,
-            figures: Some("memory_mb:512;lanes:2;load_ms:640"),
+            resource_hints: Some("memory_mb:512;lanes:2;load_ms:640"),
             length: Some("3"),
             body: 3,
         }
@@ -231,18 +232,18 @@
 
     #[test]
     fn a_good_one_is_read_as_it_came() {
-        let asked = read(&good(), &settings()).unwrap();
-        assert_eq!(asked.tenant, 0, "no customers are told, and none is named");
+        let request = read(&good(), &settings()).unwrap();
+        assert_eq!(request.tenant, 0, "no customers are told, and none is named");
         assert_eq!(
-            (asked.id, asked.function),
+            (request.id, request.function),
             (0x9b1f_03aa_5c7e_2d41, "7f3a9c21e0b4d655")
         );
         assert_eq!(
-            (asked.left, asked.memory_mb),
+            (request.time_remaining, request.memory_mb),
             (Duration::from_millis(1500), Some(512.0))
         );
         assert_eq!(
-            (asked.concurrency_slots, asked.load),
+            (request.concurrency_slots, request.load),
             (Some(2.0), Some(Duration::from_millis(640)))
         );
     }
@@ -257,7 +258,11 @@
             tenants: vec![name("a"), name("b")],
             ..settings()
         };
-        let of = |tenant| read(&Fields { tenant, ..good() }, &settings).unwrap().tenant;
+        let of = |tenant| {
+            read(&RequestFields { tenant, ..good() }, &settings)
+                .unwrap()
+                .tenant
+        };
         assert_eq!(
             [Some("a"), Some("b"), Some("c"), Some(""), None].map(of),
             [0, 1, 2, 2, 2]
@@ -266,13 +271,13 @@
 
     #[test]
     fn each_field_that_is_out_of_range_is_named() {
-        let wrong = |change: &dyn Fn(&mut Fields)| {
+        let wrong = |change: &dyn Fn(&mut RequestFields)| {
             let mut fields = good();
             change(&mut fields);
             read(&fields, &settings()).unwrap_err()
         };
-        assert_eq!(wrong(&|f| f.path = Some("/other")), Wrong::Path);
-        assert_eq!(wrong(&|f| f.path = Some("/do/map,x=1")), Wrong::RequestClass);
+        assert_eq!(wrong(&|f| f.path = Some("/other")), FieldError::Path);
+        assert_eq!(wrong(&|f| f.path = Some("/do/map,x=1")), FieldError::RequestClass);
         for id in [
             None,
             Some(""),
@@ -280,9 +285,12 @@
             Some("9b1f03aa5c7e2d41a"),
             Some("+b1f03aa5c7e2d41"),
         ] {
-            assert_eq!(wrong(&|f| f.id = id), Wrong::Id);
+            assert_eq!(wrong(&|f| f.id = id), FieldError::Id);
         }
-        assert_eq!(wrong(&|f| f.function = Some("7f3a9c21,x=4d655")), Wrong::Function);
+        assert_eq!(
+            wrong(&|f| f.function = Some("7f3a9c21,x=4d655")),
+            FieldError::Function
+        );
         for time in [
             None,
             Some("0"),
@@ -292,9 +300,9 @@
             Some("4006"),
             Some("99999999999999999999"),
         ] {
-            assert_eq!(wrong(&|f| f.time = time), Wrong::Time);
+            assert_eq!(wrong(&|f| f.time = time), FieldError::Time);
         }
-        for figures in [
+        for resource_hints in [
             "lanes:-1",
             "lanes:0",
             "memory_mb:nan",
@@ -302,16 +310,19 @@
             "load_ms:x",
             "lanes",
         ] {
-            assert_eq!(wrong(&|f| f.figures = Some(figures)), Wrong::Figures);
+            assert_eq!(
+                wrong(&|f| f.resource_hints = Some(resource_hints)),
+                FieldError::ResourceHints
+            );
         }
         for idempotency_key in ["a,b", "a=b", "a b", "\u{e9}", LONG] {
             assert_eq!(
                 wrong(&|f| f.idempotency_key = Some(idempotency_key)),
-                Wrong::IdempotencyKey
+                FieldError::IdempotencyKey
             );
         }
         for length in ["4", "-1", "99999999999999999999", "x"] {
-            assert_eq!(wrong(&|f| f.length = Some(length)), Wrong::Length);
+            assert_eq!(wrong(&|f| f.length = Some(length)), FieldError::Length);
         }
     }
 
@@ -323,13 +334,13 @@
         for missing in [None, Some("")] {
             assert_eq!(
                 read(
-                    &Fields {
+                    &RequestFields {
                         idempotency_key: missing,
                         ..fields
                     },
                     &settings
                 ),
-                Err(Wrong::IdempotencyKey)
+                Err(FieldError::IdempotencyKey)
             );
         }
         fields.idempotency_key = Some("9f-03_Aa");
@@ -341,10 +352,10 @@
 
     proptest! {
         #[test]
-        fn nothing_that_passes_can_break_a_frames_fields(function in ".{0,20}", figures in ".{0,40}") {
-            let fields = Fields { function: Some(&function), figures: Some(&figures), ..good() };
-            if let Ok(asked) = read(&fields, &settings()) {
-                prop_assert!(asked.function.bytes().all(|b| b.is_ascii_alphanumeric()));
+        fn nothing_that_passes_can_break_a_frames_fields(function in ".{0,20}", resource_hints in ".{0,40}") {
+            let fields = RequestFields { function: Some(&function), resource_hints: Some(&resource_hints), ..good() };
+            if let Ok(request) = read(&fields, &settings()) {
+                prop_assert!(request.function.bytes().all(|b| b.is_ascii_alphanumeric()));
             }
         }
     }
--- a/crates/quartzdrift-platform/src/settings.rs
+++ b/crates/quartzdrift-platform/src/settings.rs
@@ -81,10 +81,10 @@
             return Some(format!("'{at}' is {value}, no number from 0 on"));
         }
     }
-    let told = |at: &str| all.pointer(at).is_some();
+    let configured = |at: &str| all.pointer(at).is_some();
     let part = WHOLE
         .iter()
-        .find(|(first, others)| !told(first) && others.iter().any(|at| told(at)));
+        .find(|(first, others)| !configured(first) && others.iter().any(|at| configured(at)));
     part.map(|(first, _)| format!("a rule is told in part: '{first}' is missing"))
 }
 
@@ -318,7 +318,12 @@
                 DiscoveryMode::Poll
             );
         }
-        let most = |told| with("/allowed/max-attempts", told).unwrap().allowed.max_attempts;
+        let most = |configured| {
+            with("/allowed/max-attempts", configured)
+                .unwrap()
+                .allowed
+                .max_attempts
+        };
         assert_eq!((most(None), most(Some(json!(1e12)))), (None, Some(u32::MAX)));
         assert_eq!(class("window-ns", None).window, None);
     }
--- a/crates/quartzdrift/src/platform/clients.rs
+++ b/crates/quartzdrift/src/platform/clients.rs
@@ -1,9 +1,9 @@
 //! Clients over FastCGI: requests become requests, and every one that is owed an answer gets it at once.
-use super::{Node, Peer, Work};
+use super::{Node, Peer, RequestContext};
 use quartzdrift_fastcgi::{self as fastcgi, Answer, Bad, Params, Responder, Told};
 use quartzdrift_http::links::{Link, LinkId, Links};
 use quartzdrift_lifecycle::{AttemptResult, FailureReason, FinalAnswer, NewRequest};
-use quartzdrift_platform::asked::{self, Fields, Wrong};
+use quartzdrift_platform::request_fields::{self, FieldError, RequestFields};
 use quartzdrift_scheduler::interface::{Outcome, RequestId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,25 +16,25 @@
     open: 32,
 };
 /// For a first request to come whole, and for any that has begun: whoever cannot be served is owed an end in 3 s.
-const RECEIVE: Duration = Duration::from_secs(2);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(2);
 /// For a client to take the last that is written before its connection is closed.
-const LAST_WORDS: Duration = Duration::from_secs(2);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 /// For a client to take what waits for it; then it is cut, so that it can tell.
-const SEND: Duration = Duration::from_secs(5);
+const SEND_TIMEOUT: Duration = Duration::from_secs(5);
 /// Bytes that wait for a client at most: its 32 answers with room; more, and it is cut off.
-const MAX_UNREAD: usize = 1 << 20;
+const MAX_UNREAD_BYTES: usize = 1 << 20;
 /// Told to those for whom there is no room at all.
-const BUSY_RETRY_AFTER: Duration = Duration::from_millis(200);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// What a client's connection is waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Limit {
     /// Its first whole request.
-    First,
+    FirstRequest,
     /// The rest of a request.
-    Rest,
+    PartialRequest,
     /// To take what is written to it.
-    Unread,
+    UnreadAnswers,
     /// It may take its time.
     None,
     /// The last bytes to leave, then it is closed.
@@ -52,28 +52,28 @@
 fn client(links: &mut Links<Node, Peer>, id: LinkId) -> Option<&mut Client> {
     match &mut links.get_mut(id)?.state {
         Peer::Client(client) => Some(client),
-        Peer::Lane(_) => None,
+        Peer::WorkerConnection(_) => None,
     }
 }
 
 /// A parameter that may be left out, but not be given as no text, or twice.
-fn optional<'a>(params: &'a Params, name: &str, wrong: Wrong) -> Result<Option<&'a str>, Wrong> {
+fn optional<'a>(params: &'a Params, name: &str, invalid: FieldError) -> Result<Option<&'a str>, FieldError> {
     match params.iter().any(|(n, _)| n == name.as_bytes()) {
         false => Ok(None),
-        true => params.text(name).map(Some).ok_or(wrong),
+        true => params.text(name).map(Some).ok_or(invalid),
     }
 }
 
-fn fields(params: &Params, body: usize) -> Result<Fields<'_>, Wrong> {
-    Ok(Fields {
+fn fields(params: &Params, body: usize) -> Result<RequestFields<'_>, FieldError> {
+    Ok(RequestFields {
         path: params.text("SCRIPT_NAME"),
         id: params.text("HTTP_X_REQUEST_ID"),
         time: params.text("HTTP_X_TIMEOUT_MS"),
         function: params.text("HTTP_X_OBJECT"),
-        idempotency_key: optional(params, "HTTP_IDEMPOTENCY_KEY", Wrong::IdempotencyKey)?,
-        tenant: optional(params, "HTTP_X_TENANT", Wrong::Tenant)?,
-        figures: optional(params, "HTTP_X_SPEC", Wrong::Figures)?,
-        length: optional(params, "CONTENT_LENGTH", Wrong::Length)?,
+        idempotency_key: optional(params, "HTTP_IDEMPOTENCY_KEY", FieldError::IdempotencyKey)?,
+        tenant: optional(params, "HTTP_X_TENANT", FieldError::Tenant)?,
+        resource_hints: optional(params, "HTTP_X_SPEC", FieldError::ResourceHints)?,
+        length: optional(params, "CONTENT_LENGTH", FieldError::Length)?,
         body,
     })
 }
@@ -96,19 +96,19 @@
         for stream in self.links.accept(is_silent) {
             if !self.has_room() {
                 // Nobody is silent: the newcomer is closed unread.
-                self.counts.cut += 1;
+                self.counts.dropped += 1;
                 continue;
             }
             let responder = Responder::new(LIMITS);
             let client = Client {
                 responder,
                 requests: BTreeMap::new(),
-                limit: Limit::First,
+                limit: Limit::FirstRequest,
                 awaited: None,
             };
             if let Ok(id) = self.links.insert(stream, Peer::Client(client)) {
                 self.clients += 1;
-                self.links.set_deadline(id, Some(RECEIVE));
+                self.links.set_deadline(id, Some(RECEIVE_TIMEOUT));
             }
         }
     }
@@ -123,8 +123,8 @@
             let Some(silent) = self.links.longest_silent(is_silent) else {
                 return false;
             };
-            if !self.hears(silent) {
-                self.counts.cut += 1;
+            if !self.read_pending_input(silent) {
+                self.counts.dropped += 1;
                 self.close_client(silent);
             }
         }
@@ -132,7 +132,7 @@
     }
 
     /// Looks whether something has come from a client that the loop has not yet told of, and works it.
-    fn hears(&mut self, id: LinkId) -> bool {
+    fn read_pending_input(&mut self, id: LinkId) -> bool {
         let Some(had) = self.links.get(id).map(|link| link.input.len()) else {
             return true;
         };
@@ -160,10 +160,10 @@
             client(&mut node.links, id).is_some_and(|client| client.responder.is_partial())
                 || node.links.get(id).is_some_and(|link| !link.input.is_empty())
         };
-        // All of them are asked, as each may have something to be worked.
+        // All of them are parsed, as each may have something to be worked.
         clients
             .into_iter()
-            .filter(|&id| self.hears(id) || begun(self, id))
+            .filter(|&id| self.read_pending_input(id) || begun(self, id))
             .count()
             == 0
     }
@@ -175,12 +175,12 @@
     }
 
     /// Whether bytes wait for a client.
-    pub(super) fn client_waits(&self) -> bool {
+    pub(super) fn has_unsent_answers(&self) -> bool {
         self.client_links().any(|(_, link)| link.waiting() > 0)
     }
 
     /// Takes no more connections, and tells all clients that theirs end.
-    pub(super) fn say_farewell(&mut self) {
+    pub(super) fn send_close_notice(&mut self) {
         self.links.stop_listening();
         let clients: Vec<LinkId> = self.client_links().map(|(id, _)| id).collect();
         for id in clients {
@@ -228,26 +228,28 @@
                 Told::Bad {
                     number,
                     bad: Bad::Params,
-                } => self.say(id, number, 400, "parameters", None),
+                } => self.respond(id, number, 400, "parameters", None),
                 Told::Bad {
                     number,
                     bad: Bad::TooLarge,
-                } => self.say(id, number, 413, "too large", None),
+                } => self.respond(id, number, 413, "too large", None),
                 Told::Aborted { number } => {
                     let request =
                         client(&mut self.links, id).and_then(|client| client.requests.remove(&number));
-                    request.into_iter().for_each(|request| self.leave(request));
+                    request
+                        .into_iter()
+                        .for_each(|request| self.abandon_request(request));
                 }
             }
         }
         match read {
             Err(broken) => {
                 tracing::debug!(?broken, "a client is out of step");
-                self.counts.cut += 1;
+                self.counts.dropped += 1;
                 self.close_client(id);
             }
             Ok(_) if ended => self.close_client(id),
-            Ok(_) => self.limit_client(id),
+            Ok(_) => self.update_client_deadline(id),
         }
     }
 
@@ -258,7 +260,7 @@
     }
 
     /// Sets what the connection is waited for now.
-    fn limit_client(&mut self, id: LinkId) {
+    fn update_client_deadline(&mut self, id: LinkId) {
         let Some(link) = self.links.get_mut(id) else {
             return;
         };
@@ -272,22 +274,22 @@
             return;
         }
         if spoilt && responder.waiting().next().is_none() {
-            return self.close_after(id);
+            return self.close_when_flushed(id);
         }
-        let (limit, after) = if unread > MAX_UNREAD {
-            self.counts.cut += 1;
+        let (limit, after) = if unread > MAX_UNREAD_BYTES {
+            self.counts.dropped += 1;
             return self.close_client(id);
         } else if !spoilt && !responder.has_asked() {
-            (Limit::First, Some(RECEIVE))
+            (Limit::FirstRequest, Some(RECEIVE_TIMEOUT))
         } else if !spoilt && awaited.is_some() {
-            (Limit::Rest, Some(RECEIVE))
+            (Limit::PartialRequest, Some(RECEIVE_TIMEOUT))
         } else if unread > 0 {
-            (Limit::Unread, Some(SEND))
+            (Limit::UnreadAnswers, Some(SEND_TIMEOUT))
         } else {
             (Limit::None, None)
         };
         // A limit that stands is not moved: bytes that drip in win no time. Each request that is not yet whole has its own.
-        let other = limit == Limit::Rest && client.awaited != awaited;
+        let other = limit == Limit::PartialRequest && client.awaited != awaited;
         if client.limit != limit || other {
             (client.limit, client.awaited) = (limit, awaited);
             self.links.set_deadline(id, after);
@@ -295,16 +297,16 @@
     }
 
     /// Closes a client's connection once what is written to it has left.
-    fn close_after(&mut self, id: LinkId) {
+    fn close_when_flushed(&mut self, id: LinkId) {
         if let Some(client) = client(&mut self.links, id) {
             client.limit = Limit::Closing;
-            self.links.set_deadline(id, Some(LAST_WORDS));
+            self.links.set_deadline(id, Some(FLUSH_TIMEOUT));
             self.closing.push(id);
         }
     }
 
     /// Closes those whose last words have left.
-    pub(super) fn close_served(&mut self) {
+    pub(super) fn close_flushed_clients(&mut self) {
         for id in std::mem::take(&mut self.closing) {
             match self.links.get(id).map(|link| link.waiting()) {
                 Some(0) => self.close_client(id),
@@ -316,8 +318,8 @@
 
     pub(super) fn client_overdue(&mut self, id: LinkId) {
         // What has come in the meantime came in time.
-        let hears = self.hears(id);
-        if hears && self.links.deadline(id).is_some() {
+        let read_pending_input = self.read_pending_input(id);
+        if read_pending_input && self.links.deadline(id).is_some() {
             return;
         }
         let stuck = self.links.get(id).and_then(|link| link.stuck_since());
@@ -326,27 +328,27 @@
         };
         match client.limit {
             // Overdue without a limit: there was no descriptor for a newcomer, and this one is to make room.
-            Limit::None if !hears && client.requests.is_empty() => {
-                self.counts.cut += 1;
+            Limit::None if !read_pending_input && client.requests.is_empty() => {
+                self.counts.dropped += 1;
                 self.close_client(id);
             }
             Limit::None => {}
             // The limit was set before it was tried to send: all has left since, or began to wait later.
-            Limit::Unread if stuck.is_none() => {
+            Limit::UnreadAnswers if stuck.is_none() => {
                 client.limit = Limit::None;
-                self.limit_client(id);
+                self.update_client_deadline(id);
             }
-            Limit::Unread if stuck.is_some_and(|since| since.elapsed() < SEND) => {
-                let left = stuck.map(|since| SEND.saturating_sub(since.elapsed()));
-                self.links.set_deadline(id, left);
+            Limit::UnreadAnswers if stuck.is_some_and(|since| since.elapsed() < SEND_TIMEOUT) => {
+                let time_remaining = stuck.map(|since| SEND_TIMEOUT.saturating_sub(since.elapsed()));
+                self.links.set_deadline(id, time_remaining);
             }
             // Others are open on it: they are answered first.
-            Limit::Rest if !client.requests.is_empty() => {
+            Limit::PartialRequest if !client.requests.is_empty() => {
                 client.responder.spoil();
-                self.limit_client(id);
+                self.update_client_deadline(id);
             }
-            Limit::First | Limit::Rest | Limit::Unread | Limit::Closing => {
-                self.counts.cut += 1;
+            Limit::FirstRequest | Limit::PartialRequest | Limit::UnreadAnswers | Limit::Closing => {
+                self.counts.dropped += 1;
                 self.close_client(id);
             }
         }
@@ -361,22 +363,22 @@
         client
             .requests
             .into_values()
-            .for_each(|request| self.leave(request));
+            .for_each(|request| self.abandon_request(request));
     }
 
     /// Nobody waits for a request any more. What has not left is taken back whatever the settings say, so that nothing of
     /// it reaches a worker from now on; an attempt that is out is given up where they allow it.
-    fn leave(&mut self, request: RequestId) {
+    fn abandon_request(&mut self, request: RequestId) {
         let now = self.now();
         let cancel = self.config.settings.allowed.cancel;
         let out: Vec<u32> = self.request_table.attempts_of(request).collect();
         self.request_table.client_gone(now, request);
         self.carry_out();
         for attempt in out {
-            if self.take_back(request, attempt) {
+            if self.recall_unsent(request, attempt) {
                 self.request_table.attempt_recalled(now, request, attempt);
             } else if cancel {
-                self.give_up(request, attempt);
+                self.cancel_attempt(request, attempt);
                 self.request_table.attempt_ended(
                     now,
                     request,
@@ -392,60 +394,60 @@
         if params.get("SCRIPT_NAME") == Some(b"/check") {
             let ready = self.stopping.is_none() && self.request_table.workers_up() > 0;
             let (status, text) = if ready { (200, "ready") } else { (503, "not ready") };
-            return self.say(id, number, status, text, None);
+            return self.respond(id, number, status, text, None);
         }
-        let asked = fields(params, body.len()).and_then(|f| asked::read(&f, &self.config.settings));
-        let asked = match asked {
-            Ok(asked) => asked,
-            Err(wrong) => {
-                self.counts.wrong += 1;
-                tracing::debug!(?wrong, "no job");
-                return self.say(id, number, wrong.status(), wrong.text(), None);
+        let parsed = fields(params, body.len()).and_then(|f| request_fields::read(&f, &self.config.settings));
+        let parsed = match parsed {
+            Ok(parsed) => parsed,
+            Err(invalid) => {
+                self.counts.invalid += 1;
+                tracing::debug!(?invalid, "no job");
+                return self.respond(id, number, invalid.status(), invalid.text(), None);
             }
         };
-        if let Some(&other) = self.open.get(&asked.id) {
-            return self.id_taken(id, number, other);
+        if let Some(&other) = self.open.get(&parsed.id) {
+            return self.reject_duplicate_id(id, number, other);
         }
-        let idempotency_key = asked.idempotency_key.map(str::to_owned);
-        let work = Work {
-            id: asked.id,
+        let idempotency_key = parsed.idempotency_key.map(str::to_owned);
+        let context = RequestContext {
+            id: parsed.id,
             client: id,
             number,
-            request_class: asked.request_class,
+            request_class: parsed.request_class,
             idempotency_key,
             body,
         };
         let new = NewRequest {
-            request_class: asked.request_class,
-            tenant: asked.tenant,
-            function: asked.function.into(),
-            left: asked.left,
-            work_hint: asked.work,
-            memory_mb: asked.memory_mb,
-            concurrency_slots: asked.concurrency_slots,
-            load_hint: asked.load,
+            request_class: parsed.request_class,
+            tenant: parsed.tenant,
+            function: parsed.function.into(),
+            left: parsed.time_remaining,
+            work_hint: parsed.work,
+            memory_mb: parsed.memory_mb,
+            concurrency_slots: parsed.concurrency_slots,
+            load_hint: parsed.load,
             is_retry: false,
             writes: false,
-            payload: Rc::new(work),
+            payload: Rc::new(context),
         };
         match self.request_table.submit(self.now(), new) {
             Ok(request) => {
                 self.counts.taken += 1;
-                self.open.insert(asked.id, request);
+                self.open.insert(parsed.id, request);
                 if let Some(client) = client(&mut self.links, id) {
                     client.requests.insert(number, request);
                 }
                 self.carry_out();
             }
-            Err(_) => self.say(id, number, 503, "full", Some(BUSY_RETRY_AFTER)),
+            Err(_) => self.respond(id, number, 503, "full", Some(FULL_RETRY_AFTER)),
         }
     }
 
     /// The id of an open request: workers would take the one for the other. Where both came over one connection,
     /// neither can be trusted.
-    fn id_taken(&mut self, id: LinkId, number: u16, other: RequestId) {
-        self.counts.wrong += 1;
-        self.say(id, number, 409, "this id is open", None);
+    fn reject_duplicate_id(&mut self, id: LinkId, number: u16, other: RequestId) {
+        self.counts.invalid += 1;
+        self.respond(id, number, 409, "this id is open", None);
         let Some(client) = client(&mut self.links, id) else {
             return;
         };
@@ -456,18 +458,18 @@
             .map(|(number, _)| *number);
         if let Some(first) = first {
             client.requests.remove(&first);
-            self.leave(other);
-            self.say(id, first, 409, "this id came twice", None);
+            self.abandon_request(other);
+            self.respond(id, first, 409, "this id came twice", None);
         }
     }
 
     /// An answer of our own.
-    fn say(&mut self, id: LinkId, number: u16, status: u16, text: &str, retry_after: Option<Duration>) {
+    fn respond(&mut self, id: LinkId, number: u16, status: u16, text: &str, retry_after: Option<Duration>) {
         self.answer(id, number, status, text.as_bytes(), retry_after);
     }
 
     fn answer(&mut self, id: LinkId, number: u16, status: u16, body: &[u8], retry_after: Option<Duration>) {
-        let ms = retry_after.map(|span| span.as_nanos().div_ceil(1_000_000).to_string());
+        let ms = retry_after.map(|frame_span| frame_span.as_nanos().div_ceil(1_000_000).to_string());
         let field = ms.as_deref().map(|ms| ("Retry-After-Ms", ms));
         let answer = Answer {
             status,
@@ -483,27 +485,27 @@
         let ended = client.responder.answer(number, &answer, &mut out);
         self.write(id, &out);
         match ended {
-            fastcgi::Ended::Close => self.close_after(id),
+            fastcgi::Ended::Close => self.close_when_flushed(id),
             // It may never be heard of again: what it does not read sets its limit.
-            fastcgi::Ended::Keep | fastcgi::Ended::NotOpen if unread => self.limit_client(id),
+            fastcgi::Ended::Keep | fastcgi::Ended::NotOpen if unread => self.update_client_deadline(id),
             fastcgi::Ended::Keep | fastcgi::Ended::NotOpen => {}
         }
     }
 
-    pub(super) fn final_answer(&mut self, request: RequestId, work: &Work, answer: FinalAnswer) {
-        if self.open.get(&work.id) == Some(&request) {
-            self.open.remove(&work.id);
+    pub(super) fn final_answer(&mut self, request: RequestId, context: &RequestContext, answer: FinalAnswer) {
+        if self.open.get(&context.id) == Some(&request) {
+            self.open.remove(&context.id);
         }
         let said = self
-            .in_hand
+            .pending_response
             .take_if(|(of, _)| *of == request)
             .map(|(_, body)| body);
-        if let Some(client) = client(&mut self.links, work.client)
-            && client.requests.get(&work.number) == Some(&request)
+        if let Some(client) = client(&mut self.links, context.client)
+            && client.requests.get(&context.number) == Some(&request)
         {
-            client.requests.remove(&work.number);
+            client.requests.remove(&context.number);
         }
-        let (id, number) = (work.client, work.number);
+        let (id, number) = (context.client, context.number);
         let count = match answer {
             FinalAnswer::Succeeded => &mut self.counts.succeeded,
             FinalAnswer::Rejected { .. } => &mut self.counts.rejected,
@@ -513,22 +515,22 @@
         *count += 1;
         match (answer, said) {
             (FinalAnswer::Succeeded, Some(body)) => self.answer(id, number, 200, &body, None),
-            (FinalAnswer::Succeeded, None) => self.say(id, number, 500, "no answer", None),
+            (FinalAnswer::Succeeded, None) => self.respond(id, number, 500, "no answer", None),
             (FinalAnswer::Rejected { retry_after, .. }, _) => {
-                self.say(id, number, 503, "come back", retry_after)
+                self.respond(id, number, 503, "come back", retry_after)
             }
             (
                 FinalAnswer::Failed {
                     why: FailureReason::DeadlineExceeded,
                 },
                 _,
-            ) => self.say(id, number, 504, "its time is up", None),
+            ) => self.respond(id, number, 504, "its time is up", None),
             (
                 FinalAnswer::Failed {
                     why: FailureReason::OutcomeUnknown | FailureReason::ShuttingDown,
                 },
                 _,
-            ) => self.say(id, number, 500, "it may have run", None),
+            ) => self.respond(id, number, 500, "it may have run", None),
             (FinalAnswer::Cancelled, _) => {}
         }
     }
@@ -538,6 +540,6 @@
 fn is_silent(link: &Link<Peer>) -> bool {
     match &link.state {
         Peer::Client(client) => client.requests.is_empty() && client.limit != Limit::Closing,
-        Peer::Lane(_) => false,
+        Peer::WorkerConnection(_) => false,
     }
 }
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -1,28 +1,30 @@
 //! The list of workers: one long poll that is always out, and what its answers change.
 use super::Node;
 use quartzdrift_http::{CallId, Failure, Headers, Outgoing, Response};
-use quartzdrift_platform::coordinator::{Change, Doubt, Follower, News, Told};
+use quartzdrift_platform::coordinator::{
+    EndpointChange, EndpointUpdate, EndpointWatch, WatchError, WatchResponse,
+};
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a poll may wait: short, so that a silence is found well before its news counts as told.
-const WAIT: Duration = Duration::from_millis(1000);
+/// How long a poll may wait: short, so that a silence is found well before its an update counts as told.
+const POLL_WAIT: Duration = Duration::from_millis(1000);
 /// Past the wait, before a poll counts as lost.
-const OVERDUE: Duration = Duration::from_millis(400);
+const POLL_GRACE: Duration = Duration::from_millis(400);
 /// Before the next poll after one that failed, doubled up to the most.
-const AGAIN: Duration = Duration::from_millis(20);
-const MAX_AGAIN: Duration = Duration::from_millis(640);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(640);
 /// Between two polls of a coordinator that has nothing to tell and does not wait.
-const MIN_EMPTY: Duration = Duration::from_millis(100);
+const MIN_EMPTY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Gaps in a row after which the whole list is asked for.
 const MAX_GAPS: u32 = 2;
 
 pub(super) struct Coordinator {
     address: SocketAddr,
-    follower: Follower,
+    watch: EndpointWatch,
     call: Option<(CallId, Duration)>,
     at: Duration,
     failures: u32,
@@ -31,10 +33,10 @@
 
 impl Coordinator {
     pub fn new(address: SocketAddr) -> Coordinator {
-        let follower = Follower::default();
+        let watch = EndpointWatch::default();
         Coordinator {
             address,
-            follower,
+            watch,
             call: None,
             at: Duration::ZERO,
             failures: 0,
@@ -63,25 +65,25 @@
             method: "GET",
             target: format!(
                 "/v2/stream?follow={}&wait_ms={}",
-                self.coordinator.follower.last(),
-                WAIT.as_millis()
+                self.coordinator.watch.last(),
+                POLL_WAIT.as_millis()
             ),
             headers: Headers::new(),
             body: Rc::from([]),
-            connect_timeout: OVERDUE,
+            connect_timeout: POLL_GRACE,
             streams: false,
         };
         let call = self.http.call(self.coordinator.address, request);
-        self.coordinator.call = Some((call, self.now() + WAIT + OVERDUE));
+        self.coordinator.call = Some((call, self.now() + POLL_WAIT + POLL_GRACE));
     }
 
     fn poll_failed(&mut self, why: &str) {
         let failures = self.coordinator.failures;
         self.coordinator.call = None;
         self.coordinator.at = self.now()
-            + AGAIN
+            + RETRY_DELAY
                 .saturating_mul(2_u32.saturating_pow(failures))
-                .min(MAX_AGAIN);
+                .min(MAX_RETRY_DELAY);
         self.coordinator.failures += 1;
         tracing::debug!(why, failures, "a poll of the coordinator failed; the list stands");
         if failures == 0 {
@@ -101,53 +103,57 @@
             return self.poll_failed(&format!("status {}", answer.status));
         }
         let (zones, kinds) = (&self.config.settings.zones, &self.config.settings.kinds);
-        let known = self.coordinator.follower.last();
-        match self.coordinator.follower.read(&answer.body, zones, kinds) {
+        let known = self.coordinator.watch.last();
+        match self.coordinator.watch.read(&answer.body, zones, kinds) {
             Ok(changes) => {
                 let asked = self
                     .coordinator
                     .call
                     .take()
-                    .map(|(_, until)| until - WAIT - OVERDUE);
-                let empty = self.coordinator.follower.last() == known;
-                let pause = if empty { MIN_EMPTY } else { Duration::ZERO };
+                    .map(|(_, until)| until - POLL_WAIT - POLL_GRACE);
+                let empty = self.coordinator.watch.last() == known;
+                let pause = if empty {
+                    MIN_EMPTY_POLL_INTERVAL
+                } else {
+                    Duration::ZERO
+                };
                 self.coordinator.at = asked.map_or(self.now(), |at| (at + pause).max(self.now()));
                 (self.coordinator.failures, self.coordinator.gaps) = (0, 0);
                 self.changes(changes);
             }
-            Err(doubt) => self.doubted(&doubt),
+            Err(error) => self.update_rejected(&error),
         }
     }
 
-    pub(super) fn untold(&mut self, call: CallId, how: Failure) {
+    pub(super) fn poll_error(&mut self, call: CallId, how: Failure) {
         if self.is_poll(call) {
             self.poll_failed(&format!("{how:?}"));
         }
     }
 
-    fn doubted(&mut self, doubt: &Doubt) {
-        if let Doubt::Gap { .. } = doubt {
+    fn update_rejected(&mut self, error: &WatchError) {
+        if let WatchError::Gap { .. } = error {
             self.coordinator.gaps += 1;
             if self.coordinator.gaps >= MAX_GAPS {
                 self.coordinator.gaps = 0;
-                self.coordinator.follower.restart();
+                self.coordinator.watch.restart();
             }
         }
-        tracing::warn!(?doubt, "news of workers is not believed; the list stands");
+        tracing::warn!(?error, "news of workers is not believed; the list stands");
         self.poll_failed("its news is not believed");
     }
 
     /// Events that a configuration holds.
-    pub(super) fn news(&mut self, news: News) {
+    pub(super) fn news(&mut self, news: WatchResponse) {
         let (zones, kinds) = (&self.config.settings.zones, &self.config.settings.kinds);
-        match self.coordinator.follower.take(news, zones, kinds) {
+        match self.coordinator.watch.take(news, zones, kinds) {
             Ok(changes) => self.changes(changes),
-            Err(doubt) => tracing::warn!(?doubt, "the workers that a configuration knows are not believed"),
+            Err(error) => tracing::warn!(?error, "the workers that a configuration knows are not believed"),
         }
     }
 
     /// Follows another coordinator from now on; numbers go on.
-    pub(super) fn follow(&mut self, address: SocketAddr, known: News) {
+    pub(super) fn switch_coordinator(&mut self, address: SocketAddr, known: WatchResponse) {
         tracing::info!(%address, "a new configuration");
         self.news(known);
         if let Some((call, _)) = self.coordinator.call.take() {
@@ -158,8 +164,8 @@
         (self.coordinator.failures, self.coordinator.gaps) = (0, 0);
     }
 
-    fn changes(&mut self, changes: Vec<Change>) {
-        for Change { all, mut workers } in changes {
+    fn changes(&mut self, changes: Vec<EndpointChange>) {
+        for EndpointChange { all, mut workers } in changes {
             if all {
                 // Of a worker that a whole list names twice the last word counts.
                 let mut named = HashSet::new();
@@ -174,7 +180,7 @@
                 left.iter().for_each(|uid| drop(self.worker_gone(uid)));
             }
             let mut before = Vec::new();
-            for Told { listed, address } in &workers {
+            for EndpointUpdate { listed, address } in &workers {
                 match (listed.state, address) {
                     (EndpointState::Up | EndpointState::Draining, Some(address)) => {
                         before.extend(self.worker_listed(&listed.worker, *address, listed.started));
@@ -196,7 +202,7 @@
             // Also where the worker is up again by the end of the event: what waits is not for the one there now.
             before
                 .into_iter()
-                .for_each(|(request, attempt)| self.recall(request, attempt));
+                .for_each(|(request, attempt)| self.recall_attempt(request, attempt));
             self.carry_out();
         }
     }
--- a/crates/quartzdrift/src/platform/mod.rs
+++ b/crates/quartzdrift/src/platform/mod.rs
@@ -1,8 +1,8 @@
-//! A scheduler on the operators' platform: the same desk and module, with FastCGI in front, frames to workers, and
+//! A scheduler on the operators' platform: the same the request table and the scheduler, with FastCGI in front, frames to workers, and
 //! the coordinator's events for a list. State of the event loop; [`run`] is how it is started.
 //!
 //! * `clients`: requests become requests, final answers go back.
-//! * `workers`: lanes to workers, and the attempts on them.
+//! * `workers`: connections to workers, and the attempts on them.
 //! * `coordinator`: one long poll that is always out.
 mod clients;
 mod coordinator;
@@ -22,34 +22,34 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use workers::{Lane, Worker};
+use workers::{Worker, WorkerConnection};
 
 /// Between two looks at whether beliefs and sockets agree.
-const COMPARE: Duration = Duration::from_secs(1);
+const CONSISTENCY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// After SIGTERM clients go on coming for up to 0.6 s (0.4 s on new connections, 0.2 s more on open ones); the rest
 /// is room for a slow machine.
-const STAY: Duration = Duration::from_millis(1200);
+const DRAIN_WINDOW: Duration = Duration::from_millis(1200);
 /// SIGKILL may come so long after SIGTERM, past the longest time limit, which counts as `MAX_LIMIT` where it is
 /// longer (the platform's page on its protocol).
-const KILL: Duration = Duration::from_millis(700);
+const KILL_DEADLINE: Duration = Duration::from_millis(700);
 const MAX_LIMIT: Duration = Duration::from_secs(3);
 /// Before the kill, for the last answers to leave and the process to end on a slow machine.
-const SPARE: Duration = Duration::from_millis(200);
+const FLUSH_MARGIN: Duration = Duration::from_millis(200);
 /// For clients to hear that their connections end, which takes a round trip, and to take what they were sent.
-const LINGER: Duration = Duration::from_millis(250);
+const CLOSE_LINGER: Duration = Duration::from_millis(250);
 
-/// The lanes of the attempts that are out.
+/// The connections of the attempts that are out.
 type Attempts = HashMap<(RequestId, u32), LinkId>;
 
 /// What a link is.
 pub(crate) enum Peer {
     Client(Client),
-    Lane(Lane),
+    WorkerConnection(WorkerConnection),
 }
 
 /// What is sent to workers for a request, and who waits for it; the request table carries it without looking.
 #[derive(Debug)]
-pub struct Work {
+pub struct RequestContext {
     id: u64,
     client: LinkId,
     number: u16,
@@ -68,16 +68,16 @@
     pub failed: u64,
     pub cancelled: u64,
     /// Turned away at the door.
-    pub wrong: u64,
+    pub invalid: u64,
     /// Client connections closed by us: out of step, too slow, or no room.
-    pub cut: u64,
+    pub dropped: u64,
     pub attempts: u64,
-    /// Lanes opened, and lanes lost with something open on them.
-    pub lanes: u64,
-    pub lanes_lost: u64,
+    /// Connections opened, and connections lost with something open on them.
+    pub connections: u64,
+    pub connections_lost: u64,
     /// Answers that could not be read, and those that nobody waited for.
     pub unreadable: u64,
-    pub unasked: u64,
+    pub unmatched: u64,
 }
 
 /// One scheduler on one event loop.
@@ -87,22 +87,22 @@
     clock: Clock,
     links: Links<Node, Peer>,
     http: Http<Node>,
-    request_table: RequestTable<Rc<Work>>,
+    request_table: RequestTable<Rc<RequestContext>>,
     budget: Budget,
     clients: usize,
     /// Clients to be closed once their last words have left.
     closing: Vec<LinkId>,
-    lanes: usize,
+    connections: usize,
     workers: HashMap<Rc<str>, Worker>,
     attempts: Attempts,
     /// Open requests by the id that their client gave.
     open: HashMap<u64, RequestId>,
     /// The answer of the attempt that is being ended, and its request.
-    in_hand: Option<(RequestId, Vec<u8>)>,
+    pending_response: Option<(RequestId, Vec<u8>)>,
     coordinator: Coordinator,
     stopping: Option<Stop>,
     /// When beliefs were last held against the sockets.
-    compared: Duration,
+    held_state_logged_at: Duration,
     pub counts: Counts,
 }
 
@@ -129,14 +129,14 @@
             budget: Budget::of(config.sockets),
             clients: 0,
             closing: Vec::new(),
-            lanes: 0,
+            connections: 0,
             workers: HashMap::new(),
             attempts: HashMap::new(),
             open: HashMap::new(),
-            in_hand: None,
+            pending_response: None,
             coordinator: Coordinator::new(config.coordinator),
             stopping: None,
-            compared: Duration::ZERO,
+            held_state_logged_at: Duration::ZERO,
             counts: Counts::default(),
             config,
         };
@@ -178,7 +178,7 @@
         for event in self.http.take_events() {
             match event {
                 HttpEvent::Answer { call, answer } => self.told(call, &answer),
-                HttpEvent::Failed { call, how } => self.untold(call, how),
+                HttpEvent::Failed { call, how } => self.poll_error(call, how),
                 // Nobody calls us over HTTP, and no answer is streamed.
                 HttpEvent::Request { .. }
                 | HttpEvent::Gone { .. }
@@ -190,14 +190,14 @@
         for id in self.links.take_ready() {
             match self.links.get(id).map(|link| &link.state) {
                 Some(Peer::Client(_)) => self.drive_client(id),
-                Some(Peer::Lane(_)) => self.drive_lane(id),
+                Some(Peer::WorkerConnection(_)) => self.drive_connection(id),
                 None => {}
             }
         }
         for id in self.links.take_overdue(Instant::now()) {
             match self.links.get(id).map(|link| &link.state) {
                 Some(Peer::Client(_)) => self.client_overdue(id),
-                Some(Peer::Lane(_)) => self.lane_overdue(id),
+                Some(Peer::WorkerConnection(_)) => self.connection_overdue(id),
                 None => {}
             }
         }
@@ -213,18 +213,20 @@
             self.carry_out();
         }
         self.coordinator_due(now);
-        self.compare(now);
+        self.log_held_state(now);
         self.links.flush();
-        self.close_served();
+        self.close_flushed_clients();
     }
 
-    /// Where the log is to hear of it: what desk and module believe is out and open, against what the sockets hold.
-    fn compare(&mut self, now: Duration) {
-        if now < self.compared + COMPARE || !tracing::enabled!(tracing::Level::DEBUG) {
+    /// Where the log is to hear of it: what the request table and the scheduler believe is out and open, against what the sockets hold.
+    fn log_held_state(&mut self, now: Duration) {
+        if now < self.held_state_logged_at + CONSISTENCY_CHECK_INTERVAL
+            || !tracing::enabled!(tracing::Level::DEBUG)
+        {
             return;
         }
-        self.compared = now;
-        let [clients, workers, lanes, on_sockets, open] = self.held();
+        self.held_state_logged_at = now;
+        let [clients, workers, connections, on_sockets, open] = self.held_counts();
         let (at_request_table, request_table_open) = (
             self.request_table.attempts_in_flight(),
             self.request_table.open_requests(),
@@ -235,7 +237,7 @@
             clients,
             workers,
             up,
-            lanes,
+            connections,
             on_sockets,
             at_request_table,
             open,
@@ -259,7 +261,7 @@
         }
     }
 
-    fn output(&mut self, output: Output<Rc<Work>>) {
+    fn output(&mut self, output: Output<Rc<RequestContext>>) {
         match output {
             Output::StartAttempt {
                 request,
@@ -268,9 +270,9 @@
                 function,
                 wait,
                 payload,
-            } => self.execute(request, attempt, &worker, function, wait, payload),
-            Output::CancelAttempt { request, attempt } => self.give_up(request, attempt),
-            Output::RecallAttempt { request, attempt } => self.recall(request, attempt),
+            } => self.start_attempt(request, attempt, &worker, function, wait, payload),
+            Output::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
+            Output::RecallAttempt { request, attempt } => self.recall_attempt(request, attempt),
             Output::Respond {
                 request,
                 payload,
@@ -292,12 +294,12 @@
         }
     }
 
-    /// What its tables hold: clients, workers, lanes, attempts out, and requests open by their clients' ids.
-    pub fn held(&self) -> [usize; 5] {
+    /// What its tables hold: clients, workers, connections, attempts out, and requests open by their clients' ids.
+    pub fn held_counts(&self) -> [usize; 5] {
         [
             self.clients,
             self.workers.len(),
-            self.lanes,
+            self.connections,
             self.attempts.len(),
             self.open.len(),
         ]
@@ -314,7 +316,7 @@
                 .map(|w| w.timeout.unwrap_or(MAX_LIMIT));
             let stop = Stop::new(self.now(), limits.max().unwrap_or(MAX_LIMIT));
             self.stopping = Some(stop);
-            self.request_table.set_shutdown_deadline(stop.answered);
+            self.request_table.set_shutdown_deadline(stop.answer_by);
             tracing::info!(
                 open = self.request_table.open_requests(),
                 "stopping: serving those that still come"
@@ -324,7 +326,7 @@
 
     /// Gives what is open its final answer once a stop leaves no more time for it.
     fn end_for_stop(&mut self, now: Duration) {
-        if self.stopping.is_none_or(|stop| now < stop.answered) || self.request_table.open_requests() == 0 {
+        if self.stopping.is_none_or(|stop| now < stop.answer_by) || self.request_table.open_requests() == 0 {
             return;
         }
         tracing::info!(
@@ -344,14 +346,15 @@
     pub fn stopped(&mut self) -> bool {
         let Some(stop) = self.stopping else { return false };
         let now = self.now();
-        let served = now >= stop.stays && self.request_table.open_requests() == 0 && !self.client_waits();
-        match stop.closes {
-            _ if now >= stop.ends => true,
+        let served =
+            now >= stop.drain_until && self.request_table.open_requests() == 0 && !self.has_unsent_answers();
+        match stop.close_by {
+            _ if now >= stop.exit_by => true,
             Some(until) => self.clients == 0 || now >= until,
             None if served && self.is_quiet() => {
-                self.say_farewell();
+                self.send_close_notice();
                 self.stopping = Some(Stop {
-                    closes: Some((now + LINGER).min(stop.ends)),
+                    close_by: Some((now + CLOSE_LINGER).min(stop.exit_by)),
                     ..stop
                 });
                 self.clients == 0
@@ -371,7 +374,7 @@
             false => Err("it is no regular file".to_owned()),
         };
         match read.and_then(|bytes| quartzdrift_platform::config::read(&bytes)) {
-            Ok(config) => self.follow(config.coordinator, config.known),
+            Ok(config) => self.switch_coordinator(config.coordinator, config.known),
             Err(why) => tracing::warn!(why, "the new configuration cannot be read; the old one stands"),
         }
     }
@@ -381,34 +384,34 @@
 #[derive(Clone, Copy, Debug)]
 struct Stop {
     /// Until then newcomers are waited for.
-    stays: Duration,
+    drain_until: Duration,
     /// By then everything has its final answer.
-    answered: Duration,
+    answer_by: Duration,
     /// Clients have heard that their connections end, and are waited for until then.
-    closes: Option<Duration>,
+    close_by: Option<Duration>,
     /// The process ends, whatever is left.
-    ends: Duration,
+    exit_by: Duration,
 }
 
 impl Stop {
     fn new(now: Duration, longest: Duration) -> Stop {
-        let kill = now + longest.min(MAX_LIMIT) + KILL;
-        let answered = kill - SPARE;
+        let kill = now + longest.min(MAX_LIMIT) + KILL_DEADLINE;
+        let answer_by = kill - FLUSH_MARGIN;
         Stop {
-            stays: answered.min(now + STAY),
-            answered,
-            closes: None,
-            ends: kill - SPARE / 2,
+            drain_until: answer_by.min(now + DRAIN_WINDOW),
+            answer_by,
+            close_by: None,
+            exit_by: kill - FLUSH_MARGIN / 2,
         }
     }
 
     /// What the loop must wake for; a moment that has passed wakes nobody.
     fn next_due(&self, now: Duration) -> Option<Duration> {
         let moments = [
-            Some(self.stays),
-            Some(self.answered),
-            self.closes,
-            Some(self.ends),
+            Some(self.drain_until),
+            Some(self.answer_by),
+            self.close_by,
+            Some(self.exit_by),
         ];
         moments.into_iter().flatten().filter(|at| *at > now).min()
     }
@@ -422,13 +425,16 @@
     fn each_moment_of_a_stop_wakes_the_loop_once() {
         let (since, ms) = (Duration::from_secs(5), Duration::from_millis(1));
         let stop = Stop::new(since, Duration::from_secs(60));
-        assert_eq!(stop.next_due(since), Some(since + STAY));
-        assert_eq!(stop.next_due(since + STAY - ms), Some(since + STAY));
-        assert_eq!(stop.next_due(since + STAY), Some(stop.answered));
-        assert_eq!(stop.next_due(stop.answered), Some(stop.ends));
-        let closes = Some(since + STAY * 2);
-        assert_eq!(Stop { closes, ..stop }.next_due(since + STAY), closes);
-        assert_eq!(stop.next_due(stop.ends), None);
+        assert_eq!(stop.next_due(since), Some(since + DRAIN_WINDOW));
+        assert_eq!(
+            stop.next_due(since + DRAIN_WINDOW - ms),
+            Some(since + DRAIN_WINDOW)
+        );
+        assert_eq!(stop.next_due(since + DRAIN_WINDOW), Some(stop.answer_by));
+        assert_eq!(stop.next_due(stop.answer_by), Some(stop.exit_by));
+        let close_by = Some(since + DRAIN_WINDOW * 2);
+        assert_eq!(Stop { close_by, ..stop }.next_due(since + DRAIN_WINDOW), close_by);
+        assert_eq!(stop.next_due(stop.exit_by), None);
     }
 
     #[test]
@@ -443,8 +449,8 @@
             (60_000, 3700),
         ] {
             let stop = Stop::new(since, Duration::from_millis(ms));
-            assert!(stop.stays <= stop.answered && stop.answered < stop.ends);
-            assert!(stop.ends < since + Duration::from_millis(kill), "{ms}");
+            assert!(stop.drain_until <= stop.answer_by && stop.answer_by < stop.exit_by);
+            assert!(stop.exit_by < since + Duration::from_millis(kill), "{ms}");
         }
     }
 }
