--- a/crates/quartzdrift-platform/src/budget.rs
+++ b/crates/quartzdrift-platform/src/budget.rs
@@ -1,10 +1,11 @@
-//! Who may hold how many of the process's descriptors.
+//! Divides the descriptors of the process between connections of clients and connections to workers.
 
-/// Descriptors of the loop itself, signals, logs, listener and coordinator, with room for those that close slowly.
+/// Descriptors of the event loop, signals, log, listener and coordinator, with room for those that close slowly.
 const RESERVE: usize = 24;
-/// Least number for either side: below it nothing can be served at all.
+/// Smallest number for either side: with fewer nothing can be served.
 const MIN_SIDE: usize = 8;
 
+/// Largest numbers of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
     /// Connections of clients; well-behaved ones hold at most a third of all descriptors.
@@ -14,6 +15,7 @@
 }
 
 impl Budget {
+    /// The division of `sockets` descriptors.
     pub fn of(sockets: usize) -> Budget {
         let shared = sockets.saturating_sub(RESERVE);
         let clients = (shared / 2).max(MIN_SIDE);
@@ -25,14 +27,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn well_behaved_clients_have_room_and_the_sum_stays_within_the_limit() {
-        for sockets in [256, 512, 1024, 4096] {
-            let budget = Budget::of(sockets);
-            assert!(budget.clients > sockets / 3 && budget.clients + budget.workers + RESERVE <= sockets);
-        }
-    }
-}
+mod tests;
--- a/crates/quartzdrift-platform/src/config.rs
+++ b/crates/quartzdrift-platform/src/config.rs
@@ -1,21 +1,25 @@
-//! The configuration that the platform gives a scheduler.
+//! The configuration file that the platform gives a scheduler (`GW_CONFIG`).
 use crate::coordinator::WatchResponse;
 use serde::Deserialize;
 use serde_json::Value;
 use std::io::Read as _;
 use std::net::SocketAddr;
 
-/// Descriptors where no limit is told.
+/// Descriptors where the configuration states no limit.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Bytes of a configuration at most: the list of the largest fleet takes far less.
+/// Largest accepted configuration, in bytes; the list of the largest fleet takes far less.
 pub const MAX_BYTES: u64 = 64 << 20;
 
+/// Limits of the process, where they are stated.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
+    /// Processor cores.
     #[serde(default)]
     pub cores: Option<f64>,
+    /// Memory, in megabytes.
     #[serde(default)]
     pub memory_mb: Option<f64>,
+    /// Open descriptors.
     #[serde(default)]
     pub sockets: Option<usize>,
 }
@@ -34,18 +38,26 @@
     settings: Value,
 }
 
-/// A configuration, read whole.
+/// A configuration that was read whole.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// Name of the scheduler, for its log.
     pub name: String,
+    /// Address at which clients are accepted; port 0 takes a free one.
     pub listen: SocketAddr,
+    /// Seed of all random draws.
     pub seed: u64,
+    /// Descriptors that the process may have open.
     pub sockets: usize,
+    /// Address of the coordinator whose events are followed.
     pub coordinator: SocketAddr,
+    /// Events of the coordinator that are known already.
     pub known: WatchResponse,
+    /// Settings of the scheduler.
     pub settings: quartzdrift_scheduler::interface::Settings,
 }
 
+/// Hexadecimal text or a number; anything else is 0.
 fn seed(value: &Value) -> u64 {
     match value {
         Value::String(hex) => u64::from_str_radix(hex, 16).unwrap_or(0),
@@ -53,7 +65,10 @@
     }
 }
 
-/// What a file holds, if a configuration may be that large.
+/// Reads a configuration's bytes.
+///
+/// # Errors
+/// It cannot be read, or is larger than [`MAX_BYTES`].
 pub fn load(from: impl std::io::Read) -> Result<Vec<u8>, String> {
     let mut bytes = Vec::new();
     from.take(MAX_BYTES + 1)
@@ -65,7 +80,10 @@
     Ok(bytes)
 }
 
-/// Reads a configuration; the error says in one line what is wrong with it.
+/// Reads a configuration.
+///
+/// # Errors
+/// One line that says what is wrong with it.
 pub fn read(bytes: &[u8]) -> Result<Config, String> {
     let raw: Raw = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
     let settings = crate::settings::read(&raw.settings)?;
@@ -84,38 +102,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use quartzdrift_scheduler::interface::ReportField;
-
-    const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.4:8443","seed":"8c1f30d27a5be964",
-        "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"coordinator":"127.2.0.1:2379",
-        "known":{"index":1,"updates":[{"index":1,"endpoints":{"rev":1,"all":true,"targets":[]}}]},
-        "settings":{"classes":[{"name":"map","deadline-ns":3000000000}],"stats":{"fields":["q"]}}}"#;
-
-    #[test]
-    fn a_configuration_is_read_whole_or_not_at_all() {
-        let config = read(GOOD.as_bytes()).unwrap();
-        assert_eq!((config.seed, config.sockets), (0x8c1f_30d2_7a5b_e964, 256));
-        assert_eq!(config.settings.request_classes[0].name, "map");
-        assert_eq!(config.settings.report_fields, [ReportField::Queued]);
-        for (good, bad) in [
-            ("127.0.0.4:8443", "nowhere"),
-            ("\"map\"", "7,"),
-            ("\"classes\"", "\"other\""),
-        ] {
-            assert!(read(GOOD.replace(good, bad).as_bytes()).is_err(), "{bad}");
-        }
-        assert!(read(&GOOD.as_bytes()[..200]).is_err());
-    }
-
-    #[test]
-    fn a_configuration_has_a_bound_and_the_worker_list_may_be_missing() {
-        assert!(load(std::io::repeat(b' ')).is_err_and(|why| why.contains("bytes")));
-        assert_eq!(load(GOOD.as_bytes()).unwrap(), GOOD.as_bytes());
-        let start = GOOD.find("\"known\"").unwrap();
-        let end = GOOD.find("\"settings\"").unwrap();
-        let without = format!("{}{}", &GOOD[..start], &GOOD[end..]);
-        assert!(read(without.as_bytes()).is_ok_and(|config| config.known.index.is_none()));
-    }
-}
+mod tests;
--- a/crates/quartzdrift-platform/src/coordinator.rs
+++ b/crates/quartzdrift-platform/src/coordinator.rs
@@ -1,6 +1,6 @@
-//! The coordinator's numbered events, and the list of workers that they make.
+//! Reads the coordinator's numbered events, which make up the list of workers.
 //!
-//! A worker is known by its uid alone: another one may come to stand at the same address.
+//! A worker is identified by its uid alone: another worker may later use the same address.
 use quartzdrift_discovery::list::Listed;
 use quartzdrift_scheduler::interface::EndpointState;
 use serde::Deserialize;
@@ -9,13 +9,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Workers in one event at most; a fleet is far smaller.
+/// Most workers that one event may name; a fleet is far smaller.
 pub const MAX_TARGETS: usize = 100_000;
 
-/// What a call to the coordinator brings.
+/// The coordinator's answer to a poll, or the events that a configuration holds.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct WatchResponse {
-    /// The last event there is; `None` where that is not told.
+    /// Index of the coordinator's last event; `None` where it is not stated.
     #[serde(default)]
     pub index: Option<u64>,
     #[serde(default)]
@@ -51,49 +51,59 @@
     boot_ms: Option<f64>,
 }
 
-/// A worker as an event tells of it, under its uid, and where it stands.
+/// What an event says of one worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
+    /// The worker, named by its uid.
     pub listed: Listed,
+    /// Its address; `None` where none is stated.
     pub address: Option<SocketAddr>,
 }
 
-/// What one event changes.
+/// The changes that one event makes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointChange {
-    /// Whoever is not named has left.
+    /// The event holds the whole list: workers that it does not name have left.
     pub all: bool,
+    /// The workers that it names, in its order.
     pub workers: Vec<EndpointUpdate>,
 }
 
-/// Why an update is not believed; the list as it is stays.
+/// Why an answer is refused. The list of workers stays as it is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchError {
+    /// It is not of the protocol's form.
     Unreadable(String),
-    /// Events between ours and the first that came are missing.
+    /// Events between the last applied one and the first that came are missing.
     Gap {
+        /// Index of the last applied event.
         have: u64,
+        /// Index of the first event that came.
         got: u64,
     },
-    /// Whoever tells knows fewer events than we do: numbers do not start over while a scheduler lives.
+    /// The coordinator knows fewer events than were applied; indexes do not start over while a scheduler runs.
     Stale {
+        /// Index of the last applied event.
         have: u64,
+        /// Index of the coordinator's last event.
         got: u64,
     },
 }
 
-/// Which event was the last one.
+/// Follows the coordinator's events; remembers the last one that was applied.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointWatch {
     last: u64,
 }
 
-/// Places that no list names are numbered from here on; a list of names is far shorter.
+/// Numbers of places that the settings do not list begin here; a list of names is far shorter.
 const FIRST_UNLISTED_PLACE: u32 = 1 << 16;
 
-/// A place by its name or number. One that no list names is none of those on it, and the same name is the same
-/// place; where nothing is told, `of` is a place of its own. Rules that hold within a place then bind most.
-fn place(value: &Value, names: &[String], of: &str) -> u32 {
+/// The number of a place (a zone, or a group of workers) that an event gives by name or number.
+///
+/// A name that the settings do not list is a place apart from the listed ones, the same for the same name. Where no place is
+/// stated, the worker `uid` is in a place of its own, so that rules that hold within a place bind most.
+fn place(value: &Value, names: &[String], uid: &str) -> u32 {
     let known =
         |at: &u64| *at < u64::from(FIRST_UNLISTED_PLACE) && (names.is_empty() || *at < names.len() as u64);
     let resolved = match value {
@@ -102,7 +112,7 @@
             .position(|known| known == name)
             .map(|at| at as u64)
             .ok_or(name.clone()),
-        Value::Null => Err(format!("of {of}")),
+        Value::Null => Err(format!("of {uid}")),
         other => other.as_u64().filter(known).ok_or(other.to_string()),
     };
     match resolved {
@@ -115,7 +125,8 @@
     }
 }
 
-/// A kind of machine: all that no list names are one kind, since nothing but measures tells them apart.
+/// The number of a kind of machine. All kinds that the settings do not list are one more kind, since only measurements
+/// tell them apart.
 fn kind(value: &Value, names: &[String]) -> u32 {
     let most = if names.is_empty() {
         FIRST_UNLISTED_PLACE
@@ -133,7 +144,7 @@
         let state = match self.state.as_str() {
             "Ready" => EndpointState::Up,
             "Gone" => EndpointState::Gone,
-            // What we do not know may not be sent to.
+            // A worker in an unknown state gets nothing new.
             _ => EndpointState::Draining,
         };
         let boot = self.boot_ms.filter(|ms| ms.is_finite() && *ms > 0.0);
@@ -154,12 +165,15 @@
 }
 
 impl EndpointWatch {
-    /// Number of the last event, to follow from.
+    /// Index of the last applied event, to follow from.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// Reads an answer of the coordinator; see [`EndpointWatch::take`].
+    /// Reads and applies an answer of the coordinator; see [`EndpointWatch::take`].
+    ///
+    /// # Errors
+    /// It cannot be read, has a gap, or is older than what was applied; nothing of it is applied.
     pub fn read(
         &mut self,
         body: &[u8],
@@ -177,8 +191,10 @@
         }
     }
 
-    /// What has changed since the last event. Events that are known already are passed over; where one is missing
-    /// nothing is taken, since later ones only tell of changes.
+    /// Applies events and returns what they change. Events that were applied already are skipped.
+    ///
+    /// # Errors
+    /// An event is missing, and what follows it only holds changes; nothing is applied.
     pub fn take(
         &mut self,
         response: WatchResponse,
@@ -221,157 +237,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn event(index: u64, all: bool, targets: &[(&str, &str, &str)]) -> String {
-        let target = |(uid, at, state): &(&str, &str, &str)| {
-            format!(
-                r#"{{"uid":"{uid}","endpoint":"{at}","az":"east","model":"big","pod_group":2,
-                "state":"{state}","capacity_hint":4,"boot_ms":1500}}"#
-            )
-        };
-        let targets: Vec<String> = targets.iter().map(target).collect();
-        let targets = targets.join(",");
-        format!(r#"{{"index":{index},"endpoints":{{"rev":1,"all":{all},"targets":[{targets}]}}}}"#)
-    }
-
-    fn response(last: u64, events: &[String]) -> Vec<u8> {
-        format!(r#"{{"index":{last},"updates":[{}]}}"#, events.join(",")).into_bytes()
-    }
-
-    fn read(watch: &mut EndpointWatch, body: &[u8]) -> Result<Vec<EndpointChange>, WatchError> {
-        watch.read(
-            body,
-            &["west".to_owned(), "east".to_owned()],
-            &["std".to_owned(), "big".to_owned()],
-        )
-    }
-
-    #[test]
-    fn events_are_taken_in_their_order_and_once() {
-        let mut watch = EndpointWatch::default();
-        let first = event(1, true, &[("a", "127.0.0.1:1", "Ready")]);
-        let second = event(
-            2,
-            false,
-            &[("a", "127.0.0.1:1", "Terminating"), ("b", "127.0.0.1:1", "Ready")],
-        );
-        let changes = read(&mut watch, &response(1, std::slice::from_ref(&first))).unwrap();
-        assert!(changes[0].all);
-        let a = &changes[0].workers[0].listed;
-        assert_eq!((a.zone, a.kind, a.cell, a.state), (1, 1, 2, EndpointState::Up));
-        assert_eq!(a.started, Some(Duration::from_millis(1500)));
-        let changes = read(&mut watch, &response(2, &[first, second])).unwrap();
-        assert_eq!(changes.len(), 1);
-        let states: Vec<(&str, EndpointState)> = changes[0]
-            .workers
-            .iter()
-            .map(|resolved| (&resolved.listed.worker[..], resolved.listed.state))
-            .collect();
-        assert_eq!(states, [("a", EndpointState::Draining), ("b", EndpointState::Up)]);
-        assert_eq!(watch.last(), 2);
-    }
-
-    #[test]
-    fn a_gap_or_half_an_answer_changes_nothing() {
-        let mut watch = EndpointWatch::default();
-        read(&mut watch, &response(1, &[event(1, true, &[])])).unwrap();
-        let (two, four) = (
-            event(2, false, &[("a", "127.0.0.1:1", "Ready")]),
-            event(4, false, &[]),
-        );
-        let whole = response(4, &[two, four]);
-        assert_eq!(read(&mut watch, &whole), Err(WatchError::Gap { have: 2, got: 4 }));
-        for cut in [0, 1, whole.len() / 2, whole.len() - 1] {
-            assert!(
-                matches!(read(&mut watch, &whole[..cut]), Err(WatchError::Unreadable(_))),
-                "{cut}"
-            );
-        }
-        assert_eq!(watch.last(), 1);
-        // The whole list mends a gap.
-        let again = read(
-            &mut watch,
-            &response(7, &[event(7, true, &[("c", "127.0.0.1:3", "Ready")])]),
-        )
-        .unwrap();
-        assert!(again[0].all && watch.last() == 7);
-    }
-
-    #[test]
-    fn unknown_events_and_states_are_no_reason_to_send() {
-        let mut watch = EndpointWatch::default();
-        let other = r#"{"index":1,"shards":{}}"#.to_owned();
-        assert!(read(&mut watch, &response(1, &[other])).unwrap().is_empty());
-        let changes = read(
-            &mut watch,
-            &response(2, &[event(2, false, &[("a", "127.0.0.1:1", "Odd")])]),
-        )
-        .unwrap();
-        assert_eq!(
-            (changes[0].workers[0].listed.state, watch.last()),
-            (EndpointState::Draining, 2)
-        );
-    }
-
-    #[test]
-    fn whoever_knows_fewer_events_is_not_believed() {
-        let mut watch = EndpointWatch::default();
-        let ready = |index| event(index, true, &[("a", "127.0.0.1:1", "Ready")]);
-        read(&mut watch, &response(5, &[ready(5)])).unwrap();
-        for old in [response(3, &[ready(3)]), response(0, &[])] {
-            assert!(matches!(
-                read(&mut watch, &old),
-                Err(WatchError::Stale { have: 5, .. })
-            ));
-        }
-        // Nothing new, and no word on the last event.
-        assert_eq!(read(&mut watch, &response(5, &[ready(5)])), Ok(Vec::new()));
-        assert_eq!(read(&mut watch, br#"{"updates":[]}"#), Ok(Vec::new()));
-        assert_eq!(watch.last(), 5);
-    }
-
-    #[test]
-    fn places_that_no_list_names_are_places_of_their_own() {
-        let mut watch = EndpointWatch::default();
-        let mut resolved = |index: u64, field: &str, value: &str| {
-            let target =
-                format!(r#"{{"uid":"w{index}","endpoint":"127.0.0.1:1","state":"Ready","{field}":{value}}}"#);
-            let event = format!(r#"{{"index":{index},"endpoints":{{"all":false,"targets":[{target}]}}}}"#);
-            read(&mut watch, &response(index, &[event])).unwrap()[0].workers[0]
-                .listed
-                .clone()
-        };
-        // West and east are named.
-        let named = [resolved(1, "az", "\"west\"").zone, resolved(2, "az", "1").zone];
-        assert_eq!(named, [0, 1]);
-        let north = resolved(3, "az", "\"north\"").zone;
-        assert_eq!(north, resolved(4, "az", "\"north\"").zone);
-        let others = [
-            resolved(5, "az", "null").zone,
-            resolved(6, "az", "null").zone,
-            resolved(7, "az", "2").zone,
-            north,
-        ];
-        let all: std::collections::BTreeSet<u32> = named.into_iter().chain(others).collect();
-        assert_eq!(all.len(), 6, "{all:?}");
-        let cells = [
-            resolved(8, "pod_group", "4").cell,
-            resolved(9, "pod_group", "null").cell,
-            resolved(10, "rev", "1").cell,
-        ];
-        assert!(
-            cells[0] == 4
-                && cells[1] != cells[2]
-                && cells[1..].iter().all(|cell| *cell >= FIRST_UNLISTED_PLACE)
-        );
-        // Kinds that are not named are one more kind, so that no list of them grows.
-        let kinds = ["\"odd\"", "\"other\"", "7", "4000000000", "\"big\"", "null"];
-        let kinds: Vec<u32> = (11..)
-            .zip(kinds)
-            .map(|(at, name)| resolved(at, "model", name).kind)
-            .collect();
-        assert_eq!(kinds, [2, 2, 2, 2, 1, 0]);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/quartzdrift-platform/src/coordinator/tests.rs
@@ -0,0 +1,150 @@
+use super::*;
+
+fn event(index: u64, all: bool, targets: &[(&str, &str, &str)]) -> String {
+    let target = |(uid, at, state): &(&str, &str, &str)| {
+        format!(
+            r#"{{"uid":"{uid}","endpoint":"{at}","az":"east","model":"big","pod_group":2,
+            "state":"{state}","capacity_hint":4,"boot_ms":1500}}"#
+        )
+    };
+    let targets: Vec<String> = targets.iter().map(target).collect();
+    let targets = targets.join(",");
+    format!(r#"{{"index":{index},"endpoints":{{"rev":1,"all":{all},"targets":[{targets}]}}}}"#)
+}
+
+fn response(last: u64, events: &[String]) -> Vec<u8> {
+    format!(r#"{{"index":{last},"updates":[{}]}}"#, events.join(",")).into_bytes()
+}
+
+fn read(watch: &mut EndpointWatch, body: &[u8]) -> Result<Vec<EndpointChange>, WatchError> {
+    watch.read(
+        body,
+        &["west".to_owned(), "east".to_owned()],
+        &["std".to_owned(), "big".to_owned()],
+    )
+}
+
+#[test]
+fn events_are_taken_in_their_order_and_once() {
+    let mut watch = EndpointWatch::default();
+    let first = event(1, true, &[("a", "127.0.0.1:1", "Ready")]);
+    let second = event(
+        2,
+        false,
+        &[("a", "127.0.0.1:1", "Terminating"), ("b", "127.0.0.1:1", "Ready")],
+    );
+    let changes = read(&mut watch, &response(1, std::slice::from_ref(&first))).unwrap();
+    assert!(changes[0].all);
+    let a = &changes[0].workers[0].listed;
+    assert_eq!((a.zone, a.kind, a.cell, a.state), (1, 1, 2, EndpointState::Up));
+    assert_eq!(a.started, Some(Duration::from_millis(1500)));
+    let changes = read(&mut watch, &response(2, &[first, second])).unwrap();
+    assert_eq!(changes.len(), 1);
+    let states: Vec<(&str, EndpointState)> = changes[0]
+        .workers
+        .iter()
+        .map(|resolved| (&resolved.listed.worker[..], resolved.listed.state))
+        .collect();
+    assert_eq!(states, [("a", EndpointState::Draining), ("b", EndpointState::Up)]);
+    assert_eq!(watch.last(), 2);
+}
+
+#[test]
+fn a_gap_or_half_an_answer_changes_nothing() {
+    let mut watch = EndpointWatch::default();
+    read(&mut watch, &response(1, &[event(1, true, &[])])).unwrap();
+    let (two, four) = (
+        event(2, false, &[("a", "127.0.0.1:1", "Ready")]),
+        event(4, false, &[]),
+    );
+    let whole = response(4, &[two, four]);
+    assert_eq!(read(&mut watch, &whole), Err(WatchError::Gap { have: 2, got: 4 }));
+    for cut in [0, 1, whole.len() / 2, whole.len() - 1] {
+        assert!(
+            matches!(read(&mut watch, &whole[..cut]), Err(WatchError::Unreadable(_))),
+            "{cut}"
+        );
+    }
+    assert_eq!(watch.last(), 1);
+    // The whole list mends a gap.
+    let again = read(
+        &mut watch,
+        &response(7, &[event(7, true, &[("c", "127.0.0.1:3", "Ready")])]),
+    )
+    .unwrap();
+    assert!(again[0].all && watch.last() == 7);
+}
+
+#[test]
+fn unknown_events_and_states_are_no_reason_to_send() {
+    let mut watch = EndpointWatch::default();
+    let other = r#"{"index":1,"shards":{}}"#.to_owned();
+    assert!(read(&mut watch, &response(1, &[other])).unwrap().is_empty());
+    let changes = read(
+        &mut watch,
+        &response(2, &[event(2, false, &[("a", "127.0.0.1:1", "Odd")])]),
+    )
+    .unwrap();
+    assert_eq!(
+        (changes[0].workers[0].listed.state, watch.last()),
+        (EndpointState::Draining, 2)
+    );
+}
+
+#[test]
+fn whoever_knows_fewer_events_is_not_believed() {
+    let mut watch = EndpointWatch::default();
+    let ready = |index| event(index, true, &[("a", "127.0.0.1:1", "Ready")]);
+    read(&mut watch, &response(5, &[ready(5)])).unwrap();
+    for old in [response(3, &[ready(3)]), response(0, &[])] {
+        assert!(matches!(
+            read(&mut watch, &old),
+            Err(WatchError::Stale { have: 5, .. })
+        ));
+    }
+    // Nothing new, and no word on the last event.
+    assert_eq!(read(&mut watch, &response(5, &[ready(5)])), Ok(Vec::new()));
+    assert_eq!(read(&mut watch, br#"{"updates":[]}"#), Ok(Vec::new()));
+    assert_eq!(watch.last(), 5);
+}
+
+#[test]
+fn places_that_no_list_names_are_places_of_their_own() {
+    let mut watch = EndpointWatch::default();
+    let mut resolved = |index: u64, field: &str, value: &str| {
+        let target =
+            format!(r#"{{"uid":"w{index}","endpoint":"127.0.0.1:1","state":"Ready","{field}":{value}}}"#);
+        let event = format!(r#"{{"index":{index},"endpoints":{{"all":false,"targets":[{target}]}}}}"#);
+        read(&mut watch, &response(index, &[event])).unwrap()[0].workers[0]
+            .listed
+            .clone()
+    };
+    // West and east are named.
+    let named = [resolved(1, "az", "\"west\"").zone, resolved(2, "az", "1").zone];
+    assert_eq!(named, [0, 1]);
+    let north = resolved(3, "az", "\"north\"").zone;
+    assert_eq!(north, resolved(4, "az", "\"north\"").zone);
+    let others = [
+        resolved(5, "az", "null").zone,
+        resolved(6, "az", "null").zone,
+        resolved(7, "az", "2").zone,
+        north,
+    ];
+    let all: std::collections::BTreeSet<u32> = named.into_iter().chain(others).collect();
+    assert_eq!(all.len(), 6, "{all:?}");
+    let cells = [
+        resolved(8, "pod_group", "4").cell,
+        resolved(9, "pod_group", "null").cell,
+        resolved(10, "rev", "1").cell,
+    ];
+    assert!(
+        cells[0] == 4 && cells[1] != cells[2] && cells[1..].iter().all(|cell| *cell >= FIRST_UNLISTED_PLACE)
+    );
+    // Kinds that are not named are one more kind, so that no list of them grows.
+    let kinds = ["\"odd\"", "\"other\"", "7", "4000000000", "\"big\"", "null"];
+    let kinds: Vec<u32> = (11..)
+        .zip(kinds)
+        .map(|(at, name)| resolved(at, "model", name).kind)
+        .collect();
+    assert_eq!(kinds, [2, 2, 2, 2, 1, 0]);
+}
--- a/crates/quartzdrift-platform/src/frame.rs
+++ b/crates/quartzdrift-platform/src/frame.rs
@@ -2,30 +2,41 @@
 //!
 //! `mark:1 code:1 fields:2 body:4 id:8`, numbers big-endian; the check is the CRC-32 (IEEE) of fields and body.
 
-/// First byte of a frame from a scheduler, and from a worker.
+/// First byte of a frame from a scheduler.
 pub const FROM_SCHEDULER: u8 = 192;
+/// First byte of a frame from a worker.
 pub const FROM_WORKER: u8 = 193;
 
-/// Bytes of a frame's head and of its check.
+/// Bytes of a frame's head.
 pub const HEAD: usize = 16;
+/// Bytes of a frame's checksum.
 pub const CHECK: usize = 4;
-/// Bytes of an answer's fields and of its body; a frame that claims more is refused from its head.
+/// Largest fields of an answer, in bytes; a frame that claims more is refused from its head.
 pub const MAX_FIELDS: usize = 4 << 10;
+/// Largest body of an answer, in bytes; a frame that claims more is refused from its head.
 pub const MAX_BODY: usize = 64 << 10;
 
+/// Code of a command: run a request.
 pub const EXECUTE: u8 = 48;
+/// Code of a command: nobody waits for a request any more.
 pub const GIVE_UP: u8 = 49;
+/// Code of a command: answer if this connection works.
 pub const ASK_ALIVE: u8 = 50;
 
 /// What a worker says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
+    /// The request ran; the body is its answer.
     Done,
+    /// The function is not loaded and was not loaded for the request.
     Miss,
+    /// The worker is at capacity; nothing ran.
     Full,
+    /// The request failed and may have run.
     Error,
-    /// The request was over already.
+    /// The request was concluded already; nothing ran.
     Over,
+    /// The connection works.
     Alive,
 }
 
@@ -46,9 +57,13 @@
 /// A worker's answer, in the bytes that it came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer<'a> {
+    /// What the worker says.
     pub code: Code,
+    /// Id of the request that it is about.
     pub id: u64,
+    /// `name=value` pairs separated by commas.
     pub fields: &'a [u8],
+    /// The answer itself.
     pub body: &'a [u8],
     /// Bytes of the whole frame.
     pub length: usize,
@@ -57,10 +72,13 @@
 /// Bytes that are no answer: where the next one begins is not known, so the connection is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unreadable {
+    /// The first byte is not that of a worker's frame.
     Magic(u8),
+    /// The code is unknown.
     Code(u8),
     /// Longer than any answer may be.
     Length(u64),
+    /// The checksum does not fit.
     Check,
 }
 
@@ -68,8 +86,10 @@
     bytes.get(at..at + N)?.try_into().ok()
 }
 
-/// Reads the first answer in `bytes`; `None` while it is not all there. What its head already shows to be wrong
-/// is refused at once.
+/// Reads the first answer in `bytes`; `None` while it is not complete.
+///
+/// # Errors
+/// The bytes are no answer; what the head already shows to be wrong is refused at once.
 pub fn read(bytes: &[u8]) -> Result<Option<Answer<'_>>, Unreadable> {
     let Some(&magic) = bytes.first() else {
         return Ok(None);
@@ -123,58 +143,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn frame(code: u8, fields: &[u8], body: &[u8]) -> Vec<u8> {
-        let mut out = Vec::new();
-        write(&mut out, FROM_WORKER, code, 0x0102_0304_0506_0708, fields, body);
-        out
-    }
-
-    #[test]
-    fn a_frame_is_laid_out_as_published() {
-        let bytes = frame(64, b"a=b", b"xyz");
-        assert_eq!(
-            &bytes[..HEAD],
-            &[193, 64, 0, 3, 0, 0, 0, 3, 1, 2, 3, 4, 5, 6, 7, 8]
-        );
-        // The check value that the CRC-32's definition gives for these nine digits.
-        assert_eq!(
-            frame(64, b"123456789", b"")[HEAD + 9..],
-            0xcbf4_3926_u32.to_be_bytes()
-        );
-    }
-
-    #[test]
-    fn what_is_wrong_is_refused_from_the_first_byte_that_shows_it() {
-        assert_eq!(read(&[192]), Err(Unreadable::Magic(192)));
-        assert_eq!(read(&[193, 65]), Err(Unreadable::Code(65)));
-        let three_gigabytes = [193, 64, 0, 0, 0xb2, 0xd0, 0x5e, 0, 0, 0, 0, 0, 0, 0, 0, 1];
-        assert_eq!(read(&three_gigabytes), Err(Unreadable::Length(3_000_000_000)));
-        let mut spoilt = frame(64, b"", b"good");
-        spoilt[HEAD + 1] ^= 1;
-        assert_eq!(read(&spoilt), Err(Unreadable::Check));
-    }
-
-    proptest! {
-        #[test]
-        fn an_answer_is_read_whole_and_only_whole(
-            fields in proptest::collection::vec(any::<u8>(), 0..100),
-            body in proptest::collection::vec(any::<u8>(), 0..1000),
-            cut in any::<proptest::sample::Index>(),
-        ) {
-            let bytes = frame(67, &fields, &body);
-            prop_assert_eq!(read(&bytes[..cut.index(bytes.len())]), Ok(None));
-            let answer = read(&bytes).unwrap().unwrap();
-            prop_assert_eq!((answer.code, answer.fields, answer.body), (Code::Full, &fields[..], &body[..]));
-            prop_assert_eq!(answer.length, bytes.len());
-        }
-
-        #[test]
-        fn noise_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
-            let _ = read(&bytes);
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/quartzdrift-platform/src/frame/tests.rs
@@ -0,0 +1,53 @@
+use super::*;
+use proptest::prelude::*;
+
+fn frame(code: u8, fields: &[u8], body: &[u8]) -> Vec<u8> {
+    let mut out = Vec::new();
+    write(&mut out, FROM_WORKER, code, 0x0102_0304_0506_0708, fields, body);
+    out
+}
+
+#[test]
+fn a_frame_is_laid_out_as_published() {
+    let bytes = frame(64, b"a=b", b"xyz");
+    assert_eq!(
+        &bytes[..HEAD],
+        &[193, 64, 0, 3, 0, 0, 0, 3, 1, 2, 3, 4, 5, 6, 7, 8]
+    );
+    // The check value that the CRC-32's definition gives for these nine digits.
+    assert_eq!(
+        frame(64, b"123456789", b"")[HEAD + 9..],
+        0xcbf4_3926_u32.to_be_bytes()
+    );
+}
+
+#[test]
+fn what_is_wrong_is_refused_from_the_first_byte_that_shows_it() {
+    assert_eq!(read(&[192]), Err(Unreadable::Magic(192)));
+    assert_eq!(read(&[193, 65]), Err(Unreadable::Code(65)));
+    let three_gigabytes = [193, 64, 0, 0, 0xb2, 0xd0, 0x5e, 0, 0, 0, 0, 0, 0, 0, 0, 1];
+    assert_eq!(read(&three_gigabytes), Err(Unreadable::Length(3_000_000_000)));
+    let mut spoilt = frame(64, b"", b"good");
+    spoilt[HEAD + 1] ^= 1;
+    assert_eq!(read(&spoilt), Err(Unreadable::Check));
+}
+
+proptest! {
+    #[test]
+    fn an_answer_is_read_whole_and_only_whole(
+        fields in proptest::collection::vec(any::<u8>(), 0..100),
+        body in proptest::collection::vec(any::<u8>(), 0..1000),
+        cut in any::<proptest::sample::Index>(),
+    ) {
+        let bytes = frame(67, &fields, &body);
+        prop_assert_eq!(read(&bytes[..cut.index(bytes.len())]), Ok(None));
+        let answer = read(&bytes).unwrap().unwrap();
+        prop_assert_eq!((answer.code, answer.fields, answer.body), (Code::Full, &fields[..], &body[..]));
+        prop_assert_eq!(answer.length, bytes.len());
+    }
+
+    #[test]
+    fn noise_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
+        let _ = read(&bytes);
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-platform/src/request_fields/tests.rs
@@ -0,0 +1,172 @@
+use super::*;
+use proptest::prelude::*;
+use quartzdrift_scheduler::interface::{RequestClass, Tenant};
+
+fn settings() -> Settings {
+    let timeout = Some(Duration::from_secs(4));
+    let map = RequestClass {
+        name: "map".to_owned(),
+        timeout,
+        ..RequestClass::default()
+    };
+    Settings {
+        request_classes: vec![map],
+        ..Settings::default()
+    }
+}
+
+/// One character more than an idempotency key may have.
+const LONG: &str = match str::from_utf8(&[b'f'; MAX_IDEMPOTENCY_KEY + 1]) {
+    Ok(text) => text,
+    Err(_) => panic!("it is ASCII"),
+};
+
+fn good<'a>() -> RequestFields<'a> {
+    RequestFields {
+        path: Some("/do/map"),
+        id: Some("9b1f03aa5c7e2d41"),
+        time: Some("1500"),
+        function: Some("7f3a9c21e0b4d655"),
+        idempotency_key: None,
+        tenant: None,
+        resource_hints: Some("memory_mb:512;lanes:2;load_ms:640"),
+        length: Some("3"),
+        body: 3,
+    }
+}
+
+#[test]
+fn a_good_one_is_read_as_it_came() {
+    let request = read(&good(), &settings()).unwrap();
+    assert_eq!(request.tenant, 0, "no customers are told, and none is named");
+    assert_eq!(
+        (request.id, request.function),
+        (0x9b1f_03aa_5c7e_2d41, "7f3a9c21e0b4d655")
+    );
+    assert_eq!(
+        (request.time_remaining, request.memory_mb),
+        (Duration::from_millis(1500), Some(512.0))
+    );
+    assert_eq!(
+        (request.concurrency_slots, request.load),
+        (Some(2.0), Some(Duration::from_millis(640)))
+    );
+}
+
+#[test]
+fn tenants_are_those_of_the_settings_and_all_others_are_one_more() {
+    let name = |name: &str| Tenant {
+        name: name.to_owned(),
+        ..Tenant::default()
+    };
+    let settings = Settings {
+        tenants: vec![name("a"), name("b")],
+        ..settings()
+    };
+    let of = |tenant| {
+        read(&RequestFields { tenant, ..good() }, &settings)
+            .unwrap()
+            .tenant
+    };
+    assert_eq!(
+        [Some("a"), Some("b"), Some("c"), Some(""), None].map(of),
+        [0, 1, 2, 2, 2]
+    );
+}
+
+/// The error for good fields with one change.
+fn wrong(change: &dyn Fn(&mut RequestFields)) -> FieldError {
+    let mut fields = good();
+    change(&mut fields);
+    read(&fields, &settings()).unwrap_err()
+}
+
+#[test]
+fn ids_and_paths_that_are_malformed_are_named() {
+    assert_eq!(wrong(&|f| f.path = Some("/other")), FieldError::Path);
+    assert_eq!(wrong(&|f| f.path = Some("/do/map,x=1")), FieldError::RequestClass);
+    for id in [
+        None,
+        Some(""),
+        Some("9b1f03aa5c7e2d4"),
+        Some("9b1f03aa5c7e2d41a"),
+        Some("+b1f03aa5c7e2d41"),
+    ] {
+        assert_eq!(wrong(&|f| f.id = id), FieldError::Id);
+    }
+    assert_eq!(
+        wrong(&|f| f.function = Some("7f3a9c21,x=4d655")),
+        FieldError::Function
+    );
+}
+
+#[test]
+fn values_that_are_out_of_range_are_named() {
+    for time in [
+        None,
+        Some("0"),
+        Some("-5"),
+        Some("+5"),
+        Some("1e3"),
+        Some("4006"),
+        Some("99999999999999999999"),
+    ] {
+        assert_eq!(wrong(&|f| f.time = time), FieldError::Time);
+    }
+    for resource_hints in [
+        "lanes:-1",
+        "lanes:0",
+        "memory_mb:nan",
+        "memory_mb:1e400",
+        "load_ms:x",
+        "lanes",
+    ] {
+        assert_eq!(
+            wrong(&|f| f.resource_hints = Some(resource_hints)),
+            FieldError::ResourceHints
+        );
+    }
+    for idempotency_key in ["a,b", "a=b", "a b", "\u{e9}", LONG] {
+        assert_eq!(
+            wrong(&|f| f.idempotency_key = Some(idempotency_key)),
+            FieldError::IdempotencyKey
+        );
+    }
+    for length in ["4", "-1", "99999999999999999999", "x"] {
+        assert_eq!(wrong(&|f| f.length = Some(length)), FieldError::Length);
+    }
+}
+
+#[test]
+fn a_keyed_request_has_its_idempotency_key_and_others_may() {
+    let (mut settings, mut fields) = (settings(), good());
+    assert_eq!(read(&fields, &settings).unwrap().idempotency_key, None);
+    settings.request_classes[0].idempotency = Idempotency::IdempotentWithKey;
+    for missing in [None, Some("")] {
+        assert_eq!(
+            read(
+                &RequestFields {
+                    idempotency_key: missing,
+                    ..fields
+                },
+                &settings
+            ),
+            Err(FieldError::IdempotencyKey)
+        );
+    }
+    fields.idempotency_key = Some("9f-03_Aa");
+    assert_eq!(
+        read(&fields, &settings).unwrap().idempotency_key,
+        Some("9f-03_Aa")
+    );
+}
+
+proptest! {
+    #[test]
+    fn nothing_that_passes_can_break_a_frames_fields(function in ".{0,20}", resource_hints in ".{0,40}") {
+        let fields = RequestFields { function: Some(&function), resource_hints: Some(&resource_hints), ..good() };
+        if let Ok(request) = read(&fields, &settings()) {
+            prop_assert!(request.function.bytes().all(|b| b.is_ascii_alphanumeric()));
+        }
+    }
+}
--- a/crates/quartzdrift-platform/src/settings.rs
+++ b/crates/quartzdrift-platform/src/settings.rs
@@ -1,6 +1,11 @@
-//! The settings object of the platform, put into the interface's words: one reader for adapter and daemon.
-//! What a rule rests on is refused where it cannot be read; what is not told counts as what binds most.
-use quartzdrift_scheduler::interface::*;
+//! Reads the platform's settings object into the scheduler's settings, for the adapter and the daemon alike.
+//!
+//! A value that a rule rests on is refused when it cannot be read. A value that is missing or unknown counts as the one that
+//! binds most.
+use quartzdrift_scheduler::interface::{
+    Allowed, CacheSettings, CountedBy, DeduplicationScope, DiscoveryMode, Goal, Idempotency, OnMiss, Prices,
+    ReportField, ReportSource, RequestClass, Rules, Settings, Tenant, Weights,
+};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -38,8 +43,8 @@
     from.get(key).and_then(Value::as_array).into_iter().flatten()
 }
 
-/// Figures that the rules rest on: read wrongly, they would bind nothing. Those of each class are apart.
-const RULING: [&str; 14] = [
+/// Numbers that the rules rest on, as JSON pointers; misread, they would bind nothing.
+const RULE_NUMBERS: [&str; 14] = [
     "/replicas-of-me",
     "/allowed/max-attempts",
     "/allowed/max-retry-after-ns",
@@ -55,9 +60,10 @@
     "/family-info/load-share",
     "/family-info/stays-loaded-ns",
 ];
-const RULING_CLASS: [&str; 3] = ["/deadline-ns", "/on-time-ns", "/window-ns"];
-/// Without the first of each the others say nothing.
-const WHOLE: [(&str, &[&str]); 2] = [
+/// The same in each request class.
+const CLASS_RULE_NUMBERS: [&str; 3] = ["/deadline-ns", "/on-time-ns", "/window-ns"];
+/// Rules of several numbers: without the first the others say nothing.
+const COMPOUND_RULES: [(&str, &[&str]); 2] = [
     (
         "/safety/cold-ns",
         &["/safety/cold-from", "/safety/fall-multiple", "/safety/fall-ns"],
@@ -68,21 +74,21 @@
     ),
 ];
 
-/// What is wrong with settings that no scheduler can keep the rules by.
+/// Why no scheduler can keep the rules by these settings, if so.
 fn fault(all: &Value) -> Option<String> {
     if list(all, "classes").next().is_none() {
         return Some("the settings name no class".to_owned());
     }
-    let of_all = RULING.iter().map(|at| (at, all.pointer(at)));
+    let of_all = RULE_NUMBERS.iter().map(|at| (at, all.pointer(at)));
     let of_classes =
-        list(all, "classes").flat_map(|class| RULING_CLASS.iter().map(|at| (at, class.pointer(at))));
+        list(all, "classes").flat_map(|class| CLASS_RULE_NUMBERS.iter().map(|at| (at, class.pointer(at))));
     for (at, value) in of_all.chain(of_classes) {
         if let Some(value) = value.filter(|value| value.as_f64().is_none_or(|n| n < 0.0)) {
             return Some(format!("'{at}' is {value}, no number from 0 on"));
         }
     }
     let configured = |at: &str| all.pointer(at).is_some();
-    let part = WHOLE
+    let part = COMPOUND_RULES
         .iter()
         .find(|(first, others)| !configured(first) && others.iter().any(|at| configured(at)));
     part.map(|(first, _)| format!("a rule is told in part: '{first}' is missing"))
@@ -94,6 +100,7 @@
         .collect()
 }
 
+/// A missing or unknown kind of idempotency is the strictest.
 fn request_class(from: &Value) -> RequestClass {
     RequestClass {
         name: word(from, "name").to_owned(),
@@ -110,7 +117,7 @@
         deduplication_scope: match word(from, "key-scope") {
             "all" => DeduplicationScope::All,
             "zone" => DeduplicationScope::Zone,
-            // Untold or not known: the narrowest.
+            // Missing or unknown: the narrowest.
             _ => DeduplicationScope::Cell,
         },
         window: span(from, "window-ns"),
@@ -118,7 +125,7 @@
     }
 }
 
-/// A value of a load report by its name in the settings.
+/// The field of a load report that has this name in the settings; [`ReportField::Unknown`] for any other.
 pub fn field(name: &str) -> ReportField {
     match name {
         "rif" => ReportField::Held,
@@ -133,18 +140,15 @@
     }
 }
 
-/// Reads the settings object, as the simulator's first message and a scheduler's configuration hold it. The error
-/// says in one line what no scheduler can keep the rules by.
+/// Reads the settings object, as the simulator's first message and a scheduler's configuration hold it.
+///
+/// # Errors
+/// One line that says why no scheduler can keep the rules by these settings: a value that a rule rests on cannot be read,
+/// or a rule is given in part.
 pub fn read(all: &Value) -> Result<Settings, String> {
     if let Some(fault) = fault(all) {
         return Err(fault);
     }
-    let none = Value::Null;
-    let part = |key: &str| all.get(key).unwrap_or(&none);
-    let (allowed, rules, copies) = (part("allowed"), part("safety"), part("family-info"));
-    let (prices, goal, reports) = (part("fees"), part("goal"), part("stats"));
-    let price = |key: &str| number(prices, key).unwrap_or(0.0);
-    let weight = |key: &str| number(goal, key).unwrap_or(0.0);
     Ok(Settings {
         me: count(all, "me"),
         schedulers: count(all, "replicas-of-me"),
@@ -155,176 +159,151 @@
         tiers: names(all, "tiers"),
         family: word(all, "workload").to_owned(),
         resolution: span(all, "resolution-ns"),
-        discovery: match word(all, "registry-mode") {
-            "push" => DiscoveryMode::Push,
-            // Untold or not known: a subscription is allowed everywhere, a list that nobody sends is stale.
-            _ => DiscoveryMode::Poll,
-        },
-        weights: match word(all, "weight-kind") {
-            "nominal" => Weights::Nominal,
-            "rough" => Weights::Rough,
-            "live" => Weights::Live,
-            _ => Weights::Silent,
-        },
-        counted_by: match word(all, "worth-by") {
-            "work" => CountedBy::Work,
-            _ => CountedBy::Request,
-        },
+        discovery: discovery_mode(all),
+        weights: weights(all),
+        counted_by: counted_by(all),
         over_quota_weight: number(all, "over-share-worth"),
-        clients_mark_retries: flag(part("clients"), "marks-retry"),
+        clients_mark_retries: flag(section(all, "clients"), "marks-retry"),
         request_classes: list(all, "classes").map(request_class).collect(),
-        tenants: list(all, "tenants")
-            .map(|one| Tenant {
-                name: word(one, "name").to_owned(),
-                share: number(one, "share"),
-                requests_per_second: number(one, "quota-rps"),
-            })
-            .collect(),
-        allowed: Allowed {
-            cancel: flag(allowed, "cancel"),
-            probes: flag(allowed, "may-probe"),
-            peers: flag(allowed, "peers"),
-            hedging: flag(allowed, "second-copies"),
-            retry_after: flag(allowed, "retry-after"),
-            max_retry_after: span(allowed, "max-retry-after-ns"),
-            max_attempts: count(allowed, "max-attempts"),
-            max_open: count(allowed, "max-open"),
-            connect_timeout: span(allowed, "connect-timeout-ns"),
-            keepalive: span(allowed, "keepalive-ns"),
-            cpu_us_per_second: number(allowed, "cpu-us-per-s"),
-            cpu_us_per_request: number(allowed, "cpu-us-per-request"),
-            streams_per_connection: count(allowed, "streams-per-conn"),
-        },
-        rules: Rules {
-            answer_slack: span(rules, "answer-slack-ns"),
-            ask_within: span(rules, "ask-within-ns"),
-            cold_from: number(rules, "cold-from"),
-            cold_for: span(rules, "cold-ns"),
-            drain_grace: span(rules, "drain-grace-ns"),
-            fall_multiple: number(rules, "fall-multiple"),
-            fall_window: span(rules, "fall-ns"),
-        },
-        copies: CacheSettings {
-            on_miss: match word(copies, "on-miss") {
-                "miss" => OnMiss::Miss,
-                _ => OnMiss::Load,
-            },
-            load_commands: flag(copies, "may-order"),
-            reports_cache_status: flag(copies, "tells-warm"),
-            reports_concurrency: flag(copies, "tells-crowd"),
-            keep: span(copies, "stays-loaded-ns"),
-            memory_mb_by_kind: list(copies, "memory-mb-by-kind")
-                .filter_map(Value::as_f64)
-                .collect(),
-            idle_memory_price: number(copies, "idle-memory-cost"),
-            load_quota_burst: number(copies, "load-free"),
-            load_quota_share: number(copies, "load-share"),
-            load_quota_window: span(copies, "load-period-ns"),
-            load_command_timeout: span(copies, "order-timeout-ns"),
-        },
-        report_source: match word(reports, "source") {
-            "piggyback" => ReportSource::Answers,
-            "pull" => ReportSource::Probes,
-            _ => ReportSource::Silent,
-        },
-        report_fields: list(reports, "fields")
-            .map(|f| field(f.as_str().unwrap_or("")))
-            .collect(),
-        prices: Prices {
-            connection: price("connection"),
-            cross_zone: price("cross-zone"),
-            handshake: price("handshake"),
-            late_failure: price("late-fail"),
-            moves: price("moves"),
-            origin: price("origin"),
-            peer: price("peer"),
-            probe: price("probe"),
-            discovery: price("registry-mode"),
-            waste: price("waste"),
-        },
-        goal: Goal {
-            whole: weight("whole"),
-            worst_window: weight("worst-window"),
-            worst_request_class: weight("worst-class"),
-            worst_tenant: weight("worst-tenant"),
-        },
+        tenants: list(all, "tenants").map(tenant).collect(),
+        allowed: allowed(section(all, "allowed")),
+        rules: rules(section(all, "safety")),
+        copies: cache_settings(section(all, "family-info")),
+        report_source: report_source(section(all, "stats")),
+        report_fields: report_fields(section(all, "stats")),
+        prices: prices(section(all, "fees")),
+        goal: goal(section(all, "goal")),
     })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
+/// A part of the settings; one that is missing reads as empty.
+fn section<'a>(all: &'a Value, key: &str) -> &'a Value {
+    all.get(key).unwrap_or(&Value::Null)
+}
 
-    fn good() -> Value {
-        json!({
-            "allowed": {"max-attempts": 3, "max-retry-after-ns": 2_000_000_000u64},
-            "classes": [{"effect": "dedup", "key-scope": "all", "deadline-ns": 3e9, "window-ns": 5e9}],
-            "family-info": {"load-free": 6, "load-share": 0.15, "load-period-ns": 5e9, "may-order": true},
-            "registry-mode": "push",
-            "safety": {"cold-from": 0.15, "cold-ns": 18e9, "fall-multiple": 3, "fall-ns": 2e9},
-        })
+fn discovery_mode(all: &Value) -> DiscoveryMode {
+    match word(all, "registry-mode") {
+        "push" => DiscoveryMode::Push,
+        // Missing or unknown: a subscription is allowed everywhere, and a list that nobody sends would be stale.
+        _ => DiscoveryMode::Poll,
     }
+}
 
-    /// The good settings with one value set, or left out where it is `None`.
-    fn with(at: &str, value: Option<Value>) -> Result<Settings, String> {
-        let (mut all, (part, key)) = (good(), at.rsplit_once('/').unwrap());
-        let from = all.pointer_mut(part).and_then(Value::as_object_mut).unwrap();
-        match value {
-            Some(value) => from.insert(key.to_owned(), value),
-            None => from.remove(key),
-        };
-        read(&all)
+fn weights(all: &Value) -> Weights {
+    match word(all, "weight-kind") {
+        "nominal" => Weights::Nominal,
+        "rough" => Weights::Rough,
+        "live" => Weights::Live,
+        _ => Weights::Silent,
     }
+}
 
-    #[test]
-    fn what_rules_rest_on_is_refused_where_it_cannot_be_read() {
-        assert!(read(&good()).is_ok());
-        let of_classes = RULING_CLASS.map(|key| format!("/classes/0{key}"));
-        for at in RULING.map(str::to_owned).iter().chain(&of_classes) {
-            for bad in [json!("3"), json!(-1), json!(null), json!([3]), json!(true)] {
-                let why = with(at, Some(bad.clone())).expect_err(at);
-                let key = at.rsplit_once('/').unwrap().1;
-                assert!(why.contains(key) && !why.contains('\n'), "{at} {bad}: {why}");
-            }
-            assert!(with(at, Some(json!(0))).is_ok(), "{at} may be nothing");
-            assert!(with(at, Some(json!(1e300))).is_ok(), "{at} may be large");
-        }
-        for at in ["/classes", "/safety/cold-ns", "/family-info/load-period-ns"] {
-            assert!(with(at, None).is_err(), "{at} is missing");
-        }
-        assert!(read(&json!([])).is_err() && read(&json!({"classes": []})).is_err());
+fn counted_by(all: &Value) -> CountedBy {
+    match word(all, "worth-by") {
+        "work" => CountedBy::Work,
+        _ => CountedBy::Request,
     }
+}
 
-    #[test]
-    fn what_is_not_told_or_not_known_counts_as_what_binds_most() {
-        let class = |key, word| {
-            with(&format!("/classes/0/{key}"), word)
-                .unwrap()
-                .request_classes
-                .remove(0)
-        };
-        for word in [None, Some(json!("")), Some(json!("planet")), Some(json!(7))] {
-            assert_eq!(
-                class("key-scope", word.clone()).deduplication_scope,
-                DeduplicationScope::Cell
-            );
-            assert_eq!(
-                class("effect", word.clone()).idempotency,
-                Idempotency::NonIdempotent
-            );
-            assert_eq!(
-                with("/registry-mode", word).unwrap().discovery,
-                DiscoveryMode::Poll
-            );
-        }
-        let most = |configured| {
-            with("/allowed/max-attempts", configured)
-                .unwrap()
-                .allowed
-                .max_attempts
-        };
-        assert_eq!((most(None), most(Some(json!(1e12)))), (None, Some(u32::MAX)));
-        assert_eq!(class("window-ns", None).window, None);
+fn tenant(from: &Value) -> Tenant {
+    Tenant {
+        name: word(from, "name").to_owned(),
+        share: number(from, "share"),
+        requests_per_second: number(from, "quota-rps"),
+    }
+}
+
+fn allowed(from: &Value) -> Allowed {
+    Allowed {
+        cancel: flag(from, "cancel"),
+        probes: flag(from, "may-probe"),
+        peers: flag(from, "peers"),
+        hedging: flag(from, "second-copies"),
+        retry_after: flag(from, "retry-after"),
+        max_retry_after: span(from, "max-retry-after-ns"),
+        max_attempts: count(from, "max-attempts"),
+        max_open: count(from, "max-open"),
+        connect_timeout: span(from, "connect-timeout-ns"),
+        keepalive: span(from, "keepalive-ns"),
+        cpu_us_per_second: number(from, "cpu-us-per-s"),
+        cpu_us_per_request: number(from, "cpu-us-per-request"),
+        streams_per_connection: count(from, "streams-per-conn"),
     }
 }
+
+fn rules(from: &Value) -> Rules {
+    Rules {
+        answer_slack: span(from, "answer-slack-ns"),
+        ask_within: span(from, "ask-within-ns"),
+        cold_from: number(from, "cold-from"),
+        cold_for: span(from, "cold-ns"),
+        drain_grace: span(from, "drain-grace-ns"),
+        fall_multiple: number(from, "fall-multiple"),
+        fall_window: span(from, "fall-ns"),
+    }
+}
+
+fn cache_settings(from: &Value) -> CacheSettings {
+    CacheSettings {
+        on_miss: match word(from, "on-miss") {
+            "miss" => OnMiss::Miss,
+            _ => OnMiss::Load,
+        },
+        load_commands: flag(from, "may-order"),
+        reports_cache_status: flag(from, "tells-warm"),
+        reports_concurrency: flag(from, "tells-crowd"),
+        keep: span(from, "stays-loaded-ns"),
+        memory_mb_by_kind: list(from, "memory-mb-by-kind")
+            .filter_map(Value::as_f64)
+            .collect(),
+        idle_memory_price: number(from, "idle-memory-cost"),
+        load_quota_burst: number(from, "load-free"),
+        load_quota_share: number(from, "load-share"),
+        load_quota_window: span(from, "load-period-ns"),
+        load_command_timeout: span(from, "order-timeout-ns"),
+    }
+}
+
+fn report_source(from: &Value) -> ReportSource {
+    match word(from, "source") {
+        "piggyback" => ReportSource::Answers,
+        "pull" => ReportSource::Probes,
+        _ => ReportSource::Silent,
+    }
+}
+
+fn report_fields(from: &Value) -> Vec<ReportField> {
+    list(from, "fields")
+        .map(|name| field(name.as_str().unwrap_or("")))
+        .collect()
+}
+
+/// A price that is missing is nothing.
+fn prices(from: &Value) -> Prices {
+    let price = |key: &str| number(from, key).unwrap_or(0.0);
+    Prices {
+        connection: price("connection"),
+        cross_zone: price("cross-zone"),
+        handshake: price("handshake"),
+        late_failure: price("late-fail"),
+        moves: price("moves"),
+        origin: price("origin"),
+        peer: price("peer"),
+        probe: price("probe"),
+        discovery: price("registry-mode"),
+        waste: price("waste"),
+    }
+}
+
+fn goal(from: &Value) -> Goal {
+    let weight = |key: &str| number(from, key).unwrap_or(0.0);
+    Goal {
+        whole: weight("whole"),
+        worst_window: weight("worst-window"),
+        worst_request_class: weight("worst-class"),
+        worst_tenant: weight("worst-tenant"),
+    }
+}
+
+#[cfg(test)]
+mod tests;
