--- a/crates/quartzdrift/src/platform/clients.rs
+++ b/crates/quartzdrift/src/platform/clients.rs
@@ -392,7 +392,7 @@
 
     fn request(&mut self, id: LinkId, number: u16, params: &Params, body: Vec<u8>) {
         if params.get("SCRIPT_NAME") == Some(b"/check") {
-            let ready = self.stopping.is_none() && self.request_table.workers_up() > 0;
+            let ready = self.shutdown.is_none() && self.request_table.workers_up() > 0;
             let (status, text) = if ready { (200, "ready") } else { (503, "not ready") };
             return self.respond(id, number, status, text, None);
         }
--- a/crates/quartzdrift/src/platform/mod.rs
+++ b/crates/quartzdrift/src/platform/mod.rs
@@ -7,6 +7,7 @@
 mod clients;
 mod coordinator;
 pub mod run;
+mod shutdown;
 mod workers;
 
 use crate::clock::Clock;
@@ -19,6 +20,7 @@
 use quartzdrift_platform::budget::Budget;
 use quartzdrift_platform::config::Config;
 use quartzdrift_scheduler::interface::{EndpointListKind, Outcome, RequestId};
+use shutdown::{Shutdown, Step};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -26,18 +28,6 @@
 
 /// Between two looks at whether beliefs and sockets agree.
 const CONSISTENCY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// After SIGTERM clients go on coming for up to 0.6 s (0.4 s on new connections, 0.2 s more on open ones); the rest
-/// is room for a slow machine.
-const DRAIN_WINDOW: Duration = Duration::from_millis(1200);
-/// SIGKILL may come so long after SIGTERM, past the longest time limit, which counts as `MAX_LIMIT` where it is
-/// longer (the platform's page on its protocol).
-const KILL_DEADLINE: Duration = Duration::from_millis(700);
-const MAX_LIMIT: Duration = Duration::from_secs(3);
-/// Before the kill, for the last answers to leave and the process to end on a slow machine.
-const FLUSH_MARGIN: Duration = Duration::from_millis(200);
-/// For clients to hear that their connections end, which takes a round trip, and to take what they were sent.
-const CLOSE_LINGER: Duration = Duration::from_millis(250);
-
 /// The connections of the attempts that are out.
 type Attempts = HashMap<(RequestId, u32), LinkId>;
 
@@ -100,7 +90,7 @@
     /// The answer of the attempt that is being ended, and its request.
     pending_response: Option<(RequestId, Vec<u8>)>,
     coordinator: Coordinator,
-    stopping: Option<Stop>,
+    shutdown: Option<Shutdown>,
     /// When beliefs were last held against the sockets.
     held_state_logged_at: Duration,
     pub counts: Counts,
@@ -135,7 +125,7 @@
             open: HashMap::new(),
             pending_response: None,
             coordinator: Coordinator::new(config.coordinator),
-            stopping: None,
+            shutdown: None,
             held_state_logged_at: Duration::ZERO,
             counts: Counts::default(),
             config,
@@ -162,11 +152,14 @@
         if self.http.has_events() {
             return Duration::ZERO;
         }
-        let stop = self.stopping.and_then(|stop| stop.next_due(self.now()));
+        let shutdown = self
+            .shutdown
+            .as_ref()
+            .and_then(|shutdown| shutdown.next_deadline(self.now()));
         let own = [
             self.request_table.next_deadline(),
             self.coordinator.next_due(),
-            stop,
+            shutdown,
         ];
         self.clock
             .until(own, [self.links.next_due(), self.http.next_deadline()])
@@ -204,7 +197,7 @@
         let now = self.now();
         // Before the limits on time, since that of whoever came during a stop is the same moment: what never left is
         // rejected then.
-        self.end_for_stop(now);
+        self.end_for_shutdown(now);
         if self.request_table.next_deadline().is_some_and(|at| at <= now) {
             let (attempts, links) = (&self.attempts, &self.links);
             self.request_table.due(now, |request, attempt| {
@@ -305,28 +298,34 @@
         ]
     }
 
-    /// SIGTERM: whoever still comes is served, and the process ends once all is answered, before the kill is due.
+    /// Begins a graceful shutdown (SIGTERM): clients that still come are served, and the process ends once everything is
+    /// answered, before SIGKILL is due.
     pub fn stop(&mut self) {
-        if self.stopping.is_none() {
-            let limits = self
-                .config
-                .settings
-                .request_classes
-                .iter()
-                .map(|w| w.timeout.unwrap_or(MAX_LIMIT));
-            let stop = Stop::new(self.now(), limits.max().unwrap_or(MAX_LIMIT));
-            self.stopping = Some(stop);
-            self.request_table.set_shutdown_deadline(stop.answer_by);
-            tracing::info!(
-                open = self.request_table.open_requests(),
-                "stopping: serving those that still come"
-            );
+        if self.shutdown.is_some() {
+            return;
         }
+        let timeouts = self
+            .config
+            .settings
+            .request_classes
+            .iter()
+            .map(|class| class.timeout);
+        let shutdown = Shutdown::new(self.now(), timeouts);
+        self.request_table.set_shutdown_deadline(shutdown.answer_by());
+        self.shutdown = Some(shutdown);
+        tracing::info!(
+            open = self.request_table.open_requests(),
+            "stopping: serving those that still come"
+        );
     }
 
-    /// Gives what is open its final answer once a stop leaves no more time for it.
-    fn end_for_stop(&mut self, now: Duration) {
-        if self.stopping.is_none_or(|stop| now < stop.answer_by) || self.request_table.open_requests() == 0 {
+    /// Gives what is open its final answer once the shutdown leaves no more time for it.
+    fn end_for_shutdown(&mut self, now: Duration) {
+        let due = self
+            .shutdown
+            .as_ref()
+            .is_some_and(|shutdown| now >= shutdown.answer_by());
+        if !due || self.request_table.open_requests() == 0 {
             return;
         }
         tracing::info!(
@@ -340,29 +339,33 @@
         self.carry_out();
     }
 
-    /// Whether a stop is complete; to be asked after every turn. What has come by the moment in which nothing is
-    /// open any more is served too; then clients hear that their connections end, and what they still send is
-    /// read, since a connection closed with something unread destroys the answers on their way.
+    /// Whether a shutdown is complete; to be asked after every turn.
+    ///
+    /// What has arrived by the moment in which nothing is open any more is served too. Then clients are told that their
+    /// connections end, and what they still send is read: closing a connection with unread bytes destroys the answers that
+    /// are on their way.
     pub fn stopped(&mut self) -> bool {
-        let Some(stop) = self.stopping else { return false };
         let now = self.now();
-        let served =
-            now >= stop.drain_until && self.request_table.open_requests() == 0 && !self.has_unsent_answers();
-        match stop.close_by {
-            _ if now >= stop.exit_by => true,
-            Some(until) => self.clients == 0 || now >= until,
-            None if served && self.is_quiet() => {
-                self.send_close_notice();
-                self.stopping = Some(Stop {
-                    close_by: Some((now + CLOSE_LINGER).min(stop.exit_by)),
-                    ..stop
-                });
-                self.clients == 0
-            }
-            None => false,
+        let Some(shutdown) = &self.shutdown else {
+            return false;
+        };
+        let answered = || self.request_table.open_requests() == 0 && !self.has_unsent_answers();
+        match shutdown.next_step(now, self.clients, answered) {
+            Step::Exit => true,
+            Step::Wait => false,
+            Step::CloseIfQuiet => self.is_quiet() && self.close_all_clients(now),
         }
     }
 
+    /// Tells all clients that their connections end; returns whether there are none.
+    fn close_all_clients(&mut self, now: Duration) -> bool {
+        self.send_close_notice();
+        if let Some(shutdown) = &mut self.shutdown {
+            shutdown.begin_closing(now);
+        }
+        self.clients == 0
+    }
+
     /// SIGHUP: the new configuration's coordinator from the next poll on; all else goes on as it was.
     pub fn reload(&mut self) {
         // Reading anything but a file could take for ever.
@@ -379,78 +382,3 @@
         }
     }
 }
-
-/// Moments of a stop.
-#[derive(Clone, Copy, Debug)]
-struct Stop {
-    /// Until then newcomers are waited for.
-    drain_until: Duration,
-    /// By then everything has its final answer.
-    answer_by: Duration,
-    /// Clients have heard that their connections end, and are waited for until then.
-    close_by: Option<Duration>,
-    /// The process ends, whatever is left.
-    exit_by: Duration,
-}
-
-impl Stop {
-    fn new(now: Duration, longest: Duration) -> Stop {
-        let kill = now + longest.min(MAX_LIMIT) + KILL_DEADLINE;
-        let answer_by = kill - FLUSH_MARGIN;
-        Stop {
-            drain_until: answer_by.min(now + DRAIN_WINDOW),
-            answer_by,
-            close_by: None,
-            exit_by: kill - FLUSH_MARGIN / 2,
-        }
-    }
-
-    /// What the loop must wake for; a moment that has passed wakes nobody.
-    fn next_due(&self, now: Duration) -> Option<Duration> {
-        let moments = [
-            Some(self.drain_until),
-            Some(self.answer_by),
-            self.close_by,
-            Some(self.exit_by),
-        ];
-        moments.into_iter().flatten().filter(|at| *at > now).min()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_moment_of_a_stop_wakes_the_loop_once() {
-        let (since, ms) = (Duration::from_secs(5), Duration::from_millis(1));
-        let stop = Stop::new(since, Duration::from_secs(60));
-        assert_eq!(stop.next_due(since), Some(since + DRAIN_WINDOW));
-        assert_eq!(
-            stop.next_due(since + DRAIN_WINDOW - ms),
-            Some(since + DRAIN_WINDOW)
-        );
-        assert_eq!(stop.next_due(since + DRAIN_WINDOW), Some(stop.answer_by));
-        assert_eq!(stop.next_due(stop.answer_by), Some(stop.exit_by));
-        let close_by = Some(since + DRAIN_WINDOW * 2);
-        assert_eq!(Stop { close_by, ..stop }.next_due(since + DRAIN_WINDOW), close_by);
-        assert_eq!(stop.next_due(stop.exit_by), None);
-    }
-
-    #[test]
-    fn a_stop_is_over_before_the_kill_whatever_the_time_limits_are() {
-        let since = Duration::from_secs(5);
-        for (ms, kill) in [
-            (0, 700),
-            (1, 701),
-            (500, 1200),
-            (2000, 2700),
-            (3000, 3700),
-            (60_000, 3700),
-        ] {
-            let stop = Stop::new(since, Duration::from_millis(ms));
-            assert!(stop.drain_until <= stop.answer_by && stop.answer_by < stop.exit_by);
-            assert!(stop.exit_by < since + Duration::from_millis(kill), "{ms}");
-        }
-    }
-}
