--- /dev/null
+++ b/crates/quartzdrift/src/platform/client_connection.rs
@@ -0,0 +1,281 @@
+//! A client's FastCGI connection: its requests are read, its deadlines kept, and it is closed once its last answer has left.
+use super::{Node, Peer};
+use quartzdrift_fastcgi::{self as fastcgi, Bad, Responder, Told};
+use quartzdrift_http::links::{Link, LinkId, Links};
+use quartzdrift_scheduler::interface::RequestId;
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+/// Bounds of the platform's protocol, and a bound on parameters that is far above what they need.
+const LIMITS: fastcgi::Limits = fastcgi::Limits {
+    params: 8 << 10,
+    body: 16 << 10,
+    open: 32,
+};
+/// For a first request to arrive whole, and for each later one that has begun. Whoever cannot be served is owed an end within
+/// 3 s.
+pub(super) const RECEIVE_TIMEOUT: Duration = Duration::from_secs(2);
+/// For a client to take the last bytes that are written before its connection is closed.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
+/// For a client to take the answers that wait for it; then its connection is closed, so that it notices.
+const SEND_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bytes that may wait for a client: its 32 answers and some room. With more its connection is closed.
+const MAX_UNREAD_BYTES: usize = 1 << 20;
+
+/// What the deadline of a client's connection is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum DeadlineReason {
+    /// The first whole request.
+    FirstRequest,
+    /// The rest of a request.
+    PartialRequest,
+    /// The client takes what is written to it.
+    UnreadAnswers,
+    /// There is no deadline.
+    None,
+    /// The last bytes leave, and the connection is closed.
+    Closing,
+}
+
+/// The state of a client's connection.
+pub(crate) struct Client {
+    pub(super) responder: Responder,
+    /// Open requests by their FastCGI number.
+    pub(super) requests: BTreeMap<u16, RequestId>,
+    pub(super) deadline: DeadlineReason,
+    /// The request whose rest is waited for.
+    awaited: Option<u64>,
+}
+
+impl Client {
+    /// A client that has just connected; its first request is due within the receive timeout.
+    pub(super) fn new() -> Client {
+        Client {
+            responder: Responder::new(LIMITS),
+            requests: BTreeMap::new(),
+            deadline: DeadlineReason::FirstRequest,
+            awaited: None,
+        }
+    }
+}
+
+/// The client on a link, if it is one.
+pub(super) fn client(links: &mut Links<Node, Peer>, id: LinkId) -> Option<&mut Client> {
+    match &mut links.get_mut(id)?.state {
+        Peer::Client(client) => Some(client),
+        Peer::WorkerConnection(_) => None,
+    }
+}
+
+/// Whether a link is that of a client without an open request, which may make room for another.
+pub(super) fn is_silent(link: &Link<Peer>) -> bool {
+    match &link.state {
+        Peer::Client(client) => client.requests.is_empty() && client.deadline != DeadlineReason::Closing,
+        Peer::WorkerConnection(_) => false,
+    }
+}
+
+/// What a connection waits for now, and for how long at most.
+fn deadline(
+    responder: &Responder,
+    awaited: Option<u64>,
+    unread: usize,
+) -> (DeadlineReason, Option<Duration>) {
+    if !responder.is_spoilt() && !responder.has_asked() {
+        (DeadlineReason::FirstRequest, Some(RECEIVE_TIMEOUT))
+    } else if !responder.is_spoilt() && awaited.is_some() {
+        (DeadlineReason::PartialRequest, Some(RECEIVE_TIMEOUT))
+    } else if unread > 0 {
+        (DeadlineReason::UnreadAnswers, Some(SEND_TIMEOUT))
+    } else {
+        (DeadlineReason::None, None)
+    }
+}
+
+impl Node {
+    /// Works a client's connection on which something has happened.
+    pub(super) fn drive_client(&mut self, id: LinkId) {
+        self.links.flush_one(id);
+        self.links.read(id);
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
+        let ended = link.ended();
+        let Peer::Client(client) = &mut link.state else {
+            return;
+        };
+        if client.deadline == DeadlineReason::Closing {
+            let unread = link.input.len();
+            link.consume(unread);
+            if ended {
+                self.close_client(id);
+            }
+            return;
+        }
+        let mut output = Vec::new();
+        let mut received = Vec::new();
+        let read = client.responder.read(&link.input, &mut output, &mut received);
+        if let Ok(used) = read {
+            link.consume(used);
+        }
+        if !output.is_empty() {
+            self.write(id, &output);
+        }
+        for message in received {
+            if self.links.get(id).is_none() {
+                // The connection was closed over an answer: nobody waits for what else came on it.
+                return;
+            }
+            self.received(id, message);
+        }
+        match read {
+            Err(broken) => {
+                tracing::debug!(?broken, "a client is out of step");
+                self.drop_client(id);
+            }
+            Ok(_) if ended => self.close_client(id),
+            Ok(_) => self.update_client_deadline(id),
+        }
+    }
+
+    fn received(&mut self, id: LinkId, message: Told) {
+        match message {
+            Told::Request { number, params, body } => self.request(id, number, &params, body),
+            Told::Bad {
+                number,
+                bad: Bad::Params,
+            } => self.respond(id, number, 400, "parameters", None),
+            Told::Bad {
+                number,
+                bad: Bad::TooLarge,
+            } => self.respond(id, number, 413, "too large", None),
+            Told::Aborted { number } => {
+                let client = client(&mut self.links, id);
+                if let Some(request) = client.and_then(|client| client.requests.remove(&number)) {
+                    self.abandon_request(request);
+                }
+            }
+        }
+    }
+
+    /// Writes bytes to a client; they leave with the loop's next flush.
+    pub(super) fn write(&mut self, id: LinkId, bytes: &[u8]) {
+        if let Some(output) = self.links.output(id) {
+            output.extend_from_slice(bytes);
+        }
+    }
+
+    /// Sets the deadline for what the connection waits for now. One that stands is not moved: bytes that drip in win no
+    /// time. Each request that is not whole yet has its own.
+    pub(super) fn update_client_deadline(&mut self, id: LinkId) {
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
+        let has_input = !link.input.is_empty();
+        let unread = link.waiting();
+        let Peer::Client(client) = &mut link.state else {
+            return;
+        };
+        if client.deadline == DeadlineReason::Closing {
+            return;
+        }
+        let responder = &client.responder;
+        if responder.is_spoilt() && responder.waiting().next().is_none() {
+            return self.close_when_flushed(id);
+        }
+        if unread > MAX_UNREAD_BYTES {
+            return self.drop_client(id);
+        }
+        let awaited = responder.awaited(has_input);
+        let (reason, after) = deadline(responder, awaited, unread);
+        let is_other_request = reason == DeadlineReason::PartialRequest && client.awaited != awaited;
+        if client.deadline != reason || is_other_request {
+            client.deadline = reason;
+            client.awaited = awaited;
+            self.links.set_deadline(id, after);
+        }
+    }
+
+    /// Closes a client's connection once what is written to it has left.
+    pub(super) fn close_when_flushed(&mut self, id: LinkId) {
+        if let Some(client) = client(&mut self.links, id) {
+            client.deadline = DeadlineReason::Closing;
+            self.links.set_deadline(id, Some(FLUSH_TIMEOUT));
+            self.closing.push(id);
+        }
+    }
+
+    /// Closes the connections whose last bytes have left.
+    pub(super) fn close_flushed_clients(&mut self) {
+        for id in std::mem::take(&mut self.closing) {
+            match self.links.get(id).map(|link| link.waiting()) {
+                Some(0) => self.close_client(id),
+                Some(_) => self.closing.push(id),
+                None => {}
+            }
+        }
+    }
+
+    /// The deadline of a client's connection has passed.
+    pub(super) fn client_overdue(&mut self, id: LinkId) {
+        // What has arrived in the meantime arrived in time.
+        let has_arrived = self.read_pending_input(id);
+        if has_arrived && self.links.deadline(id).is_some() {
+            return;
+        }
+        let stuck = self.links.get(id).and_then(Link::stuck_since);
+        let Some(client) = client(&mut self.links, id) else {
+            return;
+        };
+        match client.deadline {
+            // Overdue without a deadline: there was no descriptor for a newcomer, and this client is to make room.
+            DeadlineReason::None if !has_arrived && client.requests.is_empty() => self.drop_client(id),
+            DeadlineReason::None => {}
+            DeadlineReason::UnreadAnswers => self.answers_overdue(id, stuck),
+            // Others are open on it: they are answered first.
+            DeadlineReason::PartialRequest if !client.requests.is_empty() => {
+                client.responder.spoil();
+                self.update_client_deadline(id);
+            }
+            DeadlineReason::FirstRequest | DeadlineReason::PartialRequest | DeadlineReason::Closing => {
+                self.drop_client(id);
+            }
+        }
+    }
+
+    /// The deadline was set before it was tried to send: since then all may have left, or have begun to wait later.
+    /// `stuck`: since when the client takes nothing.
+    fn answers_overdue(&mut self, id: LinkId, stuck: Option<Instant>) {
+        let Some(since) = stuck else {
+            if let Some(client) = client(&mut self.links, id) {
+                client.deadline = DeadlineReason::None;
+            }
+            return self.update_client_deadline(id);
+        };
+        let waited = since.elapsed();
+        if waited < SEND_TIMEOUT {
+            self.links
+                .set_deadline(id, Some(SEND_TIMEOUT.saturating_sub(waited)));
+        } else {
+            self.drop_client(id);
+        }
+    }
+
+    /// Closes the connection of a client that is out of step, too slow, or makes room, and counts it.
+    fn drop_client(&mut self, id: LinkId) {
+        self.counts.dropped += 1;
+        self.close_client(id);
+    }
+
+    /// Closes a client's connection; what is open on it is over.
+    pub(super) fn close_client(&mut self, id: LinkId) {
+        let Some(Peer::Client(client)) = self.links.close(id) else {
+            return;
+        };
+        self.clients -= 1;
+        client
+            .requests
+            .into_values()
+            .for_each(|request| self.abandon_request(request));
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift/src/platform/commands.rs
@@ -0,0 +1,209 @@
+//! Attempts as commands on connections: sent, recalled while they have not left, cancelled.
+use super::connections::connection;
+use super::worker_connection::{Command, ConnectionPhase, FrameSpan};
+use super::{Attempts, Node, Peer, RequestContext};
+use quartzdrift_http::links::{Link, LinkId, Links};
+use quartzdrift_lifecycle::AttemptResult;
+use quartzdrift_platform::attempt_outcome;
+use quartzdrift_platform::connection_choice;
+use quartzdrift_platform::frame;
+use quartzdrift_scheduler::interface::RequestId;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Whether any byte of an attempt has left; an attempt that is on no connection may have.
+pub(super) fn has_left(
+    attempts: &Attempts,
+    links: &Links<Node, Peer>,
+    request: RequestId,
+    attempt: u32,
+) -> bool {
+    let link = attempts.get(&(request, attempt)).and_then(|&id| links.get(id));
+    let Some(link) = link else { return true };
+    let Peer::WorkerConnection(connection) = &link.state else {
+        return true;
+    };
+    connection
+        .position_of(request, attempt)
+        .is_none_or(|at| connection.commands[at].has_left_in_part(link.left()))
+}
+
+impl Node {
+    /// Sends an attempt to a worker. `wait`: how long its answer is waited for.
+    pub(super) fn start_attempt(
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        worker: &Rc<str>,
+        function: Rc<str>,
+        wait: Duration,
+        context: Rc<RequestContext>,
+    ) {
+        let now = self.now();
+        if !self.request_table.is_open(request) {
+            // Its client has left in the same turn, after the request table said so.
+            return self.request_table.attempt_recalled(now, request, attempt);
+        }
+        self.counts.attempts += 1;
+        tracing::trace!(request, attempt, %worker, %function, "attempt sent");
+        let command = Command {
+            request,
+            attempt,
+            function,
+            until: now + wait,
+            context,
+            lost_connections: 0,
+            frame_span: None,
+        };
+        self.send(worker, command);
+    }
+
+    /// Puts a command on a connection to its worker. Where none is left, the request table is told that the attempt ended;
+    /// whoever carries out its outputs goes on from there.
+    pub(super) fn send(&mut self, worker: &Rc<str>, mut command: Command) {
+        let id = match self.connection_for(worker, command.context.id) {
+            Ok(id) => id,
+            Err(loss) => {
+                let result = AttemptResult::silent(attempt_outcome::from_loss(loss));
+                return self.request_table.attempt_ended(
+                    self.now(),
+                    command.request,
+                    command.attempt,
+                    result,
+                );
+            }
+        };
+        self.attempts.insert((command.request, command.attempt), id);
+        let now = self.now();
+        self.write_or_verify(id, &mut command, now);
+        if let Some(connection) = connection(&mut self.links, id) {
+            connection.commands.push(command);
+        }
+    }
+
+    /// Writes a command to a connection that is up. One that was idle for long is verified first; on one that is not up the
+    /// command waits.
+    fn write_or_verify(&mut self, id: LinkId, command: &mut Command, now: Duration) {
+        let Some(connection) = connection(&mut self.links, id) else {
+            return;
+        };
+        if connection.phase != ConnectionPhase::Up {
+            return;
+        }
+        let idle = now.saturating_sub(connection.idle_since);
+        if connection.commands.is_empty() && connection_choice::needs_verification(idle) {
+            self.verify_connection(id, command.context.id);
+        } else {
+            self.write_command(id, command, now);
+            self.links.set_deadline(id, None);
+        }
+    }
+
+    /// Writes a command, and notes where its frame lies among all that the connection sends.
+    pub(super) fn write_command(&mut self, id: LinkId, command: &mut Command, now: Duration) {
+        let Some(from) = self.links.get(id).map(Link::end) else {
+            return;
+        };
+        let context = &command.context;
+        let class = &self.config.settings.request_classes[context.request_class as usize];
+        let fields = command_fields(&class.name, command, now);
+        let Some(output) = self.links.output(id) else {
+            return;
+        };
+        frame::write(
+            output,
+            frame::FROM_SCHEDULER,
+            frame::EXECUTE,
+            context.id,
+            fields.as_bytes(),
+            &context.body,
+        );
+        command.frame_span = self.links.get(id).map(|link| FrameSpan { from, to: link.end() });
+        if let Some(connection) = connection(&mut self.links, id) {
+            connection.remember(command.context.id);
+        }
+    }
+
+    /// Tells the worker that nobody waits for an attempt any more, or recalls it where it has not left.
+    pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: u32) {
+        if self.recall_unsent(request, attempt) {
+            return;
+        }
+        let Some(id) = self.attempts.remove(&(request, attempt)) else {
+            return;
+        };
+        let Some(connection) = connection(&mut self.links, id) else {
+            return;
+        };
+        let Some(at) = connection.position_of(request, attempt) else {
+            return;
+        };
+        let command = connection.commands.swap_remove(at);
+        if let Some(output) = self.links.output(id) {
+            frame::write(
+                output,
+                frame::FROM_SCHEDULER,
+                frame::GIVE_UP,
+                command.context.id,
+                b"",
+                b"",
+            );
+        }
+        self.mark_idle(id);
+    }
+
+    /// Takes an attempt off its connection if it cannot have reached its worker, and returns whether it did: nothing of it
+    /// has left, or a part of it, and its connection carries nothing else and is closed.
+    pub(super) fn recall_unsent(&mut self, request: RequestId, attempt: u32) -> bool {
+        let Some(&id) = self.attempts.get(&(request, attempt)) else {
+            return false;
+        };
+        let Some(link) = self.links.get_mut(id) else {
+            return false;
+        };
+        let Peer::WorkerConnection(connection) = &link.state else {
+            return false;
+        };
+        let Some(at) = connection.position_of(request, attempt) else {
+            return false;
+        };
+        let alone = connection.commands.len() == 1;
+        let span = connection.commands[at].frame_span;
+        if span.is_some_and(|span| !link.take_back(span.from, span.to)) {
+            let in_part = span.is_some_and(|span| link.left() < span.to);
+            if in_part && alone {
+                self.close_connection(id);
+            }
+            return in_part && alone;
+        }
+        // On a link that broke nothing moves up: all that waited was dropped.
+        let removed = span.filter(|_| !link.is_broken());
+        if let Peer::WorkerConnection(connection) = &mut link.state {
+            connection.commands.swap_remove(at);
+            if let Some(removed) = removed {
+                connection.close_gap(removed);
+            }
+        }
+        self.attempts.remove(&(request, attempt));
+        self.mark_idle(id);
+        true
+    }
+
+    /// Recalls an attempt if it has not left, and tells the request table.
+    pub(super) fn recall_attempt(&mut self, request: RequestId, attempt: u32) {
+        if self.recall_unsent(request, attempt) {
+            self.request_table.attempt_recalled(self.now(), request, attempt);
+        }
+    }
+}
+
+/// The fields of a command; its time is at least a millisecond.
+fn command_fields(class: &str, command: &Command, now: Duration) -> String {
+    let milliseconds = command.until.saturating_sub(now).as_millis().max(1);
+    let key = command.context.idempotency_key.as_ref();
+    let replay = key.map(|key| format!(",replay={key}")).unwrap_or_default();
+    format!(
+        "profile={class},thing={}{replay},max={milliseconds}",
+        command.function
+    )
+}
--- /dev/null
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -0,0 +1,308 @@
+//! Connections to workers: established, verified, kept while idle, lost. What the end of each proves of the attempts on it is
+//! the table in [`quartzdrift_platform::attempt_outcome`]; which connection carries an attempt is chosen in
+//! [`quartzdrift_platform::connection_choice`].
+use super::worker_connection::{Command, ConnectionPhase, WorkerConnection};
+use super::{Node, Peer};
+use quartzdrift_http::links::{Link, LinkId, Links};
+use quartzdrift_lifecycle::AttemptResult;
+use quartzdrift_platform::attempt_outcome::{self, ConnectionLoss};
+use quartzdrift_platform::connection_choice::{self, ConnectionChoice, ConnectionState};
+use quartzdrift_platform::frame;
+use rustix::io::Errno;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Attempts that a connection carries where the settings state nothing.
+const DEFAULT_STREAMS: usize = 32;
+/// Time to establish a connection where the settings state nothing.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Idle time of a connection where the settings state nothing.
+const DEFAULT_KEEPALIVE: Duration = Duration::from_secs(10);
+/// Fraction of the workers' own idle time after which a connection is closed here, so that their close never crosses a
+/// command.
+const KEEPALIVE_FRACTION: f64 = 0.8;
+/// Connections that a command may be lost on without having left; then the worker counts as unreachable.
+const MAX_LOST_CONNECTIONS: u32 = 3;
+
+/// The worker's connection on a link, if it is one.
+pub(super) fn connection(links: &mut Links<Node, Peer>, id: LinkId) -> Option<&mut WorkerConnection> {
+    match &mut links.get_mut(id)?.state {
+        Peer::WorkerConnection(connection) => Some(connection),
+        Peer::Client(_) => None,
+    }
+}
+
+impl Node {
+    /// A connection to a worker for a command under this id, or what it proves that there is none.
+    pub(super) fn connection_for(&mut self, worker: &Rc<str>, id: u64) -> Result<LinkId, ConnectionLoss> {
+        let streams = self.config.settings.allowed.streams_per_connection;
+        let streams = streams.map_or(DEFAULT_STREAMS, |streams| streams.max(1) as usize);
+        loop {
+            let known = self.workers.get(worker).ok_or(ConnectionLoss::NotConnected)?;
+            let links = known.connections.clone();
+            let states: Vec<ConnectionState> = links
+                .iter()
+                .map(|link| self.connection_state(*link, id))
+                .collect();
+            let may_connect = || self.connections < self.budget.workers || self.close_longest_idle(worker);
+            match connection_choice::choose(&states, streams, may_connect) {
+                ConnectionChoice::Use(at) => {
+                    let idle = states[at].open == 0 && states[at].up;
+                    if idle && self.is_closed_by_worker(links[at]) {
+                        self.close_connection(links[at]);
+                        continue;
+                    }
+                    return Ok(links[at]);
+                }
+                ConnectionChoice::Connect => return self.connect(worker),
+                ConnectionChoice::Full => return Err(ConnectionLoss::NoConnectionLeft),
+            }
+        }
+    }
+
+    /// A connection as the choice sees it, for a command under this id; one that carried the id lately counts as full.
+    fn connection_state(&self, link: LinkId, id: u64) -> ConnectionState {
+        match self.links.get(link).map(|link| &link.state) {
+            Some(Peer::WorkerConnection(connection)) if !connection.carried_lately(id) => ConnectionState {
+                open: connection.commands.len(),
+                up: connection.phase == ConnectionPhase::Up,
+            },
+            Some(Peer::WorkerConnection(_) | Peer::Client(_)) | None => ConnectionState {
+                open: usize::MAX,
+                up: false,
+            },
+        }
+    }
+
+    /// Whether a worker has closed an idle connection, or sent something unasked. It still looks writable, but what is sent
+    /// there would be in doubt.
+    fn is_closed_by_worker(&mut self, id: LinkId) -> bool {
+        self.links.look(id);
+        let link = self.links.get(id);
+        link.is_none_or(|link| link.ended() || !link.input.is_empty())
+    }
+
+    fn connect(&mut self, worker: &Rc<str>) -> Result<LinkId, ConnectionLoss> {
+        let known = self.workers.get(worker).ok_or(ConnectionLoss::NotConnected)?;
+        let peer = Peer::WorkerConnection(WorkerConnection::new(worker.clone()));
+        let id = self
+            .links
+            .connect(known.address, peer)
+            .map_err(|error| loss_of_connect_error(&error))?;
+        self.connections += 1;
+        self.counts.connections += 1;
+        self.links.set_deadline(id, Some(self.connect_timeout()));
+        if let Some(known) = self.workers.get_mut(worker) {
+            known.connections.push(id);
+        }
+        Ok(id)
+    }
+
+    /// A connect timeout of zero counts as none: no connection is established in no time.
+    fn connect_timeout(&self) -> Duration {
+        let configured = self.config.settings.allowed.connect_timeout;
+        configured
+            .filter(|timeout| !timeout.is_zero())
+            .unwrap_or(DEFAULT_CONNECT_TIMEOUT)
+    }
+
+    /// Asks a worker whether a connection still works. Until it answers nothing is written there that might run.
+    pub(super) fn verify_connection(&mut self, id: LinkId, request_id: u64) {
+        let Some(connection) = connection(&mut self.links, id) else {
+            return;
+        };
+        connection.phase = ConnectionPhase::Verifying;
+        if let Some(output) = self.links.output(id) {
+            frame::write(
+                output,
+                frame::FROM_SCHEDULER,
+                frame::ASK_ALIVE,
+                request_id,
+                b"",
+                b"",
+            );
+        }
+        self.links.set_deadline(id, Some(self.connect_timeout()));
+    }
+
+    /// Makes room for a connection to `worker`, with all descriptors of the workers' side in use: closes the connection to
+    /// another worker that has been idle longest. Returns whether there was one.
+    fn close_longest_idle(&mut self, worker: &Rc<str>) -> bool {
+        let idle_since = |(id, link): (LinkId, &Link<Peer>)| match &link.state {
+            Peer::WorkerConnection(connection) if connection.is_idle() && connection.worker != *worker => {
+                Some((connection.idle_since, id))
+            }
+            Peer::WorkerConnection(_) | Peer::Client(_) => None,
+        };
+        let Some((_, id)) = self.links.iter().filter_map(idle_since).min() else {
+            return false;
+        };
+        self.close_connection(id);
+        true
+    }
+
+    /// Closes a connection that carries nothing.
+    pub(super) fn close_if_idle(&mut self, id: LinkId) {
+        if connection(&mut self.links, id).is_some_and(|connection| connection.commands.is_empty()) {
+            self.close_connection(id);
+        }
+    }
+
+    /// Closes a connection, takes it out of all tables, and returns the commands that were on it.
+    pub(super) fn close_connection(&mut self, id: LinkId) -> Vec<Command> {
+        let Some(Peer::WorkerConnection(connection)) = self.links.close(id) else {
+            return Vec::new();
+        };
+        self.connections -= 1;
+        if let Some(worker) = self.workers.get_mut(&connection.worker) {
+            worker.connections.retain(|other| *other != id);
+        }
+        for command in &connection.commands {
+            self.attempts.remove(&(command.request, command.attempt));
+        }
+        connection.commands
+    }
+
+    /// Keeps a connection that carries nothing for a while, unless its worker has gone.
+    pub(super) fn mark_idle(&mut self, id: LinkId) {
+        let now = self.now();
+        let Some(connection) = connection(&mut self.links, id) else {
+            return;
+        };
+        if !connection.is_idle() {
+            return;
+        }
+        connection.idle_since = now;
+        let worker = self.workers.get(&connection.worker);
+        let is_listed = worker.is_some_and(|worker| worker.connections.contains(&id));
+        if !is_listed {
+            self.links.flush_one(id);
+            self.close_connection(id);
+            return;
+        }
+        let keepalive = self.config.settings.allowed.keepalive;
+        let keepalive = keepalive.unwrap_or(DEFAULT_KEEPALIVE);
+        self.links
+            .set_deadline(id, Some(keepalive.mul_f64(KEEPALIVE_FRACTION)));
+    }
+
+    /// The deadline of a connection has passed.
+    pub(super) fn connection_overdue(&mut self, id: LinkId) {
+        if self.links.deadline(id).is_some() {
+            // A command was put on it in the same turn, after it was found overdue.
+            return;
+        }
+        let Some(connection) = connection(&mut self.links, id) else {
+            return;
+        };
+        match connection.phase {
+            ConnectionPhase::Up => self.close_if_idle(id),
+            ConnectionPhase::Verifying => {
+                // The worker's other idle connections are as silent; a new connection shows whether it is there.
+                let worker = connection.worker.clone();
+                self.close_idle(&worker);
+                self.connection_lost(id, ConnectionLoss::NotSent);
+            }
+            ConnectionPhase::Connecting => self.connection_lost(id, ConnectionLoss::NotConnected),
+        }
+    }
+
+    /// Ends a connection that is of no further use, and each attempt on it by what that proves. `unsent`: what it proves of
+    /// a command that has not left whole.
+    pub(super) fn connection_lost(&mut self, id: LinkId, unsent: ConnectionLoss) {
+        let Some(link) = self.links.get(id) else { return };
+        let Peer::WorkerConnection(connection) = &link.state else {
+            return;
+        };
+        let sent = link.left();
+        let worker = connection.worker.clone();
+        // Nothing is sent again to a worker that drains, has gone or was started again since.
+        let known = self.workers.get(&worker);
+        let is_current = known.is_some_and(|known| known.connections.contains(&id));
+        let may_resend = self.request_table.is_up(&worker) && is_current;
+        let commands = self.close_connection(id);
+        self.counts.connections_lost += u64::from(!commands.is_empty());
+        for mut command in commands {
+            let loss = if command.has_left_whole(sent) {
+                ConnectionLoss::Sent
+            } else {
+                unsent
+            };
+            command.lost_connections += 1;
+            if may_resend && loss == ConnectionLoss::NotSent && self.is_worth_resending(&command) {
+                command.frame_span = None;
+                self.send(&worker, command);
+            } else {
+                self.end_lost(&worker, &command, loss);
+            }
+        }
+        self.carry_out();
+    }
+
+    fn is_worth_resending(&self, command: &Command) -> bool {
+        command.lost_connections < MAX_LOST_CONNECTIONS
+            && self.request_table.is_open(command.request)
+            && command.until > self.now()
+    }
+
+    fn end_lost(&mut self, worker: &str, command: &Command, loss: ConnectionLoss) {
+        tracing::debug!(request = command.request, %worker, ?loss, "connection lost under an attempt");
+        let result = AttemptResult::silent(attempt_outcome::from_loss(loss));
+        self.request_table
+            .attempt_ended(self.now(), command.request, command.attempt, result);
+    }
+
+    /// Works a connection on which something has happened.
+    pub(super) fn drive_connection(&mut self, id: LinkId) {
+        let Some(connection) = connection(&mut self.links, id) else {
+            return;
+        };
+        if connection.phase == ConnectionPhase::Connecting {
+            match self.links.connected(id) {
+                Some(Ok(())) => self.connection_established(id),
+                Some(Err(error)) => return self.connection_lost(id, loss_while_connecting(&error)),
+                None => return,
+            }
+        }
+        self.links.flush_one(id);
+        self.links.read(id);
+        self.read_answers(id);
+    }
+
+    /// A connection works: what has waited for it is written.
+    pub(super) fn connection_established(&mut self, id: LinkId) {
+        self.links.set_deadline(id, None);
+        let now = self.now();
+        let Some(established) = connection(&mut self.links, id) else {
+            return;
+        };
+        established.phase = ConnectionPhase::Up;
+        let mut commands = std::mem::take(&mut established.commands);
+        for command in &mut commands {
+            self.write_command(id, command, now);
+        }
+        if let Some(established) = connection(&mut self.links, id) {
+            established.commands = commands;
+        }
+        self.mark_idle(id);
+    }
+}
+
+/// What it proves that a connection could not be established. A reset shows that something is there and took the connection.
+fn loss_while_connecting(error: &io::Error) -> ConnectionLoss {
+    match error.kind() {
+        io::ErrorKind::ConnectionReset => ConnectionLoss::NotSent,
+        _ => ConnectionLoss::NotConnected,
+    }
+}
+
+/// What it proves that a connection could not even be begun: the system may have no descriptor or port left.
+fn loss_of_connect_error(error: &io::Error) -> ConnectionLoss {
+    match Errno::from_io_error(error) {
+        Some(Errno::MFILE | Errno::NFILE | Errno::ADDRNOTAVAIL | Errno::NOBUFS | Errno::NOMEM) => {
+            ConnectionLoss::NoConnectionLeft
+        }
+        Some(_) | None => ConnectionLoss::NotConnected,
+    }
+}
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -1,10 +1,10 @@
-//! The list of workers: one long poll that is always out, and what its answers change.
+//! Follows the list of workers: one long poll to the coordinator is always out, and its answers change the list.
 use super::Node;
 use quartzdrift_http::{CallId, Failure, Headers, Outgoing, Response};
 use quartzdrift_platform::coordinator::{
     EndpointChange, EndpointUpdate, EndpointWatch, WatchError, WatchResponse,
 };
-use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState};
+use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, RequestId};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,50 +12,109 @@
 
 /// How long a poll may wait: short, so that a silence is found well before its an update counts as told.
 const POLL_WAIT: Duration = Duration::from_millis(1000);
-/// Past the wait, before a poll counts as lost.
+/// How much longer than its wait a poll may take before it counts as lost.
 const POLL_GRACE: Duration = Duration::from_millis(400);
-/// Before the next poll after one that failed, doubled up to the most.
+/// Before the next poll after one that failed; doubled with each further failure, up to [`MAX_RETRY_DELAY`].
 const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Longest wait before the next poll.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(640);
-/// Between two polls of a coordinator that has nothing to tell and does not wait.
+/// Between two polls of a coordinator that answers at once with nothing new.
 const MIN_EMPTY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Gaps in a row after which the whole list is asked for.
 const MAX_GAPS: u32 = 2;
 
+/// A poll that is out.
+struct Poll {
+    call: CallId,
+    sent_at: Duration,
+}
+
+impl Poll {
+    /// When it counts as lost.
+    fn deadline(&self) -> Duration {
+        self.sent_at + POLL_WAIT + POLL_GRACE
+    }
+}
+
+/// How the coordinator is followed.
 pub(super) struct Coordinator {
     address: SocketAddr,
     watch: EndpointWatch,
-    call: Option<(CallId, Duration)>,
-    at: Duration,
+    poll: Option<Poll>,
+    /// When the next poll is sent, if none is out.
+    next_poll_at: Duration,
+    /// Polls in a row that failed.
     failures: u32,
+    /// Gaps in a row in the events' indexes.
     gaps: u32,
 }
 
 impl Coordinator {
-    pub fn new(address: SocketAddr) -> Coordinator {
-        let watch = EndpointWatch::default();
+    /// Follows the coordinator at this address from its first event on.
+    pub(super) fn new(address: SocketAddr) -> Coordinator {
         Coordinator {
             address,
-            watch,
-            call: None,
-            at: Duration::ZERO,
+            watch: EndpointWatch::default(),
+            poll: None,
+            next_poll_at: Duration::ZERO,
             failures: 0,
             gaps: 0,
         }
     }
 
-    pub fn next_due(&self) -> Option<Duration> {
-        Some(self.call.map_or(self.at, |(_, until)| until))
+    /// When the loop must wake for it.
+    pub(super) fn next_deadline(&self) -> Duration {
+        self.poll.as_ref().map_or(self.next_poll_at, Poll::deadline)
+    }
+
+    fn is_poll(&self, call: CallId) -> bool {
+        self.poll.as_ref().is_some_and(|poll| poll.call == call)
+    }
+
+    /// An answer was applied; `is_new`: it brought an event.
+    fn answered(&mut self, now: Duration, is_new: bool) {
+        let pause = if is_new {
+            Duration::ZERO
+        } else {
+            MIN_EMPTY_POLL_INTERVAL
+        };
+        let sent_at = self.poll.take().map(|poll| poll.sent_at);
+        self.next_poll_at = sent_at.map_or(now, |at| (at + pause).max(now));
+        self.failures = 0;
+        self.gaps = 0;
+    }
+
+    /// A poll failed; returns how many had failed before it in a row.
+    fn failed(&mut self, now: Duration) -> u32 {
+        let before = self.failures;
+        let delay = RETRY_DELAY.saturating_mul(2_u32.saturating_pow(before));
+        self.poll = None;
+        self.next_poll_at = now + delay.min(MAX_RETRY_DELAY);
+        self.failures += 1;
+        before
+    }
+
+    /// An answer was refused; after several gaps in a row the whole list is asked for.
+    fn refused(&mut self, error: &WatchError) {
+        if let WatchError::Gap { .. } = error {
+            self.gaps += 1;
+        }
+        if self.gaps >= MAX_GAPS {
+            self.gaps = 0;
+            self.watch.restart();
+        }
     }
 }
 
 impl Node {
+    /// Sends a poll where none is out, and gives up one that is overdue.
     pub(super) fn coordinator_due(&mut self, now: Duration) {
-        if let Some((call, _)) = self.coordinator.call.take_if(|(_, until)| *until <= now) {
-            self.http.cancel(call);
+        let overdue = self.coordinator.poll.take_if(|poll| poll.deadline() <= now);
+        if let Some(poll) = overdue {
+            self.http.cancel(poll.call);
             self.poll_failed("no answer in time");
         }
-        if self.coordinator.call.is_none() && self.coordinator.at <= now {
+        if self.coordinator.poll.is_none() && self.coordinator.next_poll_at <= now {
             self.poll();
         }
     }
@@ -74,136 +133,143 @@
             streams: false,
         };
         let call = self.http.call(self.coordinator.address, request);
-        self.coordinator.call = Some((call, self.now() + POLL_WAIT + POLL_GRACE));
+        let sent_at = self.now();
+        self.coordinator.poll = Some(Poll { call, sent_at });
     }
 
     fn poll_failed(&mut self, why: &str) {
-        let failures = self.coordinator.failures;
-        self.coordinator.call = None;
-        self.coordinator.at = self.now()
-            + RETRY_DELAY
-                .saturating_mul(2_u32.saturating_pow(failures))
-                .min(MAX_RETRY_DELAY);
-        self.coordinator.failures += 1;
+        let failures = self.coordinator.failed(self.now());
         tracing::debug!(why, failures, "a poll of the coordinator failed; the list stands");
         if failures == 0 {
             tracing::info!(why, "the coordinator cannot be followed; asking again");
         }
     }
 
-    fn is_poll(&self, call: CallId) -> bool {
-        self.coordinator.call.is_some_and(|(of, _)| of == call)
-    }
-
-    pub(super) fn told(&mut self, call: CallId, answer: &Response) {
-        if !self.is_poll(call) {
+    /// A call over HTTP was answered; all of them are polls.
+    pub(super) fn poll_answered(&mut self, call: CallId, answer: &Response) {
+        if !self.coordinator.is_poll(call) {
             return;
         }
         if answer.status != 200 {
             return self.poll_failed(&format!("status {}", answer.status));
         }
-        let (zones, kinds) = (&self.config.settings.zones, &self.config.settings.kinds);
-        let known = self.coordinator.watch.last();
-        match self.coordinator.watch.read(&answer.body, zones, kinds) {
+        let settings = &self.config.settings;
+        let before = self.coordinator.watch.last();
+        let read = self
+            .coordinator
+            .watch
+            .read(&answer.body, &settings.zones, &settings.kinds);
+        match read {
             Ok(changes) => {
-                let asked = self
-                    .coordinator
-                    .call
-                    .take()
-                    .map(|(_, until)| until - POLL_WAIT - POLL_GRACE);
-                let empty = self.coordinator.watch.last() == known;
-                let pause = if empty {
-                    MIN_EMPTY_POLL_INTERVAL
-                } else {
-                    Duration::ZERO
-                };
-                self.coordinator.at = asked.map_or(self.now(), |at| (at + pause).max(self.now()));
-                (self.coordinator.failures, self.coordinator.gaps) = (0, 0);
-                self.changes(changes);
+                let is_new = self.coordinator.watch.last() != before;
+                self.coordinator.answered(self.clock.now(), is_new);
+                self.apply_changes(changes);
+            }
+            Err(error) => {
+                self.coordinator.refused(&error);
+                tracing::warn!(?error, "an update of the workers is refused; the list stands");
+                self.poll_failed("its update is refused");
             }
-            Err(error) => self.update_rejected(&error),
         }
     }
 
+    /// A call over HTTP failed; all of them are polls.
     pub(super) fn poll_error(&mut self, call: CallId, how: Failure) {
-        if self.is_poll(call) {
+        if self.coordinator.is_poll(call) {
             self.poll_failed(&format!("{how:?}"));
         }
     }
 
-    fn update_rejected(&mut self, error: &WatchError) {
-        if let WatchError::Gap { .. } = error {
-            self.coordinator.gaps += 1;
-            if self.coordinator.gaps >= MAX_GAPS {
-                self.coordinator.gaps = 0;
-                self.coordinator.watch.restart();
-            }
-        }
-        tracing::warn!(?error, "news of workers is not believed; the list stands");
-        self.poll_failed("its news is not believed");
-    }
-
-    /// Events that a configuration holds.
-    pub(super) fn news(&mut self, news: WatchResponse) {
-        let (zones, kinds) = (&self.config.settings.zones, &self.config.settings.kinds);
-        match self.coordinator.watch.take(news, zones, kinds) {
-            Ok(changes) => self.changes(changes),
-            Err(error) => tracing::warn!(?error, "the workers that a configuration knows are not believed"),
+    /// Applies the events that a configuration holds.
+    pub(super) fn apply_known(&mut self, known: WatchResponse) {
+        let settings = &self.config.settings;
+        let applied = self
+            .coordinator
+            .watch
+            .take(known, &settings.zones, &settings.kinds);
+        match applied {
+            Ok(changes) => self.apply_changes(changes),
+            Err(error) => tracing::warn!(?error, "the workers that a configuration holds are refused"),
         }
     }
 
-    /// Follows another coordinator from now on; numbers go on.
+    /// Follows the coordinator of a new configuration from now on; the events' indexes go on.
     pub(super) fn switch_coordinator(&mut self, address: SocketAddr, known: WatchResponse) {
         tracing::info!(%address, "a new configuration");
-        self.news(known);
-        if let Some((call, _)) = self.coordinator.call.take() {
-            self.http.cancel(call);
+        self.apply_known(known);
+        if let Some(poll) = self.coordinator.poll.take() {
+            self.http.cancel(poll.call);
         }
         self.coordinator.address = address;
-        self.coordinator.at = self.now();
-        (self.coordinator.failures, self.coordinator.gaps) = (0, 0);
-    }
-
-    fn changes(&mut self, changes: Vec<EndpointChange>) {
-        for EndpointChange { all, mut workers } in changes {
-            if all {
-                // Of a worker that a whole list names twice the last word counts.
-                let mut named = HashSet::new();
-                workers.reverse();
-                workers.retain(|told| named.insert(told.listed.worker.clone()));
-                let left: Vec<Rc<str>> = self
-                    .workers
-                    .keys()
-                    .filter(|uid| !named.contains(&***uid))
-                    .cloned()
-                    .collect();
-                left.iter().for_each(|uid| drop(self.worker_gone(uid)));
-            }
-            let mut before = Vec::new();
-            for EndpointUpdate { listed, address } in &workers {
-                match (listed.state, address) {
-                    (EndpointState::Up | EndpointState::Draining, Some(address)) => {
-                        before.extend(self.worker_listed(&listed.worker, *address, listed.started));
-                    }
-                    (EndpointState::Gone, _) => before.extend(self.worker_gone(&listed.worker)),
-                    (EndpointState::Up | EndpointState::Draining, None) => {}
+        self.coordinator.next_poll_at = self.now();
+        self.coordinator.failures = 0;
+        self.coordinator.gaps = 0;
+    }
+
+    fn apply_changes(&mut self, changes: Vec<EndpointChange>) {
+        for change in changes {
+            self.apply_change(change);
+        }
+    }
+
+    fn apply_change(&mut self, change: EndpointChange) {
+        let EndpointChange { all, mut workers } = change;
+        if all {
+            keep_last_of_each(&mut workers);
+            self.remove_unnamed(&workers);
+        }
+        let displaced = self.update_workers(&workers);
+        let kind = if all {
+            EndpointListKind::Full
+        } else {
+            EndpointListKind::Changes
+        };
+        let endpoints = workers.iter().map(|update| update.listed.entry()).collect();
+        self.request_table.update_endpoints(self.now(), kind, endpoints);
+        // Also where the worker is up again by the end of the event: what waits is not for the one that is there now.
+        for (request, attempt) in displaced {
+            self.recall_attempt(request, attempt);
+        }
+        self.carry_out();
+    }
+
+    /// Removes the workers that a whole list does not name.
+    fn remove_unnamed(&mut self, listed: &[EndpointUpdate]) {
+        let named: HashSet<&str> = listed
+            .iter()
+            .map(|update| update.listed.worker.as_str())
+            .collect();
+        let gone: Vec<Rc<str>> = self
+            .workers
+            .keys()
+            .filter(|uid| !named.contains(&***uid))
+            .cloned()
+            .collect();
+        for uid in gone {
+            self.worker_gone(&uid);
+        }
+    }
+
+    /// Enters the workers of an event into the table, and returns the attempts that must be placed anew where they have not
+    /// left.
+    fn update_workers(&mut self, workers: &[EndpointUpdate]) -> Vec<(RequestId, u32)> {
+        let mut displaced = Vec::new();
+        for EndpointUpdate { listed, address } in workers {
+            match (listed.state, address) {
+                (EndpointState::Up | EndpointState::Draining, Some(address)) => {
+                    displaced.extend(self.worker_listed(&listed.worker, *address, listed.started));
                 }
+                (EndpointState::Gone, _) => displaced.extend(self.worker_gone(&listed.worker)),
+                (EndpointState::Up | EndpointState::Draining, None) => {}
             }
-            let entries = workers.iter().map(|told| told.listed.entry()).collect();
-            self.request_table.update_endpoints(
-                self.now(),
-                if all {
-                    EndpointListKind::Full
-                } else {
-                    EndpointListKind::Changes
-                },
-                entries,
-            );
-            // Also where the worker is up again by the end of the event: what waits is not for the one there now.
-            before
-                .into_iter()
-                .for_each(|(request, attempt)| self.recall_attempt(request, attempt));
-            self.carry_out();
         }
+        displaced
     }
 }
+
+/// Of a worker that a whole list names twice, the last entry counts. The order is reversed.
+fn keep_last_of_each(workers: &mut Vec<EndpointUpdate>) {
+    let mut named = HashSet::new();
+    workers.reverse();
+    workers.retain(|update| named.insert(update.listed.worker.clone()));
+}
--- /dev/null
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -0,0 +1,385 @@
+//! The state of the event loop. Events of the sockets go to the request table, and what it says is carried out.
+use super::client_connection::Client;
+use super::coordinator::Coordinator;
+use super::counts::Counts;
+use super::shutdown::{Shutdown, Step};
+use super::worker_connection::WorkerConnection;
+use super::workers::Worker;
+use super::{commands, run};
+use crate::clock::Clock;
+use calloop::LoopHandle;
+use quartzdrift_http::links::{LinkId, Links};
+use quartzdrift_http::{HasHttp, Http, HttpEvent, Limits};
+use quartzdrift_lifecycle::{Output, RequestTable};
+use quartzdrift_platform::budget::Budget;
+use quartzdrift_platform::config::Config;
+use quartzdrift_scheduler::interface::{EndpointListKind, Outcome, RequestId};
+use std::collections::HashMap;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// Between two debug lines on what the tables hold.
+const HELD_LOG_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The connections of the attempts in flight.
+pub(super) type Attempts = HashMap<(RequestId, u32), LinkId>;
+
+/// Who is at the other end of a link.
+pub(crate) enum Peer {
+    /// A client over FastCGI.
+    Client(Client),
+    /// A worker.
+    WorkerConnection(WorkerConnection),
+}
+
+/// What is sent to workers for a request, and who waits for its answer; the payload of the request table.
+#[derive(Debug)]
+pub struct RequestContext {
+    /// Id that the client gave.
+    pub(super) id: u64,
+    /// The client's connection, and the request's FastCGI number on it.
+    pub(super) client: LinkId,
+    pub(super) number: u16,
+    /// Index of the request class in the settings.
+    pub(super) request_class: u32,
+    /// Key by which workers recognize a repeat.
+    pub(super) idempotency_key: Option<String>,
+    pub(super) body: Vec<u8>,
+}
+
+/// One scheduler on one event loop.
+pub struct Node {
+    pub(super) config: Config,
+    /// Where a new configuration is read from.
+    path: PathBuf,
+    pub(super) clock: Clock,
+    pub(super) links: Links<Node, Peer>,
+    /// Calls to the coordinator.
+    pub(super) http: Http<Node>,
+    pub(super) request_table: RequestTable<Rc<RequestContext>>,
+    pub(super) budget: Budget,
+    /// Connections of clients that are open.
+    pub(super) clients: usize,
+    /// Clients whose connections are closed once their last bytes have left.
+    pub(super) closing: Vec<LinkId>,
+    /// Connections to workers that are open.
+    pub(super) connections: usize,
+    pub(super) workers: HashMap<Rc<str>, Worker>,
+    pub(super) attempts: Attempts,
+    /// Open requests by the id that their client gave.
+    pub(super) open: HashMap<u64, RequestId>,
+    /// The answer's body of the attempt that is being ended, and its request.
+    pub(super) pending_response: Option<(RequestId, Vec<u8>)>,
+    pub(super) coordinator: Coordinator,
+    pub(super) shutdown: Option<Shutdown>,
+    /// When what the tables hold was last logged.
+    held_logged_at: Duration,
+    /// Counts since the start.
+    pub counts: Counts,
+}
+
+impl HasHttp for Node {
+    fn http(&mut self) -> &mut Http<Node> {
+        &mut self.http
+    }
+}
+
+impl Node {
+    /// A scheduler with the list of workers that its configuration holds. `path`: where a new configuration is read from.
+    pub fn new(config: Config, path: PathBuf, handle: LoopHandle<'static, Node>) -> Node {
+        let limits = Limits {
+            connections: 0,
+            connections_each: 4,
+            ..Limits::default()
+        };
+        let mut node = Node {
+            path,
+            clock: Clock::start(),
+            links: Links::new(handle.clone(), |node| &mut node.links),
+            http: Http::new(handle, limits),
+            request_table: RequestTable::new(&config.settings, config.seed),
+            budget: Budget::of(config.sockets),
+            clients: 0,
+            closing: Vec::new(),
+            connections: 0,
+            workers: HashMap::new(),
+            attempts: HashMap::new(),
+            open: HashMap::new(),
+            pending_response: None,
+            coordinator: Coordinator::new(config.coordinator),
+            shutdown: None,
+            held_logged_at: Duration::ZERO,
+            counts: Counts::default(),
+            config,
+        };
+        let known = node.config.known.clone();
+        node.request_table
+            .update_endpoints(node.now(), EndpointListKind::Snapshot, Vec::new());
+        node.apply_known(known);
+        node.carry_out();
+        node
+    }
+
+    /// Time since 1970, steady.
+    pub fn now(&self) -> Duration {
+        self.clock.now()
+    }
+
+    /// Accepts clients at a listener.
+    ///
+    /// # Errors
+    /// The listener cannot be watched.
+    pub fn listen(&mut self, listener: std::net::TcpListener) -> std::io::Result<()> {
+        self.links.listen(listener)
+    }
+
+    /// How long the loop may sleep.
+    pub fn until_next(&self) -> Duration {
+        if self.http.has_events() {
+            return Duration::ZERO;
+        }
+        let shutdown = self
+            .shutdown
+            .as_ref()
+            .and_then(|shutdown| shutdown.next_deadline(self.now()));
+        let own = [
+            self.request_table.next_deadline(),
+            Some(self.coordinator.next_deadline()),
+            shutdown,
+        ];
+        self.clock
+            .until(own, [self.links.next_due(), self.http.next_deadline()])
+    }
+
+    /// Works what the last wait of the loop brought, and all that is due.
+    pub fn turn(&mut self) {
+        self.work_polls();
+        self.accept();
+        self.work_ready_links();
+        self.work_overdue_links();
+        let now = self.now();
+        // Before the request table's own deadlines: that of a request which came during the shutdown is the same moment, and
+        // what never left is rejected then.
+        self.end_for_shutdown(now);
+        self.work_request_deadlines(now);
+        self.coordinator_due(now);
+        self.log_held_state(now);
+        self.links.flush();
+        self.close_flushed_clients();
+    }
+
+    fn work_polls(&mut self) {
+        self.http.expire(Instant::now());
+        for event in self.http.take_events() {
+            match event {
+                HttpEvent::Answer { call, answer } => self.poll_answered(call, &answer),
+                HttpEvent::Failed { call, how } => self.poll_error(call, how),
+                // Nobody calls here over HTTP, and no answer is streamed.
+                HttpEvent::Request { .. }
+                | HttpEvent::Gone { .. }
+                | HttpEvent::Part { .. }
+                | HttpEvent::End { .. } => {}
+            }
+        }
+    }
+
+    fn work_ready_links(&mut self) {
+        for id in self.links.take_ready() {
+            match self.links.get(id).map(|link| &link.state) {
+                Some(Peer::Client(_)) => self.drive_client(id),
+                Some(Peer::WorkerConnection(_)) => self.drive_connection(id),
+                None => {}
+            }
+        }
+    }
+
+    fn work_overdue_links(&mut self) {
+        for id in self.links.take_overdue(Instant::now()) {
+            match self.links.get(id).map(|link| &link.state) {
+                Some(Peer::Client(_)) => self.client_overdue(id),
+                Some(Peer::WorkerConnection(_)) => self.connection_overdue(id),
+                None => {}
+            }
+        }
+    }
+
+    fn work_request_deadlines(&mut self, now: Duration) {
+        let is_due = self.request_table.next_deadline().is_some_and(|at| at <= now);
+        if !is_due {
+            return;
+        }
+        let (attempts, links) = (&self.attempts, &self.links);
+        self.request_table.due(now, |request, attempt| {
+            commands::has_left(attempts, links, request, attempt)
+        });
+        self.carry_out();
+    }
+
+    /// Logs what the tables hold, at the debug level: the request table's view beside that of the sockets, which must agree.
+    fn log_held_state(&mut self, now: Duration) {
+        let is_due = now >= self.held_logged_at + HELD_LOG_INTERVAL;
+        if !is_due || !tracing::enabled!(tracing::Level::DEBUG) {
+            return;
+        }
+        self.held_logged_at = now;
+        let [clients, workers, connections, attempts_on_sockets, open_ids] = self.held_counts();
+        let (worker_names, function_names, scheduler_requests) = self.request_table.sizes();
+        tracing::debug!(
+            clients,
+            workers,
+            workers_up = self.request_table.workers_up(),
+            connections,
+            attempts_on_sockets,
+            attempts_in_flight = self.request_table.attempts_in_flight(),
+            open_ids,
+            open_requests = self.request_table.open_requests(),
+            scheduler_requests,
+            "held"
+        );
+        tracing::debug!(worker_names, function_names, "names held by the scheduler");
+    }
+
+    /// Carries out what the request table says, until it says no more.
+    pub(super) fn carry_out(&mut self) {
+        loop {
+            let outputs = self.request_table.outputs();
+            if outputs.is_empty() {
+                return;
+            }
+            for output in outputs {
+                self.output(output);
+            }
+        }
+    }
+
+    fn output(&mut self, output: Output<Rc<RequestContext>>) {
+        match output {
+            Output::StartAttempt {
+                request,
+                attempt,
+                worker,
+                function,
+                wait,
+                payload,
+            } => self.start_attempt(request, attempt, &worker, function, wait, payload),
+            Output::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
+            Output::RecallAttempt { request, attempt } => self.recall_attempt(request, attempt),
+            Output::Respond {
+                request,
+                payload,
+                answer,
+            } => self.final_answer(request, &payload, answer),
+            Output::CloseIdle { worker } => self.close_idle(&worker),
+            Output::Log { text } => tracing::info!(text, "decision"),
+            // The platform's list comes without being asked for, and its settings allow neither load commands nor health
+            // checks.
+            Output::CheckHealth { command, .. } | Output::Load { command, .. } => {
+                self.request_table
+                    .command_ended(self.now(), command, Outcome::NeverSent, 0, Vec::new());
+            }
+            Output::RecallCommand { .. }
+            | Output::AbandonCommand { .. }
+            | Output::Unload { .. }
+            | Output::SendToPeer { .. }
+            | Output::Watch { .. }
+            | Output::PollEndpoints => {}
+        }
+    }
+
+    /// What the tables hold: clients, workers, connections to them, attempts in flight, and requests open by their clients'
+    /// ids.
+    pub fn held_counts(&self) -> [usize; 5] {
+        [
+            self.clients,
+            self.workers.len(),
+            self.connections,
+            self.attempts.len(),
+            self.open.len(),
+        ]
+    }
+
+    /// Begins a graceful shutdown (SIGTERM): clients that still come are served, and the process ends once everything is
+    /// answered, before SIGKILL is due.
+    pub fn stop(&mut self) {
+        if self.shutdown.is_some() {
+            return;
+        }
+        let timeouts = self
+            .config
+            .settings
+            .request_classes
+            .iter()
+            .map(|class| class.timeout);
+        let shutdown = Shutdown::new(self.now(), timeouts);
+        self.request_table.set_shutdown_deadline(shutdown.answer_by());
+        self.shutdown = Some(shutdown);
+        tracing::info!(
+            open = self.request_table.open_requests(),
+            "stopping: serving those that still come"
+        );
+    }
+
+    /// Gives what is open its final answer once the shutdown leaves no more time for it.
+    fn end_for_shutdown(&mut self, now: Duration) {
+        let due = self
+            .shutdown
+            .as_ref()
+            .is_some_and(|shutdown| now >= shutdown.answer_by());
+        if !due || self.request_table.open_requests() == 0 {
+            return;
+        }
+        tracing::info!(
+            open = self.request_table.open_requests(),
+            "no more time to stop: what is open ends"
+        );
+        let (attempts, links) = (&self.attempts, &self.links);
+        self.request_table.shut_down(now, |request, attempt| {
+            commands::has_left(attempts, links, request, attempt)
+        });
+        self.carry_out();
+    }
+
+    /// Whether a shutdown is complete; to be asked after every turn.
+    ///
+    /// What has arrived by the moment in which nothing is open any more is served too. Then clients are told that their
+    /// connections end, and what they still send is read: closing a connection with unread bytes destroys the answers that
+    /// are on their way.
+    pub fn stopped(&mut self) -> bool {
+        let now = self.now();
+        let Some(shutdown) = &self.shutdown else {
+            return false;
+        };
+        let answered = || self.request_table.open_requests() == 0 && !self.has_unsent_answers();
+        match shutdown.next_step(now, self.clients, answered) {
+            Step::Exit => true,
+            Step::Wait => false,
+            Step::CloseIfQuiet => self.is_quiet() && self.close_all_clients(now),
+        }
+    }
+
+    /// Tells all clients that their connections end; returns whether there are none.
+    fn close_all_clients(&mut self, now: Duration) -> bool {
+        self.send_close_notice();
+        if let Some(shutdown) = &mut self.shutdown {
+            shutdown.begin_closing(now);
+        }
+        self.clients == 0
+    }
+
+    /// Takes up a new configuration (SIGHUP): its coordinator is followed from the next poll on; all else goes on as it was.
+    pub fn reload(&mut self) {
+        // Reading anything but a regular file could block for ever.
+        let file = std::fs::metadata(&self.path)
+            .map(|of| of.is_file())
+            .unwrap_or(true);
+        let read = match file {
+            true => run::load(&self.path),
+            false => Err("it is no regular file".to_owned()),
+        };
+        match read.and_then(|bytes| quartzdrift_platform::config::read(&bytes)) {
+            Ok(config) => self.switch_coordinator(config.coordinator, config.known),
+            Err(why) => tracing::warn!(why, "the new configuration cannot be read; the old one stands"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -0,0 +1,150 @@
+//! Admits clients' requests: their fields are checked, they are submitted to the request table, and abandoned where the client
+//! has left.
+use super::client_connection::client;
+use super::{Node, RequestContext};
+use quartzdrift_fastcgi::Params;
+use quartzdrift_http::links::LinkId;
+use quartzdrift_lifecycle::{AttemptResult, NewRequest};
+use quartzdrift_platform::request_fields::{self, FieldError, PlatformRequest, RequestFields};
+use quartzdrift_scheduler::interface::{Outcome, RequestId};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Told to clients for whom there is no room at all.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(200);
+
+/// A parameter that may be left out, but not be given as something that is no text, or twice.
+fn optional<'a>(params: &'a Params, name: &str, invalid: FieldError) -> Result<Option<&'a str>, FieldError> {
+    let is_given = params.iter().any(|(given, _)| given == name.as_bytes());
+    if !is_given {
+        return Ok(None);
+    }
+    params.text(name).map(Some).ok_or(invalid)
+}
+
+fn fields(params: &Params, body: usize) -> Result<RequestFields<'_>, FieldError> {
+    Ok(RequestFields {
+        path: params.text("SCRIPT_NAME"),
+        id: params.text("HTTP_X_REQUEST_ID"),
+        time: params.text("HTTP_X_TIMEOUT_MS"),
+        function: params.text("HTTP_X_OBJECT"),
+        idempotency_key: optional(params, "HTTP_IDEMPOTENCY_KEY", FieldError::IdempotencyKey)?,
+        tenant: optional(params, "HTTP_X_TENANT", FieldError::Tenant)?,
+        resource_hints: optional(params, "HTTP_X_SPEC", FieldError::ResourceHints)?,
+        length: optional(params, "CONTENT_LENGTH", FieldError::Length)?,
+        body,
+    })
+}
+
+impl Node {
+    /// Works a whole request of a client: a readiness check is answered, anything else is admitted or refused.
+    pub(super) fn request(&mut self, client: LinkId, number: u16, params: &Params, body: Vec<u8>) {
+        if params.get("SCRIPT_NAME") == Some(b"/check") {
+            return self.respond_to_check(client, number);
+        }
+        let request = fields(params, body.len())
+            .and_then(|fields| request_fields::read(&fields, &self.config.settings));
+        match request {
+            Ok(request) => self.admit(client, number, &request, body),
+            Err(invalid) => {
+                self.counts.invalid += 1;
+                tracing::debug!(?invalid, "request refused");
+                self.respond(client, number, invalid.status(), invalid.text(), None);
+            }
+        }
+    }
+
+    fn respond_to_check(&mut self, client: LinkId, number: u16) {
+        let is_ready = self.shutdown.is_none() && self.request_table.workers_up() > 0;
+        let (status, text) = if is_ready {
+            (200, "ready")
+        } else {
+            (503, "not ready")
+        };
+        self.respond(client, number, status, text, None);
+    }
+
+    fn admit(&mut self, link: LinkId, number: u16, request: &PlatformRequest<'_>, body: Vec<u8>) {
+        if let Some(&other) = self.open.get(&request.id) {
+            return self.reject_duplicate_id(link, number, other);
+        }
+        let context = RequestContext {
+            id: request.id,
+            client: link,
+            number,
+            request_class: request.request_class,
+            idempotency_key: request.idempotency_key.map(str::to_owned),
+            body,
+        };
+        match self
+            .request_table
+            .submit(self.now(), new_request(request, context))
+        {
+            Ok(submitted) => {
+                self.counts.taken += 1;
+                self.open.insert(request.id, submitted);
+                if let Some(client) = client(&mut self.links, link) {
+                    client.requests.insert(number, submitted);
+                }
+                self.carry_out();
+            }
+            Err(_) => self.respond(link, number, 503, "full", Some(FULL_RETRY_AFTER)),
+        }
+    }
+
+    /// Refuses a request under the id of an open one: workers would take the one for the other. Where both came over one
+    /// connection, neither can be trusted.
+    fn reject_duplicate_id(&mut self, id: LinkId, number: u16, other: RequestId) {
+        self.counts.invalid += 1;
+        self.respond(id, number, 409, "this id is open", None);
+        let Some(client) = client(&mut self.links, id) else {
+            return;
+        };
+        let first = client
+            .requests
+            .iter()
+            .find(|(_, request)| **request == other)
+            .map(|(number, _)| *number);
+        if let Some(first) = first {
+            client.requests.remove(&first);
+            self.abandon_request(other);
+            self.respond(id, first, 409, "this id came twice", None);
+        }
+    }
+
+    /// Nobody waits for a request any more. Attempts that have not left are recalled whatever the settings say, so that
+    /// nothing of them reaches a worker from now on; those that are in flight are cancelled where the settings allow it.
+    pub(super) fn abandon_request(&mut self, request: RequestId) {
+        let now = self.now();
+        let may_cancel = self.config.settings.allowed.cancel;
+        let attempts: Vec<u32> = self.request_table.attempts_of(request).collect();
+        self.request_table.client_gone(now, request);
+        self.carry_out();
+        for attempt in attempts {
+            if self.recall_unsent(request, attempt) {
+                self.request_table.attempt_recalled(now, request, attempt);
+            } else if may_cancel {
+                self.cancel_attempt(request, attempt);
+                let result = AttemptResult::silent(Outcome::Cancelled);
+                self.request_table.attempt_ended(now, request, attempt, result);
+            }
+        }
+        self.carry_out();
+    }
+}
+
+fn new_request(request: &PlatformRequest<'_>, context: RequestContext) -> NewRequest<Rc<RequestContext>> {
+    NewRequest {
+        request_class: request.request_class,
+        tenant: request.tenant,
+        function: request.function.into(),
+        left: request.time_remaining,
+        work_hint: request.work,
+        memory_mb: request.memory_mb,
+        concurrency_slots: request.concurrency_slots,
+        load_hint: request.load,
+        is_retry: false,
+        writes: false,
+        payload: Rc::new(context),
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift/src/platform/responses.rs
@@ -0,0 +1,128 @@
+//! Answers to clients.
+use super::client_connection::client;
+use super::{Node, RequestContext};
+use quartzdrift_fastcgi::{self as fastcgi, Answer};
+use quartzdrift_http::links::LinkId;
+use quartzdrift_lifecycle::{FailureReason, FinalAnswer};
+use quartzdrift_scheduler::interface::RequestId;
+use std::time::Duration;
+
+/// Room for the head of an answer, in bytes, beside its body.
+const HEAD_CAPACITY: usize = 128;
+
+/// The reason phrase of a status.
+fn reason(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        400 => "Bad Request",
+        404 => "Not Found",
+        409 => "Conflict",
+        413 => "Content Too Large",
+        503 => "Service Unavailable",
+        504 => "Gateway Timeout",
+        _ => "Internal Server Error",
+    }
+}
+
+impl Node {
+    /// Answers a client with a text of the scheduler's own.
+    pub(super) fn respond(
+        &mut self,
+        link: LinkId,
+        number: u16,
+        status: u16,
+        text: &str,
+        retry_after: Option<Duration>,
+    ) {
+        self.respond_with_body(link, number, status, text.as_bytes(), retry_after);
+    }
+
+    /// Answers a client. `retry_after` is told in whole milliseconds, never less.
+    fn respond_with_body(
+        &mut self,
+        link: LinkId,
+        number: u16,
+        status: u16,
+        body: &[u8],
+        retry_after: Option<Duration>,
+    ) {
+        let milliseconds = retry_after.map(|span| span.as_nanos().div_ceil(1_000_000).to_string());
+        let field = milliseconds.as_deref().map(|ms| ("Retry-After-Ms", ms));
+        let answer = Answer {
+            status,
+            reason: reason(status),
+            fields: field.as_slice(),
+            body,
+        };
+        let has_unread = self.links.get(link).is_some_and(|link| link.waiting() > 0);
+        let Some(client) = client(&mut self.links, link) else {
+            return;
+        };
+        let mut output = Vec::with_capacity(body.len() + HEAD_CAPACITY);
+        let ended = client.responder.answer(number, &answer, &mut output);
+        self.write(link, &output);
+        match ended {
+            fastcgi::Ended::Close => self.close_when_flushed(link),
+            // The loop may never be told of this client again: what it does not read sets its deadline.
+            fastcgi::Ended::Keep | fastcgi::Ended::NotOpen if has_unread => {
+                self.update_client_deadline(link);
+            }
+            fastcgi::Ended::Keep | fastcgi::Ended::NotOpen => {}
+        }
+    }
+
+    /// Gives a request its final answer.
+    pub(super) fn final_answer(&mut self, request: RequestId, context: &RequestContext, answer: FinalAnswer) {
+        self.forget(request, context);
+        self.count(answer);
+        let body = self
+            .pending_response
+            .take_if(|(of, _)| *of == request)
+            .map(|(_, body)| body);
+        let (link, number) = (context.client, context.number);
+        match answer {
+            FinalAnswer::Succeeded => match body {
+                Some(body) => self.respond_with_body(link, number, 200, &body, None),
+                None => self.respond(link, number, 500, "no answer", None),
+            },
+            FinalAnswer::Rejected { retry_after, .. } => {
+                self.respond(link, number, 503, "come back", retry_after);
+            }
+            FinalAnswer::Failed { why } => {
+                let (status, text) = failure(why);
+                self.respond(link, number, status, text, None);
+            }
+            FinalAnswer::Cancelled => {}
+        }
+    }
+
+    /// Takes a request out of the tables by its id and by its client's connection.
+    fn forget(&mut self, request: RequestId, context: &RequestContext) {
+        if self.open.get(&context.id) == Some(&request) {
+            self.open.remove(&context.id);
+        }
+        if let Some(client) = client(&mut self.links, context.client)
+            && client.requests.get(&context.number) == Some(&request)
+        {
+            client.requests.remove(&context.number);
+        }
+    }
+
+    fn count(&mut self, answer: FinalAnswer) {
+        let count = match answer {
+            FinalAnswer::Succeeded => &mut self.counts.succeeded,
+            FinalAnswer::Rejected { .. } => &mut self.counts.rejected,
+            FinalAnswer::Failed { .. } => &mut self.counts.failed,
+            FinalAnswer::Cancelled => &mut self.counts.cancelled,
+        };
+        *count += 1;
+    }
+}
+
+/// Status and text of a failed request's answer.
+fn failure(why: FailureReason) -> (u16, &'static str) {
+    match why {
+        FailureReason::DeadlineExceeded => (504, "its time is up"),
+        FailureReason::OutcomeUnknown | FailureReason::ShuttingDown => (500, "it may have run"),
+    }
+}
