--- /dev/null
+++ b/crates/quartzdrift-lifecycle/src/request_table/endpoints.rs
@@ -0,0 +1,61 @@
+//! The endpoint list, and what becomes of unsent work to workers that are no longer up.
+use super::table::RequestTable;
+use crate::command::CommandKind;
+use crate::output::Output;
+use quartzdrift_scheduler::interface::{Endpoint, EndpointListKind, EndpointState, Event};
+use std::time::Duration;
+
+impl<P: Clone> RequestTable<P> {
+    /// An update of the endpoint list. Times in `entries` are on the same clock as `now`.
+    ///
+    /// Attempts and load commands to workers that are not up are recalled: what has not been sent yet would be new work
+    /// to a worker that drains.
+    pub fn update_endpoints(&mut self, now: Duration, kind: EndpointListKind, entries: Vec<Endpoint>) {
+        self.advance(now);
+        if matches!(kind, EndpointListKind::Full | EndpointListKind::Snapshot) {
+            self.workers.clear();
+        }
+        for entry in &entries {
+            self.update_endpoint(entry);
+        }
+        self.feed(Event::EndpointList { form: kind, entries });
+        self.recall_attempts();
+        self.recall_load_commands();
+        self.settle();
+    }
+
+    fn update_endpoint(&mut self, entry: &Endpoint) {
+        match entry.state {
+            EndpointState::Gone => {
+                self.workers.remove(entry.worker);
+            }
+            EndpointState::Up | EndpointState::Draining => {
+                self.workers.insert(entry.worker.into(), entry.state);
+            }
+        }
+    }
+
+    fn recall_attempts(&mut self) {
+        let recalls: Vec<Output<P>> = self
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| !self.is_up(&attempt.worker))
+            .map(|(id, _)| Output::RecallAttempt {
+                request: id.request,
+                attempt: id.attempt,
+            })
+            .collect();
+        self.outputs.extend(recalls);
+    }
+
+    fn recall_load_commands(&mut self) {
+        let recalls: Vec<Output<P>> = self
+            .commands
+            .iter()
+            .filter(|(_, pending)| matches!(pending.kind, CommandKind::Load { .. }))
+            .filter(|(_, pending)| !self.is_up(&pending.worker))
+            .map(|(command, _)| Output::RecallCommand { command: *command })
+            .collect();
+        self.outputs.extend(recalls);
+    }
+}
--- a/crates/quartzdrift-lifecycle/src/timers.rs
+++ b/crates/quartzdrift-lifecycle/src/timers.rs
@@ -1,53 +1,65 @@
-//! What is due when. Each entry can be taken back, so that timers of what has ended are no burden.
+//! A queue of timers that can be cancelled, so that timers of what has ended cost nothing.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Names one timer; never used twice.
+/// Identifies one timer of a [`Timers`]; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TimerId(Duration, u64);
+pub struct TimerId {
+    at: Duration,
+    sequence: u64,
+}
 
+/// Timers in the order in which they fire. Setting, cancelling and popping take logarithmic time.
 #[derive(Debug)]
 pub struct Timers<T> {
-    due: BTreeMap<TimerId, T>,
-    drawn: u64,
+    pending: BTreeMap<TimerId, T>,
+    last_sequence: u64,
 }
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
         Timers {
-            due: BTreeMap::new(),
-            drawn: 0,
+            pending: BTreeMap::new(),
+            last_sequence: 0,
         }
     }
 }
 
 impl<T> Timers<T> {
-    pub fn set(&mut self, at: Duration, what: T) -> TimerId {
-        self.drawn += 1;
-        let id = TimerId(at, self.drawn);
-        self.due.insert(id, what);
-        id
+    /// When the next timer fires.
+    pub fn next_deadline(&self) -> Option<Duration> {
+        self.pending.first_key_value().map(|(id, _)| id.at)
     }
 
-    pub fn cancel(&mut self, id: TimerId) -> Option<T> {
-        self.due.remove(&id)
+    /// How many timers are set.
+    pub fn len(&self) -> usize {
+        self.pending.len()
     }
 
-    pub fn next(&self) -> Option<Duration> {
-        self.due.first_key_value().map(|(id, _)| id.0)
+    /// Whether no timer is set.
+    pub fn is_empty(&self) -> bool {
+        self.pending.is_empty()
     }
 
-    /// The first that is due, taken out; those of one moment in the order in which they were set.
-    pub fn pop(&mut self, now: Duration) -> Option<T> {
-        let first = self.due.first_entry().filter(|first| first.key().0 <= now)?;
-        Some(first.remove())
+    /// Sets a timer that fires at `at` with `expiry`.
+    pub fn set(&mut self, at: Duration, expiry: T) -> TimerId {
+        self.last_sequence += 1;
+        let id = TimerId {
+            at,
+            sequence: self.last_sequence,
+        };
+        self.pending.insert(id, expiry);
+        id
     }
 
-    pub fn len(&self) -> usize {
-        self.due.len()
+    /// Cancels a timer. `None` if it has fired or was cancelled before.
+    pub fn cancel(&mut self, id: TimerId) -> Option<T> {
+        self.pending.remove(&id)
     }
 
-    pub fn is_empty(&self) -> bool {
-        self.due.is_empty()
+    /// Removes the first timer that has fired by `now`. Timers of the same time fire in the order in which they were set.
+    pub fn pop(&mut self, now: Duration) -> Option<T> {
+        let first = self.pending.first_entry().filter(|first| first.key().at <= now)?;
+        Some(first.remove())
     }
 }
--- /dev/null
+++ b/crates/quartzdrift-lifecycle/tests/request_table/random_events.rs
@@ -0,0 +1,155 @@
+//! The guarantees under random sequences of events.
+use crate::harness::{Harness, MS, SLACK, TIMEOUT, settings};
+use proptest::prelude::{Just, Strategy, any, prop_assert, prop_assert_eq, prop_oneof, proptest};
+use quartzdrift_lifecycle::FinalAnswer;
+use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, Idempotency, Outcome, RequestId};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// All workers that a sequence may name; the first three are up from the start.
+const WORKERS: [&str; 4] = ["a", "b", "c", "d"];
+/// Index of the non-idempotent class in the settings.
+const NON_IDEMPOTENT_CLASS: u32 = 2;
+
+/// One event of a random sequence. An index counts modulo what there is to choose from.
+#[derive(Clone, Debug)]
+enum Step {
+    /// A request of a class.
+    Submit(u32),
+    /// Milliseconds pass.
+    Wait(u64),
+    /// An attempt in flight ends.
+    EndAttempt(usize, Outcome),
+    /// The client of a request leaves.
+    ClientGone(usize),
+    /// A worker changes its state.
+    UpdateEndpoint(usize, EndpointState),
+    /// All workers but one leave the endpoint list.
+    ReplaceEndpoints,
+}
+
+fn step() -> impl Strategy<Value = Step> {
+    let outcome = prop_oneof![
+        Just(Outcome::Succeeded),
+        Just(Outcome::Error),
+        Just(Outcome::AtCapacity),
+        Just(Outcome::ConnectFailed),
+        Just(Outcome::Reset),
+        Just(Outcome::CacheMiss),
+    ];
+    let state = prop_oneof![
+        Just(EndpointState::Up),
+        Just(EndpointState::Draining),
+        Just(EndpointState::Gone)
+    ];
+    prop_oneof![
+        4 => (0u32..3).prop_map(Step::Submit),
+        4 => (1u64..700).prop_map(Step::Wait),
+        4 => (any::<usize>(), outcome).prop_map(|(index, outcome)| Step::EndAttempt(index, outcome)),
+        1 => any::<usize>().prop_map(Step::ClientGone),
+        1 => (0usize..4, state).prop_map(|(index, state)| Step::UpdateEndpoint(index, state)),
+        1 => Just(Step::ReplaceEndpoints),
+    ]
+}
+
+/// What a sequence of events has led to so far.
+struct Run {
+    harness: Harness,
+    /// Each request's class and the time of its submission.
+    submitted: BTreeMap<RequestId, (u32, Duration)>,
+    /// Requests of which an attempt may have executed.
+    in_doubt: BTreeSet<RequestId>,
+}
+
+impl Run {
+    fn apply(&mut self, step: Step) {
+        let harness = &mut self.harness;
+        match step {
+            Step::Submit(request_class) => {
+                let at = harness.now;
+                self.submitted
+                    .insert(harness.request(request_class), (request_class, at));
+            }
+            Step::Wait(ms) => self.wait(ms),
+            Step::EndAttempt(index, outcome) => self.end_attempt(index, outcome),
+            Step::ClientGone(index) => self.client_gone(index),
+            Step::UpdateEndpoint(index, state) => {
+                harness.update_endpoints(EndpointListKind::Changes, &[WORKERS[index]], state);
+            }
+            Step::ReplaceEndpoints => {
+                harness.update_endpoints(EndpointListKind::Full, &["a"], EndpointState::Up);
+            }
+        }
+    }
+
+    fn requests_in_flight(&self) -> BTreeSet<RequestId> {
+        let attempts = self.harness.in_flight.keys();
+        attempts.map(|(request, _)| *request).collect()
+    }
+
+    fn wait(&mut self, ms: u64) {
+        let before = self.requests_in_flight();
+        let at = self.harness.now + ms as u32 * MS;
+        self.harness.advance_to(at);
+        // Timed out or cancelled: these may have executed.
+        let still = self.requests_in_flight();
+        self.in_doubt.extend(before.difference(&still));
+    }
+
+    fn end_attempt(&mut self, index: usize, outcome: Outcome) {
+        let attempts: Vec<(RequestId, u32)> = self.harness.in_flight.keys().copied().collect();
+        let Some(&(request, attempt)) = attempts.get(index % attempts.len().max(1)) else {
+            return;
+        };
+        if matches!(outcome, Outcome::Error | Outcome::Reset) {
+            self.in_doubt.insert(request);
+        }
+        self.harness.end_attempt(request, attempt, outcome);
+    }
+
+    fn client_gone(&mut self, index: usize) {
+        let requests: Vec<RequestId> = self.submitted.keys().copied().collect();
+        let Some(&request) = requests.get(index % requests.len().max(1)) else {
+            return;
+        };
+        let now = self.harness.now;
+        self.harness.request_table.client_gone(now, request);
+        self.harness.record_outputs();
+    }
+}
+
+proptest! {
+    /// Whatever workers, clients and endpoint lists do: each request gets one final answer by its deadline, never has two
+    /// attempts in flight (checked as they are sent), and is sent again, if non-idempotent, only after proof that it
+    /// never executed.
+    #[test]
+    fn any_sequence_of_events_keeps_the_guarantees(steps in proptest::collection::vec(step(), 1..120)) {
+        let idempotency_kinds = [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent];
+        let mut run = Run {
+            harness: Harness::with_settings(&settings(&idempotency_kinds), &WORKERS[..3]),
+            submitted: BTreeMap::new(),
+            in_doubt: BTreeSet::new(),
+        };
+        let mut sent_before = 0;
+        for step in steps {
+            run.apply(step);
+            for (request, _) in &run.harness.sent[sent_before..] {
+                let is_idempotent = run.submitted[request].0 != NON_IDEMPOTENT_CLASS;
+                prop_assert!(is_idempotent || !run.in_doubt.contains(request), "non-idempotent request {request} sent again");
+            }
+            sent_before = run.harness.sent.len();
+        }
+        let end = run.harness.now + TIMEOUT * 2;
+        run.harness.advance_to(end);
+        for (request, (request_class, at)) in run.submitted {
+            let answers = run.harness.final_answers.get(&request).cloned().unwrap_or_default();
+            prop_assert_eq!(answers.len(), 1, "request {} of class {}: {:?}", request, request_class, answers);
+            prop_assert!(answers[0].0 <= at + TIMEOUT - SLACK);
+            let rejected = matches!(answers[0].1, FinalAnswer::Rejected { .. });
+            let is_non_idempotent = request_class == NON_IDEMPOTENT_CLASS;
+            prop_assert!(!(is_non_idempotent && rejected && run.in_doubt.contains(&request)), "rejected in doubt");
+        }
+        let table = &run.harness.request_table;
+        prop_assert_eq!((table.open_requests(), table.attempts_in_flight()), (0, 0));
+    }
+}
