--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -1,264 +1,270 @@
-//! Calls of clients: read, made into requests, and answered.
-use super::{Gateway, Origin, Work};
+//! Client calls: parsed, checked, admitted, and made into requests. Their answers are in `responses`.
+use super::responses::response;
+use super::{Gateway, Origin, RequestContext};
 use crate::settings::Function;
 use quartzdrift_async_queue::Submitted;
-use quartzdrift_http::{BadRequest, Exchange, Headers, Request, Response};
-use quartzdrift_invoke::answer::{self, FailureKind, Problem, Said};
+use quartzdrift_http::{BadRequest, Exchange, Headers, Request};
+use quartzdrift_invoke::answer::{self, Problem, Said};
 use quartzdrift_invoke::call::{self, Asked, Call, Mode};
-use quartzdrift_lifecycle::{FailureReason, FinalAnswer, NewRequest};
-use quartzdrift_scheduler::interface::Idempotency;
+use quartzdrift_lifecycle::{AttemptResult, NewRequest};
+use quartzdrift_scheduler::interface::{Idempotency, Outcome, RequestClass};
 use std::rc::Rc;
 use std::time::Duration;
 use uuid::Uuid;
 
-/// Fields of a worker's answer that go on to the client.
-const PASSED_ON: [&str; 4] = [
-    "content-type",
-    "x-amz-function-error",
-    "x-amz-executed-version",
-    "x-amz-log-result",
-];
-/// Told to those who come while the gateway stops: another instance is a moment away.
-const STOPPING: Duration = Duration::from_secs(1);
+/// `Retry-After` of calls that come during the drain: another gateway takes over within this time.
+const DRAIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-pub(super) fn response(said: Said, id: Option<Uuid>) -> Response {
-    let mut headers = Headers::new();
-    said.fields
-        .iter()
-        .for_each(|(name, value)| headers.push(name, value));
-    if let Some(id) = id {
-        headers.push("x-amzn-requestid", &id.to_string());
-    }
-    Response {
-        status: said.status,
-        headers,
-        body: said.body,
-    }
+/// When a client call is answered.
+enum Reply {
+    /// At once.
+    Now(Said),
+    /// With a final answer, or once the store has it.
+    Later,
 }
 
-fn problem(bad: BadRequest) -> Problem {
-    match bad {
-        BadRequest::HeadTooLarge => Problem::HeadTooLarge,
-        BadRequest::BodyTooLarge => Problem::TooLarge,
-        BadRequest::Malformed => Problem::Malformed,
-        BadRequest::Coding => Problem::Coding,
-        BadRequest::TooSlow => Problem::TooSlow,
-    }
+/// The tenant that a call names.
+struct CallTenant {
+    /// Index in the settings.
+    index: u32,
+    /// The name, where the settings have tenants.
+    name: Option<String>,
+}
+
+/// A call of a function that the settings allow.
+struct InvokeCall {
+    exchange: Exchange,
+    id: Uuid,
+    call: Call,
+    /// The function's name, as workers load it.
+    name: String,
+    function: Rc<Function>,
+    tenant: CallTenant,
+    payload: Vec<u8>,
+    is_retry: bool,
 }
 
 impl Gateway {
-    pub(super) fn request(&mut self, exchange: Exchange, request: Result<Request, BadRequest>) {
+    /// A client's request has been received, or could not be read.
+    pub(super) fn request_received(&mut self, exchange: Exchange, request: Result<Request, BadRequest>) {
         let id = self.draw_id();
-        let said = match request
+        let reply = request
             .map_err(problem)
-            .and_then(|request| self.take(exchange, request, id))
-        {
-            Ok(None) => return,
-            Ok(Some(said)) => said,
+            .and_then(|request| self.handle_request(exchange, id, request));
+        let said = match reply {
+            Ok(Reply::Later) => return,
+            Ok(Reply::Now(said)) => said,
             Err(problem) => {
                 self.counts.refused += 1;
-                tracing::debug!(%id, ?problem, "no job");
+                tracing::debug!(%id, ?problem, "request refused");
                 problem.said()
             }
         };
-        let mut answer = response(said, Some(id));
-        if self.stopping.is_some() {
-            answer.headers.push("connection", "close");
-        }
-        self.http.answer(exchange, &answer);
+        self.respond(exchange, response(said, Some(id)));
     }
 
-    /// Makes a request into a request; `Some` where it is answered at once.
-    fn take(&mut self, exchange: Exchange, request: Request, id: Uuid) -> Result<Option<Said>, Problem> {
+    fn handle_request(&mut self, exchange: Exchange, id: Uuid, request: Request) -> Result<Reply, Problem> {
         let Request { head, body, .. } = request;
-        let call = match call::read(&head.method, &head.target, |name| head.headers.get(name))? {
+        match call::read(&head.method, &head.target, |name| head.headers.get(name))? {
             Asked::Ready => {
-                let ready = self.stopping.is_none() && self.request_table.workers_up() > 0;
-                return Ok(Some(answer::ready(ready)));
+                let is_ready = !self.is_draining() && self.request_table.workers_up() > 0;
+                Ok(Reply::Now(answer::ready(is_ready)))
             }
-            Asked::Invoke(call) => call,
-        };
-        if self.settings.require_json && !call::is_json(&body) {
+            Asked::Invoke(call) => {
+                let call = self.check_call(exchange, id, call, &head.headers, body)?;
+                self.handle_call(call)
+            }
+        }
+    }
+
+    fn check_call(
+        &self,
+        exchange: Exchange,
+        id: Uuid,
+        call: Call,
+        headers: &Headers,
+        payload: Vec<u8>,
+    ) -> Result<InvokeCall, Problem> {
+        if self.settings.require_json && !call::is_json(&payload) {
             return Err(Problem::BadContent("the payload is not JSON"));
         }
         let name = call.function.loaded();
         let function = self.settings.function(&name).ok_or(Problem::NoSuchFunction)?;
-        let tenant = self.tenant(&head.headers)?;
-        if call.mode == Mode::DryRun {
-            return Ok(Some(answer::dry_run()));
-        }
-        if self.stopping.is_some() && !(self.settings.share_port && call.mode == Mode::Synchronous) {
-            return Err(Problem::Busy(Some(STOPPING)));
+        let tenant = self.tenant(headers)?;
+        Ok(InvokeCall {
+            exchange,
+            id,
+            call,
+            name,
+            function,
+            tenant,
+            payload,
+            is_retry: headers.get("x-quartzdrift-retry").is_some(),
+        })
+    }
+
+    fn handle_call(&mut self, invoke: InvokeCall) -> Result<Reply, Problem> {
+        let mode = invoke.call.mode;
+        if mode == Mode::DryRun {
+            return Ok(Reply::Now(answer::dry_run()));
         }
-        self.counts.taken += 1;
-        if call.mode == Mode::Asynchronous {
-            return self.defer(exchange, id, call, &name, &function, tenant, body);
+        // Beside a successor at the same address, existing connections are served to their end here.
+        let serves_on = self.settings.share_port && mode == Mode::Synchronous;
+        if self.is_draining() && !serves_on {
+            return Err(Problem::Busy(Some(DRAIN_RETRY_AFTER)));
         }
-        let request_class = &self.settings.scheduler.request_classes[function.request_class as usize];
-        let limit = request_class.timeout.unwrap_or(Duration::MAX);
-        let left = call
-            .left_ms
-            .map_or(limit, |ms| limit.min(Duration::from_millis(ms)));
-        let is_retry = head.headers.get("x-quartzdrift-retry").is_some();
-        let let_in = self.let_in(function.request_class, call.mark.is_some(), is_retry);
-        let_in.map_err(|wait| Problem::Busy(Some(wait)))?;
-        // A request with an idempotency key that came without a mark is marked by its own identity, for further attempts.
-        let mark = call.mark.or_else(|| {
-            (request_class.idempotency == Idempotency::IdempotentWithKey).then(|| id.to_string())
-        });
-        let streams = request_class.streams;
-        let tries = self.paced(&name).map_err(|wait| Problem::Busy(Some(wait)))?;
-        let work = Work {
-            id,
-            origin: Origin::Client(exchange),
-            payload: body.into(),
-            context: call.context,
-            mark,
-            tenant: tenant.1,
-            streams,
-            request_class: function.request_class,
-            taken: self.now(),
-            tries,
-        };
-        self.note_use(&name, &function, tenant.0, left);
-        let new = new_request(&function, name.into(), tenant.0, left, is_retry, Rc::new(work));
-        match self.request_table.submit(self.now(), new) {
-            Ok(request) => {
-                self.exchanges.insert(exchange, request);
-                self.carry_out();
-                Ok(None)
-            }
-            Err(_) => Err(Problem::Busy(None)),
+        self.counts.accepted += 1;
+        match mode {
+            Mode::Asynchronous => self.queue_call(invoke),
+            Mode::Synchronous | Mode::DryRun => self.submit_call(invoke),
         }
     }
 
-    /// The tenant's place in the settings, and its name for workers.
-    fn tenant(&self, headers: &Headers) -> Result<(u32, Option<String>), Problem> {
-        let Some(field) = &self.settings.tenant_field else {
-            return Ok((0, None));
+    /// Makes a synchronous call a request.
+    fn submit_call(&mut self, invoke: InvokeCall) -> Result<Reply, Problem> {
+        let settings = self.settings.clone();
+        let class = &settings.scheduler.request_classes[invoke.function.request_class as usize];
+        let left = time_left(&invoke.call, class);
+        let has_own_key = invoke.call.mark.is_some();
+        self.let_in(invoke.function.request_class, has_own_key, invoke.is_retry)
+            .map_err(|wait| Problem::Busy(Some(wait)))?;
+        let ramp_probe = self
+            .paced(&invoke.name)
+            .map_err(|wait| Problem::Busy(Some(wait)))?;
+        let context = RequestContext {
+            id: invoke.id,
+            origin: Origin::Client(invoke.exchange),
+            payload: invoke.payload.into(),
+            client_context: invoke.call.context,
+            idempotency_key: idempotency_key(invoke.call.mark, class, invoke.id),
+            tenant: invoke.tenant.name,
+            streams: class.streams,
+            request_class: invoke.function.request_class,
+            accepted_at: self.now(),
+            ramp_probe,
         };
-        let Some(told) = headers.get(field) else {
-            return Err(Problem::BadParameter(
-                "the field that tells the customer is missing",
-            ));
+        self.note_use(&invoke.name, &invoke.function, invoke.tenant.index, left);
+        let new = new_request(
+            &invoke.function,
+            invoke.name.into(),
+            invoke.tenant.index,
+            left,
+            invoke.is_retry,
+            Rc::new(context),
+        );
+        let Ok(request) = self.request_table.submit(self.now(), new) else {
+            return Err(Problem::Busy(None));
         };
-        match self.settings.tenants.get(told) {
-            Some(&at) => Ok((at, Some(told.to_owned()))),
-            None => Err(Problem::BadParameter("the customer is in no settings")),
-        }
+        self.exchanges.insert(invoke.exchange, request);
+        self.carry_out();
+        Ok(Reply::Later)
     }
 
-    /// Answered once it lasts, where a store keeps it and the settings do not allow less.
-    #[allow(clippy::too_many_arguments)]
-    fn defer(
-        &mut self,
-        exchange: Exchange,
-        id: Uuid,
-        call: Call,
-        name: &str,
-        function: &Function,
-        tenant: (u32, Option<String>),
-        body: Vec<u8>,
-    ) -> Result<Option<Said>, Problem> {
+    /// Queues an asynchronous call. It is answered once the store has it, unless the settings ask for less.
+    fn queue_call(&mut self, invoke: InvokeCall) -> Result<Reply, Problem> {
         if self.store.as_ref().is_some_and(|store| !store.takes()) {
             return Err(Problem::Busy(Some(self.settings.asynchronous.first)));
         }
-        let request = self.submitted(name, function, tenant.0, body.into());
+        let request = self.submitted(
+            &invoke.name,
+            &invoke.function,
+            invoke.tenant.index,
+            invoke.payload.into(),
+        );
         let request = Submitted {
-            context: call.context,
-            mark: call.mark.or(request.mark),
+            context: invoke.call.context,
+            mark: invoke.call.mark.or(request.mark),
             ..request
         };
         match self.submit(request) {
-            Ok(_) if self.answer_later(exchange, id) => Ok(None),
-            Ok(_) => Ok(Some(answer::taken())),
+            Ok(_) if self.answer_later(invoke.exchange, invoke.id) => Ok(Reply::Later),
+            Ok(_) => Ok(Reply::Now(answer::taken())),
             Err(why) => {
-                tracing::warn!(?why, function = name, "a deferred job was not taken: no room");
+                tracing::warn!(
+                    ?why,
+                    function = invoke.name,
+                    "an asynchronous invocation was rejected: at capacity"
+                );
                 Err(Problem::Busy(Some(self.settings.asynchronous.first)))
             }
         }
     }
 
+    /// The tenant that a call's headers name.
+    fn tenant(&self, headers: &Headers) -> Result<CallTenant, Problem> {
+        let Some(field) = &self.settings.tenant_field else {
+            return Ok(CallTenant { index: 0, name: None });
+        };
+        let Some(name) = headers.get(field) else {
+            return Err(Problem::BadParameter(
+                "the field that tells the customer is missing",
+            ));
+        };
+        match self.settings.tenants.get(name) {
+            Some(&index) => Ok(CallTenant {
+                index,
+                name: Some(name.to_owned()),
+            }),
+            None => Err(Problem::BadParameter("the customer is in no settings")),
+        }
+    }
+
+    /// A client left before its answer was complete.
     pub(super) fn client_gone(&mut self, exchange: Exchange) {
         let Some(request) = self.exchanges.remove(&exchange) else {
             return;
         };
-        let streams = self.streaming_call(request);
+        // Few request classes stream: only with one of those is every call looked at.
+        let mut classes = self.settings.scheduler.request_classes.iter();
+        let may_stream = classes.any(|class| class.streams);
+        let streaming = may_stream
+            .then(|| self.calls.streaming_attempt(request))
+            .flatten();
         self.request_table.client_gone(self.now(), request);
         self.carry_out();
-        if let Some(attempt) = streams {
-            // Nobody reads on, and no limit would end it.
-            self.drop_attempt(request, attempt);
-            let ended = quartzdrift_lifecycle::AttemptResult::silent(
-                quartzdrift_scheduler::interface::Outcome::Cancelled,
-            );
+        if let Some(attempt) = streaming {
+            // Nobody reads the rest, and no deadline would end it.
+            self.cancel_attempt(request, attempt);
+            let result = AttemptResult::silent(Outcome::Cancelled);
             self.request_table
-                .attempt_ended(self.now(), request, attempt, ended);
+                .attempt_ended(self.now(), request, attempt, result);
             self.carry_out();
         }
     }
+}
 
-    pub(super) fn answer_client(
-        &mut self,
-        exchange: Exchange,
-        work: &Work,
-        answer: FinalAnswer,
-        said: Option<Response>,
-    ) {
-        self.exchanges.remove(&exchange);
-        let said = match answer {
-            FinalAnswer::Succeeded => match said {
-                Some(worker) => {
-                    let mut headers = Headers::new();
-                    let passed = worker.headers.iter().filter(|(name, _)| PASSED_ON.contains(name));
-                    passed.for_each(|(name, value)| headers.push(name, value));
-                    headers.push("x-amzn-requestid", &work.id.to_string());
-                    if headers.get("x-amz-executed-version").is_none() {
-                        headers.push("x-amz-executed-version", "$LATEST");
-                    }
-                    Response {
-                        status: 200,
-                        headers,
-                        body: worker.body,
-                    }
-                }
-                // A streamed answer went out part by part.
-                None => return,
-            },
-            FinalAnswer::Rejected { retry_after, .. } => {
-                response(answer::rejected(retry_after), Some(work.id))
-            }
-            FinalAnswer::Failed { why } => {
-                let why = match why {
-                    FailureReason::DeadlineExceeded => FailureKind::DeadlineExceeded,
-                    FailureReason::OutcomeUnknown => FailureKind::OutcomeUnknown,
-                    FailureReason::ShuttingDown => FailureKind::ShuttingDown,
-                };
-                response(answer::failed(why), Some(work.id))
-            }
-            FinalAnswer::Cancelled => return,
-        };
-        let closing = self.stopping.is_some();
-        let said = match closing {
-            true => Response {
-                headers: said.headers.with("connection", "close"),
-                ..said
-            },
-            false => said,
-        };
-        self.http.answer(exchange, &said);
+/// Time until the client gives up: the class's timeout, or less if the client says so.
+fn time_left(call: &Call, class: &RequestClass) -> Duration {
+    let timeout = class.timeout.unwrap_or(Duration::MAX);
+    let told = call.left_ms.map(Duration::from_millis);
+    told.map_or(timeout, |told| timeout.min(told))
+}
+
+/// The client's key, or else, for requests that need one to be retried, the request's id.
+fn idempotency_key(own: Option<String>, class: &RequestClass, id: Uuid) -> Option<String> {
+    let needs_key = class.idempotency == Idempotency::IdempotentWithKey;
+    own.or_else(|| needs_key.then(|| id.to_string()))
+}
+
+fn problem(bad: BadRequest) -> Problem {
+    match bad {
+        BadRequest::HeadTooLarge => Problem::HeadTooLarge,
+        BadRequest::BodyTooLarge => Problem::TooLarge,
+        BadRequest::Malformed => Problem::Malformed,
+        BadRequest::Coding => Problem::Coding,
+        BadRequest::TooSlow => Problem::TooSlow,
     }
 }
 
-/// A request for the request table, of a function as the settings know it.
+/// A request for the request table, with what the settings say of its function.
 pub(super) fn new_request(
     function: &Function,
     name: Rc<str>,
     tenant: u32,
     left: Duration,
     is_retry: bool,
-    payload: Rc<Work>,
-) -> NewRequest<Rc<Work>> {
+    payload: Rc<RequestContext>,
+) -> NewRequest<Rc<RequestContext>> {
     NewRequest {
         request_class: function.request_class,
         tenant,
--- a/crates/quartzdrift/src/gateway/discovery.rs
+++ b/crates/quartzdrift/src/gateway/discovery.rs
@@ -1,5 +1,5 @@
 //! Where the list of workers comes from: asked for now and then, and pushed over server-sent events.
-use super::{Gateway, Use};
+use super::{CallPurpose, Gateway};
 use crate::settings::Settings;
 use quartzdrift_discovery::belief::Believed;
 use quartzdrift_discovery::list::{self, Listed};
@@ -72,7 +72,7 @@
         }
     }
 
-    fn discovery_call(&mut self, accept: &str, streams: bool, of: Use) -> Option<CallId> {
+    fn discovery_call(&mut self, accept: &str, streams: bool, of: CallPurpose) -> Option<CallId> {
         let discovery = self.settings.discovery.as_ref()?;
         let request = Outgoing {
             method: "GET",
@@ -98,7 +98,7 @@
         };
         if self.discovery.asked.is_none() {
             let until = self.now() + timeout;
-            let call = self.discovery_call("application/json", false, Use::List);
+            let call = self.discovery_call("application/json", false, CallPurpose::EndpointList);
             self.discovery.asked = call.map(|call| (call, until));
         }
     }
@@ -106,7 +106,8 @@
     fn open_stream(&mut self) {
         if self.discovery.stream.is_none() {
             self.discovery.reader = Reader::default();
-            self.discovery.stream = self.discovery_call("text/event-stream", true, Use::Stream);
+            self.discovery.stream =
+                self.discovery_call("text/event-stream", true, CallPurpose::EndpointStream);
         }
     }
 
--- /dev/null
+++ b/crates/quartzdrift/src/gateway/event_loop.rs
@@ -0,0 +1,64 @@
+//! One turn of the event loop: the events of the sockets, then everything that is due.
+use super::{Gateway, ahead, fleet};
+use quartzdrift_http::HttpEvent;
+use std::time::{Duration, Instant};
+
+impl Gateway {
+    /// How long the event loop may wait for events before the next [`Gateway::turn`].
+    pub fn poll_timeout(&self) -> Duration {
+        if self.http.has_events() {
+            return Duration::ZERO;
+        }
+        let deadlines = [
+            self.request_table.next_deadline(),
+            self.asynchronous_due(),
+            self.timers_due(),
+            self.recovery_next(),
+            self.discovery.next_due(),
+            self.ahead.as_ref().and_then(ahead::Loads::next_due),
+            self.fleet.as_ref().map(fleet::Fleet::next_due),
+            self.drain_deadline,
+        ];
+        self.clock.until(deadlines, [self.http.next_deadline()])
+    }
+
+    /// Handles the events that the last wait of the event loop brought, and everything that is due.
+    pub fn turn(&mut self) {
+        self.http.expire(Instant::now());
+        for event in self.http.take_events() {
+            self.handle_http(event);
+        }
+        let now = self.now();
+        self.request_table_due(now);
+        self.discovery_due(now);
+        self.ahead_due(now);
+        self.fleet_due(now);
+        self.recovery_due(now);
+        self.fronts_due(now);
+        self.hand_over();
+    }
+
+    fn handle_http(&mut self, event: HttpEvent) {
+        match event {
+            HttpEvent::Request { exchange, request } => self.request_received(exchange, request),
+            HttpEvent::Gone { exchange } => self.client_gone(exchange),
+            HttpEvent::Answer { call, answer } => self.response_received(call, answer),
+            HttpEvent::Part { call, bytes } => self.part_received(call, bytes),
+            HttpEvent::End { call } => self.stream_ended(call),
+            HttpEvent::Failed { call, how } => self.call_failed(call, how),
+        }
+    }
+
+    fn request_table_due(&mut self, now: Duration) {
+        let is_due = self.request_table.next_deadline().is_some_and(|at| at <= now);
+        if !is_due {
+            return;
+        }
+        let attempts = self.calls.attempts();
+        let http = &self.http;
+        self.request_table.due(now, |request, attempt| {
+            attempts.has_left(request, attempt, |call| http.unsent_call(call))
+        });
+        self.carry_out();
+    }
+}
--- a/crates/quartzdrift/src/gateway/fronts.rs
+++ b/crates/quartzdrift/src/gateway/fronts.rs
@@ -1,6 +1,6 @@
 //! The fronts beside clients' calls: asynchronous requests and timers. They make requests and receive final answers.
 use super::clients::new_request;
-use super::{Gateway, Origin, Use, Work};
+use super::{CallPurpose, Gateway, Origin, RequestContext};
 use crate::settings::{Function, destination};
 use quartzdrift_async_queue::{Calls, Destination, End, Id, Refused, Step, Submitted};
 use quartzdrift_http::{Headers, Outgoing, Response};
@@ -101,7 +101,7 @@
                 timer: Some(firing.timer.clone()),
                 ..request
             };
-            self.counts.fired += 1;
+            self.counts.triggered += 1;
             if let Err(why) = self.submit(request) {
                 tracing::error!(
                     timer = firing.timer,
@@ -119,12 +119,12 @@
         };
         let limit = self.settings.scheduler.request_classes[function.request_class as usize].timeout;
         let limit = limit.unwrap_or(Duration::MAX);
-        let work = Work {
+        let context = RequestContext {
             id: self.draw_id(),
             origin: Origin::Asynchronous(id),
             payload: request.payload,
-            context: request.context,
-            mark: request.mark,
+            client_context: request.context,
+            idempotency_key: request.mark,
             tenant: self
                 .settings
                 .scheduler
@@ -133,8 +133,8 @@
                 .map(|c| c.name.clone()),
             streams: false,
             request_class: function.request_class,
-            taken: self.now(),
-            tries: None,
+            accepted_at: self.now(),
+            ramp_probe: None,
         };
         let left = left.map_or(limit, |left| left.min(limit));
         self.note_use(&request.function, &function, request.tenant, left);
@@ -144,7 +144,7 @@
             request.tenant,
             left,
             false,
-            Rc::new(work),
+            Rc::new(context),
         );
         match self.request_table.submit(self.now(), new) {
             Ok(_) => self.carry_out(),
@@ -232,7 +232,7 @@
         let on_their_way = self
             .calls
             .values()
-            .filter(|of| matches!(of, Use::Destination { .. }))
+            .filter(|of| matches!(of, CallPurpose::Destination { .. }))
             .count();
         if left == 0 || on_their_way >= MAX_DESTINATIONS {
             return tracing::error!(to = %to.0, target = to.1, "a record for a destination was lost");
@@ -248,7 +248,7 @@
         let call = self.http.call(to.0, request);
         self.calls.insert(
             call,
-            Use::Destination {
+            CallPurpose::Destination {
                 left: left - 1,
                 to,
                 record,
--- /dev/null
+++ b/crates/quartzdrift/src/gateway/outputs.rs
@@ -0,0 +1,101 @@
+//! Carries out what the request table decides.
+use super::{Gateway, Origin, RequestContext};
+use crate::attempts::CarryOut;
+use quartzdrift_lifecycle::{FinalAnswer, Output, RequestTable};
+use quartzdrift_scheduler::interface::{Outcome, RequestId};
+use std::rc::Rc;
+
+impl CarryOut<Rc<RequestContext>> for Gateway {
+    fn request_table(&mut self) -> &mut RequestTable<Rc<RequestContext>> {
+        &mut self.request_table
+    }
+
+    fn carry_out_one(&mut self, output: Output<Rc<RequestContext>>) {
+        match output {
+            Output::StartAttempt {
+                request,
+                attempt,
+                worker,
+                function,
+                payload,
+                wait: _,
+            } => self.start_attempt(request, attempt, worker, function, payload),
+            Output::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
+            Output::RecallAttempt { request, attempt } => self.recall_attempt(request, attempt),
+            Output::Respond {
+                request,
+                payload,
+                answer,
+            } => self.final_answer(request, &payload, answer),
+            Output::CheckHealth { command, worker } => self.check_health(command, &worker),
+            Output::Load {
+                command,
+                worker,
+                function,
+                copies,
+            } => self.load(command, &worker, &function, copies),
+            Output::RecallCommand { command } => self.recall_command(command),
+            Output::AbandonCommand { command } => self.abandon_command(command),
+            Output::Unload { worker, function } => self.unload(&worker, &function),
+            Output::CloseIdle { worker } => self.close_idle(&worker),
+            Output::SendToPeer { to, bytes } => {
+                // The scheduler sends nothing to its peers today.
+                tracing::warn!(?to, bytes = bytes.len(), "a message to a peer is dropped");
+            }
+            Output::Watch { on } => self.watch(on),
+            Output::PollEndpoints => self.ask_list(),
+            Output::Log { text } => tracing::info!(text, "scheduler"),
+        }
+    }
+}
+
+impl Gateway {
+    /// Carries out the outputs of the request table until there are none left.
+    pub(super) fn carry_out(&mut self) {
+        self.carry_out_all();
+    }
+
+    fn recall_attempt(&mut self, request: RequestId, attempt: u32) {
+        let attempts = self.calls.attempts();
+        if !attempts.has_left(request, attempt, |call| self.http.unsent_call(call)) {
+            self.cancel_attempt(request, attempt);
+            self.request_table.attempt_recalled(self.now(), request, attempt);
+        }
+    }
+
+    fn recall_command(&mut self, command: u64) {
+        let call = self.calls.command(command);
+        if let Some(call) = call.filter(|call| self.http.unsent_call(*call)) {
+            self.ahead_loaded(command, Outcome::NeverSent);
+            self.calls.remove(&call);
+            self.http.cancel(call);
+            self.request_table
+                .command_ended(self.now(), command, Outcome::NeverSent, 0, Vec::new());
+        }
+    }
+
+    fn abandon_command(&mut self, command: u64) {
+        self.ahead_loaded(command, Outcome::TimedOut);
+        if let Some(call) = self.calls.command(command) {
+            self.calls.remove(&call);
+            self.http.cancel(call);
+        }
+    }
+
+    fn final_answer(&mut self, request: RequestId, context: &RequestContext, answer: FinalAnswer) {
+        let count = match answer {
+            FinalAnswer::Succeeded => &mut self.counts.succeeded,
+            FinalAnswer::Rejected { .. } => &mut self.counts.rejected,
+            FinalAnswer::Failed { .. } => &mut self.counts.failed,
+            FinalAnswer::Cancelled => &mut self.counts.cancelled,
+        };
+        *count += 1;
+        tracing::debug!(request, id = %context.id, ?answer, "final answer");
+        let response = self.pending_response.take();
+        self.request_answered(context, answer);
+        match context.origin {
+            Origin::Client(exchange) => self.answer_client(exchange, context, answer, response),
+            Origin::Asynchronous(id) => self.try_ended(id, answer, response),
+        }
+    }
+}
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -1,6 +1,6 @@
 //! From the start to full service: what was found on disk goes to `quartzdrift-recovery`, which says what is believed and what
 //! is let in; here it is carried out. Off without `gateway.state`: then every start is taken as it was before.
-use super::{Gateway, Origin, Work};
+use super::{Gateway, Origin, RequestContext};
 use crate::saved::{self, ASIDE, FORCE, MARK, MEASURED, MEMBERS, STAGES, WORKERS};
 use crate::settings::Settings;
 use quartzdrift_async_queue::After;
@@ -359,9 +359,9 @@
     }
 
     /// A request had its final answer.
-    pub(super) fn request_answered(&mut self, work: &Work, answer: FinalAnswer) {
+    pub(super) fn request_answered(&mut self, context: &RequestContext, answer: FinalAnswer) {
         let now = self.now();
-        if let (Some(number), Some(returning)) = (work.tries, &mut self.returning) {
+        if let (Some(number), Some(returning)) = (context.ramp_probe, &mut self.returning) {
             let came = match answer {
                 FinalAnswer::Succeeded => Came::Stands,
                 _ if self.load_failed => Came::Refused,
@@ -378,13 +378,13 @@
         else {
             return;
         };
-        let of = &self.settings.scheduler.request_classes[work.request_class as usize];
+        let of = &self.settings.scheduler.request_classes[context.request_class as usize];
         let target = of.latency_objective.unwrap_or(DEFAULT_TARGET);
         let succeeded = answer == FinalAnswer::Succeeded;
-        if matches!(work.origin, Origin::Client(_)) && answer != FinalAnswer::Cancelled {
+        if matches!(context.origin, Origin::Client(_)) && answer != FinalAnswer::Cancelled {
             returning
                 .machine
-                .answered(succeeded && now.saturating_sub(work.taken) <= target);
+                .answered(succeeded && now.saturating_sub(context.accepted_at) <= target);
         }
     }
 
--- /dev/null
+++ b/crates/quartzdrift/src/gateway/shutdown.rs
@@ -0,0 +1,86 @@
+//! The drain after a termination signal, and the end of everything that is open once it is over.
+use super::Gateway;
+use super::store::Store;
+use std::time::Duration;
+
+impl Gateway {
+    /// Begins the drain: accepts no new connections, and ends what is open within the drain time of the settings.
+    pub fn start_drain(&mut self) {
+        if self.drain_deadline.is_some() {
+            return;
+        }
+        let deadline = self.now() + self.settings.drain;
+        self.drain_deadline = Some(deadline);
+        self.http.stop_listening();
+        tracing::info!(
+            open = self.request_table.open_requests(),
+            asynchronous = self.asynchronous.len(),
+            drain = ?self.settings.drain,
+            "draining: no new requests are accepted"
+        );
+    }
+
+    /// Whether the drain has begun.
+    pub(super) fn is_draining(&self) -> bool {
+        self.drain_deadline.is_some()
+    }
+
+    /// Whether the drain is over: nothing is open any more, or its time is up.
+    pub fn is_drained(&self) -> bool {
+        let Some(deadline) = self.drain_deadline else {
+            return false;
+        };
+        let now = self.now();
+        if now >= deadline {
+            return true;
+        }
+        // Beside a successor at the same address, existing connections are served to their end here.
+        let serves_clients = self.settings.share_port && self.http.clients() > 0;
+        let has_due_invocations = self.asynchronous_due().is_some_and(|at| at <= now);
+        let is_stored = self.store.as_ref().is_none_or(Store::idle);
+        let has_open_requests = self.request_table.open_requests() > 0;
+        !has_open_requests && !serves_clients && is_stored && !has_due_invocations && !self.http.unsent()
+    }
+
+    /// Gives everything that is still open its final answer, logs what is lost, and saves the state.
+    pub fn shut_down(&mut self) {
+        let now = self.now();
+        let attempts = self.calls.attempts();
+        let http = &self.http;
+        self.request_table.shut_down(now, |request, attempt| {
+            attempts.has_left(request, attempt, |call| http.unsent_call(call))
+        });
+        self.carry_out();
+        self.say_lost();
+        self.close_store();
+        self.save_ahead();
+        self.leave_fleet();
+        self.note_stop();
+        tracing::info!(counts = ?self.counts, "stopped");
+    }
+
+    /// Drops events that come after [`Gateway::shut_down`], while the last responses are flushed.
+    pub fn discard_events(&mut self) {
+        self.http.take_events();
+    }
+
+    /// Whether responses still wait to be sent.
+    pub fn has_unsent_responses(&self) -> bool {
+        self.http.unsent()
+    }
+
+    /// When an asynchronous invocation is to be attempted here. Where a store keeps them, a gateway that drains leaves
+    /// them to the next one.
+    pub(super) fn asynchronous_due(&self) -> Option<Duration> {
+        let next = self.asynchronous.next_due();
+        next.filter(|_| !self.is_draining() || self.store.is_none())
+    }
+
+    /// When a schedule triggers here.
+    pub(super) fn timers_due(&self) -> Option<Duration> {
+        let recovery = self.returning.as_ref();
+        let is_admitted = recovery.is_none_or(|recovery| recovery.machine.timers());
+        let next = self.timers.next_due();
+        next.filter(|_| !self.is_draining() && is_admitted)
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift/src/gateway/state.rs
@@ -0,0 +1,164 @@
+//! The state of the event loop, and how it starts.
+use super::calls::OutgoingCalls;
+use super::context::{RequestContext, RequestCounts};
+use super::{ahead, discovery, fleet, recovery, store};
+use crate::clock::Clock;
+use crate::record::Recorder;
+use crate::saved::{self, Saver};
+use crate::settings::Settings;
+use calloop::LoopHandle;
+use quartzdrift_async_queue::{Changes, Queue};
+use quartzdrift_discovery::belief::Belief;
+use quartzdrift_discovery::list::{self, Listed};
+use quartzdrift_http::{Exchange, HasHttp, Http, Response};
+use quartzdrift_lifecycle::RequestTable;
+use quartzdrift_scheduler::interface::{EndpointListKind, RequestId};
+use quartzdrift_schedules::Timers;
+use std::collections::HashMap;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+use uuid::Uuid;
+
+/// A gateway on its event loop. Call [`Gateway::turn`] after each wait of the loop, for [`Gateway::poll_timeout`] at
+/// most.
+pub struct Gateway {
+    pub(super) settings: Rc<Settings>,
+    pub(super) clock: Clock,
+    /// Random at each start, whatever the seed: request ids are never used twice.
+    pub(super) identity: u64,
+    last_request_number: u64,
+    pub(super) http: Http<Gateway>,
+    pub(super) request_table: RequestTable<Rc<RequestContext>>,
+    pub(super) calls: OutgoingCalls,
+    /// Clients that wait for the answer of a request.
+    pub(super) exchanges: HashMap<Exchange, RequestId>,
+    /// The response of the attempt that is just ending.
+    pub(super) pending_response: Option<Response>,
+    /// Whether the attempt that is just ending failed because its function could not be loaded.
+    pub(super) load_failed: bool,
+    pub(super) asynchronous: Queue<Changes>,
+    pub(super) store: Option<store::Store>,
+    pub(super) timers: Timers,
+    pub(super) belief: Belief,
+    pub(super) discovery: discovery::Source,
+    pub(super) ahead: Option<ahead::Loads>,
+    pub(super) fleet: Option<fleet::Fleet>,
+    pub(super) returning: Option<recovery::Returning>,
+    pub(super) recorder: Option<Recorder>,
+    pub(super) saver: Option<Saver>,
+    /// When the drain ends, once it has begun.
+    pub(super) drain_deadline: Option<Duration>,
+    pub(super) counts: RequestCounts,
+}
+
+impl HasHttp for Gateway {
+    fn http(&mut self) -> &mut Http<Gateway> {
+        &mut self.http
+    }
+}
+
+impl Gateway {
+    /// Starts a gateway, with the endpoint list that it last saved or else that of the settings.
+    ///
+    /// # Errors
+    ///
+    /// The state folder, the store or the trace file cannot be used, or the fleet's socket cannot be bound.
+    pub fn new(settings: Settings, handle: LoopHandle<'static, Gateway>) -> io::Result<Gateway> {
+        let sample = crate::clock::moment();
+        let found = recovery::found(&settings, sample.clone());
+        let checkpoint = found.as_ref().and_then(|found| found.mark.as_ref());
+        let checkpoint = checkpoint.map(|mark| mark.at.clone());
+        let clock = Clock::resume(&sample, checkpoint.as_ref());
+        // Triggers of schedules while no gateway ran are misfires.
+        let schedules_since = checkpoint.map_or(clock.now(), |checkpoint| checkpoint.wall);
+        let mut gateway = Gateway::with_empty_state(settings, handle.clone(), clock, schedules_since)?;
+        gateway.start_recovery(found)?;
+        gateway.load_first_list();
+        gateway.start_ahead();
+        gateway.start_store(&handle)?;
+        gateway.start_fleet(&handle)?;
+        gateway.returned();
+        Ok(gateway)
+    }
+
+    fn with_empty_state(
+        settings: Settings,
+        handle: LoopHandle<'static, Gateway>,
+        clock: Clock,
+        schedules_since: Duration,
+    ) -> io::Result<Gateway> {
+        let seed = settings.seed.unwrap_or_else(rand::random);
+        let saver = settings.state.clone().map(Saver::start).transpose()?;
+        let recorder = settings.record.as_ref().map(Recorder::start).transpose()?;
+        let schedules = settings.timers.iter().map(|(timer, _)| timer.clone()).collect();
+        let changes = Changes::new(settings.store.is_some());
+        Ok(Gateway {
+            clock,
+            identity: rand::random(),
+            last_request_number: 0,
+            http: Http::new(handle, settings.limits.clone()),
+            request_table: RequestTable::new(&settings.scheduler, seed),
+            calls: OutgoingCalls::default(),
+            exchanges: HashMap::new(),
+            pending_response: None,
+            load_failed: false,
+            asynchronous: Queue::new(settings.asynchronous.clone(), changes, seed),
+            store: None,
+            timers: Timers::new(schedules, seed, schedules_since),
+            belief: Belief::default(),
+            discovery: discovery::Source::new(&settings),
+            ahead: None,
+            fleet: None,
+            returning: None,
+            recorder,
+            saver,
+            drain_deadline: None,
+            counts: RequestCounts::default(),
+            settings: Rc::new(settings),
+        })
+    }
+
+    fn load_first_list(&mut self) {
+        let workers = self.first_list();
+        self.belief.changes(&workers);
+        let recovery = self.returning.as_ref();
+        let was_unclean = recovery.is_some_and(|recovery| !recovery.machine.found().was_clean());
+        self.belief.of_before(was_unclean);
+        self.give_list(EndpointListKind::Snapshot, &workers);
+    }
+
+    /// The endpoint list that was last saved, or else that of the settings.
+    fn first_list(&self) -> Vec<Listed> {
+        let otherwise = "the saved endpoint list cannot be read";
+        let saved = saved::found(self.settings.state.as_deref(), saved::WORKERS, otherwise);
+        match saved.map(|bytes| list::read(&bytes, &self.settings.known)) {
+            Some(Ok(saved)) if !saved.workers.is_empty() => saved.workers,
+            Some(Err(why)) => {
+                tracing::warn!(why, "the saved endpoint list is ignored");
+                self.settings.workers.clone()
+            }
+            Some(Ok(_)) | None => self.settings.workers.clone(),
+        }
+    }
+
+    /// Time since 1970; steady, whatever the wall clock is set to.
+    pub fn now(&self) -> Duration {
+        self.clock.now()
+    }
+
+    /// Accepts clients from a listener.
+    ///
+    /// # Errors
+    ///
+    /// The listener cannot be registered with the event loop.
+    pub fn listen(&mut self, listener: std::net::TcpListener) -> io::Result<()> {
+        self.http.listen(listener)
+    }
+
+    /// A new request id, unlike that of any other request of this or another gateway.
+    pub(super) fn draw_id(&mut self) -> Uuid {
+        self.last_request_number += 1;
+        Uuid::from_u64_pair(self.identity, self.last_request_number)
+    }
+}
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -1,7 +1,7 @@
 //! Asynchronous requests on disk: what was taken is answered once it lasts, and a try that must not be made twice leaves once it is
 //! noted. A store that fails is an error in the log, and rejections from then on.
 use super::Gateway;
-use super::clients::response;
+use super::responses::response;
 use crate::durable::{self, Durable, Said};
 use calloop::LoopHandle;
 use calloop::channel::Event;
@@ -176,7 +176,7 @@
             store.answers -= waiting.answers.len();
             for (exchange, id) in waiting.answers {
                 let mut answer = response(answer::taken(), Some(id));
-                if self.stopping.is_some() {
+                if self.is_draining() {
                     answer.headers.push("connection", "close");
                 }
                 self.http.answer(exchange, &answer);
--- a/crates/quartzdrift/src/lib.rs
+++ b/crates/quartzdrift/src/lib.rs
@@ -2,6 +2,7 @@
 //!
 //! [`settings`] reads and checks what it runs by; [`serve`] runs it; [`gateway`] is the state of its event loop,
 //! which feeds the request table and through it the decision module what happens on the sockets, and does what they say.
+mod attempts;
 pub mod clock;
 pub mod durable;
 pub mod gateway;
--- a/crates/quartzdrift/src/serve.rs
+++ b/crates/quartzdrift/src/serve.rs
@@ -33,7 +33,7 @@
 ) -> io::Result<()> {
     let mut event_loop = EventLoop::<Gateway>::try_new().map_err(io::Error::other)?;
     let handle = event_loop.handle();
-    let stop = |_, _: &mut (), gateway: &mut Gateway| gateway.stop();
+    let stop = |_, _: &mut (), gateway: &mut Gateway| gateway.start_drain();
     handle
         .insert_source(signals, stop)
         .map_err(|e| io::Error::other(e.to_string()))?;
@@ -48,19 +48,19 @@
     }
     tracing::info!(?addresses, "listening");
     ready(&addresses);
-    while !gateway.stopped() {
+    while !gateway.is_drained() {
         event_loop
-            .dispatch(gateway.until_next(), &mut gateway)
+            .dispatch(gateway.poll_timeout(), &mut gateway)
             .map_err(io::Error::other)?;
         gateway.turn();
     }
-    gateway.finish();
+    gateway.shut_down();
     let until = Instant::now() + LAST_ANSWERS;
-    while gateway.unsent() && Instant::now() < until {
+    while gateway.has_unsent_responses() && Instant::now() < until {
         event_loop
             .dispatch(Duration::from_millis(10), &mut gateway)
             .map_err(io::Error::other)?;
-        gateway.last_words();
+        gateway.discard_events();
     }
     Ok(())
 }
