--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -80,7 +80,7 @@
             function,
             payload,
             asynchronous,
-            mark: None,
+            idempotency_key: None,
             timeout,
         })
         .unwrap()
@@ -823,7 +823,7 @@
                     function: "echo".to_owned(),
                     payload,
                     asynchronous: false,
-                    mark: None,
+                    idempotency_key: None,
                     timeout,
                 };
                 statuses.push(invoke(&call).map_or(0, |answer| answer.status));
@@ -963,14 +963,14 @@
 
 fn marked(gateway: &Gateway, mark: &str) -> Response {
     let payload = format!("{{\"key\":\"{mark}\"}}").into_bytes();
-    let (function, mark) = ("stamp".to_owned(), Some(mark.to_owned()));
+    let (function, idempotency_key) = ("stamp".to_owned(), Some(mark.to_owned()));
     let timeout = Duration::from_secs(15);
     invoke(&Invoke {
         to: gateway.at,
         function,
         payload,
         asynchronous: false,
-        mark,
+        idempotency_key,
         timeout,
     })
     .unwrap()
--- a/crates/quartzdrift/src/invoke.rs
+++ b/crates/quartzdrift/src/invoke.rs
@@ -1,26 +1,76 @@
-//! A small client for the invoke API, for the command line: blocking, one call.
-use quartzdrift_http::head::{self, Framing, Headers};
-use quartzdrift_http::{Response, body::BodyReader};
+//! A blocking client of the Invoke API for one call. Use it in command line tools and tests; the gateway's own calls go
+//! over its event loop.
+use quartzdrift_http::Response;
+use quartzdrift_http::body::{BodyError, BodyReader};
+use quartzdrift_http::head::{self, Framing, Headers, ResponseHead};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Bytes of an answer that are read at most.
-const MAX_ANSWER: usize = 64 << 20;
+/// Bytes of a response's body.
+const MAX_BODY: usize = 64 << 20;
+/// Bytes of a response's head.
 const MAX_HEAD: usize = 64 << 10;
+/// Bytes read from the connection at a time.
+const READ_SIZE: usize = 16 << 10;
 
+/// One call.
 #[derive(Clone, Debug)]
 pub struct Invoke {
+    /// The gateway's address.
     pub to: SocketAddr,
+    /// A function's name, with or without alias, or its ARN.
     pub function: String,
+    /// The function's input.
     pub payload: Vec<u8>,
+    /// Whether the call is answered once it is queued.
     pub asynchronous: bool,
-    pub mark: Option<String>,
+    /// By which workers recognise a repeated call.
+    pub idempotency_key: Option<String>,
+    /// Limit on connecting, and on each wait for a part of the response.
     pub timeout: Duration,
 }
 
-/// Sends the call and returns the answer, whatever its status.
-pub fn invoke(call: &Invoke) -> io::Result<Response> {
+/// Why a call got no response.
+#[derive(Debug, thiserror::Error)]
+pub enum InvokeError {
+    /// The connection failed or timed out.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The connection ended before the response's head was complete.
+    #[error("the connection ended before an answer")]
+    NoResponse,
+    /// The connection ended within the response's body.
+    #[error("the connection ended within the answer")]
+    Incomplete,
+    /// The response's head is longer than 64 KiB.
+    #[error("the answer's head is too long")]
+    HeadTooLong,
+    /// The response's body states a length over 64 MiB.
+    #[error("the answer is too long")]
+    TooLong,
+    /// The response's head is malformed.
+    #[error("the answer cannot be read")]
+    MalformedHead,
+    /// The response's body is malformed, or longer than 64 MiB.
+    #[error("the answer's body cannot be read")]
+    MalformedBody,
+}
+
+/// Sends a call and returns the response, whatever its status.
+///
+/// # Errors
+///
+/// The gateway cannot be reached, or its response is incomplete, malformed or too long.
+pub fn invoke(call: &Invoke) -> Result<Response, InvokeError> {
+    let request = request_bytes(call);
+    let mut stream = TcpStream::connect_timeout(&call.to, call.timeout)?;
+    stream.set_read_timeout(Some(call.timeout))?;
+    stream.write_all(&request)?;
+    read_response(&mut stream)
+}
+
+fn request_bytes(call: &Invoke) -> Vec<u8> {
     let mut headers = Headers::new()
         .with("host", &call.to.to_string())
         .with("content-type", "application/json")
@@ -28,58 +78,65 @@
     if call.asynchronous {
         headers.push("x-amz-invocation-type", "Event");
     }
-    if let Some(mark) = &call.mark {
-        headers.push("idempotency-key", mark);
+    if let Some(key) = &call.idempotency_key {
+        headers.push("idempotency-key", key);
     }
     let target = quartzdrift_invoke::call::target(&call.function);
-    let mut out = Vec::new();
-    head::write_request(
-        &mut out,
-        "POST",
-        &target,
-        &headers,
-        Framing::Length(call.payload.len() as u64),
-    );
-    out.extend_from_slice(&call.payload);
-    let mut stream = TcpStream::connect_timeout(&call.to, call.timeout)?;
-    stream.set_read_timeout(Some(call.timeout))?;
-    stream.write_all(&out)?;
-    read_answer(&mut stream)
+    let framing = Framing::Length(call.payload.len() as u64);
+    let mut request = Vec::new();
+    head::write_request(&mut request, "POST", &target, &headers, framing);
+    request.extend_from_slice(&call.payload);
+    request
 }
 
-fn read_answer(stream: &mut TcpStream) -> io::Result<Response> {
-    let bad = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_owned());
-    let (mut held, mut scanned, mut part) = (Vec::new(), 0, [0; 16 << 10]);
-    let end = loop {
-        if let Some(end) = head::head_end(&held, &mut scanned) {
-            break end;
-        }
-        match stream.read(&mut part)? {
-            0 => return Err(bad("the connection ended before an answer")),
-            n if held.len() + n <= MAX_HEAD => held.extend_from_slice(&part[..n]),
-            _ => return Err(bad("the answer's head is too long")),
-        }
-    };
-    let head = head::response(&held[..end]).map_err(|_| bad("the answer cannot be read"))?;
-    held.drain(..end);
-    let mut reader = BodyReader::new(head.framing, MAX_ANSWER).map_err(|_| bad("the answer is too long"))?;
+fn read_response(stream: &mut TcpStream) -> Result<Response, InvokeError> {
+    let mut buffer = Vec::new();
+    let head = read_head(stream, &mut buffer)?;
+    let mut body = BodyReader::new(head.framing, MAX_BODY).map_err(|_| InvokeError::TooLong)?;
     loop {
-        let used = reader
-            .feed(&held)
-            .map_err(|_| bad("the answer's body cannot be read"))?;
-        held.drain(..used);
-        if reader.done() {
+        let used = body
+            .feed(&buffer)
+            .map_err(|_: BodyError| InvokeError::MalformedBody)?;
+        buffer.drain(..used);
+        if body.done() {
             break;
         }
-        match stream.read(&mut part)? {
-            0 if reader.whole_at_close() => break,
-            0 => return Err(bad("the connection ended within the answer")),
-            n => held.extend_from_slice(&part[..n]),
+        if read_some(stream, &mut buffer)? == 0 {
+            if body.whole_at_close() {
+                break;
+            }
+            return Err(InvokeError::Incomplete);
         }
     }
     Ok(Response {
         status: head.status,
         headers: head.headers,
-        body: reader.bytes,
+        body: body.bytes,
     })
 }
+
+/// Reads the head; what follows it stays in `buffer`.
+fn read_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Result<ResponseHead, InvokeError> {
+    let mut scanned = 0;
+    loop {
+        if let Some(end) = head::head_end(buffer, &mut scanned) {
+            let head = head::response(&buffer[..end]).map_err(|_| InvokeError::MalformedHead)?;
+            buffer.drain(..end);
+            return Ok(head);
+        }
+        if read_some(stream, buffer)? == 0 {
+            return Err(InvokeError::NoResponse);
+        }
+        if buffer.len() > MAX_HEAD {
+            return Err(InvokeError::HeadTooLong);
+        }
+    }
+}
+
+/// Appends what the connection has next; 0 at its end.
+fn read_some(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
+    let mut part = [0; READ_SIZE];
+    let read = stream.read(&mut part)?;
+    buffer.extend_from_slice(&part[..read]);
+    Ok(read)
+}
--- a/crates/quartzdrift/src/logs.rs
+++ b/crates/quartzdrift/src/logs.rs
@@ -1,58 +1,66 @@
-//! Structured logs on standard error, as text or as one JSON object a line.
+//! Structured logs on standard error, as text or as one JSON object a line. Call [`start`] once the settings are known.
+//!
+//! Logging never blocks the event loop: a line that standard error does not take at once is dropped and counted, and the
+//! count is logged as soon as lines are taken again.
 use crate::settings::Log;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::io::{self, IsTerminal, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
 use tracing_subscriber::EnvFilter;
 
-/// Bytes of a line at most: so many a pipe that is ready takes without waiting (PIPE_BUF on Linux).
-const MAX_LINE: usize = 4096;
+/// Bytes of a line. A pipe that polls as ready takes this many without blocking (PIPE_BUF on Linux).
+const MAX_LINE_BYTES: usize = 4096;
+/// Filter where the settings or the environment have none that can be parsed.
+const DEFAULT_FILTER: &str = "info";
 
-/// Lines that nobody took.
-static LOST: AtomicU64 = AtomicU64::new(0);
+/// Lines dropped since the last one that was written.
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Standard error, which keeps nobody waiting: a line is lost where its reader has left or does not read.
-struct Lines {
+/// Standard error that drops lines instead of blocking. Takes one whole line a write.
+struct NonBlockingStderr {
     json: bool,
 }
 
-impl Lines {
+impl NonBlockingStderr {
     fn is_ready() -> bool {
-        let error = io::stderr();
-        let mut of = [PollFd::new(&error, PollFlags::OUT)];
-        let at_once = Timespec {
+        let stderr = io::stderr();
+        let mut polled = [PollFd::new(&stderr, PollFlags::OUT)];
+        let no_wait = Timespec {
             tv_sec: 0,
             tv_nsec: 0,
         };
-        // Where the system cannot say, writing tells.
-        poll(&mut of, Some(&at_once)).map_or(true, |ready| ready > 0)
+        // Where polling fails, writing shows whether it works.
+        poll(&mut polled, Some(&no_wait)).map_or(true, |ready| ready > 0)
     }
 
-    fn lost(&self, count: u64) -> String {
-        let what = format!("{count} lines of the log were lost, as nobody took them");
+    /// Logs the count of dropped lines, if there are any and the line is taken.
+    fn report_dropped(&self) {
+        let count = DROPPED_LINES.load(Ordering::Relaxed);
+        if count == 0 || !Self::is_ready() {
+            return;
+        }
+        let report = self.dropped_report(count);
+        if io::stderr().write_all(report.as_bytes()).is_ok() {
+            DROPPED_LINES.fetch_sub(count, Ordering::Relaxed);
+        }
+    }
+
+    fn dropped_report(&self, count: u64) -> String {
+        let message = format!("{count} lines of the log were lost, as nobody took them");
         if self.json {
-            format!("{{\"level\":\"WARN\",\"message\":\"{what}\"}}\n")
+            format!("{{\"level\":\"WARN\",\"message\":\"{message}\"}}\n")
         } else {
-            what + "\n"
+            message + "\n"
         }
     }
 }
 
-impl Write for Lines {
+impl Write for NonBlockingStderr {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let mut error = io::stderr();
-        let lost = LOST.load(Ordering::Relaxed);
-        if lost > 0 && Lines::is_ready() && error.write_all(self.lost(lost).as_bytes()).is_ok() {
-            LOST.fetch_sub(lost, Ordering::Relaxed);
-        }
-        // A line that is too long ends with a whole character.
-        let begins = |at: &usize| line.get(*at).is_none_or(|byte| byte & 0xc0 != 0x80);
-        let (text, end) = match line.len() > MAX_LINE {
-            true => (&line[..(0..MAX_LINE).rev().find(begins).unwrap_or(0)], &b"\n"[..]),
-            false => (line, &b""[..]),
-        };
-        if !Lines::is_ready() || error.write_all(&[text, end].concat()).is_err() {
-            LOST.fetch_add(1, Ordering::Relaxed);
+        self.report_dropped();
+        let written = Self::is_ready() && io::stderr().write_all(&truncated(line)).is_ok();
+        if !written {
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -62,25 +70,35 @@
     }
 }
 
-/// Starts logging as text, filtered by the environment.
-pub fn start_by_environment() {
-    let filter = std::env::var(EnvFilter::DEFAULT_ENV).unwrap_or_else(|_| "info".to_owned());
+/// A line of at most [`MAX_LINE_BYTES`]. One that is cut ends with a whole character and a line feed.
+fn truncated(line: &[u8]) -> Vec<u8> {
+    if line.len() <= MAX_LINE_BYTES {
+        return line.to_vec();
+    }
+    let is_char_start = |at: &usize| line[*at] & 0xc0 != 0x80;
+    let end = (0..MAX_LINE_BYTES).rev().find(is_char_start).unwrap_or(0);
+    [&line[..end], b"\n"].concat()
+}
+
+/// Starts logging as text, with the filter of the environment (`RUST_LOG`).
+pub fn start_from_environment() {
+    let filter = std::env::var(EnvFilter::DEFAULT_ENV).unwrap_or_else(|_| DEFAULT_FILTER.to_owned());
     start(&Log { json: false, filter });
 }
 
-/// Starts logging; a second start in one process changes nothing.
+/// Starts logging. Without effect if logging has been started in this process.
 pub fn start(log: &Log) {
-    let filter = EnvFilter::try_new(&log.filter).unwrap_or_else(|_| EnvFilter::new("info"));
-    let colours = std::io::stderr().is_terminal();
+    let filter = EnvFilter::try_new(&log.filter).unwrap_or_else(|_| EnvFilter::new(DEFAULT_FILTER));
     let json = log.json;
-    let lines = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
-        .with_ansi(colours);
-    let lines = lines.with_writer(move || Lines { json });
-    let started = match json {
-        true => lines.json().flatten_event(true).try_init(),
-        false => lines.try_init(),
+        .with_ansi(io::stderr().is_terminal())
+        .with_writer(move || NonBlockingStderr { json });
+    let started = if json {
+        subscriber.json().flatten_event(true).try_init()
+    } else {
+        subscriber.try_init()
     };
-    // Already started: by another gateway in the same process.
+    // An error says that another gateway in this process has started it.
     drop(started);
 }
--- a/crates/quartzdrift/src/main.rs
+++ b/crates/quartzdrift/src/main.rs
@@ -235,7 +235,7 @@
                 function,
                 payload,
                 asynchronous: event,
-                mark,
+                idempotency_key: mark,
                 timeout,
             };
             match invoke::invoke(&call) {
--- a/crates/quartzdrift/src/platform/run.rs
+++ b/crates/quartzdrift/src/platform/run.rs
@@ -16,7 +16,7 @@
 pub fn start() -> io::Result<()> {
     let signals =
         Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(io::Error::other)?;
-    logs::start_by_environment();
+    logs::start_from_environment();
     let named = std::env::var_os(CONFIG).filter(|path| !path.is_empty());
     let path = named.ok_or_else(|| io::Error::other(format!("{CONFIG} names no configuration")))?;
     run(Path::new(&path), signals, |at| serve::announce(&[at]))
