--- a/crates/quartzdrift-lifecycle/src/timers.rs
+++ b/crates/quartzdrift-lifecycle/src/timers.rs
@@ -2,6 +2,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+#[cfg(test)]
+mod tests;
+
 /// Identifies one timer of a [`Timers`]; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId {
--- a/crates/quartzdrift/src/attempts.rs
+++ b/crates/quartzdrift/src/attempts.rs
@@ -4,6 +4,9 @@
 use quartzdrift_scheduler::interface::RequestId;
 use std::collections::HashMap;
 
+#[cfg(test)]
+mod tests;
+
 /// Identifies one attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct AttemptKey {
--- /dev/null
+++ b/crates/quartzdrift/src/attempts/tests.rs
@@ -0,0 +1,21 @@
+use super::AttemptCarriers;
+
+#[test]
+fn an_attempt_has_left_unless_its_carrier_is_unsent() {
+    let mut attempts = AttemptCarriers::default();
+    attempts.insert(7, 0, "sent");
+    attempts.insert(7, 1, "unsent");
+    let is_unsent = |carrier: &str| carrier == "unsent";
+    assert!(attempts.has_left(7, 0, is_unsent));
+    assert!(!attempts.has_left(7, 1, is_unsent));
+    assert_eq!(attempts.get(7, 1), Some("unsent"));
+}
+
+#[test]
+fn an_attempt_that_ended_counts_as_left() {
+    let mut attempts = AttemptCarriers::default();
+    attempts.insert(7, 0, "unsent");
+    assert_eq!(attempts.remove(7, 0), Some("unsent"));
+    assert_eq!(attempts.remove(7, 0), None);
+    assert!(attempts.has_left(7, 0, |_| true));
+}
--- a/crates/quartzdrift/src/gateway/calls.rs
+++ b/crates/quartzdrift/src/gateway/calls.rs
@@ -7,6 +7,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+#[cfg(test)]
+mod tests;
+
 /// An attempt that is under way as a call to its worker.
 #[derive(Debug)]
 pub(super) struct AttemptCall {
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -236,8 +236,8 @@
 /// Time until the client gives up: the class's timeout, or less if the client says so.
 fn time_left(call: &Call, class: &RequestClass) -> Duration {
     let timeout = class.timeout.unwrap_or(Duration::MAX);
-    let told = call.left_ms.map(Duration::from_millis);
-    told.map_or(timeout, |told| timeout.min(told))
+    let client_timeout = call.left_ms.map(Duration::from_millis);
+    client_timeout.map_or(timeout, |limit| timeout.min(limit))
 }
 
 /// The client's key, or else, for requests that need one to be retried, the request's id.
--- a/crates/quartzdrift/src/lib.rs
+++ b/crates/quartzdrift/src/lib.rs
@@ -1,7 +1,8 @@
 //! The gateway daemon: hands calls of clients to workers that load functions on demand.
 //!
-//! [`settings`] reads and checks what it runs by; [`serve`] runs it; [`gateway`] is the state of its event loop,
-//! which feeds the request table and through it the decision module what happens on the sockets, and does what they say.
+//! [`settings`] reads and checks the settings; [`serve`] runs a gateway by them; [`gateway`] is the event loop, which
+//! feeds the request table, and through it the scheduler, with what happens on the sockets, and carries out what they
+//! decide. [`platform`] is the event loop of a scheduler on the operators' platform.
 mod attempts;
 pub mod clock;
 pub mod durable;
