--- a/crates/quartzdrift/src/attempts.rs
+++ b/crates/quartzdrift/src/attempts.rs
@@ -45,6 +45,11 @@
             .is_none_or(|carrier| !is_unsent(carrier))
     }
 
+    /// Number of attempts in flight.
+    pub(crate) fn len(&self) -> usize {
+        self.carriers.len()
+    }
+
     /// Records the carrier of a new attempt.
     pub(crate) fn insert(&mut self, request: RequestId, attempt: u32, carrier: C) {
         self.carriers.insert(AttemptKey { request, attempt }, carrier);
--- a/crates/quartzdrift/src/platform/answers.rs
+++ b/crates/quartzdrift/src/platform/answers.rs
@@ -67,7 +67,7 @@
             body,
         } = answered;
         let (request, attempt) = (command.request, command.attempt);
-        self.attempts.remove(&(request, attempt));
+        self.attempts.remove(request, attempt);
         tracing::trace!(request, attempt, outcome = ?result.outcome, "ended");
         if !is_over {
             self.mark_idle(id);
--- a/crates/quartzdrift/src/platform/commands.rs
+++ b/crates/quartzdrift/src/platform/commands.rs
@@ -1,7 +1,7 @@
 //! Attempts as commands on connections: sent, recalled while they have not left, cancelled.
 use super::connections::connection;
 use super::worker_connection::{Command, ConnectionPhase, FrameSpan};
-use super::{Attempts, Node, Peer, RequestContext};
+use super::{Node, Peer, RequestContext};
 use quartzdrift_http::links::{Link, LinkId, Links};
 use quartzdrift_lifecycle::AttemptResult;
 use quartzdrift_platform::attempt_outcome;
@@ -11,21 +11,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Whether any byte of an attempt has left; an attempt that is on no connection may have.
-pub(super) fn has_left(
-    attempts: &Attempts,
-    links: &Links<Node, Peer>,
-    request: RequestId,
-    attempt: u32,
-) -> bool {
-    let link = attempts.get(&(request, attempt)).and_then(|&id| links.get(id));
-    let Some(link) = link else { return true };
+/// Whether nothing of an attempt has left on its connection.
+pub(super) fn is_unsent(links: &Links<Node, Peer>, id: LinkId, request: RequestId, attempt: u32) -> bool {
+    let Some(link) = links.get(id) else { return false };
     let Peer::WorkerConnection(connection) = &link.state else {
-        return true;
+        return false;
     };
     connection
         .position_of(request, attempt)
-        .is_none_or(|at| connection.commands[at].has_left_in_part(link.left()))
+        .is_some_and(|at| !connection.commands[at].has_left_in_part(link.left()))
 }
 
 impl Node {
@@ -73,7 +67,7 @@
                 );
             }
         };
-        self.attempts.insert((command.request, command.attempt), id);
+        self.attempts.insert(command.request, command.attempt, id);
         let now = self.now();
         self.write_or_verify(id, &mut command, now);
         if let Some(connection) = connection(&mut self.links, id) {
@@ -129,7 +123,7 @@
         if self.recall_unsent(request, attempt) {
             return;
         }
-        let Some(id) = self.attempts.remove(&(request, attempt)) else {
+        let Some(id) = self.attempts.remove(request, attempt) else {
             return;
         };
         let Some(connection) = connection(&mut self.links, id) else {
@@ -155,7 +149,7 @@
     /// Takes an attempt off its connection if it cannot have reached its worker, and returns whether it did: nothing of it
     /// has left, or a part of it, and its connection carries nothing else and is closed.
     pub(super) fn recall_unsent(&mut self, request: RequestId, attempt: u32) -> bool {
-        let Some(&id) = self.attempts.get(&(request, attempt)) else {
+        let Some(id) = self.attempts.get(request, attempt) else {
             return false;
         };
         let Some(link) = self.links.get_mut(id) else {
@@ -184,7 +178,7 @@
                 connection.close_gap(removed);
             }
         }
-        self.attempts.remove(&(request, attempt));
+        self.attempts.remove(request, attempt);
         self.mark_idle(id);
         true
     }
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -159,7 +159,7 @@
             worker.connections.retain(|other| *other != id);
         }
         for command in &connection.commands {
-            self.attempts.remove(&(command.request, command.attempt));
+            self.attempts.remove(command.request, command.attempt);
         }
         connection.commands
     }
--- a/crates/quartzdrift/src/platform/mod.rs
+++ b/crates/quartzdrift/src/platform/mod.rs
@@ -24,5 +24,5 @@
 mod workers;
 
 pub use counts::Counts;
-use node::{Attempts, Peer};
+use node::Peer;
 pub use node::{Node, RequestContext};
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -6,6 +6,7 @@
 use super::worker_connection::WorkerConnection;
 use super::workers::Worker;
 use super::{commands, run};
+use crate::attempts::{AttemptCarriers, CarryOut};
 use crate::clock::Clock;
 use calloop::LoopHandle;
 use quartzdrift_http::links::{LinkId, Links};
@@ -22,9 +23,6 @@
 /// Between two debug lines on what the tables hold.
 const HELD_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The connections of the attempts in flight.
-pub(super) type Attempts = HashMap<(RequestId, u32), LinkId>;
-
 /// Who is at the other end of a link.
 pub(crate) enum Peer {
     /// A client over FastCGI.
@@ -66,7 +64,8 @@
     /// Connections to workers that are open.
     pub(super) connections: usize,
     pub(super) workers: HashMap<Rc<str>, Worker>,
-    pub(super) attempts: Attempts,
+    /// The connection of each attempt in flight.
+    pub(super) attempts: AttemptCarriers<LinkId>,
     /// Open requests by the id that their client gave.
     pub(super) open: HashMap<u64, RequestId>,
     /// The answer's body of the attempt that is being ended, and its request.
@@ -85,6 +84,46 @@
     }
 }
 
+impl CarryOut<Rc<RequestContext>> for Node {
+    fn request_table(&mut self) -> &mut RequestTable<Rc<RequestContext>> {
+        &mut self.request_table
+    }
+
+    fn carry_out_one(&mut self, output: Output<Rc<RequestContext>>) {
+        match output {
+            Output::StartAttempt {
+                request,
+                attempt,
+                worker,
+                function,
+                wait,
+                payload,
+            } => self.start_attempt(request, attempt, &worker, function, wait, payload),
+            Output::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
+            Output::RecallAttempt { request, attempt } => self.recall_attempt(request, attempt),
+            Output::Respond {
+                request,
+                payload,
+                answer,
+            } => self.final_answer(request, &payload, answer),
+            Output::CloseIdle { worker } => self.close_idle(&worker),
+            Output::Log { text } => tracing::info!(text, "decision"),
+            // The platform's list comes without being asked for, and its settings allow neither load commands nor health
+            // checks.
+            Output::CheckHealth { command, .. } | Output::Load { command, .. } => {
+                self.request_table
+                    .command_ended(self.now(), command, Outcome::NeverSent, 0, Vec::new());
+            }
+            Output::RecallCommand { .. }
+            | Output::AbandonCommand { .. }
+            | Output::Unload { .. }
+            | Output::SendToPeer { .. }
+            | Output::Watch { .. }
+            | Output::PollEndpoints => {}
+        }
+    }
+}
+
 impl Node {
     /// A scheduler with the list of workers that its configuration holds. `path`: where a new configuration is read from.
     pub fn new(config: Config, path: PathBuf, handle: LoopHandle<'static, Node>) -> Node {
@@ -104,7 +143,7 @@
             closing: Vec::new(),
             connections: 0,
             workers: HashMap::new(),
-            attempts: HashMap::new(),
+            attempts: AttemptCarriers::default(),
             open: HashMap::new(),
             pending_response: None,
             coordinator: Coordinator::new(config.coordinator),
@@ -211,7 +250,9 @@
         }
         let (attempts, links) = (&self.attempts, &self.links);
         self.request_table.due(now, |request, attempt| {
-            commands::has_left(attempts, links, request, attempt)
+            attempts.has_left(request, attempt, |id| {
+                commands::is_unsent(links, id, request, attempt)
+            })
         });
         self.carry_out();
     }
@@ -242,49 +283,7 @@
 
     /// Carries out what the request table says, until it says no more.
     pub(super) fn carry_out(&mut self) {
-        loop {
-            let outputs = self.request_table.outputs();
-            if outputs.is_empty() {
-                return;
-            }
-            for output in outputs {
-                self.output(output);
-            }
-        }
-    }
-
-    fn output(&mut self, output: Output<Rc<RequestContext>>) {
-        match output {
-            Output::StartAttempt {
-                request,
-                attempt,
-                worker,
-                function,
-                wait,
-                payload,
-            } => self.start_attempt(request, attempt, &worker, function, wait, payload),
-            Output::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
-            Output::RecallAttempt { request, attempt } => self.recall_attempt(request, attempt),
-            Output::Respond {
-                request,
-                payload,
-                answer,
-            } => self.final_answer(request, &payload, answer),
-            Output::CloseIdle { worker } => self.close_idle(&worker),
-            Output::Log { text } => tracing::info!(text, "decision"),
-            // The platform's list comes without being asked for, and its settings allow neither load commands nor health
-            // checks.
-            Output::CheckHealth { command, .. } | Output::Load { command, .. } => {
-                self.request_table
-                    .command_ended(self.now(), command, Outcome::NeverSent, 0, Vec::new());
-            }
-            Output::RecallCommand { .. }
-            | Output::AbandonCommand { .. }
-            | Output::Unload { .. }
-            | Output::SendToPeer { .. }
-            | Output::Watch { .. }
-            | Output::PollEndpoints => {}
-        }
+        self.carry_out_all();
     }
 
     /// What the tables hold: clients, workers, connections to them, attempts in flight, and requests open by their clients'
@@ -335,7 +334,9 @@
         );
         let (attempts, links) = (&self.attempts, &self.links);
         self.request_table.shut_down(now, |request, attempt| {
-            commands::has_left(attempts, links, request, attempt)
+            attempts.has_left(request, attempt, |id| {
+                commands::is_unsent(links, id, request, attempt)
+            })
         });
         self.carry_out();
     }
