--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -412,7 +412,7 @@
             now += Duration::from_millis(10);
             up += 1;
         }
-        let places = scheduler.places().0;
+        let places = scheduler.table_sizes().workers;
         writeln!(
             out,
             "{:>8} replaced {:>10.1} us ({places} places kept)",
--- a/crates/quartzdrift-lifecycle/src/request_table.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table.rs
@@ -275,7 +275,8 @@
 
     /// Places that the module keeps for workers and functions, and requests that it holds open.
     pub fn sizes(&self) -> (usize, usize, usize) {
-        self.scheduler.places()
+        let sizes = self.scheduler.table_sizes();
+        (sizes.workers, sizes.functions, sizes.open_requests)
     }
 
     /// Whether a request still waits for its final answer.
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/interface/action.rs
@@ -0,0 +1,89 @@
+//! Actions: what the scheduler wants done, in the order in which it returns them.
+use super::RequestId;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Something that the scheduler wants done.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Action {
+    /// Send a request to a worker. Attempts of a request are numbered from 0 in the order of these actions.
+    StartAttempt {
+        /// The request to send.
+        request: RequestId,
+        /// Name of the worker.
+        worker: Rc<str>,
+        /// Time after which the attempt is to end as timed out; `None`: it is not limited.
+        timeout: Option<Duration>,
+    },
+    /// Final answer: the request was not executed, or may safely be sent again by its client.
+    Reject {
+        /// The request that is answered.
+        request: RequestId,
+        /// Time after which the client may try again, where the settings allow to name one.
+        retry_after: Option<Duration>,
+    },
+    /// Final answer: the request may have been executed, and must not be sent again.
+    Fail {
+        /// The request that is answered.
+        request: RequestId,
+    },
+    /// Cancel an attempt in flight; its end is still to be reported.
+    CancelAttempt {
+        /// The attempt's request.
+        request: RequestId,
+        /// Number of the attempt, from 0.
+        attempt: u32,
+    },
+    /// Pass an event [`Timer`](super::Event::Timer) once.
+    SetTimer {
+        /// Time from now to the event.
+        delay: Duration,
+        /// Name that the event is to carry.
+        name: &'static str,
+    },
+    /// Check a worker's health.
+    CheckHealth {
+        /// Name of the worker.
+        worker: Rc<str>,
+    },
+    /// Close the idle connections to a worker.
+    CloseIdle {
+        /// Name of the worker.
+        worker: Rc<str>,
+    },
+    /// Send a message to other schedulers.
+    SendToPeer {
+        /// Number of the scheduler; `None`: all of them.
+        to: Option<u32>,
+        /// The message.
+        bytes: Vec<u8>,
+    },
+    /// Load a function at a worker ahead of need.
+    Load {
+        /// Name of the worker.
+        worker: Rc<str>,
+        /// Name of the function.
+        function: Rc<str>,
+        /// Number of copies to load.
+        copies: u32,
+    },
+    /// Evict a function's copies at a worker.
+    Unload {
+        /// Name of the worker.
+        worker: Rc<str>,
+        /// Name of the function.
+        function: Rc<str>,
+    },
+    /// Watch the endpoint list, or end the watch.
+    Watch {
+        /// Whether changes of the list are wanted.
+        on: bool,
+    },
+    /// Fetch the endpoint list once.
+    PollEndpoints,
+    /// Write a line to the log.
+    Log {
+        /// The line.
+        text: String,
+    },
+}
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/interface/mod.rs
@@ -0,0 +1,16 @@
+//! What goes into the scheduler and what comes out of it: events, actions and settings. Types only.
+//!
+//! Times are spans since the clock's zero, which is the same for all events of a scheduler. A setting that is not
+//! configured is `None`.
+mod action;
+mod event;
+mod settings;
+
+pub use action::Action;
+pub use event::{
+    CacheResult, Endpoint, EndpointListKind, EndpointState, Event, Outcome, Request, RequestId, UsageForecast,
+};
+pub use settings::{
+    Allowed, CacheSettings, CountedBy, DeduplicationScope, DiscoveryMode, Goal, Idempotency, OnMiss, Prices,
+    ReportField, ReportSource, RequestClass, Rules, Settings, Tenant, Weights,
+};
--- a/crates/quartzdrift-scheduler/src/mailbox.rs
+++ b/crates/quartzdrift-scheduler/src/mailbox.rs
@@ -1,28 +1,35 @@
-//! Inboxes, and whose turn it is: each note put in is one turn, so notes are worked in order of arrival.
+//! The mailbox through which the request table and the workers exchange messages.
 use std::collections::VecDeque;
 
-pub struct Post<N> {
-    inboxes: Vec<VecDeque<N>>,
-    turns: VecDeque<usize>,
+/// Whom a message is for.
+#[derive(Clone, Copy)]
+pub(crate) enum Recipient {
+    RequestTable,
+    /// A worker, by its index.
+    Worker(usize),
 }
 
-impl<N> Default for Post<N> {
+/// Messages with their recipients, delivered in the order in which they were sent.
+pub(crate) struct Mailbox<M> {
+    queue: VecDeque<(Recipient, M)>,
+}
+
+impl<M> Default for Mailbox<M> {
     fn default() -> Self {
-        Post { inboxes: Vec::new(), turns: VecDeque::new() }
+        Mailbox { queue: VecDeque::new() }
     }
 }
 
-impl<N> Post<N> {
-    pub fn put(&mut self, part: usize, note: N) {
-        if self.inboxes.len() <= part {
-            self.inboxes.resize_with(part + 1, VecDeque::new);
-        }
-        self.inboxes[part].push_back(note);
-        self.turns.push_back(part);
+impl<M> Mailbox<M> {
+    pub(crate) fn send_to_request_table(&mut self, message: M) {
+        self.queue.push_back((Recipient::RequestTable, message));
+    }
+
+    pub(crate) fn send_to_worker(&mut self, index: usize, message: M) {
+        self.queue.push_back((Recipient::Worker(index), message));
     }
 
-    pub fn next(&mut self) -> Option<(usize, N)> {
-        let part = self.turns.pop_front()?;
-        self.inboxes[part].pop_front().map(|note| (part, note))
+    pub(crate) fn next(&mut self) -> Option<(Recipient, M)> {
+        self.queue.pop_front()
     }
 }
--- a/crates/quartzdrift-scheduler/src/messages.rs
+++ b/crates/quartzdrift-scheduler/src/messages.rs
@@ -1,90 +1,131 @@
-//! What desk and workers tell each other. Types only.
-use crate::interface::*;
+//! What the request table and the workers send each other. Types only.
+use crate::interface::{CacheResult, DeduplicationScope, Endpoint, Outcome, RequestId};
 use std::time::Duration;
 
 /// Cache status of a worker for a function, the better first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Status {
+pub(crate) enum CacheStatus {
+    /// An answer told of the cached copy.
     Known,
+    /// A request was sent there lately.
     Assumed,
     NotWarm,
 }
 
-impl Endpoint<'_> {
-    /// Whether it is of the same group of workers as another.
-    pub fn shares(&self, deduplication_scope: DeduplicationScope, other: &Listing) -> bool {
-        deduplication_scope == DeduplicationScope::All
-            || self.zone == other.zone
-                && (deduplication_scope == DeduplicationScope::Zone || self.cell == other.cell)
-    }
-}
-
-/// What desk and workers tell each other.
-pub enum Note {
-    Listed(Listing),
-    Call(Call),
-    /// `None`: the worker declines.
-    Offer(Option<Offer>),
-    Execute(Attempt),
-    Ended(Ending),
-    Place(RequestId),
+/// A message to the request table or to a worker.
+pub(crate) enum Message {
+    /// To a worker: its entry in the endpoint list changed.
+    EndpointUpdated(EndpointRecord),
+    /// To a worker: whether it takes a request, and how well.
+    Query(PlacementQuery),
+    /// To the request table: a worker's answer; `None` if it does not take the request.
+    QueryAnswered(Option<Candidate>),
+    /// To a worker: an attempt was sent to it.
+    AttemptStarted(Attempt),
+    /// To a worker: an attempt ended, perhaps because it rejects this tenant alone.
+    AttemptEnded { end: AttemptEnd, tenant_rejected: bool },
+    /// To the request table: look for a worker for this request.
+    PlaceRequest(RequestId),
+    /// To a worker: some time has passed.
     Tick,
-    /// This attempt is out at a worker that answers nothing.
-    Silent(RequestId, u32),
+    /// To the request table: this attempt is in flight at a worker that answers nothing.
+    WorkerUnresponsive { request: RequestId, attempt: u32 },
 }
 
-/// What the list says of a worker; its name is kept apart.
-pub type Listing = Endpoint<'static>;
+/// A worker's entry in the endpoint list; its name is stored in the table of names.
+pub(crate) type EndpointRecord = Endpoint<'static>;
 
-/// A call for offers for one request.
+/// Asks a worker whether it takes a request.
 #[derive(Clone, Copy)]
-pub struct Call {
-    pub request_class: usize,
-    pub tenant: u32,
-    pub function: usize,
-    /// Where attempts that may have run confine further ones.
-    pub confined: Option<(DeduplicationScope, Listing)>,
-    /// Idempotent with attempts left: may be risked on a worker of doubtful health.
-    pub risks: bool,
-    pub weight: f64,
-    /// Our own finished work a second for each worker: the part of a worker's capacity that is surely there.
-    /// For a cold one no more than those of its kind take.
-    pub fair_rate: f64,
+pub(crate) struct PlacementQuery {
+    pub(crate) request_class: usize,
+    pub(crate) tenant: u32,
+    pub(crate) function: usize,
+    /// Set once an attempt may have executed.
+    pub(crate) restriction: Option<Restriction>,
+    /// Idempotent with attempts left: may be sent to a worker of doubtful health.
+    pub(crate) may_retry: bool,
+    /// Work of the request, in usual requests.
+    pub(crate) weight: f64,
+    /// Work that the worker surely does, in usual requests a second, as far as it is ours.
+    pub(crate) worker_capacity: f64,
+}
+
+/// Confines a request to the workers that drop its repeats.
+#[derive(Clone, Copy)]
+pub(crate) struct Restriction {
+    scope: DeduplicationScope,
+    /// The worker that may have executed the request.
+    endpoint: EndpointRecord,
+}
+
+impl Restriction {
+    pub(crate) fn new(scope: DeduplicationScope, endpoint: EndpointRecord) -> Restriction {
+        Restriction { scope, endpoint }
+    }
+
+    pub(crate) fn permits(&self, worker: &EndpointRecord) -> bool {
+        let same_zone = worker.zone == self.endpoint.zone;
+        match self.scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => same_zone,
+            DeduplicationScope::Cell => same_zone && worker.cell == self.endpoint.cell,
+        }
+    }
 }
 
+/// A worker that takes a request, and the facts that it is ranked by.
 #[derive(Clone, Copy)]
-pub struct Offer {
-    pub worker: usize,
-    pub status: Status,
-    pub others: Option<f64>,
-    pub own: usize,
-    /// Those of our own that wait for no load.
-    pub working: usize,
-    pub ghosts: usize,
-    pub stands: bool,
-    pub ill: bool,
-    pub turned: bool,
-    /// Just started, and whether it had its part of what a cold worker may be sent.
-    pub cold: bool,
-    pub spent: bool,
+pub(crate) struct Candidate {
+    pub(crate) worker: usize,
+    pub(crate) cache_status: CacheStatus,
+    /// An answer came since the function was first sent there.
+    pub(crate) is_cached: bool,
+    /// Load by other schedulers, as last reported.
+    pub(crate) remote_load: Option<f64>,
+    /// Our own attempts in flight there.
+    pub(crate) local_load: usize,
+    /// Those of them that do not wait for a load.
+    pub(crate) running: usize,
+    /// Our own attempts that were given up and may still run.
+    pub(crate) abandoned: usize,
+    pub(crate) is_ejected: bool,
+    /// It rejected this tenant alone of late.
+    pub(crate) tenant_rejected: bool,
+    pub(crate) is_warming_up: bool,
+    /// Its slow-start budget has no room for the request.
+    pub(crate) slow_start_spent: bool,
 }
 
+/// An attempt in flight at a worker.
 #[derive(Clone, Copy)]
-pub struct Attempt {
-    pub request: RequestId,
-    pub attempt: u32,
-    pub call: Call,
-    pub patience: Duration,
-    pub sent: Duration,
+pub(crate) struct Attempt {
+    pub(crate) request: RequestId,
+    /// Counts the request's attempts from 0.
+    pub(crate) number: u32,
+    pub(crate) query: PlacementQuery,
+    pub(crate) timeout: Duration,
+    pub(crate) sent_at: Duration,
 }
 
-pub struct Ending {
-    pub request: RequestId,
-    pub attempt: u32,
-    pub outcome: Outcome,
-    pub cache_result: CacheResult,
-    /// Requests that the worker reported to hold.
-    pub held: Option<f64>,
-    /// Full for this tenant alone: the worker holds few requests.
-    pub room: bool,
+/// How a load command ended.
+pub(crate) struct PrefetchEnd {
+    pub(crate) worker: usize,
+    pub(crate) function: usize,
+    pub(crate) outcome: Outcome,
+    pub(crate) duration: Duration,
+    /// Copies that were loaded.
+    pub(crate) copies: u32,
+}
+
+/// How an attempt ended.
+#[derive(Clone, Copy)]
+pub(crate) struct AttemptEnd {
+    pub(crate) request: RequestId,
+    pub(crate) attempt: u32,
+    pub(crate) outcome: Outcome,
+    pub(crate) duration: Duration,
+    pub(crate) cache_result: CacheResult,
+    /// Load that the worker reported: requests, or its share of busy cores.
+    pub(crate) load: Option<f64>,
 }
--- a/crates/quartzdrift-scheduler/src/names.rs
+++ b/crates/quartzdrift-scheduler/src/names.rs
@@ -1,82 +1,83 @@
-//! Names at the door: each becomes a small index, and the index of one not met for long is used again.
+//! Names of workers and functions, and hashes.
+//!
+//! Inside the scheduler each name is a small index; the index of a name that is forgotten is used again.
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 use std::time::Duration;
 
+/// A table of names and their indexes.
 #[derive(Default)]
-pub struct Names {
-    index: BTreeMap<Rc<str>, usize>,
-    names: Vec<(Rc<str>, Duration)>,
+pub(crate) struct Names {
+    indexes: BTreeMap<Rc<str>, usize>,
+    /// By index.
+    entries: Vec<Entry>,
     free: Vec<usize>,
 }
 
+struct Entry {
+    name: Rc<str>,
+    last_used: Duration,
+}
+
 impl Names {
-    pub fn index(&mut self, name: &str, now: Duration) -> usize {
-        if let Some(&ix) = self.index.get(name) {
-            self.names[ix].1 = now;
-            return ix;
+    /// Index of a name, which counts as used at the time `now`.
+    pub(crate) fn index(&mut self, name: &str, now: Duration) -> usize {
+        if let Some(&index) = self.indexes.get(name) {
+            self.entries[index].last_used = now;
+            return index;
         }
         let name: Rc<str> = name.into();
-        let ix = self.free.pop().unwrap_or(self.names.len());
-        if ix == self.names.len() {
-            self.names.push((name.clone(), now));
+        let entry = Entry { name: name.clone(), last_used: now };
+        let index = self.free.pop().unwrap_or(self.entries.len());
+        if index == self.entries.len() {
+            self.entries.push(entry);
         } else {
-            self.names[ix] = (name.clone(), now);
+            self.entries[index] = entry;
         }
-        self.index.insert(name, ix);
-        ix
+        self.indexes.insert(name, index);
+        index
     }
 
-    pub fn len(&self) -> usize {
-        self.index.len()
+    pub(crate) fn len(&self) -> usize {
+        self.indexes.len()
     }
 
-    pub fn name(&self, ix: usize) -> Rc<str> {
-        self.names[ix].0.clone()
+    pub(crate) fn name(&self, index: usize) -> Rc<str> {
+        self.entries[index].name.clone()
     }
 
-    /// Forgets the names not met since `oldest`, but for those in use.
-    pub fn forget_before(&mut self, oldest: Duration, in_use: &BTreeSet<usize>) {
-        let met: Vec<Duration> = self.names.iter().map(|(_, at)| *at).collect();
-        self.forget(|ix| met[ix] < oldest && !in_use.contains(&ix));
+    /// Forgets the names last used before `oldest`, except those in use.
+    pub(crate) fn forget_before(&mut self, oldest: Duration, in_use: &BTreeSet<usize>) {
+        let last_used: Vec<Duration> = self.entries.iter().map(|entry| entry.last_used).collect();
+        self.forget(|index| last_used[index] < oldest && !in_use.contains(&index));
     }
 
-    /// Forgets the names whose index `forgets` says to; they may be given to others.
-    pub fn forget(&mut self, mut forgets: impl FnMut(usize) -> bool) {
+    /// Forgets the names for whose index `forgets` is true; the index is free for another name.
+    pub(crate) fn forget(&mut self, mut forgets: impl FnMut(usize) -> bool) {
         let free = &mut self.free;
-        self.index.retain(|_, &mut ix| {
-            let forgotten = forgets(ix);
+        self.indexes.retain(|_, &mut index| {
+            let forgotten = forgets(index);
             if forgotten {
-                free.push(ix);
+                free.push(index);
             }
             !forgotten
         });
     }
 }
 
-/// A number for a text that every release, and every other program, draws alike: XXH3 with 64 bits and a seed, as
-/// published by its author. Homes rest on it.
-pub fn place(text: &str, seed: u64) -> u64 {
+/// A hash of a text on which every release and every other program agrees: XXH3 with 64 bits and a seed, as
+/// published by its author. Preferred workers rest on it.
+pub(crate) fn stable_hash(text: &str, seed: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(text.as_bytes(), seed)
 }
 
-/// The same number for the same value in every instance of one build.
-pub fn hash(value: &impl Hash) -> u64 {
+/// A hash on which all instances of one build agree, for draws at random.
+pub(crate) fn hash(value: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
     hasher.finish()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn places_are_the_published_ones() {
-        // From the author's test vectors and from the definition: an empty input, with and without a seed.
-        assert_eq!(place("", 0), 0x2d06_8005_38d3_94c2);
-        assert_eq!(place("a", 0), 0xe6c6_32b6_1e96_4e1f);
-        assert_eq!(place("abc", 0), 0x78af_5f94_892f_3950);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/scheduler/admission.rs
@@ -0,0 +1,94 @@
+//! Arrival of a request, and whether it may be sent to a worker (again).
+use super::constants::{DEFAULT_RETRY_AFTER, MAX_AT_CAPACITY, MAX_SAMPLES, MAX_SLOTS, MIN_TIME_LEFT};
+use crate::interface::{Action, Idempotency, Request, RequestId};
+use crate::messages::{Message, PlacementQuery, Restriction};
+use crate::state::{OpenRequest, PendingQuery, Scheduler};
+
+impl Scheduler {
+    /// Opens a request; one of an unknown class is rejected.
+    pub(super) fn admit(&mut self, request: &Request) {
+        let request_class = request.request_class as usize;
+        if request_class >= self.classes.len() {
+            let retry_after = self.settings.max_retry_after.map(|max| max.min(DEFAULT_RETRY_AFTER));
+            return self.actions.push(Action::Reject { request: request.request, retry_after });
+        }
+        let function = self.function_names.index(request.function, self.now);
+        self.record_demand(request, function);
+        let open_request = OpenRequest {
+            request_class,
+            tenant: request.tenant,
+            function,
+            concurrency_slots: request.concurrency_slots.unwrap_or(1.0).clamp(1.0, MAX_SLOTS),
+            deadline: self.now + request.left,
+            ..OpenRequest::default()
+        };
+        self.requests.insert(request.request, open_request);
+        self.mailbox.send_to_request_table(Message::PlaceRequest(request.request));
+    }
+
+    fn record_demand(&mut self, request: &Request, function: usize) {
+        let request_class = request.request_class as usize;
+        let weight = self.weight(request_class);
+        self.quota_requests.add(self.now);
+        self.requested_work.add(function, weight, self.now);
+        self.requested_priority.add(0, self.priority_per_work(request_class) * weight, self.now);
+        let change = request.memory_mb.map_or(0.0, |mb| mb - self.usual_memory_mb);
+        let is_known = self.usual_memory_mb > 0.0;
+        self.usual_memory_mb += if is_known { change / f64::from(MAX_SAMPLES) } else { change };
+    }
+
+    /// Looks for a worker for an open request, or answers it where it may not be sent.
+    pub(super) fn place(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let may_send = self.may_send(request);
+        self.refresh_listed_workers();
+        if !may_send || self.listed_workers.is_empty() {
+            return self.conclude(id);
+        }
+        self.query_workers(id);
+    }
+
+    fn may_send(&self, request: &OpenRequest) -> bool {
+        let class = &self.classes[request.request_class];
+        let is_safe = request.first_execution.is_none_or(|first| match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotentWithKey => self.now < first.sent_at + class.deduplication_window,
+            Idempotency::NonIdempotent => false,
+        });
+        let has_attempts = request.attempts < self.settings.max_attempts;
+        let has_time = request.deadline >= self.now + MIN_TIME_LEFT;
+        is_safe && has_attempts && has_time && request.at_capacity_answers < MAX_AT_CAPACITY
+    }
+
+    fn query_workers(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let query = self.placement_query(request);
+        self.candidates.clear();
+        self.pending_query = Some(PendingQuery { request: id, query });
+        self.awaited_answers = self.listed_workers.len();
+        for &worker in &self.listed_workers {
+            // The mean capacity of larger workers would overload a small one that is warming up.
+            let kind = self.workers[worker].warming_since.map(|_| self.workers[worker].endpoint.kind);
+            let worker_capacity = query.worker_capacity.min(self.worker_capacity(kind));
+            self.mailbox.send_to_worker(worker, Message::Query(PlacementQuery { worker_capacity, ..query }));
+        }
+    }
+
+    fn placement_query(&self, request: &OpenRequest) -> PlacementQuery {
+        let class = &self.classes[request.request_class];
+        let has_key = class.idempotency == Idempotency::IdempotentWithKey;
+        let restriction = request
+            .first_execution
+            .filter(|_| has_key)
+            .map(|first| Restriction::new(class.deduplication_scope, self.workers[first.worker].endpoint));
+        PlacementQuery {
+            request_class: request.request_class,
+            tenant: request.tenant,
+            function: request.function,
+            restriction,
+            may_retry: self.may_retry(request, 1),
+            weight: self.weight(request.request_class),
+            worker_capacity: self.worker_capacity(None),
+        }
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/scheduler/affinity.rs
@@ -0,0 +1,42 @@
+//! Cache affinity: the workers that all schedulers prefer for a function, so that they make few copies of it.
+use super::constants::{PREFERRED_PER_SHARE, PREFERRED_SLOT_USE};
+use crate::messages::{CacheStatus, Candidate, PlacementQuery};
+use crate::names::stable_hash;
+use crate::state::{OpenRequest, Scheduler};
+use std::cmp::Reverse;
+
+impl Scheduler {
+    /// Ranks the function's preferred workers as warm, as each scheduler knows only the cache entries of its
+    /// own traffic. The request itself does not count: alone it tells nothing of popularity.
+    pub(super) fn prefer(&self, request: &OpenRequest, query: &PlacementQuery, candidates: &mut [Candidate]) {
+        let slots = request.concurrency_slots;
+        let preferred = self.preferred_workers(request.function, slots, query.weight, candidates.len());
+        let name = self.function_names.name(request.function);
+        let order = |c: &Candidate| (c.tenant_rejected, Reverse(self.affinity(&name, c.worker)));
+        candidates.sort_by_cached_key(order);
+        let status =
+            if self.settings.reports_cache_status { CacheStatus::Known } else { CacheStatus::Assumed };
+        candidates.iter_mut().take(preferred).for_each(|candidate| candidate.cache_status = status);
+    }
+
+    /// How many of `workers` are preferred for a function, by its share of the work less the work `excluded`.
+    pub(super) fn preferred_workers(
+        &self,
+        function: usize,
+        slots: f64,
+        excluded: f64,
+        workers: usize,
+    ) -> usize {
+        let work = (self.requested_work.get(function, self.now) - excluded).max(0.0);
+        let share = work / self.requested_work.total(self.now);
+        let rate = share * self.requested_work.per_second(self.now) * self.settings.schedulers;
+        let needed = rate * self.usual_seconds() / (PREFERRED_SLOT_USE * slots);
+        1 + (share * PREFERRED_PER_SHARE * workers as f64).min(needed) as usize
+    }
+
+    /// A score on which all schedulers agree (weighted rendezvous hashing); the greatest is preferred first.
+    pub(super) fn affinity(&self, function: &str, worker: usize) -> u64 {
+        let draw = stable_hash(function, self.workers[worker].name_hash) as f64 / u64::MAX as f64;
+        (draw.powf(1.0 / self.relative_speed(worker)) * u64::MAX as f64) as u64
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/scheduler/attempt.rs
@@ -0,0 +1,63 @@
+//! Attempts and final answers: starting, retrying and cancelling an attempt; rejecting or failing a request.
+use super::constants::{DEFAULT_RETRY_AFTER, RETRY_AFTER_RATIO};
+use crate::interface::{Action, DeduplicationScope, Idempotency, RequestId};
+use crate::messages::{Attempt, Candidate, Message, PlacementQuery};
+use crate::state::{Context, OpenRequest, Scheduler, Worker};
+
+impl Scheduler {
+    /// Whether a request may be sent again after `more` more attempts.
+    pub(super) fn may_retry(&self, request: &OpenRequest, more: u32) -> bool {
+        let idempotency = self.classes[request.request_class].idempotency;
+        idempotency == Idempotency::Idempotent && request.attempts + more < self.settings.max_attempts
+    }
+
+    pub(super) fn start_attempt(&mut self, id: RequestId, query: PlacementQuery, candidate: Candidate) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let timeout = self.classes[request.request_class].attempt_timeout(!candidate.is_cached);
+        // Where attempts cannot be cancelled, their time is limited from the start.
+        let is_limited = self.may_retry(request, 1) && !self.settings.can_cancel;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let number = request.add_attempt(candidate.worker, candidate.cache_status, self.now);
+        let attempt = Attempt { request: id, number, query, timeout, sent_at: self.now };
+        self.mailbox.send_to_worker(candidate.worker, Message::AttemptStarted(attempt));
+        let worker = self.worker_names.name(candidate.worker);
+        let timeout = is_limited.then_some(timeout);
+        self.actions.push(Action::StartAttempt { request: id, worker, timeout });
+    }
+
+    /// Cancels an attempt at an unresponsive worker where the request may be sent again.
+    pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let is_current = request.current.is_some() && attempt + 1 == request.attempts;
+        if is_current && self.may_retry(request, 0) && self.settings.can_cancel {
+            self.actions.push(Action::CancelAttempt { request: id, attempt });
+        }
+    }
+
+    /// The final answer, at once: rejected where the client may safely try again, failed elsewhere.
+    pub(super) fn conclude(&mut self, id: RequestId) {
+        let Some(request) = self.requests.remove(&id) else { return };
+        let class = &self.classes[request.request_class];
+        let is_safe = match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotentWithKey => class.deduplication_scope == DeduplicationScope::All,
+            Idempotency::NonIdempotent => false,
+        };
+        if request.first_execution.is_some() && !is_safe {
+            return self.actions.push(Action::Fail { request: id });
+        }
+        let usual = class.duration(0.5, false).unwrap_or(DEFAULT_RETRY_AFTER);
+        let retry_after = self.settings.max_retry_after.map(|max| usual.mul_f64(RETRY_AFTER_RATIO).min(max));
+        self.actions.push(Action::Reject { request: id, retry_after });
+    }
+}
+
+impl Worker {
+    pub(super) fn start_attempt(&mut self, attempt: Attempt, context: Context) {
+        let entry = self.cache.entry(attempt.query.function).or_default();
+        entry.is_cached &= entry.until() > context.now;
+        entry.assumed_until = context.now + context.settings.keep_alive;
+        self.slow_start_use.work += attempt.query.weight;
+        self.attempts.push(attempt);
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/scheduler/dispatch.rs
@@ -0,0 +1,102 @@
+//! The entry: an event goes in, the actions that follow from it come out.
+//!
+//! Each event and each message is passed to the module that decides on it; nothing is decided here. Messages
+//! are worked in the order in which they were sent, all of them before the next event is taken.
+use crate::interface::{Action, Event};
+use crate::mailbox::{Mailbox, Recipient};
+use crate::messages::{AttemptEnd, Candidate, Message, PrefetchEnd};
+use crate::state::{Context, Scheduler, Worker};
+use std::time::Duration;
+
+impl Scheduler {
+    /// Takes one event at the time `now` and returns the actions to carry out, in order.
+    pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
+        self.now = self.now.max(now);
+        self.sweep_if_due();
+        self.dispatch(event);
+        while let Some((recipient, message)) = self.mailbox.next() {
+            match recipient {
+                Recipient::RequestTable => self.receive(message),
+                Recipient::Worker(index) => {
+                    let context = Context { now: self.now, settings: &self.settings };
+                    self.workers[index].receive(message, context, &mut self.mailbox);
+                }
+            }
+        }
+        std::mem::take(&mut self.actions)
+    }
+
+    fn dispatch(&mut self, event: Event) {
+        match event {
+            Event::EndpointList { form, entries } => self.update_endpoints(form, &entries),
+            Event::Request(request) => self.admit(&request),
+            Event::AttemptEnded {
+                request,
+                attempt,
+                worker,
+                outcome,
+                duration,
+                concluded,
+                cache_result,
+                concurrency: _,
+                report,
+            } => {
+                let worker = self.worker_index(worker);
+                let load = self.read_report(worker, &report);
+                let end = AttemptEnd { request, attempt, outcome, duration, cache_result, load };
+                self.end_attempt(worker, end, concluded);
+            }
+            Event::RequestCancelled { request } => drop(self.requests.remove(&request)),
+            Event::Timer { .. } => self.tick(),
+            Event::UsageForecast(forecast) => self.prefetch(&forecast),
+            Event::RestoredMeasurements(restored) => self.measured = restored.of_earlier_start(),
+            Event::SchedulerCount(count) => self.settings.set_schedulers(count),
+            Event::LoadEnded { worker, function, outcome, duration, copies } => {
+                let worker = self.worker_index(worker);
+                let function = self.function_names.index(function, self.now);
+                self.end_prefetch(&PrefetchEnd { worker, function, outcome, duration, copies });
+            }
+            Event::StreamingStarted { .. } | Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
+        }
+    }
+
+    fn receive(&mut self, message: Message) {
+        match message {
+            Message::PlaceRequest(request) => self.place(request),
+            Message::QueryAnswered(candidate) => self.collect(candidate),
+            Message::WorkerUnresponsive { request, attempt } => self.cancel_attempt(request, attempt),
+            Message::EndpointUpdated(_)
+            | Message::Query(_)
+            | Message::AttemptStarted(_)
+            | Message::AttemptEnded { .. }
+            | Message::Tick => {}
+        }
+    }
+
+    /// Chooses a worker once the last one has answered.
+    fn collect(&mut self, candidate: Option<Candidate>) {
+        self.candidates.extend(candidate);
+        self.awaited_answers -= 1;
+        if let Some(pending) = self.pending_query.take_if(|_| self.awaited_answers == 0) {
+            self.choose_worker(pending.request, pending.query);
+        }
+    }
+}
+
+impl Worker {
+    fn receive(&mut self, message: Message, context: Context, mailbox: &mut Mailbox<Message>) {
+        match message {
+            Message::EndpointUpdated(endpoint) => self.update_endpoint(endpoint, context),
+            Message::Query(query) => {
+                let candidate = self.answer(&query, context);
+                mailbox.send_to_request_table(Message::QueryAnswered(candidate));
+            }
+            Message::AttemptStarted(attempt) => self.start_attempt(attempt, context),
+            Message::AttemptEnded { end, tenant_rejected } => {
+                self.end_attempt(&end, tenant_rejected, context)
+            }
+            Message::Tick => self.check_responsiveness(context.now, mailbox),
+            Message::QueryAnswered(_) | Message::PlaceRequest(_) | Message::WorkerUnresponsive { .. } => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
@@ -0,0 +1,109 @@
+//! What the end of an attempt proves: of its request, of its class, and of its worker.
+use super::constants::{AT_CAPACITY_PAUSE, MAX_AT_CAPACITY, MIN_BOUND, PEAK_HALF_LIFE, THROUGHPUT_HALF_LIFE};
+use crate::interface::{CacheResult, Outcome};
+use crate::measure::DecayingPeak;
+use crate::messages::{AttemptEnd, CacheStatus, Message};
+use crate::state::{CacheEntry, Context, Execution, RemoteLoad, Scheduler, Worker};
+use std::time::Duration;
+
+impl Scheduler {
+    /// Records the end of an attempt, and places its request anew unless that is concluded.
+    pub(super) fn end_attempt(&mut self, worker: usize, end: AttemptEnd, concluded: bool) {
+        // A worker with few requests is not full: it rejects this tenant alone.
+        let has_room = end.load.is_some_and(|load| load < MIN_BOUND);
+        let tenant_rejected = self.settings.tenants_share_workers && has_room;
+        self.record_outcome(worker, &end, tenant_rejected);
+        // A success concludes its request, said or not: a retry would repeat its effect.
+        if concluded || end.outcome == Outcome::Succeeded {
+            self.requests.remove(&end.request);
+        }
+        self.mailbox.send_to_worker(worker, Message::AttemptEnded { end, tenant_rejected });
+        if self.requests.contains_key(&end.request) {
+            self.mailbox.send_to_request_table(Message::PlaceRequest(end.request));
+        }
+    }
+
+    fn record_outcome(&mut self, worker: usize, end: &AttemptEnd, tenant_rejected: bool) {
+        let Some(request) = self.requests.get_mut(&end.request) else { return };
+        let current = request.take_current(self.now);
+        match end.outcome {
+            Outcome::Succeeded => {
+                let (request_class, tenant) = (request.request_class, request.tenant);
+                let was_cached = match end.cache_result {
+                    CacheResult::Warm => true,
+                    CacheResult::StartedLoad | CacheResult::AwaitedLoad | CacheResult::LoadFailed => false,
+                    CacheResult::Unknown => current.cache_status != CacheStatus::NotWarm,
+                };
+                let relative = self.classes[request_class].record_duration(end.duration, was_cached);
+                self.record_success(worker, request_class, tenant, relative);
+            }
+            Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
+                request.first_execution.get_or_insert(Execution { worker, sent_at: current.sent_at });
+            }
+            Outcome::AtCapacity => request.at_capacity_answers += u32::from(!tenant_rejected),
+            // The load would fail at every worker.
+            Outcome::CacheMiss if end.cache_result == CacheResult::LoadFailed => {
+                request.at_capacity_answers = MAX_AT_CAPACITY;
+            }
+            Outcome::ConnectFailed | Outcome::NeverSent | Outcome::CacheMiss => {}
+        }
+    }
+
+    fn record_success(&mut self, worker: usize, class: usize, tenant: u32, relative: Option<f64>) {
+        let kind = self.workers[worker].endpoint.kind;
+        if let Some(relative_duration) = relative {
+            self.speeds.add(kind as usize, relative_duration, self.now);
+        }
+        let weight = self.weight(class);
+        self.succeeded_work.add(tenant as usize, weight, self.now);
+        let no_peak = DecayingPeak::new(THROUGHPUT_HALF_LIFE, PEAK_HALF_LIFE);
+        self.measured.record_throughput(kind, weight, self.now, &no_peak);
+        self.measured.usual_duration = Some(Duration::from_secs_f64(self.usual_seconds()));
+    }
+}
+
+impl Worker {
+    pub(super) fn end_attempt(&mut self, end: &AttemptEnd, tenant_rejected: bool, context: Context) {
+        let Context { now, settings } = context;
+        let local_load = self.attempts.len() as f64;
+        let Some(attempt) = self.remove_attempt(end.request, end.attempt) else { return };
+        if let Some(load) = end.load {
+            let value = if settings.reports_count_requests { (load - local_load).max(0.0) } else { load };
+            self.remote_load = Some(RemoteLoad { value, at: now });
+        }
+        if matches!(end.outcome, Outcome::Succeeded | Outcome::Error | Outcome::Reset | Outcome::AtCapacity) {
+            self.last_answer = now;
+        }
+        let entry = self.cache.entry(attempt.query.function).or_default();
+        let health = self.health.entry(attempt.query.request_class).or_default();
+        let until = now + settings.keep_alive;
+        match end.outcome {
+            Outcome::Succeeded => {
+                entry.is_cached = true;
+                entry.assumed_until = until;
+                entry.known_until = if settings.reports_cache_status { until } else { entry.known_until };
+                health.record_success();
+            }
+            // One connection reset is no sign of a restart, which resets all and then refuses new ones.
+            Outcome::Error | Outcome::Reset => health.record_error(now),
+            Outcome::AtCapacity if tenant_rejected => {
+                self.tenant_rejected_until.insert(attempt.query.tenant, until);
+            }
+            Outcome::AtCapacity => self.at_capacity_until = now + AT_CAPACITY_PAUSE,
+            // The process is down: it comes back empty and warming up, before the list names the new start.
+            Outcome::ConnectFailed => {
+                self.cache.clear();
+                self.warming_since = Some(now);
+                self.health.values_mut().for_each(|health| health.eject(now, Duration::ZERO));
+            }
+            Outcome::CacheMiss => *entry = CacheEntry::default(),
+            Outcome::TimedOut => self.record_timeout(&attempt, now),
+            Outcome::Cancelled | Outcome::NeverSent => {}
+        }
+        // Where no report counts requests, an attempt that may still run stays in the estimate.
+        let is_abandoned = matches!(end.outcome, Outcome::Cancelled | Outcome::TimedOut);
+        if is_abandoned && !settings.reports_count_requests {
+            self.abandoned_until.push(now + attempt.timeout);
+        }
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/scheduler/outlier.rs
@@ -0,0 +1,66 @@
+//! Outlier ejection: workers that fail fast, refuse or answer nothing look idle and would attract requests.
+use super::constants::{ERROR_RATE_ATTEMPTS, FIRST_EJECTION, MAX_EJECTION_DOUBLINGS, MAX_ERROR_RATE};
+use super::constants::{TIMEOUT_RATIO, UNRESPONSIVE_TIMEOUTS};
+use crate::mailbox::Mailbox;
+use crate::messages::{Attempt, Message, PlacementQuery};
+use crate::state::{Health, Worker};
+use std::time::Duration;
+
+impl Health {
+    pub(super) fn eject(&mut self, now: Duration, min_time: Duration) {
+        if now >= self.ejected_until {
+            let time = FIRST_EJECTION * (1 << self.ejections.min(MAX_EJECTION_DOUBLINGS));
+            self.ejected_until = now + time.max(min_time);
+            self.ejections += 1;
+        }
+    }
+
+    pub(super) fn record_success(&mut self) {
+        self.error_rate *= 1.0 - 1.0 / ERROR_RATE_ATTEMPTS;
+        if self.error_rate < MAX_ERROR_RATE {
+            self.ejections = 0;
+        }
+    }
+
+    pub(super) fn record_error(&mut self, now: Duration) {
+        self.error_rate += (1.0 - self.error_rate) / ERROR_RATE_ATTEMPTS;
+        if self.error_rate > MAX_ERROR_RATE || self.ejections > 0 {
+            self.eject(now, Duration::ZERO);
+        }
+    }
+}
+
+impl Worker {
+    /// After its ejection time, a single request that may be retried checks the worker's health.
+    pub(super) fn is_ejected(&mut self, query: &PlacementQuery, now: Duration) -> bool {
+        let health = self.health.entry(query.request_class).or_default();
+        let is_tried = self.attempts.iter().any(|attempt| attempt.query.request_class == query.request_class);
+        let is_paused = now < health.ejected_until || now < self.at_capacity_until;
+        is_paused || health.ejections > 0 && (is_tried || !query.may_retry)
+    }
+
+    /// Ejects a worker that answers nothing. With several functions overdue it is not one long load.
+    pub(super) fn check_responsiveness(&mut self, now: Duration, mailbox: &mut Mailbox<Message>) {
+        let waited = |attempt: &Attempt| now.saturating_sub(attempt.sent_at.max(self.last_answer));
+        let mut overdue = self.attempts.iter().filter(|attempt| waited(attempt) > attempt.timeout);
+        let Some(first) = overdue.next() else { return };
+        let is_one_function = overdue.all(|attempt| attempt.query.function == first.query.function);
+        if is_one_function && now - first.sent_at <= first.timeout * UNRESPONSIVE_TIMEOUTS {
+            return;
+        }
+        self.health.values_mut().for_each(|health| health.eject(now, self.unresponsive_ejection));
+        for attempt in &self.attempts {
+            let (request, attempt) = (attempt.request, attempt.number);
+            mailbox.send_to_request_table(Message::WorkerUnresponsive { request, attempt });
+        }
+    }
+
+    /// Finds unresponsive workers that get few requests. A client's short timeout proves nothing.
+    pub(super) fn record_timeout(&mut self, attempt: &Attempt, now: Duration) {
+        let waited_enough = (now - attempt.sent_at).mul_f64(TIMEOUT_RATIO) > attempt.timeout;
+        if self.last_answer < attempt.sent_at && waited_enough {
+            let health = self.health.entry(attempt.query.request_class).or_default();
+            health.eject(now, self.unresponsive_ejection);
+        }
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/scheduler/prefetch.rs
@@ -0,0 +1,111 @@
+//! Prefetch: load commands ahead of the requests that a forecast expects, within the load quota.
+use super::constants::SLOW_LOAD_RATIO;
+use super::constants::{DEFAULT_TIMEOUT, FLEET_BOUND, MAX_MEMORY_SHARE, MAX_SLOTS, MIN_LOAD_PROBABILITY};
+use super::constants::{MIN_RENEWAL_PROBABILITY, MIN_SAMPLES, PREFERRED_SLOT_USE, PREFETCH_PAUSE};
+use crate::interface::{Action, EndpointState, Outcome, UsageForecast};
+use crate::messages::PrefetchEnd;
+use crate::state::{CacheEntry, Scheduler, Worker};
+use std::cmp::Reverse;
+
+impl Scheduler {
+    /// Loads at the function's preferred workers, where a use is likely enough for the price of a load.
+    pub(super) fn prefetch(&mut self, forecast: &UsageForecast) {
+        let request_class = forecast.request_class as usize;
+        let is_paused = self.now < self.prefetch_paused_until;
+        if !self.settings.load_commands || request_class >= self.classes.len() || is_paused {
+            return;
+        }
+        let function = self.function_names.index(forecast.function, self.now);
+        let fits = |worker: &&Worker| self.takes_prefetch(worker, request_class);
+        let mut workers: Vec<usize> = self.workers.iter().filter(fits).map(|worker| worker.index).collect();
+        let local_load: usize = workers.iter().map(|&worker| self.workers[worker].attempts.len()).sum();
+        let requests = local_load as f64 * self.settings.schedulers;
+        if requests > FLEET_BOUND * self.worker_size() * workers.len() as f64 {
+            return;
+        }
+        workers.sort_by_cached_key(|&worker| Reverse(self.affinity(forecast.function, worker)));
+        let preferred = self.expected_preferred_workers(forecast, function, workers.len());
+        for worker in workers.into_iter().take(preferred) {
+            if !self.needs_load(forecast, function, worker) {
+                continue;
+            }
+            if !self.take_load_quota() {
+                return;
+            }
+            let entry = self.workers[worker].cache.entry(function).or_default();
+            entry.assumed_until = self.now + self.settings.keep_alive;
+            let worker = self.worker_names.name(worker);
+            let function = self.function_names.name(function);
+            self.actions.push(Action::Load { worker, function, copies: 1 });
+        }
+    }
+
+    fn takes_prefetch(&self, worker: &Worker, request_class: usize) -> bool {
+        let is_up = worker.endpoint.state == EndpointState::Up && worker.warming_since.is_none();
+        let is_healthy = worker.health.get(&request_class).is_none_or(|health| health.ejections == 0);
+        is_up && is_healthy && worker.at_capacity_until <= self.now
+    }
+
+    fn expected_preferred_workers(&self, forecast: &UsageForecast, function: usize, workers: usize) -> usize {
+        let slots = forecast.concurrency_slots.unwrap_or(1.0).clamp(1.0, MAX_SLOTS);
+        let needed = |rate: f64| rate * self.usual_seconds() / (PREFERRED_SLOT_USE * slots);
+        let expected = forecast.requests_per_second.map_or(0.0, needed) as usize;
+        self.preferred_workers(function, slots, 0.0, workers).max(expected)
+    }
+
+    /// Not where the function stays cached for that long anyway, or is being loaded.
+    fn needs_load(&self, forecast: &UsageForecast, function: usize, worker: usize) -> bool {
+        let entry = self.workers[worker].cache_entry(function);
+        let until = entry.until();
+        let is_cached = entry.is_cached && until > self.now;
+        let is_loading = !entry.is_cached && until > self.now;
+        let stays_cached = until >= self.now + forecast.within;
+        !stays_cached && !is_loading && self.is_worth_loading(forecast, worker, is_cached)
+    }
+
+    /// Compares the waiting that a load saves with its fetch and the memory it takes, all in requests.
+    fn is_worth_loading(&self, forecast: &UsageForecast, worker: usize, is_cached: bool) -> bool {
+        let class = &self.classes[forecast.request_class as usize];
+        let load_time = class.duration(0.5, true).or(forecast.load_hint).unwrap_or(DEFAULT_TIMEOUT);
+        let relative_time = load_time.as_secs_f64() / class.latency_objective.as_secs_f64();
+        let saved = forecast.probability * relative_time.min(1.0);
+        let share = forecast.memory_mb.map_or(0.0, |copy_mb| self.memory_share(worker, copy_mb));
+        let rate = self.requested_work.per_second(self.now) * self.settings.schedulers;
+        let requests = rate * forecast.within.as_secs_f64();
+        let memory = self.settings.memory_price * share * requests;
+        if is_cached {
+            return forecast.probability >= MIN_RENEWAL_PROBABILITY && saved > memory;
+        }
+        let evicts = self.workers[worker].memory_share > MAX_MEMORY_SHARE;
+        let worth = saved > memory + self.settings.fetch_price;
+        !evicts && worth && forecast.probability >= MIN_LOAD_PROBABILITY
+    }
+
+    fn take_load_quota(&mut self) -> bool {
+        let requests = self.quota_requests.count(self.now) as f64;
+        let quota = self.settings.load_quota_burst + self.settings.load_quota_share * requests;
+        let is_spent = self.quota_loads.count(self.now) as f64 + 1.0 > quota;
+        if !is_spent {
+            self.quota_loads.add(self.now);
+        }
+        !is_spent
+    }
+
+    /// A failed or slow load means that the origin store is crowded or stopped, which more loads make worse.
+    pub(super) fn end_prefetch(&mut self, end: &PrefetchEnd) {
+        let is_loaded = end.outcome == Outcome::Succeeded && end.copies > 0;
+        let until = self.now + self.settings.keep_alive;
+        let loaded = CacheEntry { is_cached: true, known_until: until, assumed_until: until };
+        let entry = if is_loaded { loaded } else { CacheEntry::default() };
+        self.workers[end.worker].cache.insert(end.function, entry);
+        let has_samples = self.prefetch_durations.count() >= MIN_SAMPLES;
+        let usual = self.prefetch_durations.quantile(0.5).mul_f64(SLOW_LOAD_RATIO);
+        let is_slow = is_loaded && has_samples && end.duration > usual;
+        if is_loaded {
+            self.prefetch_durations.add(end.duration);
+        }
+        if is_slow || matches!(end.outcome, Outcome::Error | Outcome::TimedOut | Outcome::CacheMiss) {
+            self.prefetch_paused_until = self.now + PREFETCH_PAUSE;
+        }
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
@@ -0,0 +1,102 @@
+//! Choice of a worker among the candidates: the ordinary path, and its exceptions (docs/design.md).
+use super::constants::MIN_LOCAL_REQUESTS;
+use super::constants::{BOUND_RATIO, BUSY_FLEET, FLEET_BOUND, MAX_EJECTED_SHARE, MIN_BOUND};
+use crate::interface::RequestId;
+use crate::messages::{CacheStatus, Candidate, PlacementQuery};
+use crate::names::hash;
+use crate::state::Scheduler;
+
+/// Estimates a candidate's requests from its report and our own attempts.
+struct LoadEstimate {
+    /// Remote load of a candidate without a report.
+    unreported: f64,
+    /// Ratio of remote load to reported load; `None`: no load is reported.
+    report_ratio: Option<f64>,
+    /// Our own attempts at all candidates, and those of them that do not wait for a load.
+    local: usize,
+    running: usize,
+}
+
+impl LoadEstimate {
+    fn requests(&self, candidate: &Candidate) -> f64 {
+        let reported = candidate.remote_load.zip(self.report_ratio);
+        let remote = reported.map_or(self.unreported, |(load, ratio)| load * ratio);
+        remote + candidate.local_load as f64
+    }
+}
+
+impl Scheduler {
+    /// Starts an attempt at the best candidate; with none left the request gets its final answer.
+    pub(super) fn choose_worker(&mut self, id: RequestId, query: PlacementQuery) {
+        let mut candidates = std::mem::take(&mut self.candidates);
+        let Some(request) = self.requests.get(&id) else { return };
+        let warming_up = candidates.iter().filter(|candidate| candidate.is_warming_up).count();
+        let fleet_is_warming = self.measured.predates_loss && warming_up * 2 > candidates.len();
+        self.measured.predates_loss = fleet_is_warming;
+        candidates.retain(|candidate| fleet_is_warming || !candidate.slow_start_spent);
+        // With many ejected the fault is not their own, and none is skipped.
+        let ejected = candidates.iter().filter(|candidate| candidate.is_ejected).count();
+        let skips_ejected = ejected as f64 <= MAX_EJECTED_SHARE * candidates.len() as f64;
+        candidates.retain(|candidate| !skips_ejected || !candidate.is_ejected);
+        candidates.retain(|candidate| !request.tried.contains(&candidate.worker));
+        let load = self.estimate_load(&mut candidates);
+        let requests = candidates.iter().map(|candidate| load.requests(candidate));
+        let mean = requests.sum::<f64>() / candidates.len() as f64;
+        let bound = (mean * BOUND_RATIO).max(MIN_BOUND * self.worker_size());
+        let mostly_loading = load.local >= MIN_LOCAL_REQUESTS && load.running * 2 < load.local;
+        let waits_for_loads = fleet_is_warming || mostly_loading;
+        candidates.retain(|candidate| waits_for_loads || load.requests(candidate) < bound);
+        self.prefer(request, &query, &mut candidates);
+        let fleet_bound = FLEET_BOUND * self.worker_size() * self.claim(&query);
+        let fleet_is_full = self.running_mean(mean, &load) > fleet_bound;
+        if waits_for_loads || fleet_is_full {
+            // Where all are busy, warming up or loading, one more load makes a load storm worse.
+            let bound = if fleet_is_full { bound.min(fleet_bound) } else { bound };
+            candidates.retain(|c| c.cache_status != CacheStatus::NotWarm && !c.slow_start_spent);
+            candidates.retain(|candidate| load.requests(candidate) < bound);
+        }
+        let best = self.best_candidate(&candidates, &load);
+        self.random_draws += 1;
+        match best {
+            Some(candidate) => self.start_attempt(id, query, candidate),
+            None => self.conclude(id),
+        }
+    }
+
+    /// By cache status, fewest estimated requests, and at random; those that reject the tenant come last.
+    fn best_candidate(&self, candidates: &[Candidate], load: &LoadEstimate) -> Option<Candidate> {
+        let ranked = candidates.iter().map(|candidate| {
+            let status = (candidate.tenant_rejected, candidate.cache_status);
+            let requests = (load.requests(candidate) + 1.0) / self.relative_speed(candidate.worker);
+            let draw = hash(&(self.settings.seed, self.random_draws, candidate.worker));
+            (status, requests, draw, *candidate)
+        });
+        let best = ranked.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
+        best.map(|(.., candidate)| candidate)
+    }
+
+    fn estimate_load(&self, candidates: &mut [Candidate]) -> LoadEstimate {
+        let reports = candidates.iter().filter(|candidate| candidate.remote_load.is_some()).count();
+        let reported: f64 = candidates.iter().filter_map(|candidate| candidate.remote_load).sum();
+        let average = reported / reports.max(1) as f64;
+        // Lost answers raise our own count: where cores are reported idle, nothing abandoned still runs.
+        if reports == 0 || average >= BUSY_FLEET {
+            candidates.iter_mut().for_each(|candidate| candidate.local_load += candidate.abandoned);
+        }
+        let local: usize = candidates.iter().map(|candidate| candidate.local_load).sum();
+        let running = candidates.iter().map(|candidate| candidate.running).sum();
+        // Where no report counts requests, other schedulers are taken to send as we do, less the part of it
+        // that is chance, and spread over the workers as their reports say.
+        let expected = local as f64 - (local as f64).sqrt();
+        let alike = (self.settings.schedulers - 1.0) * expected / candidates.len() as f64;
+        let is_counted = self.settings.reports_count_requests && reports > 0;
+        let (unreported, ratio) = if is_counted { (average, 1.0) } else { (alike, alike / average) };
+        LoadEstimate { unreported, report_ratio: (average > 0.0).then_some(ratio), local, running }
+    }
+
+    /// Counted requests that wait for loads use no core: our own tell how many of the mean do.
+    fn running_mean(&self, mean: f64, load: &LoadEstimate) -> f64 {
+        let counts = self.settings.reports_count_requests;
+        if counts { mean * load.running as f64 / load.local.max(1) as f64 } else { mean }
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/scheduler/settings.rs
@@ -0,0 +1,51 @@
+//! Makes a scheduler: what the settings leave open gets its default here.
+use super::constants::{BIN_RATIO, BINS, DEFAULT_KEEP_ALIVE, DEFAULT_RETRY_AFTER, DEFAULT_SLOW_START_WINDOW};
+use super::constants::{DEFAULT_TIMEOUT, FIRST_BIN, MAX_SAMPLES, POPULARITY_HALF_LIFE, SLOW_START_SAFETY};
+use super::constants::{THROUGHPUT_HALF_LIFE, WATCH_RETRY_DELAY};
+use crate::interface::{ReportField, Settings};
+use crate::measure::{DecayingSums, Histogram, RelativeSpeeds, Window};
+use crate::state::{ClassState, DerivedSettings, Scheduler, tenant_shares};
+use std::time::Duration;
+
+impl Scheduler {
+    /// A scheduler that knows no worker yet; the same settings, seed and events lead to the same actions.
+    pub fn new(settings: &Settings, seed: u64) -> Scheduler {
+        let durations = Histogram::new(FIRST_BIN, BIN_RATIO, BINS, MAX_SAMPLES);
+        let quota_window = settings.copies.load_quota_window.unwrap_or_default();
+        let class_state = |class| ClassState::new(class, DEFAULT_TIMEOUT, &durations);
+        Scheduler {
+            settings: derive(settings, seed),
+            classes: settings.request_classes.iter().map(class_state).collect(),
+            tenant_shares: tenant_shares(&settings.tenants),
+            succeeded_work: DecayingSums::new(THROUGHPUT_HALF_LIFE),
+            requested_work: DecayingSums::new(POPULARITY_HALF_LIFE),
+            requested_priority: DecayingSums::new(POPULARITY_HALF_LIFE),
+            speeds: RelativeSpeeds::new(POPULARITY_HALF_LIFE),
+            // A request at the very start of the window is out of it, a load command is not.
+            quota_requests: Window::new(quota_window.saturating_sub(Duration::from_nanos(1))),
+            quota_loads: Window::new(quota_window),
+            prefetch_durations: durations,
+            ..Scheduler::default()
+        }
+    }
+}
+
+fn derive(settings: &Settings, seed: u64) -> DerivedSettings {
+    let rules = &settings.rules;
+    let window = rules.fall_window.filter(|window| !window.is_zero()).unwrap_or(DEFAULT_SLOW_START_WINDOW);
+    let max_retry_after = settings.allowed.max_retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+    let field = |wanted| settings.report_fields.iter().position(|&field| field == wanted);
+    // Queued requests are the least that a worker holds.
+    let counted = field(ReportField::Held).or(field(ReportField::Queued));
+    DerivedSettings {
+        keep_alive: settings.copies.keep.unwrap_or(DEFAULT_KEEP_ALIVE),
+        slow_start_half_window: (window / 2).max(Duration::from_micros(1)),
+        slow_start_budget: rules.fall_multiple.unwrap_or(1.0) * SLOW_START_SAFETY,
+        watch_retry_delay: rules.ask_within.map_or(WATCH_RETRY_DELAY, |time| WATCH_RETRY_DELAY.min(time)),
+        max_retry_after: settings.allowed.retry_after.then_some(max_retry_after),
+        load_field: counted.or(field(ReportField::Busy)),
+        reports_count_requests: counted.is_some(),
+        tenants_share_workers: counted.is_some() && settings.tenants.len() > 1,
+        ..DerivedSettings::copied(settings, seed)
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/state/class.rs
@@ -0,0 +1,54 @@
+//! State of a request class, and tenants' shares.
+use crate::interface::{DeduplicationScope, Idempotency, RequestClass, Tenant};
+use crate::measure::Histogram;
+use std::time::Duration;
+
+/// A request class: its settings, and the durations of its attempts.
+pub(crate) struct ClassState {
+    pub(crate) idempotency: Idempotency,
+    pub(crate) deduplication_scope: DeduplicationScope,
+    pub(crate) deduplication_window: Duration,
+    pub(crate) priority_weight: f64,
+    pub(crate) latency_objective: Duration,
+    /// Attempt timeout before anything was measured: with less than the work takes it would never be measured.
+    pub(crate) default_timeout: Duration,
+    /// Durations of attempts that found a cached copy.
+    pub(crate) cached_durations: Histogram,
+    /// Durations of attempts that had to load.
+    pub(crate) load_durations: Histogram,
+}
+
+impl ClassState {
+    /// A class with its settings; `timeout` is that of an attempt before anything was measured, unless the latency
+    /// objective is longer, and `durations` is empty.
+    pub(crate) fn new(class: &RequestClass, timeout: Duration, durations: &Histogram) -> ClassState {
+        ClassState {
+            idempotency: class.idempotency,
+            deduplication_scope: class.deduplication_scope,
+            deduplication_window: class.window.unwrap_or_default(),
+            priority_weight: class.priority_weight.unwrap_or(1.0),
+            latency_objective: class.latency_objective.or(class.timeout).unwrap_or(timeout),
+            default_timeout: class.latency_objective.unwrap_or_default().max(timeout),
+            cached_durations: durations.clone(),
+            load_durations: durations.clone(),
+        }
+    }
+
+    /// Records an attempt that succeeded. Returns its duration in units of the mean, if it found a cached copy.
+    pub(crate) fn record_duration(&mut self, duration: Duration, was_cached: bool) -> Option<f64> {
+        if !was_cached {
+            self.load_durations.add(duration);
+            return None;
+        }
+        self.cached_durations.add(duration);
+        let mean = self.cached_durations.mean().filter(|mean| !mean.is_zero())?;
+        Some(duration.as_secs_f64() / mean.as_secs_f64())
+    }
+}
+
+/// Each tenant's share of all quotas; not a number where there are none.
+pub(crate) fn tenant_shares(tenants: &[Tenant]) -> Vec<f64> {
+    let quota = |tenant: &Tenant| tenant.requests_per_second.unwrap_or(0.0).max(0.0);
+    let total: f64 = tenants.iter().map(quota).sum();
+    tenants.iter().map(|tenant| quota(tenant) / total).collect()
+}
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/state/mod.rs
@@ -0,0 +1,12 @@
+//! State that the decisions read and write. Types only; they decide nothing by themselves.
+mod class;
+mod request;
+mod scheduler;
+mod settings;
+mod worker;
+
+pub(crate) use class::{ClassState, tenant_shares};
+pub(crate) use request::{Execution, OpenRequest, PendingQuery};
+pub use scheduler::{Scheduler, TableSizes};
+pub(crate) use settings::DerivedSettings;
+pub(crate) use worker::{CacheEntry, Context, Health, RemoteLoad, Worker};
--- /dev/null
+++ b/crates/quartzdrift-scheduler/src/state/scheduler.rs
@@ -0,0 +1,143 @@
+//! The scheduler's state, and its tables of names.
+use super::{ClassState, DerivedSettings, OpenRequest, PendingQuery, Worker};
+use crate::interface::{Action, EndpointState, RequestId};
+use crate::mailbox::Mailbox;
+use crate::measure::{DecayingSums, Histogram, Measurements, RelativeSpeeds, Window};
+use crate::messages::{Candidate, Message};
+use crate::names::{Names, stable_hash};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// One instance of the router's decisions: a state machine without clock or I/O. Its methods are those of the
+/// modules of [`crate::scheduler`].
+#[derive(Default)]
+pub struct Scheduler {
+    pub(crate) settings: DerivedSettings,
+    pub(crate) classes: Vec<ClassState>,
+    /// Each tenant's share of all quotas.
+    pub(crate) tenant_shares: Vec<f64>,
+    pub(crate) requests: BTreeMap<RequestId, OpenRequest>,
+    pub(crate) pending_query: Option<PendingQuery>,
+    /// Workers that have still to answer the pending query.
+    pub(crate) awaited_answers: usize,
+    pub(crate) candidates: Vec<Candidate>,
+    /// Work that succeeded, by tenant.
+    pub(crate) succeeded_work: DecayingSums,
+    /// Work that was requested, by function.
+    pub(crate) requested_work: DecayingSums,
+    /// Priority weight that was requested, in all.
+    pub(crate) requested_priority: DecayingSums,
+    /// Memory of the usual copy, in MB.
+    pub(crate) usual_memory_mb: f64,
+    /// Speed of each kind of machine.
+    pub(crate) speeds: RelativeSpeeds,
+    /// What workers do, for a later start of this scheduler.
+    pub measured: Measurements,
+    pub(crate) random_draws: u64,
+    /// By index.
+    pub(crate) workers: Vec<Worker>,
+    /// Indexes of the workers that the endpoint list names.
+    pub(crate) listed_workers: Vec<usize>,
+    pub(crate) listed_is_stale: bool,
+    pub(crate) worker_names: Names,
+    pub(crate) function_names: Names,
+    pub(crate) mailbox: Mailbox<Message>,
+    pub(crate) now: Duration,
+    pub(crate) last_sweep: Duration,
+    /// Requests and load commands in the load quota's window.
+    pub(crate) quota_requests: Window,
+    pub(crate) quota_loads: Window,
+    pub(crate) prefetch_paused_until: Duration,
+    pub(crate) prefetch_durations: Histogram,
+    /// When to watch the endpoint list.
+    pub(crate) watch_at: Option<Duration>,
+    /// Actions of the event at hand.
+    pub(crate) actions: Vec<Action>,
+}
+
+/// How many of each the scheduler holds: its memory grows with them.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TableSizes {
+    /// Workers whose names are retained.
+    pub workers: usize,
+    /// Functions whose names are retained.
+    pub functions: usize,
+    /// Requests without a final answer.
+    pub open_requests: usize,
+}
+
+impl Scheduler {
+    /// How many workers, functions and open requests the scheduler holds.
+    pub fn table_sizes(&self) -> TableSizes {
+        TableSizes {
+            workers: self.worker_names.len(),
+            functions: self.function_names.len(),
+            open_requests: self.requests.len(),
+        }
+    }
+
+    /// Rebuilds the list of workers that the endpoint list names, if that changed.
+    pub(crate) fn refresh_listed_workers(&mut self) {
+        if !std::mem::take(&mut self.listed_is_stale) {
+            return;
+        }
+        let listed = self.workers.iter().filter(|worker| worker.endpoint.state != EndpointState::Gone);
+        self.listed_workers = listed.map(|worker| worker.index).collect();
+        let up = self.workers.iter().filter(|worker| worker.endpoint.state == EndpointState::Up);
+        self.measured.record_workers_up(up.map(|worker| worker.endpoint.kind));
+    }
+
+    /// Reads a worker's load report: stores its use of memory and returns its load.
+    pub(crate) fn read_report(&mut self, worker: usize, report: &[Option<f64>]) -> Option<f64> {
+        let value = |field: Option<usize>| field.and_then(|at| report.get(at).copied().flatten());
+        self.workers[worker].memory_share = value(self.settings.memory_field).unwrap_or_default();
+        value(self.settings.load_field)
+    }
+
+    /// Work of a request of this class, in usual requests; crowding slows all and changes no weight.
+    pub(crate) fn weight(&self, request_class: usize) -> f64 {
+        let mean = self.classes[request_class].cached_durations.mean();
+        mean.map_or(1.0, |mean| mean.as_secs_f64() / self.usual_seconds())
+    }
+
+    /// Duration of the usual attempt in seconds: the mean over request classes.
+    pub(crate) fn usual_seconds(&self) -> f64 {
+        let means = self.classes.iter().filter_map(|class| class.cached_durations.mean());
+        let (count, sum) = means.fold((0, Duration::ZERO), |(count, sum), mean| (count + 1, sum + mean));
+        let usual = sum.checked_div(count).or(self.measured.usual_duration);
+        usual.map_or(1.0, |usual| usual.as_secs_f64())
+    }
+
+    /// Share of the listed workers' memory that a copy takes; zero where the worker's memory is not known.
+    pub(crate) fn memory_share(&self, worker: usize, copy_mb: f64) -> f64 {
+        let kind = |worker: usize| self.workers[worker].endpoint.kind as usize;
+        let worker_mb = |worker: usize| self.settings.memory_mb_by_kind.get(kind(worker));
+        let fleet_mb: f64 = self.listed_workers.iter().filter_map(|&worker| worker_mb(worker)).sum();
+        worker_mb(worker).map_or(0.0, |_| copy_mb / fleet_mb)
+    }
+
+    /// Functions that an open request or an attempt names: an attempt may outlive its request.
+    pub(crate) fn functions_in_use(&self) -> BTreeSet<usize> {
+        let attempts = self.workers.iter().flat_map(|worker| &worker.attempts);
+        let attempted = attempts.map(|attempt| attempt.query.function);
+        let requested = self.requests.values().map(|request| request.function);
+        requested.chain(attempted).collect()
+    }
+
+    /// Workers that an open request was sent to, or that have an attempt in flight.
+    pub(crate) fn workers_in_use(&self) -> BTreeSet<usize> {
+        let busy = self.workers.iter().filter(|worker| !worker.attempts.is_empty());
+        let tried = self.requests.values().flat_map(|request| &request.tried);
+        busy.map(|worker| worker.index).chain(tried.copied()).collect()
+    }
+
+    /// Index of a worker; a new name gets a free one.
+    pub(crate) fn worker_index(&mut self, name: &str) -> usize {
+        let index = self.worker_names.index(name, self.now);
+        while self.workers.len() <= index {
+            self.workers.push(Worker::new(self.workers.len()));
+        }
+        self.workers[index].name_hash = stable_hash(name, 0);
+        index
+    }
+}
--- a/crates/quartzdrift-scheduler/tests/scenarios.rs
+++ b/crates/quartzdrift-scheduler/tests/scenarios.rs
@@ -326,12 +326,11 @@
                 }
             }
             "places-most" | "places-least" => {
-                let (workers, functions, requests) =
-                    self.scheduler.as_ref().map(|s| s.places()).unwrap_or_default();
+                let sizes = self.scheduler.as_ref().map(|s| s.table_sizes()).unwrap_or_default();
                 let kept = match words.get(1) {
-                    Some(&"workers") => workers,
-                    Some(&"functions") => functions,
-                    _ => requests,
+                    Some(&"workers") => sizes.workers,
+                    Some(&"functions") => sizes.functions,
+                    _ => sizes.open_requests,
                 };
                 let bound: usize = number(words.get(2))?;
                 if if words[0] == "places-most" { kept > bound } else { kept < bound } {
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -176,7 +176,11 @@
     let bytes = last(saved::MEASURED);
     let measured: Measurements = postcard::from_bytes(&bytes).unwrap();
     assert_eq!(
-        (measured.peaks.len(), measured.most_up[&None], measured.usual),
+        (
+            measured.peak_throughput.len(),
+            measured.max_up[&None],
+            measured.usual_duration
+        ),
         (2, 2, Some(Duration::from_nanos(2_326_081)))
     );
     is_written_again(saved::MEASURED, &postcard::to_stdvec(&measured).unwrap());
