--- a/crates/quartzdrift-scheduler/src/scheduler/admission.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/admission.rs
@@ -50,7 +50,7 @@
 
     fn may_send(&self, request: &OpenRequest) -> bool {
         let class = &self.classes[request.request_class];
-        let is_safe = request.first_execution.is_none_or(|first| match class.idempotency {
+        let is_safe = request.may_have_executed.is_none_or(|first| match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotentWithKey => self.now < first.sent_at + class.deduplication_window,
             Idempotency::NonIdempotent => false,
@@ -77,10 +77,8 @@
     fn placement_query(&self, request: &OpenRequest) -> PlacementQuery {
         let class = &self.classes[request.request_class];
         let has_key = class.idempotency == Idempotency::IdempotentWithKey;
-        let restriction = request
-            .first_execution
-            .filter(|_| has_key)
-            .map(|first| Restriction::new(class.deduplication_scope, self.workers[first.worker].endpoint));
+        let executor = request.may_have_executed.filter(|_| has_key).map(|first| &self.workers[first.worker]);
+        let restriction = executor.map(|worker| Restriction::new(class.deduplication_scope, worker.endpoint));
         PlacementQuery {
             request_class: request.request_class,
             tenant: request.tenant,
--- a/crates/quartzdrift-scheduler/src/scheduler/attempt.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/attempt.rs
@@ -1,5 +1,5 @@
 //! Attempts and final answers: starting, retrying and cancelling an attempt; rejecting or failing a request.
-use super::constants::{DEFAULT_RETRY_AFTER, RETRY_AFTER_RATIO};
+use super::constants::{DEFAULT_RETRY_AFTER, MEDIAN, RETRY_AFTER_RATIO};
 use crate::interface::{Action, DeduplicationScope, Idempotency, RequestId};
 use crate::messages::{Attempt, Candidate, Message, PlacementQuery};
 use crate::state::{Context, OpenRequest, Scheduler, Worker};
@@ -43,10 +43,10 @@
             Idempotency::IdempotentWithKey => class.deduplication_scope == DeduplicationScope::All,
             Idempotency::NonIdempotent => false,
         };
-        if request.first_execution.is_some() && !is_safe {
+        if request.may_have_executed.is_some() && !is_safe {
             return self.actions.push(Action::Fail { request: id });
         }
-        let usual = class.duration(0.5, false).unwrap_or(DEFAULT_RETRY_AFTER);
+        let usual = class.duration(MEDIAN, false).unwrap_or(DEFAULT_RETRY_AFTER);
         let retry_after = self.settings.max_retry_after.map(|max| usual.mul_f64(RETRY_AFTER_RATIO).min(max));
         self.actions.push(Action::Reject { request: id, retry_after });
     }
--- a/crates/quartzdrift-scheduler/src/scheduler/constants.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/constants.rs
@@ -24,6 +24,7 @@
 pub(super) const MAX_REPORT_AGE: Duration = millis(6000); // of a load report in use: several refreshes
 
 pub(super) const TIMEOUT_RATIO: f64 = 2.0; // of a timeout to what nearly all attempts take: others straggle
+pub(super) const MEDIAN: f64 = 0.5; // share of attempts that the usual duration is measured on
 pub(super) const NEARLY_ALL: f64 = 0.95; // share of attempts that timeouts are measured on
 pub(super) const DEFAULT_TIMEOUT: Duration = millis(1500); // before anything was measured: a long load
 pub(super) const MIN_TIME_LEFT: Duration = millis(30); // until a deadline, of use: below almost any work
--- a/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
@@ -3,7 +3,7 @@
 use crate::interface::{CacheResult, Outcome};
 use crate::measure::DecayingPeak;
 use crate::messages::{AttemptEnd, CacheStatus, Message};
-use crate::state::{CacheEntry, Context, Execution, RemoteLoad, Scheduler, Worker};
+use crate::state::{CacheEntry, Context, RemoteLoad, Scheduler, UncertainAttempt, Worker};
 use std::time::Duration;
 
 impl Scheduler {
@@ -38,7 +38,8 @@
                 self.record_success(worker, request_class, tenant, relative);
             }
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
-                request.first_execution.get_or_insert(Execution { worker, sent_at: current.sent_at });
+                let attempt = UncertainAttempt { worker, sent_at: current.sent_at };
+                request.may_have_executed.get_or_insert(attempt);
             }
             Outcome::AtCapacity => request.at_capacity_answers += u32::from(!tenant_rejected),
             // The load would fail at every worker.
--- a/crates/quartzdrift-scheduler/src/scheduler/prefetch.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/prefetch.rs
@@ -1,6 +1,6 @@
 //! Prefetch: load commands ahead of the requests that a forecast expects, within the load quota.
-use super::constants::SLOW_LOAD_RATIO;
 use super::constants::{DEFAULT_TIMEOUT, FLEET_BOUND, MAX_MEMORY_SHARE, MAX_SLOTS, MIN_LOAD_PROBABILITY};
+use super::constants::{MEDIAN, SLOW_LOAD_RATIO};
 use super::constants::{MIN_RENEWAL_PROBABILITY, MIN_SAMPLES, PREFERRED_SLOT_USE, PREFETCH_PAUSE};
 use crate::interface::{Action, EndpointState, Outcome, UsageForecast};
 use crate::messages::PrefetchEnd;
@@ -60,25 +60,25 @@
         let is_cached = entry.is_cached && until > self.now;
         let is_loading = !entry.is_cached && until > self.now;
         let stays_cached = until >= self.now + forecast.within;
-        !stays_cached && !is_loading && self.is_worth_loading(forecast, worker, is_cached)
+        !stays_cached && !is_loading && self.pays_off(forecast, worker, is_cached)
     }
 
     /// Compares the waiting that a load saves with its fetch and the memory it takes, all in requests.
-    fn is_worth_loading(&self, forecast: &UsageForecast, worker: usize, is_cached: bool) -> bool {
+    fn pays_off(&self, forecast: &UsageForecast, worker: usize, is_cached: bool) -> bool {
         let class = &self.classes[forecast.request_class as usize];
-        let load_time = class.duration(0.5, true).or(forecast.load_hint).unwrap_or(DEFAULT_TIMEOUT);
+        let load_time = class.duration(MEDIAN, true).or(forecast.load_hint).unwrap_or(DEFAULT_TIMEOUT);
         let relative_time = load_time.as_secs_f64() / class.latency_objective.as_secs_f64();
-        let saved = forecast.probability * relative_time.min(1.0);
+        let avoided = forecast.probability * relative_time.min(1.0);
         let share = forecast.memory_mb.map_or(0.0, |copy_mb| self.memory_share(worker, copy_mb));
         let rate = self.requested_work.per_second(self.now) * self.settings.schedulers;
         let requests = rate * forecast.within.as_secs_f64();
         let memory = self.settings.memory_price * share * requests;
         if is_cached {
-            return forecast.probability >= MIN_RENEWAL_PROBABILITY && saved > memory;
+            return forecast.probability >= MIN_RENEWAL_PROBABILITY && avoided > memory;
         }
         let evicts = self.workers[worker].memory_share > MAX_MEMORY_SHARE;
-        let worth = saved > memory + self.settings.fetch_price;
-        !evicts && worth && forecast.probability >= MIN_LOAD_PROBABILITY
+        let is_paid_for = avoided > memory + self.settings.fetch_price;
+        !evicts && is_paid_for && forecast.probability >= MIN_LOAD_PROBABILITY
     }
 
     fn take_load_quota(&mut self) -> bool {
@@ -99,7 +99,7 @@
         let entry = if is_loaded { loaded } else { CacheEntry::default() };
         self.workers[end.worker].cache.insert(end.function, entry);
         let has_samples = self.prefetch_durations.count() >= MIN_SAMPLES;
-        let usual = self.prefetch_durations.quantile(0.5).mul_f64(SLOW_LOAD_RATIO);
+        let usual = self.prefetch_durations.quantile(MEDIAN).mul_f64(SLOW_LOAD_RATIO);
         let is_slow = is_loaded && has_samples && end.duration > usual;
         if is_loaded {
             self.prefetch_durations.add(end.duration);
--- a/crates/quartzdrift-scheduler/src/state/mod.rs
+++ b/crates/quartzdrift-scheduler/src/state/mod.rs
@@ -6,7 +6,7 @@
 mod worker;
 
 pub(crate) use class::{ClassState, tenant_shares};
-pub(crate) use request::{Execution, OpenRequest, PendingQuery};
+pub(crate) use request::{OpenRequest, PendingQuery, UncertainAttempt};
 pub use scheduler::{Scheduler, TableSizes};
 pub(crate) use settings::DerivedSettings;
 pub(crate) use worker::{CacheEntry, Context, Health, RemoteLoad, Worker};
--- a/crates/quartzdrift-scheduler/src/state/request.rs
+++ b/crates/quartzdrift-scheduler/src/state/request.rs
@@ -15,7 +15,7 @@
     /// Attempts started so far.
     pub(crate) attempts: u32,
     /// The first attempt that may have executed.
-    pub(crate) first_execution: Option<Execution>,
+    pub(crate) may_have_executed: Option<UncertainAttempt>,
     /// The attempt in flight.
     pub(crate) current: Option<CurrentAttempt>,
     /// Workers that had the request.
@@ -41,7 +41,7 @@
 
 /// An attempt that may have executed.
 #[derive(Clone, Copy)]
-pub(crate) struct Execution {
+pub(crate) struct UncertainAttempt {
     pub(crate) worker: usize,
     pub(crate) sent_at: Duration,
 }
--- a/crates/quartzdrift-scheduler/tests/decisions.rs
+++ b/crates/quartzdrift-scheduler/tests/decisions.rs
@@ -3,7 +3,13 @@
 //! Each day drives one scheduler with a small model of workers and hashes the sequence of its actions in blocks. The
 //! recorded hashes are in `decisions.txt`, one `day block hash` a line; the first block that differs is printed. After an
 //! intended change of a decision, `RECORD_DECISIONS=1` writes the file anew.
-use quartzdrift_scheduler::interface::*;
+#![allow(clippy::unwrap_used, reason = "a test may stop at what must not be")]
+
+use quartzdrift_scheduler::interface::{
+    Action, Allowed, CacheResult, CacheSettings, CountedBy, DeduplicationScope, DiscoveryMode, Endpoint,
+    EndpointListKind, EndpointState, Event, Idempotency, Outcome, Prices, ReportField, ReportSource, Request,
+    RequestClass, RequestId, Rules, Settings, Tenant, UsageForecast,
+};
 use quartzdrift_scheduler::scheduler::Scheduler;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -22,10 +28,10 @@
 impl Random {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        z ^ (z >> 31)
+        let mut mixed = self.0;
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
     }
 
     fn below(&mut self, bound: u64) -> u64 {
@@ -41,8 +47,8 @@
     }
 }
 
-/// What is still to come, in order of time and then of its making.
-enum Coming {
+/// An event that is still to come.
+enum Upcoming {
     Arrival,
     Ending { request: RequestId, attempt: u32, worker: String, sent: Duration },
     Expiry(RequestId),
@@ -60,85 +66,114 @@
     tenants: u32,
     fields: usize,
     now: Duration,
-    made: u64,
-    coming: BTreeMap<(Duration, u64), Coming>,
+    /// Events planned so far.
+    planned: u64,
+    /// By time, then in the order in which they were planned.
+    upcoming: BTreeMap<(Duration, u64), Upcoming>,
     open: BTreeSet<RequestId>,
     attempts: BTreeMap<RequestId, u32>,
-    out: BTreeMap<(RequestId, u32), (Duration, u64)>,
+    /// Keys of the ends of attempts that are in flight.
+    in_flight: BTreeMap<(RequestId, u32), (Duration, u64)>,
     started: Vec<Option<Duration>>,
-    sick: Vec<u64>,
+    /// Attempts at each worker that may still fail in a row.
+    failures_left: Vec<u64>,
     next_request: RequestId,
     actions: Vec<String>,
 }
 
+/// Bit `at` of the seed, which switches a setting.
+fn bit(seed: u64, at: u64) -> bool {
+    seed >> at & 1 == 1
+}
+
+fn millis(count: u64) -> Duration {
+    Duration::from_millis(count)
+}
+
 fn settings(seed: u64) -> Settings {
-    let bit = |at: u64| seed >> at & 1 == 1;
-    let ms = Duration::from_millis;
-    let idempotency_kinds =
-        [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent];
-    let request_classes = (0..3).map(|at| RequestClass {
-        name: format!("class-{at}"),
-        idempotency: idempotency_kinds[(at + seed as usize) % 3],
-        latency_objective: Some(ms(400 + 300 * at as u64)),
-        timeout: Some(ms(3000)),
-        priority_weight: Some(1.0 + at as f64),
-        deduplication_scope: [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell]
-            [seed as usize % 3],
-        window: Some(ms(1500)),
-        ..RequestClass::default()
-    });
     let tenant = |name: &str, rate| Tenant {
         name: name.to_owned(),
         requests_per_second: Some(rate),
         ..Tenant::default()
     };
-    let fields = match seed % 4 {
-        0 => vec![ReportField::Held, ReportField::MemoryTaken],
-        1 => vec![ReportField::Busy],
-        2 => vec![ReportField::Queued, ReportField::Loads],
-        _ => Vec::new(),
-    };
     Settings {
         schedulers: Some(1 + (seed % 5) as u32),
-        discovery: if bit(1) { DiscoveryMode::Poll } else { DiscoveryMode::Push },
-        counted_by: if bit(2) { CountedBy::Work } else { CountedBy::Request },
-        request_classes: request_classes.collect(),
+        discovery: if bit(seed, 1) { DiscoveryMode::Poll } else { DiscoveryMode::Push },
+        counted_by: if bit(seed, 2) { CountedBy::Work } else { CountedBy::Request },
+        request_classes: (0..3).map(|at| request_class(seed, at)).collect(),
         tenants: vec![tenant("a", 20.0), tenant("b", 10.0)],
-        allowed: Allowed {
-            cancel: bit(0),
-            retry_after: bit(3),
-            max_retry_after: bit(2).then_some(ms(150)),
-            max_attempts: Some(1 + (seed % 3) as u32),
-            ..Allowed::default()
-        },
-        rules: Rules {
-            cold_from: Some(0.2),
-            cold_for: Some(ms(4000)),
-            fall_multiple: Some(2.0),
-            fall_window: bit(1).then_some(ms(1500)),
-            drain_grace: Some(ms(250)),
-            ask_within: bit(0).then_some(ms(400)),
-            ..Rules::default()
-        },
-        copies: CacheSettings {
-            load_commands: bit(2) || bit(0),
-            reports_cache_status: bit(1),
-            reports_concurrency: bit(1),
-            keep: Some(ms(6000)),
-            memory_mb_by_kind: vec![4000.0, 16000.0],
-            idle_memory_price: Some(0.01),
-            load_quota_burst: Some(4.0),
-            load_quota_share: Some(0.05),
-            load_quota_window: bit(3).then_some(ms(5000)),
-            ..CacheSettings::default()
-        },
+        allowed: allowed(seed),
+        rules: rules(seed),
+        copies: cache_settings(seed),
         report_source: ReportSource::Answers,
-        report_fields: fields,
+        report_fields: report_fields(seed),
         prices: Prices { origin: 0.02, ..Prices::default() },
         ..Settings::default()
     }
 }
 
+fn request_class(seed: u64, at: usize) -> RequestClass {
+    let idempotency_kinds =
+        [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent];
+    let scopes = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell];
+    RequestClass {
+        name: format!("class-{at}"),
+        idempotency: idempotency_kinds[(at + seed as usize) % 3],
+        latency_objective: Some(millis(400 + 300 * at as u64)),
+        timeout: Some(millis(3000)),
+        priority_weight: Some(1.0 + at as f64),
+        deduplication_scope: scopes[seed as usize % 3],
+        window: Some(millis(1500)),
+        ..RequestClass::default()
+    }
+}
+
+fn allowed(seed: u64) -> Allowed {
+    Allowed {
+        cancel: bit(seed, 0),
+        retry_after: bit(seed, 3),
+        max_retry_after: bit(seed, 2).then_some(millis(150)),
+        max_attempts: Some(1 + (seed % 3) as u32),
+        ..Allowed::default()
+    }
+}
+
+fn rules(seed: u64) -> Rules {
+    Rules {
+        cold_from: Some(0.2),
+        cold_for: Some(millis(4000)),
+        fall_multiple: Some(2.0),
+        fall_window: bit(seed, 1).then_some(millis(1500)),
+        drain_grace: Some(millis(250)),
+        ask_within: bit(seed, 0).then_some(millis(400)),
+        ..Rules::default()
+    }
+}
+
+fn cache_settings(seed: u64) -> CacheSettings {
+    CacheSettings {
+        load_commands: bit(seed, 2) || bit(seed, 0),
+        reports_cache_status: bit(seed, 1),
+        reports_concurrency: bit(seed, 1),
+        keep: Some(millis(6000)),
+        memory_mb_by_kind: vec![4000.0, 16000.0],
+        idle_memory_price: Some(0.01),
+        load_quota_burst: Some(4.0),
+        load_quota_share: Some(0.05),
+        load_quota_window: bit(seed, 3).then_some(millis(5000)),
+        ..CacheSettings::default()
+    }
+}
+
+fn report_fields(seed: u64) -> Vec<ReportField> {
+    match seed % 4 {
+        0 => vec![ReportField::Held, ReportField::MemoryTaken],
+        1 => vec![ReportField::Busy],
+        2 => vec![ReportField::Queued, ReportField::Loads],
+        _ => Vec::new(),
+    }
+}
+
 /// Actions in a form that does not follow the names of types and fields.
 fn written(action: &Action) -> String {
     match action {
@@ -170,22 +205,22 @@
             fields: settings.report_fields.len(),
             random,
             now: Duration::from_secs(1),
-            made: 0,
-            coming: BTreeMap::new(),
+            planned: 0,
+            upcoming: BTreeMap::new(),
             open: BTreeSet::new(),
             attempts: BTreeMap::new(),
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             started: vec![None; WORKERS],
-            sick: vec![0; WORKERS],
+            failures_left: vec![0; WORKERS],
             next_request: 0,
             actions: Vec::new(),
         }
     }
 
-    fn plan(&mut self, after: Duration, what: Coming) -> (Duration, u64) {
-        self.made += 1;
-        let key = (self.now + after, self.made);
-        self.coming.insert(key, what);
+    fn plan(&mut self, after: Duration, what: Upcoming) -> (Duration, u64) {
+        self.planned += 1;
+        let key = (self.now + after, self.planned);
+        self.upcoming.insert(key, what);
         key
     }
 
@@ -206,29 +241,29 @@
                 let duration = if loads { self.random.millis(200, 900) } else { self.random.millis(20, 250) };
                 let after = timeout.map_or(duration, |limit| duration.min(limit));
                 let (worker, sent) = (worker.to_string(), self.now);
-                let key = self.plan(after, Coming::Ending { request, attempt, worker, sent });
-                self.out.insert((request, attempt), key);
+                let key = self.plan(after, Upcoming::Ending { request, attempt, worker, sent });
+                self.in_flight.insert((request, attempt), key);
             }
             Action::Reject { request, .. } | Action::Fail { request } => drop(self.open.remove(&request)),
             Action::CancelAttempt { request, attempt } => {
-                let Some(key) = self.out.get(&(request, attempt)).copied() else { return };
-                if let Some(Coming::Ending { worker, sent, .. }) = self.coming.remove(&key) {
-                    self.out.remove(&(request, attempt));
+                let Some(key) = self.in_flight.get(&(request, attempt)).copied() else { return };
+                if let Some(Upcoming::Ending { worker, sent, .. }) = self.upcoming.remove(&key) {
+                    self.in_flight.remove(&(request, attempt));
                     let after = Duration::from_micros(10);
                     let sent = sent + Duration::from_secs(1_000_000); // marks a cancelled one
-                    self.plan(after, Coming::Ending { request, attempt, worker, sent });
+                    self.plan(after, Upcoming::Ending { request, attempt, worker, sent });
                 }
             }
             Action::SetTimer { delay, name } => {
-                self.plan(delay, Coming::Timer(name));
+                self.plan(delay, Upcoming::Timer(name));
             }
             Action::Load { worker, function, copies } => {
                 let duration = self.random.millis(100, 700);
                 let (worker, function, sent) = (worker.to_string(), function.to_string(), self.now);
-                self.plan(duration, Coming::Loaded { worker, function, copies, sent });
+                self.plan(duration, Upcoming::Loaded { worker, function, copies, sent });
             }
             Action::Watch { .. } | Action::PollEndpoints => {
-                self.plan(Duration::from_millis(30), Coming::List);
+                self.plan(Duration::from_millis(30), Upcoming::List);
             }
             Action::CheckHealth { .. }
             | Action::CloseIdle { .. }
@@ -268,12 +303,12 @@
         // A burst in the middle third.
         let busy = self.now > DAY / 3 && self.now < DAY * 2 / 3;
         let gap = if busy { self.random.millis(1, 9) } else { self.random.millis(4, 30) };
-        self.plan(gap, Coming::Arrival);
+        self.plan(gap, Upcoming::Arrival);
         self.next_request += 1;
         let request = self.next_request;
         let function = format!("f{}", self.random.below(4) * self.random.below(6));
         let left = self.random.millis(800, 3000);
-        let asked = Request {
+        let arrived = Request {
             request,
             request_class: self.random.below(self.classes as u64 + u64::from(request.is_multiple_of(97)))
                 as u32,
@@ -285,8 +320,8 @@
             ..Request::default()
         };
         self.open.insert(request);
-        self.plan(left, Coming::Expiry(request));
-        self.feed(Event::Request(asked));
+        self.plan(left, Upcoming::Expiry(request));
+        self.feed(Event::Request(arrived));
     }
 
     fn report(&mut self) -> Vec<Option<f64>> {
@@ -295,15 +330,15 @@
     }
 
     fn ending(&mut self, request: RequestId, attempt: u32, worker: &str, sent: Duration) {
-        self.out.remove(&(request, attempt));
+        self.in_flight.remove(&(request, attempt));
         let cancelled = sent > self.now;
         let at: usize = worker[7..worker.len() - 3].parse().unwrap();
         if self.random.chance(1) {
-            self.sick[at] = self.random.below(60);
+            self.failures_left[at] = self.random.below(60);
         }
-        let sick = self.sick[at] > 0;
-        self.sick[at] = self.sick[at].saturating_sub(1);
-        let outcome = match self.random.below(if sick { 8 } else { 60 }) {
+        let is_failing = self.failures_left[at] > 0;
+        self.failures_left[at] = self.failures_left[at].saturating_sub(1);
+        let outcome = match self.random.below(if is_failing { 8 } else { 60 }) {
             _ if cancelled => Outcome::Cancelled,
             0 => Outcome::Error,
             1 => Outcome::AtCapacity,
@@ -341,9 +376,9 @@
     }
 
     fn forecast(&mut self) {
-        self.plan(Duration::from_millis(700), Coming::Forecast);
+        self.plan(Duration::from_millis(700), Upcoming::Forecast);
         let function = format!("f{}", self.random.below(16));
-        let expected = UsageForecast {
+        let forecast = UsageForecast {
             function: &function,
             request_class: self.random.below(self.classes as u64) as u32,
             within: self.random.millis(500, 9000),
@@ -353,7 +388,7 @@
             concurrency_slots: Some(1.0),
             load_hint: self.random.chance(50).then_some(Duration::from_millis(600)),
         };
-        self.feed(Event::UsageForecast(expected));
+        self.feed(Event::UsageForecast(forecast));
         match self.random.below(20) {
             0 => {
                 let schedulers = 1 + self.random.below(6) as u32;
@@ -367,18 +402,20 @@
         }
     }
 
-    fn step(&mut self, what: Coming) {
+    fn step(&mut self, what: Upcoming) {
         match what {
-            Coming::Arrival => self.arrival(),
-            Coming::Ending { request, attempt, worker, sent } => self.ending(request, attempt, &worker, sent),
-            Coming::Expiry(request) => {
+            Upcoming::Arrival => self.arrival(),
+            Upcoming::Ending { request, attempt, worker, sent } => {
+                self.ending(request, attempt, &worker, sent)
+            }
+            Upcoming::Expiry(request) => {
                 if self.open.remove(&request) {
                     self.feed(Event::RequestCancelled { request });
                 }
             }
-            Coming::Timer(name) => self.feed(Event::Timer { name }),
-            Coming::List => {
-                self.plan(Duration::from_millis(2500), Coming::List);
+            Upcoming::Timer(name) => self.feed(Event::Timer { name }),
+            Upcoming::List => {
+                self.plan(Duration::from_millis(2500), Upcoming::List);
                 let form = match self.random.below(6) {
                     0 => EndpointListKind::Failed,
                     1 | 2 => EndpointListKind::Full,
@@ -386,8 +423,8 @@
                 };
                 self.list(form);
             }
-            Coming::Forecast => self.forecast(),
-            Coming::Loaded { worker, function, copies, sent } => {
+            Upcoming::Forecast => self.forecast(),
+            Upcoming::Loaded { worker, function, copies, sent } => {
                 let (outcome, copies) = match self.random.below(10) {
                     0 => (Outcome::Error, 0),
                     1 => (Outcome::AtCapacity, 0),
@@ -403,10 +440,10 @@
 
     fn play(mut self) -> Vec<String> {
         self.list(EndpointListKind::Snapshot);
-        self.plan(Duration::from_millis(5), Coming::Arrival);
-        self.plan(Duration::from_millis(1500), Coming::List);
-        self.plan(Duration::from_millis(2000), Coming::Forecast);
-        while let Some(((at, _), what)) = self.coming.pop_first().filter(|((at, _), _)| *at < DAY) {
+        self.plan(Duration::from_millis(5), Upcoming::Arrival);
+        self.plan(Duration::from_millis(1500), Upcoming::List);
+        self.plan(Duration::from_millis(2000), Upcoming::Forecast);
+        while let Some(((at, _), what)) = self.upcoming.pop_first().filter(|((at, _), _)| *at < DAY) {
             self.now = at;
             self.step(what);
         }
