--- /dev/null
+++ b/crates/quartzdrift-adapter/src/action/mod.rs
@@ -0,0 +1,70 @@
+//! Actions of the scheduler as lines of the wire.
+use crate::hex;
+use quartzdrift_scheduler::interface::Action;
+use std::fmt::{Result, Write};
+
+#[cfg(test)]
+mod tests;
+
+/// Appends the line for an action of an instance.
+pub(crate) fn encode(out: &mut String, instance: u64, action: &Action) -> Result {
+    write!(out, "{}\ti={instance}", name(action))?;
+    write_fields(out, action)?;
+    out.write_char('\n')
+}
+
+fn name(action: &Action) -> &'static str {
+    match action {
+        Action::StartAttempt { .. } => "pass_on",
+        Action::Reject { .. } => "push_back",
+        Action::Fail { .. } => "drop_request",
+        Action::CancelAttempt { .. } => "abort_attempt",
+        Action::SetTimer { .. } => "notify_me",
+        Action::CheckHealth { .. } => "ping",
+        Action::CloseIdle { .. } => "shut_idle",
+        Action::SendToPeer { .. } => "share",
+        Action::Load { .. } => "load",
+        Action::Unload { .. } => "unload",
+        Action::Watch { .. } => "watch",
+        Action::PollEndpoints => "snapshot",
+        Action::Log { .. } => "trace",
+    }
+}
+
+fn write_fields(out: &mut String, action: &Action) -> Result {
+    match action {
+        Action::StartAttempt {
+            request,
+            worker,
+            timeout,
+        } => {
+            write!(out, "\ttid={request}\tworker={worker}")?;
+            timeout.map_or(Ok(()), |timeout| {
+                write!(out, "\tmax-wait-ns={}", timeout.as_nanos())
+            })
+        }
+        Action::Reject { request, retry_after } => {
+            write!(out, "\ttid={request}")?;
+            retry_after.map_or(Ok(()), |time| write!(out, "\tcool-down-ns={}", time.as_nanos()))
+        }
+        Action::Fail { request } => write!(out, "\ttid={request}"),
+        Action::CancelAttempt { request, attempt } => write!(out, "\ttid={request}\tseq-no={attempt}"),
+        Action::SetTimer { delay, name } => write!(out, "\tdelay-ns={}\tmark={name}", delay.as_nanos()),
+        Action::CheckHealth { worker } | Action::CloseIdle { worker } => write!(out, "\tworker={worker}"),
+        Action::SendToPeer { to, bytes } => {
+            let to = to.map_or("all".to_owned(), |scheduler| scheduler.to_string());
+            write!(out, "\tdst={to}\tbody={}", hex::encode(bytes))
+        }
+        Action::Load {
+            worker,
+            function,
+            copies,
+        } => {
+            write!(out, "\tworker={worker}\timage={function}\tn-inst={copies}")
+        }
+        Action::Unload { worker, function } => write!(out, "\tworker={worker}\timage={function}"),
+        Action::Watch { on } => write!(out, "\tactive={}", u8::from(*on)),
+        Action::PollEndpoints => Ok(()),
+        Action::Log { text } => write!(out, "\ttext={}", text.replace(['\n', '\r', '\t'], " ")),
+    }
+}
