--- a/crates/quartzdrift-lifecycle/src/request_table/table.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/table.rs
@@ -89,7 +89,8 @@
 
     /// Entries that the scheduler holds: workers, functions and open requests.
     pub fn sizes(&self) -> (usize, usize, usize) {
-        self.scheduler.places()
+        let sizes = self.scheduler.table_sizes();
+        (sizes.workers, sizes.functions, sizes.open_requests)
     }
 
     /// Whether a request still waits for its final answer.
