--- a/crates/quartzdrift-lab/src/emulate/returning.rs
+++ b/crates/quartzdrift-lab/src/emulate/returning.rs
@@ -112,7 +112,7 @@
         let known = scheduler
             .fleet
             .as_ref()
-            .map(|fleet| fleet.members.there().map(|m| m.name.to_string()));
+            .map(|fleet| fleet.members.reachable().map(|m| m.name.to_string()));
         let known: Vec<String> = known.into_iter().flatten().collect();
         scheduler.returning.copy = scheduler
             .returning
@@ -180,7 +180,9 @@
         for output in outputs {
             match (output, &mut scheduler.fleet) {
                 (Output::Tell { to, bytes }, Some(fleet)) => {
-                    fleet.members.tell(&to, quartzdrift_recovery::RECOVERY, bytes);
+                    fleet
+                        .members
+                        .send_message(&to, quartzdrift_recovery::RECOVERY, bytes);
                 }
                 (Output::Judged(verdict), _) => {
                     scheduler.returning.judged = Some((self.now - scheduler.returning.since, verdict.kind));
--- a/crates/quartzdrift-membership/src/lib.rs
+++ b/crates/quartzdrift-membership/src/lib.rs
@@ -1,21 +1,27 @@
 //! Membership of a fleet of schedulers by SWIM (Das, Gupta, Motivala 2002) with Lifeguard's refinements (Dadgar, Phillips,
 //! Currey 2017). No I/O, no clock.
 //!
-//! Make [`Members`] from settings, a life drawn anew at each start, and a seed. Give it each datagram with
-//! [`Members::packet`], call [`Members::due`] when [`Members::next_due`] has come, and carry out [`Members::outputs`].
+//! Create a [`Membership`] from [`Settings`], an instance number drawn anew at each process start, and a random seed. Pass
+//! it each received datagram with [`Membership::receive`], call [`Membership::due`] when [`Membership::next_due`] has
+//! passed, and carry out [`Membership::take_outputs`].
 //!
-//! * `wire`: datagrams, their key and version.
-//! * `replay`: which datagrams of a peer were taken already.
-//! * `news`: what is believed of each member, and what of it is passed on.
-//! * `members`: probes, suspicion, joining and leaving.
-//! * `count`: how many schedulers the decision module is told of.
-mod count;
-mod members;
-mod news;
+//! * `settings`: configuration and its defaults.
+//! * `member`: the state of one member and the updates that members exchange about it.
+//! * `membership`: the protocol's state machine: probes, suspicion, dissemination, joining and leaving.
+//! * `gossip`: the queue of updates that are piggybacked on other datagrams.
+//! * `replay`: the sliding window that rejects replayed datagrams.
+//! * `wire`: encoding, authentication and versioning of datagrams.
+//! * `scheduler_count`: the number of schedulers that each scheduler divides shared limits by.
+mod gossip;
+mod member;
+mod membership;
 mod replay;
-pub mod wire;
+mod scheduler_count;
+mod settings;
+mod wire;
 
-pub use count::Count;
-pub use members::{Members, Output, Settings};
-pub use news::{Member, State};
-pub use wire::Refused;
+pub use member::{Member, MemberState, MemberUpdate};
+pub use membership::{Membership, MemoryUsage, Output};
+pub use scheduler_count::SchedulerCount;
+pub use settings::Settings;
+pub use wire::{MAX_NAME_LENGTH, RejectReason};
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -62,7 +62,7 @@
 /// What an earlier start left in its folder; for the clock as well.
 pub(super) fn found(settings: &Settings, now: Moment) -> Option<Found> {
     let folder = settings.state.as_deref()?;
-    let known = super::fleet::known(Some(folder));
+    let known = super::fleet::known_members(Some(folder));
     let without = |disk| Found {
         mark: None,
         disk,
@@ -258,7 +258,7 @@
         let outputs = returning.machine.outputs();
         for output in outputs {
             match output {
-                Output::Tell { to, bytes } => self.tell_member(&to, quartzdrift_recovery::RECOVERY, bytes),
+                Output::Tell { to, bytes } => self.send_to_member(&to, quartzdrift_recovery::RECOVERY, bytes),
                 Output::Judged(verdict) => {
                     let (kind, disk) = (verdict.kind, verdict.disk);
                     let (answered, lost, silent) = (verdict.answered, verdict.lost, verdict.silent);
--- a/crates/quartzdrift/src/settings/check.rs
+++ b/crates/quartzdrift/src/settings/check.rs
@@ -260,7 +260,7 @@
 fn fleet(raw: &File, faults: &mut Faults) -> Option<super::Fleet> {
     let told = raw.fleet.as_ref()?;
     let defaults = quartzdrift_membership::Settings::default();
-    let most = quartzdrift_membership::wire::MAX_NAME;
+    let most = quartzdrift_membership::MAX_NAME_LENGTH;
     if told.name.is_empty() || told.name.len() > most {
         let mend = format!("write a name of 1 to {most} bytes that no other scheduler has");
         faults.add(
@@ -309,7 +309,7 @@
             }
         }
     }
-    let period = told.period.map_or(defaults.period, |span| span.0);
+    let period = told.period.map_or(defaults.protocol_period, |span| span.0);
     let probe_timeout = told.probe_timeout.map_or(period.mul_f64(0.3), |span| span.0);
     if period < Duration::from_millis(10) || probe_timeout.is_zero() || probe_timeout * 2 > period {
         let mend = "write a period of 10ms or more, and a probe_timeout of half of it at most";
@@ -319,16 +319,16 @@
             mend,
         );
     }
-    let datagram_most = told.datagram_bytes.unwrap_or(defaults.datagram_most);
-    if !(512..=2048).contains(&datagram_most) {
+    let max_datagram_size = told.datagram_bytes.unwrap_or(defaults.max_datagram_size);
+    if !(512..=2048).contains(&max_datagram_size) {
         faults.add(
             faults.key("fleet", "datagram_bytes"),
             "datagrams are too short or too long",
             "write 512 to 2048",
         );
     }
-    let members_most = told.members.unwrap_or(defaults.members_most);
-    if members_most == 0 {
+    let max_members = told.members.unwrap_or(defaults.max_members);
+    if max_members == 0 {
         faults.add(
             faults.key("fleet", "members"),
             "there is no room for any member",
@@ -341,10 +341,10 @@
         cluster: told.cluster.clone(),
         seeds,
         keys,
-        period,
+        protocol_period: period,
         probe_timeout,
-        datagram_most,
-        members_most,
+        max_datagram_size,
+        max_members,
         ..defaults
     };
     Some(super::Fleet {
