--- a/crates/quartzdrift-lab/src/badday.rs
+++ b/crates/quartzdrift-lab/src/badday.rs
@@ -494,7 +494,7 @@
 
     fn spoil(&mut self, n: usize, how: Spoil) -> io::Result<()> {
         let state = self.gateways[n].state.clone();
-        let mark = state.join(quartzdrift::saved::MARK);
+        let mark = state.join(quartzdrift::snapshots::CHECKPOINT);
         match how {
             Spoil::Cut => {
                 let bytes = std::fs::read(&mark)?;
@@ -740,7 +740,8 @@
         std::thread::sleep(Duration::from_millis(500));
     }
     let view = |gateway: &Gateway| -> Option<View> {
-        let bytes = quartzdrift::saved::last(&gateway.state, quartzdrift::saved::STAGES).ok()??;
+        let bytes =
+            quartzdrift::snapshots::read(&gateway.state, quartzdrift::snapshots::RECOVERY_VIEW).ok()??;
         serde_json::from_slice(&bytes).ok()
     };
     let views = stage
--- a/crates/quartzdrift-lab/src/emulate/clients.rs
+++ b/crates/quartzdrift-lab/src/emulate/clients.rs
@@ -44,7 +44,7 @@
         );
         let (now, life) = (self.now, self.schedulers[s].life);
         if let Some(machine) = &mut self.schedulers[s].returning.machine {
-            match machine.let_in(now, &arrival.function) {
+            match machine.admit(now, &arrival.function) {
                 Ok(tries) => self.clients[client].tries = tries.map(|number| (life, number)),
                 Err(wait) => {
                     let retry_after = Some(wait);
--- a/crates/quartzdrift-lab/src/emulate/fleet.rs
+++ b/crates/quartzdrift-lab/src/emulate/fleet.rs
@@ -1,7 +1,7 @@
 //! Schedulers as members of a fleet: the real membership, over a modelled network of datagrams.
 use super::{Ev, START, Sim};
 use quartzdrift_membership::{MemberState, Membership, Output, SchedulerCount, Settings};
-use quartzdrift_recovery::Kind;
+use quartzdrift_recovery::RestartKind;
 use rand::RngExt;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -206,14 +206,14 @@
                 if let (MemberState::Alive, Some(machine)) =
                     (m.state, &mut self.schedulers[s].returning.machine)
                 {
-                    machine.member(now, &m.name);
+                    machine.member_seen(now, &m.name);
                     self.return_says(s);
                 }
             }
             Output::Message { from, bytes, .. } => {
                 if let Some(machine) = &mut self.schedulers[s].returning.machine {
                     // What is not understood is refused by a test of its own.
-                    let _ = machine.told(now, &from, &bytes);
+                    let _ = machine.receive(now, &from, &bytes);
                     self.return_says(s);
                 }
             }
@@ -299,7 +299,7 @@
             .collect();
         let lost = judged
             .iter()
-            .filter(|(_, kind)| *kind == Kind::LossOfMany)
+            .filter(|(_, kind)| *kind == RestartKind::MassFailure)
             .count();
         self.figures.judged_lost = lost as f64 / self.schedulers.len() as f64;
         let most = judged.iter().map(|(took, _)| *took).max().unwrap_or_default();
--- a/crates/quartzdrift-lab/src/emulate/returning.rs
+++ b/crates/quartzdrift-lab/src/emulate/returning.rs
@@ -2,7 +2,9 @@
 //! On disk here is what a scheduler noted when it was killed, and what a script makes of it.
 use super::{START, Sim};
 use crate::script::Spoil;
-use quartzdrift_recovery::{Came, Disk, Found, Kind, Mark, Moment, Output, Recovery, Settings};
+use quartzdrift_recovery::{
+    Checkpoint, ClockSample, DiskState, LoadResult, Output, Recovery, RestartKind, Settings, StartupEvidence,
+};
 use quartzdrift_scheduler::measure::Measurements;
 use std::time::Duration;
 
@@ -17,16 +19,16 @@
 pub(super) struct Returning {
     pub machine: Option<Recovery>,
     /// What it noted, and which members it counted then.
-    noted: Option<(Mark, Vec<String>)>,
+    noted: Option<(Checkpoint, Vec<String>)>,
     /// What it would have noted at another moment, for a script to put back.
-    copy: Option<(Mark, Vec<String>)>,
+    copy: Option<(Checkpoint, Vec<String>)>,
     /// The mark cannot be read; nothing can be written.
     spoilt: bool,
     pub full: bool,
     /// How far its next starts' wall clock is off, and whether ahead.
     pub clock: (Duration, bool),
     /// How long it took to judge its last start after a kill, and what for.
-    pub judged: Option<(Duration, Kind)>,
+    pub judged: Option<(Duration, RestartKind)>,
     since: Duration,
     starts: u32,
     /// What its desk had measured when it was killed.
@@ -35,7 +37,7 @@
 
 impl Sim<'_> {
     /// All machines run on the same clock, and one that was killed has started anew.
-    fn moment(&self, s: usize) -> Moment {
+    fn moment(&self, s: usize) -> ClockSample {
         let boot = format!("{s}-{}", self.schedulers[s].returning.starts);
         let (by, ahead) = self.schedulers[s].returning.clock;
         let wall = if ahead {
@@ -43,7 +45,7 @@
         } else {
             self.now.saturating_sub(by)
         };
-        Moment {
+        ClockSample {
             wall,
             boot,
             since_boot: BOOT,
@@ -62,31 +64,29 @@
         let (now, moment) = (self.now, self.moment(s));
         let name = format!("s{s}");
         let found = match self.schedulers[s].returning.noted.take() {
-            Some((mark, known)) => Found::marked(mark, &name, known, moment),
+            Some((mark, known)) => StartupEvidence::from_checkpoint(mark, &name, known, moment),
             None => {
                 let spoilt = std::mem::take(&mut self.schedulers[s].returning.spoilt);
-                let disk = if spoilt { Disk::Spoilt } else { Disk::Empty };
-                Found {
-                    mark: None,
-                    disk,
-                    known: Vec::new(),
-                    now: moment,
-                    beside: false,
-                }
+                let disk = if spoilt {
+                    DiskState::Damaged
+                } else {
+                    DiskState::Empty
+                };
+                StartupEvidence::without_checkpoint(disk, Vec::new(), moment)
             }
         };
         let settings = Settings {
             name,
-            fleet: self.variant.members && now > START,
-            ask: ASK,
-            longest: LONGEST,
+            has_fleet: self.variant.members && now > START,
+            ask_timeout: ASK,
+            max_duration: LONGEST,
             idempotency_keys_on_disk: false,
             load_quota_window: Duration::from_secs_f64(self.variant.load_window_s.max(0.0)),
-            fall_window: self.script.fall_window,
-            out: 64,
-            pace: self.variant.pace,
-            store: None,
-            life: self.drawn,
+            slow_start_window: self.script.fall_window,
+            max_async_in_flight: 64,
+            admission_ramp: self.variant.pace,
+            store_start: None,
+            instance: self.drawn,
         };
         self.schedulers[s].returning.machine = Some(Recovery::new(settings, found, now));
     }
@@ -101,7 +101,7 @@
         let returning = &mut self.schedulers[s].returning;
         if let Some(machine) = returning.machine.take() {
             returning.measured = measured;
-            returning.noted = Some((machine.mark(moment), known));
+            returning.noted = Some((machine.checkpoint(moment), known));
         }
     }
 
@@ -118,7 +118,7 @@
             .returning
             .machine
             .as_ref()
-            .map(|machine| (machine.mark(moment), known));
+            .map(|machine| (machine.checkpoint(moment), known));
     }
 
     pub(super) fn return_spoilt(&mut self, s: usize, how: Spoil) {
@@ -145,7 +145,7 @@
                 machine.due(now);
             }
             // Asynchronous requests are not modelled: there is no backlog.
-            machine.backlog_through(now);
+            machine.backlog_drained(now);
         }
         self.return_says(s);
     }
@@ -157,16 +157,16 @@
         let Some(machine) = &mut scheduler.returning.machine else {
             return;
         };
-        machine.answered(kept);
+        machine.request_answered(kept);
         if let Some((life, number)) = of.tries.take()
             && life == scheduler.life
         {
             let came = match (finished, self.load_failed) {
-                (true, _) => Came::Stands,
-                (false, true) => Came::Refused,
-                (false, false) => Came::Nothing,
+                (true, _) => LoadResult::Cached,
+                (false, true) => LoadResult::Rejected,
+                (false, false) => LoadResult::Inconclusive,
             };
-            machine.tried(now, number, came);
+            machine.load_finished(now, number, came);
         }
     }
 
@@ -176,25 +176,25 @@
         let Some(machine) = &mut scheduler.returning.machine else {
             return;
         };
-        let outputs = machine.outputs();
+        let outputs = machine.take_outputs();
         for output in outputs {
             match (output, &mut scheduler.fleet) {
-                (Output::Tell { to, bytes }, Some(fleet)) => {
+                (Output::Send { to, bytes }, Some(fleet)) => {
                     fleet
                         .members
-                        .send_message(&to, quartzdrift_recovery::RECOVERY, bytes);
+                        .send_message(&to, quartzdrift_recovery::RECOVERY_TOPIC, bytes);
                 }
-                (Output::Judged(verdict), _) => {
-                    scheduler.returning.judged = Some((self.now - scheduler.returning.since, verdict.kind));
+                (Output::Classified(restart), _) => {
+                    scheduler.returning.judged = Some((self.now - scheduler.returning.since, restart.kind));
                 }
-                (Output::TellMeasured, _) => {
+                (Output::RestoreMeasurements, _) => {
                     if let (Some(before), Some(request_table)) =
                         (scheduler.returning.measured.take(), &mut scheduler.request_table)
                     {
                         request_table.restore_measurements(self.now, before);
                     }
                 }
-                (Output::Tell { .. } | Output::Stage(_), _) => {}
+                (Output::Send { .. } | Output::PhaseEntered(_), _) => {}
             }
         }
     }
--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -223,7 +223,7 @@
             boot,
         } => {
             let boot = boot.map(|name| (name, Duration::ZERO));
-            clock::set(clock::Set { ahead, behind, boot });
+            clock::override_clocks(clock::ClockOverride { ahead, behind, boot });
             gateway(&file)
         }
         Command::Scheduler => run::start(),
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -1,7 +1,7 @@
 //! A gateway process and stand-in workers on loopback: the hard cases, seen from the sockets.
 use quartzdrift::gateway::fleet::View;
 use quartzdrift::invoke::{Invoke, invoke};
-use quartzdrift::saved;
+use quartzdrift::snapshots;
 use quartzdrift_discovery::list::Listed;
 use quartzdrift_http::Response;
 use quartzdrift_lab::actor::{Running, spawn};
@@ -584,7 +584,7 @@
     }
     gateway.term();
     assert!(gateway.ended());
-    let bytes = saved::last(&state, saved::FORECASTS).unwrap().unwrap();
+    let bytes = snapshots::read(&state, snapshots::FORECASTS).unwrap().unwrap();
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap();
@@ -752,7 +752,7 @@
 fn view(stage: &Stage, name: &str, what: &str, fits: impl Fn(&View) -> bool) -> View {
     let until = Instant::now() + Duration::from_secs(20);
     loop {
-        let bytes = saved::last(&stage.folder.path().join(name), saved::MEMBERS);
+        let bytes = snapshots::read(&stage.folder.path().join(name), snapshots::MEMBERS);
         let bytes = bytes.ok().flatten().unwrap_or_default();
         match serde_json::from_slice::<View>(&bytes) {
             Ok(view) if fits(&view) => return view,
@@ -850,9 +850,10 @@
             .collect();
         // It is written beside the loop, now and then.
         stage.wait("the successor's own start", |_| {
-            let bytes = saved::last(&state, saved::STAGES).ok()??;
+            let bytes = snapshots::read(&state, snapshots::RECOVERY_VIEW).ok()??;
             let view: quartzdrift_recovery::View = serde_json::from_slice(&bytes).ok()?;
-            (view.starts == 2 && view.verdict?.kind == quartzdrift_recovery::Kind::Planned).then_some(())
+            (view.starts == 2 && view.classification?.kind == quartzdrift_recovery::RestartKind::Planned)
+                .then_some(())
         });
         drop(successor);
         statuses
@@ -1118,7 +1119,7 @@
     let more = "[rules]\ncold_from = 0.3\ncold_for = \"60s\"\nfall_multiple = 3.0\nfall_window = \"400ms\"\n";
     let gateway = stage.gateway_with(&format!("state = \"{}\"", state.display()), more);
     let until = Instant::now() + Duration::from_secs(20);
-    while saved::last(&state, saved::MEASURED)
+    while snapshots::read(&state, snapshots::MEASUREMENTS)
         .unwrap()
         .is_none_or(|bytes| bytes.len() < 30)
     {
@@ -1140,7 +1141,7 @@
     }
     // Without what was measured, nothing.
     drop(gateway);
-    std::fs::remove_file(state.join(saved::MEASURED)).unwrap();
+    std::fs::remove_file(state.join(snapshots::MEASUREMENTS)).unwrap();
     let gateway = Gateway::start_on(&file, &["--boot", "again"]);
     std::thread::sleep(600 * MS);
     assert_eq!(gateway.invoke("echo", "{}").status, 429);
@@ -1166,7 +1167,10 @@
         (gateway.invoke("echo", "{}").status == 200).then_some(())
     });
     stage.wait("the saved list", |_| {
-        saved::last(&state, saved::WORKERS).ok().flatten().map(drop)
+        snapshots::read(&state, snapshots::WORKERS)
+            .ok()
+            .flatten()
+            .map(drop)
     });
     drop(gateway);
     // All but one have not come back; their processes are left over here, and would answer.
@@ -1182,7 +1186,7 @@
     // One list comes in this time, and is believed as it is.
     let only_one = |bytes: Vec<u8>| (!String::from_utf8_lossy(&bytes).contains(&workers[1])).then_some(());
     stage.wait("the list after it", |_| {
-        saved::last(&state, saved::WORKERS)
+        snapshots::read(&state, snapshots::WORKERS)
             .ok()
             .flatten()
             .and_then(only_one)
--- a/crates/quartzdrift-lab/tests/recovery.rs
+++ b/crates/quartzdrift-lab/tests/recovery.rs
@@ -4,7 +4,7 @@
 use quartzdrift_lab::losses;
 use quartzdrift_lab::record::Seen;
 use quartzdrift_lab::script;
-use quartzdrift_recovery::{Disk, Kind, Stage};
+use quartzdrift_recovery::{DiskState, RecoveryPhase, RestartKind};
 use std::path::Path;
 
 /// A fleet with requests of every effect, deferred ones too.
@@ -30,9 +30,10 @@
     day
 }
 
-fn kinds(day: &Day) -> Vec<Option<(Kind, Disk)>> {
-    let verdict =
-        |view: &Option<quartzdrift_recovery::View>| view.as_ref()?.verdict.as_ref().map(|v| (v.kind, v.disk));
+fn kinds(day: &Day) -> Vec<Option<(RestartKind, DiskState)>> {
+    let verdict = |view: &Option<quartzdrift_recovery::View>| {
+        view.as_ref()?.classification.as_ref().map(|v| (v.kind, v.disk))
+    };
     day.views.iter().map(verdict).collect()
 }
 
@@ -62,10 +63,13 @@
          at 3s power on gateways 0 2 every=200ms\nat 3800ms power on roster\nat 6s power on gateways 3 3",
         1,
     );
-    let lost = Some((Kind::LossOfMany, Disk::Whole));
+    let lost = Some((RestartKind::MassFailure, DiskState::Intact));
     assert_eq!(kinds(&day), [lost, lost, lost, lost, None], "one never came back");
     assert!(
-        day.views.iter().flatten().all(|view| view.stage == Stage::Full),
+        day.views
+            .iter()
+            .flatten()
+            .all(|view| view.phase == RecoveryPhase::FullService),
         "{:?}",
         day.views
     );
@@ -81,7 +85,10 @@
          at 4400ms power on gateways 0 2",
         2,
     );
-    assert_eq!(kinds(&day), [Some((Kind::LossOfMany, Disk::Whole)); 3]);
+    assert_eq!(
+        kinds(&day),
+        [Some((RestartKind::MassFailure, DiskState::Intact)); 3]
+    );
     assert!(finished_after(&day, 6.5) > 50);
 }
 
@@ -92,7 +99,10 @@
          at 2500ms power on workers 0 4\nat 2500ms power on roster\nat 2700ms power on gateways 0 2",
         3,
     );
-    assert_eq!(kinds(&day), [Some((Kind::LossOfMany, Disk::Whole)); 3]);
+    assert_eq!(
+        kinds(&day),
+        [Some((RestartKind::MassFailure, DiskState::Intact)); 3]
+    );
 }
 
 #[test]
@@ -105,7 +115,10 @@
     let [_, one, two, _] = &kinds(&day)[..] else {
         panic!()
     };
-    assert_eq!([one, two], [&Some((Kind::CrashOfOne, Disk::Whole)); 2]);
+    assert_eq!(
+        [one, two],
+        [&Some((RestartKind::SingleCrash, DiskState::Intact)); 2]
+    );
 }
 
 #[test]
@@ -114,7 +127,7 @@
         "gateways 4\nlength 7s\nat 2s stop gateways 0 3\nat 3s start gateways 0 3",
         5,
     );
-    assert_eq!(kinds(&day), [Some((Kind::Planned, Disk::Whole)); 4]);
+    assert_eq!(kinds(&day), [Some((RestartKind::Planned, DiskState::Intact)); 4]);
 }
 
 #[test]
@@ -124,9 +137,17 @@
          at 2500ms power on roster\nat 2600ms power on gateways 0 3 every=50ms\nat 6s together gateways",
         6,
     );
-    assert_eq!(kinds(&day), [Some((Kind::LossOfMany, Disk::Whole)); 4]);
+    assert_eq!(
+        kinds(&day),
+        [Some((RestartKind::MassFailure, DiskState::Intact)); 4]
+    );
     assert!(finished_after(&day, 4.0) > 150);
-    assert!(day.views.iter().flatten().all(|view| view.stage == Stage::Full));
+    assert!(
+        day.views
+            .iter()
+            .flatten()
+            .all(|view| view.phase == RecoveryPhase::FullService)
+    );
 }
 
 #[test]
@@ -137,7 +158,10 @@
          at 2600ms power on gateways 0 3 every=100ms",
         7,
     );
-    assert_eq!(kinds(&day), [Some((Kind::LossOfMany, Disk::Whole)); 4]);
+    assert_eq!(
+        kinds(&day),
+        [Some((RestartKind::MassFailure, DiskState::Intact)); 4]
+    );
 }
 
 #[test]
@@ -150,17 +174,17 @@
          at 3200ms start gateways 0 5",
         8,
     );
-    let disks: Vec<Option<Disk>> = kinds(&day)
+    let disks: Vec<Option<DiskState>> = kinds(&day)
         .into_iter()
         .map(|of| of.map(|(_, disk)| disk))
         .collect();
     let seen = [
-        Disk::Spoilt,
-        Disk::Spoilt,
-        Disk::Old,
-        Disk::Foreign,
-        Disk::Spoilt,
-        Disk::Gone,
+        DiskState::Damaged,
+        DiskState::Damaged,
+        DiskState::Stale,
+        DiskState::Foreign,
+        DiskState::Damaged,
+        DiskState::Lost,
     ];
     assert_eq!(disks[..6], seen.map(Some));
 }
@@ -172,7 +196,7 @@
          at 8200ms start gateway 0",
         14,
     );
-    assert_eq!(kinds(&day)[0].map(|(_, disk)| disk), Some(Disk::Old));
+    assert_eq!(kinds(&day)[0].map(|(_, disk)| disk), Some(DiskState::Stale));
 }
 
 #[test]
@@ -233,7 +257,10 @@
     );
     assert!(finished_after(&day, 11.0) > 300, "service is back");
     assert!(
-        day.views.iter().flatten().all(|view| view.stage == Stage::Full),
+        day.views
+            .iter()
+            .flatten()
+            .all(|view| view.phase == RecoveryPhase::FullService),
         "{:?}",
         day.views
     );
@@ -250,7 +277,10 @@
          at 6s link gateway 2 worker 2 well",
         13,
     );
-    assert_eq!(kinds(&day), [Some((Kind::LossOfMany, Disk::Whole)); 3]);
+    assert_eq!(
+        kinds(&day),
+        [Some((RestartKind::MassFailure, DiskState::Intact)); 3]
+    );
     assert!(finished_after(&day, 7.0) > 100);
 }
 
--- /dev/null
+++ b/crates/quartzdrift-recovery/src/recovery/phases.rs
@@ -0,0 +1,118 @@
+//! Moving from phase to phase: by time, by how synchronous service recovers, or by an operator.
+use super::{Output, Recovery};
+use crate::admission_ramp::AdmissionRamp;
+use crate::backlog_drain::BacklogDrain;
+use crate::messages::RecoveryMessage;
+use crate::phase::RecoveryPhase;
+use std::time::Duration;
+
+/// Requests of missed schedules get so long a start before prefetches begin.
+const SCHEDULES_PHASE: Duration = Duration::from_secs(1);
+
+impl Recovery {
+    /// When [`Recovery::due`] is to be called next, if at all.
+    pub fn next_due(&self) -> Option<Duration> {
+        let phase = match self.phase {
+            RecoveryPhase::Classifying => self.next_classifying_due(),
+            RecoveryPhase::Synchronous | RecoveryPhase::Backlog => Some(self.backlog.next_due()),
+            RecoveryPhase::Schedules => Some(self.phase_check_at),
+            RecoveryPhase::FullService => None,
+        };
+        let ramp = self.ramp.as_ref().filter(|_| !self.met.is_empty());
+        let gossip = ramp.and_then(AdmissionRamp::next_due);
+        phase
+            .into_iter()
+            .chain(self.restore_measurements_at)
+            .chain(gossip)
+            .min()
+    }
+
+    fn next_classifying_due(&self) -> Option<Duration> {
+        let min_wait_end = self.started_at + self.settings.ask_timeout / 2;
+        let min_wait = Some(min_wait_end).filter(|at| *at > self.phase_check_at);
+        let timeout = self.started_at + self.settings.ask_timeout;
+        self.next_requests().chain(min_wait).chain([timeout]).min()
+    }
+
+    /// Advances the recovery to `now`.
+    pub fn due(&mut self, now: Duration) {
+        let restores = self.restore_measurements_at.take_if(|at| *at <= now);
+        if restores.is_some() {
+            self.outputs.push(Output::RestoreMeasurements);
+        }
+        self.send_gossip(now);
+        let is_overdue = now >= self.started_at + self.settings.max_duration;
+        match self.phase {
+            RecoveryPhase::Classifying => {
+                self.phase_check_at = self.phase_check_at.max(now);
+                self.request_missing_answers(now);
+                self.classify_if_ready(now);
+            }
+            RecoveryPhase::Synchronous => {
+                self.backlog.due(now);
+                if is_overdue || self.backlog.is_stable() {
+                    self.enter(now, RecoveryPhase::Backlog);
+                }
+            }
+            RecoveryPhase::Backlog => {
+                self.backlog.due(now);
+                if is_overdue || self.backlog.is_unlimited() {
+                    self.enter(now, RecoveryPhase::Schedules);
+                }
+            }
+            RecoveryPhase::Schedules if now >= self.phase_check_at => {
+                self.enter(now, RecoveryPhase::FullService);
+            }
+            RecoveryPhase::Schedules | RecoveryPhase::FullService => {}
+        }
+    }
+
+    fn send_gossip(&mut self, now: Duration) {
+        let Some(ramp) = &mut self.ramp else { return };
+        let members: Vec<&String> = self.met.iter().collect();
+        let Some(message) = ramp.next_message(now, &members) else {
+            return;
+        };
+        let updates = message.updates;
+        let bytes = RecoveryMessage::CacheUpdates { updates }.encode();
+        for to in message.recipients {
+            let bytes = bytes.clone();
+            self.outputs.push(Output::Send { to, bytes });
+        }
+    }
+
+    pub(super) fn enter(&mut self, now: Duration, phase: RecoveryPhase) {
+        self.phase = phase;
+        self.phase_since = now;
+        self.phase_check_at = now + SCHEDULES_PHASE;
+        if phase > RecoveryPhase::Synchronous {
+            self.ramp = None;
+        }
+        match phase {
+            RecoveryPhase::Synchronous => {
+                self.backlog = BacklogDrain::new(now, self.settings.max_async_in_flight);
+            }
+            RecoveryPhase::Backlog => self.backlog.begin(),
+            RecoveryPhase::Classifying | RecoveryPhase::Schedules | RecoveryPhase::FullService => {}
+        }
+        self.outputs.push(Output::PhaseEntered(phase));
+    }
+
+    /// No asynchronous request is due any more: the backlog has drained, whatever its limit.
+    pub fn backlog_drained(&mut self, now: Duration) {
+        if self.phase == RecoveryPhase::Backlog {
+            self.enter(now, RecoveryPhase::Schedules);
+        }
+    }
+
+    /// Goes to full service at once, as an operator demands. The classification stays, and with it what may not execute
+    /// twice.
+    pub fn force_full_service(&mut self, now: Duration) {
+        if self.classification.is_none() {
+            self.classify(now);
+        }
+        if self.phase != RecoveryPhase::FullService {
+            self.enter(now, RecoveryPhase::FullService);
+        }
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-recovery/src/view.rs
@@ -0,0 +1,93 @@
+//! What operators see of a recovery: written as JSON while it runs, and printed by `quartzdrift recovery`.
+use crate::admission_ramp::RampView;
+use crate::classification::RestartClassification;
+use crate::phase::RecoveryPhase;
+use crate::restore_policy::RestoreRow;
+use serde::{Deserialize, Serialize};
+
+/// The state of a recovery. The serialized names are those of earlier releases.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct View {
+    /// The number of this start.
+    pub starts: u64,
+    /// The current phase.
+    #[serde(rename = "stage")]
+    pub phase: RecoveryPhase,
+    /// Seconds since the phase began.
+    #[serde(rename = "stage_for")]
+    pub phase_seconds: u64,
+    /// Seconds since the start.
+    #[serde(rename = "up")]
+    pub up_seconds: u64,
+    /// What the restart was classified as, once it is.
+    #[serde(rename = "verdict")]
+    pub classification: Option<RestartClassification>,
+    /// Which state is restored; empty until the restart is classified.
+    #[serde(rename = "beliefs")]
+    pub restore_decisions: Vec<RestoreRow>,
+    /// Members whose answers are awaited.
+    pub waits_for: Vec<String>,
+    /// Asynchronous requests in flight at most, while the backlog drains.
+    #[serde(rename = "backlog")]
+    pub async_limit: Option<usize>,
+    /// The admission ramp, while there is one.
+    #[serde(default, rename = "pace")]
+    pub ramp: Option<RampView>,
+}
+
+impl View {
+    /// The table for operators.
+    pub fn table(&self) -> String {
+        let mut text = format!(
+            "stage {} for {} s, start {}, up {} s\n",
+            self.phase, self.phase_seconds, self.starts, self.up_seconds
+        );
+        if let Some(classification) = &self.classification {
+            text.push_str(&classification_line(classification));
+        }
+        for row in &self.restore_decisions {
+            let item = row.item.name();
+            let decision = row.decision.name();
+            text.push_str(&format!("{item:<13} {decision:<9} {}\n", row.reason));
+        }
+        if !self.waits_for.is_empty() {
+            let members = self.waits_for.join(", ");
+            text.push_str(&format!("waits for answers of {members}\n"));
+        }
+        if let Some(limit) = self.async_limit {
+            text.push_str(&format!("deferred jobs that may be out at a time: {limit}\n"));
+        }
+        if let Some(ramp) = &self.ramp {
+            text.push_str(&ramp_line(ramp));
+        }
+        text
+    }
+}
+
+fn classification_line(classification: &RestartClassification) -> String {
+    let RestartClassification {
+        kind,
+        disk,
+        answered,
+        lost,
+        silent,
+        ..
+    } = classification;
+    format!(
+        "{kind}: {answered} others answered, {lost} of them ended with us, {silent} did not answer; disk {disk}\n"
+    )
+}
+
+fn ramp_line(ramp: &RampView) -> String {
+    let RampView {
+        cached,
+        loading,
+        limit,
+    } = ramp;
+    format!(
+        "copies return: {cached} functions stand, {loading} are tried; {limit:.2} of our own tries at a time\n"
+    )
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/quartzdrift/src/clock.rs
+++ b/crates/quartzdrift/src/clock.rs
@@ -1,65 +1,64 @@
 //! Time of an event loop's state: since 1970, and steady from its start on.
-use quartzdrift_recovery::Moment;
+use quartzdrift_recovery::ClockSample;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How far a test has set this process's clock, and its name for the machine's run. Only the lab's program sets it; this
-/// package's own has no way to.
-static SET: OnceLock<(Set, Instant)> = OnceLock::new();
+/// An event loop wakes at least this often, to notice that another process has set the clock ahead.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
+/// The clocks that a test has set for this process, and since when. Only the lab's program sets them.
+static OVERRIDE: OnceLock<(ClockOverride, Instant)> = OnceLock::new();
+
+/// How a test changes the clocks of this process.
 #[derive(Clone, Debug, Default)]
-pub struct Set {
+pub struct ClockOverride {
+    /// How far the wall clock is ahead.
     pub ahead: Duration,
+    /// How far the wall clock is behind.
     pub behind: Duration,
-    /// As if the machine had been started anew: its run's name, and how long it is on.
+    /// As if the machine had been rebooted: the boot's name, and how long it is up.
     pub boot: Option<(String, Duration)>,
 }
 
-/// For tests on several processes: sets the wall clock of this one. Once, before anything starts; later calls do nothing.
-pub fn set(to: Set) {
-    drop(SET.set((to, Instant::now())));
+/// Sets the clocks of this process, for tests with several processes. Once, before anything starts; later calls do nothing.
+pub fn override_clocks(to: ClockOverride) {
+    drop(OVERRIDE.set((to, Instant::now())));
 }
 
-fn wall() -> Duration {
+fn wall_clock() -> Duration {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    SET.get()
-        .map_or(wall, |(set, _)| (wall + set.ahead).saturating_sub(set.behind))
+    match OVERRIDE.get() {
+        Some((clocks, _)) => (wall + clocks.ahead).saturating_sub(clocks.behind),
+        None => wall,
+    }
 }
 
-/// What this machine's clocks say; where the system does not tell its run, none is named.
-pub fn moment() -> Moment {
-    let read = |name: &str| std::fs::read_to_string(name).unwrap_or_default();
-    if let Some((
-        Set {
-            boot: Some((boot, on)),
-            ..
-        },
-        since,
-    )) = SET.get()
-    {
-        return Moment {
-            wall: wall(),
-            boot: boot.clone(),
-            since_boot: *on + since.elapsed(),
-        };
-    }
-    let boot = read("/proc/sys/kernel/random/boot_id").trim().to_owned();
-    let up = read("/proc/uptime")
-        .split_whitespace()
-        .next()
-        .and_then(|s| s.parse::<f64>().ok());
-    let since_boot = up.and_then(|s| Duration::try_from_secs_f64(s).ok());
-    let boot = if since_boot.is_some() { boot } else { String::new() };
-    Moment {
-        wall: wall(),
+/// What this machine's clocks say; where the system does not tell its boot, none is named.
+pub fn sample() -> ClockSample {
+    let (boot, since_boot) = overridden_boot().or_else(system_boot).unwrap_or_default();
+    ClockSample {
+        wall: wall_clock(),
         boot,
-        since_boot: since_boot.unwrap_or_default(),
+        since_boot,
     }
 }
 
-/// A loop looks up at least this often: a clock that another process sets ahead is noticed.
-const LOOK_UP: Duration = Duration::from_secs(1);
+fn overridden_boot() -> Option<(String, Duration)> {
+    let (clocks, since) = OVERRIDE.get()?;
+    let (boot, up) = clocks.boot.as_ref()?;
+    Some((boot.clone(), *up + since.elapsed()))
+}
+
+/// The kernel's identifier of this boot, and the time since.
+fn system_boot() -> Option<(String, Duration)> {
+    let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
+    let uptime = std::fs::read_to_string("/proc/uptime").unwrap_or_default();
+    let seconds = uptime.split_whitespace().next()?.parse::<f64>().ok()?;
+    let since_boot = Duration::try_from_secs_f64(seconds).ok()?;
+    Some((boot.trim().to_owned(), since_boot))
+}
 
+/// A steady clock that tells time since 1970.
 pub struct Clock {
     zero: Instant,
     /// Time since 1970 at `zero`.
@@ -67,50 +66,50 @@
 }
 
 impl Clock {
+    /// A clock that starts from the wall clock.
     pub fn start() -> Clock {
         Clock {
             zero: Instant::now(),
-            epoch: wall(),
+            epoch: wall_clock(),
         }
     }
 
-    /// A clock that goes on from what was noted before, whatever the wall clock was set to since.
-    pub fn resume(now: &Moment, before: Option<&Moment>) -> Clock {
+    /// A clock that continues from the last run's sample, whatever the wall clock was set to since.
+    pub fn resume(now: &ClockSample, before: Option<&ClockSample>) -> Clock {
         Clock {
             zero: Instant::now(),
             epoch: before.map_or(now.wall, |before| now.steady(before)),
         }
     }
 
-    /// The moment for the next start to go on from.
-    pub fn note(&self) -> Moment {
-        Moment {
+    /// The sample for the next start to continue from.
+    pub fn sample(&self) -> ClockSample {
+        ClockSample {
             wall: self.now(),
-            ..moment()
+            ..sample()
         }
     }
 
+    /// Time since 1970.
     pub fn now(&self) -> Duration {
         self.epoch + self.zero.elapsed()
     }
 
-    /// How long a loop may sleep until the first of what is due by this clock, and of what is due on sockets.
+    /// How long an event loop may sleep: until the first of what is `due` by this clock, and of the `sockets`' deadlines.
     pub fn until(
         &self,
         due: impl IntoIterator<Item = Option<Duration>>,
         sockets: impl IntoIterator<Item = Option<Instant>>,
     ) -> Duration {
-        let (now, at) = (self.now(), Instant::now());
-        let due = due.into_iter().flatten().min().map(|due| due.saturating_sub(now));
-        let sockets = sockets
+        let now = self.now();
+        let now_instant = Instant::now();
+        let next_due = due.into_iter().flatten().min();
+        let next_deadline = sockets.into_iter().flatten().min();
+        let until_due = next_due.map(|due| due.saturating_sub(now));
+        let until_deadline = next_deadline.map(|at| at.saturating_duration_since(now_instant));
+        until_due
             .into_iter()
-            .flatten()
-            .min()
-            .map(|due| due.saturating_duration_since(at));
-        due.into_iter()
-            .chain(sockets)
-            .min()
-            .unwrap_or(LOOK_UP)
-            .min(LOOK_UP)
+            .chain(until_deadline)
+            .fold(MAX_SLEEP, Duration::min)
     }
 }
--- a/crates/quartzdrift/src/gateway/ahead.rs
+++ b/crates/quartzdrift/src/gateway/ahead.rs
@@ -1,8 +1,8 @@
 //! Forecasts of use, and loads ahead of need: what is expected goes to the request table, and what came of an order to the
 //! ledger. Whether anything is loaded, and where, is the decision module's.
 use super::Gateway;
-use crate::saved;
 use crate::settings::Function;
+use crate::snapshots;
 use quartzdrift_forecast::{Ahead, Forecasts};
 use quartzdrift_scheduler::interface::{Outcome, UsageForecast};
 use std::collections::HashMap;
@@ -29,7 +29,7 @@
         let now = self.now();
         let mut ahead = Ahead::new(told.settings.clone());
         let otherwise = "the saved forecasts cannot be read; they begin anew";
-        let saved = saved::found(self.settings.state.as_deref(), saved::FORECASTS, otherwise);
+        let saved = snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::FORECASTS, otherwise);
         match saved.map(|bytes| Forecasts::restore(told.settings, &bytes, now)) {
             Some(Ok(forecasts)) => {
                 tracing::info!(functions = forecasts.len(), "forecasts go on from what was saved");
@@ -93,9 +93,9 @@
         };
         let saves = loads.save_at <= now;
         let let_in = self
-            .returning
+            .recovery
             .as_ref()
-            .is_none_or(|returning| returning.machine.loads_ahead(now));
+            .is_none_or(|recovery| recovery.machine.allows_prefetch(now));
         for of in expected.into_iter().filter(|_| let_in) {
             let Some(function) = self.settings.function(&of.function) else {
                 continue;
@@ -143,8 +143,8 @@
             score_always_near = standing.always,
             "account of loads ahead"
         );
-        if let Some(saver) = &self.saver {
-            saver.save(saved::FORECASTS, loads.ahead.forecasts.save(now));
+        if let Some(writer) = &self.snapshot_writer {
+            writer.write_soon(snapshots::FORECASTS, loads.ahead.forecasts.save(now));
         }
     }
 }
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -100,14 +100,16 @@
             .left_ms
             .map_or(limit, |ms| limit.min(Duration::from_millis(ms)));
         let is_retry = head.headers.get("x-quartzdrift-retry").is_some();
-        let let_in = self.let_in(function.request_class, call.mark.is_some(), is_retry);
-        let_in.map_err(|wait| Problem::Busy(Some(wait)))?;
+        let admitted = self.admit_repeat(function.request_class, call.mark.is_some(), is_retry);
+        admitted.map_err(|wait| Problem::Busy(Some(wait)))?;
         // A request with an idempotency key that came without a mark is marked by its own identity, for further attempts.
         let mark = call.mark.or_else(|| {
             (request_class.idempotency == Idempotency::IdempotentWithKey).then(|| id.to_string())
         });
         let streams = request_class.streams;
-        let tries = self.paced(&name).map_err(|wait| Problem::Busy(Some(wait)))?;
+        let tries = self
+            .admit_function(&name)
+            .map_err(|wait| Problem::Busy(Some(wait)))?;
         let work = Work {
             id,
             origin: Origin::Client(exchange),
--- a/crates/quartzdrift/src/gateway/discovery.rs
+++ b/crates/quartzdrift/src/gateway/discovery.rs
@@ -197,9 +197,9 @@
     }
 
     fn save_list(&self) {
-        if let Some(saver) = &self.saver {
-            saver.save(
-                crate::saved::WORKERS,
+        if let Some(writer) = &self.snapshot_writer {
+            writer.write_soon(
+                crate::snapshots::WORKERS,
                 list::write(&self.belief.workers(), &self.settings.known),
             );
         }
--- a/crates/quartzdrift/src/gateway/fleet.rs
+++ b/crates/quartzdrift/src/gateway/fleet.rs
@@ -1,8 +1,8 @@
 //! This scheduler as a member of a fleet: the UDP socket, the saved member list and the log. `quartzdrift-membership`
 //! decides what is believed of other members and how many schedulers are counted.
 use super::Gateway;
-use crate::saved;
 use crate::settings::Fleet as FleetSettings;
+use crate::snapshots;
 use calloop::generic::{Generic, NoIoDrop};
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use quartzdrift_membership::{Member, MemberState, Membership, Output, RejectReason, SchedulerCount};
@@ -230,7 +230,7 @@
 
 /// The member list of the last run; `None` where it cannot be used, which costs no more than a slower start.
 fn load_view(folder: Option<&Path>) -> Option<View> {
-    let bytes = saved::found(folder, saved::MEMBERS, "the saved members cannot be read")?;
+    let bytes = snapshots::read_or_warn(folder, snapshots::MEMBERS, "the saved members cannot be read")?;
     let view = serde_json::from_slice(&bytes);
     view.inspect_err(|e| tracing::warn!(error = %e, "the saved members are set aside"))
         .ok()
@@ -343,15 +343,15 @@
         if events.alive.is_empty() && events.messages.is_empty() {
             return;
         }
-        if let Some(returning) = &mut self.returning {
+        if let Some(recovery) = &mut self.recovery {
             for name in &events.alive {
-                returning.machine.member(now, name);
+                recovery.machine.member_seen(now, name);
             }
         }
         for Message { from, topic, bytes } in events.messages {
-            let result = match (topic, &mut self.returning) {
-                (quartzdrift_recovery::RECOVERY, Some(returning)) => {
-                    returning.machine.told(now, &from, &bytes)
+            let result = match (topic, &mut self.recovery) {
+                (quartzdrift_recovery::RECOVERY_TOPIC, Some(recovery)) => {
+                    recovery.machine.receive(now, &from, &bytes)
                 }
                 // Of a later release, or of no use without a state folder.
                 (_, _) => Ok(()),
@@ -360,7 +360,7 @@
                 tracing::warn!(%from, topic, why = %error, "what a member tells is not understood");
             }
         }
-        self.returned();
+        self.carry_out_recovery();
     }
 
     pub(super) fn send_to_member(&mut self, to: &str, topic: u8, bytes: Vec<u8>) {
@@ -373,9 +373,11 @@
         let now = self.now();
         let Some(fleet) = &mut self.fleet else { return };
         fleet.save_at = now + SAVE_INTERVAL;
-        let Some(saver) = &self.saver else { return };
+        let Some(writer) = &self.snapshot_writer else {
+            return;
+        };
         if let Ok(bytes) = serde_json::to_vec_pretty(&fleet.view(now)) {
-            saver.save(saved::MEMBERS, bytes);
+            writer.write_soon(snapshots::MEMBERS, bytes);
         }
     }
 
--- a/crates/quartzdrift/src/gateway/fronts.rs
+++ b/crates/quartzdrift/src/gateway/fronts.rs
@@ -84,7 +84,7 @@
             }
         }
         if !firings.is_empty() {
-            self.note_mark();
+            self.write_checkpoint();
         }
         for firing in firings {
             let of = self
--- a/crates/quartzdrift/src/gateway/mod.rs
+++ b/crates/quartzdrift/src/gateway/mod.rs
@@ -19,8 +19,8 @@
 
 use crate::clock::Clock;
 use crate::record::Recorder;
-use crate::saved::{self, Saver};
 use crate::settings::Settings;
+use crate::snapshots::{self, SnapshotWriter};
 use calloop::LoopHandle;
 use quartzdrift_async_queue::{Changes, Id, Queue};
 use quartzdrift_discovery::belief::Belief;
@@ -121,9 +121,9 @@
     discovery: discovery::Source,
     ahead: Option<ahead::Loads>,
     fleet: Option<fleet::Fleet>,
-    returning: Option<recovery::Returning>,
+    recovery: Option<recovery::RecoveryDriver>,
     recorder: Option<Recorder>,
-    saver: Option<Saver>,
+    snapshot_writer: Option<SnapshotWriter>,
     stopping: Option<Duration>,
     pub counts: Counts,
 }
@@ -149,15 +149,15 @@
 impl Gateway {
     /// A gateway with the list of workers that it last saved, or the one of the settings.
     pub fn new(settings: Settings, handle: LoopHandle<'static, Gateway>) -> std::io::Result<Gateway> {
-        let moment = crate::clock::moment();
-        let found = recovery::found(&settings, moment.clone());
-        let before = found
+        let sample = crate::clock::sample();
+        let evidence = recovery::read_evidence(&settings, sample.clone());
+        let before = evidence
             .as_ref()
-            .and_then(|found| found.mark.as_ref())
-            .map(|mark| mark.at.clone());
-        let clock = Clock::resume(&moment, before.as_ref());
+            .and_then(|evidence| evidence.checkpoint.as_ref())
+            .map(|checkpoint| checkpoint.taken_at.clone());
+        let clock = Clock::resume(&sample, before.as_ref());
         let seed = settings.seed.unwrap_or_else(rand::random);
-        let saver = settings.state.clone().map(Saver::start).transpose()?;
+        let snapshot_writer = settings.state.clone().map(SnapshotWriter::start).transpose()?;
         // What this instance did not look at while it was away was missed.
         let looked = before.map_or(clock.now(), |before| before.wall);
         let timers = settings.timers.iter().map(|(timer, _)| timer.clone()).collect();
@@ -185,25 +185,25 @@
             discovery: discovery::Source::new(&settings),
             ahead: None,
             fleet: None,
-            returning: None,
+            recovery: None,
             recorder: settings.record.as_ref().map(Recorder::start).transpose()?,
-            saver,
+            snapshot_writer,
             stopping: None,
             counts: Counts::default(),
             settings,
         };
-        gateway.start_recovery(found)?;
+        gateway.start_recovery(evidence)?;
         gateway.first_list();
         gateway.start_ahead();
         gateway.start_store(&handle)?;
         gateway.start_fleet(&handle)?;
-        gateway.returned();
+        gateway.carry_out_recovery();
         Ok(gateway)
     }
 
     fn first_list(&mut self) {
         let otherwise = "the saved list of workers cannot be read";
-        let saved = saved::found(self.settings.state.as_deref(), saved::WORKERS, otherwise);
+        let saved = snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::WORKERS, otherwise);
         let workers = match saved.map(|bytes| list::read(&bytes, &self.settings.known)) {
             Some(Ok(saved)) if !saved.workers.is_empty() => saved.workers,
             Some(Err(why)) => {
@@ -214,9 +214,9 @@
         };
         self.belief.changes(&workers);
         self.belief.of_before(
-            self.returning
+            self.recovery
                 .as_ref()
-                .is_some_and(|of| !of.machine.found().was_clean()),
+                .is_some_and(|recovery| !recovery.machine.evidence().ended_cleanly()),
         );
         self.give_list(EndpointListKind::Snapshot, &workers);
     }
@@ -239,7 +239,7 @@
             self.request_table.next_deadline(),
             self.asynchronous_due(),
             self.timers_due(),
-            self.recovery_next(),
+            self.recovery_next_due(),
             self.discovery.next_due(),
             self.ahead.as_ref().and_then(ahead::Loads::next_due),
             self.fleet.as_ref().map(fleet::Fleet::next_due),
@@ -401,9 +401,9 @@
     /// When a timer fires here.
     fn timers_due(&self) -> Option<Duration> {
         let let_in = self
-            .returning
+            .recovery
             .as_ref()
-            .is_none_or(|returning| returning.machine.timers());
+            .is_none_or(|recovery| recovery.machine.allows_schedules());
         self.timers
             .next_due()
             .filter(|_| self.stopping.is_none() && let_in)
@@ -431,7 +431,7 @@
         self.close_store();
         self.save_ahead();
         self.leave_fleet();
-        self.note_stop();
+        self.record_stop();
         tracing::info!(counts = ?self.counts, "stopped");
     }
 
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -1,12 +1,15 @@
-//! From the start to full service: what was found on disk goes to `quartzdrift-recovery`, which says what is believed and what
-//! is let in; here it is carried out. Off without `gateway.state`: then every start is taken as it was before.
+//! The gateway's recovery: reads what the last run left in the state folder, carries out what `quartzdrift-recovery`
+//! decides, and writes checkpoints for the next start. Off without `gateway.state`.
 use super::{Gateway, Origin, Work};
-use crate::saved::{self, ASIDE, FORCE, MARK, MEASURED, MEMBERS, STAGES, WORKERS};
 use crate::settings::Settings;
+use crate::snapshots::{
+    self, CHECKPOINT, DAMAGED_CHECKPOINT, FORCE_FULL_SERVICE, MEASUREMENTS, RECOVERY_VIEW,
+};
 use quartzdrift_async_queue::After;
 use quartzdrift_lifecycle::FinalAnswer;
 use quartzdrift_recovery::{
-    Came, Disk, Found, Kind, Mark, Moment, Output, Recovery, Settings as Told, Stage,
+    Checkpoint, ClockSample, DiskState, LoadResult, Output, RECOVERY_TOPIC, Recovery, RecoveryPhase,
+    RestartClassification, RestartKind, Settings as RecoverySettings, StartupEvidence,
 };
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, Idempotency};
 use quartzdrift_wal::{Folder, Live};
@@ -15,281 +18,310 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How often the mark for the next start is noted.
-const NOTE_EVERY: Duration = Duration::from_secs(2);
-/// How often an operator's word is looked for while service returns.
-const FORCE_EVERY: Duration = Duration::from_millis(500);
-/// How late a request may start where no latency objective is told, beside its own work.
-const DEFAULT_TARGET: Duration = Duration::from_secs(1);
+/// How often a checkpoint is written.
+const CHECKPOINT_INTERVAL: Duration = Duration::from_secs(2);
+/// How often the file is looked for by which an operator forces full service.
+const FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// The latency objective of request classes that have none.
+const DEFAULT_LATENCY_OBJECTIVE: Duration = Duration::from_secs(1);
 
-pub(super) struct Returning {
-    pub machine: Recovery,
-    note_at: Duration,
-    force_at: Duration,
-    /// Asynchronous requests of before, until it is known what they may do.
-    pub held: Vec<Live>,
-    /// Held by the process that this state is of; one that takes over gets it once the other has ended.
+/// The recovery of a gateway, and when its files are due.
+pub(super) struct RecoveryDriver {
+    pub(super) machine: Recovery,
+    checkpoint_at: Duration,
+    force_check_at: Duration,
+    /// Asynchronous requests of the last run, until it is known what they may do.
+    pub(super) held_requests: Vec<Live>,
+    /// The state folder's lock; a successor gets it once its predecessor has ended.
     lock: Option<Folder>,
-    /// The number of this start as it is noted.
-    noted: u64,
+    /// The number of this start as it was last recorded on disk.
+    recorded_start: u64,
 }
 
-/// The state folder's lock, unless another process holds it.
+/// Locks the state folder; `None`: another process holds the lock.
 fn lock(folder: &Path) -> io::Result<Option<Folder>> {
     match Folder::open(folder) {
-        Ok(held) => Ok(Some(held)),
+        Ok(lock) => Ok(Some(lock)),
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
         Err(e) => Err(e),
     }
 }
 
-/// Whose a store of asynchronous requests is, beside it.
+/// Whom a store of asynchronous requests belongs to, written into its folder.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Owner {
-    pub name: String,
-    /// Its start that opened the store last.
-    pub starts: u64,
+struct StoreOwner {
+    name: String,
+    /// Its start that last opened the store.
+    starts: u64,
 }
 
-fn name(settings: &Settings) -> String {
-    settings
-        .fleet
-        .as_ref()
-        .map(|fleet| fleet.members.name.clone())
-        .unwrap_or_default()
+/// The scheduler's name in its fleet; empty without one.
+fn scheduler_name(settings: &Settings) -> String {
+    let fleet = settings.fleet.as_ref();
+    fleet.map_or_else(String::new, |fleet| fleet.members.name.clone())
 }
 
-/// What an earlier start left in its folder; for the clock as well.
-pub(super) fn found(settings: &Settings, now: Moment) -> Option<Found> {
+/// What the last run left in the state folder; `None` without one.
+pub(super) fn read_evidence(settings: &Settings, now: ClockSample) -> Option<StartupEvidence> {
     let folder = settings.state.as_deref()?;
-    let known = super::fleet::known_members(Some(folder));
-    let without = |disk| Found {
-        mark: None,
-        disk,
-        known: known.clone(),
-        now: now.clone(),
-        beside: false,
+    let known_members = super::fleet::known_members(Some(folder));
+    let disk = match snapshots::read(folder, CHECKPOINT) {
+        Ok(Some(bytes)) => match serde_json::from_slice::<Checkpoint>(&bytes) {
+            Ok(checkpoint) => {
+                let name = scheduler_name(settings);
+                let evidence = StartupEvidence::from_checkpoint(checkpoint, &name, known_members, now);
+                return Some(evidence);
+            }
+            Err(_) => DiskState::Damaged,
+        },
+        Ok(None) if has_other_snapshots(folder) => DiskState::WithoutCheckpoint,
+        Ok(None) => DiskState::Empty,
+        Err(_) => DiskState::Damaged,
     };
-    let read =
-        saved::last(folder, MARK).map(|bytes| bytes.map(|bytes| serde_json::from_slice::<Mark>(&bytes)));
-    Some(match read {
-        Ok(Some(Ok(mark))) => Found::marked(mark, &name(settings), known, now),
-        Ok(None) => {
-            let any = [MEMBERS, WORKERS].iter().any(|file| folder.join(file).exists());
-            without(if any { Disk::Unmarked } else { Disk::Empty })
-        }
-        Ok(Some(Err(_))) | Err(_) => {
-            // For whoever looks into it, and out of the way of the next mark.
-            let (file, aside) = (folder.join(MARK), folder.join(ASIDE));
-            drop(std::fs::remove_file(&aside).or_else(|_| std::fs::remove_dir_all(&aside)));
-            let moved = std::fs::rename(&file, &aside).is_ok();
-            tracing::error!(moved, folder = %folder.display(), "the mark of the last start is damaged: as little as can be is believed");
-            without(Disk::Spoilt)
-        }
-    })
+    if disk == DiskState::Damaged {
+        set_damaged_checkpoint_aside(folder);
+    }
+    Some(StartupEvidence::without_checkpoint(disk, known_members, now))
+}
+
+fn has_other_snapshots(folder: &Path) -> bool {
+    [snapshots::MEMBERS, snapshots::WORKERS]
+        .iter()
+        .any(|file| folder.join(file).exists())
+}
+
+/// Moves a damaged checkpoint out of the way of the next one, for whoever looks into it.
+fn set_damaged_checkpoint_aside(folder: &Path) {
+    let aside = folder.join(DAMAGED_CHECKPOINT);
+    drop(std::fs::remove_file(&aside).or_else(|_| std::fs::remove_dir_all(&aside)));
+    let moved = std::fs::rename(folder.join(CHECKPOINT), &aside).is_ok();
+    tracing::error!(
+        moved,
+        folder = %folder.display(),
+        "the mark of the last start is damaged: as little as can be is believed"
+    );
 }
 
-/// The store's owner, as noted there; `Err`: another scheduler's, whose requests must not run here as well.
-pub(super) fn owner(path: &Path, settings: &Settings) -> io::Result<Option<u64>> {
-    let Some(bytes) = saved::last(path, MARK)? else {
+/// The start that last opened a store of asynchronous requests, as recorded there. `Err`: the store is another scheduler's,
+/// whose requests must not be executed here as well.
+fn read_store_start(store: &Path, settings: &Settings) -> io::Result<Option<u64>> {
+    let Some(bytes) = snapshots::read(store, CHECKPOINT)? else {
         return Ok(None);
     };
-    let owner: Owner = serde_json::from_slice(&bytes).map_err(io::Error::other)?;
-    match owner.name == name(settings) {
-        true => Ok(Some(owner.starts)),
-        false => Err(io::Error::other(format!(
-            "it is the store of the scheduler '{}'; give this one a folder of its own, or remove {MARK} from it if that \
+    let owner: StoreOwner = serde_json::from_slice(&bytes).map_err(io::Error::other)?;
+    if owner.name != scheduler_name(settings) {
+        return Err(io::Error::other(format!(
+            "it is the store of the scheduler '{}'; give this one a folder of its own, or remove {CHECKPOINT} from it if that \
              scheduler will not come back",
             owner.name
-        ))),
+        )));
+    }
+    Ok(Some(owner.starts))
+}
+
+/// Records this start as the one that last opened the store.
+fn write_store_owner(store: &Path, owner: &StoreOwner) -> io::Result<()> {
+    let bytes = serde_json::to_vec(owner).map_err(io::Error::other)?;
+    std::fs::create_dir_all(store)
+        .and_then(|()| snapshots::write(store, CHECKPOINT, &bytes))
+        .map_err(|e| cannot_record_start(store, &e))
+}
+
+fn cannot_record_start(folder: &Path, error: &io::Error) -> io::Error {
+    let message = format!("the start cannot be noted in {}: {error}", folder.display());
+    io::Error::new(error.kind(), message)
+}
+
+fn recovery_settings(settings: &Settings, store_start: Option<u64>, instance: u64) -> RecoverySettings {
+    let scheduler = &settings.scheduler;
+    RecoverySettings {
+        name: scheduler_name(settings),
+        has_fleet: settings.fleet.is_some(),
+        ask_timeout: settings.recovery.ask,
+        max_duration: settings.recovery.longest,
+        idempotency_keys_on_disk: settings.recovery.idempotency_keys_on_disk,
+        load_quota_window: scheduler.copies.load_quota_window.unwrap_or_default(),
+        slow_start_window: scheduler.rules.fall_window.unwrap_or_default(),
+        max_async_in_flight: settings.asynchronous.out,
+        admission_ramp: settings.recovery.pace,
+        store_start,
+        instance,
     }
 }
 
+fn log_evidence(evidence: &StartupEvidence) {
+    let disk = evidence.disk;
+    let was_clean = evidence.ended_cleanly();
+    let age = match evidence.age() {
+        Some(age) => format!("Some({age})"),
+        None => "None".to_owned(),
+    };
+    tracing::info!(%disk, %age, was_clean, "found of before");
+}
+
 impl Gateway {
-    pub(super) fn start_recovery(&mut self, found: Option<Found>) -> io::Result<()> {
-        let (Some(found), Some(folder)) = (found, self.settings.state.clone()) else {
+    /// Begins the recovery, where there is a state folder, and records the start before anything is sent.
+    pub(super) fn start_recovery(&mut self, evidence: Option<StartupEvidence>) -> io::Result<()> {
+        let (Some(mut evidence), Some(folder)) = (evidence, self.settings.state.clone()) else {
             return Ok(());
         };
         let lock = lock(&folder).map_err(|e| {
-            io::Error::new(
-                e.kind(),
-                format!("the state in {} cannot be locked: {e}", folder.display()),
-            )
+            let message = format!("the state in {} cannot be locked: {e}", folder.display());
+            io::Error::new(e.kind(), message)
         })?;
-        let found = Found {
-            beside: lock.is_none(),
-            ..found
-        };
-        let settings = self.settings.clone();
-        let store = settings
-            .store
-            .as_deref()
-            .map(|path| owner(path, &settings))
-            .transpose();
-        let store = store
-            .map_err(|e| io::Error::other(format!("deferred jobs: {e}")))?
-            .flatten();
-        let told = Told {
-            name: name(&settings),
-            fleet: settings.fleet.is_some(),
-            ask: settings.recovery.ask,
-            longest: settings.recovery.longest,
-            idempotency_keys_on_disk: settings.recovery.idempotency_keys_on_disk,
-            load_quota_window: settings.scheduler.copies.load_quota_window.unwrap_or_default(),
-            fall_window: settings.scheduler.rules.fall_window.unwrap_or_default(),
-            out: settings.asynchronous.out,
-            pace: settings.recovery.pace,
-            store,
-            life: self.identity,
+        evidence.predecessor_running = lock.is_none();
+        let store_start = match &self.settings.store {
+            Some(store) => read_store_start(store, &self.settings)
+                .map_err(|e| io::Error::other(format!("deferred jobs: {e}")))?,
+            None => None,
         };
-        let (now, was_clean) = (self.now(), found.was_clean());
-        tracing::info!(disk = ?found.disk, age = ?found.age(), was_clean, "found of before");
-        let machine = Recovery::new(told, found, now);
-        self.returning = Some(Returning {
-            machine,
-            note_at: now,
-            force_at: now,
-            held: Vec::new(),
+        let settings = recovery_settings(&self.settings, store_start, self.identity);
+        let now = self.now();
+        log_evidence(&evidence);
+        self.recovery = Some(RecoveryDriver {
+            machine: Recovery::new(settings, evidence, now),
+            checkpoint_at: now,
+            force_check_at: now,
+            held_requests: Vec::new(),
             lock,
-            noted: 0,
+            recorded_start: 0,
         });
-        // Noted before anything leaves: whoever starts next knows that this start was.
-        self.note_start()
+        self.record_start()
     }
 
-    /// Notes this start's number in both folders, the store's first, and waits until it lasts; where it is noted it stays.
-    fn note_start(&mut self) -> io::Result<()> {
-        let (Some(returning), Some(folder)) = (&mut self.returning, &self.settings.state) else {
+    /// Records this start's number in both folders, the store's first, and returns once it is on disk.
+    fn record_start(&mut self) -> io::Result<()> {
+        let (Some(recovery), Some(folder)) = (&mut self.recovery, &self.settings.state) else {
             return Ok(());
         };
-        let starts = returning.machine.starts();
-        if returning.noted == starts {
+        let starts = recovery.machine.starts();
+        if recovery.recorded_start == starts {
             return Ok(());
         }
-        let unusable = |folder: &Path, e: io::Error| {
-            io::Error::new(
-                e.kind(),
-                format!("the start cannot be noted in {}: {e}", folder.display()),
-            )
-        };
-        if let Some(path) = &self.settings.store {
-            let owner = serde_json::to_vec(&Owner {
-                name: name(&self.settings),
-                starts,
-            })
-            .map_err(io::Error::other)?;
-            std::fs::create_dir_all(path)
-                .and_then(|()| saved::write(path, MARK, &owner))
-                .map_err(|e| unusable(path, e))?;
+        if let Some(store) = &self.settings.store {
+            let name = scheduler_name(&self.settings);
+            write_store_owner(store, &StoreOwner { name, starts })?;
         }
-        let mark =
-            serde_json::to_vec(&returning.machine.mark(self.clock.note())).map_err(io::Error::other)?;
-        saved::write(folder, MARK, &mark).map_err(|e| unusable(folder, e))?;
-        returning.noted = starts;
+        let checkpoint = recovery.machine.checkpoint(self.clock.sample());
+        let bytes = serde_json::to_vec(&checkpoint).map_err(io::Error::other)?;
+        snapshots::write(folder, CHECKPOINT, &bytes).map_err(|e| cannot_record_start(folder, &e))?;
+        recovery.recorded_start = starts;
         Ok(())
     }
 
-    /// Has the mark for the next start written soon.
-    pub(super) fn note_mark(&mut self) {
-        let (now, at) = (self.now(), self.clock.note());
-        let (Some(returning), Some(saver)) = (&mut self.returning, &self.saver) else {
+    /// Has a checkpoint, the view for operators and the measurements written soon.
+    pub(super) fn write_checkpoint(&mut self) {
+        let now = self.now();
+        let taken_at = self.clock.sample();
+        let (Some(recovery), Some(writer)) = (&mut self.recovery, &self.snapshot_writer) else {
             return;
         };
-        returning.note_at = now + NOTE_EVERY;
-        returning.machine.note(now);
-        // Until the module has been told of it, what an earlier start measured stays.
-        if !returning.machine.keeps_measured()
+        recovery.checkpoint_at = now + CHECKPOINT_INTERVAL;
+        recovery.machine.checkpoint_begun(now);
+        // Measurements of the last run are not replaced before they are restored.
+        if !recovery.machine.needs_stored_measurements()
             && let Ok(bytes) = postcard::to_stdvec(self.request_table.measurements())
         {
-            saver.save(MEASURED, bytes);
+            writer.write_soon(MEASUREMENTS, bytes);
         }
-        if let (None, Some(folder)) = (&returning.lock, &self.settings.state) {
-            returning.lock = lock(folder).ok().flatten();
+        if let (None, Some(folder)) = (&recovery.lock, &self.settings.state) {
+            recovery.lock = lock(folder).ok().flatten();
         }
-        for (name, bytes) in [
-            (MARK, serde_json::to_vec(&returning.machine.mark(at))),
-            (STAGES, serde_json::to_vec_pretty(&returning.machine.view(now))),
-        ] {
-            if let Ok(bytes) = bytes {
-                saver.save(name, bytes);
-            }
+        if let Ok(bytes) = serde_json::to_vec(&recovery.machine.checkpoint(taken_at)) {
+            writer.write_soon(CHECKPOINT, bytes);
+        }
+        if let Ok(bytes) = serde_json::to_vec_pretty(&recovery.machine.view(now)) {
+            writer.write_soon(RECOVERY_VIEW, bytes);
         }
     }
 
-    pub(super) fn recovery_next(&self) -> Option<Duration> {
-        let returning = self.returning.as_ref()?;
-        let force = (returning.machine.stage() != Stage::Full).then_some(returning.force_at);
-        [Some(returning.note_at), returning.machine.next_due(), force]
-            .into_iter()
-            .flatten()
-            .min()
+    pub(super) fn recovery_next_due(&self) -> Option<Duration> {
+        let recovery = self.recovery.as_ref()?;
+        let is_full = recovery.machine.phase() == RecoveryPhase::FullService;
+        let force_check = (!is_full).then_some(recovery.force_check_at);
+        [
+            Some(recovery.checkpoint_at),
+            recovery.machine.next_due(),
+            force_check,
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     pub(super) fn recovery_due(&mut self, now: Duration) {
-        let Some(returning) = &mut self.returning else {
+        let Some(recovery) = &mut self.recovery else {
             return;
         };
-        if returning.machine.next_due().is_some_and(|at| at <= now) {
-            returning.machine.due(now);
+        if recovery.machine.next_due().is_some_and(|at| at <= now) {
+            recovery.machine.due(now);
         }
-        if returning.machine.stage() != Stage::Full && returning.force_at <= now {
-            returning.force_at = now + FORCE_EVERY;
-            let file = self.settings.state.as_ref().map(|folder| folder.join(FORCE));
-            if file.is_some_and(|file| file.exists() && std::fs::remove_file(file).is_ok()) {
+        let is_full = recovery.machine.phase() == RecoveryPhase::FullService;
+        if !is_full && recovery.force_check_at <= now {
+            recovery.force_check_at = now + FORCE_CHECK_INTERVAL;
+            if take_force_file(self.settings.state.as_deref()) {
                 tracing::warn!("service is forced by an operator");
-                returning.machine.force(now);
+                recovery.machine.force_full_service(now);
             }
         }
-        if returning.machine.stage() == Stage::Backlog && !self.asynchronous.is_busy(now) {
-            returning.machine.backlog_through(now);
+        if recovery.machine.phase() == RecoveryPhase::Backlog && !self.asynchronous.is_busy(now) {
+            recovery.machine.backlog_drained(now);
         }
-        let notes = returning.note_at <= now;
-        self.returned();
-        if notes {
-            self.note_mark();
+        let is_checkpoint_due = recovery.checkpoint_at <= now;
+        self.carry_out_recovery();
+        if is_checkpoint_due {
+            self.write_checkpoint();
         }
     }
 
-    /// Carries out what the machine says.
-    pub(super) fn returned(&mut self) {
-        let Some(returning) = &mut self.returning else {
+    /// Carries out what the recovery has decided.
+    pub(super) fn carry_out_recovery(&mut self) {
+        let Some(recovery) = &mut self.recovery else {
             return;
         };
-        let outputs = returning.machine.outputs();
-        for output in outputs {
+        for output in recovery.machine.take_outputs() {
             match output {
-                Output::Tell { to, bytes } => self.send_to_member(&to, quartzdrift_recovery::RECOVERY, bytes),
-                Output::Judged(verdict) => {
-                    let (kind, disk) = (verdict.kind, verdict.disk);
-                    let (answered, lost, silent) = (verdict.answered, verdict.lost, verdict.silent);
-                    tracing::info!(%kind, ?disk, answered, lost, silent, "start judged");
-                    if let Err(e) = self.note_start() {
-                        tracing::error!(error = %e, "the next start may not know of this one");
-                    }
-                    if kind != Kind::LossOfMany {
-                        self.belief.of_before(false);
-                    } else {
-                        self.doubt_workers();
-                    }
-                    self.restore_held();
-                }
-                Output::Stage(stage) => {
-                    tracing::info!(%stage, "service returns");
-                    self.note_mark();
+                Output::Send { to, bytes } => self.send_to_member(&to, RECOVERY_TOPIC, bytes),
+                Output::Classified(classification) => self.restart_classified(&classification),
+                Output::PhaseEntered(phase) => {
+                    tracing::info!(stage = %phase, "service returns");
+                    self.write_checkpoint();
                 }
-                Output::TellMeasured => self.tell_measured(),
+                Output::RestoreMeasurements => self.restore_measurements(),
+            }
+        }
+        self.limit_asynchronous();
+    }
+
+    fn restart_classified(&mut self, classification: &RestartClassification) {
+        let &RestartClassification {
+            kind,
+            disk,
+            answered,
+            lost,
+            silent,
+            ..
+        } = classification;
+        tracing::info!(%kind, %disk, answered, lost, silent, "start judged");
+        if let Err(e) = self.record_start() {
+            tracing::error!(error = %e, "the next start may not know of this one");
+        }
+        match kind {
+            RestartKind::MassFailure => self.mark_workers_restarted(),
+            RestartKind::FirstStart | RestartKind::Planned | RestartKind::SingleCrash => {
+                self.belief.of_before(false);
             }
         }
-        self.allow_asynchronous();
+        self.restore_held_requests();
     }
 
-    /// The decision module's budget for cold workers is what it measured of warm ones: before the loss they did so much.
-    fn tell_measured(&mut self) {
-        let otherwise = "what was measured before cannot be read; it begins anew";
-        let saved = saved::found(self.settings.state.as_deref(), MEASURED, otherwise);
-        match saved.map(|bytes| postcard::from_bytes(&bytes)) {
-            Some(Ok(before)) => {
-                self.request_table.restore_measurements(self.now(), before);
+    /// Restores what the scheduler had measured of warm workers; its slow-start budget depends on it.
+    fn restore_measurements(&mut self) {
+        let warning = "what was measured before cannot be read; it begins anew";
+        let bytes = snapshots::read_or_warn(self.settings.state.as_deref(), MEASUREMENTS, warning);
+        match bytes.map(|bytes| postcard::from_bytes(&bytes)) {
+            Some(Ok(measurements)) => {
+                self.request_table.restore_measurements(self.now(), measurements);
                 self.carry_out();
             }
             Some(Err(e)) => tracing::warn!(error = %e, "what was measured before is set aside"),
@@ -297,118 +329,136 @@
         }
     }
 
-    /// Workers that no list has told of since are cold: they lost power too.
-    fn doubt_workers(&mut self) {
+    /// Workers that no endpoint list has named since are taken as just started: they lost power too.
+    fn mark_workers_restarted(&mut self) {
         if self.discovery.has_come() {
             return;
         }
         let now = self.now();
         let mut workers = self.belief.workers();
-        workers
-            .iter_mut()
-            .filter(|w| w.state == EndpointState::Up)
-            .for_each(|w| w.started = Some(now));
+        for worker in &mut workers {
+            if worker.state == EndpointState::Up {
+                worker.started = Some(now);
+            }
+        }
         self.give_list(EndpointListKind::Changes, &workers);
     }
 
-    /// Asynchronous requests of before, once it is known what they may do.
-    fn restore_held(&mut self) {
-        let Some(returning) = &mut self.returning else {
+    /// Restores the asynchronous requests of the last run, now that it is known what they may do.
+    fn restore_held_requests(&mut self) {
+        let Some(recovery) = &mut self.recovery else {
             return;
         };
-        let held = std::mem::take(&mut returning.held);
-        let machine = &returning.machine;
+        let requests = std::mem::take(&mut recovery.held_requests);
+        let machine = &recovery.machine;
         let after = After {
-            repeats_known: machine.repeats_known(),
-            older: machine.waiting_in_doubt(),
+            repeats_known: machine.repeats_are_detected(),
+            older: machine.waiting_may_have_run(),
         };
-        let unproven = machine.away_unproven();
-        self.restore(held, after, unproven);
+        let unproven_downtime = machine.unproven_downtime();
+        self.restore(requests, after, unproven_downtime);
     }
 
-    fn allow_asynchronous(&mut self) {
-        let most = self.settings.asynchronous.out;
-        let allowed = self
-            .returning
-            .as_ref()
-            .and_then(|returning| returning.machine.backlog());
-        self.asynchronous.allow(allowed.unwrap_or(most));
+    fn limit_asynchronous(&mut self) {
+        let recovery = self.recovery.as_ref();
+        let limit = recovery.and_then(|recovery| recovery.machine.async_limit());
+        self.asynchronous
+            .allow(limit.unwrap_or(self.settings.asynchronous.out));
     }
 
-    /// Whether a call may become a request now; else when to come back. `mark`: its client's own.
-    pub(super) fn let_in(&self, request_class: u32, mark: bool, is_retry: bool) -> Result<(), Duration> {
-        let of = &self.settings.scheduler.request_classes[request_class as usize];
-        let marks_retries = self.settings.scheduler.clients_mark_retries;
-        let may_repeat =
-            of.idempotency == Idempotency::IdempotentWithKey && mark && (is_retry || !marks_retries);
-        let Some(returning) = self.returning.as_ref().filter(|_| may_repeat) else {
+    /// Whether a call that may repeat a request of the last run is admitted; `Err`: when to retry. `has_key`: its client
+    /// has given it an idempotency key.
+    pub(super) fn admit_repeat(
+        &self,
+        request_class: u32,
+        has_key: bool,
+        is_retry: bool,
+    ) -> Result<(), Duration> {
+        let scheduler = &self.settings.scheduler;
+        let class = &scheduler.request_classes[request_class as usize];
+        let may_be_retry = is_retry || !scheduler.clients_mark_retries;
+        let may_repeat = class.idempotency == Idempotency::IdempotentWithKey && has_key && may_be_retry;
+        let Some(recovery) = self.recovery.as_ref().filter(|_| may_repeat) else {
             return Ok(());
         };
-        let wait = returning
-            .machine
-            .repeats_wait(self.now(), of.window.unwrap_or_default());
-        wait.map_or(Ok(()), Err)
+        let window = class.window.unwrap_or_default();
+        match recovery.machine.repeat_retry_after(self.now(), window) {
+            Some(retry_after) => Err(retry_after),
+            None => Ok(()),
+        }
     }
 
-    /// Whether a call for this function may become a request while copies return, and the number it tries; else when to come back.
-    pub(super) fn paced(&mut self, function: &str) -> Result<Option<u32>, Duration> {
+    /// Whether a call for this function is admitted while caches are cold, and the number of the load if it is one; `Err`:
+    /// when to retry.
+    pub(super) fn admit_function(&mut self, function: &str) -> Result<Option<u32>, Duration> {
         let now = self.now();
-        self.returning
-            .as_mut()
-            .map_or(Ok(None), |returning| returning.machine.let_in(now, function))
+        match &mut self.recovery {
+            Some(recovery) => recovery.machine.admit(now, function),
+            None => Ok(None),
+        }
     }
 
     /// A request had its final answer.
     pub(super) fn request_answered(&mut self, work: &Work, answer: FinalAnswer) {
         let now = self.now();
-        if let (Some(number), Some(returning)) = (work.tries, &mut self.returning) {
-            let came = match answer {
-                FinalAnswer::Succeeded => Came::Stands,
-                _ if self.load_failed => Came::Refused,
-                FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => {
-                    Came::Nothing
-                }
-            };
-            returning.machine.tried(now, number, came);
-        }
-        let Some(returning) = self
-            .returning
-            .as_mut()
-            .filter(|of| of.machine.stage() != Stage::Full)
-        else {
+        let load_failed = self.load_failed;
+        let Some(recovery) = &mut self.recovery else {
             return;
         };
-        let of = &self.settings.scheduler.request_classes[work.request_class as usize];
-        let target = of.latency_objective.unwrap_or(DEFAULT_TARGET);
-        let succeeded = answer == FinalAnswer::Succeeded;
-        if matches!(work.origin, Origin::Client(_)) && answer != FinalAnswer::Cancelled {
-            returning
-                .machine
-                .answered(succeeded && now.saturating_sub(work.taken) <= target);
+        if let Some(function) = work.tries {
+            let result = load_result(answer, load_failed);
+            recovery.machine.load_finished(now, function, result);
+        }
+        let is_synchronous = matches!(work.origin, Origin::Client(_));
+        let is_full = recovery.machine.phase() == RecoveryPhase::FullService;
+        if is_full || !is_synchronous || answer == FinalAnswer::Cancelled {
+            return;
         }
+        let class = &self.settings.scheduler.request_classes[work.request_class as usize];
+        let objective = class.latency_objective.unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
+        let is_in_time = now.saturating_sub(work.taken) <= objective;
+        let on_time = answer == FinalAnswer::Succeeded && is_in_time;
+        recovery.machine.request_answered(on_time);
     }
 
-    /// A planned stop, once all has its final answer: the last note.
-    pub(super) fn note_stop(&mut self) {
-        let later = |starts: u64| {
-            let folder = self.settings.state.as_deref()?;
-            let mark: Mark = serde_json::from_slice(&saved::last(folder, MARK).ok()??).ok()?;
-            Some(mark.starts > starts)
-        };
-        let Some(starts) = self
-            .returning
-            .as_ref()
-            .map(|returning| returning.machine.starts())
-        else {
+    /// A planned stop, once all requests have their final answer: writes the last checkpoint, unless a successor has
+    /// written its own.
+    pub(super) fn record_stop(&mut self) {
+        let Some(recovery) = &mut self.recovery else {
             return;
         };
-        // A successor beside us has noted its own start.
-        if later(starts) == Some(true) {
+        let starts = recovery.machine.starts();
+        let recorded = read_recorded_start(self.settings.state.as_deref());
+        if recorded.is_some_and(|recorded| recorded > starts) {
             return;
         }
-        if let Some(returning) = &mut self.returning {
-            returning.machine.stopped();
+        recovery.machine.stop_cleanly();
+        self.write_checkpoint();
+    }
+}
+
+/// Whether an operator has forced full service; the file is removed.
+fn take_force_file(folder: Option<&Path>) -> bool {
+    let Some(folder) = folder else { return false };
+    let file = folder.join(FORCE_FULL_SERVICE);
+    file.exists() && std::fs::remove_file(file).is_ok()
+}
+
+/// The start of the checkpoint on disk.
+fn read_recorded_start(folder: Option<&Path>) -> Option<u64> {
+    let bytes = snapshots::read(folder?, CHECKPOINT).ok()??;
+    let checkpoint: Checkpoint = serde_json::from_slice(&bytes).ok()?;
+    Some(checkpoint.starts)
+}
+
+fn load_result(answer: FinalAnswer, load_failed: bool) -> LoadResult {
+    match answer {
+        FinalAnswer::Succeeded => LoadResult::Cached,
+        FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => {
+            match load_failed {
+                true => LoadResult::Rejected,
+                false => LoadResult::Inconclusive,
+            }
         }
-        self.note_mark();
     }
 }
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -78,9 +78,9 @@
             .reserve(Id(live.iter().map(|of| of.id).max().unwrap_or(0)));
         let requests = live.len();
         tracing::info!(requests, duration = ?start.elapsed(), "deferred jobs read from the store");
-        match &mut self.returning {
+        match &mut self.recovery {
             // Until it is known what they may do, they stay where they are.
-            Some(returning) => returning.held = live,
+            Some(recovery) => recovery.held_requests = live,
             None => self.restore(
                 live,
                 After {
--- a/crates/quartzdrift/src/lib.rs
+++ b/crates/quartzdrift/src/lib.rs
@@ -9,6 +9,6 @@
 pub mod logs;
 pub mod platform;
 pub mod record;
-pub mod saved;
 pub mod serve;
 pub mod settings;
+pub mod snapshots;
--- a/crates/quartzdrift/src/main.rs
+++ b/crates/quartzdrift/src/main.rs
@@ -2,7 +2,7 @@
 use clap::{Parser, Subcommand};
 use quartzdrift::gateway::fleet::View;
 use quartzdrift::platform::run;
-use quartzdrift::{invoke, logs, saved, serve, settings};
+use quartzdrift::{invoke, logs, serve, settings, snapshots};
 use quartzdrift_async_queue::Submitted;
 use quartzdrift_scheduler::interface::Idempotency;
 use quartzdrift_wal::{Folder, look, repair};
@@ -256,7 +256,7 @@
         .unwrap_or_default();
     show(
         folder,
-        saved::MEMBERS,
+        snapshots::MEMBERS,
         "what was saved of the members",
         |view: View| view.table(now),
     )
@@ -269,7 +269,7 @@
     what: &str,
     table: impl Fn(T) -> String,
 ) -> ExitCode {
-    match saved::last(folder, name) {
+    match snapshots::read(folder, name) {
         Ok(Some(bytes)) => match serde_json::from_slice(&bytes) {
             Ok(view) => {
                 print!("{}", table(view));
@@ -288,15 +288,18 @@
         return fail("the settings need gateway.state, where the gateway tells how it starts");
     };
     if force {
-        return match std::fs::write(folder.join(saved::FORCE), b"") {
+        return match std::fs::write(folder.join(snapshots::FORCE_FULL_SERVICE), b"") {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => fail(&format!("{}: {e}", folder.display())),
         };
     }
     let what = "what was noted of the start";
-    show(folder, saved::STAGES, what, |view: quartzdrift_recovery::View| {
-        view.table()
-    })
+    show(
+        folder,
+        snapshots::RECOVERY_VIEW,
+        what,
+        |view: quartzdrift_recovery::View| view.table(),
+    )
 }
 
 fn fail(what: &str) -> ExitCode {
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -1,10 +1,10 @@
 //! What earlier releases stored is read, and means the same: files that a gateway of 2026-12-02 left, killed with
 //! invocations of each kind open. Each is written again and compared byte for byte.
-use quartzdrift::{durable, saved};
+use quartzdrift::{durable, snapshots};
 use quartzdrift_async_queue::Destination;
 use quartzdrift_discovery::list::{self, Known};
 use quartzdrift_forecast::Forecasts;
-use quartzdrift_recovery::{Kind, Mark, Stage, View};
+use quartzdrift_recovery::{Checkpoint, RecoveryPhase, RestartKind, View};
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
 use quartzdrift_scheduler::measure::Measurements;
 use quartzdrift_wal::{Folder, Log, look};
@@ -18,13 +18,13 @@
 }
 
 fn last(name: &str) -> Vec<u8> {
-    saved::last(&stored(), name).unwrap().unwrap()
+    snapshots::read(&stored(), name).unwrap().unwrap()
 }
 
 /// Written by this release, a file is the same as the stored one, its checksum included.
 fn is_written_again(name: &str, content: &[u8]) {
     let folder = tempfile::tempdir().unwrap();
-    saved::write(folder.path(), name, content).unwrap();
+    snapshots::write(folder.path(), name, content).unwrap();
     assert_eq!(
         fs::read(folder.path().join(name)).unwrap(),
         fs::read(stored().join(name)).unwrap(),
@@ -121,7 +121,7 @@
         zones: vec!["east".into(), "west".into()],
         kinds: vec!["large".into(), "small".into()],
     };
-    let bytes = fs::read(stored().join(saved::WORKERS)).unwrap();
+    let bytes = fs::read(stored().join(snapshots::WORKERS)).unwrap();
     let list = list::read(&bytes, &known).unwrap();
     assert!(list.unread.is_empty() && list.workers.len() == 2, "{list:?}");
     let (one, two) = (&list.workers[0], &list.workers[1]);
@@ -143,44 +143,54 @@
 
 #[test]
 fn members_checkpoint_and_stages_are_read_and_written_again() {
-    let members: quartzdrift::gateway::fleet::View = serde_json::from_slice(&last(saved::MEMBERS)).unwrap();
+    let members: quartzdrift::gateway::fleet::View =
+        serde_json::from_slice(&last(snapshots::MEMBERS)).unwrap();
     assert_eq!(
         (&*members.name, members.schedulers, &*members.members[0].name),
         ("a", 2, "b")
     );
-    is_written_again(saved::MEMBERS, &serde_json::to_vec_pretty(&members).unwrap());
-    let mark: Mark = serde_json::from_slice(&last(saved::MARK)).unwrap();
+    is_written_again(snapshots::MEMBERS, &serde_json::to_vec_pretty(&members).unwrap());
+    let checkpoint: Checkpoint = serde_json::from_slice(&last(snapshots::CHECKPOINT)).unwrap();
     assert_eq!(
-        (&*mark.name, mark.starts, mark.clean, mark.settled, mark.notes),
+        (
+            &*checkpoint.name,
+            checkpoint.starts,
+            checkpoint.stopped_cleanly,
+            checkpoint.classified,
+            checkpoint.checkpoints
+        ),
         ("a", 1, false, true, 4)
     );
     assert_eq!(
-        (mark.at.since_boot, mark.seen["b"]),
+        (checkpoint.taken_at.since_boot, checkpoint.seen_starts["b"]),
         (Duration::from_millis(831_480), 1)
     );
-    is_written_again(saved::MARK, &serde_json::to_vec(&mark).unwrap());
-    let view: View = serde_json::from_slice(&last(saved::STAGES)).unwrap();
+    is_written_again(snapshots::CHECKPOINT, &serde_json::to_vec(&checkpoint).unwrap());
+    let view: View = serde_json::from_slice(&last(snapshots::RECOVERY_VIEW)).unwrap();
     assert_eq!(
         (
-            view.stage,
-            view.verdict.as_ref().map(|of| of.kind),
-            view.beliefs.len()
+            view.phase,
+            view.classification.as_ref().map(|restart| restart.kind),
+            view.restore_decisions.len()
         ),
-        (Stage::Full, Some(Kind::First), 7)
+        (RecoveryPhase::FullService, Some(RestartKind::FirstStart), 7)
+    );
+    is_written_again(
+        snapshots::RECOVERY_VIEW,
+        &serde_json::to_vec_pretty(&view).unwrap(),
     );
-    is_written_again(saved::STAGES, &serde_json::to_vec_pretty(&view).unwrap());
 }
 
 #[test]
 fn what_was_measured_and_forecast_is_read_and_written_again() {
-    let bytes = last(saved::MEASURED);
+    let bytes = last(snapshots::MEASUREMENTS);
     let measured: Measurements = postcard::from_bytes(&bytes).unwrap();
     assert_eq!(
         (measured.peaks.len(), measured.most_up[&None], measured.usual),
         (2, 2, Some(Duration::from_nanos(2_326_081)))
     );
-    is_written_again(saved::MEASURED, &postcard::to_stdvec(&measured).unwrap());
-    let bytes = last(saved::FORECASTS);
+    is_written_again(snapshots::MEASUREMENTS, &postcard::to_stdvec(&measured).unwrap());
+    let bytes = last(snapshots::FORECASTS);
     let at = Duration::new(1_796_190_540, 113_451_731);
     let forecasts = Forecasts::restore(Default::default(), &bytes, at).unwrap();
     assert_eq!(forecasts.len(), 4);
