--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -126,10 +126,10 @@
         let class = &settings.scheduler.request_classes[invoke.function.request_class as usize];
         let left = time_left(&invoke.call, class);
         let has_own_key = invoke.call.mark.is_some();
-        self.let_in(invoke.function.request_class, has_own_key, invoke.is_retry)
+        self.admit_repeat(invoke.function.request_class, has_own_key, invoke.is_retry)
             .map_err(|wait| Problem::Busy(Some(wait)))?;
         let ramp_probe = self
-            .paced(&invoke.name)
+            .admit_function(&invoke.name)
             .map_err(|wait| Problem::Busy(Some(wait)))?;
         let context = RequestContext {
             id: invoke.id,
--- a/crates/quartzdrift/src/gateway/event_loop.rs
+++ b/crates/quartzdrift/src/gateway/event_loop.rs
@@ -13,7 +13,7 @@
             self.request_table.next_deadline(),
             self.asynchronous_due(),
             self.timers_due(),
-            self.recovery_next(),
+            self.recovery_next_due(),
             self.discovery.next_due(),
             self.ahead.as_ref().and_then(ahead::Loads::next_due),
             self.fleet.as_ref().map(fleet::Fleet::next_due),
--- a/crates/quartzdrift/src/gateway/shutdown.rs
+++ b/crates/quartzdrift/src/gateway/shutdown.rs
@@ -55,7 +55,7 @@
         self.close_store();
         self.save_ahead();
         self.leave_fleet();
-        self.note_stop();
+        self.record_stop();
         tracing::info!(counts = ?self.counts, "stopped");
     }
 
@@ -78,8 +78,8 @@
 
     /// When a schedule triggers here.
     pub(super) fn timers_due(&self) -> Option<Duration> {
-        let recovery = self.returning.as_ref();
-        let is_admitted = recovery.is_none_or(|recovery| recovery.machine.timers());
+        let recovery = self.recovery.as_ref();
+        let is_admitted = recovery.is_none_or(|recovery| recovery.machine.allows_schedules());
         let next = self.timers.next_due();
         next.filter(|_| !self.is_draining() && is_admitted)
     }
--- a/crates/quartzdrift/src/gateway/state.rs
+++ b/crates/quartzdrift/src/gateway/state.rs
@@ -4,8 +4,8 @@
 use super::{ahead, discovery, fleet, recovery, store};
 use crate::clock::Clock;
 use crate::record::Recorder;
-use crate::saved::{self, Saver};
 use crate::settings::Settings;
+use crate::snapshots::{self, SnapshotWriter};
 use calloop::LoopHandle;
 use quartzdrift_async_queue::{Changes, Queue};
 use quartzdrift_discovery::belief::Belief;
@@ -44,9 +44,9 @@
     pub(super) discovery: discovery::Source,
     pub(super) ahead: Option<ahead::Loads>,
     pub(super) fleet: Option<fleet::Fleet>,
-    pub(super) returning: Option<recovery::Returning>,
+    pub(super) recovery: Option<recovery::RecoveryDriver>,
     pub(super) recorder: Option<Recorder>,
-    pub(super) saver: Option<Saver>,
+    pub(super) snapshot_writer: Option<SnapshotWriter>,
     /// When the drain ends, once it has begun.
     pub(super) drain_deadline: Option<Duration>,
     pub(super) counts: RequestCounts,
@@ -65,20 +65,22 @@
     ///
     /// The state folder, the store or the trace file cannot be used, or the fleet's socket cannot be bound.
     pub fn new(settings: Settings, handle: LoopHandle<'static, Gateway>) -> io::Result<Gateway> {
-        let sample = crate::clock::moment();
-        let found = recovery::found(&settings, sample.clone());
-        let checkpoint = found.as_ref().and_then(|found| found.mark.as_ref());
-        let checkpoint = checkpoint.map(|mark| mark.at.clone());
+        let sample = crate::clock::sample();
+        let evidence = recovery::read_evidence(&settings, sample.clone());
+        let checkpoint = evidence
+            .as_ref()
+            .and_then(|evidence| evidence.checkpoint.as_ref());
+        let checkpoint = checkpoint.map(|checkpoint| checkpoint.taken_at.clone());
         let clock = Clock::resume(&sample, checkpoint.as_ref());
         // Triggers of schedules while no gateway ran are misfires.
         let schedules_since = checkpoint.map_or(clock.now(), |checkpoint| checkpoint.wall);
         let mut gateway = Gateway::with_empty_state(settings, handle.clone(), clock, schedules_since)?;
-        gateway.start_recovery(found)?;
+        gateway.start_recovery(evidence)?;
         gateway.load_first_list();
         gateway.start_ahead();
         gateway.start_store(&handle)?;
         gateway.start_fleet(&handle)?;
-        gateway.returned();
+        gateway.carry_out_recovery();
         Ok(gateway)
     }
 
@@ -89,7 +91,7 @@
         schedules_since: Duration,
     ) -> io::Result<Gateway> {
         let seed = settings.seed.unwrap_or_else(rand::random);
-        let saver = settings.state.clone().map(Saver::start).transpose()?;
+        let snapshot_writer = settings.state.clone().map(SnapshotWriter::start).transpose()?;
         let recorder = settings.record.as_ref().map(Recorder::start).transpose()?;
         let schedules = settings.timers.iter().map(|(timer, _)| timer.clone()).collect();
         let changes = Changes::new(settings.store.is_some());
@@ -110,9 +112,9 @@
             discovery: discovery::Source::new(&settings),
             ahead: None,
             fleet: None,
-            returning: None,
+            recovery: None,
             recorder,
-            saver,
+            snapshot_writer,
             drain_deadline: None,
             counts: RequestCounts::default(),
             settings: Rc::new(settings),
@@ -122,8 +124,8 @@
     fn load_first_list(&mut self) {
         let workers = self.first_list();
         self.belief.changes(&workers);
-        let recovery = self.returning.as_ref();
-        let was_unclean = recovery.is_some_and(|recovery| !recovery.machine.found().was_clean());
+        let recovery = self.recovery.as_ref();
+        let was_unclean = recovery.is_some_and(|recovery| !recovery.machine.evidence().ended_cleanly());
         self.belief.of_before(was_unclean);
         self.give_list(EndpointListKind::Snapshot, &workers);
     }
@@ -131,7 +133,7 @@
     /// The endpoint list that was last saved, or else that of the settings.
     fn first_list(&self) -> Vec<Listed> {
         let otherwise = "the saved endpoint list cannot be read";
-        let saved = saved::found(self.settings.state.as_deref(), saved::WORKERS, otherwise);
+        let saved = snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::WORKERS, otherwise);
         match saved.map(|bytes| list::read(&bytes, &self.settings.known)) {
             Some(Ok(saved)) if !saved.workers.is_empty() => saved.workers,
             Some(Err(why)) => {
--- a/crates/quartzdrift/src/lib.rs
+++ b/crates/quartzdrift/src/lib.rs
@@ -11,6 +11,6 @@
 pub mod logs;
 pub mod platform;
 pub mod record;
-pub mod saved;
 pub mod serve;
 pub mod settings;
+pub mod snapshots;
