--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -7,7 +7,7 @@
 use quartzdrift_async_queue::Submitted;
 use quartzdrift_scheduler::interface::*;
 use quartzdrift_scheduler::scheduler::Scheduler;
-use quartzdrift_wal::{Change, Folder, Live, Log};
+use quartzdrift_wal::{DirectoryStorage, InvocationRecord, Log, LogRecord};
 use std::io::{self, BufReader, Write};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -301,23 +301,23 @@
     let bytes = request.to_bytes();
     for requests in [1_000u64, 10_000, 100_000, 1_000_000] {
         let folder = tempfile::tempdir()?;
-        let (mut log, _) = Log::open(Folder::open(folder.path())?).map_err(io::Error::other)?;
+        let (mut log, _) = Log::open(DirectoryStorage::open(folder.path())?).map_err(io::Error::other)?;
         for first in (0..requests).step_by(1000) {
-            let live = |id| Live {
+            let record = |id| InvocationRecord {
                 id,
-                taken_us,
+                accepted_us: taken_us,
                 due_us: taken_us + 86_400_000_000,
                 request: bytes.clone(),
-                ..Live::default()
+                ..InvocationRecord::default()
             };
             log.commit(
                 (first + 1..=first + 1000)
-                    .map(|id| Change::Kept(live(id)))
+                    .map(|id| LogRecord::Snapshot(record(id)))
                     .collect(),
             )
             .map_err(io::Error::other)?;
         }
-        let stored = log.sizes().2 as f64 / 1e6;
+        let stored = log.size().bytes as f64 / 1e6;
         drop(log);
         let (_running, addresses) = workers(1, Duration::ZERO)?;
         let start = Instant::now();
--- a/crates/quartzdrift-wal/tests/crashes.rs
+++ b/crates/quartzdrift-wal/tests/crashes.rs
@@ -1,42 +1,48 @@
 //! A crash at every step, a disk that fails, and damage.
+#![allow(clippy::unwrap_used, reason = "a test may stop at what must not be")]
+
 use proptest::prelude::*;
-use quartzdrift_wal::{Change, Files, Folder, Live, Log, Unusable, look, repair};
+use quartzdrift_wal::{
+    DirectoryStorage, InvocationRecord, Log, LogError, LogRecord, LogSize, LogStorage, inspect, repair,
+};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
 
 #[derive(Clone, Default)]
-struct Content {
+struct FileContent {
     bytes: Vec<u8>,
-    /// So much of it is on the disk for sure.
+    /// Bytes from the start that are durable.
     synced: usize,
-    /// Whether its name is.
-    named: bool,
+    /// Whether the file's creation is durable.
+    name_synced: bool,
 }
 
-/// Files in memory that tell what lasts, count operations, and end at one of them.
+/// A disk in memory that knows what is durable, counts operations, and fails as it is told to.
 #[derive(Clone, Default)]
 struct Disk {
-    files: BTreeMap<String, Content>,
+    files: BTreeMap<String, FileContent>,
     operations: usize,
-    /// At this operation the machine stops, with so much of a write on the disk.
+    /// The machine stops at this operation; of a write then under way this many bytes reach the disk.
     stop: Option<(usize, usize)>,
-    /// From this operation on every write fails, the first after half of it.
-    full: Option<usize>,
-    /// Syncs fail from this operation on.
-    bad_sync: Option<usize>,
+    /// From this operation on the disk is full: half of each write reaches it.
+    full_from: Option<usize>,
+    /// From this operation on each sync fails.
+    sync_fails_from: Option<usize>,
 }
 
+/// A disk that the log and the test share.
 #[derive(Clone, Default)]
-struct Shared(Rc<RefCell<Disk>>);
+struct SharedDisk(Rc<RefCell<Disk>>);
 
 fn stopped() -> io::Error {
     io::Error::other("the machine stopped")
 }
 
 impl Disk {
-    fn step(&mut self) -> io::Result<bool> {
+    /// Counts an operation; `true` if the machine stops during it, an error if it has stopped before.
+    fn begin_operation(&mut self) -> io::Result<bool> {
         self.operations += 1;
         match self.stop {
             Some((at, _)) if self.operations > at => Err(stopped()),
@@ -45,21 +51,21 @@
         }
     }
 
-    /// What a machine finds when it starts again: what was synced, and as much more as `kept` says.
-    fn after(&self, kept: usize) -> Disk {
+    /// The disk after a restart: all that was synced, and up to `unsynced` further bytes of each file.
+    fn after_restart(&self, unsynced: usize) -> Disk {
         let mut disk = Disk::default();
-        for (name, of) in &self.files {
-            if !of.named && kept == 0 {
+        for (name, file) in &self.files {
+            if !file.name_synced && unsynced == 0 {
                 continue;
             }
-            let length = (of.synced + kept).min(of.bytes.len());
-            let bytes = of.bytes[..length].to_vec();
+            let length = (file.synced + unsynced).min(file.bytes.len());
+            let bytes = file.bytes[..length].to_vec();
             disk.files.insert(
                 name.clone(),
-                Content {
+                FileContent {
                     synced: bytes.len(),
                     bytes,
-                    named: true,
+                    name_synced: true,
                 },
             );
         }
@@ -67,7 +73,7 @@
     }
 }
 
-impl Files for Shared {
+impl LogStorage for SharedDisk {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.0.borrow().files.keys().cloned().collect())
     }
@@ -76,31 +82,31 @@
         let disk = self.0.borrow();
         disk.files
             .get(name)
-            .map(|of| of.bytes.clone())
+            .map(|file| file.bytes.clone())
             .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        let last = disk.step()?;
-        let part = disk.stop.filter(|_| last).map(|(_, part)| part.min(bytes.len()));
-        let full = disk.full.is_some_and(|at| disk.operations >= at);
+        let stops = disk.begin_operation()?;
+        let written = disk.stop.filter(|_| stops).map(|(_, part)| part.min(bytes.len()));
+        let full = disk.full_from.is_some_and(|at| disk.operations >= at);
         let file = disk.files.entry(name.to_owned()).or_default();
         if full {
             file.bytes.extend(&bytes[..bytes.len() / 2]);
             return Err(io::ErrorKind::StorageFull.into());
         }
-        file.bytes.extend(&bytes[..part.unwrap_or(bytes.len())]);
-        if last { Err(stopped()) } else { Ok(()) }
+        file.bytes.extend(&bytes[..written.unwrap_or(bytes.len())]);
+        if stops { Err(stopped()) } else { Ok(()) }
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        let last = disk.step()?;
-        if disk.bad_sync.is_some_and(|at| disk.operations >= at) {
+        let stops = disk.begin_operation()?;
+        if disk.sync_fails_from.is_some_and(|at| disk.operations >= at) {
             return Err(io::Error::other("the disk is bad"));
         }
-        if last {
+        if stops {
             return Err(stopped());
         }
         if let Some(file) = disk.files.get_mut(name) {
@@ -111,16 +117,16 @@
 
     fn sync_names(&mut self) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        if disk.step()? {
+        if disk.begin_operation()? {
             return Err(stopped());
         }
-        disk.files.values_mut().for_each(|file| file.named = true);
+        disk.files.values_mut().for_each(|file| file.name_synced = true);
         Ok(())
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        if disk.step()? {
+        if disk.begin_operation()? {
             return Err(stopped());
         }
         if let Some(file) = disk.files.get_mut(name) {
@@ -132,7 +138,7 @@
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        if disk.step()? {
+        if disk.begin_operation()? {
             return Err(stopped());
         }
         disk.files.remove(name);
@@ -143,75 +149,78 @@
 /// Small, so that a few requests fill some segments.
 const SEGMENT: u64 = 300;
 
-fn kept(id: u64) -> Change {
-    Change::Kept(Live {
+fn accepted(id: u64) -> LogRecord {
+    LogRecord::Snapshot(InvocationRecord {
         id,
-        taken_us: id,
+        accepted_us: id,
         due_us: id,
         request: vec![id as u8; 40],
-        ..Live::default()
+        ..InvocationRecord::default()
     })
 }
 
-/// A life of twelve requests: taken, out, waiting again, over, some never.
-fn batches() -> Vec<Vec<Change>> {
+/// Twelve invocations: accepted, attempted, scheduled for a retry, completed, some never.
+fn batches() -> Vec<Vec<LogRecord>> {
     let mut all = Vec::new();
     for id in 1..=12 {
-        all.push(vec![kept(id)]);
-        all.push(vec![Change::Out {
+        all.push(vec![accepted(id)]);
+        all.push(vec![LogRecord::AttemptStarted {
             id,
             at_us: 100 + id,
-            tries: 1,
+            attempts: 1,
         }]);
         if id % 3 == 0 {
-            all.push(vec![Change::Waits {
+            all.push(vec![LogRecord::RetryScheduled {
                 id,
                 due_us: 900,
-                tries: 1,
-                confined_us: Some(950),
+                attempts: 1,
+                deduplication_deadline_us: Some(950),
             }]);
         }
         if id % 4 != 0 {
-            // Over, and its record for a destination taken: both or neither.
-            all.push(vec![Change::Over { id }, kept(100 + id)]);
-            all.push(vec![Change::Over { id: 100 + id }]);
+            // Completed, and the event for its destination accepted: both or neither.
+            all.push(vec![LogRecord::Completed { id }, accepted(100 + id)]);
+            all.push(vec![LogRecord::Completed { id: 100 + id }]);
         }
     }
     all
 }
 
-/// What should be there after so many batches.
-fn expected(batches: &[Vec<Change>]) -> BTreeMap<u64, Live> {
-    let mut requests: BTreeMap<u64, Live> = BTreeMap::new();
-    for change in batches.iter().flatten().cloned() {
-        match change {
-            Change::Kept(live) => drop(requests.insert(live.id, live)),
-            Change::Over { id } => drop(requests.remove(&id)),
-            Change::Out { id, at_us, tries } => {
-                let request = requests.get_mut(&id).unwrap();
-                (request.out_us, request.tries) = (Some(at_us), tries);
+/// The open invocations after these batches.
+fn expected(batches: &[Vec<LogRecord>]) -> BTreeMap<u64, InvocationRecord> {
+    let mut invocations: BTreeMap<u64, InvocationRecord> = BTreeMap::new();
+    for record in batches.iter().flatten().cloned() {
+        match record {
+            LogRecord::Snapshot(record) => drop(invocations.insert(record.id, record)),
+            LogRecord::Completed { id } => drop(invocations.remove(&id)),
+            LogRecord::AttemptStarted { id, at_us, attempts } => {
+                let record = invocations.get_mut(&id).unwrap();
+                record.attempt_started_us = Some(at_us);
+                record.attempts = attempts;
             }
-            Change::Waits {
+            LogRecord::RetryScheduled {
                 id,
                 due_us,
-                tries,
-                confined_us,
+                attempts,
+                deduplication_deadline_us,
             } => {
-                let request = requests.get_mut(&id).unwrap();
-                (request.due_us, request.tries, request.confined_us, request.out_us) =
-                    (due_us, tries, confined_us, None);
+                let record = invocations.get_mut(&id).unwrap();
+                record.due_us = due_us;
+                record.attempts = attempts;
+                record.deduplication_deadline_us = deduplication_deadline_us;
+                record.attempt_started_us = None;
             }
         }
     }
-    requests
+    invocations
 }
 
-fn open(disk: &Shared) -> Result<(Log<Shared>, Vec<Live>), Unusable> {
+fn open(disk: &SharedDisk) -> Result<(Log<SharedDisk>, Vec<InvocationRecord>), LogError> {
     Log::open_with(disk.clone(), SEGMENT)
 }
 
-/// Plays the batches until the disk ends it; how many were told to last.
-fn play(disk: &Shared) -> usize {
+/// Commits the batches until one fails; returns how many were acknowledged.
+fn commit_all(disk: &SharedDisk) -> usize {
     let Ok((mut log, _)) = open(disk) else { return 0 };
     batches()
         .into_iter()
@@ -219,32 +228,40 @@
         .count()
 }
 
-fn found(disk: Disk) -> BTreeMap<u64, Live> {
-    let (_, live) = open(&Shared(Rc::new(RefCell::new(disk)))).expect("a crash leaves a store that opens");
-    live.into_iter().map(|live| (live.id, live)).collect()
+/// The open invocations that a log on this disk recovers.
+fn recover(disk: Disk) -> BTreeMap<u64, InvocationRecord> {
+    let (_, open_invocations) =
+        open(&SharedDisk(Rc::new(RefCell::new(disk)))).expect("a crash leaves a log that opens");
+    open_invocations
+        .into_iter()
+        .map(|record| (record.id, record))
+        .collect()
 }
 
 #[test]
-fn a_crash_at_any_step_loses_nothing_that_was_told_to_last() {
-    let whole = Shared::default();
-    assert_eq!(play(&whole), batches().len());
+fn a_crash_at_any_step_loses_no_acknowledged_batch() {
+    let whole = SharedDisk::default();
+    assert_eq!(commit_all(&whole), batches().len());
     let operations = whole.0.borrow().operations;
     assert!(operations > 100, "{operations}");
     for stop in 1..=operations {
-        // Of the write under way nothing, a little, or nearly all; of what was not synced nothing or all.
+        // Nothing, a little or all of the write under way reaches the disk, and nothing, a little or all of what was not
+        // synced stays.
         for part in [0, 1, 7, 9, 30, usize::MAX] {
-            for kept in [0, 5, usize::MAX / 2] {
-                let disk = Shared::default();
+            for unsynced in [0, 5, usize::MAX / 2] {
+                let disk = SharedDisk::default();
                 disk.0.borrow_mut().stop = Some((stop, part));
-                let told = play(&disk);
-                let found = found(disk.0.borrow().after(kept));
+                let acknowledged = commit_all(&disk);
+                let found = recover(disk.0.borrow().after_restart(unsynced));
                 let batches = batches();
-                let next = (told + 1).min(batches.len());
-                // The batch under way may have come to last, whole; nothing else.
-                let good = [told, next].iter().any(|n| found == expected(&batches[..*n]));
+                let next = (acknowledged + 1).min(batches.len());
+                // The batch under way may be durable as a whole; nothing else.
+                let good = [acknowledged, next]
+                    .iter()
+                    .any(|n| found == expected(&batches[..*n]));
                 assert!(
                     good,
-                    "stop {stop} part {part} kept {kept}: {told} told, found {:?}",
+                    "stop {stop} part {part} unsynced {unsynced}: {acknowledged} acknowledged, found {:?}",
                     found.keys()
                 );
             }
@@ -253,30 +270,34 @@
 }
 
 #[test]
-fn what_is_no_longer_needed_is_removed() {
-    let disk = Shared::default();
+fn segments_without_open_invocations_are_removed() {
+    let disk = SharedDisk::default();
     let (mut log, _) = open(&disk).unwrap();
-    log.commit(vec![kept(1)]).unwrap();
+    log.commit(vec![accepted(1)]).unwrap();
     for id in 2..500 {
-        log.commit(vec![kept(id)]).unwrap();
+        log.commit(vec![accepted(id)]).unwrap();
         log.commit(vec![
-            Change::Out {
+            LogRecord::AttemptStarted {
                 id,
                 at_us: 1,
-                tries: 1,
+                attempts: 1,
             },
-            Change::Over { id },
+            LogRecord::Completed { id },
         ])
         .unwrap();
     }
-    let (requests, segments, bytes) = log.sizes();
+    let LogSize {
+        open_invocations,
+        segments,
+        bytes,
+    } = log.size();
     assert!(
-        requests == 1 && segments <= 4 && bytes < 5 * SEGMENT,
+        open_invocations == 1 && segments <= 4 && bytes < 5 * SEGMENT,
         "{segments} segments, {bytes} bytes"
     );
     drop(log);
     assert_eq!(
-        found(disk.0.borrow().after(0))
+        recover(disk.0.borrow().after_restart(0))
             .keys()
             .copied()
             .collect::<Vec<_>>(),
@@ -285,72 +306,82 @@
 }
 
 #[test]
-fn a_full_disk_and_a_failed_sync_end_the_log_and_lie_to_nobody() {
-    for bad_sync in [false, true] {
+fn a_full_disk_or_a_failed_sync_ends_the_log_and_acknowledges_nothing_more() {
+    for sync_fails in [false, true] {
         for at in 5..60 {
-            let disk = Shared::default();
-            if bad_sync {
-                disk.0.borrow_mut().bad_sync = Some(at);
+            let disk = SharedDisk::default();
+            if sync_fails {
+                disk.0.borrow_mut().sync_fails_from = Some(at);
             } else {
-                disk.0.borrow_mut().full = Some(at);
+                disk.0.borrow_mut().full_from = Some(at);
             }
             let (mut log, _) = open(&disk).unwrap();
             let batches = batches();
-            let told = batches
+            let acknowledged = batches
                 .iter()
                 .take_while(|batch| log.commit((*batch).clone()).is_ok())
                 .count();
-            assert!(told < batches.len());
-            assert!(matches!(log.commit(vec![kept(99)]), Err(Unusable::Failed)));
+            assert!(acknowledged < batches.len());
+            assert!(matches!(log.commit(vec![accepted(99)]), Err(LogError::Failed)));
             drop(log);
-            let found = found(disk.0.borrow().after(0));
-            let next = (told + 1).min(batches.len());
+            let found = recover(disk.0.borrow().after_restart(0));
+            let next = (acknowledged + 1).min(batches.len());
             assert!(
-                [told, next].iter().any(|n| found == expected(&batches[..*n])),
-                "{at}: {told}"
+                [acknowledged, next]
+                    .iter()
+                    .any(|n| found == expected(&batches[..*n])),
+                "{at}: {acknowledged}"
             );
         }
     }
 }
 
 #[test]
-fn damage_is_told_with_its_place_and_repaired_by_what_can_be_read() {
-    let folder = tempfile::tempdir().unwrap();
-    let (mut log, _) = Log::open_with(Folder::open(folder.path()).unwrap(), SEGMENT).unwrap();
-    (1..=20).for_each(|id| log.commit(vec![kept(id)]).unwrap());
-    let second = Folder::open(folder.path()).err().expect("one process at a time");
+fn damage_is_reported_with_its_place_and_repair_saves_what_can_be_read() {
+    let directory = tempfile::tempdir().unwrap();
+    let (mut log, _) = Log::open_with(DirectoryStorage::open(directory.path()).unwrap(), SEGMENT).unwrap();
+    (1..=20).for_each(|id| log.commit(vec![accepted(id)]).unwrap());
+    let second = DirectoryStorage::open(directory.path())
+        .err()
+        .expect("one process at a time");
     assert_eq!(second.kind(), io::ErrorKind::WouldBlock);
     drop(log);
-    let path = folder.path().join("deferred-000000000002.log");
+    let path = directory.path().join("deferred-000000000002.log");
     let mut bytes = std::fs::read(&path).unwrap();
     bytes[30] ^= 1;
     std::fs::write(&path, &bytes).unwrap();
-    let open = || Log::open_with(Folder::open(folder.path()).unwrap(), SEGMENT).map(|(_, live)| live.len());
-    assert!(matches!(open(), Err(Unusable::Corrupt(name, 16)) if name.contains("0002")));
-    let looked = look(&Folder::open(folder.path()).unwrap()).unwrap();
+    let open = || {
+        Log::open_with(DirectoryStorage::open(directory.path()).unwrap(), SEGMENT)
+            .map(|(_, open_invocations)| open_invocations.len())
+    };
+    assert!(matches!(open(), Err(LogError::Corrupt(name, 16)) if name.contains("0002")));
+    let inspection = inspect(&DirectoryStorage::open(directory.path()).unwrap()).unwrap();
     assert!(
-        looked.live.len() < 20 && looked.faults.len() == 1,
+        inspection.open_invocations.len() < 20 && inspection.faults.len() == 1,
         "{}",
-        looked.live.len()
+        inspection.open_invocations.len()
     );
-    let kept = repair(Folder::open(folder.path()).unwrap()).unwrap().live.len();
-    assert_eq!((open().unwrap(), kept > 10), (kept, true));
+    let repaired = repair(DirectoryStorage::open(directory.path()).unwrap())
+        .unwrap()
+        .open_invocations
+        .len();
+    assert_eq!((open().unwrap(), repaired > 10), (repaired, true));
     // A later release's segment is left alone.
-    let newer = folder.path().join("deferred-000000000099.log");
-    let mut head = b"QDDEFER\0".to_vec();
-    head.extend(2u32.to_le_bytes());
-    head.extend(crc32fast::hash(&head).to_le_bytes());
-    std::fs::write(&newer, head).unwrap();
-    assert!(matches!(open(), Err(Unusable::Version(_, 2))));
-    assert!(repair(Folder::open(folder.path()).unwrap()).is_err() && newer.exists());
+    let newer = directory.path().join("deferred-000000000099.log");
+    let mut header = b"QDDEFER\0".to_vec();
+    header.extend(2u32.to_le_bytes());
+    header.extend(crc32fast::hash(&header).to_le_bytes());
+    std::fs::write(&newer, header).unwrap();
+    assert!(matches!(open(), Err(LogError::Version(_, 2))));
+    assert!(repair(DirectoryStorage::open(directory.path()).unwrap()).is_err() && newer.exists());
 }
 
 proptest! {
-    /// Whatever stands in a segment: an answer, and no panic.
+    /// Opening a segment of any content never panics.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes: Vec<u8>, headed: bool) {
-        let disk = Shared::default();
-        if headed {
+    fn any_segment_content_is_read_or_rejected(bytes: Vec<u8>, with_header: bool) {
+        let disk = SharedDisk::default();
+        if with_header {
             open(&disk).unwrap();
         }
         disk.0.borrow_mut().files.entry("deferred-000000000001.log".into()).or_default().bytes.extend(&bytes);
--- a/crates/quartzdrift/src/durable.rs
+++ b/crates/quartzdrift/src/durable.rs
@@ -2,7 +2,7 @@
 //! batch everything lasts.
 use calloop::channel::{self, Channel};
 use quartzdrift_async_queue::{Change, Id, Kept, Submitted};
-use quartzdrift_wal::{self as store, Folder, Live, Log, Unusable};
+use quartzdrift_wal::{DirectoryStorage, InvocationRecord, Log, LogError, LogRecord};
 use std::path::Path;
 use std::sync::mpsc::{SyncSender, TrySendError, sync_channel};
 use std::thread::JoinHandle;
@@ -29,22 +29,22 @@
     of.as_micros() as u64
 }
 
-fn written(change: Change) -> store::Change {
+fn written(change: Change) -> LogRecord {
     match change {
         Change::Taken { id, at, request } => {
             let (taken_us, due_us) = (micros(at), micros(at));
-            store::Change::Kept(Live {
+            LogRecord::Snapshot(InvocationRecord {
                 id: id.0,
-                taken_us,
+                accepted_us: taken_us,
                 due_us,
                 request,
-                ..Live::default()
+                ..InvocationRecord::default()
             })
         }
-        Change::Out { id, at, tries } => store::Change::Out {
+        Change::Out { id, at, tries } => LogRecord::AttemptStarted {
             id: id.0,
             at_us: micros(at),
-            tries,
+            attempts: tries,
         },
         Change::Waits {
             id,
@@ -53,39 +53,39 @@
             confined,
         } => {
             let (due_us, confined_us) = (micros(until), confined.map(micros));
-            store::Change::Waits {
+            LogRecord::RetryScheduled {
                 id: id.0,
                 due_us,
-                tries,
-                confined_us,
+                attempts: tries,
+                deduplication_deadline_us: confined_us,
             }
         }
-        Change::Over { id } => store::Change::Over { id: id.0 },
+        Change::Over { id } => LogRecord::Completed { id: id.0 },
     }
 }
 
 /// A request as the queue takes it back; `None`: another release wrote it.
-pub fn kept(live: &Live) -> Option<Kept> {
+pub fn kept(live: &InvocationRecord) -> Option<Kept> {
     Some(Kept {
         id: Id(live.id),
         request: Submitted::from_bytes(&live.request)?,
-        taken: Duration::from_micros(live.taken_us),
+        taken: Duration::from_micros(live.accepted_us),
         due: Duration::from_micros(live.due_us),
-        tries: live.tries,
-        confined: live.confined_us.map(Duration::from_micros),
-        out: live.out_us.map(Duration::from_micros),
+        tries: live.attempts,
+        confined: live.deduplication_deadline_us.map(Duration::from_micros),
+        out: live.attempt_started_us.map(Duration::from_micros),
     })
 }
 
 impl Durable {
     /// Opens the store and starts its thread; gives the requests that are not over.
-    pub fn start(path: &Path) -> Result<(Durable, Vec<Live>, Channel<Said>), Unusable> {
-        let (mut log, live) = Log::open(Folder::open(path)?)?;
+    pub fn start(path: &Path) -> Result<(Durable, Vec<InvocationRecord>, Channel<Said>), LogError> {
+        let (mut log, live) = Log::open(DirectoryStorage::open(path)?)?;
         let (sender, batches) = sync_channel::<(u64, Vec<Change>)>(MAX_WAITING);
         let (says, said) = channel::channel();
         let work = move || {
             while let Ok((mut number, changes)) = batches.recv() {
-                let mut all: Vec<store::Change> = changes.into_iter().map(written).collect();
+                let mut all: Vec<LogRecord> = changes.into_iter().map(written).collect();
                 // One write and one sync for all that came meanwhile.
                 for (next, changes) in batches.try_iter() {
                     number = next;
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -9,7 +9,7 @@
     Came, Disk, Found, Kind, Mark, Moment, Output, Recovery, Settings as Told, Stage,
 };
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, Idempotency};
-use quartzdrift_wal::{Folder, Live};
+use quartzdrift_wal::{DirectoryStorage, InvocationRecord};
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::Path;
@@ -27,16 +27,16 @@
     note_at: Duration,
     force_at: Duration,
     /// Asynchronous requests of before, until it is known what they may do.
-    pub held: Vec<Live>,
+    pub held: Vec<InvocationRecord>,
     /// Held by the process that this state is of; one that takes over gets it once the other has ended.
-    lock: Option<Folder>,
+    lock: Option<DirectoryStorage>,
     /// The number of this start as it is noted.
     noted: u64,
 }
 
 /// The state folder's lock, unless another process holds it.
-fn lock(folder: &Path) -> io::Result<Option<Folder>> {
-    match Folder::open(folder) {
+fn lock(folder: &Path) -> io::Result<Option<DirectoryStorage>> {
+    match DirectoryStorage::open(folder) {
         Ok(held) => Ok(Some(held)),
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
         Err(e) => Err(e),
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -9,7 +9,7 @@
 use quartzdrift_http::Exchange;
 use quartzdrift_invoke::answer::{self, Problem};
 use quartzdrift_scheduler::interface::Idempotency;
-use quartzdrift_wal::Live;
+use quartzdrift_wal::InvocationRecord;
 use std::collections::VecDeque;
 use std::io;
 use std::time::{Duration, Instant};
@@ -94,7 +94,7 @@
     }
 
     /// Takes requests back; `forgiven`: time in which they are not taken to have aged.
-    pub(super) fn restore(&mut self, live: Vec<Live>, after: After, forgiven: Duration) {
+    pub(super) fn restore(&mut self, live: Vec<InvocationRecord>, after: After, forgiven: Duration) {
         if live.is_empty() {
             return;
         }
--- a/crates/quartzdrift/src/main.rs
+++ b/crates/quartzdrift/src/main.rs
@@ -5,7 +5,7 @@
 use quartzdrift::{invoke, logs, saved, serve, settings};
 use quartzdrift_async_queue::Submitted;
 use quartzdrift_scheduler::interface::Idempotency;
-use quartzdrift_wal::{Folder, look, repair};
+use quartzdrift_wal::{DirectoryStorage, inspect, repair};
 use std::io::{Read, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -121,14 +121,18 @@
 fn store(what: &StoreCommand) -> Result<ExitCode, Box<dyn std::error::Error>> {
     match what {
         StoreCommand::Check { folder } => {
-            let found = look(&Folder::open(folder)?)?;
-            let out = found.live.iter().filter(|live| live.out_us.is_some()).count();
+            let found = inspect(&DirectoryStorage::open(folder)?)?;
+            let out = found
+                .open_invocations
+                .iter()
+                .filter(|record| record.attempt_started_us.is_some())
+                .count();
             println!(
                 "{} jobs, {out} of them may have run; {} segments, {} bytes, {} cut short by a crash",
-                found.live.len(),
+                found.open_invocations.len(),
                 found.segments,
                 found.bytes,
-                found.torn
+                found.incomplete_bytes
             );
             found.faults.iter().for_each(|fault| println!("FAULT {fault}"));
             Ok(if found.faults.is_empty() {
@@ -139,26 +143,26 @@
         }
         StoreCommand::Dump { folder } => {
             let mut out = std::io::stdout().lock();
-            for live in look(&Folder::open(folder)?)?.live {
-                let request = Submitted::from_bytes(&live.request);
+            for record in inspect(&DirectoryStorage::open(folder)?)?.open_invocations {
+                let request = Submitted::from_bytes(&record.request);
                 let line = serde_json::json!({
-                    "id": live.id,
+                    "id": record.id,
                     "function": request.as_ref().map(|request| &request.function),
                     "effect": request.as_ref().map(|request| stored_name(request.idempotency)),
                     "payload": request.as_ref().map(|request| String::from_utf8_lossy(&request.payload).into_owned()),
-                    "taken_us": live.taken_us,
-                    "due_us": live.due_us,
-                    "tries": live.tries,
-                    "may_have_run": live.out_us.is_some(),
+                    "taken_us": record.accepted_us,
+                    "due_us": record.due_us,
+                    "tries": record.attempts,
+                    "may_have_run": record.attempt_started_us.is_some(),
                 });
                 writeln!(out, "{line}")?;
             }
             Ok(ExitCode::SUCCESS)
         }
         StoreCommand::Repair { folder } => {
-            let found = repair(Folder::open(folder)?)?;
+            let found = repair(DirectoryStorage::open(folder)?)?;
             found.faults.iter().for_each(|fault| println!("was: {fault}"));
-            println!("{} jobs kept", found.live.len());
+            println!("{} jobs kept", found.open_invocations.len());
             Ok(ExitCode::SUCCESS)
         }
     }
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -7,7 +7,7 @@
 use quartzdrift_recovery::{Kind, Mark, Stage, View};
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
 use quartzdrift_scheduler::measure::Measurements;
-use quartzdrift_wal::{Folder, Log, look};
+use quartzdrift_wal::{DirectoryStorage, Log, inspect};
 use serde_json::Value;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -58,10 +58,13 @@
     let folder = tempfile::tempdir().unwrap();
     let name = "deferred-000000000001.log";
     fs::copy(stored().join("deferred").join(name), folder.path().join(name)).unwrap();
-    let found = look(&Folder::open(folder.path()).unwrap()).unwrap();
-    assert!(found.faults.is_empty() && found.torn == 0, "{found:?}");
+    let found = inspect(&DirectoryStorage::open(folder.path()).unwrap()).unwrap();
+    assert!(
+        found.faults.is_empty() && found.incomplete_bytes == 0,
+        "{found:?}"
+    );
     let read: Vec<_> = found
-        .live
+        .open_invocations
         .iter()
         .map(|live| {
             let kept = durable::kept(live).expect("it is of this release's form");
@@ -108,11 +111,19 @@
     );
     assert_eq!(&requests[2].payload[..], br#"{"n":3}"#);
     // It goes on where the old process ended.
-    let (mut log, live) = Log::open(Folder::open(folder.path()).unwrap_or_else(|e| panic!("{e}"))).unwrap();
+    let (mut log, live) =
+        Log::open(DirectoryStorage::open(folder.path()).unwrap_or_else(|e| panic!("{e}"))).unwrap();
     assert_eq!(live.len(), 4);
-    log.commit(vec![quartzdrift_wal::Change::Over { id: 2 }]).unwrap();
+    log.commit(vec![quartzdrift_wal::LogRecord::Completed { id: 2 }])
+        .unwrap();
     drop(log);
-    assert_eq!(look(&Folder::open(folder.path()).unwrap()).unwrap().live.len(), 3);
+    assert_eq!(
+        inspect(&DirectoryStorage::open(folder.path()).unwrap())
+            .unwrap()
+            .open_invocations
+            .len(),
+        3
+    );
 }
 
 #[test]
