--- a/crates/quartzdrift-async-queue/src/lib.rs
+++ b/crates/quartzdrift-async-queue/src/lib.rs
@@ -1,23 +1,40 @@
-//! Asynchronous requests: taken now, run later. No I/O, no clock.
+//! Asynchronous invocations: accepted now, run later. No I/O, no clock.
 //!
-//! [`Queue`] holds what was taken and says what to do with it: which requests are due ([`Queue::take_due`]), and, once
-//! one has had its final answer from the request table ([`Queue::ended`]), whether it is tried again, done or dead. Where a
-//! request goes is not decided here: each try is a request like any other at the request table.
+//! [`InvocationQueue`] holds accepted invocations and decides when each is attempted. [`InvocationQueue::take_due`] returns the
+//! next attempt that is due, and [`InvocationQueue::attempt_ended`] takes its outcome and decides whether the invocation is
+//! retried, succeeded or is dead-lettered. The queue does not choose a worker: each attempt is an ordinary request to the
+//! request table. Changes go to an [`InvocationStore`], which may make them durable.
 //!
-//! What may be tried again, by the request's request class and how the try ended:
+//! Whether an invocation is retried depends on its request class and on the outcome of the attempt:
 //!
-//! | ended | idempotent | fingerprinted | non-idempotent |
+//! | outcome | idempotent | idempotent with key | non-idempotent |
 //! | --- | --- | --- | --- |
-//! | finished | done | done | done |
-//! | finished with the function's own error | again, while tries are left | dead | dead |
-//! | rejected, nothing ran | again | again | again |
-//! | rejected, may have run | again | again within its window | does not come up: killed |
-//! | killed | again, while tries are left | dead | dead |
+//! | succeeded | done | done | done |
+//! | succeeded with an error of the function | retried while attempts are left | dead | dead |
+//! | rejected, did not execute | retried | retried | retried |
+//! | rejected, may have executed | retried | retried within its deduplication window | does not occur: failed instead |
+//! | failed | retried while attempts are left | dead | dead |
 //!
-//! A rejection uses up no try, only age. A dead request goes to its destination on failure.
-mod kept;
+//! A rejected attempt does not count as an attempt; the maximum age alone bounds such retries. The event of a dead
+//! invocation goes to its destination on failure.
+//!
+//! * `invocation`: what is queued, and what a store restores.
+//! * `outcome`: how an attempt ends, and what follows from it.
+//! * `settings`: limits and delays.
+//! * `store`: where changes go.
+//! * `encoding`: an invocation as bytes that outlast the process.
+//! * `due_index`: which invocation is due next, with tenants taking turns.
+//! * `queue`: the queue itself.
+mod due_index;
+mod encoding;
+mod invocation;
+mod outcome;
 mod queue;
+mod settings;
 mod store;
 
-pub use queue::{After, Calls, Destination, End, Id, Kept, Queue, Refused, Step, Submitted, Waits};
-pub use store::{Change, Changes, Memory, Store};
+pub use invocation::{Destination, Invocation, InvocationId, StoredInvocation};
+pub use outcome::{AttemptOutcome, CompletedInvocation, Condition, NextStep};
+pub use queue::{DueAttempt, InvocationQueue, OpenInvocation, RestoreContext};
+pub use settings::{QueueFull, QueueSettings};
+pub use store::{ChangeBuffer, InvocationStore, NoStore, StoreChange};
--- a/crates/quartzdrift-async-queue/src/store.rs
+++ b/crates/quartzdrift-async-queue/src/store.rs
@@ -1,106 +1,143 @@
-//! Where taken requests are kept. The queue works on what it holds in memory, and says each change of it before it is acted on.
-use crate::queue::{Id, Submitted};
+//! Where changes go. The queue works on what it holds in memory and reports each change to its store before the change takes
+//! effect; a store that makes changes durable delays their effect until they are.
+use crate::invocation::{Invocation, InvocationId};
 use std::time::Duration;
 
-pub trait Store {
-    /// A request was taken. It may be answered as taken once this lasts.
-    fn taken(&mut self, id: Id, at: Duration, request: &Submitted);
-    /// A try of it is about to leave: after a crash it may have run. It may leave once this lasts, unless it may run again
-    /// anyway.
-    fn out(&mut self, id: Id, at: Duration, tries: u32);
-    /// It waits again.
-    fn waits(&mut self, id: Id, until: Duration, tries: u32, confined: Option<Duration>);
-    /// It is over.
-    fn over(&mut self, id: Id);
+/// Takes the changes of a queue, in order. Times are since 1970.
+pub trait InvocationStore {
+    /// An invocation was accepted. The client may be told so once this is durable.
+    fn accepted(&mut self, id: InvocationId, at: Duration, invocation: &Invocation);
+
+    /// An attempt is about to start: after a crash it may have executed. Unless the invocation is idempotent, the attempt may
+    /// start only once this is durable.
+    fn attempt_started(&mut self, id: InvocationId, at: Duration, attempts: u32);
+
+    /// The next attempt is due at `due_at`, and none may start after `deduplication_deadline`.
+    fn retry_scheduled(
+        &mut self,
+        id: InvocationId,
+        due_at: Duration,
+        attempts: u32,
+        deduplication_deadline: Option<Duration>,
+    );
+
+    /// No further attempt will be made.
+    fn completed(&mut self, id: InvocationId);
 }
 
-/// Keeps nothing beyond the queue's own memory: what waits is lost with the process.
+/// Stores nothing: open invocations are lost with the process.
 #[derive(Debug, Default)]
-pub struct Memory;
+pub struct NoStore;
 
-impl Store for Memory {
-    fn taken(&mut self, _: Id, _: Duration, _: &Submitted) {}
-    fn out(&mut self, _: Id, _: Duration, _: u32) {}
-    fn waits(&mut self, _: Id, _: Duration, _: u32, _: Option<Duration>) {}
-    fn over(&mut self, _: Id) {}
+impl InvocationStore for NoStore {
+    fn accepted(&mut self, _: InvocationId, _: Duration, _: &Invocation) {}
+    fn attempt_started(&mut self, _: InvocationId, _: Duration, _: u32) {}
+    fn retry_scheduled(&mut self, _: InvocationId, _: Duration, _: u32, _: Option<Duration>) {}
+    fn completed(&mut self, _: InvocationId) {}
 }
 
+/// One change of the queue. Times are since 1970.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
-    Taken {
-        id: Id,
+pub enum StoreChange {
+    /// An invocation was accepted and is due at once.
+    Accepted {
+        /// The invocation.
+        id: InvocationId,
+        /// When it was accepted.
         at: Duration,
-        request: Vec<u8>,
+        /// The encoded invocation; [`Invocation::from_bytes`] decodes it.
+        encoded: Vec<u8>,
     },
-    Out {
-        id: Id,
+    /// An attempt is about to start.
+    AttemptStarted {
+        /// The invocation.
+        id: InvocationId,
+        /// When it starts.
         at: Duration,
-        tries: u32,
+        /// Attempts so far, this one included.
+        attempts: u32,
     },
-    Waits {
-        id: Id,
-        until: Duration,
-        tries: u32,
-        confined: Option<Duration>,
+    /// The next attempt is due later.
+    RetryScheduled {
+        /// The invocation.
+        id: InvocationId,
+        /// When it is due.
+        due_at: Duration,
+        /// Attempts that count so far.
+        attempts: u32,
+        /// No attempt may start after this time.
+        deduplication_deadline: Option<Duration>,
     },
-    Over {
-        id: Id,
+    /// No further attempt will be made.
+    Completed {
+        /// The invocation.
+        id: InvocationId,
     },
 }
 
-/// Collects the changes for whoever makes them last; nothing where it is off.
+/// Collects changes for a caller that makes them durable in batches.
 #[derive(Debug, Default)]
-pub struct Changes {
-    on: bool,
-    all: Vec<Change>,
+pub struct ChangeBuffer {
+    enabled: bool,
+    changes: Vec<StoreChange>,
 }
 
-impl Changes {
-    pub fn new(on: bool) -> Changes {
-        Changes { on, all: Vec::new() }
+impl ChangeBuffer {
+    /// An empty buffer; one that is not enabled drops all changes.
+    pub fn new(enabled: bool) -> ChangeBuffer {
+        ChangeBuffer {
+            enabled,
+            changes: Vec::new(),
+        }
     }
 
-    /// All since the last call, to be made to last together or not at all.
-    pub fn take(&mut self) -> Vec<Change> {
-        std::mem::take(&mut self.all)
+    /// Takes all changes since the last call. They have to become durable together or not at all.
+    pub fn take(&mut self) -> Vec<StoreChange> {
+        std::mem::take(&mut self.changes)
     }
 
-    /// Puts back what could not be handed over yet.
-    pub fn put_back(&mut self, mut changes: Vec<Change>) {
-        changes.append(&mut self.all);
-        self.all = changes;
+    /// Returns changes that could not be written yet, before all later ones.
+    pub fn put_back(&mut self, mut changes: Vec<StoreChange>) {
+        changes.append(&mut self.changes);
+        self.changes = changes;
     }
 
-    fn add(&mut self, change: impl FnOnce() -> Change) {
-        if self.on {
-            self.all.push(change());
+    fn push(&mut self, change: impl FnOnce() -> StoreChange) {
+        if self.enabled {
+            self.changes.push(change());
         }
     }
 }
 
-impl Store for Changes {
-    fn taken(&mut self, id: Id, at: Duration, request: &Submitted) {
-        self.add(|| Change::Taken {
+impl InvocationStore for ChangeBuffer {
+    fn accepted(&mut self, id: InvocationId, at: Duration, invocation: &Invocation) {
+        self.push(|| StoreChange::Accepted {
             id,
             at,
-            request: request.to_bytes(),
+            encoded: invocation.to_bytes(),
         });
     }
 
-    fn out(&mut self, id: Id, at: Duration, tries: u32) {
-        self.add(|| Change::Out { id, at, tries });
+    fn attempt_started(&mut self, id: InvocationId, at: Duration, attempts: u32) {
+        self.push(|| StoreChange::AttemptStarted { id, at, attempts });
     }
 
-    fn waits(&mut self, id: Id, until: Duration, tries: u32, confined: Option<Duration>) {
-        self.add(|| Change::Waits {
+    fn retry_scheduled(
+        &mut self,
+        id: InvocationId,
+        due_at: Duration,
+        attempts: u32,
+        deduplication_deadline: Option<Duration>,
+    ) {
+        self.push(|| StoreChange::RetryScheduled {
             id,
-            until,
-            tries,
-            confined,
+            due_at,
+            attempts,
+            deduplication_deadline,
         });
     }
 
-    fn over(&mut self, id: Id) {
-        self.add(|| Change::Over { id });
+    fn completed(&mut self, id: InvocationId) {
+        self.push(|| StoreChange::Completed { id });
     }
 }
--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -4,7 +4,7 @@
 use crate::badday::listens_at;
 use crate::light::{self, Light};
 use crate::load::{self, Plan, Report};
-use quartzdrift_async_queue::Submitted;
+use quartzdrift_async_queue::Invocation;
 use quartzdrift_scheduler::interface::*;
 use quartzdrift_scheduler::scheduler::Scheduler;
 use quartzdrift_wal::{DirectoryStorage, InvocationRecord, Log, LogRecord};
@@ -284,18 +284,18 @@
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
     let taken_us = since.as_micros() as u64;
-    let request = Submitted {
+    let request = Invocation {
         function: "f1".to_owned(),
         tenant: 0,
         idempotency: Idempotency::Idempotent,
-        anywhere: true,
-        window: Duration::ZERO,
+        deduplicated_by_all: true,
+        deduplication_window: Duration::ZERO,
         payload: std::rc::Rc::from(format!("{{\"a\":\"{}\"}}", "x".repeat(92)).into_bytes()),
         context: None,
-        mark: None,
+        idempotency_key: None,
         on_success: None,
         on_failure: None,
-        timer: None,
+        schedule: None,
         hops: 0,
     };
     let bytes = request.to_bytes();
--- a/crates/quartzdrift/src/durable.rs
+++ b/crates/quartzdrift/src/durable.rs
@@ -1,152 +1,177 @@
-//! Asynchronous requests on disk, off the event loop: a thread writes what it is given, all that waits in one go, and says up to which
-//! batch everything lasts.
-use calloop::channel::{self, Channel};
-use quartzdrift_async_queue::{Change, Id, Kept, Submitted};
+//! Makes changes of the asynchronous queue durable, on a thread of its own: the event loop never waits for the disk.
+//!
+//! The loop submits numbered batches to a [`LogWriter`]. The thread writes all batches that wait with one sync, and reports the
+//! last batch up to which everything is durable.
+use calloop::channel::{self, Channel, Sender};
+use quartzdrift_async_queue::{Invocation, InvocationId, StoreChange, StoredInvocation};
 use quartzdrift_wal::{DirectoryStorage, InvocationRecord, Log, LogError, LogRecord};
 use std::path::Path;
-use std::sync::mpsc::{SyncSender, TrySendError, sync_channel};
+use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Batches that wait for the disk at most; then changes gather in the queue, and new requests are rejected.
-const MAX_WAITING: usize = 256;
+/// Maximum batches that wait for the disk. Beyond it changes gather in the queue, and new invocations are rejected.
+const MAX_WAITING_BATCHES: usize = 256;
 
-/// What the thread says: all up to this batch lasts, or nothing from here on will.
+/// What the writer's thread reports to the event loop.
 #[derive(Debug)]
-pub enum Said {
-    Lasts(u64),
+pub enum WriterEvent {
+    /// All batches up to this number are durable.
+    Durable(u64),
+    /// The log has failed for this reason: no further batch becomes durable.
     Failed(String),
 }
 
-pub struct Durable {
-    sender: Option<SyncSender<(u64, Vec<Change>)>>,
-    thread: Option<JoinHandle<()>>,
-    /// The number of the last batch handed over.
-    pub handed: u64,
-}
-
-fn micros(of: Duration) -> u64 {
-    of.as_micros() as u64
+/// Changes that become durable together or not at all.
+struct Batch {
+    number: u64,
+    changes: Vec<StoreChange>,
 }
 
-fn written(change: Change) -> LogRecord {
-    match change {
-        Change::Taken { id, at, request } => {
-            let (taken_us, due_us) = (micros(at), micros(at));
-            LogRecord::Snapshot(InvocationRecord {
-                id: id.0,
-                accepted_us: taken_us,
-                due_us,
-                request,
-                ..InvocationRecord::default()
-            })
-        }
-        Change::Out { id, at, tries } => LogRecord::AttemptStarted {
-            id: id.0,
-            at_us: micros(at),
-            attempts: tries,
-        },
-        Change::Waits {
-            id,
-            until,
-            tries,
-            confined,
-        } => {
-            let (due_us, confined_us) = (micros(until), confined.map(micros));
-            LogRecord::RetryScheduled {
-                id: id.0,
-                due_us,
-                attempts: tries,
-                deduplication_deadline_us: confined_us,
-            }
-        }
-        Change::Over { id } => LogRecord::Completed { id: id.0 },
-    }
+/// The event loop's end of the thread that writes the log.
+pub struct LogWriter {
+    /// `None` once the last batch was submitted.
+    batches: Option<SyncSender<Batch>>,
+    thread: Option<JoinHandle<()>>,
+    last_number: u64,
 }
 
-/// A request as the queue takes it back; `None`: another release wrote it.
-pub fn kept(live: &InvocationRecord) -> Option<Kept> {
-    Some(Kept {
-        id: Id(live.id),
-        request: Submitted::from_bytes(&live.request)?,
-        taken: Duration::from_micros(live.accepted_us),
-        due: Duration::from_micros(live.due_us),
-        tries: live.attempts,
-        confined: live.deduplication_deadline_us.map(Duration::from_micros),
-        out: live.attempt_started_us.map(Duration::from_micros),
-    })
+/// A log that was opened, and the thread that writes it.
+pub struct OpenedLog {
+    /// Takes batches.
+    pub writer: LogWriter,
+    /// The invocations that have not completed.
+    pub open_invocations: Vec<InvocationRecord>,
+    /// What the thread reports.
+    pub events: Channel<WriterEvent>,
 }
 
-impl Durable {
-    /// Opens the store and starts its thread; gives the requests that are not over.
-    pub fn start(path: &Path) -> Result<(Durable, Vec<InvocationRecord>, Channel<Said>), LogError> {
-        let (mut log, live) = Log::open(DirectoryStorage::open(path)?)?;
-        let (sender, batches) = sync_channel::<(u64, Vec<Change>)>(MAX_WAITING);
-        let (says, said) = channel::channel();
-        let work = move || {
-            while let Ok((mut number, changes)) = batches.recv() {
-                let mut all: Vec<LogRecord> = changes.into_iter().map(written).collect();
-                // One write and one sync for all that came meanwhile.
-                for (next, changes) in batches.try_iter() {
-                    number = next;
-                    all.extend(changes.into_iter().map(written));
-                }
-                let said = match log.commit(all) {
-                    Ok(()) => Said::Lasts(number),
-                    Err(e) => Said::Failed(e.to_string()),
-                };
-                let failed = matches!(said, Said::Failed(_));
-                if says.send(said).is_err() || failed {
-                    return;
-                }
-            }
-        };
+impl LogWriter {
+    /// Opens the log in a directory and starts its thread.
+    ///
+    /// # Errors
+    /// Those of [`Log::open`], of the directory and of the thread's start.
+    pub fn open(directory: &Path) -> Result<OpenedLog, LogError> {
+        let (log, open_invocations) = Log::open(DirectoryStorage::open(directory)?)?;
+        let (batches, submitted) = sync_channel(MAX_WAITING_BATCHES);
+        let (reports, events) = channel::channel();
         let thread = std::thread::Builder::new()
             .name("deferred".to_owned())
-            .spawn(work)?;
-        Ok((
-            Durable {
-                sender: Some(sender),
+            .spawn(move || write_batches(log, &submitted, &reports))?;
+        Ok(OpenedLog {
+            writer: LogWriter {
+                batches: Some(batches),
                 thread: Some(thread),
-                handed: 0,
+                last_number: 0,
             },
-            live,
-            said,
-        ))
+            open_invocations,
+            events,
+        })
     }
 
-    /// Hands a batch over; `Err` gives it back: the disk does not keep up, or has failed.
-    pub fn hand(&mut self, changes: Vec<Change>) -> Result<u64, Vec<Change>> {
-        let Some(sender) = &self.sender else {
+    /// Submits a batch and returns its number.
+    ///
+    /// # Errors
+    /// Returns the changes where the disk does not keep up, or the log has failed.
+    pub fn submit(&mut self, changes: Vec<StoreChange>) -> Result<u64, Vec<StoreChange>> {
+        let Some(batches) = &self.batches else {
             return Err(changes);
         };
-        match sender.try_send((self.handed + 1, changes)) {
+        let number = self.last_number + 1;
+        match batches.try_send(Batch { number, changes }) {
             Ok(()) => {
-                self.handed += 1;
-                Ok(self.handed)
+                self.last_number = number;
+                Ok(number)
             }
-            Err(TrySendError::Full((_, changes)) | TrySendError::Disconnected((_, changes))) => Err(changes),
+            Err(TrySendError::Full(batch) | TrySendError::Disconnected(batch)) => Err(batch.changes),
         }
     }
-}
 
-impl Durable {
-    /// Hands the last batch over, however long the disk takes.
-    pub fn hand_last(&mut self, changes: Vec<Change>) {
-        self.handed += 1;
-        if let Some(sender) = self.sender.take() {
-            // Where the thread has ended, it has said why.
-            drop(sender.send((self.handed, changes)));
+    /// Submits the last batch, however long the disk takes.
+    pub fn submit_last(&mut self, changes: Vec<StoreChange>) {
+        self.last_number += 1;
+        let number = self.last_number;
+        if let Some(batches) = self.batches.take() {
+            // A thread that has ended has reported why.
+            drop(batches.send(Batch { number, changes }));
         }
     }
 }
 
-impl Drop for Durable {
-    /// Waits until what was handed over is written.
+impl Drop for LogWriter {
+    /// Waits until all submitted batches are written.
     fn drop(&mut self) {
-        self.sender = None;
+        self.batches = None;
         if let Some(thread) = self.thread.take() {
             drop(thread.join());
         }
     }
 }
+
+/// Writes batches until the writer is dropped, nobody listens any more, or the log fails.
+fn write_batches(mut log: Log<DirectoryStorage>, submitted: &Receiver<Batch>, reports: &Sender<WriterEvent>) {
+    while let Ok(batch) = submitted.recv() {
+        let mut last_number = batch.number;
+        let mut records: Vec<LogRecord> = batch.changes.into_iter().map(log_record).collect();
+        // One sync for all batches that have gathered meanwhile.
+        for batch in submitted.try_iter() {
+            last_number = batch.number;
+            records.extend(batch.changes.into_iter().map(log_record));
+        }
+        let event = match log.commit(records) {
+            Ok(()) => WriterEvent::Durable(last_number),
+            Err(error) => WriterEvent::Failed(error.to_string()),
+        };
+        let failed = matches!(event, WriterEvent::Failed(_));
+        if reports.send(event).is_err() || failed {
+            return;
+        }
+    }
+}
+
+fn micros(duration: Duration) -> u64 {
+    duration.as_micros() as u64
+}
+
+/// A change of the queue as the log records it.
+fn log_record(change: StoreChange) -> LogRecord {
+    match change {
+        StoreChange::Accepted { id, at, encoded } => LogRecord::Snapshot(InvocationRecord {
+            id: id.0,
+            accepted_us: micros(at),
+            due_us: micros(at),
+            request: encoded,
+            ..InvocationRecord::default()
+        }),
+        StoreChange::AttemptStarted { id, at, attempts } => LogRecord::AttemptStarted {
+            id: id.0,
+            at_us: micros(at),
+            attempts,
+        },
+        StoreChange::RetryScheduled {
+            id,
+            due_at,
+            attempts,
+            deduplication_deadline,
+        } => LogRecord::RetryScheduled {
+            id: id.0,
+            due_us: micros(due_at),
+            attempts,
+            deduplication_deadline_us: deduplication_deadline.map(micros),
+        },
+        StoreChange::Completed { id } => LogRecord::Completed { id: id.0 },
+    }
+}
+
+/// A logged invocation as the queue restores it; `None` where another release wrote it.
+pub fn stored_invocation(record: &InvocationRecord) -> Option<StoredInvocation> {
+    Some(StoredInvocation {
+        id: InvocationId(record.id),
+        invocation: Invocation::from_bytes(&record.request)?,
+        accepted_at: Duration::from_micros(record.accepted_us),
+        due_at: Duration::from_micros(record.due_us),
+        attempts: record.attempts,
+        deduplication_deadline: record.deduplication_deadline_us.map(Duration::from_micros),
+        attempt_started_at: record.attempt_started_us.map(Duration::from_micros),
+    })
+}
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -1,7 +1,7 @@
 //! Calls of clients: read, made into requests, and answered.
 use super::{Gateway, Origin, Work};
 use crate::settings::Function;
-use quartzdrift_async_queue::Submitted;
+use quartzdrift_async_queue::Invocation;
 use quartzdrift_http::{BadRequest, Exchange, Headers, Request, Response};
 use quartzdrift_invoke::answer::{self, FailureKind, Problem, Said};
 use quartzdrift_invoke::call::{self, Asked, Call, Mode};
@@ -160,21 +160,21 @@
         tenant: (u32, Option<String>),
         body: Vec<u8>,
     ) -> Result<Option<Said>, Problem> {
-        if self.store.as_ref().is_some_and(|store| !store.takes()) {
-            return Err(Problem::Busy(Some(self.settings.asynchronous.first)));
+        if self.store.as_ref().is_some_and(|store| !store.has_capacity()) {
+            return Err(Problem::Busy(Some(self.settings.asynchronous.first_retry_delay)));
         }
         let request = self.submitted(name, function, tenant.0, body.into());
-        let request = Submitted {
+        let request = Invocation {
             context: call.context,
-            mark: call.mark.or(request.mark),
+            idempotency_key: call.mark.or(request.idempotency_key),
             ..request
         };
         match self.submit(request) {
-            Ok(_) if self.answer_later(exchange, id) => Ok(None),
+            Ok(_) if self.answer_when_durable(exchange, id) => Ok(None),
             Ok(_) => Ok(Some(answer::taken())),
             Err(why) => {
                 tracing::warn!(?why, function = name, "a deferred job was not taken: no room");
-                Err(Problem::Busy(Some(self.settings.asynchronous.first)))
+                Err(Problem::Busy(Some(self.settings.asynchronous.first_retry_delay)))
             }
         }
     }
--- a/crates/quartzdrift/src/gateway/fronts.rs
+++ b/crates/quartzdrift/src/gateway/fronts.rs
@@ -2,7 +2,10 @@
 use super::clients::new_request;
 use super::{Gateway, Origin, Use, Work};
 use crate::settings::{Function, destination};
-use quartzdrift_async_queue::{Calls, Destination, End, Id, Refused, Step, Submitted};
+use quartzdrift_async_queue::{
+    AttemptOutcome, CompletedInvocation, Condition, Destination, DueAttempt, Invocation, InvocationId,
+    NextStep, QueueFull,
+};
 use quartzdrift_http::{Headers, Outgoing, Response};
 use quartzdrift_lifecycle::FinalAnswer;
 use quartzdrift_scheduler::interface::Idempotency;
@@ -26,7 +29,7 @@
         function: &Function,
         tenant: u32,
         payload: Rc<[u8]>,
-    ) -> Submitted {
+    ) -> Invocation {
         let request_class = &self.settings.scheduler.request_classes[function.request_class as usize];
         let (idempotency, window) = (
             request_class.idempotency,
@@ -40,23 +43,23 @@
         // One mark for all tries: workers know the second by it.
         let mark = (idempotency == Idempotency::IdempotentWithKey).then(|| self.draw_id().to_string());
         let (function, context, timer, hops) = (name.to_owned(), None, None, 0);
-        Submitted {
+        Invocation {
             function,
             tenant,
             idempotency,
-            anywhere,
-            window,
+            deduplicated_by_all: anywhere,
+            deduplication_window: window,
             payload,
             context,
-            mark,
+            idempotency_key: mark,
             on_success,
             on_failure,
-            timer,
+            schedule: timer,
             hops,
         }
     }
 
-    pub(super) fn submit(&mut self, request: Submitted) -> Result<Id, Refused> {
+    pub(super) fn submit(&mut self, request: Invocation) -> Result<InvocationId, QueueFull> {
         let id = self.asynchronous.submit(self.now(), request)?;
         self.counts.asynchronous += 1;
         Ok(id)
@@ -67,9 +70,9 @@
             self.fire(now);
         }
         while self.asynchronous_due().is_some_and(|at| at <= now)
-            && let Some((id, request, _, left)) = self.asynchronous.take_due(now)
+            && let Some(attempt) = self.asynchronous.take_due(now)
         {
-            self.leave(id, request, left);
+            self.send_when_durable(attempt);
         }
     }
 
@@ -97,8 +100,8 @@
                 continue;
             };
             let request = self.submitted(&firing.function, &function, 0, payload);
-            let request = Submitted {
-                timer: Some(firing.timer.clone()),
+            let request = Invocation {
+                schedule: Some(firing.timer.clone()),
                 ..request
             };
             self.counts.fired += 1;
@@ -113,9 +116,15 @@
         }
     }
 
-    pub(super) fn try_asynchronous(&mut self, id: Id, request: Submitted, left: Option<Duration>) {
+    pub(super) fn send_attempt(&mut self, attempt: DueAttempt) {
+        let DueAttempt {
+            id,
+            invocation: request,
+            time_left: left,
+            ..
+        } = attempt;
         let Some(function) = self.settings.function(&request.function) else {
-            return self.step(id, End::Failed, None);
+            return self.attempt_ended(id, AttemptOutcome::Failed, None);
         };
         let limit = self.settings.scheduler.request_classes[function.request_class as usize].timeout;
         let limit = limit.unwrap_or(Duration::MAX);
@@ -124,7 +133,7 @@
             origin: Origin::Asynchronous(id),
             payload: request.payload,
             context: request.context,
-            mark: request.mark,
+            mark: request.idempotency_key,
             tenant: self
                 .settings
                 .scheduler
@@ -148,9 +157,9 @@
         );
         match self.request_table.submit(self.now(), new) {
             Ok(_) => self.carry_out(),
-            Err(_) => self.step(
+            Err(_) => self.attempt_ended(
                 id,
-                End::Rejected {
+                AttemptOutcome::Rejected {
                     retry_after: None,
                     may_have_executed: None,
                 },
@@ -159,44 +168,49 @@
         }
     }
 
-    pub(super) fn try_ended(&mut self, id: Id, answer: FinalAnswer, said: Option<Response>) {
+    pub(super) fn try_ended(&mut self, id: InvocationId, answer: FinalAnswer, said: Option<Response>) {
         let end = match answer {
             FinalAnswer::Succeeded => {
                 let failed = said
                     .as_ref()
                     .is_some_and(|said| said.headers.get("x-amz-function-error").is_some());
-                End::Succeeded {
+                AttemptOutcome::Succeeded {
                     function_error: failed,
                 }
             }
             FinalAnswer::Rejected {
                 retry_after,
                 may_have_executed,
-            } => End::Rejected {
+            } => AttemptOutcome::Rejected {
                 retry_after,
                 may_have_executed,
             },
-            FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => End::Failed,
+            FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => AttemptOutcome::Failed,
         };
-        self.step(id, end, said);
+        self.attempt_ended(id, end, said);
     }
 
-    pub(super) fn step(&mut self, id: Id, end: End, said: Option<Response>) {
-        let step = self.asynchronous.ended(self.now(), id, end);
-        self.stepped(id, step, said);
+    pub(super) fn attempt_ended(
+        &mut self,
+        id: InvocationId,
+        outcome: AttemptOutcome,
+        said: Option<Response>,
+    ) {
+        let step = self.asynchronous.attempt_ended(self.now(), id, outcome);
+        self.follow_step(id, step, said);
     }
 
     /// What came of a try, or of a restart.
-    pub(super) fn stepped(&mut self, id: Id, step: Option<Step>, said: Option<Response>) {
+    pub(super) fn follow_step(&mut self, id: InvocationId, step: Option<NextStep>, said: Option<Response>) {
         match step {
-            Some(Step::Again { at }) => tracing::debug!(id = id.0, ?at, "deferred job waits again"),
-            Some(Step::Over(calls)) => {
-                if let Some(timer) = &calls.request.timer {
+            Some(NextStep::Retry { at }) => tracing::debug!(id = id.0, ?at, "deferred job waits again"),
+            Some(NextStep::Completed(calls)) => {
+                if let Some(timer) = &calls.invocation.schedule {
                     self.timers.over(timer);
                 }
-                if calls.condition != "Success" {
-                    let function = &calls.request.function;
-                    tracing::warn!(id = id.0, %function, condition = calls.condition, "deferred job is dead");
+                if calls.condition != Condition::Success {
+                    let function = &calls.invocation.function;
+                    tracing::warn!(id = id.0, %function, condition = calls.condition.as_str(), "deferred job is dead");
                 }
                 self.destination(&calls, said);
             }
@@ -204,17 +218,17 @@
         }
     }
 
-    fn destination(&mut self, calls: &Calls, said: Option<Response>) {
-        let Some(to) = &calls.to else { return };
+    fn destination(&mut self, calls: &CompletedInvocation, said: Option<Response>) {
+        let Some(to) = &calls.destination else { return };
         let record: Rc<[u8]> = record(calls, said.as_ref(), self.now()).into();
         match to {
             Destination::Function(name) => {
                 let Some(function) = self.settings.function(name) else {
                     return;
                 };
-                let request = self.submitted(name, &function, calls.request.tenant, record);
-                let request = Submitted {
-                    hops: calls.request.hops + 1,
+                let request = self.submitted(name, &function, calls.invocation.tenant, record);
+                let request = Invocation {
+                    hops: calls.invocation.hops + 1,
                     ..request
                 };
                 if let Err(why) = self.submit(request) {
@@ -258,7 +272,7 @@
 
     /// Names what this instance held and nobody will hear of again.
     pub(super) fn say_lost(&self) {
-        let left: Vec<_> = self.asynchronous.left().collect();
+        let left: Vec<_> = self.asynchronous.open_invocations().collect();
         if self.store.as_ref().is_some_and(|store| !store.failed) {
             return tracing::info!(requests = left.len(), "deferred jobs are kept for the next start");
         }
@@ -266,14 +280,14 @@
             return;
         }
         tracing::error!(requests = left.len(), "deferred jobs are lost with this process");
-        for (id, request, out) in left {
-            tracing::error!(id = id.0, function = %request.function, may_have_run = out, "lost deferred job");
+        for open in left {
+            tracing::error!(id = open.id.0, function = %open.invocation.function, may_have_run = open.attempt_running, "lost deferred job");
         }
     }
 }
 
 /// The published record of an asynchronous invocation.
-fn record(calls: &Calls, said: Option<&Response>, now: Duration) -> Vec<u8> {
+fn record(calls: &CompletedInvocation, said: Option<&Response>, now: Duration) -> Vec<u8> {
     let body = |bytes: &[u8]| match bytes.len() <= MAX_RECORD {
         true => serde_json::from_slice(bytes).unwrap_or(Value::Null),
         false => Value::Null,
@@ -287,11 +301,11 @@
         "timestamp": time,
         "requestContext": {
             "requestId": calls.id.0.to_string(),
-            "functionArn": calls.request.function,
-            "condition": calls.condition,
-            "approximateInvokeCount": calls.tries,
+            "functionArn": calls.invocation.function,
+            "condition": calls.condition.as_str(),
+            "approximateInvokeCount": calls.attempts,
         },
-        "requestPayload": body(&calls.request.payload),
+        "requestPayload": body(&calls.invocation.payload),
         "responseContext": response,
         "responsePayload": said.map(|said| body(&said.body)),
     });
--- a/crates/quartzdrift/src/gateway/mod.rs
+++ b/crates/quartzdrift/src/gateway/mod.rs
@@ -22,7 +22,7 @@
 use crate::saved::{self, Saver};
 use crate::settings::Settings;
 use calloop::LoopHandle;
-use quartzdrift_async_queue::{Changes, Id, Queue};
+use quartzdrift_async_queue::{ChangeBuffer, InvocationId, InvocationQueue};
 use quartzdrift_discovery::belief::Belief;
 use quartzdrift_discovery::list;
 use quartzdrift_http::{CallId, Exchange, HasHttp, Http, HttpEvent, Response};
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     Client(Exchange),
-    Asynchronous(Id),
+    Asynchronous(InvocationId),
 }
 
 /// What is sent to workers for a request; the request table carries it without looking.
@@ -114,7 +114,7 @@
     in_hand: Option<Response>,
     /// The attempt whose end is being taken failed with its load.
     load_failed: bool,
-    asynchronous: Queue<Changes>,
+    asynchronous: InvocationQueue<ChangeBuffer>,
     store: Option<store::Store>,
     timers: Timers,
     belief: Belief,
@@ -173,9 +173,9 @@
             exchanges: HashMap::new(),
             in_hand: None,
             load_failed: false,
-            asynchronous: Queue::new(
+            asynchronous: InvocationQueue::new(
                 settings.asynchronous.clone(),
-                Changes::new(settings.store.is_some()),
+                ChangeBuffer::new(settings.store.is_some()),
                 seed,
             ),
             store: None,
@@ -266,7 +266,7 @@
         self.fleet_due(now);
         self.recovery_due(now);
         self.fronts_due(now);
-        self.hand_over();
+        self.submit_changes();
     }
 
     fn http_event(&mut self, event: HttpEvent) {
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -3,7 +3,7 @@
 use super::{Gateway, Origin, Work};
 use crate::saved::{self, ASIDE, FORCE, MARK, MEASURED, MEMBERS, STAGES, WORKERS};
 use crate::settings::Settings;
-use quartzdrift_async_queue::After;
+use quartzdrift_async_queue::RestoreContext;
 use quartzdrift_lifecycle::FinalAnswer;
 use quartzdrift_recovery::{
     Came, Disk, Found, Kind, Mark, Moment, Output, Recovery, Settings as Told, Stage,
@@ -137,7 +137,7 @@
             idempotency_keys_on_disk: settings.recovery.idempotency_keys_on_disk,
             load_quota_window: settings.scheduler.copies.load_quota_window.unwrap_or_default(),
             fall_window: settings.scheduler.rules.fall_window.unwrap_or_default(),
-            out: settings.asynchronous.out,
+            out: settings.asynchronous.max_concurrent_attempts,
             pace: settings.recovery.pace,
             store,
             life: self.identity,
@@ -318,21 +318,21 @@
         };
         let held = std::mem::take(&mut returning.held);
         let machine = &returning.machine;
-        let after = After {
-            repeats_known: machine.repeats_known(),
-            older: machine.waiting_in_doubt(),
+        let after = RestoreContext {
+            keys_remembered: machine.repeats_known(),
+            earlier_copy: machine.waiting_in_doubt(),
         };
         let unproven = machine.away_unproven();
         self.restore(held, after, unproven);
     }
 
     fn allow_asynchronous(&mut self) {
-        let most = self.settings.asynchronous.out;
+        let most = self.settings.asynchronous.max_concurrent_attempts;
         let allowed = self
             .returning
             .as_ref()
             .and_then(|returning| returning.machine.backlog());
-        self.asynchronous.allow(allowed.unwrap_or(most));
+        self.asynchronous.allow_attempts(allowed.unwrap_or(most));
     }
 
     /// Whether a call may become a request now; else when to come back. `mark`: its client's own.
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -1,11 +1,13 @@
-//! Asynchronous requests on disk: what was taken is answered once it lasts, and a try that must not be made twice leaves once it is
-//! noted. A store that fails is an error in the log, and rejections from then on.
+//! Asynchronous invocations on disk: when effects wait until a change is durable, and what happens when the store fails.
+//!
+//! An acceptance is answered once it is durable. An attempt that must not execute twice is sent once its start is durable. A
+//! store that fails is an error in the log, and from then on each new invocation is rejected.
 use super::Gateway;
 use super::clients::response;
-use crate::durable::{self, Durable, Said};
+use crate::durable::{self, LogWriter, OpenedLog, WriterEvent};
 use calloop::LoopHandle;
 use calloop::channel::Event;
-use quartzdrift_async_queue::{After, End, Id, Kept, Submitted};
+use quartzdrift_async_queue::{AttemptOutcome, DueAttempt, InvocationId, NextStep, RestoreContext};
 use quartzdrift_http::Exchange;
 use quartzdrift_invoke::answer::{self, Problem};
 use quartzdrift_scheduler::interface::Idempotency;
@@ -15,152 +17,174 @@
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// Requests that wait to last at most, before more are rejected.
-const MAX_ANSWERS: usize = 65_536;
+/// Maximum acceptances that wait to be durable, before new invocations are rejected.
+const MAX_PENDING_ANSWERS: usize = 65_536;
 
-/// What waits for a batch to last.
+/// What waits until a batch is durable.
 #[derive(Default)]
-struct Waiting {
+struct PendingEffects {
+    /// Acceptances to answer.
     answers: Vec<(Exchange, Uuid)>,
-    leaving: Vec<(Id, Submitted, Option<Duration>)>,
+    /// Attempts to send.
+    attempts: Vec<DueAttempt>,
 }
 
+/// The store of asynchronous invocations, and what waits for it.
 pub(super) struct Store {
-    durable: Durable,
-    /// For the batch that is gathering, and for those handed over, by number.
-    next: Waiting,
-    handed: VecDeque<(u64, Waiting)>,
-    answers: usize,
-    /// Whether a batch could not be handed over, as the disk does not keep up.
+    writer: LogWriter,
+    /// Waits for the batch that is gathering.
+    gathering: PendingEffects,
+    /// Waits for submitted batches, by number.
+    submitted: VecDeque<(u64, PendingEffects)>,
+    /// Acceptances that wait, over all batches.
+    pending_answers: usize,
+    /// Whether the last batch could not be submitted because the disk does not keep up.
     behind: bool,
-    pub failed: bool,
+    /// Whether the log has failed.
+    pub(super) failed: bool,
 }
 
 impl Store {
-    /// Whether new requests may be taken.
-    pub fn takes(&self) -> bool {
-        !self.failed && !self.behind && self.answers < MAX_ANSWERS
+    fn new(writer: LogWriter) -> Store {
+        Store {
+            writer,
+            gathering: PendingEffects::default(),
+            submitted: VecDeque::new(),
+            pending_answers: 0,
+            behind: false,
+            failed: false,
+        }
+    }
+
+    /// Whether new invocations may be accepted.
+    pub(super) fn has_capacity(&self) -> bool {
+        !self.failed && !self.behind && self.pending_answers < MAX_PENDING_ANSWERS
     }
 
     /// Whether nothing waits for the disk.
-    pub fn idle(&self) -> bool {
-        self.failed || self.handed.is_empty() && self.next.answers.is_empty()
+    pub(super) fn idle(&self) -> bool {
+        self.failed || self.submitted.is_empty() && self.gathering.answers.is_empty()
     }
 }
 
 impl Gateway {
-    /// Opens the store, and takes back what it holds.
+    /// Opens the store, and restores the invocations that it holds.
     pub(super) fn start_store(&mut self, handle: &LoopHandle<'static, Gateway>) -> io::Result<()> {
         let Some(path) = self.settings.store.clone() else {
             return Ok(());
         };
         let start = Instant::now();
-        let unusable = |e| io::Error::other(format!("deferred jobs in {}: {e}", path.display()));
-        let (durable, live, said) = Durable::start(&path).map_err(unusable)?;
-        let hears = |event: Event<Said>, _: &mut (), gateway: &mut Gateway| match event {
-            Event::Msg(Said::Lasts(number)) => gateway.lasts(number),
-            Event::Msg(Said::Failed(why)) => gateway.store_failed(&why),
-            Event::Closed => {}
-        };
+        let OpenedLog {
+            writer,
+            open_invocations,
+            events,
+        } = LogWriter::open(&path)
+            .map_err(|error| io::Error::other(format!("deferred jobs in {}: {error}", path.display())))?;
         handle
-            .insert_source(said, hears)
-            .map_err(|e| io::Error::other(e.to_string()))?;
-        let (next, handed) = (Waiting::default(), VecDeque::new());
-        self.store = Some(Store {
-            durable,
-            next,
-            handed,
-            answers: 0,
-            behind: false,
-            failed: false,
-        });
-        self.asynchronous
-            .reserve(Id(live.iter().map(|of| of.id).max().unwrap_or(0)));
-        let requests = live.len();
+            .insert_source(events, |event, _, gateway| gateway.writer_event(event))
+            .map_err(|error| io::Error::other(error.to_string()))?;
+        self.store = Some(Store::new(writer));
+        let last_id = open_invocations.iter().map(|record| record.id).max();
+        self.asynchronous.reserve_ids(InvocationId(last_id.unwrap_or(0)));
+        let requests = open_invocations.len();
         tracing::info!(requests, duration = ?start.elapsed(), "deferred jobs read from the store");
         match &mut self.returning {
-            // Until it is known what they may do, they stay where they are.
-            Some(returning) => returning.held = live,
-            None => self.restore(
-                live,
-                After {
-                    repeats_known: true,
-                    older: false,
-                },
-                Duration::ZERO,
-            ),
+            // They are restored once recovery has decided what they may do.
+            Some(returning) => returning.held = open_invocations,
+            None => {
+                let context = RestoreContext {
+                    keys_remembered: true,
+                    earlier_copy: false,
+                };
+                self.restore(open_invocations, context, Duration::ZERO);
+            }
         }
         Ok(())
     }
 
-    /// Takes requests back; `forgiven`: time in which they are not taken to have aged.
-    pub(super) fn restore(&mut self, live: Vec<InvocationRecord>, after: After, forgiven: Duration) {
-        if live.is_empty() {
+    fn writer_event(&mut self, event: Event<WriterEvent>) {
+        match event {
+            Event::Msg(WriterEvent::Durable(number)) => self.batch_durable(number),
+            Event::Msg(WriterEvent::Failed(reason)) => self.store_failed(&reason),
+            Event::Closed => {}
+        }
+    }
+
+    /// Restores invocations. They do not age by `forgiven_age`.
+    pub(super) fn restore(
+        &mut self,
+        records: Vec<InvocationRecord>,
+        context: RestoreContext,
+        forgiven_age: Duration,
+    ) {
+        if records.is_empty() {
             return;
         }
-        let (mut over, mut strange) = (0, 0);
+        let mut completed = 0;
+        let mut unreadable = 0;
         let now = self.now();
-        for of in &live {
-            let Some(kept) = durable::kept(of) else {
-                strange += 1;
+        for record in &records {
+            let Some(mut stored) = durable::stored_invocation(record) else {
+                unreadable += 1;
                 continue;
             };
-            let id = kept.id;
-            let taken = (kept.taken + forgiven).min(now.max(kept.taken));
-            let step = self.asynchronous.restore(now, Kept { taken, ..kept }, after);
-            over += u32::from(matches!(step, Some(quartzdrift_async_queue::Step::Over(_))));
-            self.stepped(id, step, None);
+            let id = stored.id;
+            let latest = now.max(stored.accepted_at);
+            stored.accepted_at = (stored.accepted_at + forgiven_age).min(latest);
+            let step = self.asynchronous.restore(now, stored, context);
+            completed += u32::from(matches!(step, Some(NextStep::Completed(_))));
+            self.follow_step(id, step, None);
         }
-        if strange > 0 {
+        if unreadable > 0 {
             tracing::error!(
-                requests = strange,
+                requests = unreadable,
                 "deferred jobs of another release stay in the store and are not run"
             );
         }
         let requests = self.asynchronous.len();
-        tracing::info!(requests, over, ?after, "deferred jobs taken back from the store");
-        self.hand_over();
+        tracing::info!(requests, over = completed, after = ?context, "deferred jobs taken back from the store");
+        self.submit_changes();
     }
 
-    /// Whether a request that was just taken is answered once it lasts; it then is.
-    pub(super) fn answer_later(&mut self, exchange: Exchange, id: Uuid) -> bool {
-        let early = self.settings.answer_early;
+    /// Leaves the answer to an accepted invocation for when it is durable; `false` where it is to be answered at once.
+    pub(super) fn answer_when_durable(&mut self, exchange: Exchange, id: Uuid) -> bool {
+        let answers_early = self.settings.answer_early;
         match &mut self.store {
-            Some(store) if !early => {
-                store.next.answers.push((exchange, id));
-                store.answers += 1;
+            Some(store) if !answers_early => {
+                store.gathering.answers.push((exchange, id));
+                store.pending_answers += 1;
                 true
             }
             Some(_) | None => false,
         }
     }
 
-    /// A try is due. It leaves once it is noted that it may have run, unless it may run again anyway.
-    pub(super) fn leave(&mut self, id: Id, request: Submitted, left: Option<Duration>) {
+    /// Sends an attempt: once its start is durable, or at once where executing it twice is harmless.
+    pub(super) fn send_when_durable(&mut self, attempt: DueAttempt) {
         match &mut self.store {
-            Some(store) if request.idempotency != Idempotency::Idempotent => {
-                store.next.leaving.push((id, request, left))
+            Some(store) if attempt.invocation.idempotency != Idempotency::Idempotent => {
+                store.gathering.attempts.push(attempt);
             }
-            Some(_) | None => self.try_asynchronous(id, request, left),
+            Some(_) | None => self.send_attempt(attempt),
         }
     }
 
-    /// Hands the changes of this turn over, to last together or not at all.
-    pub(super) fn hand_over(&mut self) {
+    /// Submits the changes of this turn of the event loop, which become durable together or not at all.
+    pub(super) fn submit_changes(&mut self) {
         let Some(store) = &mut self.store else { return };
+        let changes = self.asynchronous.store_mut().take();
         if store.failed {
-            self.asynchronous.store_mut().take();
-            let next = std::mem::take(&mut store.next);
-            return self.given_up(next);
+            let effects = std::mem::take(&mut store.gathering);
+            return self.abandon_effects(effects);
         }
-        let changes = self.asynchronous.store_mut().take();
         if changes.is_empty() {
             return;
         }
-        match store.durable.hand(changes) {
+        match store.writer.submit(changes) {
             Ok(number) => {
                 store.behind = false;
-                store.handed.push_back((number, std::mem::take(&mut store.next)));
+                let effects = std::mem::take(&mut store.gathering);
+                store.submitted.push_back((number, effects));
             }
             Err(changes) => {
                 store.behind = true;
@@ -169,64 +193,62 @@
         }
     }
 
-    fn lasts(&mut self, number: u64) {
+    fn batch_durable(&mut self, number: u64) {
         while let Some(store) = &mut self.store
-            && let Some((_, waiting)) = store.handed.pop_front_if(|(at, _)| *at <= number)
+            && let Some((_, effects)) = store.submitted.pop_front_if(|(batch, _)| *batch <= number)
         {
-            store.answers -= waiting.answers.len();
-            for (exchange, id) in waiting.answers {
+            store.pending_answers -= effects.answers.len();
+            for (exchange, id) in effects.answers {
                 let mut answer = response(answer::taken(), Some(id));
                 if self.stopping.is_some() {
                     answer.headers.push("connection", "close");
                 }
                 self.http.answer(exchange, &answer);
             }
-            for (id, request, left) in waiting.leaving {
-                self.try_asynchronous(id, request, left);
+            for attempt in effects.attempts {
+                self.send_attempt(attempt);
             }
         }
-        // What the disk kept waiting.
-        self.hand_over();
+        // There is room for a batch that could not be submitted before.
+        self.submit_changes();
     }
 
-    fn store_failed(&mut self, why: &str) {
+    fn store_failed(&mut self, reason: &str) {
         tracing::error!(
-            why,
+            why = reason,
             "deferred jobs are no longer kept: new ones are pushed back until a restart"
         );
         let Some(store) = &mut self.store else { return };
         store.failed = true;
-        let waiting: Vec<Waiting> = store.handed.drain(..).map(|(_, waiting)| waiting).collect();
-        waiting.into_iter().for_each(|waiting| self.given_up(waiting));
-        self.hand_over();
+        for (_, effects) in std::mem::take(&mut store.submitted) {
+            self.abandon_effects(effects);
+        }
+        self.submit_changes();
     }
 
-    /// Nothing of it is known to last: no request is said to be taken, and no try leaves that must not be made twice.
-    fn given_up(&mut self, waiting: Waiting) {
+    /// It is unknown whether the batch is durable: clients are told so, and no attempt is sent that must not execute twice.
+    fn abandon_effects(&mut self, effects: PendingEffects) {
         if let Some(store) = &mut self.store {
-            store.answers -= waiting.answers.len();
+            store.pending_answers -= effects.answers.len();
         }
-        for (exchange, id) in waiting.answers {
+        for (exchange, id) in effects.answers {
             self.http
                 .answer(exchange, &response(Problem::Unsure.said(), Some(id)));
         }
-        for (id, ..) in waiting.leaving {
-            self.step(
-                id,
-                End::Rejected {
-                    retry_after: None,
-                    may_have_executed: None,
-                },
-                None,
-            );
+        for attempt in effects.attempts {
+            let outcome = AttemptOutcome::Rejected {
+                retry_after: None,
+                may_have_executed: None,
+            };
+            self.attempt_ended(attempt.id, outcome, None);
         }
     }
 
-    /// Waits for the last batch.
+    /// Writes the last changes and waits until they are durable.
     pub(super) fn close_store(&mut self) {
         let changes = self.asynchronous.store_mut().take();
         if let Some(mut store) = self.store.take().filter(|_| !changes.is_empty()) {
-            store.durable.hand_last(changes);
+            store.writer.submit_last(changes);
         }
     }
 }
--- a/crates/quartzdrift/src/main.rs
+++ b/crates/quartzdrift/src/main.rs
@@ -3,7 +3,7 @@
 use quartzdrift::gateway::fleet::View;
 use quartzdrift::platform::run;
 use quartzdrift::{invoke, logs, saved, serve, settings};
-use quartzdrift_async_queue::Submitted;
+use quartzdrift_async_queue::Invocation;
 use quartzdrift_scheduler::interface::Idempotency;
 use quartzdrift_wal::{DirectoryStorage, inspect, repair};
 use std::io::{Read, Write};
@@ -144,7 +144,7 @@
         StoreCommand::Dump { folder } => {
             let mut out = std::io::stdout().lock();
             for record in inspect(&DirectoryStorage::open(folder)?)?.open_invocations {
-                let request = Submitted::from_bytes(&record.request);
+                let request = Invocation::from_bytes(&record.request);
                 let line = serde_json::json!({
                     "id": record.id,
                     "function": request.as_ref().map(|request| &request.function),
--- a/crates/quartzdrift/src/settings/check.rs
+++ b/crates/quartzdrift/src/settings/check.rs
@@ -1,7 +1,7 @@
 //! Contradictions in settings, each with the line of what it is about and the mend.
 use super::raw::{File, Idempotency, To};
 use super::{Discovery, Fault, Function, Log, Settings, line_of};
-use quartzdrift_async_queue::{Destination, Waits};
+use quartzdrift_async_queue::{Destination, QueueSettings};
 use quartzdrift_discovery::list::{self, Known, Listed};
 use quartzdrift_http::Limits;
 use quartzdrift_scheduler::interface as scheduler;
@@ -870,7 +870,7 @@
     }
 }
 
-fn asynchronous(raw: &File, faults: &mut Faults) -> Waits {
+fn asynchronous(raw: &File, faults: &mut Faults) -> QueueSettings {
     let told = &raw.asynchronous;
     if told.tries == 0 {
         faults.add(
@@ -902,14 +902,14 @@
             mend,
         );
     }
-    Waits {
-        tries: told.tries,
-        first: told.wait.0,
-        longest: told.longest_wait.0,
-        greatest_age: told.greatest_age.0,
-        requests: told.requests,
-        bytes: told.bytes,
-        out: told.out,
+    QueueSettings {
+        max_attempts: told.tries,
+        first_retry_delay: told.wait.0,
+        max_retry_delay: told.longest_wait.0,
+        max_age: told.greatest_age.0,
+        max_invocations: told.requests,
+        max_bytes: told.bytes,
+        max_concurrent_attempts: told.out,
     }
 }
 
--- a/crates/quartzdrift/src/settings/mod.rs
+++ b/crates/quartzdrift/src/settings/mod.rs
@@ -3,7 +3,7 @@
 pub use check::destination;
 pub mod raw;
 
-use quartzdrift_async_queue::{Destination, Waits};
+use quartzdrift_async_queue::{Destination, QueueSettings};
 use quartzdrift_discovery::list::{Known, Listed};
 use quartzdrift_http::Limits;
 use quartzdrift_scheduler::interface::Settings as Choice;
@@ -87,7 +87,7 @@
     pub workers: Vec<Listed>,
     pub known: Known,
     pub discovery: Option<Discovery>,
-    pub asynchronous: Waits,
+    pub asynchronous: QueueSettings,
     /// Where asynchronous requests are kept; none: in memory only.
     pub store: Option<PathBuf>,
     /// Whether an asynchronous request is answered as taken before it lasts.
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -67,19 +67,19 @@
         .open_invocations
         .iter()
         .map(|live| {
-            let kept = durable::kept(live).expect("it is of this release's form");
+            let kept = durable::stored_invocation(live).expect("it is of this release's form");
             assert_eq!(
-                kept.request.to_bytes(),
+                kept.invocation.to_bytes(),
                 live.request,
                 "written again it is the same"
             );
             (
                 kept.id.0,
-                kept.request.function.clone(),
-                kept.request.idempotency,
-                kept.tries,
-                kept.out.is_some(),
-                kept.request,
+                kept.invocation.function.clone(),
+                kept.invocation.idempotency,
+                kept.attempts,
+                kept.attempt_started_at.is_some(),
+                kept.invocation,
             )
         })
         .collect();
@@ -106,7 +106,10 @@
         Some(Destination::Function("dead".to_owned()))
     );
     assert_eq!(
-        (requests[3].mark.as_deref(), requests[3].window),
+        (
+            requests[3].idempotency_key.as_deref(),
+            requests[3].deduplication_window
+        ),
         (Some("k-1"), Duration::from_secs(60))
     );
     assert_eq!(&requests[2].payload[..], br#"{"n":3}"#);
