--- /dev/null
+++ b/crates/quartzdrift-discovery/src/accepted/tests.rs
@@ -0,0 +1,90 @@
+use super::{AcceptedEndpoints, ListDecision};
+use crate::endpoint::DiscoveredEndpoint;
+use crate::list::{EndpointError, EndpointList};
+use quartzdrift_scheduler::interface::EndpointState;
+
+fn list(names: &[&str]) -> EndpointList {
+    EndpointList {
+        workers: names.iter().map(|name| DiscoveredEndpoint::up(name)).collect(),
+        rejected: Vec::new(),
+    }
+}
+
+fn accepted(names: &[&str]) -> AcceptedEndpoints {
+    let mut accepted = AcceptedEndpoints::default();
+    accepted.accept_full(list(names));
+    accepted
+}
+
+#[test]
+fn a_single_missing_worker_is_gone_at_once() {
+    let mut accepted = accepted(&["a", "b", "c", "d"]);
+    assert!(matches!(
+        accepted.accept_full(list(&["a", "b", "c"])),
+        ListDecision::Full(_)
+    ));
+    assert!(!accepted.contains("d"));
+}
+
+#[test]
+fn an_empty_list_is_accepted_the_third_time() {
+    let mut accepted = accepted(&["a", "b"]);
+    assert!(matches!(
+        accepted.accept_full(list(&[])),
+        ListDecision::NamedOnly { .. }
+    ));
+    assert!(matches!(
+        accepted.accept_full(list(&[])),
+        ListDecision::NamedOnly { .. }
+    ));
+    assert!(accepted.contains("a"));
+    assert!(matches!(accepted.accept_full(list(&[])), ListDecision::Full(_)));
+    assert!(!accepted.contains("a"));
+}
+
+#[test]
+fn workers_from_before_an_unclean_stop_do_not_make_a_list_suspect() {
+    for partial in [&[][..], &["a"]] {
+        let mut accepted = accepted(&["a", "b", "c", "d"]);
+        accepted.set_from_unclean_stop(true);
+        assert!(matches!(
+            accepted.accept_full(list(partial)),
+            ListDecision::Full(_)
+        ));
+        assert!(!accepted.contains("b"));
+        // The next list is suspect as usual.
+        accepted.accept_full(list(&["a", "b", "c", "d"]));
+        assert!(matches!(
+            accepted.accept_full(list(partial)),
+            ListDecision::NamedOnly { .. }
+        ));
+    }
+}
+
+#[test]
+fn a_partial_list_that_changes_is_counted_anew_and_its_drains_are_accepted() {
+    let mut accepted = accepted(&["a", "b", "c", "d"]);
+    let mut partial = list(&["a"]);
+    partial.workers[0].state = EndpointState::Draining;
+    let ListDecision::NamedOnly { workers, .. } = accepted.accept_full(partial) else {
+        panic!("the list was accepted")
+    };
+    assert_eq!(workers[0].state, EndpointState::Draining);
+    accepted.accept_full(list(&["a"]));
+    accepted.accept_full(list(&["b"]));
+    assert!(accepted.contains("c"));
+}
+
+#[test]
+fn missing_workers_stay_while_targets_cannot_be_read() {
+    let mut accepted = accepted(&["a", "b", "c", "d"]);
+    let unreadable = EndpointList {
+        rejected: vec![EndpointError::Duplicate("x".into())],
+        ..list(&["a", "b", "c"])
+    };
+    assert!(matches!(
+        accepted.accept_full(unreadable),
+        ListDecision::NamedOnly { .. }
+    ));
+    assert!(accepted.contains("d"));
+}
--- a/crates/quartzdrift-discovery/src/lib.rs
+++ b/crates/quartzdrift-discovery/src/lib.rs
@@ -1,8 +1,12 @@
-//! Lists of workers. No I/O.
+//! Discovery of workers: endpoint lists, and which of them are accepted. No I/O, no clock.
 //!
-//! * [`list`]: the published HTTP service discovery JSON (targets and labels), read and written.
-//! * [`stream`]: server-sent events, by which changes are pushed.
-//! * [`belief`]: what is done with a list that cannot be read, is empty or lacks most of the workers.
-pub mod belief;
+//! * [`list`]: the published JSON of HTTP service discovery (targets and labels), read and written.
+//! * [`stream`]: server-sent events, by which changes of a list are pushed.
+//! * `accepted`: what to do with a list that is empty, or lacks most of the workers.
+mod accepted;
+mod endpoint;
 pub mod list;
 pub mod stream;
+
+pub use accepted::{AcceptedEndpoints, ListDecision, SuspectList};
+pub use endpoint::{AddressError, DiscoveredEndpoint, KnownNames};
--- a/crates/quartzdrift-discovery/src/list.rs
+++ b/crates/quartzdrift-discovery/src/list.rs
@@ -1,151 +1,101 @@
 //! HTTP service discovery: a JSON array of groups, each with `targets` ("address:port") and `labels`, all text.
 //!
-//! Labels read: `state` (`up`, `draining`, `gone`; none: up), `zone`, `kind` (names from the settings), `cell`
-//! and `capacity` (numbers), `started` (seconds since 1970, with fractions). Others are left alone.
-use quartzdrift_scheduler::interface::{Endpoint, EndpointState};
+//! Labels that are read: `state` (`up`, `draining` or `gone`; up by default), `zone` and `kind` (names from the settings),
+//! `cell` and `capacity` (numbers), `started` (seconds since 1970, with fractions). Others are ignored.
+use crate::endpoint::{AddressError, DiscoveredEndpoint, KnownNames, parse_address};
+use quartzdrift_scheduler::interface::EndpointState;
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Workers of one list, and bytes of its text, at most.
+#[cfg(test)]
+mod tests;
+
+/// Maximum workers of one list.
 pub const MAX_WORKERS: usize = 10_000;
+/// Maximum bytes of a list's text.
 pub const MAX_TEXT: usize = 4 << 20;
 
+/// Targets that share their labels.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Group {
-    pub targets: Vec<String>,
+struct Group {
+    targets: Vec<String>,
     #[serde(default)]
-    pub labels: BTreeMap<String, String>,
-}
-
-/// One worker as a list tells it. Times are since 1970.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
-    pub worker: String,
-    pub state: EndpointState,
-    pub zone: u32,
-    pub kind: u32,
-    pub cell: u32,
-    pub capacity: Option<f64>,
-    pub started: Option<Duration>,
-}
-
-impl Listed {
-    pub fn up(worker: &str) -> Listed {
-        Listed {
-            worker: worker.to_owned(),
-            state: EndpointState::Up,
-            zone: 0,
-            kind: 0,
-            cell: 0,
-            capacity: None,
-            started: None,
-        }
-    }
-
-    /// As the decision module takes it.
-    pub fn entry(&self) -> Endpoint<'_> {
-        Endpoint {
-            worker: &self.worker,
-            capacity_hint: self.capacity,
-            cell: self.cell,
-            kind: self.kind,
-            zone: self.zone,
-            started: self.started,
-            state: self.state,
-        }
-    }
-}
-
-/// Names that labels may use.
-#[derive(Clone, Debug, Default)]
-pub struct Known {
-    pub zones: Vec<String>,
-    pub kinds: Vec<String>,
+    labels: BTreeMap<String, String>,
 }
 
 /// A list, and what of it could not be read.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct List {
-    pub workers: Vec<Listed>,
-    pub unread: Vec<String>,
+pub struct EndpointList {
+    /// Workers in the order of the list, each once.
+    pub workers: Vec<DiscoveredEndpoint>,
+    /// Targets that were left out.
+    pub rejected: Vec<EndpointError>,
 }
 
-/// The address in the form that all parts use as a worker's name: numbers only, as a look-up would block.
-pub fn address(text: &str) -> Result<SocketAddr, String> {
-    let text = text.trim().trim_start_matches("http://");
-    let text = match text.strip_prefix("localhost:") {
-        Some(port) => format!("127.0.0.1:{port}"),
-        None => text.to_owned(),
-    };
-    text.parse()
-        .map_err(|_| format!("'{text}' is no address and port in numbers"))
+/// Why a text is not a list at all.
+#[derive(Debug, thiserror::Error)]
+pub enum ListError {
+    /// The text is longer than [`MAX_TEXT`].
+    #[error("the list is over {MAX_TEXT} bytes")]
+    TooLong,
+    /// The text is not the JSON of a list.
+    #[error("the list is not readable: {0}")]
+    Json(#[from] serde_json::Error),
+    /// There are more workers than [`MAX_WORKERS`].
+    #[error("the list names more than {MAX_WORKERS} workers")]
+    TooManyWorkers,
 }
 
-fn index(names: &[String], told: &str) -> Option<u32> {
-    let at = names.iter().position(|name| name == told);
-    at.map(|at| at as u32).or_else(|| {
-        told.parse()
-            .ok()
-            .filter(|&n: &u32| (n as usize) < names.len().max(1))
-    })
+/// Why a target of a list was left out.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum EndpointError {
+    /// The target is not an address.
+    #[error(transparent)]
+    Address(#[from] AddressError),
+    /// A label is malformed, or names what the settings do not have.
+    #[error("{address}: label '{label}' is unreadable or names nothing in the settings")]
+    Label {
+        /// The worker.
+        address: SocketAddr,
+        /// The label's name.
+        label: String,
+    },
+    /// The target has occurred before in the list.
+    #[error("{0}: named twice")]
+    Duplicate(String),
 }
 
-fn listed(target: &str, labels: &BTreeMap<String, String>, known: &Known) -> Result<Listed, String> {
-    let address = address(target)?;
-    let label = |name: &str| labels.get(name).map(String::as_str);
-    let bad =
-        |name: &str| format!("{address}: label '{name}' is unreadable or names nothing in the settings");
-    let named = |name: &str, names: &[String]| match label(name) {
-        None => Ok(0),
-        Some(told) => index(names, told).ok_or_else(|| bad(name)),
-    };
-    let state = match label("state") {
-        None | Some("up") => EndpointState::Up,
-        Some("draining") => EndpointState::Draining,
-        Some("gone") => EndpointState::Gone,
-        // A state that we do not know is no leave to send work there.
-        Some(_) => return Err(bad("state")),
-    };
-    let number = |name: &str| match label(name).map(str::parse::<f64>) {
-        None => Ok(None),
-        Some(Ok(n)) if n.is_finite() && n >= 0.0 => Ok(Some(n)),
-        Some(_) => Err(bad(name)),
-    };
-    let started = number("started")?.map(|s| Duration::try_from_secs_f64(s).map_err(|_| bad("started")));
-    Ok(Listed {
-        worker: address.to_string(),
-        state,
-        zone: named("zone", &known.zones)?,
-        kind: named("kind", &known.kinds)?,
-        cell: match label("cell").map(str::parse) {
-            None => 0,
-            Some(told) => told.map_err(|_| bad("cell"))?,
-        },
-        capacity: number("capacity")?,
-        started: started.transpose()?.filter(|s| !s.is_zero()),
-    })
+/// Parses the address of a worker. In the form that the result displays it is the worker's name everywhere. Host names other
+/// than `localhost` are not taken, as a look-up would block.
+///
+/// # Errors
+/// The text, where it is not an address and port in numbers.
+pub fn address(text: &str) -> Result<SocketAddr, AddressError> {
+    parse_address(text)
 }
 
-/// Reads a list. `Err` where it is no list at all; single workers that cannot be read are told apart.
-pub fn read(text: &[u8], known: &Known) -> Result<List, String> {
+/// Reads a list. Targets that cannot be read are reported in the result.
+///
+/// # Errors
+/// Where the text as a whole is not a list, or exceeds a limit.
+pub fn read(text: &[u8], known: &KnownNames) -> Result<EndpointList, ListError> {
     if text.len() > MAX_TEXT {
-        return Err(format!("the list is over {MAX_TEXT} bytes"));
+        return Err(ListError::TooLong);
     }
-    let groups: Vec<Group> =
-        serde_json::from_slice(text).map_err(|e| format!("the list is not readable: {e}"))?;
-    let mut list = List::default();
-    let mut seen = std::collections::BTreeSet::new();
+    let groups: Vec<Group> = serde_json::from_slice(text)?;
+    let mut list = EndpointList::default();
+    let mut seen = BTreeSet::new();
     for group in &groups {
         for target in &group.targets {
-            match listed(target, &group.labels, known) {
-                Ok(one) if !seen.insert(one.worker.clone()) => {
-                    list.unread.push(format!("{target}: named twice"));
+            match read_target(target, &group.labels, known) {
+                Ok(endpoint) if !seen.insert(endpoint.worker.clone()) => {
+                    list.rejected.push(EndpointError::Duplicate(target.clone()));
                 }
-                Ok(one) if list.workers.len() < MAX_WORKERS => list.workers.push(one),
-                Ok(_) => return Err(format!("the list names more than {MAX_WORKERS} workers")),
-                Err(why) => list.unread.push(why),
+                Ok(_) if list.workers.len() >= MAX_WORKERS => return Err(ListError::TooManyWorkers),
+                Ok(endpoint) => list.workers.push(endpoint),
+                Err(error) => list.rejected.push(error),
             }
         }
     }
@@ -153,70 +103,127 @@
 }
 
 /// Writes workers as a list that [`read`] takes.
-pub fn write(workers: &[Listed], known: &Known) -> Vec<u8> {
-    let group = |one: &Listed| {
-        let mut labels = BTreeMap::new();
-        let state = match one.state {
-            EndpointState::Up => "up",
-            EndpointState::Draining => "draining",
-            EndpointState::Gone => "gone",
-        };
-        labels.insert("state".to_owned(), state.to_owned());
-        let name = |names: &[String], at: u32| names.get(at as usize).cloned();
-        labels.extend(name(&known.zones, one.zone).map(|zone| ("zone".to_owned(), zone)));
-        labels.extend(name(&known.kinds, one.kind).map(|kind| ("kind".to_owned(), kind)));
-        labels.insert("cell".to_owned(), one.cell.to_string());
-        labels.extend(one.capacity.map(|c| ("capacity".to_owned(), c.to_string())));
-        labels.extend(
-            one.started
-                .map(|s| ("started".to_owned(), format!("{:.6}", s.as_secs_f64()))),
-        );
-        Group {
-            targets: vec![one.worker.clone()],
-            labels,
-        }
-    };
-    let groups: Vec<Group> = workers.iter().map(group).collect();
+pub fn write(workers: &[DiscoveredEndpoint], known: &KnownNames) -> Vec<u8> {
+    let groups: Vec<Group> = workers
+        .iter()
+        .map(|endpoint| Group {
+            targets: vec![endpoint.worker.clone()],
+            labels: write_labels(endpoint, known),
+        })
+        .collect();
     serde_json::to_vec(&groups).unwrap_or_default()
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+fn read_target(
+    target: &str,
+    labels: &BTreeMap<String, String>,
+    known: &KnownNames,
+) -> Result<DiscoveredEndpoint, EndpointError> {
+    let address = parse_address(target)?;
+    let labels = Labels { address, labels };
+    let state = labels.state()?;
+    let started = labels.number("started")?;
+    Ok(DiscoveredEndpoint {
+        worker: address.to_string(),
+        state,
+        zone: labels.index("zone", &known.zones)?,
+        kind: labels.index("kind", &known.kinds)?,
+        cell: labels.cell()?,
+        capacity: labels.number("capacity")?,
+        started: labels.start_time(started)?,
+    })
+}
+
+/// The labels of one target.
+struct Labels<'a> {
+    address: SocketAddr,
+    labels: &'a BTreeMap<String, String>,
+}
 
-    fn known() -> Known {
-        Known {
-            zones: vec!["east".into(), "west".into()],
-            kinds: vec!["small".into()],
+impl Labels<'_> {
+    fn get(&self, name: &str) -> Option<&str> {
+        self.labels.get(name).map(String::as_str)
+    }
+
+    fn error(&self, name: &str) -> EndpointError {
+        EndpointError::Label {
+            address: self.address,
+            label: name.to_owned(),
         }
     }
 
-    #[test]
-    fn lists_are_read_and_what_is_not_is_told() {
-        let text = br#"[{"targets": ["127.0.0.1:1", "localhost:2"], "labels": {"zone": "west", "x": "y"}},
-            {"targets": ["127.0.0.1:3"], "labels": {"state": "draining", "started": "12.5"}},
-            {"targets": ["127.0.0.1:3", "name:4"]},
-            {"targets": ["127.0.0.1:5"], "labels": {"zone": "north"}},
-            {"targets": ["127.0.0.1:6"], "labels": {"state": "sleeping"}}]"#;
-        let list = read(text, &known()).unwrap();
-        let names: Vec<&str> = list.workers.iter().map(|w| w.worker.as_str()).collect();
-        assert_eq!(names, ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]);
-        assert_eq!(
-            (list.workers[0].zone, list.workers[2].state),
-            (1, EndpointState::Draining)
-        );
-        assert_eq!(list.workers[2].started, Some(Duration::from_millis(12_500)));
-        assert_eq!(list.unread.len(), 4);
-        let again = read(&write(&list.workers, &known()), &known()).unwrap();
-        assert_eq!(again.workers, list.workers);
-        assert!(read(b"{}", &known()).is_err() && read(b"[", &known()).is_err());
+    /// An unknown state is an error rather than the default: it might forbid what `up` allows.
+    fn state(&self) -> Result<EndpointState, EndpointError> {
+        match self.get("state") {
+            None | Some("up") => Ok(EndpointState::Up),
+            Some("draining") => Ok(EndpointState::Draining),
+            Some("gone") => Ok(EndpointState::Gone),
+            Some(_) => Err(self.error("state")),
+        }
+    }
+
+    /// The index of a name, or the first one where the label is missing.
+    fn index(&self, label: &str, names: &[String]) -> Result<u32, EndpointError> {
+        match self.get(label) {
+            None => Ok(0),
+            Some(value) => index_of(names, value).ok_or_else(|| self.error(label)),
+        }
+    }
+
+    fn cell(&self) -> Result<u32, EndpointError> {
+        match self.get("cell") {
+            None => Ok(0),
+            Some(value) => value.parse().map_err(|_| self.error("cell")),
+        }
     }
 
-    proptest::proptest! {
-        #[test]
-        fn any_text_is_read_or_refused(text: String) {
-            let _ = read(text.as_bytes(), &Known::default());
-            let _ = address(&text);
+    /// A finite number that is not negative.
+    fn number(&self, label: &str) -> Result<Option<f64>, EndpointError> {
+        match self.get(label).map(str::parse::<f64>) {
+            None => Ok(None),
+            Some(Ok(number)) if number.is_finite() && number >= 0.0 => Ok(Some(number)),
+            Some(_) => Err(self.error(label)),
         }
     }
+
+    /// Zero means that the start is unknown.
+    fn start_time(&self, seconds: Option<f64>) -> Result<Option<Duration>, EndpointError> {
+        let Some(seconds) = seconds else { return Ok(None) };
+        let started = Duration::try_from_secs_f64(seconds).map_err(|_| self.error("started"))?;
+        Ok(Some(started).filter(|started| !started.is_zero()))
+    }
+}
+
+/// The index of a name, which may be given as a number. Without names there is one unnamed place.
+fn index_of(names: &[String], value: &str) -> Option<u32> {
+    if let Some(index) = names.iter().position(|name| name == value) {
+        return Some(index as u32);
+    }
+    let index: u32 = value.parse().ok()?;
+    ((index as usize) < names.len().max(1)).then_some(index)
+}
+
+fn write_labels(endpoint: &DiscoveredEndpoint, known: &KnownNames) -> BTreeMap<String, String> {
+    let state = match endpoint.state {
+        EndpointState::Up => "up",
+        EndpointState::Draining => "draining",
+        EndpointState::Gone => "gone",
+    };
+    let mut labels = BTreeMap::from([
+        ("state".to_owned(), state.to_owned()),
+        ("cell".to_owned(), endpoint.cell.to_string()),
+    ]);
+    if let Some(zone) = known.zones.get(endpoint.zone as usize) {
+        labels.insert("zone".to_owned(), zone.clone());
+    }
+    if let Some(kind) = known.kinds.get(endpoint.kind as usize) {
+        labels.insert("kind".to_owned(), kind.clone());
+    }
+    if let Some(capacity) = endpoint.capacity {
+        labels.insert("capacity".to_owned(), capacity.to_string());
+    }
+    if let Some(started) = endpoint.started {
+        labels.insert("started".to_owned(), format!("{:.6}", started.as_secs_f64()));
+    }
+    labels
 }
--- a/crates/quartzdrift-lab/src/badday.rs
+++ b/crates/quartzdrift-lab/src/badday.rs
@@ -11,7 +11,7 @@
 use crate::switch::{Links, Switch, kept_port};
 use crate::traffic;
 use crate::worker::{self, FakeWorker, Faults};
-use quartzdrift_discovery::list::Listed;
+use quartzdrift_discovery::DiscoveredEndpoint;
 use quartzdrift_recovery::View;
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
 use std::collections::BTreeMap;
@@ -112,11 +112,11 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn listed(worker: &str, state: EndpointState, started: Option<Duration>) -> Listed {
-    Listed {
+fn listed(worker: &str, state: EndpointState, started: Option<Duration>) -> DiscoveredEndpoint {
+    DiscoveredEndpoint {
         state,
         started,
-        ..Listed::up(worker)
+        ..DiscoveredEndpoint::up(worker)
     }
 }
 
@@ -629,7 +629,7 @@
             FakeWorker::new(handle, address, config)
         })?);
     }
-    let first: Vec<Listed> = workers
+    let first: Vec<DiscoveredEndpoint> = workers
         .iter()
         .map(|w| listed(&w.address.to_string(), EndpointState::Up, None))
         .collect();
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -3,8 +3,7 @@
 use crate::actor::Fake;
 use crate::record::{Recorder, Seen};
 use calloop::LoopHandle;
-use quartzdrift_discovery::list::{self, Known, Listed};
-use quartzdrift_discovery::stream;
+use quartzdrift_discovery::{DiscoveredEndpoint, KnownNames, list, stream};
 use quartzdrift_http::{Exchange, HasHttp, Headers, Http, HttpEvent, Limits, Response};
 use quartzdrift_scheduler::interface::EndpointState;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -15,7 +14,7 @@
 
 pub enum Command {
     /// What is so from now on; told as late as the lag says.
-    Set(Listed),
+    Set(DiscoveredEndpoint),
     Lag(Duration),
     /// Answers nothing and cuts its streams.
     Stop(bool),
@@ -32,8 +31,8 @@
     start: Instant,
     recorder: Option<Recorder>,
     lag: Duration,
-    late: VecDeque<(Duration, Listed)>,
-    told: BTreeMap<String, Listed>,
+    late: VecDeque<(Duration, DiscoveredEndpoint)>,
+    told: BTreeMap<String, DiscoveredEndpoint>,
     streams: Vec<(Exchange, u64)>,
     /// What each gateway was told last of each worker: whether it is up.
     heard: BTreeMap<(u64, String), bool>,
@@ -52,7 +51,7 @@
 impl Discovery {
     pub fn new(
         handle: LoopHandle<'static, Discovery>,
-        workers: Vec<Listed>,
+        workers: Vec<DiscoveredEndpoint>,
         lag: Duration,
         recorder: Option<Recorder>,
     ) -> Discovery {
@@ -79,7 +78,7 @@
     }
 
     /// Notes what a gateway learns by what is sent to it now.
-    fn note(&mut self, gateway: u64, workers: &[Listed]) {
+    fn note(&mut self, gateway: u64, workers: &[DiscoveredEndpoint]) {
         for one in workers {
             let up = one.state == EndpointState::Up;
             let before = self.heard.insert((gateway, one.worker.clone()), up);
@@ -94,15 +93,15 @@
     }
 
     /// A worker as a gateway reaches it.
-    fn reached(&self, gateway: u64, one: &Listed) -> Listed {
+    fn reached(&self, gateway: u64, one: &DiscoveredEndpoint) -> DiscoveredEndpoint {
         let relay = self.relays.get(&(gateway, one.worker.clone()));
-        Listed {
+        DiscoveredEndpoint {
             worker: relay.unwrap_or(&one.worker).clone(),
             ..one.clone()
         }
     }
 
-    fn listed(&self) -> Vec<Listed> {
+    fn listed(&self) -> Vec<DiscoveredEndpoint> {
         if self.empty {
             return Vec::new();
         }
@@ -126,14 +125,14 @@
             // A process that asks for the stream knows nothing yet.
             self.heard.retain(|(of, _), _| *of != gateway);
         }
-        let workers: Vec<Listed> = self
+        let workers: Vec<DiscoveredEndpoint> = self
             .listed()
             .iter()
             .map(|one| self.reached(gateway, one))
             .collect();
-        let text = list::write(&workers, &Known::default());
+        let text = list::write(&workers, &KnownNames::default());
         if !self.empty {
-            let all: Vec<Listed> = self.told.values().cloned().collect();
+            let all: Vec<DiscoveredEndpoint> = self.told.values().cloned().collect();
             self.note(gateway, &all);
         }
         if events {
@@ -229,7 +228,7 @@
                 if self.stalled.contains(&gateway) {
                     continue;
                 }
-                let change = list::write(&[self.reached(gateway, &listed)], &Known::default());
+                let change = list::write(&[self.reached(gateway, &listed)], &KnownNames::default());
                 let change = stream::write("changes", &String::from_utf8_lossy(&change));
                 self.note(gateway, std::slice::from_ref(&listed));
                 self.http.push(exchange, &change, MAX_WAITING);
--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -421,7 +421,7 @@
             println!("roster at http://{address}/workers/0");
             let workers = workers
                 .iter()
-                .map(|w| quartzdrift_discovery::list::Listed::up(&w.to_string()))
+                .map(|w| quartzdrift_discovery::DiscoveredEndpoint::up(&w.to_string()))
                 .collect();
             let lag = Duration::ZERO;
             actor::run(Some(listener), None, |handle| {
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -2,7 +2,7 @@
 use quartzdrift::gateway::fleet::View;
 use quartzdrift::invoke::{Invoke, invoke};
 use quartzdrift::saved;
-use quartzdrift_discovery::list::Listed;
+use quartzdrift_discovery::DiscoveredEndpoint;
 use quartzdrift_http::Response;
 use quartzdrift_lab::actor::{Running, spawn};
 use quartzdrift_lab::audit::{Rule, audit};
@@ -622,7 +622,10 @@
 fn a_drain_told_by_the_discovery_moves_work_and_a_restart_uses_the_saved_list() {
     let stage = Stage::new(2);
     let workers: Vec<String> = stage.workers.iter().map(|w| w.address.to_string()).collect();
-    let first = workers.iter().map(|worker| Listed::up(worker)).collect();
+    let first = workers
+        .iter()
+        .map(|worker| DiscoveredEndpoint::up(worker))
+        .collect();
     let recorder = stage.recorder.clone();
     let discovery = spawn(any(), move |handle, _| {
         Discovery::new(handle, first, Duration::ZERO, Some(recorder))
@@ -637,9 +640,9 @@
     stage.wait("the list", |_| {
         (gateway.invoke("echo", "{}").status == 200).then_some(())
     });
-    let state_of = |worker: &str, state| Listed {
+    let state_of = |worker: &str, state| DiscoveredEndpoint {
         state,
-        ..Listed::up(worker)
+        ..DiscoveredEndpoint::up(worker)
     };
     let draining = quartzdrift_scheduler::interface::EndpointState::Draining;
     discovery.tell(discovery::Command::Set(state_of(&workers[0], draining)));
@@ -1145,7 +1148,10 @@
 fn a_list_of_before_a_power_loss_brings_no_worker_back() {
     let stage = Stage::new(4);
     let workers: Vec<String> = stage.workers.iter().map(|w| w.address.to_string()).collect();
-    let first: Vec<Listed> = workers.iter().map(|worker| Listed::up(worker)).collect();
+    let first: Vec<DiscoveredEndpoint> = workers
+        .iter()
+        .map(|worker| DiscoveredEndpoint::up(worker))
+        .collect();
     let of = first.clone();
     let discovery = spawn(any(), move |handle, _| {
         Discovery::new(handle, of, Duration::ZERO, None)
@@ -1167,7 +1173,7 @@
     // All but one have not come back; their processes are left over here, and would answer.
     let gone = quartzdrift_scheduler::interface::EndpointState::Gone;
     first[1..].iter().for_each(|one| {
-        discovery.tell(discovery::Command::Set(Listed {
+        discovery.tell(discovery::Command::Set(DiscoveredEndpoint {
             state: gone,
             ..one.clone()
         }))
--- a/crates/quartzdrift-platform/src/coordinator.rs
+++ b/crates/quartzdrift-platform/src/coordinator.rs
@@ -1,7 +1,7 @@
 //! The coordinator's numbered events, and the list of workers that they make.
 //!
 //! A worker is known by its uid alone: another one may come to stand at the same address.
-use quartzdrift_discovery::list::Listed;
+use quartzdrift_discovery::DiscoveredEndpoint;
 use quartzdrift_scheduler::interface::EndpointState;
 use serde::Deserialize;
 use serde_json::Value;
@@ -54,7 +54,7 @@
 /// A worker as an event tells of it, under its uid, and where it stands.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Told {
-    pub listed: Listed,
+    pub listed: DiscoveredEndpoint,
     pub address: Option<SocketAddr>,
 }
 
@@ -136,7 +136,7 @@
             _ => EndpointState::Draining,
         };
         let boot = self.boot_ms.filter(|ms| ms.is_finite() && *ms > 0.0);
-        let listed = Listed {
+        let listed = DiscoveredEndpoint {
             capacity: self.capacity_hint,
             cell: place(&self.pod_group, &[], &self.uid),
             kind: kind(&self.model, kinds),
--- a/crates/quartzdrift/src/gateway/discovery.rs
+++ b/crates/quartzdrift/src/gateway/discovery.rs
@@ -1,266 +1,303 @@
-//! Where the list of workers comes from: asked for now and then, and pushed over server-sent events.
+//! Where the endpoint list comes from: polled at intervals, and pushed over server-sent events.
 use super::{Gateway, Use};
 use crate::settings::Settings;
-use quartzdrift_discovery::belief::Believed;
-use quartzdrift_discovery::list::{self, Listed};
-use quartzdrift_discovery::stream::Reader;
+use quartzdrift_discovery::list::ListError;
+use quartzdrift_discovery::stream::{EventReader, ServerSentEvent};
+use quartzdrift_discovery::{DiscoveredEndpoint, ListDecision, list};
 use quartzdrift_http::{CallId, Headers, Outgoing};
 use quartzdrift_scheduler::interface::{DiscoveryMode, EndpointListKind};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// After a stream was lost: its source may be restarting.
-const STREAM_AGAIN: Duration = Duration::from_millis(500);
+/// Delay before a lost stream is opened again, as its source may be restarting.
+const STREAM_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How the list is followed.
+/// A poll without an answer yet.
+struct PendingPoll {
+    call: CallId,
+    deadline: Duration,
+}
+
+/// How the endpoint list is followed. Times are since 1970.
 pub(super) struct Source {
-    /// Calls go out only where there is a source and it is wanted.
-    wanted: bool,
-    asked: Option<(CallId, Duration)>,
-    ask_at: Option<Duration>,
+    /// Whether the scheduler wants changes; there are polls and a stream only then.
+    watching: bool,
+    pending_poll: Option<PendingPoll>,
+    poll_at: Option<Duration>,
     stream: Option<CallId>,
-    stream_at: Option<Duration>,
-    reader: Reader,
-    last: Vec<Listed>,
-    /// Whether a list has come since the start.
-    came: bool,
+    open_stream_at: Option<Duration>,
+    reader: EventReader,
+    /// The last full list that was accepted, unless a change has come since.
+    last_full: Vec<DiscoveredEndpoint>,
+    list_received: bool,
 }
 
 impl Source {
-    pub fn new(settings: &Settings) -> Source {
-        let wanted = settings.discovery.is_some() && settings.scheduler.discovery == DiscoveryMode::Push;
-        let at = wanted.then_some(Duration::ZERO);
-        let streams = settings
-            .discovery
-            .as_ref()
-            .is_some_and(|discovery| discovery.stream);
+    /// A source that is polled, and whose stream is opened, at once.
+    pub(super) fn new(settings: &Settings) -> Source {
+        let watching = settings.discovery.is_some() && settings.scheduler.discovery == DiscoveryMode::Push;
+        let at_once = watching.then_some(Duration::ZERO);
         Source {
-            wanted,
-            asked: None,
-            ask_at: at,
+            watching,
+            pending_poll: None,
+            poll_at: at_once,
             stream: None,
-            stream_at: at.filter(|_| streams),
-            reader: Reader::default(),
-            last: Vec::new(),
-            came: false,
+            open_stream_at: at_once.filter(|_| has_stream(settings)),
+            reader: EventReader::default(),
+            last_full: Vec::new(),
+            list_received: false,
         }
     }
 
-    /// Whether a list has come since the start.
-    pub fn has_come(&self) -> bool {
-        self.came
+    /// Whether a list was received since the start.
+    pub(super) fn has_received_list(&self) -> bool {
+        self.list_received
     }
 
-    pub fn next_due(&self) -> Option<Duration> {
-        let timeout = self.asked.map(|(_, until)| until);
-        [timeout, self.ask_at, self.stream_at].into_iter().flatten().min()
+    /// When [`Gateway::discovery_due`] has something to do.
+    pub(super) fn next_due(&self) -> Option<Duration> {
+        let deadline = self.pending_poll.as_ref().map(|poll| poll.deadline);
+        [deadline, self.poll_at, self.open_stream_at]
+            .into_iter()
+            .flatten()
+            .min()
     }
 }
 
+/// Whether the settings name a source that pushes changes.
+fn has_stream(settings: &Settings) -> bool {
+    settings
+        .discovery
+        .as_ref()
+        .is_some_and(|discovery| discovery.stream)
+}
+
 impl Gateway {
     pub(super) fn discovery_due(&mut self, now: Duration) {
-        if let Some((call, _)) = self.discovery.asked.take_if(|(_, until)| *until <= now) {
-            self.calls.remove(&call);
-            self.http.cancel(call);
-            self.list_failed("no answer in time");
+        let timed_out = self.discovery.pending_poll.take_if(|poll| poll.deadline <= now);
+        if let Some(poll) = timed_out {
+            self.cancel_call(poll.call);
+            self.poll_failed("no answer in time");
         }
-        if self.discovery.ask_at.take_if(|at| *at <= now).is_some() {
-            self.ask_list();
+        if self.discovery.poll_at.take_if(|at| *at <= now).is_some() {
+            self.poll_endpoints();
         }
-        if self.discovery.stream_at.take_if(|at| *at <= now).is_some() {
+        if self.discovery.open_stream_at.take_if(|at| *at <= now).is_some() {
             self.open_stream();
         }
     }
 
-    fn discovery_call(&mut self, accept: &str, streams: bool, of: Use) -> Option<CallId> {
-        let discovery = self.settings.discovery.as_ref()?;
-        let request = Outgoing {
-            method: "GET",
-            target: discovery.target.clone(),
-            headers: Headers::new().with("accept", accept),
-            body: Rc::from([]),
-            connect_timeout: discovery.timeout,
-            streams,
-        };
-        let call = self.http.call(discovery.address, request);
-        self.calls.insert(call, of);
-        Some(call)
-    }
-
-    pub(super) fn ask_list(&mut self) {
+    /// Polls the source, unless a poll is under way. Without a source the workers of the settings are the list.
+    pub(super) fn poll_endpoints(&mut self) {
         let Some(timeout) = self
             .settings
             .discovery
             .as_ref()
             .map(|discovery| discovery.timeout)
         else {
-            return self.no_discovery();
+            return self.use_configured_workers();
         };
-        if self.discovery.asked.is_none() {
-            let until = self.now() + timeout;
-            let call = self.discovery_call("application/json", false, Use::List);
-            self.discovery.asked = call.map(|call| (call, until));
-        }
-    }
-
-    fn open_stream(&mut self) {
-        if self.discovery.stream.is_none() {
-            self.discovery.reader = Reader::default();
-            self.discovery.stream = self.discovery_call("text/event-stream", true, Use::Stream);
+        if self.discovery.pending_poll.is_none() {
+            let deadline = self.now() + timeout;
+            let call = self.call_source("application/json", false, Use::List);
+            self.discovery.pending_poll = call.map(|call| PendingPoll { call, deadline });
         }
     }
 
-    /// Without a source, the list of the settings is the list.
-    fn no_discovery(&mut self) {
-        let workers = self.settings.workers.clone();
-        self.give_list(EndpointListKind::Full, &workers);
-        self.carry_out();
-    }
-
+    /// Starts or stops following changes, as the scheduler wants it.
     pub(super) fn watch(&mut self, on: bool) {
         if self.settings.discovery.is_none() {
             if on {
-                self.no_discovery();
+                self.use_configured_workers();
             }
             return;
         }
-        self.discovery.wanted = on;
+        self.discovery.watching = on;
         if on {
-            self.ask_list();
-            if self
-                .settings
-                .discovery
-                .as_ref()
-                .is_some_and(|discovery| discovery.stream)
-            {
+            self.poll_endpoints();
+            if has_stream(&self.settings) {
                 self.open_stream();
             }
         } else {
-            (self.discovery.ask_at, self.discovery.stream_at) = (None, None);
-            if let Some(call) = self.discovery.stream.take() {
-                self.calls.remove(&call);
-                self.http.cancel(call);
-            }
+            self.stop_watching();
         }
     }
 
     /// Hands a list to the request table.
-    pub(super) fn give_list(&mut self, form: EndpointListKind, workers: &[Listed]) {
-        let entries = workers.iter().map(Listed::entry).collect();
-        self.request_table.update_endpoints(self.now(), form, entries);
+    pub(super) fn update_endpoints(&mut self, kind: EndpointListKind, workers: &[DiscoveredEndpoint]) {
+        let endpoints = workers.iter().map(DiscoveredEndpoint::as_endpoint).collect();
+        self.request_table.update_endpoints(self.now(), kind, endpoints);
         self.carry_out();
     }
 
-    fn plan_ask(&mut self) {
-        let every = self.settings.discovery.as_ref().map(|discovery| discovery.every);
-        let next = every
-            .filter(|_| self.discovery.wanted)
-            .map(|every| self.now() + every);
-        self.discovery.ask_at = next;
-    }
-
-    pub(super) fn list_came(&mut self, status: u16, body: &[u8]) {
-        self.discovery.asked = None;
+    /// Takes the answer to a poll.
+    pub(super) fn poll_answered(&mut self, status: u16, body: &[u8]) {
+        self.discovery.pending_poll = None;
         if status != 200 {
-            return self.list_failed(&format!("status {status}"));
+            return self.poll_failed(&format!("status {status}"));
         }
-        match self.believe_full(body) {
-            Ok(()) => self.plan_ask(),
-            Err(why) => self.list_failed(&why),
+        match self.receive_full_list(body) {
+            Ok(()) => self.schedule_poll(),
+            Err(error) => self.poll_failed(&error.to_string()),
         }
     }
 
-    fn believe_full(&mut self, body: &[u8]) -> Result<(), String> {
-        let list = list::read(body, &self.settings.known)?;
-        for why in &list.unread {
-            tracing::warn!(why, "a line of the list of workers is left out");
+    /// The accepted endpoints stay; the scheduler hears of the failure only if it polls itself.
+    pub(super) fn poll_failed(&mut self, reason: &str) {
+        self.discovery.pending_poll = None;
+        tracing::warn!(
+            why = reason,
+            "the list of workers cannot be had; the last one stands"
+        );
+        if self.settings.scheduler.discovery == DiscoveryMode::Poll {
+            self.discovery.watching = false;
+            self.update_endpoints(EndpointListKind::Failed, &[]);
         }
-        self.discovery.came = true;
-        let whole = list.unread.is_empty();
-        if whole && list.workers == self.discovery.last && !list.workers.is_empty() {
-            return Ok(());
+        self.schedule_poll();
+    }
+
+    /// Takes the head of the answer that opens the stream.
+    pub(super) fn endpoint_stream_began(&mut self, call: CallId, status: u16) {
+        if status != 200 {
+            self.cancel_call(call);
+            self.endpoint_stream_lost(&format!("status {status}"));
         }
-        match self.belief.full(list) {
-            Believed::Full(workers) => {
-                tracing::info!(workers = workers.len(), "list of workers");
-                self.give_list(EndpointListKind::Full, &workers);
-                self.discovery.last = workers;
-            }
-            Believed::Named { workers, why } => {
-                tracing::warn!(why, "a list of workers is doubted");
-                self.give_list(EndpointListKind::Changes, &workers);
-                self.discovery.last.clear();
+    }
+
+    /// Takes bytes of the stream.
+    pub(super) fn endpoint_stream_bytes(&mut self, call: CallId, bytes: &[u8]) {
+        match self.discovery.reader.feed(bytes) {
+            Ok(events) => events.iter().for_each(|event| self.endpoint_event(event)),
+            Err(error) => {
+                self.cancel_call(call);
+                self.endpoint_stream_lost(&error.to_string());
             }
         }
-        self.save_list();
-        Ok(())
     }
 
-    fn save_list(&self) {
-        if let Some(saver) = &self.saver {
-            saver.save(
-                crate::saved::WORKERS,
-                list::write(&self.belief.workers(), &self.settings.known),
-            );
+    /// Changes may have been missed: the whole list is polled at once, and the stream is opened again soon after.
+    pub(super) fn endpoint_stream_lost(&mut self, reason: &str) {
+        tracing::warn!(why = reason, "the stream of changes was lost");
+        self.discovery.stream = None;
+        if self.settings.scheduler.discovery == DiscoveryMode::Poll {
+            self.discovery.watching = false;
+            return self.update_endpoints(EndpointListKind::Failed, &[]);
+        }
+        if self.discovery.watching {
+            self.discovery.open_stream_at = Some(self.now() + STREAM_RETRY_DELAY);
+            self.poll_endpoints();
         }
     }
 
-    /// The old list still applies; the module is told only where it asks for lists itself.
-    pub(super) fn list_failed(&mut self, why: &str) {
-        self.discovery.asked = None;
-        tracing::warn!(why, "the list of workers cannot be had; the last one stands");
-        if self.settings.scheduler.discovery == DiscoveryMode::Poll {
-            self.discovery.wanted = false;
-            self.give_list(EndpointListKind::Failed, &[]);
+    fn cancel_call(&mut self, call: CallId) {
+        self.calls.remove(&call);
+        self.http.cancel(call);
+    }
+
+    fn call_source(&mut self, accept: &str, streams: bool, purpose: Use) -> Option<CallId> {
+        let discovery = self.settings.discovery.as_ref()?;
+        let request = Outgoing {
+            method: "GET",
+            target: discovery.target.clone(),
+            headers: Headers::new().with("accept", accept),
+            body: Rc::from([]),
+            connect_timeout: discovery.timeout,
+            streams,
+        };
+        let call = self.http.call(discovery.address, request);
+        self.calls.insert(call, purpose);
+        Some(call)
+    }
+
+    fn open_stream(&mut self) {
+        if self.discovery.stream.is_none() {
+            self.discovery.reader = EventReader::default();
+            self.discovery.stream = self.call_source("text/event-stream", true, Use::Stream);
         }
-        self.plan_ask();
     }
 
-    pub(super) fn discovery_stream_began(&mut self, call: CallId, status: u16) {
-        if status != 200 {
-            self.calls.remove(&call);
-            self.http.cancel(call);
-            self.discovery_stream_lost(&format!("status {status}"));
+    fn stop_watching(&mut self) {
+        self.discovery.poll_at = None;
+        self.discovery.open_stream_at = None;
+        if let Some(call) = self.discovery.stream.take() {
+            self.cancel_call(call);
         }
     }
 
-    pub(super) fn discovery_part(&mut self, call: CallId, bytes: &[u8]) {
-        let Ok(events) = self.discovery.reader.feed(bytes) else {
-            self.calls.remove(&call);
-            self.http.cancel(call);
-            return self.discovery_stream_lost("an event was too large");
-        };
-        for event in events {
-            let done = match event.name.as_str() {
-                "full" => self.believe_full(event.data.as_bytes()),
-                "changes" => list::read(event.data.as_bytes(), &self.settings.known).map(|list| {
-                    list.unread
-                        .iter()
-                        .for_each(|why| tracing::warn!(why, "a change is left out"));
-                    self.belief.changes(&list.workers);
-                    self.discovery.last.clear();
-                    self.give_list(EndpointListKind::Changes, &list.workers);
-                    self.save_list();
-                }),
-                _ => Ok(()),
-            };
-            if let Err(why) = done {
-                tracing::warn!(why, "news of workers cannot be read; the last list stands");
+    fn use_configured_workers(&mut self) {
+        let workers = self.settings.workers.clone();
+        self.update_endpoints(EndpointListKind::Full, &workers);
+        self.carry_out();
+    }
+
+    fn schedule_poll(&mut self) {
+        let interval = self.settings.discovery.as_ref().map(|discovery| discovery.every);
+        self.discovery.poll_at = interval
+            .filter(|_| self.discovery.watching)
+            .map(|interval| self.now() + interval);
+    }
+
+    fn receive_full_list(&mut self, body: &[u8]) -> Result<(), ListError> {
+        let list = list::read(body, &self.settings.known)?;
+        for error in &list.rejected {
+            tracing::warn!(
+                why = error.to_string(),
+                "a line of the list of workers is left out"
+            );
+        }
+        self.discovery.list_received = true;
+        let complete = list.rejected.is_empty();
+        let unchanged = list.workers == self.discovery.last_full;
+        if complete && unchanged && !list.workers.is_empty() {
+            return Ok(());
+        }
+        match self.accepted.accept_full(list) {
+            ListDecision::Full(workers) => {
+                tracing::info!(workers = workers.len(), "list of workers");
+                self.update_endpoints(EndpointListKind::Full, &workers);
+                self.discovery.last_full = workers;
+            }
+            ListDecision::NamedOnly { workers, reason } => {
+                tracing::warn!(why = reason.to_string(), "a list of workers is doubted");
+                self.update_endpoints(EndpointListKind::Changes, &workers);
+                self.discovery.last_full.clear();
             }
         }
+        self.save_endpoints();
+        Ok(())
     }
 
-    /// Changes may have been missed: the whole list is asked for at once, and the stream soon after.
-    pub(super) fn discovery_stream_lost(&mut self, why: &str) {
-        tracing::warn!(why, "the stream of changes was lost");
-        self.discovery.stream = None;
-        if self.settings.scheduler.discovery == DiscoveryMode::Poll {
-            self.discovery.wanted = false;
-            return self.give_list(EndpointListKind::Failed, &[]);
+    fn endpoint_event(&mut self, event: &ServerSentEvent) {
+        let received = match event.name.as_str() {
+            "full" => self.receive_full_list(event.data.as_bytes()),
+            "changes" => self.receive_changes(event.data.as_bytes()),
+            _ => Ok(()),
+        };
+        if let Err(error) = received {
+            tracing::warn!(
+                why = error.to_string(),
+                "news of workers cannot be read; the last list stands"
+            );
         }
-        if self.discovery.wanted {
-            self.discovery.stream_at = Some(self.now() + STREAM_AGAIN);
-            self.ask_list();
+    }
+
+    fn receive_changes(&mut self, body: &[u8]) -> Result<(), ListError> {
+        let list = list::read(body, &self.settings.known)?;
+        for error in &list.rejected {
+            tracing::warn!(why = error.to_string(), "a change is left out");
+        }
+        self.accepted.apply_changes(&list.workers);
+        self.discovery.last_full.clear();
+        self.update_endpoints(EndpointListKind::Changes, &list.workers);
+        self.save_endpoints();
+        Ok(())
+    }
+
+    /// Saves the accepted endpoints for the next start.
+    fn save_endpoints(&self) {
+        if let Some(saver) = &self.saver {
+            let list = list::write(&self.accepted.workers(), &self.settings.known);
+            saver.save(crate::saved::WORKERS, list);
         }
     }
 }
--- a/crates/quartzdrift/src/gateway/mod.rs
+++ b/crates/quartzdrift/src/gateway/mod.rs
@@ -23,8 +23,7 @@
 use crate::settings::Settings;
 use calloop::LoopHandle;
 use quartzdrift_async_queue::{ChangeBuffer, InvocationId, InvocationQueue};
-use quartzdrift_discovery::belief::Belief;
-use quartzdrift_discovery::list;
+use quartzdrift_discovery::{AcceptedEndpoints, list};
 use quartzdrift_http::{CallId, Exchange, HasHttp, Http, HttpEvent, Response};
 use quartzdrift_lifecycle::{FinalAnswer, Output, RequestTable};
 use quartzdrift_scheduler::interface::{EndpointListKind, Outcome, RequestId};
@@ -117,7 +116,7 @@
     asynchronous: InvocationQueue<ChangeBuffer>,
     store: Option<store::Store>,
     timers: Timers,
-    belief: Belief,
+    accepted: AcceptedEndpoints,
     discovery: discovery::Source,
     ahead: Option<ahead::Loads>,
     fleet: Option<fleet::Fleet>,
@@ -181,7 +180,7 @@
             store: None,
             timers: Timers::new(timers, seed, looked),
             clock,
-            belief: Belief::default(),
+            accepted: AcceptedEndpoints::default(),
             discovery: discovery::Source::new(&settings),
             ahead: None,
             fleet: None,
@@ -206,19 +205,20 @@
         let saved = saved::found(self.settings.state.as_deref(), saved::WORKERS, otherwise);
         let workers = match saved.map(|bytes| list::read(&bytes, &self.settings.known)) {
             Some(Ok(saved)) if !saved.workers.is_empty() => saved.workers,
-            Some(Err(why)) => {
+            Some(Err(error)) => {
+                let why = error.to_string();
                 tracing::warn!(why, "the saved list of workers is set aside");
                 self.settings.workers.clone()
             }
             Some(Ok(_)) | None => self.settings.workers.clone(),
         };
-        self.belief.changes(&workers);
-        self.belief.of_before(
+        self.accepted.apply_changes(&workers);
+        self.accepted.set_from_unclean_stop(
             self.returning
                 .as_ref()
                 .is_some_and(|of| !of.machine.found().was_clean()),
         );
-        self.give_list(EndpointListKind::Snapshot, &workers);
+        self.update_endpoints(EndpointListKind::Snapshot, &workers);
     }
 
     /// Time since 1970, steady.
@@ -351,7 +351,7 @@
                 tracing::warn!(?to, bytes = bytes.len(), "there is nobody to tell")
             }
             Output::Watch { on } => self.watch(on),
-            Output::PollEndpoints => self.ask_list(),
+            Output::PollEndpoints => self.poll_endpoints(),
             Output::Log { text } => tracing::info!(text, "decision"),
         }
     }
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -267,7 +267,7 @@
                         tracing::error!(error = %e, "the next start may not know of this one");
                     }
                     if kind != Kind::LossOfMany {
-                        self.belief.of_before(false);
+                        self.accepted.set_from_unclean_stop(false);
                     } else {
                         self.doubt_workers();
                     }
@@ -299,16 +299,16 @@
 
     /// Workers that no list has told of since are cold: they lost power too.
     fn doubt_workers(&mut self) {
-        if self.discovery.has_come() {
+        if self.discovery.has_received_list() {
             return;
         }
         let now = self.now();
-        let mut workers = self.belief.workers();
+        let mut workers = self.accepted.workers();
         workers
             .iter_mut()
             .filter(|w| w.state == EndpointState::Up)
             .for_each(|w| w.started = Some(now));
-        self.give_list(EndpointListKind::Changes, &workers);
+        self.update_endpoints(EndpointListKind::Changes, &workers);
     }
 
     /// Asynchronous requests of before, once it is known what they may do.
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -174,7 +174,7 @@
             return self.stream_began(call, answer, outcome);
         }
         match self.calls.get(&call) {
-            Some(Use::Stream) => return self.discovery_stream_began(call, answer.status),
+            Some(Use::Stream) => return self.endpoint_stream_began(call, answer.status),
             Some(_) => {}
             None => return,
         }
@@ -201,7 +201,7 @@
                     .command_ended(self.now(), command, outcome, copies, Vec::new());
                 self.carry_out();
             }
-            Some(Use::List) => self.list_came(answer.status, &answer.body),
+            Some(Use::List) => self.poll_answered(answer.status, &answer.body),
             Some(Use::Destination { left, to, record }) => {
                 if !(200..300).contains(&answer.status) {
                     self.tell_destination(left, to, record);
@@ -246,7 +246,7 @@
                     self.client_gone(exchange);
                 }
             }
-            Some(Use::Stream) => self.discovery_part(call, &bytes),
+            Some(Use::Stream) => self.endpoint_stream_bytes(call, &bytes),
             Some(_) | None => {}
         }
     }
@@ -264,7 +264,7 @@
                 }
                 self.end(request, attempt, Outcome::Succeeded, None);
             }
-            Some(Use::Stream) => self.discovery_stream_lost("it ended"),
+            Some(Use::Stream) => self.endpoint_stream_lost("it ended"),
             Some(_) | None => {}
         }
     }
@@ -293,8 +293,8 @@
                     .command_ended(self.now(), command, outcome, 0, Vec::new());
                 self.carry_out();
             }
-            Some(Use::List) => self.list_failed(&format!("{how:?}")),
-            Some(Use::Stream) => self.discovery_stream_lost(&format!("{how:?}")),
+            Some(Use::List) => self.poll_failed(&format!("{how:?}")),
+            Some(Use::Stream) => self.endpoint_stream_lost(&format!("{how:?}")),
             Some(Use::Destination { left, to, record }) => self.tell_destination(left, to, record),
             Some(Use::Unload) | None => {}
         }
--- a/crates/quartzdrift/src/main.rs
+++ b/crates/quartzdrift/src/main.rs
@@ -219,7 +219,7 @@
         } => {
             let to = match quartzdrift_discovery::list::address(&at) {
                 Ok(to) => to,
-                Err(why) => return fail(&why),
+                Err(why) => return fail(&why.to_string()),
             };
             let payload = match (payload.as_deref(), file) {
                 (Some("-"), _) => {
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -183,7 +183,7 @@
                     (EndpointState::Up | EndpointState::Draining, None) => {}
                 }
             }
-            let entries = workers.iter().map(|told| told.listed.entry()).collect();
+            let entries = workers.iter().map(|told| told.listed.as_endpoint()).collect();
             self.request_table.update_endpoints(
                 self.now(),
                 if all {
--- a/crates/quartzdrift/src/settings/check.rs
+++ b/crates/quartzdrift/src/settings/check.rs
@@ -2,7 +2,7 @@
 use super::raw::{File, Idempotency, To};
 use super::{Discovery, Fault, Function, Log, Settings, line_of};
 use quartzdrift_async_queue::{Destination, QueueSettings};
-use quartzdrift_discovery::list::{self, Known, Listed};
+use quartzdrift_discovery::{DiscoveredEndpoint, KnownNames, list};
 use quartzdrift_http::Limits;
 use quartzdrift_scheduler::interface as scheduler;
 use quartzdrift_schedules::{Missed, Timer};
@@ -67,7 +67,8 @@
     } else {
         rest[at..].to_owned()
     };
-    Ok((list::address(&rest[..at])?, target))
+    let address = list::address(&rest[..at]).map_err(|error| error.to_string())?;
+    Ok((address, target))
 }
 
 /// An HTTP URL with an address in numbers, split for a call.
@@ -88,7 +89,7 @@
     tenants(raw, &mut faults);
     limits(raw, &mut faults);
     let functions = functions(raw, &scheduler, &mut faults);
-    let known = Known {
+    let known = KnownNames {
         zones: raw.scheduler.zones.clone(),
         kinds: raw.scheduler.kinds.clone(),
     };
@@ -279,7 +280,7 @@
     let mut address = |told: &toml::Spanned<String>| match list::address(told.get_ref()) {
         Ok(address) => Some(address),
         Err(why) => {
-            faults.add(told.span(), why, "write it like \"127.0.0.1:9790\"");
+            faults.add(told.span(), why.to_string(), "write it like \"127.0.0.1:9790\"");
             None
         }
     };
@@ -419,7 +420,7 @@
     for told in &raw.gateway.listen {
         match list::address(told.get_ref()) {
             Ok(address) => all.push(address),
-            Err(why) => faults.add(told.span(), why, "write it like \"127.0.0.1:9700\""),
+            Err(why) => faults.add(told.span(), why.to_string(), "write it like \"127.0.0.1:9700\""),
         }
     }
     all
@@ -791,8 +792,8 @@
     all
 }
 
-fn workers(raw: &File, known: &Known, faults: &mut Faults) -> Vec<Listed> {
-    let mut all: Vec<Listed> = Vec::new();
+fn workers(raw: &File, known: &KnownNames, faults: &mut Faults) -> Vec<DiscoveredEndpoint> {
+    let mut all: Vec<DiscoveredEndpoint> = Vec::new();
     for told in &raw.workers {
         let w = told.get_ref();
         let mut index = |what: &str, told_name: &Option<String>, names: &[String]| match told_name {
@@ -818,15 +819,15 @@
                         "remove one of them",
                     );
                 }
-                all.push(Listed {
+                all.push(DiscoveredEndpoint {
                     zone,
                     kind,
                     cell: w.cell,
                     capacity: w.capacity,
-                    ..Listed::up(&worker)
+                    ..DiscoveredEndpoint::up(&worker)
                 });
             }
-            Err(why) => faults.add(told.span(), why, "write it like \"127.0.0.1:9801\""),
+            Err(why) => faults.add(told.span(), why.to_string(), "write it like \"127.0.0.1:9801\""),
         }
     }
     all
--- a/crates/quartzdrift/src/settings/mod.rs
+++ b/crates/quartzdrift/src/settings/mod.rs
@@ -4,7 +4,7 @@
 pub mod raw;
 
 use quartzdrift_async_queue::{Destination, QueueSettings};
-use quartzdrift_discovery::list::{Known, Listed};
+use quartzdrift_discovery::{DiscoveredEndpoint, KnownNames};
 use quartzdrift_http::Limits;
 use quartzdrift_scheduler::interface::Settings as Choice;
 use quartzdrift_schedules::Timer;
@@ -84,8 +84,8 @@
     /// Names of the metrics that tell the module's report fields, in their order.
     pub metrics: Vec<String>,
     pub connect_timeout: Duration,
-    pub workers: Vec<Listed>,
-    pub known: Known,
+    pub workers: Vec<DiscoveredEndpoint>,
+    pub known: KnownNames,
     pub discovery: Option<Discovery>,
     pub asynchronous: QueueSettings,
     /// Where asynchronous requests are kept; none: in memory only.
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -2,7 +2,7 @@
 //! invocations of each kind open. Each is written again and compared byte for byte.
 use quartzdrift::{durable, saved};
 use quartzdrift_async_queue::Destination;
-use quartzdrift_discovery::list::{self, Known};
+use quartzdrift_discovery::{KnownNames, list};
 use quartzdrift_forecast::Forecasts;
 use quartzdrift_recovery::{Kind, Mark, Stage, View};
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
@@ -131,13 +131,13 @@
 
 #[test]
 fn the_list_of_workers_is_read() {
-    let known = Known {
+    let known = KnownNames {
         zones: vec!["east".into(), "west".into()],
         kinds: vec!["large".into(), "small".into()],
     };
     let bytes = fs::read(stored().join(saved::WORKERS)).unwrap();
     let list = list::read(&bytes, &known).unwrap();
-    assert!(list.unread.is_empty() && list.workers.len() == 2, "{list:?}");
+    assert!(list.rejected.is_empty() && list.workers.len() == 2, "{list:?}");
     let (one, two) = (&list.workers[0], &list.workers[1]);
     assert_eq!(
         (&*one.worker, one.state, one.started),
