--- a/crates/quartzdrift/src/gateway/ahead.rs
+++ b/crates/quartzdrift/src/gateway/ahead.rs
@@ -46,7 +46,7 @@
     }
 
     /// Every request that is taken is a use of its function.
-    pub(super) fn note_use(&mut self, name: &str, function: &Function, tenant: u32, left: Duration) {
+    pub(super) fn record_use(&mut self, name: &str, function: &Function, tenant: u32, left: Duration) {
         let now = self.now();
         if let Some(loads) = &mut self.ahead {
             loads.ahead.used(now, name, function.load);
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -120,7 +120,7 @@
             taken: self.now(),
             tries,
         };
-        self.note_use(&name, &function, tenant.0, left);
+        self.record_use(&name, &function, tenant.0, left);
         let new = new_request(&function, name.into(), tenant.0, left, is_retry, Rc::new(work));
         match self.request_table.submit(self.now(), new) {
             Ok(request) => {
@@ -163,7 +163,7 @@
         if self.store.as_ref().is_some_and(|store| !store.has_capacity()) {
             return Err(Problem::Busy(Some(self.settings.asynchronous.first_retry_delay)));
         }
-        let request = self.submitted(name, function, tenant.0, body.into());
+        let request = self.new_invocation(name, function, tenant.0, body.into());
         let request = Invocation {
             context: call.context,
             idempotency_key: call.mark.or(request.idempotency_key),
--- a/crates/quartzdrift/src/gateway/mod.rs
+++ b/crates/quartzdrift/src/gateway/mod.rs
@@ -6,14 +6,18 @@
 //! * `ahead`: forecasts of use, and loads ahead of need.
 //! * `fleet`: other schedulers.
 //! * `store`: asynchronous requests on disk.
-//! * `fronts`: asynchronous requests and timers.
+//! * `asynchronous`: attempts of asynchronous invocations.
+//! * `schedules`: invocations that schedules trigger.
+//! * `destinations`: events of completed asynchronous invocations.
 //! * `recovery`: from the start to full service.
 mod ahead;
+mod asynchronous;
 mod clients;
+mod destinations;
 mod discovery;
 pub mod fleet;
-mod fronts;
 mod recovery;
+mod schedules;
 mod store;
 mod workers;
 
@@ -27,9 +31,8 @@
 use quartzdrift_http::{CallId, Exchange, HasHttp, Http, HttpEvent, Response};
 use quartzdrift_lifecycle::{FinalAnswer, Output, RequestTable};
 use quartzdrift_scheduler::interface::{EndpointListKind, Outcome, RequestId};
-use quartzdrift_schedules::Timers;
+use quartzdrift_schedules::Schedules;
 use std::collections::HashMap;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use uuid::Uuid;
@@ -76,11 +79,7 @@
     Unload,
     List,
     Stream,
-    Destination {
-        left: u32,
-        to: (SocketAddr, String),
-        record: Rc<[u8]>,
-    },
+    Destination(destinations::DestinationEvent),
 }
 
 /// Counts since the start, for the last word and for whoever asks.
@@ -115,7 +114,7 @@
     load_failed: bool,
     asynchronous: InvocationQueue<ChangeBuffer>,
     store: Option<store::Store>,
-    timers: Timers,
+    schedules: Schedules,
     accepted: AcceptedEndpoints,
     discovery: discovery::Source,
     ahead: Option<ahead::Loads>,
@@ -159,7 +158,11 @@
         let saver = settings.state.clone().map(Saver::start).transpose()?;
         // What this instance did not look at while it was away was missed.
         let looked = before.map_or(clock.now(), |before| before.wall);
-        let timers = settings.timers.iter().map(|(timer, _)| timer.clone()).collect();
+        let schedules = settings
+            .timers
+            .iter()
+            .map(|(schedule, _)| schedule.clone())
+            .collect();
         let settings = Rc::new(settings);
         let mut gateway = Gateway {
             identity: rand::random(),
@@ -178,7 +181,7 @@
                 seed,
             ),
             store: None,
-            timers: Timers::new(timers, seed, looked),
+            schedules: Schedules::new(schedules, seed, looked),
             clock,
             accepted: AcceptedEndpoints::default(),
             discovery: discovery::Source::new(&settings),
@@ -237,8 +240,8 @@
         }
         let own = [
             self.request_table.next_deadline(),
-            self.asynchronous_due(),
-            self.timers_due(),
+            self.next_attempt_due(),
+            self.next_trigger_due(),
             self.recovery_next(),
             self.discovery.next_due(),
             self.ahead.as_ref().and_then(ahead::Loads::next_due),
@@ -265,7 +268,8 @@
         self.ahead_due(now);
         self.fleet_due(now);
         self.recovery_due(now);
-        self.fronts_due(now);
+        self.start_due_triggers(now);
+        self.start_due_attempts(now);
         self.submit_changes();
     }
 
@@ -369,7 +373,7 @@
         self.request_answered(work, answer);
         match work.origin {
             Origin::Client(exchange) => self.answer_client(exchange, work, answer, said),
-            Origin::Asynchronous(id) => self.try_ended(id, answer, said),
+            Origin::Asynchronous(id) => self.attempt_answered(id, answer, said),
         }
     }
 
@@ -390,32 +394,13 @@
         }
     }
 
-    /// When an asynchronous request is to be tried here. With a store, what waits outlasts this process: one that stops begins nothing
-    /// of it.
-    fn asynchronous_due(&self) -> Option<Duration> {
-        self.asynchronous
-            .next_due()
-            .filter(|_| self.stopping.is_none() || self.store.is_none())
-    }
-
-    /// When a timer fires here.
-    fn timers_due(&self) -> Option<Duration> {
-        let let_in = self
-            .returning
-            .as_ref()
-            .is_none_or(|returning| returning.machine.timers());
-        self.timers
-            .next_due()
-            .filter(|_| self.stopping.is_none() && let_in)
-    }
-
     /// Whether a stop is complete.
     pub fn stopped(&self) -> bool {
         let Some(until) = self.stopping else { return false };
         let now = self.now();
         // Beside a successor at the same address, connections that are there get their last answers here.
         let clients = self.settings.share_port && self.http.clients() > 0;
-        let due = self.asynchronous_due().is_some_and(|at| at <= now);
+        let due = self.next_attempt_due().is_some_and(|at| at <= now);
         let kept = self.store.as_ref().is_none_or(store::Store::idle);
         let idle = self.request_table.open_requests() == 0 && !clients && kept && !due;
         now >= until || idle && !self.http.unsent()
@@ -427,7 +412,7 @@
         self.request_table
             .shut_down(now, |request, attempt| has_left(attempts, http, request, attempt));
         self.carry_out();
-        self.say_lost();
+        self.log_open_invocations();
         self.close_store();
         self.save_ahead();
         self.leave_fleet();
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -7,7 +7,7 @@
 use crate::durable::{self, LogWriter, OpenedLog, WriterEvent};
 use calloop::LoopHandle;
 use calloop::channel::Event;
-use quartzdrift_async_queue::{AttemptOutcome, DueAttempt, InvocationId, NextStep, RestoreContext};
+use quartzdrift_async_queue::{DueAttempt, InvocationId, NextStep, RestoreContext};
 use quartzdrift_http::Exchange;
 use quartzdrift_invoke::answer::{self, Problem};
 use quartzdrift_scheduler::interface::Idempotency;
@@ -236,11 +236,7 @@
                 .answer(exchange, &response(Problem::Unsure.said(), Some(id)));
         }
         for attempt in effects.attempts {
-            let outcome = AttemptOutcome::Rejected {
-                retry_after: None,
-                may_have_executed: None,
-            };
-            self.attempt_ended(attempt.id, outcome, None);
+            self.abandon_attempt(attempt.id);
         }
     }
 
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -202,9 +202,9 @@
                 self.carry_out();
             }
             Some(Use::List) => self.poll_answered(answer.status, &answer.body),
-            Some(Use::Destination { left, to, record }) => {
+            Some(Use::Destination(event)) => {
                 if !(200..300).contains(&answer.status) {
-                    self.tell_destination(left, to, record);
+                    self.send_event(event);
                 }
             }
             Some(Use::Unload | Use::Stream) | None => {}
@@ -295,7 +295,7 @@
             }
             Some(Use::List) => self.poll_failed(&format!("{how:?}")),
             Some(Use::Stream) => self.endpoint_stream_lost(&format!("{how:?}")),
-            Some(Use::Destination { left, to, record }) => self.tell_destination(left, to, record),
+            Some(Use::Destination(event)) => self.send_event(event),
             Some(Use::Unload) | None => {}
         }
     }
--- a/crates/quartzdrift/src/settings/check.rs
+++ b/crates/quartzdrift/src/settings/check.rs
@@ -5,7 +5,7 @@
 use quartzdrift_discovery::{DiscoveredEndpoint, KnownNames, list};
 use quartzdrift_http::Limits;
 use quartzdrift_scheduler::interface as scheduler;
-use quartzdrift_schedules::{Missed, Timer};
+use quartzdrift_schedules::{MisfirePolicy, Schedule};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -919,8 +919,8 @@
     functions: &HashMap<String, Rc<Function>>,
     any: bool,
     faults: &mut Faults,
-) -> Vec<(Timer, Rc<[u8]>)> {
-    let mut all: Vec<(Timer, Rc<[u8]>)> = Vec::new();
+) -> Vec<(Schedule, Rc<[u8]>)> {
+    let mut all: Vec<(Schedule, Rc<[u8]>)> = Vec::new();
     for told in &raw.timers {
         let (span, t) = (told.span(), told.get_ref());
         if !functions.contains_key(&t.function) && !any {
@@ -942,26 +942,31 @@
             );
         }
         let cron = quartzdrift_schedules::cron(&t.cron)
-            .map_err(|why| faults.add(span.clone(), why, "write like \"*/5 * * * *\""));
-        let zone = quartzdrift_schedules::zone(&t.zone)
-            .map_err(|why| faults.add(span.clone(), why, "write like \"Europe/Amsterdam\" or \"UTC\""));
+            .map_err(|why| faults.add(span.clone(), why.to_string(), "write like \"*/5 * * * *\""));
+        let zone = quartzdrift_schedules::zone(&t.zone).map_err(|why| {
+            faults.add(
+                span.clone(),
+                why.to_string(),
+                "write like \"Europe/Amsterdam\" or \"UTC\"",
+            )
+        });
         let (Ok(cron), Ok(zone)) = (cron, zone) else {
             continue;
         };
-        let timer = Timer {
+        let schedule = Schedule {
             name: t.name.clone(),
             function: t.function.clone(),
             cron,
             zone,
             jitter: t.jitter.map_or(Duration::ZERO, |s| s.0),
-            missed: match t.missed {
-                super::raw::Missed::Skip => Missed::Skip,
-                super::raw::Missed::Once => Missed::Once,
-                super::raw::Missed::All => Missed::All,
+            misfire_policy: match t.missed {
+                super::raw::Missed::Skip => MisfirePolicy::Skip,
+                super::raw::Missed::Once => MisfirePolicy::Once,
+                super::raw::Missed::All => MisfirePolicy::All,
             },
             overlap: t.overlap,
         };
-        all.push((timer, Rc::from(t.payload.as_bytes())));
+        all.push((schedule, Rc::from(t.payload.as_bytes())));
     }
     all
 }
--- a/crates/quartzdrift/src/settings/mod.rs
+++ b/crates/quartzdrift/src/settings/mod.rs
@@ -7,7 +7,7 @@
 use quartzdrift_discovery::{DiscoveredEndpoint, KnownNames};
 use quartzdrift_http::Limits;
 use quartzdrift_scheduler::interface::Settings as Choice;
-use quartzdrift_schedules::Timer;
+use quartzdrift_schedules::Schedule;
 use std::collections::HashMap;
 use std::fmt;
 use std::net::SocketAddr;
@@ -94,7 +94,7 @@
     pub answer_early: bool,
     pub on_success: Option<Destination>,
     pub on_failure: Option<Destination>,
-    pub timers: Vec<(Timer, Rc<[u8]>)>,
+    pub timers: Vec<(Schedule, Rc<[u8]>)>,
     pub forecasts: Option<Forecasts>,
     pub record: Option<Record>,
     pub fleet: Option<Fleet>,
