--- a/crates/quartzdrift-forecast/src/ledger.rs
+++ b/crates/quartzdrift-forecast/src/ledger.rs
@@ -1,239 +1,265 @@
-//! The account of loads ahead: what each cost, and whether it was used.
+//! The ledger of prefetches: what each load ahead of need cost, and whether it was used.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Share of a function's recent loads ahead that may go unused before it is left alone.
-const MAX_UNUSED: f64 = 0.6;
-/// Loads ahead that this share rests on at least.
-const ENOUGH: u32 = 4;
-/// Left alone so long at first, doubling up to the longest.
-const QUIET_FIRST: Duration = Duration::from_secs(60);
-const QUIET_DOUBLINGS: u32 = 6;
-/// Functions with a line of their own; past that the one loaded longest ago gives way.
-const MAX_LINES: usize = 10_000;
-/// Orders whose use is still awaited at most.
-const MAX_OPEN: usize = 10_000;
-
-/// Sums over loads ahead.
+#[cfg(test)]
+mod tests;
+
+/// Share of a function's recent prefetches that may go unused before it is not forecast for a while.
+const MAX_UNUSED_SHARE: f64 = 0.6;
+/// Prefetches that this share rests on at least.
+const MIN_PREFETCHES: u32 = 4;
+/// Length of the first quiet period.
+const FIRST_QUIET_PERIOD: Duration = Duration::from_secs(60);
+/// Maximum doublings of the quiet period.
+const MAX_QUIET_DOUBLINGS: u32 = 6;
+/// Maximum functions with an account of their own; past it the one with the oldest change is dropped.
+const MAX_ACCOUNTS: usize = 10_000;
+/// Maximum prefetches whose use is awaited.
+const MAX_PENDING: usize = 10_000;
+
+/// Sums over prefetches.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sums {
-    pub orders: u64,
-    /// Orders that fetched from the store; the others found the copy standing.
+    /// Load commands sent.
+    pub commands: u64,
+    /// Commands that fetched from the origin store; the others found the copy cached.
     pub fetches: u64,
+    /// Commands that failed.
     pub failed: u64,
+    /// Prefetches followed by a use within the keep-alive.
     pub used: u64,
+    /// Prefetches without one.
     pub unused: u64,
     /// Memory held before its first use, in MB seconds.
     pub mb_seconds: f64,
-    /// Waiting that the loads took off requests, in seconds: the load's time for each that was used.
-    pub saved_seconds: f64,
+    /// Waiting that requests were spared, in seconds: the duration of the load for each prefetch that was used.
+    pub avoided_wait_seconds: f64,
+}
+
+/// A function that is not to be forecast for a while.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct QuietPeriod {
+    /// The function's name.
+    pub function: String,
+    /// When the period ends.
+    pub until: Duration,
 }
 
+/// The account of one function.
 #[derive(Clone, Debug, Default)]
-struct Line {
+struct Account {
     sums: Sums,
+    /// Recent prefetches that the share of unused ones rests on.
     recent: u32,
-    recent_unused: f64,
-    quiets: u32,
-    last: Duration,
+    recent_unused_share: f64,
+    /// Quiet periods since the last use.
+    quiet_periods: u32,
+    changed_at: Duration,
 }
 
+/// A prefetch whose use is awaited.
 #[derive(Clone, Debug)]
-struct Open {
-    stood: Option<Duration>,
-    ordered: Duration,
-    duration: Duration,
+struct Pending {
+    sent_at: Duration,
+    /// When the command succeeded.
+    loaded_at: Option<Duration>,
+    load_duration: Duration,
     memory_mb: f64,
     fetched: bool,
-    until: Duration,
+    /// When the prefetch counts as unused.
+    expires_at: Duration,
+}
+
+impl Pending {
+    /// Waiting that a use at `now` is spared.
+    fn avoided_wait(&self, now: Duration) -> Duration {
+        match (self.fetched, self.loaded_at) {
+            (true, Some(_)) => self.load_duration,
+            // The load is under way: the time that has passed of it is spared.
+            (false, None) => now.saturating_sub(self.sent_at),
+            (true, None) | (false, Some(_)) => Duration::ZERO,
+        }
+    }
 }
 
+/// What became of all prefetches.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    keep: Duration,
-    all: Sums,
-    lines: BTreeMap<String, Line>,
-    open: BTreeMap<String, Open>,
-    /// The same by when they are over: asked for on every turn of the event loop.
-    ends: BTreeSet<(Duration, String)>,
+    keep_alive: Duration,
+    total: Sums,
+    accounts: BTreeMap<String, Account>,
+    pending: BTreeMap<String, Pending>,
+    /// The pending prefetches by expiry, which the event loop asks for on every turn.
+    expiries: BTreeSet<(Duration, String)>,
 }
 
 impl Ledger {
-    pub fn new(keep: Duration) -> Ledger {
+    /// An empty ledger. A prefetch counts as unused after `keep_alive` without a use.
+    pub fn new(keep_alive: Duration) -> Ledger {
         Ledger {
-            keep,
+            keep_alive,
             ..Ledger::default()
         }
     }
 
+    /// Sums over all functions.
     pub fn sums(&self) -> Sums {
-        self.all
+        self.total
     }
 
+    /// Sums by function; the least recently changed functions may be missing.
     pub fn by_function(&self) -> impl Iterator<Item = (&str, Sums)> {
-        self.lines
+        self.accounts
             .iter()
-            .map(|(function, line)| (function.as_str(), line.sums))
-    }
-
-    fn change(&mut self, function: &str, now: Duration, of: impl Fn(&mut Sums)) {
-        of(&mut self.all);
-        if !self.lines.contains_key(function) && self.lines.len() >= MAX_LINES {
-            let oldest = self
-                .lines
-                .iter()
-                .min_by_key(|(_, line)| line.last)
-                .map(|(name, _)| name.clone());
-            oldest.and_then(|name| self.lines.remove(&name));
-        }
-        let line = self.lines.entry(function.to_owned()).or_default();
-        of(&mut line.sums);
-        line.last = now;
+            .map(|(function, account)| (function.as_str(), account.sums))
     }
 
-    /// An order to load left.
+    /// When [`Ledger::due`] has the next prefetch to close.
+    pub fn next_due(&self) -> Option<Duration> {
+        self.expiries.first().map(|(expires_at, _)| *expires_at)
+    }
+
+    /// A load command was sent.
     pub fn ordered(&mut self, now: Duration, function: &str, memory_mb: f64) {
-        self.change(function, now, |sums| sums.orders += 1);
-        if self.open.len() < MAX_OPEN {
-            let open = Open {
-                stood: None,
-                ordered: now,
-                duration: Duration::ZERO,
-                memory_mb,
-                fetched: false,
-                until: now + self.keep,
-            };
-            if !self.open.contains_key(function) {
-                self.ends.insert((open.until, function.to_owned()));
-                self.open.insert(function.to_owned(), open);
-            }
+        self.add(function, now, |sums| sums.commands += 1);
+        if self.pending.len() >= MAX_PENDING || self.pending.contains_key(function) {
+            return;
         }
+        let pending = Pending {
+            sent_at: now,
+            loaded_at: None,
+            load_duration: Duration::ZERO,
+            memory_mb,
+            fetched: false,
+            expires_at: now + self.keep_alive,
+        };
+        self.expiries.insert((pending.expires_at, function.to_owned()));
+        self.pending.insert(function.to_owned(), pending);
     }
 
-    /// It was answered; `fetched`: it took as long as a load does, so that the copy had not stood.
-    pub fn loaded(&mut self, now: Duration, function: &str, good: bool, fetched: bool) {
-        if !good {
-            self.change(function, now, |sums| sums.failed += 1);
+    /// A load command was answered. `fetched`: it took as long as a load, so that the copy had not been cached.
+    pub fn loaded(&mut self, now: Duration, function: &str, succeeded: bool, fetched: bool) {
+        if !succeeded {
+            self.add(function, now, |sums| sums.failed += 1);
             self.close(function);
             return;
         }
         if fetched {
-            self.change(function, now, |sums| sums.fetches += 1);
+            self.add(function, now, |sums| sums.fetches += 1);
         }
-        let keep = self.keep;
-        if let Some(open) = self.open.get_mut(function) {
-            open.duration = now.saturating_sub(open.ordered);
-            self.ends.remove(&(open.until, function.to_owned()));
-            (open.stood, open.fetched, open.until) = (Some(now), fetched, now + keep);
-            self.ends.insert((open.until, function.to_owned()));
+        let expires_at = now + self.keep_alive;
+        if let Some(pending) = self.pending.get_mut(function) {
+            self.expiries.remove(&(pending.expires_at, function.to_owned()));
+            pending.load_duration = now.saturating_sub(pending.sent_at);
+            pending.loaded_at = Some(now);
+            pending.fetched = fetched;
+            pending.expires_at = expires_at;
+            self.expiries.insert((expires_at, function.to_owned()));
         }
     }
 
-    /// A request of the function came, which a load ahead may have been for.
+    /// A request of the function came, which a prefetch may have been for.
     pub fn used(&mut self, now: Duration, function: &str) {
-        let Some(open) = self.close(function) else { return };
-        let stood = open.stood.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-        let saved = match (open.fetched, open.stood) {
-            (true, Some(_)) => open.duration.as_secs_f64(),
-            // Still loading: what has passed of it is saved.
-            (false, None) => now.saturating_sub(open.ordered).as_secs_f64(),
-            (_, _) => 0.0,
+        let Some(pending) = self.close(function) else {
+            return;
         };
-        self.change(function, now, |sums| {
+        let unused_for = pending
+            .loaded_at
+            .map_or(Duration::ZERO, |loaded_at| now.saturating_sub(loaded_at));
+        let avoided_wait = pending.avoided_wait(now).as_secs_f64();
+        self.add(function, now, |sums| {
             sums.used += 1;
-            sums.mb_seconds += open.memory_mb * stood.as_secs_f64();
-            sums.saved_seconds += saved;
+            sums.mb_seconds += pending.memory_mb * unused_for.as_secs_f64();
+            sums.avoided_wait_seconds += avoided_wait;
         });
-        self.learn(now, function, 0.0);
+        if let Some(account) = self.accounts.get_mut(function) {
+            account.learn_used();
+        }
     }
 
-    fn learn(&mut self, now: Duration, function: &str, unused: f64) -> Option<Duration> {
-        let line = self.lines.get_mut(function)?;
-        line.recent = (line.recent + 1).min(2 * ENOUGH);
-        line.recent_unused += (unused - line.recent_unused) / f64::from(line.recent.min(ENOUGH));
-        if unused == 0.0 {
-            line.quiets = 0;
-            return None;
-        }
-        if line.recent < ENOUGH || line.recent_unused <= MAX_UNUSED {
-            return None;
-        }
-        let until = now + QUIET_FIRST * (1 << line.quiets.min(QUIET_DOUBLINGS));
-        line.quiets += 1;
-        (line.recent, line.recent_unused) = (0, 0.0);
-        Some(until)
+    /// Closes the prefetches that expired, and returns the functions that are to be quiet, by name.
+    pub fn due(&mut self, now: Duration) -> Vec<QuietPeriod> {
+        let mut expired: Vec<String> = self
+            .expiries
+            .iter()
+            .take_while(|(expires_at, _)| *expires_at <= now)
+            .map(|(_, function)| function.clone())
+            .collect();
+        expired.sort();
+        expired
+            .into_iter()
+            .filter_map(|function| self.expire(now, function))
+            .collect()
     }
 
-    fn close(&mut self, function: &str) -> Option<Open> {
-        let open = self.open.remove(function)?;
-        self.ends.remove(&(open.until, function.to_owned()));
-        Some(open)
+    /// Closes a prefetch as unused.
+    fn expire(&mut self, now: Duration, function: String) -> Option<QuietPeriod> {
+        let pending = self.close(&function)?;
+        let held = pending.memory_mb * self.keep_alive.as_secs_f64();
+        self.add(&function, now, |sums| {
+            sums.unused += 1;
+            sums.mb_seconds += held;
+        });
+        let quiet_for = self.accounts.get_mut(&function)?.learn_unused()?;
+        Some(QuietPeriod {
+            function,
+            until: now + quiet_for,
+        })
     }
 
-    pub fn next_due(&self) -> Option<Duration> {
-        self.ends.first().map(|(until, _)| *until)
-    }
-
-    /// Closes the lines of loads that nobody used in time; functions to be left alone, and until when.
-    pub fn due(&mut self, now: Duration) -> Vec<(String, Duration)> {
-        let over = self.ends.iter().take_while(|(until, _)| *until <= now);
-        let mut over: Vec<String> = over.map(|(_, function)| function.clone()).collect();
-        over.sort();
-        let mut quiet = Vec::new();
-        for function in over {
-            let Some(open) = self.close(&function) else {
-                continue;
-            };
-            let held = open.memory_mb * self.keep.as_secs_f64();
-            self.change(&function, now, |sums| {
-                sums.unused += 1;
-                sums.mb_seconds += held;
-            });
-            if let Some(until) = self.learn(now, &function, 1.0) {
-                quiet.push((function, until));
-            }
+    /// Changes the sums of a function, and the total.
+    fn add(&mut self, function: &str, now: Duration, change: impl Fn(&mut Sums)) {
+        change(&mut self.total);
+        if !self.accounts.contains_key(function) && self.accounts.len() >= MAX_ACCOUNTS {
+            self.drop_oldest_account();
+        }
+        let account = self.accounts.entry(function.to_owned()).or_default();
+        change(&mut account.sums);
+        account.changed_at = now;
+    }
+
+    fn drop_oldest_account(&mut self) {
+        let oldest = self
+            .accounts
+            .iter()
+            .min_by_key(|(_, account)| account.changed_at)
+            .map(|(function, _)| function.clone());
+        if let Some(function) = oldest {
+            self.accounts.remove(&function);
         }
-        quiet
+    }
+
+    fn close(&mut self, function: &str) -> Option<Pending> {
+        let pending = self.pending.remove(function)?;
+        self.expiries.remove(&(pending.expires_at, function.to_owned()));
+        Some(pending)
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const S: Duration = Duration::from_secs(1);
-
-    #[test]
-    fn a_load_that_is_used_saves_its_time_and_one_that_is_not_is_waste() {
-        let mut ledger = Ledger::new(8 * S);
-        ledger.ordered(S, "f", 100.0);
-        ledger.loaded(2 * S, "f", true, true);
-        ledger.used(4 * S, "f");
-        ledger.ordered(10 * S, "g", 100.0);
-        ledger.loaded(11 * S, "g", true, true);
-        assert!(ledger.due(18 * S).is_empty());
-        ledger.due(19 * S);
-        let sums = ledger.sums();
-        assert_eq!((sums.orders, sums.fetches, sums.used, sums.unused), (2, 2, 1, 1));
-        assert_eq!((sums.saved_seconds, sums.mb_seconds), (1.0, 1000.0));
-        assert_eq!(ledger.by_function().count(), 2);
-    }
-
-    #[test]
-    fn loads_never_used_end_in_quiet_that_grows() {
-        let mut ledger = Ledger::new(8 * S);
-        let mut quiets = Vec::new();
-        for n in 0..20u32 {
-            let now = 100 * S * (n + 1);
-            ledger.ordered(now, "f", 1.0);
-            ledger.loaded(now + S, "f", true, true);
-            quiets.extend(
-                ledger
-                    .due(now + 20 * S)
-                    .into_iter()
-                    .map(|(_, until)| until - now - 20 * S),
-            );
+impl Account {
+    fn learn_used(&mut self) {
+        self.learn(0.0);
+        self.quiet_periods = 0;
+    }
+
+    /// The length of the quiet period that is due, if too many recent prefetches went unused.
+    fn learn_unused(&mut self) -> Option<Duration> {
+        self.learn(1.0);
+        if self.recent < MIN_PREFETCHES || self.recent_unused_share <= MAX_UNUSED_SHARE {
+            return None;
         }
-        assert_eq!(quiets[..3], [60 * S, 120 * S, 240 * S]);
+        let doublings = self.quiet_periods.min(MAX_QUIET_DOUBLINGS);
+        self.quiet_periods += 1;
+        self.recent = 0;
+        self.recent_unused_share = 0.0;
+        Some(FIRST_QUIET_PERIOD * (1 << doublings))
+    }
+
+    /// Moves the mean share towards 0 for a prefetch that was used, and 1 for one that was not.
+    fn learn(&mut self, unused: f64) {
+        self.recent = (self.recent + 1).min(2 * MIN_PREFETCHES);
+        let weight = f64::from(self.recent.min(MIN_PREFETCHES));
+        self.recent_unused_share += (unused - self.recent_unused_share) / weight;
     }
 }
--- a/crates/quartzdrift-forecast/src/lib.rs
+++ b/crates/quartzdrift-forecast/src/lib.rs
@@ -1,19 +1,34 @@
-//! Forecasts of when functions are used next, and the account of what was loaded ahead for them. No I/O, no clock.
+//! Forecasts of when functions are used next, and a ledger of the prefetches that they led to. No I/O, no clock: times are since
+//! 1970 and come from the caller.
 //!
-//! Tell [`Forecasts::used`] of each use. When [`Forecasts::next_due`] has come, [`Forecasts::due`] says which uses are
-//! expected, how surely, and within which span; whether anything is loaded for it, and where, is the decision module's.
-//! Tell [`Ledger`] what came of it: a function whose loads ahead go unused is not forecast for a while.
+//! Call [`Forecasts::used`] for each use. When [`Forecasts::next_due`] has come, [`Forecasts::due`] returns which uses are
+//! expected, with which probability and within which span; whether a function is loaded for it, and where, is up to the
+//! scheduler. [`Ledger`] takes the results: a function whose prefetches go unused is not forecast for a while. [`Ahead`]
+//! combines both, as a gateway needs them.
 //!
-//! A function's next use is a distribution of the gap to it. Several [`predictors`](predict) give one each, and each is
-//! scored at every gap that comes by the ranked probability score, which is proper: no predictor gains by telling
-//! anything but what it believes. The one that has done best of late speaks for the function.
+//! The next use of a function is a distribution over the gap to it. Each [`Predictor`] gives one, and is scored at each gap
+//! by the ranked probability score (Epstein 1969), a proper score: stating another distribution than the believed one gains
+//! nothing. The predictor with the best recent score speaks for the function.
+//!
+//! * `predictor`: the predictors.
+//! * `season`: uses by the time of day or week.
+//! * `history`: the gaps of one function, and what each predictor makes of them.
+//! * `score`: the score of a predicted gap.
+//! * `forecasts`: all functions, and when each is worth a look.
+//! * `ledger`: what prefetches cost and saved.
+//! * `snapshot`: forecasts as bytes that outlast the process.
+//! * `ahead`: forecasts and ledger together.
 mod ahead;
 mod forecasts;
-pub mod ledger;
-pub mod predict;
+mod history;
+mod ledger;
+mod predictor;
+mod score;
+mod season;
 mod snapshot;
 
 pub use ahead::Ahead;
 pub use forecasts::{Expected, Forecasts, Settings, Standing};
-pub use ledger::Ledger;
-pub use snapshot::Unreadable;
+pub use ledger::{Ledger, QuietPeriod, Sums};
+pub use predictor::Predictor;
+pub use snapshot::SnapshotError;
--- a/crates/quartzdrift/src/gateway/ahead.rs
+++ b/crates/quartzdrift/src/gateway/ahead.rs
@@ -130,12 +130,12 @@
         let standing = loads.ahead.forecasts.standing;
         tracing::info!(
             functions,
-            commands = sums.orders,
+            commands = sums.commands,
             fetches = sums.fetches,
             failed = sums.failed,
             used = sums.used,
             unused = sums.unused,
-            saved_seconds = sums.saved_seconds,
+            saved_seconds = sums.avoided_wait_seconds,
             mb_seconds = sums.mb_seconds,
             scored = standing.gaps,
             score = standing.chosen,
