--- a/crates/quartzdrift/src/gateway/mod.rs
+++ b/crates/quartzdrift/src/gateway/mod.rs
@@ -3,19 +3,19 @@
 //! * `clients`: calls become requests, final answers go back.
 //! * `workers`: attempts, orders and probes.
 //! * `discovery`: where the list of workers comes from.
-//! * `ahead`: forecasts of use, and loads ahead of need.
+//! * `prefetch`: forecasts of use, and loads ahead of need.
 //! * `fleet`: other schedulers.
 //! * `store`: asynchronous requests on disk.
 //! * `asynchronous`: attempts of asynchronous invocations.
 //! * `schedules`: invocations that schedules trigger.
 //! * `destinations`: events of completed asynchronous invocations.
 //! * `recovery`: from the start to full service.
-mod ahead;
 mod asynchronous;
 mod clients;
 mod destinations;
 mod discovery;
 pub mod fleet;
+mod prefetch;
 mod recovery;
 mod schedules;
 mod store;
@@ -117,7 +117,7 @@
     schedules: Schedules,
     accepted: AcceptedEndpoints,
     discovery: discovery::Source,
-    ahead: Option<ahead::Loads>,
+    prefetch: Option<prefetch::Prefetch>,
     fleet: Option<fleet::Fleet>,
     returning: Option<recovery::Returning>,
     recorder: Option<Recorder>,
@@ -185,7 +185,7 @@
             clock,
             accepted: AcceptedEndpoints::default(),
             discovery: discovery::Source::new(&settings),
-            ahead: None,
+            prefetch: None,
             fleet: None,
             returning: None,
             recorder: settings.record.as_ref().map(Recorder::start).transpose()?,
@@ -196,7 +196,7 @@
         };
         gateway.start_recovery(found)?;
         gateway.first_list();
-        gateway.start_ahead();
+        gateway.start_prefetch();
         gateway.start_store(&handle)?;
         gateway.start_fleet(&handle)?;
         gateway.returned();
@@ -244,7 +244,7 @@
             self.next_trigger_due(),
             self.recovery_next(),
             self.discovery.next_due(),
-            self.ahead.as_ref().and_then(ahead::Loads::next_due),
+            self.prefetch.as_ref().and_then(prefetch::Prefetch::next_due),
             self.fleet.as_ref().map(fleet::Fleet::next_due),
             self.stopping,
         ];
@@ -265,7 +265,7 @@
             self.carry_out();
         }
         self.discovery_due(now);
-        self.ahead_due(now);
+        self.prefetch_due(now);
         self.fleet_due(now);
         self.recovery_due(now);
         self.start_due_triggers(now);
@@ -330,7 +330,7 @@
                 let call = self.commands.get(&command).copied();
                 if let Some(call) = call.filter(|call| self.http.unsent_call(*call)) {
                     self.commands.remove(&command);
-                    self.ahead_loaded(command, Outcome::NeverSent);
+                    self.load_ended(command, Outcome::NeverSent);
                     self.calls.remove(&call);
                     self.http.cancel(call);
                     self.request_table
@@ -338,7 +338,7 @@
                 }
             }
             Output::AbandonCommand { command } => {
-                self.ahead_loaded(command, Outcome::TimedOut);
+                self.load_ended(command, Outcome::TimedOut);
                 if let Some(call) = self.commands.remove(&command) {
                     self.calls.remove(&call);
                     self.http.cancel(call);
@@ -414,7 +414,7 @@
         self.carry_out();
         self.log_open_invocations();
         self.close_store();
-        self.save_ahead();
+        self.save_forecasts();
         self.leave_fleet();
         self.note_stop();
         tracing::info!(counts = ?self.counts, "stopped");
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -196,7 +196,7 @@
             Some(Use::Load { command }) => {
                 self.commands.remove(&command);
                 let copies = models::copies(&answer.body).unwrap_or(0);
-                self.ahead_loaded(command, outcome);
+                self.load_ended(command, outcome);
                 self.request_table
                     .command_ended(self.now(), command, outcome, copies, Vec::new());
                 self.carry_out();
@@ -288,7 +288,7 @@
             }
             Some(Use::Probe { command } | Use::Load { command }) => {
                 self.commands.remove(&command);
-                self.ahead_loaded(command, outcome);
+                self.load_ended(command, outcome);
                 self.request_table
                     .command_ended(self.now(), command, outcome, 0, Vec::new());
                 self.carry_out();
@@ -319,7 +319,7 @@
     pub(super) fn load(&mut self, command: u64, worker: &str, function: &str, copies: u32) {
         let headers = Headers::new().with("content-type", "application/json");
         let body = models::load_command(copies).into();
-        self.ahead_ordered(command, function);
+        self.load_sent(command, function);
         let outgoing = self.outgoing("POST", models::load_target(function), headers, body);
         self.command(worker, outgoing, command, Use::Load { command });
     }
--- /dev/null
+++ b/crates/quartzdrift/src/record/tests.rs
@@ -0,0 +1,32 @@
+use super::Recorder;
+use crate::settings::Record;
+use std::time::Duration;
+
+#[test]
+fn a_trace_is_bounded_and_names_are_hashed() {
+    let directory = tempfile::tempdir().unwrap();
+    let file = directory.path().join("trace.jsonl");
+    let record = Record {
+        file: file.clone(),
+        bytes: 600,
+        hash_names: true,
+    };
+    let mut recorder = Recorder::start(&record).unwrap();
+    for n in 0..100 {
+        recorder.request(
+            Duration::from_millis(1000 + n),
+            "secret",
+            1,
+            0,
+            Duration::from_secs(3),
+        );
+    }
+    drop(recorder);
+    let text = std::fs::read_to_string(file).unwrap();
+    assert!(text.len() <= 600 && text.lines().count() >= 4 && !text.contains("secret"));
+    let first: serde_json::Value = serde_json::from_str(text.lines().next().unwrap()).unwrap();
+    assert_eq!(
+        (first["at_us"].as_u64(), first["left_us"].as_u64()),
+        (Some(0), Some(3_000_000))
+    );
+}
