--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -4,10 +4,10 @@
 use crate::badday::listens_at;
 use crate::light::{self, Light};
 use crate::load::{self, Plan, Report};
-use quartzdrift_async_queue::Submitted;
+use quartzdrift_async_queue::Invocation;
 use quartzdrift_scheduler::interface::*;
 use quartzdrift_scheduler::scheduler::Scheduler;
-use quartzdrift_wal::{Change, Folder, Live, Log};
+use quartzdrift_wal::{DirectoryStorage, InvocationRecord, Log, LogRecord};
 use std::io::{self, BufReader, Write};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -284,40 +284,40 @@
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
     let taken_us = since.as_micros() as u64;
-    let request = Submitted {
+    let request = Invocation {
         function: "f1".to_owned(),
         tenant: 0,
         idempotency: Idempotency::Idempotent,
-        anywhere: true,
-        window: Duration::ZERO,
+        deduplicated_by_all: true,
+        deduplication_window: Duration::ZERO,
         payload: std::rc::Rc::from(format!("{{\"a\":\"{}\"}}", "x".repeat(92)).into_bytes()),
         context: None,
-        mark: None,
+        idempotency_key: None,
         on_success: None,
         on_failure: None,
-        timer: None,
+        schedule: None,
         hops: 0,
     };
     let bytes = request.to_bytes();
     for requests in [1_000u64, 10_000, 100_000, 1_000_000] {
         let folder = tempfile::tempdir()?;
-        let (mut log, _) = Log::open(Folder::open(folder.path())?).map_err(io::Error::other)?;
+        let (mut log, _) = Log::open(DirectoryStorage::open(folder.path())?).map_err(io::Error::other)?;
         for first in (0..requests).step_by(1000) {
-            let live = |id| Live {
+            let record = |id| InvocationRecord {
                 id,
-                taken_us,
+                accepted_us: taken_us,
                 due_us: taken_us + 86_400_000_000,
                 request: bytes.clone(),
-                ..Live::default()
+                ..InvocationRecord::default()
             };
             log.commit(
                 (first + 1..=first + 1000)
-                    .map(|id| Change::Kept(live(id)))
+                    .map(|id| LogRecord::Snapshot(record(id)))
                     .collect(),
             )
             .map_err(io::Error::other)?;
         }
-        let stored = log.sizes().2 as f64 / 1e6;
+        let stored = log.size().bytes as f64 / 1e6;
         drop(log);
         let (_running, addresses) = workers(1, Duration::ZERO)?;
         let start = Instant::now();
--- a/crates/quartzdrift-platform/src/coordinator.rs
+++ b/crates/quartzdrift-platform/src/coordinator.rs
@@ -1,7 +1,7 @@
 //! Reads the coordinator's numbered events, which make up the list of workers.
 //!
 //! A worker is identified by its uid alone: another worker may later use the same address.
-use quartzdrift_discovery::list::Listed;
+use quartzdrift_discovery::DiscoveredEndpoint;
 use quartzdrift_scheduler::interface::EndpointState;
 use serde::Deserialize;
 use serde_json::Value;
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
     /// The worker, named by its uid.
-    pub listed: Listed,
+    pub listed: DiscoveredEndpoint,
     /// Its address; `None` where none is stated.
     pub address: Option<SocketAddr>,
 }
@@ -148,7 +148,7 @@
             _ => EndpointState::Draining,
         };
         let boot = self.boot_ms.filter(|ms| ms.is_finite() && *ms > 0.0);
-        let listed = Listed {
+        let listed = DiscoveredEndpoint {
             capacity: self.capacity_hint,
             cell: place(&self.pod_group, &[], &self.uid),
             kind: kind(&self.model, kinds),
--- a/crates/quartzdrift/src/gateway/call_events.rs
+++ b/crates/quartzdrift/src/gateway/call_events.rs
@@ -20,7 +20,7 @@
                 Some(client) => self.stream_started(call, client, response),
                 None => self.call_ended(call, response),
             },
-            Some(CallPurpose::EndpointStream) => self.discovery_stream_began(call, response.status),
+            Some(CallPurpose::EndpointStream) => self.endpoint_stream_began(call, response.status),
             Some(_) => self.call_ended(call, response),
             None => {}
         }
@@ -35,13 +35,13 @@
             Some(CallPurpose::HealthCheck { command }) => self.health_checked(command, &response),
             Some(CallPurpose::Load { command }) => {
                 let copies = models::copies(&response.body).unwrap_or(0);
-                self.ahead_loaded(command, outcome);
+                self.load_ended(command, outcome);
                 self.command_ended(command, outcome, copies, Vec::new());
             }
-            Some(CallPurpose::EndpointList) => self.list_came(response.status, &response.body),
-            Some(CallPurpose::Destination { left, to, record }) => {
+            Some(CallPurpose::EndpointList) => self.poll_answered(response.status, &response.body),
+            Some(CallPurpose::Destination(event)) => {
                 if !(200..300).contains(&response.status) {
-                    self.tell_destination(left, to, record);
+                    self.send_event(event);
                 }
             }
             Some(CallPurpose::Unload | CallPurpose::EndpointStream) | None => {}
@@ -84,7 +84,7 @@
                     self.client_gone(client);
                 }
             }
-            Some(CallPurpose::EndpointStream) => self.discovery_part(call, &bytes),
+            Some(CallPurpose::EndpointStream) => self.endpoint_stream_bytes(call, &bytes),
             Some(_) | None => {}
         }
     }
@@ -98,7 +98,7 @@
                 }
                 self.attempt_ended(ended.request, ended.attempt, Outcome::Succeeded, None);
             }
-            Some(CallPurpose::EndpointStream) => self.discovery_stream_lost("it ended"),
+            Some(CallPurpose::EndpointStream) => self.endpoint_stream_lost("it ended"),
             Some(_) | None => {}
         }
     }
@@ -109,12 +109,12 @@
         match self.calls.remove(&call) {
             Some(CallPurpose::Attempt(failed)) => self.attempt_failed(&failed, failure, outcome),
             Some(CallPurpose::HealthCheck { command } | CallPurpose::Load { command }) => {
-                self.ahead_loaded(command, outcome);
+                self.load_ended(command, outcome);
                 self.command_ended(command, outcome, 0, Vec::new());
             }
-            Some(CallPurpose::EndpointList) => self.list_failed(&format!("{failure:?}")),
-            Some(CallPurpose::EndpointStream) => self.discovery_stream_lost(&format!("{failure:?}")),
-            Some(CallPurpose::Destination { left, to, record }) => self.tell_destination(left, to, record),
+            Some(CallPurpose::EndpointList) => self.poll_failed(&format!("{failure:?}")),
+            Some(CallPurpose::EndpointStream) => self.endpoint_stream_lost(&format!("{failure:?}")),
+            Some(CallPurpose::Destination(event)) => self.send_event(event),
             Some(CallPurpose::Unload) | None => {}
         }
     }
--- a/crates/quartzdrift/src/gateway/calls.rs
+++ b/crates/quartzdrift/src/gateway/calls.rs
@@ -1,10 +1,10 @@
 //! Calls that the gateway has made to workers and other servers and that have not ended, with their purposes.
 use super::context::RequestContext;
+use super::destinations::DestinationEvent;
 use crate::attempts::AttemptCarriers;
 use quartzdrift_http::CallId;
 use quartzdrift_scheduler::interface::RequestId;
 use std::collections::HashMap;
-use std::net::SocketAddr;
 use std::rc::Rc;
 
 #[cfg(test)]
@@ -37,13 +37,8 @@
     EndpointList,
     /// The stream of endpoint list changes.
     EndpointStream,
-    /// The record of an asynchronous invocation, on its way to an HTTP destination.
-    Destination {
-        /// Attempts that remain after this one.
-        left: u32,
-        to: (SocketAddr, String),
-        record: Rc<[u8]>,
-    },
+    /// The event of a completed asynchronous invocation, on its way to an HTTP destination.
+    Destination(DestinationEvent),
 }
 
 /// All calls that have not ended, also by the attempts and commands that they carry.
@@ -90,7 +85,7 @@
             CallPurpose::Unload
             | CallPurpose::EndpointList
             | CallPurpose::EndpointStream
-            | CallPurpose::Destination { .. } => {}
+            | CallPurpose::Destination(_) => {}
         }
         self.purposes.insert(call, purpose);
     }
@@ -116,7 +111,7 @@
             CallPurpose::Unload
             | CallPurpose::EndpointList
             | CallPurpose::EndpointStream
-            | CallPurpose::Destination { .. } => {}
+            | CallPurpose::Destination(_) => {}
         }
         Some(purpose)
     }
--- a/crates/quartzdrift/src/gateway/calls/tests.rs
+++ b/crates/quartzdrift/src/gateway/calls/tests.rs
@@ -1,6 +1,6 @@
 use super::{AttemptCall, CallPurpose, OutgoingCalls};
 use crate::gateway::{Origin, RequestContext};
-use quartzdrift_async_queue::Id;
+use quartzdrift_async_queue::InvocationId;
 use quartzdrift_http::CallId;
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 fn attempt(attempt: u32) -> CallPurpose {
     let context = RequestContext {
         id: Uuid::nil(),
-        origin: Origin::Asynchronous(Id(1)),
+        origin: Origin::Asynchronous(InvocationId(1)),
         payload: Rc::from([]),
         client_context: None,
         idempotency_key: None,
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -2,7 +2,7 @@
 use super::responses::response;
 use super::{Gateway, Origin, RequestContext};
 use crate::settings::Function;
-use quartzdrift_async_queue::Submitted;
+use quartzdrift_async_queue::Invocation;
 use quartzdrift_http::{BadRequest, Exchange, Headers, Request};
 use quartzdrift_invoke::answer::{self, Problem, Said};
 use quartzdrift_invoke::call::{self, Asked, Call, Mode};
@@ -143,7 +143,7 @@
             accepted_at: self.now(),
             ramp_probe,
         };
-        self.note_use(&invoke.name, &invoke.function, invoke.tenant.index, left);
+        self.record_use(&invoke.name, &invoke.function, invoke.tenant.index, left);
         let new = new_request(
             &invoke.function,
             invoke.name.into(),
@@ -162,22 +162,22 @@
 
     /// Queues an asynchronous call. It is answered once the store has it, unless the settings ask for less.
     fn queue_call(&mut self, invoke: InvokeCall) -> Result<Reply, Problem> {
-        if self.store.as_ref().is_some_and(|store| !store.takes()) {
-            return Err(Problem::Busy(Some(self.settings.asynchronous.first)));
+        if self.store.as_ref().is_some_and(|store| !store.has_capacity()) {
+            return Err(Problem::Busy(Some(self.settings.asynchronous.first_retry_delay)));
         }
-        let request = self.submitted(
+        let request = self.new_invocation(
             &invoke.name,
             &invoke.function,
             invoke.tenant.index,
             invoke.payload.into(),
         );
-        let request = Submitted {
+        let request = Invocation {
             context: invoke.call.context,
-            mark: invoke.call.mark.or(request.mark),
+            idempotency_key: invoke.call.mark.or(request.idempotency_key),
             ..request
         };
         match self.submit(request) {
-            Ok(_) if self.answer_later(invoke.exchange, invoke.id) => Ok(Reply::Later),
+            Ok(_) if self.answer_when_durable(invoke.exchange, invoke.id) => Ok(Reply::Later),
             Ok(_) => Ok(Reply::Now(answer::taken())),
             Err(why) => {
                 tracing::warn!(
@@ -185,7 +185,7 @@
                     function = invoke.name,
                     "an asynchronous invocation was rejected: at capacity"
                 );
-                Err(Problem::Busy(Some(self.settings.asynchronous.first)))
+                Err(Problem::Busy(Some(self.settings.asynchronous.first_retry_delay)))
             }
         }
     }
--- a/crates/quartzdrift/src/gateway/context.rs
+++ b/crates/quartzdrift/src/gateway/context.rs
@@ -1,5 +1,5 @@
 //! What the gateway holds of a request beside the request table, and its counts of requests.
-use quartzdrift_async_queue::Id;
+use quartzdrift_async_queue::InvocationId;
 use quartzdrift_http::Exchange;
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
     /// A client that waits for the answer.
     Client(Exchange),
     /// An asynchronous invocation.
-    Asynchronous(Id),
+    Asynchronous(InvocationId),
 }
 
 /// The gateway's part of a request, which the request table carries as its payload.
--- a/crates/quartzdrift/src/gateway/event_loop.rs
+++ b/crates/quartzdrift/src/gateway/event_loop.rs
@@ -1,5 +1,5 @@
 //! One turn of the event loop: the events of the sockets, then everything that is due.
-use super::{Gateway, ahead, fleet};
+use super::{Gateway, fleet, prefetch};
 use quartzdrift_http::HttpEvent;
 use std::time::{Duration, Instant};
 
@@ -11,11 +11,11 @@
         }
         let deadlines = [
             self.request_table.next_deadline(),
-            self.asynchronous_due(),
-            self.timers_due(),
+            self.next_attempt_due(),
+            self.next_trigger_due(),
             self.recovery_next_due(),
             self.discovery.next_due(),
-            self.ahead.as_ref().and_then(ahead::Loads::next_due),
+            self.prefetch.as_ref().and_then(prefetch::Prefetch::next_due),
             self.fleet.as_ref().map(fleet::Fleet::next_due),
             self.drain_deadline,
         ];
@@ -31,11 +31,12 @@
         let now = self.now();
         self.request_table_due(now);
         self.discovery_due(now);
-        self.ahead_due(now);
+        self.prefetch_due(now);
         self.fleet_due(now);
         self.recovery_due(now);
-        self.fronts_due(now);
-        self.hand_over();
+        self.start_due_triggers(now);
+        self.start_due_attempts(now);
+        self.submit_changes();
     }
 
     fn handle_http(&mut self, event: HttpEvent) {
--- a/crates/quartzdrift/src/gateway/mod.rs
+++ b/crates/quartzdrift/src/gateway/mod.rs
@@ -11,23 +11,27 @@
 //! * `workers`: attempts, health checks and load commands as they leave.
 //! * `call_events`: what comes back on calls.
 //! * `discovery`: where the endpoint list comes from.
-//! * `ahead`: forecasts of use, and prefetching.
+//! * `prefetch`: forecasts of use, and loads ahead of need.
 //! * `fleet`: membership of the schedulers.
 //! * `store`: asynchronous invocations in the write-ahead log.
-//! * `fronts`: asynchronous invocations and schedules.
+//! * `asynchronous`: attempts of asynchronous invocations.
+//! * `schedules`: invocations that schedules trigger.
+//! * `destinations`: events of completed asynchronous invocations.
 //! * `recovery`: from the start to full service.
-mod ahead;
+mod asynchronous;
 mod call_events;
 mod calls;
 mod clients;
 mod context;
+mod destinations;
 mod discovery;
 mod event_loop;
 pub mod fleet;
-mod fronts;
 mod outputs;
+mod prefetch;
 mod recovery;
 mod responses;
+mod schedules;
 mod shutdown;
 mod state;
 mod store;
--- a/crates/quartzdrift/src/gateway/outputs.rs
+++ b/crates/quartzdrift/src/gateway/outputs.rs
@@ -43,7 +43,7 @@
                 tracing::warn!(?to, bytes = bytes.len(), "a message to a peer is dropped");
             }
             Output::Watch { on } => self.watch(on),
-            Output::PollEndpoints => self.ask_list(),
+            Output::PollEndpoints => self.poll_endpoints(),
             Output::Log { text } => tracing::info!(text, "scheduler"),
         }
     }
@@ -66,7 +66,7 @@
     fn recall_command(&mut self, command: u64) {
         let call = self.calls.command(command);
         if let Some(call) = call.filter(|call| self.http.unsent_call(*call)) {
-            self.ahead_loaded(command, Outcome::NeverSent);
+            self.load_ended(command, Outcome::NeverSent);
             self.calls.remove(&call);
             self.http.cancel(call);
             self.request_table
@@ -75,7 +75,7 @@
     }
 
     fn abandon_command(&mut self, command: u64) {
-        self.ahead_loaded(command, Outcome::TimedOut);
+        self.load_ended(command, Outcome::TimedOut);
         if let Some(call) = self.calls.command(command) {
             self.calls.remove(&call);
             self.http.cancel(call);
@@ -95,7 +95,7 @@
         self.request_answered(context, answer);
         match context.origin {
             Origin::Client(exchange) => self.answer_client(exchange, context, answer, response),
-            Origin::Asynchronous(id) => self.try_ended(id, answer, response),
+            Origin::Asynchronous(id) => self.attempt_answered(id, answer, response),
         }
     }
 }
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -5,14 +5,14 @@
 use crate::snapshots::{
     self, CHECKPOINT, DAMAGED_CHECKPOINT, FORCE_FULL_SERVICE, MEASUREMENTS, RECOVERY_VIEW,
 };
-use quartzdrift_async_queue::After;
+use quartzdrift_async_queue::RestoreContext;
 use quartzdrift_lifecycle::FinalAnswer;
 use quartzdrift_recovery::{
     Checkpoint, ClockSample, DiskState, LoadResult, Output, RECOVERY_TOPIC, Recovery, RecoveryPhase,
     RestartClassification, RestartKind, Settings as RecoverySettings, StartupEvidence,
 };
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, Idempotency};
-use quartzdrift_wal::{Folder, Live};
+use quartzdrift_wal::{DirectoryStorage, InvocationRecord};
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::Path;
@@ -31,16 +31,16 @@
     checkpoint_at: Duration,
     force_check_at: Duration,
     /// Asynchronous requests of the last run, until it is known what they may do.
-    pub(super) held_requests: Vec<Live>,
+    pub(super) held_requests: Vec<InvocationRecord>,
     /// The state folder's lock; a successor gets it once its predecessor has ended.
-    lock: Option<Folder>,
+    lock: Option<DirectoryStorage>,
     /// The number of this start as it was last recorded on disk.
     recorded_start: u64,
 }
 
 /// Locks the state folder; `None`: another process holds the lock.
-fn lock(folder: &Path) -> io::Result<Option<Folder>> {
-    match Folder::open(folder) {
+fn lock(folder: &Path) -> io::Result<Option<DirectoryStorage>> {
+    match DirectoryStorage::open(folder) {
         Ok(lock) => Ok(Some(lock)),
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
         Err(e) => Err(e),
@@ -142,7 +142,7 @@
         idempotency_keys_on_disk: settings.recovery.idempotency_keys_on_disk,
         load_quota_window: scheduler.copies.load_quota_window.unwrap_or_default(),
         slow_start_window: scheduler.rules.fall_window.unwrap_or_default(),
-        max_async_in_flight: settings.asynchronous.out,
+        max_async_in_flight: settings.asynchronous.max_concurrent_attempts,
         admission_ramp: settings.recovery.pace,
         store_start,
         instance,
@@ -309,7 +309,7 @@
         match kind {
             RestartKind::MassFailure => self.mark_workers_restarted(),
             RestartKind::FirstStart | RestartKind::Planned | RestartKind::SingleCrash => {
-                self.belief.of_before(false);
+                self.accepted.set_from_unclean_stop(false);
             }
         }
         self.restore_held_requests();
@@ -331,17 +331,17 @@
 
     /// Workers that no endpoint list has named since are taken as just started: they lost power too.
     fn mark_workers_restarted(&mut self) {
-        if self.discovery.has_come() {
+        if self.discovery.has_received_list() {
             return;
         }
         let now = self.now();
-        let mut workers = self.belief.workers();
+        let mut workers = self.accepted.workers();
         for worker in &mut workers {
             if worker.state == EndpointState::Up {
                 worker.started = Some(now);
             }
         }
-        self.give_list(EndpointListKind::Changes, &workers);
+        self.update_endpoints(EndpointListKind::Changes, &workers);
     }
 
     /// Restores the asynchronous requests of the last run, now that it is known what they may do.
@@ -351,19 +351,19 @@
         };
         let requests = std::mem::take(&mut recovery.held_requests);
         let machine = &recovery.machine;
-        let after = After {
-            repeats_known: machine.repeats_are_detected(),
-            older: machine.waiting_may_have_run(),
+        let context = RestoreContext {
+            keys_remembered: machine.repeats_are_detected(),
+            earlier_copy: machine.waiting_may_have_run(),
         };
         let unproven_downtime = machine.unproven_downtime();
-        self.restore(requests, after, unproven_downtime);
+        self.restore(requests, context, unproven_downtime);
     }
 
     fn limit_asynchronous(&mut self) {
         let recovery = self.recovery.as_ref();
         let limit = recovery.and_then(|recovery| recovery.machine.async_limit());
         self.asynchronous
-            .allow(limit.unwrap_or(self.settings.asynchronous.out));
+            .allow_attempts(limit.unwrap_or(self.settings.asynchronous.max_concurrent_attempts));
     }
 
     /// Whether a call that may repeat a request of the last run is admitted; `Err`: when to retry. `has_key`: its client
--- a/crates/quartzdrift/src/gateway/shutdown.rs
+++ b/crates/quartzdrift/src/gateway/shutdown.rs
@@ -1,7 +1,6 @@
 //! The drain after a termination signal, and the end of everything that is open once it is over.
 use super::Gateway;
 use super::store::Store;
-use std::time::Duration;
 
 impl Gateway {
     /// Begins the drain: accepts no new connections, and ends what is open within the drain time of the settings.
@@ -36,7 +35,7 @@
         }
         // Beside a successor at the same address, existing connections are served to their end here.
         let serves_clients = self.settings.share_port && self.http.clients() > 0;
-        let has_due_invocations = self.asynchronous_due().is_some_and(|at| at <= now);
+        let has_due_invocations = self.next_attempt_due().is_some_and(|at| at <= now);
         let is_stored = self.store.as_ref().is_none_or(Store::idle);
         let has_open_requests = self.request_table.open_requests() > 0;
         !has_open_requests && !serves_clients && is_stored && !has_due_invocations && !self.http.unsent()
@@ -51,9 +50,9 @@
             attempts.has_left(request, attempt, |call| http.unsent_call(call))
         });
         self.carry_out();
-        self.say_lost();
+        self.log_open_invocations();
         self.close_store();
-        self.save_ahead();
+        self.save_forecasts();
         self.leave_fleet();
         self.record_stop();
         tracing::info!(counts = ?self.counts, "stopped");
@@ -68,19 +67,4 @@
     pub fn has_unsent_responses(&self) -> bool {
         self.http.unsent()
     }
-
-    /// When an asynchronous invocation is to be attempted here. Where a store keeps them, a gateway that drains leaves
-    /// them to the next one.
-    pub(super) fn asynchronous_due(&self) -> Option<Duration> {
-        let next = self.asynchronous.next_due();
-        next.filter(|_| !self.is_draining() || self.store.is_none())
-    }
-
-    /// When a schedule triggers here.
-    pub(super) fn timers_due(&self) -> Option<Duration> {
-        let recovery = self.recovery.as_ref();
-        let is_admitted = recovery.is_none_or(|recovery| recovery.machine.allows_schedules());
-        let next = self.timers.next_due();
-        next.filter(|_| !self.is_draining() && is_admitted)
-    }
 }
--- a/crates/quartzdrift/src/gateway/state.rs
+++ b/crates/quartzdrift/src/gateway/state.rs
@@ -1,19 +1,18 @@
 //! The state of the event loop, and how it starts.
 use super::calls::OutgoingCalls;
 use super::context::{RequestContext, RequestCounts};
-use super::{ahead, discovery, fleet, recovery, store};
+use super::{discovery, fleet, prefetch, recovery, store};
 use crate::clock::Clock;
 use crate::record::Recorder;
 use crate::settings::Settings;
 use crate::snapshots::{self, SnapshotWriter};
 use calloop::LoopHandle;
-use quartzdrift_async_queue::{Changes, Queue};
-use quartzdrift_discovery::belief::Belief;
-use quartzdrift_discovery::list::{self, Listed};
+use quartzdrift_async_queue::{ChangeBuffer, InvocationQueue};
+use quartzdrift_discovery::{AcceptedEndpoints, DiscoveredEndpoint, list};
 use quartzdrift_http::{Exchange, HasHttp, Http, Response};
 use quartzdrift_lifecycle::RequestTable;
 use quartzdrift_scheduler::interface::{EndpointListKind, RequestId};
-use quartzdrift_schedules::Timers;
+use quartzdrift_schedules::Schedules;
 use std::collections::HashMap;
 use std::io;
 use std::rc::Rc;
@@ -37,12 +36,12 @@
     pub(super) pending_response: Option<Response>,
     /// Whether the attempt that is just ending failed because its function could not be loaded.
     pub(super) load_failed: bool,
-    pub(super) asynchronous: Queue<Changes>,
+    pub(super) asynchronous: InvocationQueue<ChangeBuffer>,
     pub(super) store: Option<store::Store>,
-    pub(super) timers: Timers,
-    pub(super) belief: Belief,
+    pub(super) schedules: Schedules,
+    pub(super) accepted: AcceptedEndpoints,
     pub(super) discovery: discovery::Source,
-    pub(super) ahead: Option<ahead::Loads>,
+    pub(super) prefetch: Option<prefetch::Prefetch>,
     pub(super) fleet: Option<fleet::Fleet>,
     pub(super) recovery: Option<recovery::RecoveryDriver>,
     pub(super) recorder: Option<Recorder>,
@@ -77,7 +76,7 @@
         let mut gateway = Gateway::with_empty_state(settings, handle.clone(), clock, schedules_since)?;
         gateway.start_recovery(evidence)?;
         gateway.load_first_list();
-        gateway.start_ahead();
+        gateway.start_prefetch();
         gateway.start_store(&handle)?;
         gateway.start_fleet(&handle)?;
         gateway.carry_out_recovery();
@@ -94,7 +93,7 @@
         let snapshot_writer = settings.state.clone().map(SnapshotWriter::start).transpose()?;
         let recorder = settings.record.as_ref().map(Recorder::start).transpose()?;
         let schedules = settings.timers.iter().map(|(timer, _)| timer.clone()).collect();
-        let changes = Changes::new(settings.store.is_some());
+        let changes = ChangeBuffer::new(settings.store.is_some());
         Ok(Gateway {
             clock,
             identity: rand::random(),
@@ -105,12 +104,12 @@
             exchanges: HashMap::new(),
             pending_response: None,
             load_failed: false,
-            asynchronous: Queue::new(settings.asynchronous.clone(), changes, seed),
+            asynchronous: InvocationQueue::new(settings.asynchronous.clone(), changes, seed),
             store: None,
-            timers: Timers::new(schedules, seed, schedules_since),
-            belief: Belief::default(),
+            schedules: Schedules::new(schedules, seed, schedules_since),
+            accepted: AcceptedEndpoints::default(),
             discovery: discovery::Source::new(&settings),
-            ahead: None,
+            prefetch: None,
             fleet: None,
             recovery: None,
             recorder,
@@ -123,20 +122,21 @@
 
     fn load_first_list(&mut self) {
         let workers = self.first_list();
-        self.belief.changes(&workers);
+        self.accepted.apply_changes(&workers);
         let recovery = self.recovery.as_ref();
         let was_unclean = recovery.is_some_and(|recovery| !recovery.machine.evidence().ended_cleanly());
-        self.belief.of_before(was_unclean);
-        self.give_list(EndpointListKind::Snapshot, &workers);
+        self.accepted.set_from_unclean_stop(was_unclean);
+        self.update_endpoints(EndpointListKind::Snapshot, &workers);
     }
 
     /// The endpoint list that was last saved, or else that of the settings.
-    fn first_list(&self) -> Vec<Listed> {
+    fn first_list(&self) -> Vec<DiscoveredEndpoint> {
         let otherwise = "the saved endpoint list cannot be read";
         let saved = snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::WORKERS, otherwise);
         match saved.map(|bytes| list::read(&bytes, &self.settings.known)) {
             Some(Ok(saved)) if !saved.workers.is_empty() => saved.workers,
-            Some(Err(why)) => {
+            Some(Err(error)) => {
+                let why = error.to_string();
                 tracing::warn!(why, "the saved endpoint list is ignored");
                 self.settings.workers.clone()
             }
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -62,7 +62,7 @@
     pub(super) fn load(&mut self, command: u64, worker: &str, function: &str, copies: u32) {
         let headers = Headers::new().with("content-type", "application/json");
         let body = models::load_command(copies).into();
-        self.ahead_ordered(command, function);
+        self.load_sent(command, function);
         let outgoing = self.worker_request("POST", models::load_target(function), headers, body);
         self.send_command(worker, outgoing, command, CallPurpose::Load { command });
     }
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -224,7 +224,7 @@
         } else {
             EndpointListKind::Changes
         };
-        let endpoints = workers.iter().map(|update| update.listed.entry()).collect();
+        let endpoints = workers.iter().map(|update| update.listed.as_endpoint()).collect();
         self.request_table.update_endpoints(self.now(), kind, endpoints);
         // Also where the worker is up again by the end of the event: what waits is not for the one that is there now.
         for (request, attempt) in displaced {
--- a/crates/quartzdrift/src/settings/check.rs
+++ b/crates/quartzdrift/src/settings/check.rs
@@ -1,11 +1,11 @@
 //! Contradictions in settings, each with the line of what it is about and the mend.
 use super::raw::{File, Idempotency, To};
 use super::{Discovery, Fault, Function, Log, Settings, line_of};
-use quartzdrift_async_queue::{Destination, Waits};
-use quartzdrift_discovery::list::{self, Known, Listed};
+use quartzdrift_async_queue::{Destination, QueueSettings};
+use quartzdrift_discovery::{DiscoveredEndpoint, KnownNames, list};
 use quartzdrift_http::Limits;
 use quartzdrift_scheduler::interface as scheduler;
-use quartzdrift_schedules::{Missed, Timer};
+use quartzdrift_schedules::{MisfirePolicy, Schedule};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -67,7 +67,8 @@
     } else {
         rest[at..].to_owned()
     };
-    Ok((list::address(&rest[..at])?, target))
+    let address = list::address(&rest[..at]).map_err(|error| error.to_string())?;
+    Ok((address, target))
 }
 
 /// An HTTP URL with an address in numbers, split for a call.
@@ -88,7 +89,7 @@
     tenants(raw, &mut faults);
     limits(raw, &mut faults);
     let functions = functions(raw, &scheduler, &mut faults);
-    let known = Known {
+    let known = KnownNames {
         zones: raw.scheduler.zones.clone(),
         kinds: raw.scheduler.kinds.clone(),
     };
@@ -279,7 +280,7 @@
     let mut address = |told: &toml::Spanned<String>| match list::address(told.get_ref()) {
         Ok(address) => Some(address),
         Err(why) => {
-            faults.add(told.span(), why, "write it like \"127.0.0.1:9790\"");
+            faults.add(told.span(), why.to_string(), "write it like \"127.0.0.1:9790\"");
             None
         }
     };
@@ -419,7 +420,7 @@
     for told in &raw.gateway.listen {
         match list::address(told.get_ref()) {
             Ok(address) => all.push(address),
-            Err(why) => faults.add(told.span(), why, "write it like \"127.0.0.1:9700\""),
+            Err(why) => faults.add(told.span(), why.to_string(), "write it like \"127.0.0.1:9700\""),
         }
     }
     all
@@ -791,8 +792,8 @@
     all
 }
 
-fn workers(raw: &File, known: &Known, faults: &mut Faults) -> Vec<Listed> {
-    let mut all: Vec<Listed> = Vec::new();
+fn workers(raw: &File, known: &KnownNames, faults: &mut Faults) -> Vec<DiscoveredEndpoint> {
+    let mut all: Vec<DiscoveredEndpoint> = Vec::new();
     for told in &raw.workers {
         let w = told.get_ref();
         let mut index = |what: &str, told_name: &Option<String>, names: &[String]| match told_name {
@@ -818,15 +819,15 @@
                         "remove one of them",
                     );
                 }
-                all.push(Listed {
+                all.push(DiscoveredEndpoint {
                     zone,
                     kind,
                     cell: w.cell,
                     capacity: w.capacity,
-                    ..Listed::up(&worker)
+                    ..DiscoveredEndpoint::up(&worker)
                 });
             }
-            Err(why) => faults.add(told.span(), why, "write it like \"127.0.0.1:9801\""),
+            Err(why) => faults.add(told.span(), why.to_string(), "write it like \"127.0.0.1:9801\""),
         }
     }
     all
@@ -870,7 +871,7 @@
     }
 }
 
-fn asynchronous(raw: &File, faults: &mut Faults) -> Waits {
+fn asynchronous(raw: &File, faults: &mut Faults) -> QueueSettings {
     let told = &raw.asynchronous;
     if told.tries == 0 {
         faults.add(
@@ -902,14 +903,14 @@
             mend,
         );
     }
-    Waits {
-        tries: told.tries,
-        first: told.wait.0,
-        longest: told.longest_wait.0,
-        greatest_age: told.greatest_age.0,
-        requests: told.requests,
-        bytes: told.bytes,
-        out: told.out,
+    QueueSettings {
+        max_attempts: told.tries,
+        first_retry_delay: told.wait.0,
+        max_retry_delay: told.longest_wait.0,
+        max_age: told.greatest_age.0,
+        max_invocations: told.requests,
+        max_bytes: told.bytes,
+        max_concurrent_attempts: told.out,
     }
 }
 
@@ -918,8 +919,8 @@
     functions: &HashMap<String, Rc<Function>>,
     any: bool,
     faults: &mut Faults,
-) -> Vec<(Timer, Rc<[u8]>)> {
-    let mut all: Vec<(Timer, Rc<[u8]>)> = Vec::new();
+) -> Vec<(Schedule, Rc<[u8]>)> {
+    let mut all: Vec<(Schedule, Rc<[u8]>)> = Vec::new();
     for told in &raw.timers {
         let (span, t) = (told.span(), told.get_ref());
         if !functions.contains_key(&t.function) && !any {
@@ -941,26 +942,31 @@
             );
         }
         let cron = quartzdrift_schedules::cron(&t.cron)
-            .map_err(|why| faults.add(span.clone(), why, "write like \"*/5 * * * *\""));
-        let zone = quartzdrift_schedules::zone(&t.zone)
-            .map_err(|why| faults.add(span.clone(), why, "write like \"Europe/Amsterdam\" or \"UTC\""));
+            .map_err(|why| faults.add(span.clone(), why.to_string(), "write like \"*/5 * * * *\""));
+        let zone = quartzdrift_schedules::zone(&t.zone).map_err(|why| {
+            faults.add(
+                span.clone(),
+                why.to_string(),
+                "write like \"Europe/Amsterdam\" or \"UTC\"",
+            )
+        });
         let (Ok(cron), Ok(zone)) = (cron, zone) else {
             continue;
         };
-        let timer = Timer {
+        let schedule = Schedule {
             name: t.name.clone(),
             function: t.function.clone(),
             cron,
             zone,
             jitter: t.jitter.map_or(Duration::ZERO, |s| s.0),
-            missed: match t.missed {
-                super::raw::Missed::Skip => Missed::Skip,
-                super::raw::Missed::Once => Missed::Once,
-                super::raw::Missed::All => Missed::All,
+            misfire_policy: match t.missed {
+                super::raw::Missed::Skip => MisfirePolicy::Skip,
+                super::raw::Missed::Once => MisfirePolicy::Once,
+                super::raw::Missed::All => MisfirePolicy::All,
             },
             overlap: t.overlap,
         };
-        all.push((timer, Rc::from(t.payload.as_bytes())));
+        all.push((schedule, Rc::from(t.payload.as_bytes())));
     }
     all
 }
--- a/crates/quartzdrift/src/settings/mod.rs
+++ b/crates/quartzdrift/src/settings/mod.rs
@@ -3,11 +3,11 @@
 pub use check::destination;
 pub mod raw;
 
-use quartzdrift_async_queue::{Destination, Waits};
-use quartzdrift_discovery::list::{Known, Listed};
+use quartzdrift_async_queue::{Destination, QueueSettings};
+use quartzdrift_discovery::{DiscoveredEndpoint, KnownNames};
 use quartzdrift_http::Limits;
 use quartzdrift_scheduler::interface::Settings as Choice;
-use quartzdrift_schedules::Timer;
+use quartzdrift_schedules::Schedule;
 use std::collections::HashMap;
 use std::fmt;
 use std::net::SocketAddr;
@@ -84,17 +84,17 @@
     /// Names of the metrics that tell the module's report fields, in their order.
     pub metrics: Vec<String>,
     pub connect_timeout: Duration,
-    pub workers: Vec<Listed>,
-    pub known: Known,
+    pub workers: Vec<DiscoveredEndpoint>,
+    pub known: KnownNames,
     pub discovery: Option<Discovery>,
-    pub asynchronous: Waits,
+    pub asynchronous: QueueSettings,
     /// Where asynchronous requests are kept; none: in memory only.
     pub store: Option<PathBuf>,
     /// Whether an asynchronous request is answered as taken before it lasts.
     pub answer_early: bool,
     pub on_success: Option<Destination>,
     pub on_failure: Option<Destination>,
-    pub timers: Vec<(Timer, Rc<[u8]>)>,
+    pub timers: Vec<(Schedule, Rc<[u8]>)>,
     pub forecasts: Option<Forecasts>,
     pub record: Option<Record>,
     pub fleet: Option<Fleet>,
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -2,12 +2,12 @@
 //! invocations of each kind open. Each is written again and compared byte for byte.
 use quartzdrift::{durable, snapshots};
 use quartzdrift_async_queue::Destination;
-use quartzdrift_discovery::list::{self, Known};
+use quartzdrift_discovery::{KnownNames, list};
 use quartzdrift_forecast::Forecasts;
 use quartzdrift_recovery::{Checkpoint, RecoveryPhase, RestartKind, View};
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
 use quartzdrift_scheduler::measure::Measurements;
-use quartzdrift_wal::{Folder, Log, look};
+use quartzdrift_wal::{DirectoryStorage, Log, inspect};
 use serde_json::Value;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -58,25 +58,28 @@
     let folder = tempfile::tempdir().unwrap();
     let name = "deferred-000000000001.log";
     fs::copy(stored().join("deferred").join(name), folder.path().join(name)).unwrap();
-    let found = look(&Folder::open(folder.path()).unwrap()).unwrap();
-    assert!(found.faults.is_empty() && found.torn == 0, "{found:?}");
+    let found = inspect(&DirectoryStorage::open(folder.path()).unwrap()).unwrap();
+    assert!(
+        found.faults.is_empty() && found.incomplete_bytes == 0,
+        "{found:?}"
+    );
     let read: Vec<_> = found
-        .live
+        .open_invocations
         .iter()
         .map(|live| {
-            let kept = durable::kept(live).expect("it is of this release's form");
+            let kept = durable::stored_invocation(live).expect("it is of this release's form");
             assert_eq!(
-                kept.request.to_bytes(),
+                kept.invocation.to_bytes(),
                 live.request,
                 "written again it is the same"
             );
             (
                 kept.id.0,
-                kept.request.function.clone(),
-                kept.request.idempotency,
-                kept.tries,
-                kept.out.is_some(),
-                kept.request,
+                kept.invocation.function.clone(),
+                kept.invocation.idempotency,
+                kept.attempts,
+                kept.attempt_started_at.is_some(),
+                kept.invocation,
             )
         })
         .collect();
@@ -103,27 +106,38 @@
         Some(Destination::Function("dead".to_owned()))
     );
     assert_eq!(
-        (requests[3].mark.as_deref(), requests[3].window),
+        (
+            requests[3].idempotency_key.as_deref(),
+            requests[3].deduplication_window
+        ),
         (Some("k-1"), Duration::from_secs(60))
     );
     assert_eq!(&requests[2].payload[..], br#"{"n":3}"#);
     // It goes on where the old process ended.
-    let (mut log, live) = Log::open(Folder::open(folder.path()).unwrap_or_else(|e| panic!("{e}"))).unwrap();
+    let (mut log, live) =
+        Log::open(DirectoryStorage::open(folder.path()).unwrap_or_else(|e| panic!("{e}"))).unwrap();
     assert_eq!(live.len(), 4);
-    log.commit(vec![quartzdrift_wal::Change::Over { id: 2 }]).unwrap();
+    log.commit(vec![quartzdrift_wal::LogRecord::Completed { id: 2 }])
+        .unwrap();
     drop(log);
-    assert_eq!(look(&Folder::open(folder.path()).unwrap()).unwrap().live.len(), 3);
+    assert_eq!(
+        inspect(&DirectoryStorage::open(folder.path()).unwrap())
+            .unwrap()
+            .open_invocations
+            .len(),
+        3
+    );
 }
 
 #[test]
 fn the_list_of_workers_is_read() {
-    let known = Known {
+    let known = KnownNames {
         zones: vec!["east".into(), "west".into()],
         kinds: vec!["large".into(), "small".into()],
     };
     let bytes = fs::read(stored().join(snapshots::WORKERS)).unwrap();
     let list = list::read(&bytes, &known).unwrap();
-    assert!(list.unread.is_empty() && list.workers.len() == 2, "{list:?}");
+    assert!(list.rejected.is_empty() && list.workers.len() == 2, "{list:?}");
     let (one, two) = (&list.workers[0], &list.workers[1]);
     assert_eq!(
         (&*one.worker, one.state, one.started),
