--- a/crates/quartzdrift-scheduler/src/scheduler/affinity.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/affinity.rs
@@ -1,5 +1,6 @@
 //! Cache affinity: the workers that all schedulers prefer for a function, so that they make few copies of it.
-use super::constants::{PREFERRED_PER_SHARE, PREFERRED_SLOT_USE};
+use super::constants::{MAX_SLOTS, PREFERRED_PER_SHARE, PREFERRED_SLOT_USE};
+use crate::interface::UsageForecast;
 use crate::messages::{CacheStatus, Candidate, PlacementQuery};
 use crate::names::stable_hash;
 use crate::state::{OpenRequest, Scheduler};
@@ -10,7 +11,7 @@
     /// own traffic. The request itself does not count: alone it tells nothing of popularity.
     pub(super) fn prefer(&self, request: &OpenRequest, query: &PlacementQuery, candidates: &mut [Candidate]) {
         let slots = request.concurrency_slots;
-        let preferred = self.preferred_workers(request.function, slots, query.weight, candidates.len());
+        let preferred = self.preferred(request.function, slots, query.weight, candidates.len());
         let name = self.function_names.name(request.function);
         let order = |c: &Candidate| (c.tenant_rejected, Reverse(self.affinity(&name, c.worker)));
         candidates.sort_by_cached_key(order);
@@ -19,14 +20,16 @@
         candidates.iter_mut().take(preferred).for_each(|candidate| candidate.cache_status = status);
     }
 
+    /// How many of `workers` load a function ahead of need: those that its expected requests prefer.
+    pub(super) fn prefetch_count(&self, forecast: &UsageForecast, function: usize, workers: usize) -> usize {
+        let slots = forecast.concurrency_slots.unwrap_or(1.0).clamp(1.0, MAX_SLOTS);
+        let needed = |rate: f64| rate * self.usual_seconds() / (PREFERRED_SLOT_USE * slots);
+        let expected = forecast.requests_per_second.map_or(0.0, needed) as usize;
+        self.preferred(function, slots, 0.0, workers).max(expected)
+    }
+
     /// How many of `workers` are preferred for a function, by its share of the work less the work `excluded`.
-    pub(super) fn preferred_workers(
-        &self,
-        function: usize,
-        slots: f64,
-        excluded: f64,
-        workers: usize,
-    ) -> usize {
+    fn preferred(&self, function: usize, slots: f64, excluded: f64, workers: usize) -> usize {
         let work = (self.requested_work.get(function, self.now) - excluded).max(0.0);
         let share = work / self.requested_work.total(self.now);
         let rate = share * self.requested_work.per_second(self.now) * self.settings.schedulers;
--- a/crates/quartzdrift-scheduler/src/scheduler/candidate.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/candidate.rs
@@ -1,16 +1,13 @@
 //! A worker's answer to a placement query: the facts that the request table ranks it by.
-use super::constants::{MAX_REPORT_AGE, MAX_UNRESPONSIVE, MISSED_REQUESTS};
+use super::constants::MAX_REPORT_AGE;
 use crate::interface::EndpointState;
 use crate::messages::{CacheStatus, Candidate, PlacementQuery};
 use crate::state::{Context, Worker};
-use std::time::Duration;
 
 impl Worker {
     /// `None`: the worker does not take the request.
     pub(super) fn answer(&mut self, query: &PlacementQuery, context: Context) -> Option<Candidate> {
-        // While unresponsive a worker misses few requests, as a health check costs a request all its time.
-        let seconds = (MISSED_REQUESTS / query.worker_capacity).min(MAX_UNRESPONSIVE.as_secs_f64());
-        self.unresponsive_ejection = Duration::from_secs_f64(seconds);
+        self.update_unresponsive_ejection(query);
         let is_outside = query.restriction.is_some_and(|restriction| !restriction.permits(&self.endpoint));
         if self.endpoint.state != EndpointState::Up || is_outside {
             return None;
@@ -18,16 +15,16 @@
         let now = context.now;
         let slow_start_spent = !self.has_slow_start_budget(query, context);
         let entry = self.cache_entry(query.function);
-        let cache_status = entry.status(now);
+        let statuses = [(entry.known_until, CacheStatus::Known), (entry.assumed_until, CacheStatus::Assumed)];
+        let current = statuses.into_iter().find(|(until, _)| *until > now);
+        let cache_status = current.map_or(CacheStatus::NotWarm, |(_, status)| status);
+        let remote_load = self.remote_load.filter(|load| now - load.at < MAX_REPORT_AGE);
         self.abandoned_until.retain(|&until| until > now);
         Some(Candidate {
             worker: self.index,
             cache_status,
             is_cached: entry.is_cached && cache_status != CacheStatus::NotWarm,
-            remote_load: self
-                .remote_load
-                .filter(|load| now - load.at < MAX_REPORT_AGE)
-                .map(|load| load.value),
+            remote_load: remote_load.map(|load| load.value),
             local_load: self.attempts.len(),
             running: self.attempts_at_cached_copies(),
             abandoned: self.abandoned_until.len(),
--- a/crates/quartzdrift-scheduler/src/scheduler/outlier.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/outlier.rs
@@ -1,6 +1,6 @@
 //! Outlier ejection: workers that fail fast, refuse or answer nothing look idle and would attract requests.
 use super::constants::{ERROR_RATE_ATTEMPTS, FIRST_EJECTION, MAX_EJECTION_DOUBLINGS, MAX_ERROR_RATE};
-use super::constants::{TIMEOUT_RATIO, UNRESPONSIVE_TIMEOUTS};
+use super::constants::{MAX_UNRESPONSIVE, MISSED_REQUESTS, TIMEOUT_RATIO, UNRESPONSIVE_TIMEOUTS};
 use crate::mailbox::Mailbox;
 use crate::messages::{Attempt, Message, PlacementQuery};
 use crate::state::{Health, Worker};
@@ -39,6 +39,12 @@
         is_paused || health.ejections > 0 && (is_tried || !query.may_retry)
     }
 
+    /// Sets how long to eject the worker if it is unresponsive: a health check costs a request all its time.
+    pub(super) fn update_unresponsive_ejection(&mut self, query: &PlacementQuery) {
+        let seconds = (MISSED_REQUESTS / query.worker_capacity).min(MAX_UNRESPONSIVE.as_secs_f64());
+        self.unresponsive_ejection = Duration::from_secs_f64(seconds);
+    }
+
     /// Ejects a worker that answers nothing. With several functions overdue it is not one long load.
     pub(super) fn check_responsiveness(&mut self, now: Duration, mailbox: &mut Mailbox<Message>) {
         let waited = |attempt: &Attempt| now.saturating_sub(attempt.sent_at.max(self.last_answer));
--- a/crates/quartzdrift-scheduler/src/scheduler/prefetch.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/prefetch.rs
@@ -1,7 +1,6 @@
 //! Prefetch: load commands ahead of the requests that a forecast expects, within the load quota.
-use super::constants::{DEFAULT_TIMEOUT, FLEET_BOUND, MAX_MEMORY_SHARE, MAX_SLOTS, MIN_LOAD_PROBABILITY};
-use super::constants::{MEDIAN, SLOW_LOAD_RATIO};
-use super::constants::{MIN_RENEWAL_PROBABILITY, MIN_SAMPLES, PREFERRED_SLOT_USE, PREFETCH_PAUSE};
+use super::constants::{DEFAULT_TIMEOUT, FLEET_BOUND, MAX_MEMORY_SHARE, MEDIAN, MIN_LOAD_PROBABILITY};
+use super::constants::{MIN_RENEWAL_PROBABILITY, MIN_SAMPLES, PREFETCH_PAUSE, SLOW_LOAD_RATIO};
 use crate::interface::{Action, EndpointState, Outcome, UsageForecast};
 use crate::messages::PrefetchEnd;
 use crate::state::{CacheEntry, Scheduler, Worker};
@@ -24,7 +23,7 @@
             return;
         }
         workers.sort_by_cached_key(|&worker| Reverse(self.affinity(forecast.function, worker)));
-        let preferred = self.expected_preferred_workers(forecast, function, workers.len());
+        let preferred = self.prefetch_count(forecast, function, workers.len());
         for worker in workers.into_iter().take(preferred) {
             if !self.needs_load(forecast, function, worker) {
                 continue;
@@ -46,13 +45,6 @@
         is_up && is_healthy && worker.at_capacity_until <= self.now
     }
 
-    fn expected_preferred_workers(&self, forecast: &UsageForecast, function: usize, workers: usize) -> usize {
-        let slots = forecast.concurrency_slots.unwrap_or(1.0).clamp(1.0, MAX_SLOTS);
-        let needed = |rate: f64| rate * self.usual_seconds() / (PREFERRED_SLOT_USE * slots);
-        let expected = forecast.requests_per_second.map_or(0.0, needed) as usize;
-        self.preferred_workers(function, slots, 0.0, workers).max(expected)
-    }
-
     /// Not where the function stays cached for that long anyway, or is being loaded.
     fn needs_load(&self, forecast: &UsageForecast, function: usize, worker: usize) -> bool {
         let entry = self.workers[worker].cache_entry(function);
--- a/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
@@ -26,7 +26,8 @@
 }
 
 impl Scheduler {
-    /// Starts an attempt at the best candidate; with none left the request gets its final answer.
+    /// The ordinary path: of the candidates below the overload bound the one with the best cache status, then
+    /// with the fewest estimated requests, gets the attempt. With none left the request is answered.
     pub(super) fn choose_worker(&mut self, id: RequestId, query: PlacementQuery) {
         let mut candidates = std::mem::take(&mut self.candidates);
         let Some(request) = self.requests.get(&id) else { return };
--- a/crates/quartzdrift-scheduler/src/state/worker.rs
+++ b/crates/quartzdrift-scheduler/src/state/worker.rs
@@ -1,7 +1,7 @@
 //! State of a worker, as this scheduler knows it.
 use super::DerivedSettings;
 use crate::interface::RequestId;
-use crate::messages::{Attempt, CacheStatus, EndpointRecord};
+use crate::messages::{Attempt, EndpointRecord};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -15,17 +15,6 @@
 }
 
 impl CacheEntry {
-    /// The best status that has not expired.
-    pub(crate) fn status(&self, now: Duration) -> CacheStatus {
-        if self.known_until > now {
-            CacheStatus::Known
-        } else if self.assumed_until > now {
-            CacheStatus::Assumed
-        } else {
-            CacheStatus::NotWarm
-        }
-    }
-
     /// End of the entry's last status.
     pub(crate) fn until(&self) -> Duration {
         self.known_until.max(self.assumed_until)
