--- /dev/null
+++ b/crates/quartzdrift-http/src/client.rs
@@ -0,0 +1,374 @@
+//! The client's side: calls to servers over pooled connections.
+use crate::body::{BodyError, BodyReader};
+use crate::connection::{ClientConnection, ClientState, Connection, Role, without_framing};
+use crate::head::{self, Framing, ResponseHead};
+use crate::http::{HasHttp, Http};
+use crate::messages::{CallId, Failure, HttpEvent, Outgoing, Response};
+use crate::socket::Socket;
+use crate::sockets::SocketId;
+use std::net::SocketAddr;
+
+/// How far the bytes received on a connection could be read.
+enum Progress {
+    /// More of them may be readable now.
+    Continue,
+    /// Nothing more can be read for now.
+    Wait,
+    /// The response is complete.
+    Complete,
+}
+
+impl<S: HasHttp> Http<S> {
+    /// Sends a request over a pooled or a new connection. Its result is reported as an event, never earlier.
+    pub fn call(&mut self, server: SocketAddr, request: Outgoing) -> CallId {
+        self.last_call += 1;
+        let call = CallId(self.last_call);
+        self.start_call(server, call, request);
+        call
+    }
+
+    /// Gives a call up by closing its connection. Nothing more is reported of it.
+    pub fn cancel(&mut self, call: CallId) {
+        if let Some(&id) = self.calls.get(&call) {
+            self.close(id);
+        }
+        // It may have ended a moment ago, with the event still in the queue.
+        self.events.retain(|event| match event {
+            HttpEvent::Response { call: ended, .. }
+            | HttpEvent::Part { call: ended, .. }
+            | HttpEvent::End { call: ended }
+            | HttpEvent::Failed { call: ended, .. } => *ended != call,
+            HttpEvent::Request { .. } | HttpEvent::Gone { .. } => true,
+        });
+    }
+
+    /// Closes the idle connections to a server.
+    pub fn close_idle(&mut self, server: SocketAddr) {
+        let pool = self.pools.get(&server);
+        let idle = pool.map(|pool| pool.idle.clone()).unwrap_or_default();
+        idle.into_iter().for_each(|id| self.close(id));
+    }
+
+    fn start_call(&mut self, server: SocketAddr, call: CallId, request: Outgoing) {
+        while let Some(id) = self.take_idle(server) {
+            if self.is_usable(id) {
+                return self.start_call_on(id, call, request);
+            }
+            self.close(id);
+        }
+        let open = self.pools.get(&server).map_or(0, |pool| pool.open);
+        if open >= self.limits.connections_per_server {
+            let failure = Failure::ConnectionLimit;
+            return self.events.push_back(HttpEvent::Failed { call, failure });
+        }
+        self.start_call_on_new_connection(server, call, request);
+    }
+
+    fn take_idle(&mut self, server: SocketAddr) -> Option<SocketId> {
+        self.pools.get_mut(&server)?.idle.pop()
+    }
+
+    /// Whether an idle connection can carry a call. One that the server has closed meanwhile still looks writable: what is
+    /// sent on it is lost without proof.
+    fn is_usable(&mut self, id: SocketId) -> bool {
+        self.sockets.look(id);
+        self.sockets
+            .get(id)
+            .is_some_and(|socket| !socket.ended() && socket.input.is_empty())
+    }
+
+    fn start_call_on(&mut self, id: SocketId, call: CallId, request: Outgoing) {
+        let Some(socket) = self.sockets.get_mut(id) else {
+            return;
+        };
+        let position = socket.end_position();
+        let Role::Client(client) = &mut socket.state.role else {
+            return;
+        };
+        client.call = Some(call);
+        client.streams = request.streams;
+        client.request_position = position;
+        client.state = ClientState::Head { scanned: 0 };
+        let server = client.server;
+        self.sockets.set_deadline(id, None);
+        self.write(id, |out| write_request(out, server, &request));
+        if let Some(client) = self.client_connection(id) {
+            client.request = Some(request);
+        }
+        self.calls.insert(call, id);
+        self.drive_client(id);
+    }
+
+    fn start_call_on_new_connection(&mut self, server: SocketAddr, call: CallId, request: Outgoing) {
+        let timeout = request.connect_timeout;
+        let client = ClientConnection {
+            server,
+            call: Some(call),
+            state: ClientState::Connecting,
+            streams: request.streams,
+            request: Some(request),
+            request_position: 0,
+        };
+        let connection = Connection {
+            exchange_number: 0,
+            role: Role::Client(client),
+        };
+        let Ok(id) = self.sockets.connect(server, connection) else {
+            let failure = Failure::Connect;
+            return self.events.push_back(HttpEvent::Failed { call, failure });
+        };
+        self.opened += 1;
+        self.pools.entry(server).or_default().open += 1;
+        self.calls.insert(call, id);
+        self.sockets.set_deadline(id, Some(timeout));
+    }
+
+    /// Ends the call of a connection, and the connection.
+    pub(crate) fn fail_call(&mut self, id: SocketId, failure: Failure) {
+        if let Some(call) = self.client_connection(id).and_then(|client| client.call) {
+            self.events.push_back(HttpEvent::Failed { call, failure });
+        }
+        self.close(id);
+    }
+
+    /// Sends, reads a bounded share, and parses what was received.
+    pub(crate) fn drive_client(&mut self, id: SocketId) {
+        let Some(client) = self.client_connection(id) else {
+            return;
+        };
+        if matches!(client.state, ClientState::Connecting) {
+            match self.sockets.connected(id) {
+                Some(Ok(())) => self.connection_established(id),
+                Some(Err(_)) => return self.fail_call(id, Failure::Connect),
+                None => return,
+            }
+        }
+        self.sockets.flush_one(id);
+        let Some(socket) = self.sockets.get_mut(id) else {
+            return;
+        };
+        let sent = socket.sent_position();
+        let is_broken = socket.is_broken();
+        let Role::Client(client) = &mut socket.state.role else {
+            return;
+        };
+        // From the first byte on the request may be executed.
+        if sent > client.request_position {
+            client.request = None;
+        }
+        if is_broken && client.request.is_some() {
+            return self.server_closed(id);
+        }
+        self.sockets.read(id);
+        if self.parse_response(id) && self.sockets.get(id).is_some_and(Socket::ended) {
+            self.server_closed(id);
+        }
+    }
+
+    fn client_connection(&mut self, id: SocketId) -> Option<&mut ClientConnection> {
+        match &mut self.sockets.get_mut(id)?.state.role {
+            Role::Client(client) => Some(client),
+            Role::Server(_) => None,
+        }
+    }
+
+    /// Writes the call of a new connection.
+    fn connection_established(&mut self, id: SocketId) {
+        self.sockets.set_deadline(id, None);
+        let Some(client) = self.client_connection(id) else {
+            return;
+        };
+        client.state = ClientState::Head { scanned: 0 };
+        let server = client.server;
+        if let Some(request) = client.request.clone() {
+            self.write(id, |out| write_request(out, server, &request));
+        }
+    }
+
+    /// The server has closed the connection.
+    fn server_closed(&mut self, id: SocketId) {
+        let Some(client) = self.client_connection(id) else {
+            return;
+        };
+        if client.request.is_some()
+            && let (Some(request), Some(call)) = (client.request.take(), client.call.take())
+        {
+            // An idle connection that had been closed: no byte was sent, so another one may be used. `close` must not take
+            // the call from the table.
+            let server = client.server;
+            self.close(id);
+            self.calls.remove(&call);
+            return self.start_call(server, call, request);
+        }
+        match &client.state {
+            ClientState::Body { reader, .. } if reader.is_complete_at_close() => self.response_complete(id),
+            ClientState::Idle => self.close(id),
+            ClientState::Connecting => self.fail_call(id, Failure::Connect),
+            ClientState::Head { .. } | ClientState::Body { .. } => self.fail_call(id, Failure::Reset),
+        }
+    }
+
+    /// Parses what was received; `false` once the connection is closed.
+    fn parse_response(&mut self, id: SocketId) -> bool {
+        loop {
+            let Some(client) = self.client_connection(id) else {
+                return false;
+            };
+            let progress = match &client.state {
+                ClientState::Connecting => Ok(Progress::Wait),
+                ClientState::Idle => return self.check_idle(id),
+                ClientState::Head { .. } => self.parse_response_head(id),
+                ClientState::Body { .. } => self.parse_response_body(id),
+            };
+            match progress {
+                Ok(Progress::Continue) => {}
+                Ok(Progress::Wait) => return true,
+                Ok(Progress::Complete) => {
+                    self.response_complete(id);
+                    return self.sockets.get(id).is_some();
+                }
+                Err(failure) => {
+                    self.fail_call(id, failure);
+                    return false;
+                }
+            }
+        }
+    }
+
+    /// Closes an idle connection on which something was received: the next response could not be told from it.
+    fn check_idle(&mut self, id: SocketId) -> bool {
+        let is_silent = self.sockets.get(id).is_some_and(|socket| socket.input.is_empty());
+        if !is_silent {
+            self.close(id);
+        }
+        is_silent
+    }
+
+    fn parse_response_head(&mut self, id: SocketId) -> Result<Progress, Failure> {
+        let Some(socket) = self.sockets.get_mut(id) else {
+            return Ok(Progress::Wait);
+        };
+        let Role::Client(client) = &mut socket.state.role else {
+            return Ok(Progress::Wait);
+        };
+        let ClientState::Head { scanned } = &mut client.state else {
+            return Ok(Progress::Wait);
+        };
+        let end = head::head_end(&socket.input, scanned);
+        if end.unwrap_or(socket.input.len()) > self.limits.head {
+            return Err(Failure::TooLarge);
+        }
+        let Some(end) = end else {
+            return Ok(Progress::Wait);
+        };
+        let head = head::parse_response(&socket.input[..end]).map_err(|_| Failure::Malformed)?;
+        socket.input.drain(..end);
+        if head.is_interim() {
+            client.state = ClientState::Head { scanned: 0 };
+            return Ok(Progress::Continue);
+        }
+        let reader =
+            BodyReader::new(head.framing, self.limits.response_body).map_err(|_| Failure::TooLarge)?;
+        if let Some(call) = client.call.filter(|_| client.streams) {
+            let response = Response {
+                status: head.status,
+                headers: head.headers.clone(),
+                body: Vec::new(),
+            };
+            self.events.push_back(HttpEvent::Response { call, response });
+        }
+        client.state = ClientState::Body { head, reader };
+        Ok(Progress::Continue)
+    }
+
+    fn parse_response_body(&mut self, id: SocketId) -> Result<Progress, Failure> {
+        let Some(socket) = self.sockets.get_mut(id) else {
+            return Ok(Progress::Wait);
+        };
+        let Role::Client(client) = &mut socket.state.role else {
+            return Ok(Progress::Wait);
+        };
+        let ClientState::Body { reader, .. } = &mut client.state else {
+            return Ok(Progress::Wait);
+        };
+        let used = reader.feed(&socket.input).map_err(body_failure)?;
+        if let Some(call) = client.call.filter(|_| client.streams)
+            && !reader.bytes.is_empty()
+        {
+            let bytes = std::mem::take(&mut reader.bytes);
+            self.events.push_back(HttpEvent::Part { call, bytes });
+        }
+        let is_complete = reader.is_complete();
+        socket.consume(used);
+        if is_complete {
+            Ok(Progress::Complete)
+        } else {
+            Ok(Progress::Wait)
+        }
+    }
+
+    /// Reports a complete response, and keeps the connection if it can carry another call.
+    fn response_complete(&mut self, id: SocketId) {
+        let Some(socket) = self.sockets.get_mut(id) else {
+            return;
+        };
+        // A server that responded before it had read the whole request leaves bytes behind.
+        let has_leftovers = socket.unsent() > 0 || socket.ended() || !socket.input.is_empty();
+        let Role::Client(client) = &mut socket.state.role else {
+            return;
+        };
+        let Some(call) = client.call.take() else {
+            return self.close(id);
+        };
+        self.calls.remove(&call);
+        let server = client.server;
+        let streams = client.streams;
+        let state = std::mem::replace(&mut client.state, ClientState::Idle);
+        let ClientState::Body { head, reader } = state else {
+            return self.close(id);
+        };
+        let ResponseHead {
+            status,
+            headers,
+            keep_alive,
+            ..
+        } = head;
+        let event = if streams {
+            HttpEvent::End { call }
+        } else {
+            let body = reader.bytes;
+            let response = Response {
+                status,
+                headers,
+                body,
+            };
+            HttpEvent::Response { call, response }
+        };
+        self.events.push_back(event);
+        if !keep_alive || has_leftovers {
+            return self.close(id);
+        }
+        self.sockets.set_deadline(id, Some(self.limits.keepalive));
+        self.pools.entry(server).or_default().idle.push(id);
+    }
+}
+
+fn write_request(out: &mut Vec<u8>, server: SocketAddr, request: &Outgoing) {
+    let mut headers = without_framing(&request.headers);
+    if headers.get("host").is_none() {
+        headers.push("host", &server.to_string());
+    }
+    let framing = match request.method {
+        "GET" => Framing::None,
+        _ => Framing::Length(request.body.len() as u64),
+    };
+    head::write_request(out, request.method, &request.target, &headers, framing);
+    out.extend_from_slice(&request.body);
+}
+
+fn body_failure(error: BodyError) -> Failure {
+    match error {
+        BodyError::TooLarge => Failure::TooLarge,
+        BodyError::Malformed => Failure::Malformed,
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-http/src/server.rs
@@ -0,0 +1,387 @@
+//! The server's side: receives clients' requests and sends them responses.
+use crate::body::{BodyError, BodyReader};
+use crate::connection::{Connection, ResponseMode, Role, ServerState, without_framing, write_chunk};
+use crate::head::{self, Framing, HeadError, Headers, RequestHead};
+use crate::http::{HasHttp, Http};
+use crate::messages::{Exchange, HttpEvent, Request, RequestError, Response};
+use crate::socket::{READ_SIZE, Socket};
+use crate::sockets::SocketId;
+use std::time::Duration;
+
+/// How long bytes after an early response are still read and discarded.
+const LINGER_TIME: Duration = Duration::from_secs(1);
+/// The interim response to a client that waits before it sends a body.
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+/// The status of a response without a body.
+const NO_CONTENT: u16 = 204;
+
+/// How far the bytes received on a connection could be read.
+enum Progress {
+    /// More of them may be readable now.
+    Continue,
+    /// Nothing more can be read for now.
+    Wait,
+}
+
+impl<S: HasHttp> Http<S> {
+    /// Sends the response to a request; nothing is sent to a client that has left.
+    pub fn respond(&mut self, exchange: Exchange, response: &Response) {
+        let Some(socket) = self.open_exchange(exchange) else {
+            return;
+        };
+        let Role::Server(ServerState::AwaitsResponse(mode)) = socket.state.role else {
+            return;
+        };
+        let keep_alive = mode.keep_alive && !asks_to_close(&response.headers);
+        let headers = without_framing(&response.headers);
+        let has_body = response.status != NO_CONTENT;
+        let framing = if has_body {
+            Framing::Length(response.body.len() as u64)
+        } else {
+            Framing::None
+        };
+        self.write(exchange.socket, |out| {
+            head::write_response(out, response.status, &headers, framing, keep_alive);
+            if has_body && !mode.is_head {
+                out.extend_from_slice(&response.body);
+            }
+        });
+        self.next_request(exchange.socket, keep_alive);
+    }
+
+    /// Begins a response of unknown length; its parts follow by [`Http::send_part`].
+    pub fn begin_response(&mut self, exchange: Exchange, status: u16, headers: &Headers) {
+        let Some(socket) = self.open_exchange(exchange) else {
+            return;
+        };
+        let Role::Server(ServerState::AwaitsResponse(mode)) = socket.state.role else {
+            return;
+        };
+        socket.state.role = Role::Server(ServerState::Streaming(mode));
+        let framing = if mode.is_http_1_0 {
+            Framing::UntilClose
+        } else {
+            Framing::Chunked
+        };
+        let headers = without_framing(headers);
+        let keep_alive = mode.keep_alive && !mode.is_http_1_0;
+        self.write(exchange.socket, |out| {
+            head::write_response(out, status, &headers, framing, keep_alive);
+        });
+        self.drive_server(exchange.socket);
+    }
+
+    /// Sends a part of a begun response. `false` once the client has left or more than `max_unsent` bytes wait for it.
+    pub fn send_part(&mut self, exchange: Exchange, bytes: &[u8], max_unsent: usize) -> bool {
+        let Some(socket) = self.open_exchange(exchange) else {
+            return false;
+        };
+        let Role::Server(ServerState::Streaming(mode)) = socket.state.role else {
+            return false;
+        };
+        if socket.unsent() + bytes.len() > max_unsent {
+            return false;
+        }
+        self.write(exchange.socket, |out| {
+            if mode.is_http_1_0 {
+                out.extend_from_slice(bytes);
+            } else if !bytes.is_empty() {
+                write_chunk(out, bytes);
+            }
+        });
+        if self.sockets.deadline(exchange.socket).is_none() {
+            self.sockets.set_deadline(exchange.socket, Some(self.limits.send));
+        }
+        self.drive_server(exchange.socket);
+        self.open_exchange(exchange).is_some()
+    }
+
+    /// Ends a begun response.
+    pub fn end_response(&mut self, exchange: Exchange) {
+        let Some(socket) = self.open_exchange(exchange) else {
+            return;
+        };
+        let Role::Server(ServerState::Streaming(mode)) = socket.state.role else {
+            return;
+        };
+        if !mode.is_http_1_0 {
+            self.write(exchange.socket, |out| write_chunk(out, b""));
+        }
+        self.next_request(exchange.socket, mode.keep_alive && !mode.is_http_1_0);
+    }
+
+    /// Closes a client's connection without a response.
+    pub fn abort(&mut self, exchange: Exchange) {
+        if self.open_exchange(exchange).is_some() {
+            self.close(exchange.socket);
+        }
+    }
+
+    /// Accepts the connections that wait.
+    pub(crate) fn accept(&mut self) {
+        for stream in self.sockets.accept(is_idle) {
+            if self.clients >= self.limits.connections {
+                // An idle client makes room. Without one, the newcomer is closed unread and may try again elsewhere.
+                let Some(idle) = self.sockets.longest_silent(is_idle) else {
+                    continue;
+                };
+                self.close(idle);
+            }
+            let connection = Connection {
+                exchange_number: 0,
+                role: Role::Server(ServerState::Head { scanned: 0 }),
+            };
+            if let Ok(id) = self.sockets.insert(stream, connection) {
+                self.clients += 1;
+                self.sockets.set_deadline(id, Some(self.limits.idle));
+            }
+        }
+    }
+
+    /// A client has left, or takes nothing of its response.
+    pub(crate) fn client_lost(&mut self, id: SocketId) {
+        let Some(socket) = self.sockets.get(id) else {
+            return;
+        };
+        let connection = &socket.state;
+        if let Role::Server(ServerState::AwaitsResponse(_) | ServerState::Streaming(_)) = connection.role {
+            let exchange = connection.exchange(id);
+            self.events.push_back(HttpEvent::Gone { exchange });
+        }
+        self.close(id);
+    }
+
+    /// Reports bytes that are no request. Where the next request begins is unknown: the connection ends with the response.
+    pub(crate) fn reject_request(&mut self, id: SocketId, error: RequestError) {
+        self.sockets.set_deadline(id, None);
+        let Some(socket) = self.sockets.get_mut(id) else {
+            return;
+        };
+        socket.state.role = Role::Server(ServerState::AwaitsResponse(ResponseMode {
+            keep_alive: false,
+            is_head: false,
+            is_http_1_0: false,
+        }));
+        socket.input.clear();
+        let exchange = socket.state.exchange(id);
+        let request = Err(error);
+        self.events.push_back(HttpEvent::Request { exchange, request });
+    }
+
+    /// Sends, reads a bounded share, and parses what was received; what is left keeps the socket ready.
+    pub(crate) fn drive_server(&mut self, id: SocketId) {
+        let mut has_read = false;
+        while self.flush_server(id) && self.parse_request(id) {
+            let Some(socket) = self.sockets.get_mut(id) else {
+                return;
+            };
+            let Role::Server(state) = &socket.state.role else {
+                return;
+            };
+            let is_with_owner = matches!(state, ServerState::AwaitsResponse(_) | ServerState::Streaming(_));
+            if is_with_owner && socket.input.len() >= READ_SIZE {
+                return;
+            }
+            if matches!(state, ServerState::Lingering) {
+                socket.input.clear();
+            }
+            if socket.ended() {
+                // A client that has closed its sending side reads no response.
+                return self.client_lost(id);
+            }
+            if has_read {
+                return;
+            }
+            has_read = true;
+            self.sockets.read(id);
+        }
+    }
+
+    /// Sends what waits for a client; `false` where the system does not take all of it, or the client has left.
+    fn flush_server(&mut self, id: SocketId) -> bool {
+        let Some(socket) = self.sockets.get(id) else {
+            return false;
+        };
+        if socket.unsent() == 0 {
+            return true;
+        }
+        self.sockets.flush_one(id);
+        let Some(socket) = self.sockets.get(id) else {
+            return false;
+        };
+        if socket.is_broken() {
+            self.client_lost(id);
+            return false;
+        }
+        if socket.unsent() > 0 {
+            return false;
+        }
+        match &socket.state.role {
+            Role::Server(ServerState::Lingering) => {
+                socket.finish();
+                self.sockets.set_deadline(id, Some(LINGER_TIME));
+            }
+            Role::Server(ServerState::Head { .. }) => {
+                self.sockets.set_deadline(id, Some(self.limits.idle));
+            }
+            Role::Server(ServerState::Streaming(_)) => self.sockets.set_deadline(id, None),
+            Role::Server(_) | Role::Client(_) => {}
+        }
+        true
+    }
+
+    /// Parses what was received; `false` once the connection is closed.
+    fn parse_request(&mut self, id: SocketId) -> bool {
+        loop {
+            let Some(socket) = self.sockets.get_mut(id) else {
+                return false;
+            };
+            let Role::Server(state) = &socket.state.role else {
+                return false;
+            };
+            let progress = match state {
+                ServerState::AwaitsResponse(_) | ServerState::Streaming(_) | ServerState::Lingering => {
+                    return true;
+                }
+                ServerState::Head { .. } => self.parse_head(id),
+                ServerState::Body { .. } => self.parse_body(id),
+            };
+            match progress {
+                Ok(Progress::Continue) => {}
+                Ok(Progress::Wait) => return true,
+                Err(error) => {
+                    self.reject_request(id, error);
+                    return true;
+                }
+            }
+        }
+    }
+
+    fn parse_head(&mut self, id: SocketId) -> Result<Progress, RequestError> {
+        let Some(socket) = self.sockets.get_mut(id) else {
+            return Ok(Progress::Wait);
+        };
+        let Role::Server(ServerState::Head { scanned }) = &mut socket.state.role else {
+            return Ok(Progress::Wait);
+        };
+        if socket.input.is_empty() {
+            return Ok(Progress::Wait);
+        }
+        let is_first_part = *scanned == 0;
+        let end = head::head_end(&socket.input, scanned);
+        if end.unwrap_or(socket.input.len()) > self.limits.head {
+            return Err(RequestError::HeadTooLarge);
+        }
+        let Some(end) = end else {
+            // The time runs from the first byte, however slowly the others follow.
+            if is_first_part {
+                self.sockets.set_deadline(id, Some(self.limits.receive));
+            }
+            return Ok(Progress::Wait);
+        };
+        let head = head::parse_request(&socket.input[..end]).map_err(head_error)?;
+        socket.consume(end);
+        let reader = BodyReader::new(head.framing, self.limits.request_body).map_err(body_error)?;
+        let awaits_continue = head.expects_continue && !reader.is_complete() && socket.input.is_empty();
+        socket.state.role = Role::Server(ServerState::Body { head, reader });
+        self.sockets.set_deadline(id, Some(self.limits.receive));
+        if awaits_continue {
+            self.write(id, |out| out.extend_from_slice(CONTINUE));
+            self.sockets.flush_one(id);
+        }
+        Ok(Progress::Continue)
+    }
+
+    fn parse_body(&mut self, id: SocketId) -> Result<Progress, RequestError> {
+        let Some(socket) = self.sockets.get_mut(id) else {
+            return Ok(Progress::Wait);
+        };
+        let Role::Server(ServerState::Body { head, reader }) = &mut socket.state.role else {
+            return Ok(Progress::Wait);
+        };
+        let used = reader.feed(&socket.input).map_err(body_error)?;
+        if !reader.is_complete() {
+            socket.consume(used);
+            return Ok(Progress::Wait);
+        }
+        let mode = response_mode(head);
+        let received = Role::Server(ServerState::AwaitsResponse(mode));
+        let role = std::mem::replace(&mut socket.state.role, received);
+        let exchange = socket.state.exchange(id);
+        let from = socket.peer();
+        let at = socket.local();
+        socket.consume(used);
+        if let Role::Server(ServerState::Body { head, reader }) = role {
+            let body = reader.bytes;
+            let request = Ok(Request { head, body, from, at });
+            self.events.push_back(HttpEvent::Request { exchange, request });
+        }
+        self.sockets.set_deadline(id, None);
+        Ok(Progress::Wait)
+    }
+
+    /// The socket of an exchange, unless the exchange is over.
+    fn open_exchange(&mut self, exchange: Exchange) -> Option<&mut Socket<Connection>> {
+        self.sockets
+            .get_mut(exchange.socket)
+            .filter(|socket| socket.state.exchange_number == exchange.number)
+    }
+
+    /// A response is written: the connection goes on with its next request, or ends.
+    fn next_request(&mut self, id: SocketId, keep_alive: bool) {
+        let Some(socket) = self.sockets.get_mut(id) else {
+            return;
+        };
+        // A second response must not reach the connection's next request.
+        socket.state.exchange_number += 1;
+        socket.state.role = Role::Server(if keep_alive {
+            ServerState::Head { scanned: 0 }
+        } else {
+            ServerState::Lingering
+        });
+        self.sockets.set_deadline(id, Some(self.limits.send));
+        self.drive_server(id);
+    }
+}
+
+impl Connection {
+    fn exchange(&self, socket: SocketId) -> Exchange {
+        Exchange {
+            socket,
+            number: self.exchange_number,
+        }
+    }
+}
+
+/// Whether a connection is a client's without a request.
+fn is_idle(socket: &Socket<Connection>) -> bool {
+    matches!(socket.state.role, Role::Server(ServerState::Head { .. })) && socket.input.is_empty()
+}
+
+fn asks_to_close(headers: &Headers) -> bool {
+    let connection = headers.get("connection");
+    connection.is_some_and(|value| value.eq_ignore_ascii_case("close"))
+}
+
+fn response_mode(head: &RequestHead) -> ResponseMode {
+    ResponseMode {
+        keep_alive: head.keep_alive,
+        is_head: head.method == "HEAD",
+        is_http_1_0: head.is_http_1_0,
+    }
+}
+
+fn head_error(error: HeadError) -> RequestError {
+    match error {
+        HeadError::TooLarge => RequestError::HeadTooLarge,
+        HeadError::Malformed => RequestError::Malformed,
+        HeadError::UnsupportedTransferCoding => RequestError::UnsupportedTransferCoding,
+    }
+}
+
+fn body_error(error: BodyError) -> RequestError {
+    match error {
+        BodyError::TooLarge => RequestError::BodyTooLarge,
+        BodyError::Malformed => RequestError::Malformed,
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-http/src/socket.rs
@@ -0,0 +1,186 @@
+//! One TCP connection: its buffers, and how far it was read and sent.
+use calloop::RegistrationToken;
+use std::io::{self, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::Instant;
+
+/// Maximum bytes read from one socket at a time; then the others have their turn.
+pub(crate) const READ_SIZE: usize = 64 << 10;
+/// An empty buffer is shrunk to this many bytes.
+const MAX_IDLE_BUFFER: usize = 4 << 10;
+
+/// One connection, with its owner's state `T`.
+#[derive(Debug)]
+pub struct Socket<T> {
+    pub(crate) stream: Rc<TcpStream>,
+    pub(crate) token: Option<RegistrationToken>,
+    pub(crate) serial: u64,
+    /// Whether the loop has reported that there is something to read.
+    pub(crate) is_readable: bool,
+    /// Whether it is in the queue of ready sockets.
+    pub(crate) is_queued: bool,
+    /// Whether it is in the list of sockets to flush.
+    pub(crate) is_dirty: bool,
+    has_ended: bool,
+    is_broken: bool,
+    /// Bytes received and not yet consumed.
+    pub input: Vec<u8>,
+    pub(crate) output: Vec<u8>,
+    /// Bytes of `output` that the system has taken.
+    written: usize,
+    /// Bytes that the system has taken since the connection began.
+    sent: u64,
+    /// Since when something waits that the system does not take.
+    stuck_since: Option<Instant>,
+    pub(crate) deadline: Option<Instant>,
+    /// When the peer last sent something, or connected.
+    pub(crate) last_received: Instant,
+    /// The owner's state.
+    pub state: T,
+}
+
+impl<T> Socket<T> {
+    pub(crate) fn new(stream: Rc<TcpStream>, serial: u64, state: T) -> Socket<T> {
+        Socket {
+            stream,
+            token: None,
+            serial,
+            is_readable: false,
+            is_queued: false,
+            is_dirty: false,
+            has_ended: false,
+            is_broken: false,
+            input: Vec::new(),
+            output: Vec::new(),
+            written: 0,
+            sent: 0,
+            stuck_since: None,
+            deadline: None,
+            last_received: Instant::now(),
+            state,
+        }
+    }
+
+    /// The position of the next byte to be written, in all that the connection sends.
+    pub fn end_position(&self) -> u64 {
+        self.sent + self.unsent() as u64
+    }
+
+    /// The position up to which the system has taken what was written.
+    pub fn sent_position(&self) -> u64 {
+        self.sent
+    }
+
+    /// Bytes that the system has not taken yet.
+    pub fn unsent(&self) -> usize {
+        self.output.len() - self.written
+    }
+
+    /// Since when something waits for the peer without interruption; `None` where everything was sent, or nothing was tried
+    /// yet.
+    pub fn stuck_since(&self) -> Option<Instant> {
+        self.stuck_since
+    }
+
+    /// Whether the peer has closed the connection, or it broke.
+    pub fn ended(&self) -> bool {
+        self.has_ended
+    }
+
+    /// Whether nothing more can be sent; what the peer sent before may still be read.
+    pub fn is_broken(&self) -> bool {
+        self.is_broken
+    }
+
+    /// Tells the peer that nothing more is sent.
+    pub fn finish(&self) {
+        // The end of a broken connection is noticed by reading.
+        let _ = self.stream.shutdown(Shutdown::Write);
+    }
+
+    /// The peer's address.
+    pub fn peer(&self) -> Option<SocketAddr> {
+        self.stream.peer_addr().ok()
+    }
+
+    /// The address on this side.
+    pub fn local(&self) -> Option<SocketAddr> {
+        self.stream.local_addr().ok()
+    }
+
+    /// Removes what was written between two positions, unless some of it was sent already; returns whether it was removed.
+    pub fn recall(&mut self, from: u64, to: u64) -> bool {
+        if from < self.sent {
+            return false;
+        }
+        if self.is_broken {
+            // What waited was dropped when the connection broke; its owner may not have been notified yet.
+            return true;
+        }
+        let index = |position: u64| (position - self.sent) as usize + self.written;
+        let range = index(from)..index(to);
+        self.output.drain(range);
+        true
+    }
+
+    /// Drops bytes from the front of the input.
+    pub fn consume(&mut self, bytes: usize) {
+        self.input.drain(..bytes);
+        if self.input.is_empty() {
+            self.input.shrink_to(MAX_IDLE_BUFFER);
+        }
+    }
+
+    /// Reads what is there, at most as much as `scratch` holds. The end of the connection is noticed with the last bytes.
+    pub(crate) fn read_share(&mut self, scratch: &mut [u8]) {
+        let mut capacity = scratch.len();
+        while capacity > 0 {
+            match (&*self.stream).read(&mut scratch[..capacity]) {
+                Ok(0) => self.has_ended = true,
+                Ok(bytes) => {
+                    self.last_received = Instant::now();
+                    self.input.extend_from_slice(&scratch[..bytes]);
+                    capacity -= bytes;
+                    continue;
+                }
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                Err(_) => self.has_ended = true,
+            }
+            self.is_readable = false;
+            return;
+        }
+    }
+
+    /// Sends as much of the output as the system takes.
+    pub(crate) fn flush(&mut self) {
+        while self.written < self.output.len() {
+            match (&*self.stream).write(&self.output[self.written..]) {
+                Ok(0) => return self.break_off(),
+                Ok(bytes) => {
+                    self.written += bytes;
+                    self.sent += bytes as u64;
+                }
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    self.stuck_since.get_or_insert_with(Instant::now);
+                    return;
+                }
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return self.break_off(),
+            }
+        }
+        self.output.clear();
+        self.output.shrink_to(MAX_IDLE_BUFFER);
+        self.written = 0;
+        self.stuck_since = None;
+    }
+
+    /// Nothing more can be sent. What the peer sent before is still worth reading.
+    fn break_off(&mut self) {
+        self.output.clear();
+        self.written = 0;
+        self.is_broken = true;
+        self.is_readable = true;
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift-http/src/sockets.rs
@@ -0,0 +1,389 @@
+//! TCP connections on a calloop event loop: what the connections of every protocol share. Accepting, buffers, flushing,
+//! deadlines, and reading a bounded share of each connection in a turn.
+//!
+//! Nothing is processed inside the loop's callbacks: they only mark sockets as ready. After each turn of the loop the owner
+//! accepts connections ([`Sockets::accept`]), takes the ready sockets ([`Sockets::take_ready`]), closes what is overdue
+//! ([`Sockets::take_overdue`]) and flushes ([`Sockets::flush`]).
+use crate::socket::READ_SIZE;
+pub use crate::socket::Socket;
+use calloop::generic::Generic;
+use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
+use slab::Slab;
+use std::collections::{BTreeSet, VecDeque};
+use std::io;
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+#[cfg(test)]
+mod tests;
+
+/// Maximum connections accepted in one turn of the loop, so that a flood of them leaves time for the others.
+const MAX_ACCEPTED_PER_TURN: usize = 64;
+/// How long accepting pauses after the process ran out of descriptors.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+
+/// Identifies a socket; an id is never used twice.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct SocketId {
+    key: usize,
+    serial: u64,
+}
+
+/// Finds the sockets in the state of the loop.
+type FindSockets<S, T> = fn(&mut S) -> &mut Sockets<S, T>;
+
+/// All sockets of one owner on one event loop, whose state is `S`. `T` is the owner's state of one socket.
+pub struct Sockets<S: 'static, T: 'static> {
+    handle: LoopHandle<'static, S>,
+    find: FindSockets<S, T>,
+    sockets: Slab<Socket<T>>,
+    listeners: Vec<(Rc<TcpListener>, RegistrationToken)>,
+    ready: VecDeque<SocketId>,
+    dirty: Vec<SocketId>,
+    deadlines: BTreeSet<(Instant, SocketId)>,
+    /// Whether connections may wait to be accepted.
+    is_acceptable: bool,
+    /// When a pause in accepting ends.
+    accept_again: Option<Instant>,
+    scratch: Vec<u8>,
+    /// Sockets there have been so far.
+    opened: u64,
+}
+
+impl<S: 'static, T: 'static> Sockets<S, T> {
+    /// No sockets yet. `find` finds these sockets in the state of the loop.
+    pub fn new(handle: LoopHandle<'static, S>, find: FindSockets<S, T>) -> Sockets<S, T> {
+        Sockets {
+            handle,
+            find,
+            sockets: Slab::new(),
+            listeners: Vec::new(),
+            ready: VecDeque::new(),
+            dirty: Vec::new(),
+            deadlines: BTreeSet::new(),
+            is_acceptable: false,
+            accept_again: None,
+            scratch: vec![0; READ_SIZE],
+            opened: 0,
+        }
+    }
+
+    /// Sockets there have been so far.
+    pub fn opened(&self) -> u64 {
+        self.opened
+    }
+
+    /// The socket of an id, unless it is closed.
+    pub fn get(&self, id: SocketId) -> Option<&Socket<T>> {
+        self.sockets
+            .get(id.key)
+            .filter(|socket| socket.serial == id.serial)
+    }
+
+    /// The socket of an id, unless it is closed.
+    pub fn get_mut(&mut self, id: SocketId) -> Option<&mut Socket<T>> {
+        find(&mut self.sockets, id)
+    }
+
+    /// All open sockets.
+    pub fn iter(&self) -> impl Iterator<Item = (SocketId, &Socket<T>)> {
+        self.sockets.iter().map(|(key, socket)| {
+            let serial = socket.serial;
+            (SocketId { key, serial }, socket)
+        })
+    }
+
+    /// Accepts connections from `listener` from now on.
+    ///
+    /// # Errors
+    /// The system or the event loop does not accept the listener.
+    pub fn listen(&mut self, listener: TcpListener) -> io::Result<()> {
+        listener.set_nonblocking(true)?;
+        let listener = Rc::new(listener);
+        let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
+        let find = self.find;
+        let accept = move |_: Readiness, _: &mut _, state: &mut S| {
+            find(state).is_acceptable = true;
+            Ok(PostAction::Continue)
+        };
+        let token = self
+            .handle
+            .insert_source(source, accept)
+            .map_err(|e| io::Error::other(e.to_string()))?;
+        self.listeners.push((listener, token));
+        Ok(())
+    }
+
+    /// Accepts no more connections; existing ones go on.
+    pub fn stop_listening(&mut self) {
+        for (_, token) in self.listeners.drain(..) {
+            self.handle.remove(token);
+        }
+    }
+
+    /// Lets the next [`Sockets::accept`] look for connections, whatever the loop has reported.
+    pub fn look_for_connections(&mut self) {
+        self.is_acceptable = true;
+    }
+
+    /// Accepts the connections that wait, at most `MAX_ACCEPTED_PER_TURN`. Where the process has run out of descriptors, the
+    /// idle socket that has been silent longest is overdue at once.
+    pub fn accept(&mut self, is_idle: impl Fn(&Socket<T>) -> bool) -> Vec<TcpStream> {
+        let mut accepted = Vec::new();
+        if !std::mem::take(&mut self.is_acceptable) {
+            return accepted;
+        }
+        for at in 0..self.listeners.len() {
+            while accepted.len() < MAX_ACCEPTED_PER_TURN {
+                match self.listeners[at].0.accept() {
+                    Ok((stream, _)) => accepted.push(stream),
+                    Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                    Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
+                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
+                    Err(_) => {
+                        self.pause_accepting(&is_idle);
+                        return accepted;
+                    }
+                }
+            }
+        }
+        accepted
+    }
+
+    /// The process is out of descriptors or memory: a level-triggered listener would make the loop spin.
+    fn pause_accepting(&mut self, is_idle: impl Fn(&Socket<T>) -> bool) {
+        if let Some(id) = self.longest_silent(is_idle) {
+            self.set_deadline(id, Some(Duration::ZERO));
+        }
+        for (_, token) in &self.listeners {
+            // An error here means that the loop itself is broken; the next turn will show it.
+            let _ = self.handle.disable(token);
+        }
+        self.accept_again = Some(Instant::now() + ACCEPT_PAUSE);
+    }
+
+    /// Of the idle sockets, the one whose peer has sent nothing for longest.
+    pub fn longest_silent(&self, is_idle: impl Fn(&Socket<T>) -> bool) -> Option<SocketId> {
+        self.iter()
+            .filter(|(_, socket)| is_idle(socket))
+            .min_by_key(|(_, socket)| socket.last_received)
+            .map(|(id, _)| id)
+    }
+
+    /// Adds a connected stream.
+    ///
+    /// # Errors
+    /// The system or the event loop does not accept the stream.
+    pub fn insert(&mut self, stream: TcpStream, state: T) -> io::Result<SocketId> {
+        stream.set_nonblocking(true)?;
+        stream.set_nodelay(true)?;
+        let stream = Rc::new(stream);
+        self.opened += 1;
+        let serial = self.opened;
+        let key = self.sockets.insert(Socket::new(stream.clone(), serial, state));
+        let id = SocketId { key, serial };
+        let find = self.find;
+        let on_ready = move |ready: Readiness, _: &mut _, state: &mut S| {
+            let sockets = find(state);
+            if let Some(socket) = sockets.get_mut(id) {
+                socket.is_readable |= ready.readable || ready.error;
+                sockets.queue(id);
+            }
+            Ok(PostAction::Continue)
+        };
+        let source = Generic::new(stream, Interest::BOTH, Mode::Edge);
+        match self.handle.insert_source(source, on_ready) {
+            Ok(token) => {
+                self.sockets[key].token = Some(token);
+                Ok(id)
+            }
+            Err(e) => {
+                self.sockets.remove(key);
+                Err(io::Error::other(e.to_string()))
+            }
+        }
+    }
+
+    /// Starts to connect; once the socket is ready, [`Sockets::connected`] says whether the connection is established.
+    ///
+    /// # Errors
+    /// The system refuses at once, or the event loop does not accept the stream.
+    pub fn connect(&mut self, to: SocketAddr, state: T) -> io::Result<SocketId> {
+        let stream = connect(to)?;
+        self.insert(stream, state)
+    }
+
+    /// Whether a connection is established: `None` while it is not yet, an error where it never will be.
+    pub fn connected(&self, id: SocketId) -> Option<io::Result<()>> {
+        let socket = self.get(id)?;
+        match socket.stream.take_error() {
+            Ok(None) => socket.stream.peer_addr().is_ok().then_some(Ok(())),
+            Ok(Some(e)) | Err(e) => Some(Err(e)),
+        }
+    }
+
+    fn queue(&mut self, id: SocketId) {
+        if let Some(socket) = find(&mut self.sockets, id).filter(|socket| !socket.is_queued) {
+            socket.is_queued = true;
+            self.ready.push_back(id);
+        }
+    }
+
+    /// The sockets on which something has happened since they were last taken, each once.
+    pub fn take_ready(&mut self) -> VecDeque<SocketId> {
+        let ready = std::mem::take(&mut self.ready);
+        for id in &ready {
+            if let Some(socket) = self.get_mut(*id) {
+                socket.is_queued = false;
+            }
+        }
+        ready
+    }
+
+    /// Whether a socket or a listener is ready.
+    pub fn is_ready(&self) -> bool {
+        !self.ready.is_empty() || self.is_acceptable
+    }
+
+    /// Reads a bounded share into the socket's input; what is left keeps the socket ready.
+    pub fn read(&mut self, id: SocketId) {
+        let Some(socket) = find(&mut self.sockets, id) else {
+            return;
+        };
+        if socket.is_readable && !socket.ended() {
+            socket.read_share(&mut self.scratch);
+        }
+        if socket.is_readable && !socket.ended() {
+            self.queue(id);
+        }
+    }
+
+    /// Checks whether the peer of an idle socket has closed it or sent something, even if the loop has not reported it yet.
+    pub fn look(&mut self, id: SocketId) {
+        if let Some(socket) = find(&mut self.sockets, id) {
+            socket.read_share(&mut self.scratch);
+            if socket.ended() || !socket.input.is_empty() {
+                self.queue(id);
+            }
+        }
+    }
+
+    /// The buffer of what is to be sent with the next [`Sockets::flush`].
+    pub fn output(&mut self, id: SocketId) -> Option<&mut Vec<u8>> {
+        let socket = find(&mut self.sockets, id)?;
+        if !socket.is_dirty {
+            socket.is_dirty = true;
+            self.dirty.push(id);
+        }
+        Some(&mut socket.output)
+    }
+
+    /// Sends what was written on all sockets.
+    pub fn flush(&mut self) {
+        for id in std::mem::take(&mut self.dirty) {
+            self.flush_one(id);
+        }
+    }
+
+    /// Sends what was written on one socket.
+    pub fn flush_one(&mut self, id: SocketId) {
+        let Some(socket) = find(&mut self.sockets, id) else {
+            return;
+        };
+        if std::mem::take(&mut socket.is_dirty) {
+            self.dirty.retain(|other| *other != id);
+        }
+        let was_readable = socket.is_readable;
+        socket.flush();
+        if socket.is_readable && !was_readable {
+            self.queue(id);
+        }
+    }
+
+    /// Whether bytes wait to be sent on any socket.
+    pub fn has_unsent(&self) -> bool {
+        self.sockets.iter().any(|(_, socket)| socket.unsent() > 0)
+    }
+
+    /// Sets the deadline of a socket, from now; `None` removes it.
+    pub fn set_deadline(&mut self, id: SocketId, after: Option<Duration>) {
+        let Some(socket) = find(&mut self.sockets, id) else {
+            return;
+        };
+        if let Some(at) = socket.deadline.take() {
+            self.deadlines.remove(&(at, id));
+        }
+        if let Some(after) = after {
+            let at = Instant::now() + after;
+            socket.deadline = Some(at);
+            self.deadlines.insert((at, id));
+        }
+    }
+
+    /// The deadline of a socket.
+    pub fn deadline(&self, id: SocketId) -> Option<Instant> {
+        self.get(id).and_then(|socket| socket.deadline)
+    }
+
+    /// The sockets whose deadline has passed; they have none from now on.
+    pub fn take_overdue(&mut self, now: Instant) -> Vec<SocketId> {
+        if self.accept_again.take_if(|at| *at <= now).is_some() {
+            for (_, token) in &self.listeners {
+                // An error here means that the loop itself is broken; the next turn will show it.
+                let _ = self.handle.enable(token);
+            }
+            self.is_acceptable = true;
+        }
+        let mut overdue = Vec::new();
+        while let Some(&(at, id)) = self.deadlines.first().filter(|(at, _)| *at <= now) {
+            self.deadlines.remove(&(at, id));
+            if let Some(socket) = self.get_mut(id) {
+                socket.deadline = None;
+                overdue.push(id);
+            }
+        }
+        overdue
+    }
+
+    /// When there is something to do without an event of the loop; now where a socket is still ready.
+    pub fn next_due(&self) -> Option<Instant> {
+        if self.is_ready() || !self.dirty.is_empty() {
+            return Some(Instant::now());
+        }
+        let first = self.deadlines.first().map(|(at, _)| *at);
+        [first, self.accept_again].into_iter().flatten().min()
+    }
+
+    /// Closes a socket and returns its state.
+    pub fn close(&mut self, id: SocketId) -> Option<T> {
+        self.get(id)?;
+        self.set_deadline(id, None);
+        let socket = self.sockets.remove(id.key);
+        if let Some(token) = socket.token {
+            self.handle.remove(token);
+        }
+        // The socket closes with the last reference, which `remove` and the end of this function drop.
+        let _ = socket.stream.shutdown(Shutdown::Both);
+        Some(socket.state)
+    }
+}
+
+fn find<T>(sockets: &mut Slab<Socket<T>>, id: SocketId) -> Option<&mut Socket<T>> {
+    sockets
+        .get_mut(id.key)
+        .filter(|socket| socket.serial == id.serial)
+}
+
+fn connect(to: SocketAddr) -> io::Result<TcpStream> {
+    use socket2::{Domain, Protocol, Type};
+    let socket = socket2::Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_nonblocking(true)?;
+    match socket.connect(&to.into()) {
+        Ok(()) => {}
+        // In progress: the socket becomes writable once the connection is established.
+        Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) || e.kind() == io::ErrorKind::WouldBlock => {}
+        Err(e) => return Err(e),
+    }
+    Ok(socket.into())
+}
--- a/crates/quartzdrift-lab/src/light.rs
+++ b/crates/quartzdrift-lab/src/light.rs
@@ -76,7 +76,7 @@
         } = event
         {
             if self.delay.is_zero() {
-                self.http.answer(exchange, &self.answer);
+                self.http.respond(exchange, &self.answer);
             } else {
                 self.held.push_back((self.now() + self.delay, exchange));
             }
@@ -91,7 +91,7 @@
 
     fn due(&mut self, now: Duration) {
         while let Some((_, exchange)) = self.held.pop_front_if(|(at, _)| *at <= now) {
-            self.http.answer(exchange, &self.answer);
+            self.http.respond(exchange, &self.answer);
         }
     }
 
--- a/crates/quartzdrift-lab/src/load.rs
+++ b/crates/quartzdrift-lab/src/load.rs
@@ -111,7 +111,7 @@
             http: Http::new(
                 handle,
                 Limits {
-                    connections_each: plan.out_most,
+                    connections_per_server: plan.out_most,
                     ..Limits::default()
                 },
             ),
@@ -209,7 +209,7 @@
 
     fn event(&mut self, event: HttpEvent) {
         match event {
-            HttpEvent::Answer { call, answer } => self.over(call, outcome(&answer)),
+            HttpEvent::Response { call, response } => self.over(call, outcome(&response)),
             HttpEvent::Failed { call, .. } => self.over(call, "no-answer"),
             HttpEvent::Request { .. }
             | HttpEvent::Gone { .. }
--- a/crates/quartzdrift-lab/src/store.rs
+++ b/crates/quartzdrift-lab/src/store.rs
@@ -156,7 +156,7 @@
     }
 
     fn say(&mut self, exchange: Exchange, status: u16) {
-        self.http.answer(
+        self.http.respond(
             exchange,
             &Response {
                 status,
@@ -206,7 +206,7 @@
                     self.model.drop_fetch(now, fetch);
                 }
             }
-            HttpEvent::Answer { .. }
+            HttpEvent::Response { .. }
             | HttpEvent::Part { .. }
             | HttpEvent::End { .. }
             | HttpEvent::Failed { .. } => {}
--- a/crates/quartzdrift/src/gateway/call_events.rs
+++ b/crates/quartzdrift/src/gateway/call_events.rs
@@ -68,7 +68,7 @@
             }
         }
         self.request_table.streaming_started(self.now(), request, attempt);
-        self.http.begin(client, 200, &headers);
+        self.http.begin_response(client, 200, &headers);
         self.carry_out();
     }
 
@@ -78,9 +78,9 @@
             Some(CallPurpose::Attempt(attempt)) => {
                 let client = attempt.context.streaming_client();
                 if let Some(client) = client
-                    && !self.http.push(client, &bytes, MAX_STREAM_BACKLOG)
+                    && !self.http.send_part(client, &bytes, MAX_STREAM_BACKLOG)
                 {
-                    self.http.cut(client);
+                    self.http.abort(client);
                     self.client_gone(client);
                 }
             }
@@ -94,7 +94,7 @@
         match self.calls.remove(&call) {
             Some(CallPurpose::Attempt(ended)) => {
                 if let Some(client) = ended.context.streaming_client() {
-                    self.http.finish(client);
+                    self.http.end_response(client);
                 }
                 self.attempt_ended(ended.request, ended.attempt, Outcome::Succeeded, None);
             }
@@ -129,7 +129,7 @@
         tracing::debug!(request, attempt, %worker, ?failure, "attempt failed");
         if let Some(client) = failed.context.streaming_client().filter(|_| failed.is_streaming) {
             // Cut off, so that the client does not take half an answer for a whole one.
-            self.http.cut(client);
+            self.http.abort(client);
         }
         self.attempt_ended(request, attempt, outcome, None);
     }
@@ -199,7 +199,7 @@
 fn observed(failure: Failure) -> CallResult<'static> {
     match failure {
         Failure::Connect => CallResult::ConnectFailed,
-        Failure::NoRoom => CallResult::NoConnectionAvailable,
+        Failure::ConnectionLimit => CallResult::NoConnectionAvailable,
         Failure::Reset => CallResult::ConnectionClosed,
         Failure::Malformed | Failure::TooLarge => CallResult::InvalidResponse,
     }
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -3,7 +3,7 @@
 use super::{Gateway, Origin, RequestContext};
 use crate::settings::Function;
 use quartzdrift_async_queue::Invocation;
-use quartzdrift_http::{BadRequest, Exchange, Headers, Request};
+use quartzdrift_http::{Exchange, Headers, Request, RequestError};
 use quartzdrift_invoke::request::{self, ApiRequest, InvocationType, InvokeRequest};
 use quartzdrift_invoke::response::{self, ApiError, ApiResponse};
 use quartzdrift_lifecycle::{AttemptResult, NewRequest};
@@ -46,7 +46,7 @@
 
 impl Gateway {
     /// A client's request has been received, or could not be read.
-    pub(super) fn request_received(&mut self, exchange: Exchange, request: Result<Request, BadRequest>) {
+    pub(super) fn request_received(&mut self, exchange: Exchange, request: Result<Request, RequestError>) {
         let id = self.draw_id();
         let reply = request
             .map_err(api_error)
@@ -250,13 +250,13 @@
     own.or_else(|| needs_key.then(|| id.to_string()))
 }
 
-fn api_error(bad: BadRequest) -> ApiError {
+fn api_error(bad: RequestError) -> ApiError {
     match bad {
-        BadRequest::HeadTooLarge => ApiError::HeadersTooLarge,
-        BadRequest::BodyTooLarge => ApiError::PayloadTooLarge,
-        BadRequest::Malformed => ApiError::MalformedRequest,
-        BadRequest::Coding => ApiError::UnsupportedTransferCoding,
-        BadRequest::TooSlow => ApiError::RequestTimeout,
+        RequestError::HeadTooLarge => ApiError::HeadersTooLarge,
+        RequestError::BodyTooLarge => ApiError::PayloadTooLarge,
+        RequestError::Malformed => ApiError::MalformedRequest,
+        RequestError::UnsupportedTransferCoding => ApiError::UnsupportedTransferCoding,
+        RequestError::Timeout => ApiError::RequestTimeout,
     }
 }
 
--- a/crates/quartzdrift/src/gateway/event_loop.rs
+++ b/crates/quartzdrift/src/gateway/event_loop.rs
@@ -43,10 +43,10 @@
         match event {
             HttpEvent::Request { exchange, request } => self.request_received(exchange, request),
             HttpEvent::Gone { exchange } => self.client_gone(exchange),
-            HttpEvent::Answer { call, answer } => self.response_received(call, answer),
+            HttpEvent::Response { call, response } => self.response_received(call, response),
             HttpEvent::Part { call, bytes } => self.part_received(call, bytes),
             HttpEvent::End { call } => self.stream_ended(call),
-            HttpEvent::Failed { call, how } => self.call_failed(call, how),
+            HttpEvent::Failed { call, failure } => self.call_failed(call, failure),
         }
     }
 
@@ -58,7 +58,7 @@
         let attempts = self.calls.attempts();
         let http = &self.http;
         self.request_table.due(now, |request, attempt| {
-            attempts.has_left(request, attempt, |call| http.unsent_call(call))
+            attempts.has_left(request, attempt, |call| http.is_unsent(call))
         });
         self.carry_out();
     }
--- a/crates/quartzdrift/src/gateway/outputs.rs
+++ b/crates/quartzdrift/src/gateway/outputs.rs
@@ -57,7 +57,7 @@
 
     fn recall_attempt(&mut self, request: RequestId, attempt: u32) {
         let attempts = self.calls.attempts();
-        if !attempts.has_left(request, attempt, |call| self.http.unsent_call(call)) {
+        if !attempts.has_left(request, attempt, |call| self.http.is_unsent(call)) {
             self.cancel_attempt(request, attempt);
             self.request_table.attempt_recalled(self.now(), request, attempt);
         }
@@ -65,7 +65,7 @@
 
     fn recall_command(&mut self, command: u64) {
         let call = self.calls.command(command);
-        if let Some(call) = call.filter(|call| self.http.unsent_call(*call)) {
+        if let Some(call) = call.filter(|call| self.http.is_unsent(*call)) {
             self.load_ended(command, Outcome::NeverSent);
             self.calls.remove(&call);
             self.http.cancel(call);
--- a/crates/quartzdrift/src/gateway/responses.rs
+++ b/crates/quartzdrift/src/gateway/responses.rs
@@ -44,7 +44,7 @@
         if self.is_draining() {
             response.headers.push("connection", "close");
         }
-        self.http.answer(exchange, &response);
+        self.http.respond(exchange, &response);
     }
 }
 
--- a/crates/quartzdrift/src/gateway/shutdown.rs
+++ b/crates/quartzdrift/src/gateway/shutdown.rs
@@ -38,7 +38,11 @@
         let has_due_invocations = self.next_attempt_due().is_some_and(|at| at <= now);
         let is_stored = self.store.as_ref().is_none_or(Store::idle);
         let has_open_requests = self.request_table.open_requests() > 0;
-        !has_open_requests && !serves_clients && is_stored && !has_due_invocations && !self.http.unsent()
+        !has_open_requests
+            && !serves_clients
+            && is_stored
+            && !has_due_invocations
+            && !self.http.has_unsent_responses()
     }
 
     /// Gives everything that is still open its final answer, logs what is lost, and saves the state.
@@ -47,7 +51,7 @@
         let attempts = self.calls.attempts();
         let http = &self.http;
         self.request_table.shut_down(now, |request, attempt| {
-            attempts.has_left(request, attempt, |call| http.unsent_call(call))
+            attempts.has_left(request, attempt, |call| http.is_unsent(call))
         });
         self.carry_out();
         self.log_open_invocations();
@@ -65,6 +69,6 @@
 
     /// Whether responses still wait to be sent.
     pub fn has_unsent_responses(&self) -> bool {
-        self.http.unsent()
+        self.http.has_unsent_responses()
     }
 }
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -203,7 +203,7 @@
                 if self.is_draining() {
                     answer.headers.push("connection", "close");
                 }
-                self.http.answer(exchange, &answer);
+                self.http.respond(exchange, &answer);
             }
             for attempt in effects.attempts {
                 self.send_attempt(attempt);
@@ -232,7 +232,7 @@
             store.pending_answers -= effects.answers.len();
         }
         for (exchange, id) in effects.answers {
-            self.http.answer(
+            self.http.respond(
                 exchange,
                 &to_http(ApiError::DurabilityUnknown.response(), Some(id)),
             );
--- a/crates/quartzdrift/src/invoke.rs
+++ b/crates/quartzdrift/src/invoke.rs
@@ -98,11 +98,11 @@
             .feed(&buffer)
             .map_err(|_: BodyError| InvokeError::MalformedBody)?;
         buffer.drain(..used);
-        if body.done() {
+        if body.is_complete() {
             break;
         }
         if read_some(stream, &mut buffer)? == 0 {
-            if body.whole_at_close() {
+            if body.is_complete_at_close() {
                 break;
             }
             return Err(InvokeError::Incomplete);
@@ -120,7 +120,7 @@
     let mut scanned = 0;
     loop {
         if let Some(end) = head::head_end(buffer, &mut scanned) {
-            let head = head::response(&buffer[..end]).map_err(|_| InvokeError::MalformedHead)?;
+            let head = head::parse_response(&buffer[..end]).map_err(|_| InvokeError::MalformedHead)?;
             buffer.drain(..end);
             return Ok(head);
         }
--- a/crates/quartzdrift/src/platform/answers.rs
+++ b/crates/quartzdrift/src/platform/answers.rs
@@ -1,7 +1,7 @@
 //! Reads workers' answers, and ends the attempts that they are for.
 use super::worker_connection::{Command, ConnectionPhase, WorkerConnection};
 use super::{Node, Peer};
-use quartzdrift_http::links::LinkId;
+use quartzdrift_http::sockets::SocketId;
 use quartzdrift_lifecycle::AttemptResult;
 use quartzdrift_platform::attempt_outcome::{self, ConnectionLoss};
 use quartzdrift_platform::frame::{self, Answer, Code, Unreadable};
@@ -33,18 +33,18 @@
 
 impl Node {
     /// Reads all answers that are whole, and ends their attempts.
-    pub(super) fn read_answers(&mut self, id: LinkId) {
-        let Some(link) = self.links.get_mut(id) else {
+    pub(super) fn read_answers(&mut self, id: SocketId) {
+        let Some(socket) = self.sockets.get_mut(id) else {
             return;
         };
-        let sent = link.left();
-        let Peer::WorkerConnection(connection) = &mut link.state else {
+        let sent = socket.sent_position();
+        let Peer::WorkerConnection(connection) = &mut socket.state else {
             return;
         };
         let fields = &self.config.settings.report_fields;
-        let received = ReceivedAnswers::read(&link.input, connection, sent, fields);
-        link.consume(received.used);
-        let is_over = link.ended() || received.unreadable.is_some();
+        let received = ReceivedAnswers::read(&socket.input, connection, sent, fields);
+        socket.consume(received.used);
+        let is_over = socket.ended() || received.unreadable.is_some();
         self.counts.unmatched += received.unmatched;
         for answered in received.answered {
             self.end_answered(id, answered, is_over);
@@ -60,7 +60,7 @@
         }
     }
 
-    fn end_answered(&mut self, id: LinkId, answered: Answered, is_over: bool) {
+    fn end_answered(&mut self, id: SocketId, answered: Answered, is_over: bool) {
         let Answered {
             command,
             result,
--- a/crates/quartzdrift/src/platform/client_connection.rs
+++ b/crates/quartzdrift/src/platform/client_connection.rs
@@ -1,7 +1,7 @@
 //! A client's FastCGI connection: its requests are read, its deadlines kept, and it is closed once its last answer has left.
 use super::{Node, Peer};
 use quartzdrift_fastcgi::{self as fastcgi, Event, InvalidRequest, Responder};
-use quartzdrift_http::links::{Link, LinkId, Links};
+use quartzdrift_http::sockets::{Socket, SocketId, Sockets};
 use quartzdrift_scheduler::interface::RequestId;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -59,17 +59,17 @@
     }
 }
 
-/// The client on a link, if it is one.
-pub(super) fn client(links: &mut Links<Node, Peer>, id: LinkId) -> Option<&mut Client> {
-    match &mut links.get_mut(id)?.state {
+/// The client on a socket, if it is one.
+pub(super) fn client(sockets: &mut Sockets<Node, Peer>, id: SocketId) -> Option<&mut Client> {
+    match &mut sockets.get_mut(id)?.state {
         Peer::Client(client) => Some(client),
         Peer::WorkerConnection(_) => None,
     }
 }
 
-/// Whether a link is that of a client without an open request, which may make room for another.
-pub(super) fn is_silent(link: &Link<Peer>) -> bool {
-    match &link.state {
+/// Whether a socket is that of a client without an open request, which may make room for another.
+pub(super) fn is_silent(socket: &Socket<Peer>) -> bool {
+    match &socket.state {
         Peer::Client(client) => client.requests.is_empty() && client.deadline != DeadlineReason::Closing,
         Peer::WorkerConnection(_) => false,
     }
@@ -94,19 +94,19 @@
 
 impl Node {
     /// Works a client's connection on which something has happened.
-    pub(super) fn drive_client(&mut self, id: LinkId) {
-        self.links.flush_one(id);
-        self.links.read(id);
-        let Some(link) = self.links.get_mut(id) else {
+    pub(super) fn drive_client(&mut self, id: SocketId) {
+        self.sockets.flush_one(id);
+        self.sockets.read(id);
+        let Some(socket) = self.sockets.get_mut(id) else {
             return;
         };
-        let ended = link.ended();
-        let Peer::Client(client) = &mut link.state else {
+        let ended = socket.ended();
+        let Peer::Client(client) = &mut socket.state else {
             return;
         };
         if client.deadline == DeadlineReason::Closing {
-            let unread = link.input.len();
-            link.consume(unread);
+            let unread = socket.input.len();
+            socket.consume(unread);
             if ended {
                 self.close_client(id);
             }
@@ -114,15 +114,15 @@
         }
         let mut output = Vec::new();
         let mut received = Vec::new();
-        let read = client.responder.read(&link.input, &mut output, &mut received);
+        let read = client.responder.read(&socket.input, &mut output, &mut received);
         if let Ok(used) = read {
-            link.consume(used);
+            socket.consume(used);
         }
         if !output.is_empty() {
             self.write(id, &output);
         }
         for message in received {
-            if self.links.get(id).is_none() {
+            if self.sockets.get(id).is_none() {
                 // The connection was closed over an answer: nobody waits for what else came on it.
                 return;
             }
@@ -138,7 +138,7 @@
         }
     }
 
-    fn received(&mut self, id: LinkId, message: Event) {
+    fn received(&mut self, id: SocketId, message: Event) {
         match message {
             Event::Request {
                 request_id,
@@ -154,7 +154,7 @@
                 reason: InvalidRequest::TooLarge,
             } => self.respond(id, request_id, 413, "too large", None),
             Event::Aborted { request_id } => {
-                let client = client(&mut self.links, id);
+                let client = client(&mut self.sockets, id);
                 if let Some(request) = client.and_then(|client| client.requests.remove(&request_id)) {
                     self.abandon_request(request);
                 }
@@ -163,21 +163,21 @@
     }
 
     /// Writes bytes to a client; they leave with the loop's next flush.
-    pub(super) fn write(&mut self, id: LinkId, bytes: &[u8]) {
-        if let Some(output) = self.links.output(id) {
+    pub(super) fn write(&mut self, id: SocketId, bytes: &[u8]) {
+        if let Some(output) = self.sockets.output(id) {
             output.extend_from_slice(bytes);
         }
     }
 
     /// Sets the deadline for what the connection waits for now. One that stands is not moved: bytes that drip in win no
     /// time. Each request that is not whole yet has its own.
-    pub(super) fn update_client_deadline(&mut self, id: LinkId) {
-        let Some(link) = self.links.get_mut(id) else {
+    pub(super) fn update_client_deadline(&mut self, id: SocketId) {
+        let Some(socket) = self.sockets.get_mut(id) else {
             return;
         };
-        let has_input = !link.input.is_empty();
-        let unread = link.waiting();
-        let Peer::Client(client) = &mut link.state else {
+        let has_input = !socket.input.is_empty();
+        let unread = socket.unsent();
+        let Peer::Client(client) = &mut socket.state else {
             return;
         };
         if client.deadline == DeadlineReason::Closing {
@@ -196,15 +196,15 @@
         if client.deadline != reason || is_other_request {
             client.deadline = reason;
             client.awaited = awaited;
-            self.links.set_deadline(id, after);
+            self.sockets.set_deadline(id, after);
         }
     }
 
     /// Closes a client's connection once what is written to it has left.
-    pub(super) fn close_when_flushed(&mut self, id: LinkId) {
-        if let Some(client) = client(&mut self.links, id) {
+    pub(super) fn close_when_flushed(&mut self, id: SocketId) {
+        if let Some(client) = client(&mut self.sockets, id) {
             client.deadline = DeadlineReason::Closing;
-            self.links.set_deadline(id, Some(FLUSH_TIMEOUT));
+            self.sockets.set_deadline(id, Some(FLUSH_TIMEOUT));
             self.closing.push(id);
         }
     }
@@ -212,7 +212,7 @@
     /// Closes the connections whose last bytes have left.
     pub(super) fn close_flushed_clients(&mut self) {
         for id in std::mem::take(&mut self.closing) {
-            match self.links.get(id).map(|link| link.waiting()) {
+            match self.sockets.get(id).map(|socket| socket.unsent()) {
                 Some(0) => self.close_client(id),
                 Some(_) => self.closing.push(id),
                 None => {}
@@ -221,14 +221,14 @@
     }
 
     /// The deadline of a client's connection has passed.
-    pub(super) fn client_overdue(&mut self, id: LinkId) {
+    pub(super) fn client_overdue(&mut self, id: SocketId) {
         // What has arrived in the meantime arrived in time.
         let has_arrived = self.read_pending_input(id);
-        if has_arrived && self.links.deadline(id).is_some() {
+        if has_arrived && self.sockets.deadline(id).is_some() {
             return;
         }
-        let stuck = self.links.get(id).and_then(Link::stuck_since);
-        let Some(client) = client(&mut self.links, id) else {
+        let stuck = self.sockets.get(id).and_then(Socket::stuck_since);
+        let Some(client) = client(&mut self.sockets, id) else {
             return;
         };
         match client.deadline {
@@ -249,16 +249,16 @@
 
     /// The deadline was set before it was tried to send: since then all may have left, or have begun to wait later.
     /// `stuck`: since when the client takes nothing.
-    fn answers_overdue(&mut self, id: LinkId, stuck: Option<Instant>) {
+    fn answers_overdue(&mut self, id: SocketId, stuck: Option<Instant>) {
         let Some(since) = stuck else {
-            if let Some(client) = client(&mut self.links, id) {
+            if let Some(client) = client(&mut self.sockets, id) {
                 client.deadline = DeadlineReason::None;
             }
             return self.update_client_deadline(id);
         };
         let waited = since.elapsed();
         if waited < SEND_TIMEOUT {
-            self.links
+            self.sockets
                 .set_deadline(id, Some(SEND_TIMEOUT.saturating_sub(waited)));
         } else {
             self.drop_client(id);
@@ -266,14 +266,14 @@
     }
 
     /// Closes the connection of a client that breaks the protocol, is too slow, or makes room, and counts it.
-    fn drop_client(&mut self, id: LinkId) {
+    fn drop_client(&mut self, id: SocketId) {
         self.counts.dropped += 1;
         self.close_client(id);
     }
 
     /// Closes a client's connection; what is open on it is over.
-    pub(super) fn close_client(&mut self, id: LinkId) {
-        let Some(Peer::Client(client)) = self.links.close(id) else {
+    pub(super) fn close_client(&mut self, id: SocketId) {
+        let Some(Peer::Client(client)) = self.sockets.close(id) else {
             return;
         };
         self.clients -= 1;
--- a/crates/quartzdrift/src/platform/commands.rs
+++ b/crates/quartzdrift/src/platform/commands.rs
@@ -2,7 +2,7 @@
 use super::connections::connection;
 use super::worker_connection::{Command, ConnectionPhase, FrameSpan};
 use super::{Node, Peer, RequestContext};
-use quartzdrift_http::links::{Link, LinkId, Links};
+use quartzdrift_http::sockets::{Socket, SocketId, Sockets};
 use quartzdrift_lifecycle::AttemptResult;
 use quartzdrift_platform::attempt_outcome;
 use quartzdrift_platform::connection_choice;
@@ -12,14 +12,21 @@
 use std::time::Duration;
 
 /// Whether nothing of an attempt has left on its connection.
-pub(super) fn is_unsent(links: &Links<Node, Peer>, id: LinkId, request: RequestId, attempt: u32) -> bool {
-    let Some(link) = links.get(id) else { return false };
-    let Peer::WorkerConnection(connection) = &link.state else {
+pub(super) fn is_unsent(
+    sockets: &Sockets<Node, Peer>,
+    id: SocketId,
+    request: RequestId,
+    attempt: u32,
+) -> bool {
+    let Some(socket) = sockets.get(id) else {
+        return false;
+    };
+    let Peer::WorkerConnection(connection) = &socket.state else {
         return false;
     };
     connection
         .position_of(request, attempt)
-        .is_some_and(|at| !connection.commands[at].has_left_in_part(link.left()))
+        .is_some_and(|at| !connection.commands[at].has_left_in_part(socket.sent_position()))
 }
 
 impl Node {
@@ -70,15 +77,15 @@
         self.attempts.insert(command.request, command.attempt, id);
         let now = self.now();
         self.write_or_verify(id, &mut command, now);
-        if let Some(connection) = connection(&mut self.links, id) {
+        if let Some(connection) = connection(&mut self.sockets, id) {
             connection.commands.push(command);
         }
     }
 
     /// Writes a command to a connection that is up. One that was idle for long is verified first; on one that is not up the
     /// command waits.
-    fn write_or_verify(&mut self, id: LinkId, command: &mut Command, now: Duration) {
-        let Some(connection) = connection(&mut self.links, id) else {
+    fn write_or_verify(&mut self, id: SocketId, command: &mut Command, now: Duration) {
+        let Some(connection) = connection(&mut self.sockets, id) else {
             return;
         };
         if connection.phase != ConnectionPhase::Up {
@@ -89,19 +96,19 @@
             self.verify_connection(id, command.context.id);
         } else {
             self.write_command(id, command, now);
-            self.links.set_deadline(id, None);
+            self.sockets.set_deadline(id, None);
         }
     }
 
     /// Writes a command, and notes where its frame lies among all that the connection sends.
-    pub(super) fn write_command(&mut self, id: LinkId, command: &mut Command, now: Duration) {
-        let Some(from) = self.links.get(id).map(Link::end) else {
+    pub(super) fn write_command(&mut self, id: SocketId, command: &mut Command, now: Duration) {
+        let Some(from) = self.sockets.get(id).map(Socket::end_position) else {
             return;
         };
         let context = &command.context;
         let class = &self.config.settings.request_classes[context.request_class as usize];
         let fields = command_fields(&class.name, command, now);
-        let Some(output) = self.links.output(id) else {
+        let Some(output) = self.sockets.output(id) else {
             return;
         };
         frame::write(
@@ -112,8 +119,11 @@
             fields.as_bytes(),
             &context.body,
         );
-        command.frame_span = self.links.get(id).map(|link| FrameSpan { from, to: link.end() });
-        if let Some(connection) = connection(&mut self.links, id) {
+        command.frame_span = self.sockets.get(id).map(|socket| FrameSpan {
+            from,
+            to: socket.end_position(),
+        });
+        if let Some(connection) = connection(&mut self.sockets, id) {
             connection.remember(command.context.id);
         }
     }
@@ -126,14 +136,14 @@
         let Some(id) = self.attempts.remove(request, attempt) else {
             return;
         };
-        let Some(connection) = connection(&mut self.links, id) else {
+        let Some(connection) = connection(&mut self.sockets, id) else {
             return;
         };
         let Some(at) = connection.position_of(request, attempt) else {
             return;
         };
         let command = connection.commands.swap_remove(at);
-        if let Some(output) = self.links.output(id) {
+        if let Some(output) = self.sockets.output(id) {
             frame::write(
                 output,
                 frame::FROM_SCHEDULER,
@@ -152,10 +162,10 @@
         let Some(id) = self.attempts.get(request, attempt) else {
             return false;
         };
-        let Some(link) = self.links.get_mut(id) else {
+        let Some(socket) = self.sockets.get_mut(id) else {
             return false;
         };
-        let Peer::WorkerConnection(connection) = &link.state else {
+        let Peer::WorkerConnection(connection) = &socket.state else {
             return false;
         };
         let Some(at) = connection.position_of(request, attempt) else {
@@ -163,16 +173,16 @@
         };
         let alone = connection.commands.len() == 1;
         let span = connection.commands[at].frame_span;
-        if span.is_some_and(|span| !link.take_back(span.from, span.to)) {
-            let in_part = span.is_some_and(|span| link.left() < span.to);
+        if span.is_some_and(|span| !socket.recall(span.from, span.to)) {
+            let in_part = span.is_some_and(|span| socket.sent_position() < span.to);
             if in_part && alone {
                 self.close_connection(id);
             }
             return in_part && alone;
         }
-        // On a link that broke nothing moves up: all that waited was dropped.
-        let removed = span.filter(|_| !link.is_broken());
-        if let Peer::WorkerConnection(connection) = &mut link.state {
+        // On a socket that broke nothing moves up: all that waited was dropped.
+        let removed = span.filter(|_| !socket.is_broken());
+        if let Peer::WorkerConnection(connection) = &mut socket.state {
             connection.commands.swap_remove(at);
             if let Some(removed) = removed {
                 connection.close_gap(removed);
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -3,7 +3,7 @@
 //! [`quartzdrift_platform::connection_choice`].
 use super::worker_connection::{Command, ConnectionPhase, WorkerConnection};
 use super::{Node, Peer};
-use quartzdrift_http::links::{Link, LinkId, Links};
+use quartzdrift_http::sockets::{Socket, SocketId, Sockets};
 use quartzdrift_lifecycle::AttemptResult;
 use quartzdrift_platform::attempt_outcome::{self, ConnectionLoss};
 use quartzdrift_platform::connection_choice::{self, ConnectionChoice, ConnectionState};
@@ -25,9 +25,9 @@
 /// Connections that a command may be lost on without having left; then the worker counts as unreachable.
 const MAX_LOST_CONNECTIONS: u32 = 3;
 
-/// The worker's connection on a link, if it is one.
-pub(super) fn connection(links: &mut Links<Node, Peer>, id: LinkId) -> Option<&mut WorkerConnection> {
-    match &mut links.get_mut(id)?.state {
+/// The worker's connection on a socket, if it is one.
+pub(super) fn connection(sockets: &mut Sockets<Node, Peer>, id: SocketId) -> Option<&mut WorkerConnection> {
+    match &mut sockets.get_mut(id)?.state {
         Peer::WorkerConnection(connection) => Some(connection),
         Peer::Client(_) => None,
     }
@@ -35,25 +35,25 @@
 
 impl Node {
     /// A connection to a worker for a command under this id, or what it proves that there is none.
-    pub(super) fn connection_for(&mut self, worker: &Rc<str>, id: u64) -> Result<LinkId, ConnectionLoss> {
+    pub(super) fn connection_for(&mut self, worker: &Rc<str>, id: u64) -> Result<SocketId, ConnectionLoss> {
         let streams = self.config.settings.allowed.streams_per_connection;
         let streams = streams.map_or(DEFAULT_STREAMS, |streams| streams.max(1) as usize);
         loop {
             let known = self.workers.get(worker).ok_or(ConnectionLoss::NotConnected)?;
-            let links = known.connections.clone();
-            let states: Vec<ConnectionState> = links
+            let sockets = known.connections.clone();
+            let states: Vec<ConnectionState> = sockets
                 .iter()
-                .map(|link| self.connection_state(*link, id))
+                .map(|socket| self.connection_state(*socket, id))
                 .collect();
             let may_connect = || self.connections < self.budget.workers || self.close_longest_idle(worker);
             match connection_choice::choose(&states, streams, may_connect) {
                 ConnectionChoice::Use(at) => {
                     let idle = states[at].open == 0 && states[at].up;
-                    if idle && self.is_closed_by_worker(links[at]) {
-                        self.close_connection(links[at]);
+                    if idle && self.is_closed_by_worker(sockets[at]) {
+                        self.close_connection(sockets[at]);
                         continue;
                     }
-                    return Ok(links[at]);
+                    return Ok(sockets[at]);
                 }
                 ConnectionChoice::Connect => return self.connect(worker),
                 ConnectionChoice::Full => return Err(ConnectionLoss::NoConnectionLeft),
@@ -62,8 +62,8 @@
     }
 
     /// A connection as the choice sees it, for a command under this id; one that carried the id lately counts as full.
-    fn connection_state(&self, link: LinkId, id: u64) -> ConnectionState {
-        match self.links.get(link).map(|link| &link.state) {
+    fn connection_state(&self, socket: SocketId, id: u64) -> ConnectionState {
+        match self.sockets.get(socket).map(|socket| &socket.state) {
             Some(Peer::WorkerConnection(connection)) if !connection.carried_lately(id) => ConnectionState {
                 open: connection.commands.len(),
                 up: connection.phase == ConnectionPhase::Up,
@@ -77,22 +77,22 @@
 
     /// Whether a worker has closed an idle connection, or sent something unasked. It still looks writable, but what is sent
     /// there would be in doubt.
-    fn is_closed_by_worker(&mut self, id: LinkId) -> bool {
-        self.links.look(id);
-        let link = self.links.get(id);
-        link.is_none_or(|link| link.ended() || !link.input.is_empty())
+    fn is_closed_by_worker(&mut self, id: SocketId) -> bool {
+        self.sockets.look(id);
+        let socket = self.sockets.get(id);
+        socket.is_none_or(|socket| socket.ended() || !socket.input.is_empty())
     }
 
-    fn connect(&mut self, worker: &Rc<str>) -> Result<LinkId, ConnectionLoss> {
+    fn connect(&mut self, worker: &Rc<str>) -> Result<SocketId, ConnectionLoss> {
         let known = self.workers.get(worker).ok_or(ConnectionLoss::NotConnected)?;
         let peer = Peer::WorkerConnection(WorkerConnection::new(worker.clone()));
         let id = self
-            .links
+            .sockets
             .connect(known.address, peer)
             .map_err(|error| loss_of_connect_error(&error))?;
         self.connections += 1;
         self.counts.connections += 1;
-        self.links.set_deadline(id, Some(self.connect_timeout()));
+        self.sockets.set_deadline(id, Some(self.connect_timeout()));
         if let Some(known) = self.workers.get_mut(worker) {
             known.connections.push(id);
         }
@@ -108,12 +108,12 @@
     }
 
     /// Asks a worker whether a connection still works. Until it answers nothing is written there that might run.
-    pub(super) fn verify_connection(&mut self, id: LinkId, request_id: u64) {
-        let Some(connection) = connection(&mut self.links, id) else {
+    pub(super) fn verify_connection(&mut self, id: SocketId, request_id: u64) {
+        let Some(connection) = connection(&mut self.sockets, id) else {
             return;
         };
         connection.phase = ConnectionPhase::Verifying;
-        if let Some(output) = self.links.output(id) {
+        if let Some(output) = self.sockets.output(id) {
             frame::write(
                 output,
                 frame::FROM_SCHEDULER,
@@ -123,19 +123,19 @@
                 b"",
             );
         }
-        self.links.set_deadline(id, Some(self.connect_timeout()));
+        self.sockets.set_deadline(id, Some(self.connect_timeout()));
     }
 
     /// Makes room for a connection to `worker`, with all descriptors of the workers' side in use: closes the connection to
     /// another worker that has been idle longest. Returns whether there was one.
     fn close_longest_idle(&mut self, worker: &Rc<str>) -> bool {
-        let idle_since = |(id, link): (LinkId, &Link<Peer>)| match &link.state {
+        let idle_since = |(id, socket): (SocketId, &Socket<Peer>)| match &socket.state {
             Peer::WorkerConnection(connection) if connection.is_idle() && connection.worker != *worker => {
                 Some((connection.idle_since, id))
             }
             Peer::WorkerConnection(_) | Peer::Client(_) => None,
         };
-        let Some((_, id)) = self.links.iter().filter_map(idle_since).min() else {
+        let Some((_, id)) = self.sockets.iter().filter_map(idle_since).min() else {
             return false;
         };
         self.close_connection(id);
@@ -143,15 +143,15 @@
     }
 
     /// Closes a connection that carries nothing.
-    pub(super) fn close_if_idle(&mut self, id: LinkId) {
-        if connection(&mut self.links, id).is_some_and(|connection| connection.commands.is_empty()) {
+    pub(super) fn close_if_idle(&mut self, id: SocketId) {
+        if connection(&mut self.sockets, id).is_some_and(|connection| connection.commands.is_empty()) {
             self.close_connection(id);
         }
     }
 
     /// Closes a connection, takes it out of all tables, and returns the commands that were on it.
-    pub(super) fn close_connection(&mut self, id: LinkId) -> Vec<Command> {
-        let Some(Peer::WorkerConnection(connection)) = self.links.close(id) else {
+    pub(super) fn close_connection(&mut self, id: SocketId) -> Vec<Command> {
+        let Some(Peer::WorkerConnection(connection)) = self.sockets.close(id) else {
             return Vec::new();
         };
         self.connections -= 1;
@@ -165,9 +165,9 @@
     }
 
     /// Keeps a connection that carries nothing for a while, unless its worker has gone.
-    pub(super) fn mark_idle(&mut self, id: LinkId) {
+    pub(super) fn mark_idle(&mut self, id: SocketId) {
         let now = self.now();
-        let Some(connection) = connection(&mut self.links, id) else {
+        let Some(connection) = connection(&mut self.sockets, id) else {
             return;
         };
         if !connection.is_idle() {
@@ -177,23 +177,23 @@
         let worker = self.workers.get(&connection.worker);
         let is_listed = worker.is_some_and(|worker| worker.connections.contains(&id));
         if !is_listed {
-            self.links.flush_one(id);
+            self.sockets.flush_one(id);
             self.close_connection(id);
             return;
         }
         let keepalive = self.config.settings.allowed.keepalive;
         let keepalive = keepalive.unwrap_or(DEFAULT_KEEPALIVE);
-        self.links
+        self.sockets
             .set_deadline(id, Some(keepalive.mul_f64(KEEPALIVE_FRACTION)));
     }
 
     /// The deadline of a connection has passed.
-    pub(super) fn connection_overdue(&mut self, id: LinkId) {
-        if self.links.deadline(id).is_some() {
+    pub(super) fn connection_overdue(&mut self, id: SocketId) {
+        if self.sockets.deadline(id).is_some() {
             // A command was put on it in the same turn, after it was found overdue.
             return;
         }
-        let Some(connection) = connection(&mut self.links, id) else {
+        let Some(connection) = connection(&mut self.sockets, id) else {
             return;
         };
         match connection.phase {
@@ -210,12 +210,14 @@
 
     /// Ends a connection that is of no further use, and each attempt on it by what that proves. `unsent`: what it proves of
     /// a command that has not left whole.
-    pub(super) fn connection_lost(&mut self, id: LinkId, unsent: ConnectionLoss) {
-        let Some(link) = self.links.get(id) else { return };
-        let Peer::WorkerConnection(connection) = &link.state else {
+    pub(super) fn connection_lost(&mut self, id: SocketId, unsent: ConnectionLoss) {
+        let Some(socket) = self.sockets.get(id) else {
             return;
         };
-        let sent = link.left();
+        let Peer::WorkerConnection(connection) = &socket.state else {
+            return;
+        };
+        let sent = socket.sent_position();
         let worker = connection.worker.clone();
         // Nothing is sent again to a worker that drains, has gone or was started again since.
         let known = self.workers.get(&worker);
@@ -254,27 +256,27 @@
     }
 
     /// Works a connection on which something has happened.
-    pub(super) fn drive_connection(&mut self, id: LinkId) {
-        let Some(connection) = connection(&mut self.links, id) else {
+    pub(super) fn drive_connection(&mut self, id: SocketId) {
+        let Some(connection) = connection(&mut self.sockets, id) else {
             return;
         };
         if connection.phase == ConnectionPhase::Connecting {
-            match self.links.connected(id) {
+            match self.sockets.connected(id) {
                 Some(Ok(())) => self.connection_established(id),
                 Some(Err(error)) => return self.connection_lost(id, loss_while_connecting(&error)),
                 None => return,
             }
         }
-        self.links.flush_one(id);
-        self.links.read(id);
+        self.sockets.flush_one(id);
+        self.sockets.read(id);
         self.read_answers(id);
     }
 
     /// A connection works: what has waited for it is written.
-    pub(super) fn connection_established(&mut self, id: LinkId) {
-        self.links.set_deadline(id, None);
+    pub(super) fn connection_established(&mut self, id: SocketId) {
+        self.sockets.set_deadline(id, None);
         let now = self.now();
-        let Some(established) = connection(&mut self.links, id) else {
+        let Some(established) = connection(&mut self.sockets, id) else {
             return;
         };
         established.phase = ConnectionPhase::Up;
@@ -282,7 +284,7 @@
         for command in &mut commands {
             self.write_command(id, command, now);
         }
-        if let Some(established) = connection(&mut self.links, id) {
+        if let Some(established) = connection(&mut self.sockets, id) {
             established.commands = commands;
         }
         self.mark_idle(id);
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -9,7 +9,7 @@
 use crate::attempts::{AttemptCarriers, CarryOut};
 use crate::clock::Clock;
 use calloop::LoopHandle;
-use quartzdrift_http::links::{LinkId, Links};
+use quartzdrift_http::sockets::{SocketId, Sockets};
 use quartzdrift_http::{HasHttp, Http, HttpEvent, Limits};
 use quartzdrift_lifecycle::{Output, RequestTable};
 use quartzdrift_platform::budget::Budget;
@@ -23,7 +23,7 @@
 /// Between two debug lines on what the tables hold.
 const HELD_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Who is at the other end of a link.
+/// Who is at the other end of a socket.
 pub(crate) enum Peer {
     /// A client over FastCGI.
     Client(Client),
@@ -37,7 +37,7 @@
     /// Id that the client gave.
     pub(super) id: u64,
     /// The client's connection, and the FastCGI request id on it.
-    pub(super) client: LinkId,
+    pub(super) client: SocketId,
     pub(super) request_id: u16,
     /// Index of the request class in the settings.
     pub(super) request_class: u32,
@@ -52,7 +52,7 @@
     /// Where a new configuration is read from.
     path: PathBuf,
     pub(super) clock: Clock,
-    pub(super) links: Links<Node, Peer>,
+    pub(super) sockets: Sockets<Node, Peer>,
     /// Calls to the coordinator.
     pub(super) http: Http<Node>,
     pub(super) request_table: RequestTable<Rc<RequestContext>>,
@@ -60,12 +60,12 @@
     /// Connections of clients that are open.
     pub(super) clients: usize,
     /// Clients whose connections are closed once their last bytes have left.
-    pub(super) closing: Vec<LinkId>,
+    pub(super) closing: Vec<SocketId>,
     /// Connections to workers that are open.
     pub(super) connections: usize,
     pub(super) workers: HashMap<Rc<str>, Worker>,
     /// The connection of each attempt in flight.
-    pub(super) attempts: AttemptCarriers<LinkId>,
+    pub(super) attempts: AttemptCarriers<SocketId>,
     /// Open requests by the id that their client gave.
     pub(super) open: HashMap<u64, RequestId>,
     /// The answer's body of the attempt that is being ended, and its request.
@@ -129,13 +129,13 @@
     pub fn new(config: Config, path: PathBuf, handle: LoopHandle<'static, Node>) -> Node {
         let limits = Limits {
             connections: 0,
-            connections_each: 4,
+            connections_per_server: 4,
             ..Limits::default()
         };
         let mut node = Node {
             path,
             clock: Clock::start(),
-            links: Links::new(handle.clone(), |node| &mut node.links),
+            sockets: Sockets::new(handle.clone(), |node| &mut node.sockets),
             http: Http::new(handle, limits),
             request_table: RequestTable::new(&config.settings, config.seed),
             budget: Budget::of(config.sockets),
@@ -170,7 +170,7 @@
     /// # Errors
     /// The listener cannot be watched.
     pub fn listen(&mut self, listener: std::net::TcpListener) -> std::io::Result<()> {
-        self.links.listen(listener)
+        self.sockets.listen(listener)
     }
 
     /// How long the loop may sleep.
@@ -188,15 +188,15 @@
             shutdown,
         ];
         self.clock
-            .until(own, [self.links.next_due(), self.http.next_deadline()])
+            .until(own, [self.sockets.next_due(), self.http.next_deadline()])
     }
 
     /// Works what the last wait of the loop brought, and all that is due.
     pub fn turn(&mut self) {
         self.work_polls();
         self.accept();
-        self.work_ready_links();
-        self.work_overdue_links();
+        self.process_ready_sockets();
+        self.process_overdue_sockets();
         let now = self.now();
         // Before the request table's own deadlines: that of a request which came during the shutdown is the same moment, and
         // what never left is rejected then.
@@ -204,7 +204,7 @@
         self.work_request_deadlines(now);
         self.coordinator_due(now);
         self.log_held_state(now);
-        self.links.flush();
+        self.sockets.flush();
         self.close_flushed_clients();
     }
 
@@ -212,8 +212,8 @@
         self.http.expire(Instant::now());
         for event in self.http.take_events() {
             match event {
-                HttpEvent::Answer { call, answer } => self.poll_answered(call, &answer),
-                HttpEvent::Failed { call, how } => self.poll_error(call, how),
+                HttpEvent::Response { call, response } => self.poll_answered(call, &response),
+                HttpEvent::Failed { call, failure } => self.poll_error(call, failure),
                 // Nobody calls here over HTTP, and no answer is streamed.
                 HttpEvent::Request { .. }
                 | HttpEvent::Gone { .. }
@@ -223,9 +223,9 @@
         }
     }
 
-    fn work_ready_links(&mut self) {
-        for id in self.links.take_ready() {
-            match self.links.get(id).map(|link| &link.state) {
+    fn process_ready_sockets(&mut self) {
+        for id in self.sockets.take_ready() {
+            match self.sockets.get(id).map(|socket| &socket.state) {
                 Some(Peer::Client(_)) => self.drive_client(id),
                 Some(Peer::WorkerConnection(_)) => self.drive_connection(id),
                 None => {}
@@ -233,9 +233,9 @@
         }
     }
 
-    fn work_overdue_links(&mut self) {
-        for id in self.links.take_overdue(Instant::now()) {
-            match self.links.get(id).map(|link| &link.state) {
+    fn process_overdue_sockets(&mut self) {
+        for id in self.sockets.take_overdue(Instant::now()) {
+            match self.sockets.get(id).map(|socket| &socket.state) {
                 Some(Peer::Client(_)) => self.client_overdue(id),
                 Some(Peer::WorkerConnection(_)) => self.connection_overdue(id),
                 None => {}
@@ -248,10 +248,10 @@
         if !is_due {
             return;
         }
-        let (attempts, links) = (&self.attempts, &self.links);
+        let (attempts, sockets) = (&self.attempts, &self.sockets);
         self.request_table.due(now, |request, attempt| {
             attempts.has_left(request, attempt, |id| {
-                commands::is_unsent(links, id, request, attempt)
+                commands::is_unsent(sockets, id, request, attempt)
             })
         });
         self.carry_out();
@@ -332,10 +332,10 @@
             open = self.request_table.open_requests(),
             "no more time to stop: what is open ends"
         );
-        let (attempts, links) = (&self.attempts, &self.links);
+        let (attempts, sockets) = (&self.attempts, &self.sockets);
         self.request_table.shut_down(now, |request, attempt| {
             attempts.has_left(request, attempt, |id| {
-                commands::is_unsent(links, id, request, attempt)
+                commands::is_unsent(sockets, id, request, attempt)
             })
         });
         self.carry_out();
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -3,7 +3,7 @@
 use super::client_connection::client;
 use super::{Node, RequestContext};
 use quartzdrift_fastcgi::Params;
-use quartzdrift_http::links::LinkId;
+use quartzdrift_http::sockets::SocketId;
 use quartzdrift_lifecycle::{AttemptResult, NewRequest};
 use quartzdrift_platform::request_fields::{self, FieldError, PlatformRequest, RequestFields};
 use quartzdrift_scheduler::interface::{Outcome, RequestId};
@@ -38,7 +38,7 @@
 
 impl Node {
     /// Works a whole request of a client: a readiness check is answered, anything else is admitted or refused.
-    pub(super) fn request(&mut self, client: LinkId, request_id: u16, params: &Params, body: Vec<u8>) {
+    pub(super) fn request(&mut self, client: SocketId, request_id: u16, params: &Params, body: Vec<u8>) {
         if params.get("SCRIPT_NAME") == Some(b"/check") {
             return self.respond_to_check(client, request_id);
         }
@@ -54,7 +54,7 @@
         }
     }
 
-    fn respond_to_check(&mut self, client: LinkId, request_id: u16) {
+    fn respond_to_check(&mut self, client: SocketId, request_id: u16) {
         let is_ready = self.shutdown.is_none() && self.request_table.workers_up() > 0;
         let (status, text) = if is_ready {
             (200, "ready")
@@ -64,13 +64,13 @@
         self.respond(client, request_id, status, text, None);
     }
 
-    fn admit(&mut self, link: LinkId, request_id: u16, request: &PlatformRequest<'_>, body: Vec<u8>) {
+    fn admit(&mut self, socket: SocketId, request_id: u16, request: &PlatformRequest<'_>, body: Vec<u8>) {
         if let Some(&other) = self.open.get(&request.id) {
-            return self.reject_duplicate_id(link, request_id, other);
+            return self.reject_duplicate_id(socket, request_id, other);
         }
         let context = RequestContext {
             id: request.id,
-            client: link,
+            client: socket,
             request_id,
             request_class: request.request_class,
             idempotency_key: request.idempotency_key.map(str::to_owned),
@@ -83,21 +83,21 @@
             Ok(submitted) => {
                 self.counts.taken += 1;
                 self.open.insert(request.id, submitted);
-                if let Some(client) = client(&mut self.links, link) {
+                if let Some(client) = client(&mut self.sockets, socket) {
                     client.requests.insert(request_id, submitted);
                 }
                 self.carry_out();
             }
-            Err(_) => self.respond(link, request_id, 503, "full", Some(FULL_RETRY_AFTER)),
+            Err(_) => self.respond(socket, request_id, 503, "full", Some(FULL_RETRY_AFTER)),
         }
     }
 
     /// Refuses a request under the id of an open one: workers would take the one for the other. Where both came over one
     /// connection, neither can be trusted.
-    fn reject_duplicate_id(&mut self, id: LinkId, request_id: u16, other: RequestId) {
+    fn reject_duplicate_id(&mut self, id: SocketId, request_id: u16, other: RequestId) {
         self.counts.invalid += 1;
         self.respond(id, request_id, 409, "this id is open", None);
-        let Some(client) = client(&mut self.links, id) else {
+        let Some(client) = client(&mut self.sockets, id) else {
             return;
         };
         let first = client
--- a/crates/quartzdrift/src/platform/responses.rs
+++ b/crates/quartzdrift/src/platform/responses.rs
@@ -2,7 +2,7 @@
 use super::client_connection::client;
 use super::{Node, RequestContext};
 use quartzdrift_fastcgi::{self as fastcgi, Response};
-use quartzdrift_http::links::LinkId;
+use quartzdrift_http::sockets::SocketId;
 use quartzdrift_lifecycle::{FailureReason, FinalAnswer};
 use quartzdrift_scheduler::interface::RequestId;
 use std::time::Duration;
@@ -28,19 +28,19 @@
     /// Answers a client with a text of the scheduler's own.
     pub(super) fn respond(
         &mut self,
-        link: LinkId,
+        socket: SocketId,
         request_id: u16,
         status: u16,
         text: &str,
         retry_after: Option<Duration>,
     ) {
-        self.respond_with_body(link, request_id, status, text.as_bytes(), retry_after);
+        self.respond_with_body(socket, request_id, status, text.as_bytes(), retry_after);
     }
 
     /// Answers a client. `retry_after` is told in whole milliseconds, never less.
     fn respond_with_body(
         &mut self,
-        link: LinkId,
+        socket: SocketId,
         request_id: u16,
         status: u16,
         body: &[u8],
@@ -54,18 +54,18 @@
             fields: field.as_slice(),
             body,
         };
-        let has_unread = self.links.get(link).is_some_and(|link| link.waiting() > 0);
-        let Some(client) = client(&mut self.links, link) else {
+        let has_unread = self.sockets.get(socket).is_some_and(|socket| socket.unsent() > 0);
+        let Some(client) = client(&mut self.sockets, socket) else {
             return;
         };
         let mut output = Vec::with_capacity(body.len() + HEAD_CAPACITY);
         let fate = client.responder.respond(request_id, &response, &mut output);
-        self.write(link, &output);
+        self.write(socket, &output);
         match fate {
-            fastcgi::ConnectionFate::Close => self.close_when_flushed(link),
+            fastcgi::ConnectionFate::Close => self.close_when_flushed(socket),
             // The loop may never be told of this client again: what it does not read sets its deadline.
             fastcgi::ConnectionFate::KeepOpen | fastcgi::ConnectionFate::UnknownRequest if has_unread => {
-                self.update_client_deadline(link);
+                self.update_client_deadline(socket);
             }
             fastcgi::ConnectionFate::KeepOpen | fastcgi::ConnectionFate::UnknownRequest => {}
         }
@@ -79,18 +79,18 @@
             .pending_response
             .take_if(|(of, _)| *of == request)
             .map(|(_, body)| body);
-        let (link, request_id) = (context.client, context.request_id);
+        let (socket, request_id) = (context.client, context.request_id);
         match answer {
             FinalAnswer::Succeeded => match body {
-                Some(body) => self.respond_with_body(link, request_id, 200, &body, None),
-                None => self.respond(link, request_id, 500, "no answer", None),
+                Some(body) => self.respond_with_body(socket, request_id, 200, &body, None),
+                None => self.respond(socket, request_id, 500, "no answer", None),
             },
             FinalAnswer::Rejected { retry_after, .. } => {
-                self.respond(link, request_id, 503, "come back", retry_after);
+                self.respond(socket, request_id, 503, "come back", retry_after);
             }
             FinalAnswer::Failed { why } => {
                 let (status, text) = failure(why);
-                self.respond(link, request_id, status, text, None);
+                self.respond(socket, request_id, status, text, None);
             }
             FinalAnswer::Cancelled => {}
         }
@@ -101,7 +101,7 @@
         if self.open.get(&context.id) == Some(&request) {
             self.open.remove(&context.id);
         }
-        if let Some(client) = client(&mut self.links, context.client)
+        if let Some(client) = client(&mut self.sockets, context.client)
             && client.requests.get(&context.request_id) == Some(&request)
         {
             client.requests.remove(&context.request_id);
--- a/crates/quartzdrift/src/platform/workers.rs
+++ b/crates/quartzdrift/src/platform/workers.rs
@@ -1,7 +1,7 @@
 //! The table of workers: where each is reached, and its connections.
 use super::Node;
 use super::connections::connection;
-use quartzdrift_http::links::LinkId;
+use quartzdrift_http::sockets::SocketId;
 use quartzdrift_scheduler::interface::RequestId;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
     pub(super) address: SocketAddr,
     /// Its most recent start, as the coordinator states it.
     started: Option<Duration>,
-    pub(super) connections: Vec<LinkId>,
+    pub(super) connections: Vec<SocketId>,
 }
 
 impl Node {
@@ -45,7 +45,7 @@
         let mut displaced = Vec::new();
         for id in worker.connections {
             self.close_if_idle(id);
-            if let Some(connection) = connection(&mut self.links, id) {
+            if let Some(connection) = connection(&mut self.sockets, id) {
                 let attempts = connection.commands.iter();
                 displaced.extend(attempts.map(|command| (command.request, command.attempt)));
             }
--- a/crates/quartzdrift/src/settings/check.rs
+++ b/crates/quartzdrift/src/settings/check.rs
@@ -181,9 +181,11 @@
         limits: Limits {
             head: limit.head_bytes.unwrap_or(defaults.head),
             request_body: limit.payload_bytes.unwrap_or(defaults.request_body),
-            answer_body: limit.answer_bytes.unwrap_or(defaults.answer_body),
+            response_body: limit.answer_bytes.unwrap_or(defaults.response_body),
             connections: limit.connections.unwrap_or(defaults.connections),
-            connections_each: limit.connections_each_worker.unwrap_or(defaults.connections_each),
+            connections_per_server: limit
+                .connections_per_server_worker
+                .unwrap_or(defaults.connections_per_server),
             receive: span(limit.receive, defaults.receive),
             idle: span(limit.idle, defaults.idle),
             send: span(limit.send, defaults.send),
@@ -641,7 +643,10 @@
         ("head_bytes", limits.head_bytes),
         ("answer_bytes", limits.answer_bytes),
         ("connections", limits.connections),
-        ("connections_each_worker", limits.connections_each_worker),
+        (
+            "connections_per_server_worker",
+            limits.connections_per_server_worker,
+        ),
     ];
     for (name, told) in counts {
         if told == Some(0) {
--- a/crates/quartzdrift/src/settings/raw.rs
+++ b/crates/quartzdrift/src/settings/raw.rs
@@ -223,7 +223,7 @@
     pub payload_bytes: Option<usize>,
     pub answer_bytes: Option<usize>,
     pub connections: Option<usize>,
-    pub connections_each_worker: Option<usize>,
+    pub connections_per_server_worker: Option<usize>,
     pub receive: Option<Span>,
     pub idle: Option<Span>,
     pub send: Option<Span>,
