--- a/crates/quartzdrift-recovery/src/backlog_drain.rs
+++ b/crates/quartzdrift-recovery/src/backlog_drain.rs
@@ -106,16 +106,18 @@
         if self.limit == 0 {
             return;
         }
-        match is_healthy {
-            true => self.grow(),
-            false => self.halve(was_healthy),
+        if is_healthy {
+            self.grow();
+        } else {
+            self.halve(was_healthy);
         }
     }
 
     fn grow(&mut self) {
-        let grown = match self.limit < self.threshold {
-            true => (self.limit * 2).min(self.threshold),
-            false => self.limit + (self.threshold / GROWTH_DIVISOR).max(1),
+        let grown = if self.limit < self.threshold {
+            (self.limit * 2).min(self.threshold)
+        } else {
+            self.limit + (self.threshold / GROWTH_DIVISOR).max(1)
         };
         self.limit = grown.min(self.max_limit);
     }
--- a/crates/quartzdrift-recovery/src/classification.rs
+++ b/crates/quartzdrift-recovery/src/classification.rs
@@ -86,9 +86,10 @@
     let latest_start = known_starts.max().unwrap_or(0).max(own_start);
     let later_checkpoint_known = latest_start == own_start && knows_later_checkpoint(evidence, answers);
     let is_outdated = latest_start > own_start || later_checkpoint_known;
-    let disk = match is_outdated {
-        true => evidence.disk.outdated(),
-        false => evidence.disk,
+    let disk = if is_outdated {
+        evidence.disk.outdated()
+    } else {
+        evidence.disk
     };
     let lost = count_lost(answers, downtime(evidence, disk) + up);
     let tally = Tally {
@@ -118,10 +119,11 @@
 
 impl Tally {
     fn is_mass_failure(&self, ended_cleanly: bool) -> bool {
-        let failed = match ended_cleanly {
-            // After a planned stop silent members may be on their way through the same.
-            true => self.lost,
-            false => self.lost + self.silent + 1,
+        // After a planned stop silent members may be on their way through the same.
+        let failed = if ended_cleanly {
+            self.lost
+        } else {
+            self.lost + self.silent + 1
         };
         failed >= 2 && is_mass(failed, self.answered + self.silent)
     }
@@ -154,9 +156,10 @@
     let may_be_mass_failure = tally.is_alone() && !evidence.machine_stayed_up();
     // The last start may have followed a mass failure that it did not get to classify.
     let may_continue_one = ended_unclassified(evidence);
-    match may_be_mass_failure || may_continue_one {
-        true => RestartKind::MassFailure,
-        false => RestartKind::SingleCrash,
+    if may_be_mass_failure || may_continue_one {
+        RestartKind::MassFailure
+    } else {
+        RestartKind::SingleCrash
     }
 }
 
--- a/crates/quartzdrift-recovery/src/messages.rs
+++ b/crates/quartzdrift-recovery/src/messages.rs
@@ -53,7 +53,7 @@
     },
     /// Gossip about the cache state of functions after a mass failure.
     CacheUpdates {
-        /// At most [`MAX_UPDATES_PER_MESSAGE`](crate::cache_gossip::MAX_UPDATES_PER_MESSAGE) of them.
+        /// The states of at most 32 functions.
         updates: Vec<CacheUpdate>,
     },
 }
--- a/crates/quartzdrift-recovery/src/recovery/members.rs
+++ b/crates/quartzdrift-recovery/src/recovery/members.rs
@@ -264,9 +264,10 @@
         }
         let has_all_answers = !self.asked.is_empty() && self.asked.values().all(|asked| !asked.is_silent());
         // Where no member was known, those that have answered may not be all.
-        let min_wait = match self.evidence.known_members.is_empty() {
-            true => self.settings.ask_timeout / 2,
-            false => Duration::ZERO,
+        let min_wait = if self.evidence.known_members.is_empty() {
+            self.settings.ask_timeout / 2
+        } else {
+            Duration::ZERO
         };
         let is_timed_out = now >= self.started_at + self.settings.ask_timeout;
         if is_timed_out || has_all_answers && now >= self.started_at + min_wait {
@@ -296,9 +297,10 @@
             return;
         }
         self.measurements_scheduled = true;
-        let down_before_start = match self.evidence.machine_stayed_up() {
-            true => Duration::ZERO,
-            false => self.evidence.now.since_boot,
+        let down_before_start = if self.evidence.machine_stayed_up() {
+            Duration::ZERO
+        } else {
+            self.evidence.now.since_boot
         };
         let window = self.settings.slow_start_window;
         let window_end = self.started_at + window.saturating_sub(down_before_start);
@@ -319,9 +321,10 @@
         if !is_mass_failure || classification.disk != DiskState::Intact {
             self.restore_measurements_at = None;
         }
-        let phase = match is_mass_failure && !classification.others_at_full_service {
-            true => RecoveryPhase::Synchronous,
-            false => RecoveryPhase::FullService,
+        let phase = if is_mass_failure && !classification.others_at_full_service {
+            RecoveryPhase::Synchronous
+        } else {
+            RecoveryPhase::FullService
         };
         self.outputs.push(Output::Classified(classification.clone()));
         self.classification = Some(classification);
--- a/crates/quartzdrift-recovery/src/restore_policy.rs
+++ b/crates/quartzdrift-recovery/src/restore_policy.rs
@@ -128,9 +128,12 @@
     store_start: Option<u64>,
 ) -> Vec<RestoreRow> {
     let is_readable = classification.disk.is_readable();
-    let if_readable = |decision| match is_readable {
-        true => decision,
-        false => RestoreDecision::Discard,
+    let if_readable = |decision| {
+        if is_readable {
+            decision
+        } else {
+            RestoreDecision::Discard
+        }
     };
     vec![
         workers(classification.kind, if_readable),
@@ -175,32 +178,34 @@
 }
 
 fn idempotency_keys(repeats_are_detected: bool) -> RestoreRow {
-    match repeats_are_detected {
-        true => RestoreRow::new(
+    if repeats_are_detected {
+        RestoreRow::new(
             StateItem::IdempotencyKeys,
             RestoreDecision::Restore,
             "workers ran on, or keep fingerprints on disk",
-        ),
-        false => RestoreRow::new(
+        )
+    } else {
+        RestoreRow::new(
             StateItem::IdempotencyKeys,
             RestoreDecision::Discard,
             "workers lost power and with it what they had run",
-        ),
+        )
     }
 }
 
 fn waiting_requests(may_have_run: bool) -> RestoreRow {
-    match may_have_run {
-        true => RestoreRow::new(
+    if may_have_run {
+        RestoreRow::new(
             StateItem::WaitingRequests,
             RestoreDecision::RestorePartly,
             "only restartable jobs run: the store is older than what ran",
-        ),
-        false => RestoreRow::new(
+        )
+    } else {
+        RestoreRow::new(
             StateItem::WaitingRequests,
             RestoreDecision::Restore,
             "the store is the last one",
-        ),
+        )
     }
 }
 
--- a/crates/quartzdrift-recovery/src/restore_policy/tests.rs
+++ b/crates/quartzdrift-recovery/src/restore_policy/tests.rs
@@ -53,9 +53,12 @@
     let is_mass_failure = classification.kind == RestartKind::MassFailure;
     let rows = restore_decisions(classification, false, store);
     let decision = |item| rows.iter().find(|row| row.item == item).map(|row| row.decision);
-    let restore_unless = |condition, otherwise| match condition {
-        true => Some(otherwise),
-        false => Some(RestoreDecision::Restore),
+    let restore_unless = |condition, otherwise| {
+        Some(if condition {
+            otherwise
+        } else {
+            RestoreDecision::Restore
+        })
     };
     assert_eq!(
         decision(StateItem::Workers),
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -455,9 +455,10 @@
     match answer {
         FinalAnswer::Succeeded => LoadResult::Cached,
         FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => {
-            match load_failed {
-                true => LoadResult::Rejected,
-                false => LoadResult::Inconclusive,
+            if load_failed {
+                LoadResult::Rejected
+            } else {
+                LoadResult::Inconclusive
             }
         }
     }
