--- a/crates/quartzdrift-lab/src/actor.rs
+++ b/crates/quartzdrift-lab/src/actor.rs
@@ -1,4 +1,4 @@
-//! Runs a stand-in on an event loop of its own, in a thread that is told what to do through a channel.
+//! Runs a fake on an event loop of its own, in a thread that is told what to do through a channel.
 use calloop::channel::{self, Channel, Event as Told, Sender};
 use calloop::{EventLoop, LoopHandle};
 use quartzdrift_http::{HasHttp, HttpEvent};
@@ -13,14 +13,14 @@
     fn command(&mut self, command: Self::Command);
     fn next_due(&self) -> Option<Duration>;
     fn due(&mut self, now: Duration);
-    /// Time since the stand-in's own start.
+    /// Time since the fake's own start.
     fn now(&self) -> Duration;
     fn stopped(&self) -> bool {
         false
     }
 }
 
-/// Runs until the stand-in says that it has stopped, or every sender is gone.
+/// Runs until the fake says that it has stopped, or every sender is gone.
 pub fn run<A: Fake>(
     listener: Option<TcpListener>,
     commands: Option<Channel<A::Command>>,
@@ -29,7 +29,7 @@
     run_to_end(listener, commands, make, drop)
 }
 
-/// The same, and hands the stand-in over at the end.
+/// The same, and hands the fake over at the end.
 pub fn run_to_end<A: Fake>(
     listener: Option<TcpListener>,
     commands: Option<Channel<A::Command>>,
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-/// A stand-in in its thread.
+/// A fake in its thread.
 pub struct Running<C> {
     pub address: SocketAddr,
     sender: Option<Sender<C>>,
@@ -84,7 +84,7 @@
 impl<C: Send + 'static> Running<C> {
     pub fn tell(&self, command: C) {
         if let Some(sender) = &self.sender {
-            // A stand-in that is gone already has nothing left to be told.
+            // A fake that is gone already has nothing left to be told.
             let _ = sender.send(command);
         }
     }
@@ -99,7 +99,7 @@
     }
 }
 
-/// Starts a stand-in that listens at `at`.
+/// Starts a fake that listens at `at`.
 pub fn spawn<A: Fake>(
     at: SocketAddr,
     make: impl FnOnce(LoopHandle<'static, A>, SocketAddr) -> A + Send + 'static,
--- a/crates/quartzdrift-lab/src/audit.rs
+++ b/crates/quartzdrift-lab/src/audit.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How much later one stand-in may see something than another saw its cause, in microseconds: they are threads
+/// How much later one fake may see something than another saw its cause, in microseconds: they are threads
 /// that share a few cores with the gateways, and a closed connection is seen when its thread is next run.
 pub const LAG_US: u64 = 75_000;
 
@@ -85,7 +85,7 @@
 
 struct Attempt<'a> {
     worker: &'a str,
-    life: u64,
+    incarnation: u64,
     request: &'a str,
     key: &'a str,
     from: u64,
@@ -145,17 +145,17 @@
             Seen::Cut { call } => drop(day.cut.insert(*call, at)),
             Seen::Came {
                 worker,
-                life,
+                incarnation,
                 call,
                 request,
                 key,
                 work_us,
                 ..
             } => {
-                open.insert((worker, *life, *call), day.attempts.len());
+                open.insert((worker, *incarnation, *call), day.attempts.len());
                 day.attempts.push(Attempt {
                     worker,
-                    life: *life,
+                    incarnation: *incarnation,
                     request,
                     key,
                     from: at,
@@ -166,19 +166,30 @@
                 });
             }
             Seen::Began {
-                worker, life, call, ..
+                worker,
+                incarnation,
+                call,
+                ..
             } => {
-                if let Some(&of) = open.get(&(worker.as_str(), *life, *call)) {
+                if let Some(&of) = open.get(&(worker.as_str(), *incarnation, *call)) {
                     day.attempts[of].began = true;
                 }
             }
-            Seen::Refused { worker, life, call } => {
-                if let Some(&of) = open.get(&(worker.as_str(), *life, *call)) {
+            Seen::Refused {
+                worker,
+                incarnation,
+                call,
+            } => {
+                if let Some(&of) = open.get(&(worker.as_str(), *incarnation, *call)) {
                     day.attempts[of].refused = true;
                 }
             }
-            Seen::Over { worker, life, call } => {
-                if let Some(&of) = open.get(&(worker.as_str(), *life, *call)) {
+            Seen::Over {
+                worker,
+                incarnation,
+                call,
+            } => {
+                if let Some(&of) = open.get(&(worker.as_str(), *incarnation, *call)) {
                     day.attempts[of].to.get_or_insert(at);
                 }
             }
@@ -394,12 +405,12 @@
         match seen {
             Seen::Started {
                 worker,
-                life,
+                incarnation,
                 cores,
                 cold_from,
                 cold_us,
             } => {
-                starts.insert((worker, *life), (*at_us, *cores, *cold_from, *cold_us));
+                starts.insert((worker, *incarnation), (*at_us, *cores, *cold_from, *cold_us));
             }
             Seen::Fell { worker } => {
                 let what = format!("{worker} fell over");
@@ -415,11 +426,11 @@
     if terms.fall_multiple <= 0.0 {
         return;
     }
-    for ((worker, life), (start, cores, cold_from, cold_us)) in starts {
+    for ((worker, incarnation), (start, cores, cold_from, cold_us)) in starts {
         let came = day
             .attempts
             .iter()
-            .filter(|e| e.worker == worker && e.life == life);
+            .filter(|e| e.worker == worker && e.incarnation == incarnation);
         let came: Vec<(u64, u64)> = came.map(|e| (e.from, e.work)).collect();
         let mut from = 0;
         for (n, (at, _)) in came.iter().enumerate() {
@@ -532,7 +543,7 @@
         let (worker, key, request) = (worker.to_owned(), key.to_owned(), "j".to_owned());
         Seen::Came {
             worker,
-            life: 1,
+            incarnation: 1,
             call,
             gateway: 0,
             request,
@@ -545,7 +556,7 @@
     fn over(worker: &str, call: u64) -> Seen {
         Seen::Over {
             worker: worker.to_owned(),
-            life: 1,
+            incarnation: 1,
             call,
         }
     }
@@ -553,7 +564,7 @@
     fn began(worker: &str, call: u64) -> Seen {
         Seen::Began {
             worker: worker.to_owned(),
-            life: 1,
+            incarnation: 1,
             call,
             warm: true,
         }
@@ -567,7 +578,7 @@
                 0,
                 Seen::Started {
                     worker: "a".into(),
-                    life: 1,
+                    incarnation: 1,
                     cores: 1.0,
                     cold_from: 0.2,
                     cold_us: 5_000_000,
@@ -667,7 +678,7 @@
             let (worker, key, request) = ("a".to_owned(), String::new(), String::new());
             let seen = Seen::Came {
                 worker,
-                life: 1,
+                incarnation: 1,
                 call: 100 + n,
                 gateway: 1,
                 request,
--- a/crates/quartzdrift-lab/src/badday.rs
+++ b/crates/quartzdrift-lab/src/badday.rs
@@ -6,7 +6,7 @@
 use crate::model::{Machine, Spec};
 use crate::record::{Line, Recorder, Seen};
 use crate::relay::Relay;
-use crate::script::{Script, Spoil, Trouble};
+use crate::script::{Fault, Script, Spoil};
 use crate::store::{self, Store};
 use crate::switch::{Links, Switch, kept_port};
 use crate::traffic;
@@ -102,7 +102,7 @@
     store: Running<store::Command>,
     gateways: Vec<Gateway>,
     switch: Option<Switch>,
-    /// Links from gateways to workers, where the day has troubles on some.
+    /// Links from gateways to workers, where the day has faults on some.
     relays: BTreeMap<(usize, usize), Relay>,
     marks: worker::Marks,
     boots: u32,
@@ -207,15 +207,15 @@
             let _ = writeln!(text, "group = \"all\"\nwindow = {}", ms(request_class.window));
         }
         for n in 0..request_class.functions {
-            let (memory, lanes, load) = (
+            let (memory, slots, load) = (
                 request_class.memory_mb,
-                request_class.lanes,
+                request_class.slots,
                 ms(request_class.load),
             );
             let _ = write!(
                 text,
                 "[[functions]]\nname = \"{name}-{n}\"\nworkload = \"{name}\"\nmemory_mb = {memory:.1}\n\
-                 lanes = {lanes}\nload = {load}\n"
+                 lanes = {slots}\nload = {load}\n"
             );
         }
     }
@@ -252,9 +252,9 @@
     let mut specs = BTreeMap::new();
     for request_class in &script.request_classes {
         for n in 0..request_class.functions {
-            let (memory_mb, lanes, load, work) = (
+            let (memory_mb, slots, load, work) = (
                 request_class.memory_mb,
-                request_class.lanes,
+                request_class.slots,
                 request_class.load,
                 request_class.work,
             );
@@ -262,7 +262,7 @@
                 format!("{}-{n}", request_class.name),
                 Spec {
                     memory_mb,
-                    lanes,
+                    slots,
                     load,
                     fetch: 0.6,
                     work,
@@ -363,34 +363,34 @@
             .tell(discovery::Command::Set(listed(&worker, state, started)));
     }
 
-    fn cause(&mut self, trouble: &Trouble) -> io::Result<()> {
-        match *trouble {
-            Trouble::Crash(n) => {
+    fn cause(&mut self, fault: &Fault) -> io::Result<()> {
+        match *fault {
+            Fault::Crash(n) => {
                 self.workers[n].tell(worker::Command::Crash);
                 self.list(n, EndpointState::Gone);
             }
-            Trouble::Start(n) => {
+            Fault::Start(n) => {
                 self.faults[n] = Faults::default();
                 self.workers[n].tell(worker::Command::Start);
                 self.list(n, EndpointState::Up);
             }
-            Trouble::Drain(n) => {
+            Fault::Drain(n) => {
                 self.workers[n].tell(worker::Command::Drain);
                 self.list(n, EndpointState::Draining);
             }
-            Trouble::Silent(n) => self.set_faults(n, |faults| faults.silent = true),
-            Trouble::Hang(n) => self.set_faults(n, |faults| faults.hang = true),
-            Trouble::Well(n) => self.set_faults(n, |faults| *faults = Faults::default()),
-            Trouble::Errors(n, share) => self.set_faults(n, |faults| faults.errors = share),
-            Trouble::Lose(n, share) => self.set_faults(n, |faults| faults.lost = share),
-            Trouble::Slow(n, by) => self.set_faults(n, |faults| faults.slow = by),
-            Trouble::Late(n, by) => self.set_faults(n, |faults| faults.late_reports = by),
-            Trouble::DiscoveryLag(lag) => self.discovery.tell(discovery::Command::Lag(lag)),
-            Trouble::DiscoveryStop(on) => self.discovery.tell(discovery::Command::Stop(on)),
-            Trouble::DiscoveryEmpty(on) => self.discovery.tell(discovery::Command::Empty(on)),
-            Trouble::StoreSlow(times) => self.store.tell(store::Command::Slow(times)),
-            Trouble::StoreRefuse(on) => self.store.tell(store::Command::Refuse(on)),
-            Trouble::KillGateway(n) => {
+            Fault::Silent(n) => self.set_faults(n, |faults| faults.silent = true),
+            Fault::Hang(n) => self.set_faults(n, |faults| faults.hang = true),
+            Fault::Well(n) => self.set_faults(n, |faults| *faults = Faults::default()),
+            Fault::Errors(n, share) => self.set_faults(n, |faults| faults.errors = share),
+            Fault::Lose(n, share) => self.set_faults(n, |faults| faults.lost = share),
+            Fault::Slow(n, by) => self.set_faults(n, |faults| faults.slow = by),
+            Fault::Late(n, by) => self.set_faults(n, |faults| faults.late_reports = by),
+            Fault::DiscoveryLag(lag) => self.discovery.tell(discovery::Command::Lag(lag)),
+            Fault::DiscoveryStop(on) => self.discovery.tell(discovery::Command::Stop(on)),
+            Fault::DiscoveryEmpty(on) => self.discovery.tell(discovery::Command::Empty(on)),
+            Fault::StoreSlow(times) => self.store.tell(store::Command::Slow(times)),
+            Fault::StoreRefuse(on) => self.store.tell(store::Command::Refuse(on)),
+            Fault::KillGateway(n) => {
                 if let Some(mut child) = self.gateways[n].child.take() {
                     // The moment before counts: what comes back after it was sent before it.
                     self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
@@ -398,12 +398,12 @@
                     child.wait()?;
                 }
             }
-            Trouble::StartGateway(n) => {
+            Fault::StartGateway(n) => {
                 if self.gateways[n].child.is_none() {
                     self.start_gateway(n)?;
                 }
             }
-            Trouble::PauseGateway(n, length) => {
+            Fault::PauseGateway(n, length) => {
                 if let Some(child) = &self.gateways[n].child {
                     let id = child.id().to_string();
                     Command::new("kill").args(["-STOP", &id]).status()?;
@@ -413,39 +413,39 @@
                     });
                 }
             }
-            Trouble::Apart { first, last, one_way } => self.switch()?.apart(first, last, one_way),
-            Trouble::Together => self.switch()?.change(|links| *links = Links::default()),
-            Trouble::LoseDatagrams(share) => self.switch()?.change(|links| links.lost = share),
-            Trouble::DoubleDatagrams(share) => self.switch()?.change(|links| links.doubled = share),
-            Trouble::LateDatagrams(late) => self.switch()?.change(|links| links.late = late),
-            Trouble::StopGateways(first, last) => {
+            Fault::Apart { first, last, one_way } => self.switch()?.apart(first, last, one_way),
+            Fault::Together => self.switch()?.change(|links| *links = Links::default()),
+            Fault::LoseDatagrams(share) => self.switch()?.change(|links| links.lost = share),
+            Fault::DoubleDatagrams(share) => self.switch()?.change(|links| links.doubled = share),
+            Fault::LateDatagrams(late) => self.switch()?.change(|links| links.late = late),
+            Fault::StopGateways(first, last) => {
                 for n in first..=last {
                     self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
                 }
                 self.stop(first..=last)?;
             }
-            Trouble::PowerOff { gateways } => self.power_off(gateways)?,
-            Trouble::PowerOnGateway(n) => {
+            Fault::PowerOff { gateways } => self.power_off(gateways)?,
+            Fault::PowerOnGateway(n) => {
                 self.gateways[n].boot = Some(format!("boot-{}", self.boots));
                 if self.gateways[n].child.is_none() {
                     self.start_gateway(n)?;
                 }
             }
-            Trouble::Clock(n, by, ahead) => {
+            Fault::Clock(n, by, ahead) => {
                 let option = if ahead { "--ahead" } else { "--behind" };
                 self.gateways[n].clock = vec![option.to_owned(), format!("{}s", by.as_secs())];
             }
-            Trouble::Link(gateway, worker, link) => {
+            Fault::Link(gateway, worker, link) => {
                 if let Some(relay) = self.relays.get(&(gateway, worker)) {
                     relay.set(link);
                 }
             }
-            Trouble::DiscoveryStall(n, on) => self.discovery.tell(discovery::Command::Stall(n as u64, on)),
-            Trouble::CopyState(n) => {
+            Fault::DiscoveryStall(n, on) => self.discovery.tell(discovery::Command::Stall(n as u64, on)),
+            Fault::CopyState(n) => {
                 let state = &self.gateways[n].state;
                 copy(state, &state.with_extension("copy"))?;
             }
-            Trouble::Spoil(n, how) => self.spoil(n, how)?,
+            Fault::Spoil(n, how) => self.spoil(n, how)?,
         }
         Ok(())
     }
@@ -639,9 +639,9 @@
     })?;
     let mut relays = BTreeMap::new();
     if script
-        .troubles
+        .faults
         .iter()
-        .any(|(_, trouble)| matches!(trouble, Trouble::Link(..)))
+        .any(|(_, fault)| matches!(fault, Fault::Link(..)))
     {
         let pairs = (0..script.gateways).flat_map(|g| (0..workers.len()).map(move |w| (g, w)));
         for (g, w) in pairs {
@@ -720,9 +720,9 @@
         Clients::new(handle, of, addresses, plan, open_too, tally_too)
     })?;
     let start = Instant::now();
-    for (at, trouble) in &script.troubles {
+    for (at, fault) in &script.faults {
         std::thread::sleep(at.saturating_sub(start.elapsed()));
-        stage.cause(trouble)?;
+        stage.cause(fault)?;
     }
     std::thread::sleep(script.length.saturating_sub(start.elapsed()));
     clients.tell(clients::Command::Enough);
--- a/crates/quartzdrift-lab/src/day.rs
+++ b/crates/quartzdrift-lab/src/day.rs
@@ -1,8 +1,8 @@
-//! Days as the decision module's bench draws them, read for their shape and troubles and scaled down to a script that
+//! Days as the decision module's bench draws them, read for their shape and faults and scaled down to a script that
 //! plays on sockets and in the emulator. What has no counterpart here is named, not played.
 //!
 //! Only fields that are needed are read; all others belong to their owner's format.
-use crate::script::{Pattern, RequestClass, Script, Trouble};
+use crate::script::{Fault, Pattern, RequestClass, Script};
 use quartzdrift_scheduler::interface::Idempotency;
 use serde::Deserialize;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct Day {
     pub script: Script,
-    /// Kinds of trouble, and traits of the traffic, that are not played.
+    /// Kinds of fault, and traits of the traffic, that are not played.
     pub left_out: Vec<String>,
 }
 
@@ -38,7 +38,8 @@
     tiers: Vec<Tier>,
     servers: Vec<Server>,
     balancers: Vec<serde_json::Value>,
-    troubles: Vec<Told>,
+    #[serde(rename = "troubles")]
+    faults: Vec<Told>,
     #[serde(default)]
     fall_multiple: f64,
     #[serde(default)]
@@ -102,7 +103,8 @@
 
 #[derive(Deserialize)]
 struct Sort {
-    lanes: usize,
+    #[serde(rename = "lanes")]
+    slots: usize,
     load: f64,
     memory: f64,
 }
@@ -182,7 +184,7 @@
             functions,
             memory_mb: each_mb,
             load: Duration::from_secs_f64((sort.map_or(500_000.0, |sort| sort.load) / 1e6).clamp(0.0, 60.0)),
-            lanes: sort.map_or(1, |sort| sort.lanes).max(1),
+            slots: sort.map_or(1, |sort| sort.slots).max(1),
             asynchronous: false,
             hang_up: 0.0,
             latency_objective: micros(class.aim).min(micros(class.deadline)),
@@ -210,23 +212,23 @@
         lag: micros(file.discovery.notice),
         request_classes: file.classes.iter().map(request_class).collect(),
         length: scale.length,
-        troubles: Vec::new(),
+        faults: Vec::new(),
         forecasts: false,
         fleet: None,
         repeats: 2,
         haste: 1.0,
     };
     let mut left_out = Vec::new();
-    for told in &file.troubles {
+    for told in &file.faults {
         if !take(&mut script, told, &file, scale) {
             left_out.push(told.kind.clone());
         }
     }
-    script.troubles.sort_by_key(|(at, _)| *at);
+    script.faults.sort_by_key(|(at, _)| *at);
     Ok(Day { script, left_out })
 }
 
-/// Puts one trouble of a day into the script; `false`: it has no counterpart.
+/// Puts one fault of a day into the script; `false`: it has no counterpart.
 fn take(script: &mut Script, told: &Told, file: &File, scale: Scale) -> bool {
     let times = scale.length.as_secs_f64() / micros(file.length).as_secs_f64();
     let when = |at: u64| micros(at).mul_f64(times).min(scale.length);
@@ -239,45 +241,45 @@
         0.0
     };
     let share = size.min(1.0);
-    let mut put = |at: Duration, trouble: Trouble| script.troubles.push((at, trouble));
-    let mut spell = |of: &[usize], begin: &dyn Fn(usize) -> Trouble, end: &dyn Fn(usize) -> Trouble| {
+    let mut put = |at: Duration, fault: Fault| script.faults.push((at, fault));
+    let mut spell = |of: &[usize], begin: &dyn Fn(usize) -> Fault, end: &dyn Fn(usize) -> Fault| {
         for n in of {
             put(from, begin(*n));
             put(to, end(*n));
         }
     };
     match told.kind.as_str() {
-        "crash" | "vanish" | "mass_restart" => spell(&workers, &Trouble::Crash, &Trouble::Start),
-        "hang" => spell(&workers, &Trouble::Hang, &Trouble::Well),
-        "fast_errors" => spell(&workers, &|n| Trouble::Errors(n, share), &Trouble::Well),
-        "answer_lost" => spell(&workers, &|n| Trouble::Lose(n, share), &Trouble::Well),
+        "crash" | "vanish" | "mass_restart" => spell(&workers, &Fault::Crash, &Fault::Start),
+        "hang" => spell(&workers, &Fault::Hang, &Fault::Well),
+        "fast_errors" => spell(&workers, &|n| Fault::Errors(n, share), &Fault::Well),
+        "answer_lost" => spell(&workers, &|n| Fault::Lose(n, share), &Fault::Well),
         "report_late" => {
             let late = Duration::from_secs_f64(size);
-            spell(&workers, &|n| Trouble::Late(n, late), &|n| {
-                Trouble::Late(n, Duration::ZERO)
+            spell(&workers, &|n| Fault::Late(n, late), &|n| {
+                Fault::Late(n, Duration::ZERO)
             });
         }
-        "balancer_crash" => spell(&gateways, &Trouble::KillGateway, &Trouble::StartGateway),
+        "balancer_crash" => spell(&gateways, &Fault::KillGateway, &Fault::StartGateway),
         "balancer_roll" => {
             for step in &told.steps {
                 for n in scaled(&step.stop, file.balancers.len(), scale.gateways) {
-                    put(when(step.at), Trouble::KillGateway(n));
-                    put(when(step.at) + REPLACE, Trouble::StartGateway(n));
+                    put(when(step.at), Fault::KillGateway(n));
+                    put(when(step.at) + REPLACE, Fault::StartGateway(n));
                 }
             }
         }
         "deploy" | "preempt" => {
             for step in &told.steps {
                 for n in scaled(&step.stop, file.servers.len(), scale.workers) {
-                    put(when(step.at), Trouble::Drain(n));
-                    put(when(step.at) + REPLACE, Trouble::Crash(n));
-                    put(when(step.at) + REPLACE * 2, Trouble::Start(n));
+                    put(when(step.at), Fault::Drain(n));
+                    put(when(step.at) + REPLACE, Fault::Crash(n));
+                    put(when(step.at) + REPLACE * 2, Fault::Start(n));
                 }
             }
         }
         "discovery_stale" => {
-            put(from, Trouble::DiscoveryLag(Duration::from_secs_f64(size)));
-            put(to, Trouble::DiscoveryLag(micros(file.discovery.notice)));
+            put(from, Fault::DiscoveryLag(Duration::from_secs_f64(size)));
+            put(to, Fault::DiscoveryLag(micros(file.discovery.notice)));
         }
         _ => return false,
     }
@@ -289,7 +291,7 @@
     use super::*;
 
     /// A day of our own with the fields that are read.
-    fn day(troubles: &str) -> String {
+    fn day(faults: &str) -> String {
         let servers: Vec<&str> = vec!["{\"kind\": 0}"; 20];
         format!(
             r#"{{"length": 40000000, "other": [1], "traffic": {{"load": 0.5, "x": 1}},
@@ -300,7 +302,7 @@
                "discovery": {{"notice": 500000}},
                "fam": {{"keep": 9000000, "memory": [4000.0], "catalog": 0.5,
                         "sorts": [{{"lanes": 2, "load": 300000.0, "memory": 400.0}}]}},
-               "troubles": [{troubles}]}}"#,
+               "troubles": [{faults}]}}"#,
             servers.join(",")
         )
     }
@@ -338,27 +340,27 @@
             (script.queue, script.cores, script.lag),
             (17, 4.0, Duration::from_millis(500))
         );
-        for (at, trouble) in [
-            (s(5), Trouble::Hang(0)),
-            (s(5), Trouble::Hang(9)),
-            (s(7), Trouble::Well(0)),
-            (s(1), Trouble::KillGateway(1)),
-            (s(2), Trouble::StartGateway(1)),
-            (s(2), Trouble::Drain(5)),
-            (s(4), Trouble::Start(5)),
-            (s(10), Trouble::Late(2, Duration::ZERO)),
+        for (at, fault) in [
+            (s(5), Fault::Hang(0)),
+            (s(5), Fault::Hang(9)),
+            (s(7), Fault::Well(0)),
+            (s(1), Fault::KillGateway(1)),
+            (s(2), Fault::StartGateway(1)),
+            (s(2), Fault::Drain(5)),
+            (s(4), Fault::Start(5)),
+            (s(10), Fault::Late(2, Duration::ZERO)),
         ] {
             assert!(
-                script.troubles.contains(&(at, trouble.clone())),
-                "{trouble:?} in {:?}",
-                script.troubles
+                script.faults.contains(&(at, fault.clone())),
+                "{fault:?} in {:?}",
+                script.faults
             );
         }
         assert_eq!(
             script
-                .troubles
+                .faults
                 .iter()
-                .filter(|t| matches!(t.1, Trouble::Hang(_)))
+                .filter(|t| matches!(t.1, Fault::Hang(_)))
                 .count(),
             2
         );
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the roster: HTTP service discovery JSON at `/workers/GATEWAY`, with changes pushed over
+//! A fake for the roster: HTTP service discovery JSON at `/workers/GATEWAY`, with changes pushed over
 //! server-sent events to those who accept them, as late as told.
 use crate::actor::Fake;
 use crate::record::{Recorder, Seen};
--- a/crates/quartzdrift-lab/src/emulate/clients.rs
+++ b/crates/quartzdrift-lab/src/emulate/clients.rs
@@ -42,10 +42,10 @@
             self.now + request_class.limit + Duration::from_millis(500),
             Ev::ClientTimeout(client, turn),
         );
-        let (now, life) = (self.now, self.schedulers[s].life);
+        let (now, incarnation) = (self.now, self.schedulers[s].incarnation);
         if let Some(machine) = &mut self.schedulers[s].returning.machine {
             match machine.admit(now, &arrival.function) {
-                Ok(tries) => self.clients[client].tries = tries.map(|number| (life, number)),
+                Ok(tries) => self.clients[client].tries = tries.map(|number| (incarnation, number)),
                 Err(wait) => {
                     let retry_after = Some(wait);
                     return self.answered(
@@ -70,7 +70,7 @@
             left: request_class.limit,
             work_hint: None,
             memory_mb: Some(request_class.memory_mb),
-            concurrency_slots: Some(request_class.lanes as f64),
+            concurrency_slots: Some(request_class.slots as f64),
             load_hint: Some(request_class.load),
             is_retry: turn > 1,
             writes: false,
--- a/crates/quartzdrift-lab/src/emulate/troubles.rs
+++ b/crates/quartzdrift-lab/src/emulate/faults.rs
@@ -1,4 +1,4 @@
-//! Troubles of a script, and the list of workers that tells of some.
+//! Faults of a script, and the list of workers that tells of some.
 use super::*;
 
 impl Sim<'_> {
@@ -22,13 +22,13 @@
         }
     }
 
-    pub(super) fn trouble(&mut self, trouble: &Trouble, machine: &Machine, seed: u64) {
-        match *trouble {
-            Trouble::Crash(w) => {
+    pub(super) fn fault(&mut self, fault: &Fault, machine: &Machine, seed: u64) {
+        match *fault {
+            Fault::Crash(w) => {
                 self.crash(w);
                 self.list(w, EndpointState::Gone);
             }
-            Trouble::Start(w) => {
+            Fault::Start(w) => {
                 if self.workers[w].up {
                     self.crash(w);
                 }
@@ -38,74 +38,77 @@
                 (worker.up, worker.faults) = (true, Faults::default());
                 self.list(w, EndpointState::Up);
             }
-            Trouble::Drain(w) => {
+            Fault::Drain(w) => {
                 self.workers[w].model.draining = true;
                 self.list(w, EndpointState::Draining);
             }
-            Trouble::Silent(w) => self.workers[w].faults.silent = true,
-            Trouble::Hang(w) => self.workers[w].faults.hang = true,
-            Trouble::Well(w) => {
+            Fault::Silent(w) => self.workers[w].faults.silent = true,
+            Fault::Hang(w) => self.workers[w].faults.hang = true,
+            Fault::Well(w) => {
                 self.workers[w].faults = Faults::default();
                 if self.workers[w].up {
                     self.workers[w].model.due(self.now);
                 }
                 self.act(w);
             }
-            Trouble::Errors(w, share) => self.workers[w].faults.errors = share,
-            Trouble::Lose(w, share) => self.workers[w].faults.lost = share,
-            Trouble::Slow(w, by) => self.workers[w].faults.slow = by,
-            Trouble::Late(w, by) => self.workers[w].faults.late_reports = by,
-            Trouble::DiscoveryLag(lag) => self.lag = lag,
-            Trouble::DiscoveryStop(on) => {
+            Fault::Errors(w, share) => self.workers[w].faults.errors = share,
+            Fault::Lose(w, share) => self.workers[w].faults.lost = share,
+            Fault::Slow(w, by) => self.workers[w].faults.slow = by,
+            Fault::Late(w, by) => self.workers[w].faults.late_reports = by,
+            Fault::DiscoveryLag(lag) => self.lag = lag,
+            Fault::DiscoveryStop(on) => {
                 self.discovery_stopped = on;
                 if !on {
                     for scheduler in 0..self.schedulers.len() {
-                        let life = self.schedulers[scheduler].life;
-                        self.later(Ev::FullList { scheduler, life });
+                        let incarnation = self.schedulers[scheduler].incarnation;
+                        self.later(Ev::FullList {
+                            scheduler,
+                            incarnation,
+                        });
                     }
                 }
             }
-            Trouble::PauseGateway(s, length) => self.schedulers[s].paused = self.now + length,
-            Trouble::Apart { first, last, one_way } => self.apart = Some((first..last + 1, one_way)),
-            Trouble::Together => {
+            Fault::PauseGateway(s, length) => self.schedulers[s].paused = self.now + length,
+            Fault::Apart { first, last, one_way } => self.apart = Some((first..last + 1, one_way)),
+            Fault::Together => {
                 (self.apart, self.loss, self.doubled, self.late) = (None, 0.0, 0.0, Duration::ZERO);
             }
-            Trouble::LoseDatagrams(share) => self.loss = share,
-            Trouble::PowerOff { gateways } => {
+            Fault::LoseDatagrams(share) => self.loss = share,
+            Fault::PowerOff { gateways } => {
                 self.power.off.get_or_insert(self.now);
                 let (first, last) = gateways.unwrap_or((0, self.schedulers.len().saturating_sub(1)));
-                (first..=last).for_each(|s| self.trouble(&Trouble::KillGateway(s), machine, seed));
+                (first..=last).for_each(|s| self.fault(&Fault::KillGateway(s), machine, seed));
                 if gateways.is_none() {
-                    (0..self.workers.len()).for_each(|w| self.trouble(&Trouble::Crash(w), machine, seed));
-                    self.trouble(&Trouble::DiscoveryStop(true), machine, seed);
+                    (0..self.workers.len()).for_each(|w| self.fault(&Fault::Crash(w), machine, seed));
+                    self.fault(&Fault::DiscoveryStop(true), machine, seed);
                 }
             }
-            Trouble::StopGateways(first, last) => {
-                (first..=last).for_each(|s| self.trouble(&Trouble::KillGateway(s), machine, seed));
+            Fault::StopGateways(first, last) => {
+                (first..=last).for_each(|s| self.fault(&Fault::KillGateway(s), machine, seed));
             }
-            Trouble::PowerOnGateway(s) => self.trouble(&Trouble::StartGateway(s), machine, seed),
-            Trouble::DoubleDatagrams(share) => self.doubled = share,
-            Trouble::LateDatagrams(late) => self.late = late,
-            Trouble::Clock(s, by, ahead) => self.schedulers[s].returning.clock = (by, ahead),
-            Trouble::CopyState(s) => self.return_copied(s),
-            Trouble::Spoil(s, how) => self.return_spoilt(s, how),
+            Fault::PowerOnGateway(s) => self.fault(&Fault::StartGateway(s), machine, seed),
+            Fault::DoubleDatagrams(share) => self.doubled = share,
+            Fault::LateDatagrams(late) => self.late = late,
+            Fault::Clock(s, by, ahead) => self.schedulers[s].returning.clock = (by, ahead),
+            Fault::CopyState(s) => self.return_copied(s),
+            Fault::Spoil(s, how) => self.return_spoilt(s, how),
             // Connections are not modelled byte by byte.
-            Trouble::Link(..) | Trouble::DiscoveryStall(..) => {}
+            Fault::Link(..) | Fault::DiscoveryStall(..) => {}
             // Empty lists are doubted by the daemon's reading of lists, which is not part of this model.
-            Trouble::DiscoveryEmpty(_) => {}
-            Trouble::StoreSlow(times) => {
+            Fault::DiscoveryEmpty(_) => {}
+            Fault::StoreSlow(times) => {
                 self.store.advance(self.now);
                 self.store.slow = times;
                 self.plan_store();
             }
-            Trouble::StoreRefuse(on) => self.store.refuses = on,
-            Trouble::KillGateway(s) => {
+            Fault::StoreRefuse(on) => self.store.refuses = on,
+            Fault::KillGateway(s) => {
                 if self.schedulers[s].request_table.is_some() {
                     self.fleet_killed(s);
                 }
                 let scheduler = &mut self.schedulers[s];
                 scheduler.request_table = None;
-                scheduler.life += 1;
+                scheduler.incarnation += 1;
                 if let Some(ahead) = scheduler.ahead.take() {
                     let sums = ahead.ledger.sums();
                     self.sums.used += sums.used;
@@ -122,7 +125,7 @@
                     self.figures.no_answer += 1;
                 }
             }
-            Trouble::StartGateway(s) => {
+            Fault::StartGateway(s) => {
                 if self.schedulers[s].request_table.is_none() && !self.schedulers[s].returning.full {
                     self.fleet_restarted(s);
                     self.start_scheduler(s, seed);
--- a/crates/quartzdrift-lab/src/emulate/fleet.rs
+++ b/crates/quartzdrift-lab/src/emulate/fleet.rs
@@ -70,9 +70,9 @@
             ..Settings::default()
         };
         self.drawn += 1;
-        let (life, seed) = (self.chance.random_range(1..u64::MAX), self.drawn);
+        let (incarnation, seed) = (self.chance.random_range(1..u64::MAX), self.drawn);
         let (saved, before) = std::mem::take(&mut self.schedulers[s].met);
-        let members = Membership::new(settings, life, &saved, seed, self.now);
+        let members = Membership::new(settings, incarnation, &saved, seed, self.now);
         let count = SchedulerCount::new(
             self.settings.schedulers.unwrap_or(1),
             before,
@@ -139,8 +139,8 @@
         let changes = std::mem::replace(&mut fleet.told, told) != told;
         if plans {
             fleet.planned = Some(next);
-            let life = self.schedulers[s].life;
-            self.put(next, Ev::FleetDue(s, life));
+            let incarnation = self.schedulers[s].incarnation;
+            self.put(next, Ev::FleetDue(s, incarnation));
         }
         if changes {
             if let Some(request_table) = &mut self.schedulers[s].request_table {
--- a/crates/quartzdrift-lab/src/emulate/mod.rs
+++ b/crates/quartzdrift-lab/src/emulate/mod.rs
@@ -2,18 +2,18 @@
 //! clients and network. One queue of events; the same script, traffic and seed give the same figures.
 //!
 //! Modelled, not measured: each message takes 0.2 to 0.6 ms, schedulers take no time to decide, and a connection to a worker
-//! that is down is refused at once. Everything else is the code that runs on sockets, or the stand-ins' models.
+//! that is down is refused at once. Everything else is the code that runs on sockets, or the fakes' models.
 mod clients;
+mod faults;
 mod fleet;
 mod power;
 mod returning;
 mod schedulers;
-mod troubles;
 mod workers;
 
 use crate::badday;
 use crate::model::{Found, Machine, Say, Worker};
-use crate::script::{Script, Trouble};
+use crate::script::{Fault, Script};
 use crate::store;
 use crate::traffic::{self, Arrival};
 use crate::worker::Faults;
@@ -152,7 +152,7 @@
     Came {
         worker: usize,
         scheduler: usize,
-        life: u64,
+        incarnation: u64,
         request: u64,
         attempt: u32,
         call: u64,
@@ -160,7 +160,7 @@
     },
     Back {
         scheduler: usize,
-        life: u64,
+        incarnation: u64,
         request: u64,
         attempt: u32,
         ended: AttemptResult,
@@ -174,14 +174,14 @@
     Order {
         worker: usize,
         scheduler: usize,
-        life: u64,
+        incarnation: u64,
         order: u64,
         function: Rc<str>,
         copies: u32,
     },
     OrderBack {
         scheduler: usize,
-        life: u64,
+        incarnation: u64,
         order: u64,
         outcome: Outcome,
         copies: u32,
@@ -194,9 +194,9 @@
     },
     FullList {
         scheduler: usize,
-        life: u64,
+        incarnation: u64,
     },
-    Trouble(usize),
+    Fault(usize),
     Datagram {
         to: usize,
         from: usize,
@@ -228,13 +228,13 @@
     orders: BTreeMap<u64, (usize, u64, u64)>,
     planned: Option<Duration>,
     reports: Vec<(Duration, Vec<Option<f64>>)>,
-    life: u64,
+    incarnation: u64,
 }
 
 struct SchedulerSim {
     request_table: Option<RequestTable<usize>>,
     ahead: Option<Ahead>,
-    life: u64,
+    incarnation: u64,
     planned: Option<Duration>,
     sent: BTreeMap<(u64, u32), (usize, u64)>,
     orders: BTreeMap<u64, (Duration, Rc<str>)>,
@@ -370,7 +370,7 @@
         orders: BTreeMap::new(),
         planned: None,
         reports: Vec::new(),
-        life: 1,
+        incarnation: 1,
     };
     let mut sim = Sim {
         script,
@@ -430,7 +430,7 @@
             let scheduler = SchedulerSim {
                 request_table: None,
                 ahead: None,
-                life: 0,
+                incarnation: 0,
                 planned: None,
                 sent: BTreeMap::new(),
                 orders: BTreeMap::new(),
@@ -445,8 +445,8 @@
             self.schedulers.push(scheduler);
             self.start_scheduler(s, seed);
         }
-        for (n, (at, _)) in self.script.troubles.iter().enumerate() {
-            self.put(START + *at, Ev::Trouble(n));
+        for (n, (at, _)) in self.script.faults.iter().enumerate() {
+            self.put(START + *at, Ev::Fault(n));
         }
         if let Some(first) = self.arrivals.first() {
             self.put(START + traffic::at(first), Ev::Arrive(0));
@@ -515,7 +515,7 @@
             | Ev::WorkerDue(_)
             | Ev::StoreDue
             | Ev::Order { .. }
-            | Ev::Trouble(_)
+            | Ev::Fault(_)
             | Ev::Foresee(_)
             | Ev::Sample => None,
         }
@@ -530,31 +530,31 @@
         }
         match event {
             Ev::Datagram { to, from, bytes } => self.datagram(to, from, &bytes),
-            Ev::FleetDue(s, life) => {
-                if self.schedulers[s].life == life {
+            Ev::FleetDue(s, incarnation) => {
+                if self.schedulers[s].incarnation == incarnation {
                     self.fleet_due(s);
                 }
             }
             Ev::Arrive(n) => self.arrive(n),
             Ev::ClientTimeout(client, turn) => self.client_timeout(client, turn),
             Ev::Again(client) => self.ask(client),
-            Ev::RequestTableDue(s, life) => self.request_table_due(s, life),
+            Ev::RequestTableDue(s, incarnation) => self.request_table_due(s, incarnation),
             Ev::Came {
                 worker,
                 scheduler,
-                life,
+                incarnation,
                 request,
                 attempt,
                 call,
                 client,
-            } => self.came(worker, (scheduler, life, request, attempt), call, client),
+            } => self.came(worker, (scheduler, incarnation, request, attempt), call, client),
             Ev::Back {
                 scheduler,
-                life,
+                incarnation,
                 request,
                 attempt,
                 ended,
-            } => self.back(scheduler, life, request, attempt, ended),
+            } => self.back(scheduler, incarnation, request, attempt, ended),
             Ev::Cancel { worker, call } => self.cancel(worker, call),
             Ev::WorkerDue(w) => {
                 self.workers[w].planned = None;
@@ -573,18 +573,18 @@
             Ev::Order {
                 worker,
                 scheduler,
-                life,
+                incarnation,
                 order,
                 function,
                 copies,
-            } => self.order(worker, scheduler, life, order, &function, copies),
+            } => self.order(worker, scheduler, incarnation, order, &function, copies),
             Ev::OrderBack {
                 scheduler,
-                life,
+                incarnation,
                 order,
                 outcome,
                 copies,
-            } => self.order_back(scheduler, life, order, outcome, copies),
+            } => self.order_back(scheduler, incarnation, order, outcome, copies),
             Ev::List {
                 scheduler,
                 worker,
@@ -603,8 +603,11 @@
                 }
                 self.outputs(scheduler);
             }
-            Ev::FullList { scheduler, life } => {
-                if self.schedulers[scheduler].life == life {
+            Ev::FullList {
+                scheduler,
+                incarnation,
+            } => {
+                if self.schedulers[scheduler].incarnation == incarnation {
                     if let Some(request_table) = &mut self.schedulers[scheduler].request_table {
                         request_table.update_endpoints(
                             self.now,
@@ -615,9 +618,9 @@
                     self.outputs(scheduler);
                 }
             }
-            Ev::Trouble(n) => {
-                let trouble = self.script.troubles[n].1.clone();
-                self.trouble(&trouble, machine, seed);
+            Ev::Fault(n) => {
+                let fault = self.script.faults[n].1.clone();
+                self.fault(&fault, machine, seed);
             }
             Ev::Foresee(n) => self.foresee(n),
             Ev::Sample => {
--- a/crates/quartzdrift-lab/src/emulate/returning.rs
+++ b/crates/quartzdrift-lab/src/emulate/returning.rs
@@ -158,8 +158,8 @@
             return;
         };
         machine.request_answered(kept);
-        if let Some((life, number)) = of.tries.take()
-            && life == scheduler.life
+        if let Some((incarnation, number)) = of.tries.take()
+            && incarnation == scheduler.incarnation
         {
             let came = match (finished, self.load_failed) {
                 (true, _) => LoadResult::Cached,
--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -5,9 +5,11 @@
     pub(super) fn start_scheduler(&mut self, s: usize, seed: u64) {
         let mut settings = self.settings.clone();
         settings.me = Some(s as u32);
-        let life = self.schedulers[s].life + 1;
-        let mut request_table =
-            RequestTable::new(&settings, seed.wrapping_mul(1_000_003) ^ (s as u64) << 8 ^ life);
+        let incarnation = self.schedulers[s].incarnation + 1;
+        let mut request_table = RequestTable::new(
+            &settings,
+            seed.wrapping_mul(1_000_003) ^ (s as u64) << 8 ^ incarnation,
+        );
         request_table.update_endpoints(
             self.now,
             EndpointListKind::Snapshot,
@@ -31,16 +33,16 @@
         (
             scheduler.request_table,
             scheduler.ahead,
-            scheduler.life,
+            scheduler.incarnation,
             scheduler.planned,
-        ) = (Some(request_table), ahead, life, None);
+        ) = (Some(request_table), ahead, incarnation, None);
         self.begin_return(s);
         self.outputs(s);
         self.join(s);
     }
 
-    pub(super) fn request_table_due(&mut self, s: usize, life: u64) {
-        if self.schedulers[s].life != life {
+    pub(super) fn request_table_due(&mut self, s: usize, incarnation: u64) {
+        if self.schedulers[s].incarnation != incarnation {
             return;
         }
         self.schedulers[s].planned = None;
@@ -142,14 +144,14 @@
             return;
         };
         if scheduler.planned.is_none_or(|at| next < at) {
-            let life = scheduler.life;
+            let incarnation = scheduler.incarnation;
             self.schedulers[s].planned = Some(next);
-            self.put(next, Ev::RequestTableDue(s, life));
+            self.put(next, Ev::RequestTableDue(s, incarnation));
         }
     }
 
     pub(super) fn output(&mut self, s: usize, output: Output<usize>) {
-        let life = self.schedulers[s].life;
+        let incarnation = self.schedulers[s].incarnation;
         match output {
             Output::StartAttempt {
                 request,
@@ -166,7 +168,7 @@
                 self.later(Ev::Came {
                     worker,
                     scheduler: s,
-                    life,
+                    incarnation,
                     request,
                     attempt,
                     call,
@@ -210,7 +212,7 @@
                 self.later(Ev::Order {
                     worker,
                     scheduler: s,
-                    life,
+                    incarnation,
                     order,
                     function,
                     copies,
@@ -230,9 +232,16 @@
         }
     }
 
-    pub(super) fn back(&mut self, s: usize, life: u64, request: u64, attempt: u32, ended: AttemptResult) {
+    pub(super) fn back(
+        &mut self,
+        s: usize,
+        incarnation: u64,
+        request: u64,
+        attempt: u32,
+        ended: AttemptResult,
+    ) {
         let scheduler = &mut self.schedulers[s];
-        if scheduler.life != life || scheduler.sent.remove(&(request, attempt)).is_none() {
+        if scheduler.incarnation != incarnation || scheduler.sent.remove(&(request, attempt)).is_none() {
             return;
         }
         if ended.outcome == Outcome::Succeeded && ended.cache_result != CacheResult::Warm {
@@ -246,9 +255,16 @@
         self.load_failed = false;
     }
 
-    pub(super) fn order_back(&mut self, s: usize, life: u64, order: u64, outcome: Outcome, copies: u32) {
+    pub(super) fn order_back(
+        &mut self,
+        s: usize,
+        incarnation: u64,
+        order: u64,
+        outcome: Outcome,
+        copies: u32,
+    ) {
         let (now, scheduler) = (self.now, &mut self.schedulers[s]);
-        if scheduler.life != life {
+        if scheduler.incarnation != incarnation {
             return;
         }
         if let Some((at, function)) = scheduler.orders.remove(&order)
@@ -296,7 +312,7 @@
         probability,
         requests_per_second,
         memory_mb: Some(of.memory_mb),
-        concurrency_slots: Some(of.lanes as f64),
+        concurrency_slots: Some(of.slots as f64),
         load_hint: Some(of.load),
     }
 }
--- a/crates/quartzdrift-lab/src/emulate/workers.rs
+++ b/crates/quartzdrift-lab/src/emulate/workers.rs
@@ -1,15 +1,15 @@
-//! Workers and the store that they fetch from: the stand-ins' models.
+//! Workers and the store that they fetch from: the fakes' models.
 use super::*;
 
 impl Sim<'_> {
     pub(super) fn came(&mut self, w: usize, from: (usize, u64, u64, u32), call: u64, client: usize) {
-        let (scheduler, life, request, attempt) = from;
+        let (scheduler, incarnation, request, attempt) = from;
         if self.cancelled.remove(&call) {
             return;
         }
         let back = |outcome| Ev::Back {
             scheduler,
-            life,
+            incarnation,
             request,
             attempt,
             ended: AttemptResult::silent(outcome),
@@ -88,8 +88,8 @@
                     function,
                 } => {
                     self.drawn += 1;
-                    let (fetch, life) = (self.drawn, self.workers[w].life);
-                    self.fetches.insert(fetch, (w, life, load));
+                    let (fetch, incarnation) = (self.drawn, self.workers[w].incarnation);
+                    self.fetches.insert(fetch, (w, incarnation, load));
                     let taken = self.store.begin(self.now, fetch, takes);
                     self.power.fetch(function, takes, taken);
                     if !taken {
@@ -102,7 +102,7 @@
                     copies,
                     enough,
                 } => {
-                    if let Some((scheduler, life, order)) = self.workers[w].orders.remove(&order) {
+                    if let Some((scheduler, incarnation, order)) = self.workers[w].orders.remove(&order) {
                         let outcome = if enough {
                             Outcome::Succeeded
                         } else {
@@ -110,7 +110,7 @@
                         };
                         self.later(Ev::OrderBack {
                             scheduler,
-                            life,
+                            incarnation,
                             order,
                             outcome,
                             copies: copies as u32,
@@ -144,7 +144,7 @@
         crowd: usize,
         wanted: bool,
     ) {
-        let Some((scheduler, life, request, attempt)) = self.workers[w].calls.remove(&call) else {
+        let Some((scheduler, incarnation, request, attempt)) = self.workers[w].calls.remove(&call) else {
             return;
         };
         if !wanted {
@@ -154,7 +154,7 @@
         if faults.silent {
             self.workers[w]
                 .calls
-                .insert(call, (scheduler, life, request, attempt));
+                .insert(call, (scheduler, incarnation, request, attempt));
             return;
         }
         let lost = faults.lost > 0.0 && self.chance.random_range(0.0..1.0) < faults.lost;
@@ -178,7 +178,7 @@
             at,
             Ev::Back {
                 scheduler,
-                life,
+                incarnation,
                 request,
                 attempt,
                 ended,
@@ -190,7 +190,7 @@
         &mut self,
         w: usize,
         scheduler: usize,
-        life: u64,
+        incarnation: u64,
         order: u64,
         function: &str,
         copies: u32,
@@ -200,7 +200,7 @@
             let outcome = Outcome::ConnectFailed;
             return self.later(Ev::OrderBack {
                 scheduler,
-                life,
+                incarnation,
                 order,
                 outcome,
                 copies: 0,
@@ -210,7 +210,7 @@
             return;
         }
         self.drawn += 1;
-        worker.orders.insert(self.drawn, (scheduler, life, order));
+        worker.orders.insert(self.drawn, (scheduler, incarnation, order));
         worker
             .model
             .order(self.now, self.drawn, function, copies as usize);
@@ -218,8 +218,8 @@
     }
 
     pub(super) fn fetched(&mut self, fetch: u64, good: bool) {
-        if let Some((w, life, load)) = self.fetches.remove(&fetch)
-            && self.workers[w].life == life
+        if let Some((w, incarnation, load)) = self.fetches.remove(&fetch)
+            && self.workers[w].incarnation == incarnation
         {
             self.workers[w].model.fetched(self.now, load, good);
             self.act(w);
@@ -238,23 +238,23 @@
     pub(super) fn crash(&mut self, w: usize) {
         let worker = &mut self.workers[w];
         worker.up = false;
-        worker.life += 1;
+        worker.incarnation += 1;
         let calls = std::mem::take(&mut worker.calls);
         let orders = std::mem::take(&mut worker.orders);
         (worker.reports, worker.planned) = Default::default();
-        for (scheduler, life, request, attempt) in calls.into_values() {
+        for (scheduler, incarnation, request, attempt) in calls.into_values() {
             self.later(Ev::Back {
                 scheduler,
-                life,
+                incarnation,
                 request,
                 attempt,
                 ended: AttemptResult::silent(Outcome::Reset),
             });
         }
-        for (scheduler, life, order) in orders.into_values() {
+        for (scheduler, incarnation, order) in orders.into_values() {
             self.later(Ev::OrderBack {
                 scheduler,
-                life,
+                incarnation,
                 order,
                 outcome: Outcome::Reset,
                 copies: 0,
--- a/crates/quartzdrift-lab/src/functions.rs
+++ b/crates/quartzdrift-lab/src/functions.rs
@@ -1,4 +1,4 @@
-//! Sample functions that stand-in workers run.
+//! Sample functions that fake workers run.
 use serde_json::{Value, json};
 use std::time::Duration;
 
--- a/crates/quartzdrift-lab/src/lib.rs
+++ b/crates/quartzdrift-lab/src/lib.rs
@@ -1,15 +1,15 @@
 //! The lab: what the gateway is tried against, and what judges it.
 //!
-//! * [`model`] and [`worker`]: stand-in workers, first without and then with sockets; [`functions`] that they run.
-//! * [`store`], [`discovery`]: stand-ins for the store that functions are fetched from and for the list of workers.
+//! * [`model`] and [`worker`]: fake workers, first without and then with sockets; [`functions`] that they run.
+//! * [`store`], [`discovery`]: fakes for the store that functions are fetched from and for the list of workers.
 //! * [`clients`], [`load`]: clients of a day, and open-loop load with a report.
-//! * [`script`], [`badday`], [`record`], [`audit`]: days of troubles, what passed on the sockets, and the verdict.
+//! * [`script`], [`badday`], [`record`], [`audit`]: days of faults, what passed on the sockets, and the verdict.
 //! * [`emulate`]: a fleet in simulated time, with the real desk, module and forecasts; [`traffic`] of days, and
 //!   [`experiment`], which compares variants over days and seeds.
 //! * [`day`]: days of the decision module's bench, scaled down to scripts.
 //! * [`measure`], with [`light`] workers: what a gateway costs.
-//! * [`platform`]: stand-ins for the operators' platform; [`stage`]: a scheduler between them.
-//! * [`actor`]: the event loop that stand-ins run on.
+//! * [`platform`]: fakes for the operators' platform; [`stage`]: a scheduler between them.
+//! * [`actor`]: the event loop that fakes run on.
 //! * [`naive`]: a gateway that breaks the rules, to prove that the auditor sees it.
 pub mod actor;
 pub mod audit;
--- a/crates/quartzdrift-lab/src/losses.rs
+++ b/crates/quartzdrift-lab/src/losses.rs
@@ -1,7 +1,7 @@
 //! Days of power loss drawn from a seed: who is back when, what is spoilt, cut off, set wrong or lost again meanwhile.
 use crate::badday::{self, Day, Program};
 use crate::record::Seen;
-use crate::script::{self, Script, Trouble};
+use crate::script::{self, Fault, Script};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -105,20 +105,19 @@
 /// target as often as before the first, or nearly, for good; looked at in windows of a second. A client's repeats count with its first.
 pub fn returned(day: &Day, script: &Script) -> Option<f64> {
     const NEARLY: f64 = 0.95;
-    let moments = |of: fn(&Trouble) -> bool| {
+    let moments = |of: fn(&Fault) -> bool| {
         script
-            .troubles
+            .faults
             .iter()
             .filter(move |(_, t)| of(t))
             .map(|(at, _)| at.as_secs_f64())
     };
-    let offs: Vec<f64> = moments(|t| matches!(t, Trouble::PowerOff { .. })).collect();
+    let offs: Vec<f64> = moments(|t| matches!(t, Fault::PowerOff { .. })).collect();
     let (first, last) = (*offs.first()?, *offs.last()?);
-    let back =
-        moments(|t| matches!(t, Trouble::PowerOnGateway(_) | Trouble::Start(_))).find(|at| *at > last)?;
+    let back = moments(|t| matches!(t, Fault::PowerOnGateway(_) | Fault::Start(_))).find(|at| *at > last)?;
     let mut calls: BTreeMap<u64, &str> = BTreeMap::new();
     let mut keys: BTreeMap<&str, (f64, f64, bool)> = BTreeMap::new();
-    // The record began before the troubles' clock, at the first gateway's start.
+    // The record began before the faults' clock, at the first gateway's start.
     let start = day
         .lines
         .iter()
--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -13,7 +13,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Stand-ins, trouble scripts, auditor and load for quartzdrift.
+/// Fakes, fault scripts, auditor and load for quartzdrift.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -23,7 +23,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a gateway and a few stand-in workers with sample functions, all on loopback
+    /// Run a gateway and a few fake workers with sample functions, all on loopback
     Demo {
         #[arg(long, default_value = "127.0.0.1:9700")]
         listen: SocketAddr,
@@ -45,7 +45,7 @@
     },
     /// Run a scheduler on the operators' platform, as `quartzdrift run` does
     Scheduler,
-    /// Run one stand-in worker
+    /// Run one fake worker
     Worker {
         #[arg(long, default_value = "127.0.0.1:9801")]
         listen: SocketAddr,
@@ -53,7 +53,7 @@
         #[arg(long)]
         store: Option<SocketAddr>,
     },
-    /// Run a stand-in store
+    /// Run a fake store
     Store {
         #[arg(long, default_value = "127.0.0.1:9850")]
         listen: SocketAddr,
@@ -62,7 +62,7 @@
     },
     /// Run a gateway that breaks the rules on purpose, to prove that the auditor sees it
     Naive { file: PathBuf },
-    /// Play a day of troubles against several gateway processes, and judge the rules from what passed on the sockets
+    /// Play a day of faults against several gateway processes, and judge the rules from what passed on the sockets
     ///
     /// Exit status 0 only where every rule was kept. Without a script it plays the bad day that comes with it.
     Badday {
@@ -162,7 +162,7 @@
     },
     /// Play a day of the bench, scaled down, on gateway processes and in the emulator
     ///
-    /// Exit status 0 only where every rule was kept. Troubles that have no counterpart are named.
+    /// Exit status 0 only where every rule was kept. Faults that have no counterpart are named.
     Replay {
         day: PathBuf,
         #[arg(long, default_value_t = 4)]
@@ -592,7 +592,7 @@
     let script = day.script;
     println!(
         "{} troubles; not played: {}",
-        script.troubles.len(),
+        script.faults.len(),
         match day.left_out.as_slice() {
             [] => "none".to_owned(),
             some => some.join(", "),
--- a/crates/quartzdrift-lab/src/model.rs
+++ b/crates/quartzdrift-lab/src/model.rs
@@ -1,4 +1,4 @@
-//! What a stand-in worker does with calls, without sockets or clock: copies that load, hold memory and lanes,
+//! What a fake worker does with calls, without sockets or clock: copies that load, hold memory and slots,
 //! stand idle and are unloaded; queues; a cold start; falling over; work that goes on after a cancel. Give it
 //! what comes ([`Worker::call`], ...) with the time, run [`Worker::due`] when [`Worker::next_due`] has come, and do
 //! what [`Worker::says`].
@@ -15,7 +15,7 @@
 pub struct Spec {
     pub memory_mb: f64,
     /// Requests at a time in one copy.
-    pub lanes: usize,
+    pub slots: usize,
     pub load: Duration,
     /// Share of the load that is the fetch from the store.
     pub fetch: f64,
@@ -28,7 +28,7 @@
         let (load, work) = (Duration::from_millis(300), Duration::from_millis(2));
         Spec {
             memory_mb: 200.0,
-            lanes: 8,
+            slots: 8,
             load,
             fetch: 0.5,
             work,
@@ -362,7 +362,7 @@
             .count();
         let coming = |c: &&Copy| c.function == function && !matches!(c.stage, Stage::Ready { .. });
         let loading = self.copies.iter().filter(coming).count();
-        if loading * spec.lanes >= waiting {
+        if loading * spec.slots >= waiting {
             return true;
         }
         self.begin_load(function)
@@ -424,7 +424,7 @@
                 .get(function)
                 .copied()
                 .unwrap_or(0)
-                .div_ceil(self.spec(function).lanes.max(1));
+                .div_ceil(self.spec(function).slots.max(1));
             let loads = |c: &&Copy| c.function == function && c.loads();
             room.insert(
                 function.to_owned(),
@@ -441,14 +441,14 @@
         });
     }
 
-    /// Gives waiting calls to copies with free lanes, in the order they came.
+    /// Gives waiting calls to copies with free slots, in the order they came.
     fn place(&mut self) {
         let waiting: Vec<u64> = self.waiting.iter().copied().collect();
         for id in waiting {
             let function = &self.calls[&id].function;
-            let lanes = self.spec(function).lanes;
+            let slots = self.spec(function).slots;
             let free = |c: &&mut Copy| {
-                c.function == *function && matches!(c.stage, Stage::Ready { .. }) && c.used < lanes
+                c.function == *function && matches!(c.stage, Stage::Ready { .. }) && c.used < slots
             };
             let Some(copy) = self.copies.iter_mut().find(free) else {
                 continue;
--- a/crates/quartzdrift-lab/src/platform.rs
+++ b/crates/quartzdrift-lab/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the operators' platform: a front's connection, a worker and a coordinator. Each does only what its
+//! Fakes for the operators' platform: a frontend's connection, a worker and a coordinator. Each does only what its
 //! test says, and tells through a channel what reached it: a test waits for events, never for time.
 use quartzdrift_fastcgi::{self as fastcgi, RecordHeader, write_pair, write_record, write_stream};
 use quartzdrift_platform::frame;
@@ -15,7 +15,7 @@
 const ALIVE: u8 = 70;
 
 /// A front's connection to a scheduler.
-pub struct Front {
+pub struct Frontend {
     stream: TcpStream,
 }
 
@@ -46,12 +46,12 @@
     pub body: &'a [u8],
 }
 
-impl Front {
-    pub fn connect(at: SocketAddr) -> io::Result<Front> {
+impl Frontend {
+    pub fn connect(at: SocketAddr) -> io::Result<Frontend> {
         let stream = TcpStream::connect(at)?;
         stream.set_read_timeout(Some(PATIENCE))?;
         stream.set_nodelay(true)?;
-        Ok(Front { stream })
+        Ok(Frontend { stream })
     }
 
     /// The bytes of a request.
@@ -89,7 +89,7 @@
 
     /// The bytes of a request after whose answer the client wants the connection closed.
     pub fn last_request(number: u16, asked: &Asked) -> Vec<u8> {
-        let mut out = Front::request(number, asked);
+        let mut out = Frontend::request(number, asked);
         out[fastcgi::HEADER_LENGTH + 2] = 0;
         out
     }
@@ -111,9 +111,9 @@
     }
 
     /// Takes a connection that the test has made in its own way.
-    pub fn of(stream: TcpStream) -> io::Result<Front> {
+    pub fn of(stream: TcpStream) -> io::Result<Frontend> {
         stream.set_read_timeout(Some(PATIENCE))?;
-        Ok(Front { stream })
+        Ok(Frontend { stream })
     }
 
     /// The next answer to end, whole; an error once the connection has ended.
@@ -157,31 +157,31 @@
     }
 }
 
-/// A command as it reached a worker: its lane, code, id, fields and body.
+/// A command as it reached a worker: its connection, code, id, fields and body.
 pub type Received = (usize, u8, u64, String, Vec<u8>);
 
-/// What reached a stand-in worker.
+/// What reached a fake worker.
 #[derive(Debug)]
 pub enum Reached {
     Connected(usize),
     Command(Received),
-    /// Asked whether this lane works.
+    /// Asked whether this connection works.
     Asked(usize),
     Closed(usize),
 }
 
-/// A worker that answers no command on its own, only whether a lane works.
+/// A worker that answers no command on its own, only whether a connection works.
 pub struct Worker {
     pub at: SocketAddr,
     reached: Receiver<(Reached, Option<TcpStream>)>,
-    lanes: Vec<TcpStream>,
+    connections: Vec<TcpStream>,
     cut_idle: Arc<AtomicBool>,
     hold_proofs: Arc<AtomicBool>,
     /// Lanes that are open, as far as it was asked.
     open: usize,
 }
 
-fn command(stream: &mut TcpStream, lane: usize) -> io::Result<Received> {
+fn command(stream: &mut TcpStream, connection: usize) -> io::Result<Received> {
     let mut head = [0; frame::HEAD];
     stream.read_exact(&mut head)?;
     let [mark, code, f1, f0, b3, b2, b1, b0, id @ ..] = head;
@@ -193,7 +193,7 @@
     stream.read_exact(&mut rest)?;
     let body = rest[fields..rest.len() - frame::CHECK].to_vec();
     let fields = String::from_utf8_lossy(&rest[..fields]).into_owned();
-    Ok((lane, code, u64::from_be_bytes(id), fields, body))
+    Ok((connection, code, u64::from_be_bytes(id), fields, body))
 }
 
 impl Worker {
@@ -208,23 +208,23 @@
         let (cut_idle, hold_proofs) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let (cut, hold) = (cut_idle.clone(), hold_proofs.clone());
         thread::spawn(move || {
-            for (lane, stream) in listener.incoming().enumerate() {
+            for (connection, stream) in listener.incoming().enumerate() {
                 let Ok(mut stream) = stream else { return };
                 if sender
-                    .send((Reached::Connected(lane), stream.try_clone().ok()))
+                    .send((Reached::Connected(connection), stream.try_clone().ok()))
                     .is_err()
                 {
                     return;
                 }
                 let (sender, cut, hold) = (sender.clone(), cut.clone(), hold.clone());
                 thread::spawn(move || {
-                    while let Ok(received) = command(&mut stream, lane) {
+                    while let Ok(received) = command(&mut stream, connection) {
                         let (_, code, id, ..) = received;
                         let asked = code == frame::ASK_ALIVE;
                         let held = hold.load(Ordering::SeqCst);
                         // The test may have seen enough.
                         let said = if asked {
-                            Reached::Asked(lane)
+                            Reached::Asked(connection)
                         } else {
                             Reached::Command(received)
                         };
@@ -237,21 +237,21 @@
                         }
                     }
                     let _ = stream.shutdown(std::net::Shutdown::Both);
-                    let _ = sender.send((Reached::Closed(lane), None));
+                    let _ = sender.send((Reached::Closed(connection), None));
                 });
             }
         });
         Ok(Worker {
             at,
             reached,
-            lanes: Vec::new(),
+            connections: Vec::new(),
             cut_idle,
             hold_proofs,
             open: 0,
         })
     }
 
-    /// Whether from now on nobody hears whether a lane works, but by [`Worker::prove`].
+    /// Whether from now on nobody hears whether a connection works, but by [`Worker::prove`].
     pub fn hold_proofs(&self, hold: bool) {
         self.hold_proofs.store(hold, Ordering::SeqCst);
     }
@@ -264,7 +264,11 @@
         let (mut last, mut commands) = (Some(last), Vec::new());
         while last.is_some() || self.open > 0 {
             match self.reached() {
-                Reached::Connected(lane) if self.lanes[lane].peer_addr().is_ok_and(|peer| peer == from) => {
+                Reached::Connected(connection)
+                    if self.connections[connection]
+                        .peer_addr()
+                        .is_ok_and(|peer| peer == from) =>
+                {
                     last = None;
                 }
                 Reached::Command(received) => commands.push(received),
@@ -274,24 +278,24 @@
         commands
     }
 
-    /// Says that a lane works, under this id.
-    pub fn prove(&mut self, lane: usize, id: u64) {
+    /// Says that a connection works, under this id.
+    pub fn prove(&mut self, connection: usize, id: u64) {
         let mut alive = Vec::new();
         frame::write(&mut alive, frame::FROM_WORKER, ALIVE, id, b"", b"");
-        self.send(lane, &alive);
+        self.send(connection, &alive);
     }
 
-    /// The lane that is asked next whether it works.
+    /// The connection that is asked next whether it works.
     pub fn asked(&mut self) -> usize {
         loop {
-            if let Reached::Asked(lane) = self.reached() {
-                return lane;
+            if let Reached::Asked(connection) = self.reached() {
+                return connection;
             }
         }
     }
 
-    /// From now on a lane that is asked whether it works is cut, as one that was forgotten while idle.
-    pub fn cut_idle_lanes(&self) {
+    /// From now on a connection that is asked whether it works is cut, as one that was forgotten while idle.
+    pub fn cut_idle_connections(&self) {
         self.cut_idle.store(true, Ordering::SeqCst);
     }
 
@@ -305,7 +309,7 @@
     }
 
     fn take_note(&mut self, (reached, stream): (Reached, Option<TcpStream>)) -> Reached {
-        self.lanes.extend(stream);
+        self.connections.extend(stream);
         match reached {
             Reached::Connected(_) => self.open += 1,
             Reached::Closed(_) => self.open -= 1,
@@ -341,20 +345,20 @@
         }
     }
 
-    pub fn send(&mut self, lane: usize, bytes: &[u8]) {
-        self.lanes[lane]
+    pub fn send(&mut self, connection: usize, bytes: &[u8]) {
+        self.connections[connection]
             .write_all(bytes)
             .expect("the lane takes what the worker says");
     }
 
-    pub fn answer(&mut self, lane: usize, code: u8, id: u64, body: &[u8]) {
+    pub fn answer(&mut self, connection: usize, code: u8, id: u64, body: &[u8]) {
         let mut out = Vec::new();
         frame::write(&mut out, frame::FROM_WORKER, code, id, b"report=queue:0", body);
-        self.send(lane, &out);
+        self.send(connection, &out);
     }
 
-    pub fn close(&mut self, lane: usize) {
-        let _ = self.lanes[lane].shutdown(std::net::Shutdown::Both);
+    pub fn close(&mut self, connection: usize) {
+        let _ = self.connections[connection].shutdown(std::net::Shutdown::Both);
     }
 }
 
--- a/crates/quartzdrift-lab/src/record.rs
+++ b/crates/quartzdrift-lab/src/record.rs
@@ -1,4 +1,4 @@
-//! What passed at the sockets of stand-ins and clients, with the time: the auditor's only source. One JSON object
+//! What passed at the sockets of fakes and clients, with the time: the auditor's only source. One JSON object
 //! a line.
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -34,10 +34,11 @@
     Cut {
         call: u64,
     },
-    /// A call reached a worker; `life` counts its starts, `request` is the gateway's name for the request.
+    /// A call reached a worker; `incarnation` counts its starts, `request` is the gateway's name for the request.
     Came {
         worker: String,
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         call: u64,
         gateway: u64,
         #[serde(rename = "job")]
@@ -50,7 +51,8 @@
     /// Its work had its effect; `warm`: it found its copy loaded.
     Began {
         worker: String,
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         call: u64,
         warm: bool,
     },
@@ -65,13 +67,15 @@
     /// Nothing more is under way between gateway and worker: answered or closed.
     Over {
         worker: String,
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         call: u64,
     },
     /// A worker answered that it did not take the call.
     Refused {
         worker: String,
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         call: u64,
     },
     /// A load order for more than nothing reached a worker.
@@ -92,7 +96,8 @@
     /// A worker started, with so much capacity, cold for so long.
     Started {
         worker: String,
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         cores: f64,
         cold_from: f64,
         cold_us: u64,
--- a/crates/quartzdrift-lab/src/script.rs
+++ b/crates/quartzdrift-lab/src/script.rs
@@ -5,7 +5,7 @@
 //! workers 8 cores=2 memory=1600 keep=8s cold=0.2 cold-for=4s fall=3 fall-window=1s queue=60
 //! store capacity=8 limit=24 stops-at=0
 //! roster lag=300ms
-//! workload quote restartable rate=90 work=8ms limit=3s functions=12 memory=150 load=300ms lanes=2
+//! workload quote restartable rate=90 work=8ms limit=3s functions=12 memory=150 load=300ms slots=2
 //! workload stamp fingerprinted window=5s rate=40 ...     also run-once; `deferred`; `hang-up=0.01`,
 //!                                        `target=1s`; `pattern=daily period=30s most=4` (or steady, weekly, bursty,
 //!                                        turning, timers with jitter=, scan, terms-end)
@@ -46,7 +46,7 @@
     pub functions: usize,
     pub memory_mb: f64,
     pub load: Duration,
-    pub lanes: usize,
+    pub slots: usize,
     pub asynchronous: bool,
     pub hang_up: f64,
     pub latency_objective: Duration,
@@ -90,7 +90,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
+pub enum Fault {
     Crash(usize),
     Start(usize),
     Silent(usize),
@@ -168,7 +168,7 @@
     pub lag: Duration,
     pub request_classes: Vec<RequestClass>,
     pub length: Duration,
-    pub troubles: Vec<(Duration, Trouble)>,
+    pub faults: Vec<(Duration, Fault)>,
     /// Load ahead of need by forecasts, on sockets; the emulator is told by its variants.
     pub forecasts: bool,
     /// The members' period, where gateways are a fleet.
@@ -236,7 +236,7 @@
         lag: Duration::ZERO,
         request_classes: Vec::new(),
         length: Duration::from_secs(10),
-        troubles: Vec::new(),
+        faults: Vec::new(),
         forecasts: false,
         fleet: None,
         repeats: 2,
@@ -253,51 +253,51 @@
     if script.request_classes.is_empty() {
         return Err("there is no workload".to_owned());
     }
-    script.troubles.sort_by_key(|(at, _)| *at);
-    for (_, trouble) in &script.troubles {
-        if let Trouble::Link(_, worker, _) = trouble
+    script.faults.sort_by_key(|(at, _)| *at);
+    for (_, fault) in &script.faults {
+        if let Fault::Link(_, worker, _) = fault
             && *worker >= script.workers
         {
             return Err(format!(
-                "{trouble:?} names a worker that is not there: they are counted from 0"
+                "{fault:?} names a worker that is not there: they are counted from 0"
             ));
         }
-        let (of, most) = match trouble {
-            Trouble::KillGateway(n)
-            | Trouble::StartGateway(n)
-            | Trouble::PauseGateway(n, _)
-            | Trouble::PowerOnGateway(n)
-            | Trouble::Clock(n, ..)
-            | Trouble::CopyState(n)
-            | Trouble::Link(n, ..)
-            | Trouble::DiscoveryStall(n, _)
-            | Trouble::Spoil(n, _) => (*n, script.gateways),
-            Trouble::Apart { last, .. } => (*last, script.gateways),
-            Trouble::StopGateways(_, last) => (*last, script.gateways),
-            Trouble::PowerOff { gateways } => (gateways.map_or(0, |(_, last)| last), script.gateways),
-            Trouble::Crash(n)
-            | Trouble::Start(n)
-            | Trouble::Silent(n)
-            | Trouble::Hang(n)
-            | Trouble::Well(n)
-            | Trouble::Drain(n)
-            | Trouble::Errors(n, _)
-            | Trouble::Lose(n, _)
-            | Trouble::Slow(n, _)
-            | Trouble::Late(n, _) => (*n, script.workers),
-            Trouble::DiscoveryLag(_)
-            | Trouble::DiscoveryStop(_)
-            | Trouble::DiscoveryEmpty(_)
-            | Trouble::StoreSlow(_)
-            | Trouble::StoreRefuse(_)
-            | Trouble::Together
-            | Trouble::LoseDatagrams(_)
-            | Trouble::DoubleDatagrams(_)
-            | Trouble::LateDatagrams(_) => (0, 1),
+        let (of, most) = match fault {
+            Fault::KillGateway(n)
+            | Fault::StartGateway(n)
+            | Fault::PauseGateway(n, _)
+            | Fault::PowerOnGateway(n)
+            | Fault::Clock(n, ..)
+            | Fault::CopyState(n)
+            | Fault::Link(n, ..)
+            | Fault::DiscoveryStall(n, _)
+            | Fault::Spoil(n, _) => (*n, script.gateways),
+            Fault::Apart { last, .. } => (*last, script.gateways),
+            Fault::StopGateways(_, last) => (*last, script.gateways),
+            Fault::PowerOff { gateways } => (gateways.map_or(0, |(_, last)| last), script.gateways),
+            Fault::Crash(n)
+            | Fault::Start(n)
+            | Fault::Silent(n)
+            | Fault::Hang(n)
+            | Fault::Well(n)
+            | Fault::Drain(n)
+            | Fault::Errors(n, _)
+            | Fault::Lose(n, _)
+            | Fault::Slow(n, _)
+            | Fault::Late(n, _) => (*n, script.workers),
+            Fault::DiscoveryLag(_)
+            | Fault::DiscoveryStop(_)
+            | Fault::DiscoveryEmpty(_)
+            | Fault::StoreSlow(_)
+            | Fault::StoreRefuse(_)
+            | Fault::Together
+            | Fault::LoseDatagrams(_)
+            | Fault::DoubleDatagrams(_)
+            | Fault::LateDatagrams(_) => (0, 1),
         };
         if of >= most {
             return Err(format!(
-                "{trouble:?} names one that is not there: they are counted from 0"
+                "{fault:?} names one that is not there: they are counted from 0"
             ));
         }
     }
@@ -365,14 +365,14 @@
             "length" => self.length = span(words.at(1)?)?,
             "at" => {
                 let at = span(words.at(1)?)?;
-                self.trouble(at, words)?;
+                self.fault(at, words)?;
             }
             other => return Err(format!("'{other}' begins no line")),
         }
         Ok(())
     }
 
-    fn trouble(&mut self, at: Duration, words: &Words) -> Result<(), String> {
+    fn fault(&mut self, at: Duration, words: &Words) -> Result<(), String> {
         let index = |n: usize| {
             words
                 .at(n)?
@@ -385,72 +385,72 @@
                 .parse::<f64>()
                 .map_err(|_| "there is no share".to_owned())
         };
-        let trouble = match (words.at(2)?, words.at(3)?) {
-            ("crash", "worker") => Trouble::Crash(index(4)?),
-            ("start", "worker") => Trouble::Start(index(4)?),
-            ("silent", "worker") => Trouble::Silent(index(4)?),
-            ("hang", "worker") => Trouble::Hang(index(4)?),
-            ("well", "worker") => Trouble::Well(index(4)?),
-            ("drain", "worker") => Trouble::Drain(index(4)?),
-            ("errors", "worker") => Trouble::Errors(index(4)?, number(words.at(5)?)?),
-            ("lose", "worker") => Trouble::Lose(index(4)?, number(words.at(5)?)?),
-            ("slow", "worker") => Trouble::Slow(index(4)?, span(words.at(5)?)?),
-            ("late", "worker") => Trouble::Late(index(4)?, span(words.at(5)?)?),
+        let fault = match (words.at(2)?, words.at(3)?) {
+            ("crash", "worker") => Fault::Crash(index(4)?),
+            ("start", "worker") => Fault::Start(index(4)?),
+            ("silent", "worker") => Fault::Silent(index(4)?),
+            ("hang", "worker") => Fault::Hang(index(4)?),
+            ("well", "worker") => Fault::Well(index(4)?),
+            ("drain", "worker") => Fault::Drain(index(4)?),
+            ("errors", "worker") => Fault::Errors(index(4)?, number(words.at(5)?)?),
+            ("lose", "worker") => Fault::Lose(index(4)?, number(words.at(5)?)?),
+            ("slow", "worker") => Fault::Slow(index(4)?, span(words.at(5)?)?),
+            ("late", "worker") => Fault::Late(index(4)?, span(words.at(5)?)?),
             ("replace", "workers") => {
                 let every = words.span("every", Duration::from_secs(1))?;
                 for (n, worker) in (index(4)?..=index(5)?).enumerate() {
                     let drained = at + every * n as u32;
                     let second = Duration::from_secs(1);
-                    self.troubles.push((drained, Trouble::Drain(worker)));
-                    self.troubles.push((drained + second, Trouble::Crash(worker)));
-                    self.troubles.push((drained + 2 * second, Trouble::Start(worker)));
+                    self.faults.push((drained, Fault::Drain(worker)));
+                    self.faults.push((drained + second, Fault::Crash(worker)));
+                    self.faults.push((drained + 2 * second, Fault::Start(worker)));
                 }
                 return Ok(());
             }
-            ("roster", "lag") => Trouble::DiscoveryLag(span(words.at(4)?)?),
-            ("roster", "stop") => Trouble::DiscoveryStop(true),
-            ("roster", "go") => Trouble::DiscoveryStop(false),
-            ("roster", "empty") => Trouble::DiscoveryEmpty(true),
-            ("roster", "full") => Trouble::DiscoveryEmpty(false),
-            ("store", "slow") => Trouble::StoreSlow(share()?),
-            ("store", "refuse") => Trouble::StoreRefuse(true),
-            ("store", "serve") => Trouble::StoreRefuse(false),
-            ("kill", "gateway") => Trouble::KillGateway(index(4)?),
-            ("start", "gateway") => Trouble::StartGateway(index(4)?),
-            ("pause", "gateway") => Trouble::PauseGateway(index(4)?, span(words.at(5)?)?),
+            ("roster", "lag") => Fault::DiscoveryLag(span(words.at(4)?)?),
+            ("roster", "stop") => Fault::DiscoveryStop(true),
+            ("roster", "go") => Fault::DiscoveryStop(false),
+            ("roster", "empty") => Fault::DiscoveryEmpty(true),
+            ("roster", "full") => Fault::DiscoveryEmpty(false),
+            ("store", "slow") => Fault::StoreSlow(share()?),
+            ("store", "refuse") => Fault::StoreRefuse(true),
+            ("store", "serve") => Fault::StoreRefuse(false),
+            ("kill", "gateway") => Fault::KillGateway(index(4)?),
+            ("start", "gateway") => Fault::StartGateway(index(4)?),
+            ("pause", "gateway") => Fault::PauseGateway(index(4)?, span(words.at(5)?)?),
             ("kill", "gateways") => {
-                self.troubles
-                    .extend((index(4)?..=index(5)?).map(|n| (at, Trouble::KillGateway(n))));
+                self.faults
+                    .extend((index(4)?..=index(5)?).map(|n| (at, Fault::KillGateway(n))));
                 return Ok(());
             }
             ("start", "gateways") => {
-                self.troubles
-                    .extend((index(4)?..=index(5)?).map(|n| (at, Trouble::StartGateway(n))));
+                self.faults
+                    .extend((index(4)?..=index(5)?).map(|n| (at, Fault::StartGateway(n))));
                 return Ok(());
             }
             ("apart", "gateways") | ("unheard", "gateways") => {
                 let one_way = words.at(2)? == "unheard";
-                Trouble::Apart {
+                Fault::Apart {
                     first: index(4)?,
                     last: index(5)?,
                     one_way,
                 }
             }
-            ("together", "gateways") => Trouble::Together,
-            ("lose", "datagrams") => Trouble::LoseDatagrams(share()?),
-            ("double", "datagrams") => Trouble::DoubleDatagrams(share()?),
-            ("late", "datagrams") => Trouble::LateDatagrams(span(words.at(4)?)?),
+            ("together", "gateways") => Fault::Together,
+            ("lose", "datagrams") => Fault::LoseDatagrams(share()?),
+            ("double", "datagrams") => Fault::DoubleDatagrams(share()?),
+            ("late", "datagrams") => Fault::LateDatagrams(span(words.at(4)?)?),
             ("clock", "gateway") => {
                 let ahead = match words.at(5)? {
                     "ahead" => true,
                     "behind" => false,
                     other => return Err(format!("a clock is ahead or behind, not '{other}'")),
                 };
-                Trouble::Clock(index(4)?, span(words.at(6)?)?, ahead)
+                Fault::Clock(index(4)?, span(words.at(6)?)?, ahead)
             }
             ("link", "gateway") if words.at(5)? == "roster" => match words.at(6)? {
-                "stalled" => Trouble::DiscoveryStall(index(4)?, true),
-                "well" => Trouble::DiscoveryStall(index(4)?, false),
+                "stalled" => Fault::DiscoveryStall(index(4)?, true),
+                "well" => Fault::DiscoveryStall(index(4)?, false),
                 other => {
                     return Err(format!(
                         "the link to the roster is stalled or well, not '{other}'"
@@ -465,23 +465,23 @@
                     "cut" => Link::Cut,
                     other => return Err(format!("no link is '{other}'")),
                 };
-                Trouble::Link(index(4)?, index(6)?, link)
+                Fault::Link(index(4)?, index(6)?, link)
             }
-            ("copy", "gateway") => Trouble::CopyState(index(4)?),
-            ("spoil", "gateway") => Trouble::Spoil(index(4)?, spoil(words.at(5)?)?),
-            ("stop", "gateways") => Trouble::StopGateways(index(4)?, index(5)?),
+            ("copy", "gateway") => Fault::CopyState(index(4)?),
+            ("spoil", "gateway") => Fault::Spoil(index(4)?, spoil(words.at(5)?)?),
+            ("stop", "gateways") => Fault::StopGateways(index(4)?, index(5)?),
             ("power", "off") => match words.at(4)? {
-                "all" => Trouble::PowerOff { gateways: None },
-                _ => Trouble::PowerOff {
+                "all" => Fault::PowerOff { gateways: None },
+                _ => Fault::PowerOff {
                     gateways: Some((index(5)?, index(6)?)),
                 },
             },
             ("power", "on") => {
                 let every = words.span("every", Duration::ZERO)?;
-                let on: fn(usize) -> Trouble = match words.at(4)? {
-                    "gateways" => Trouble::PowerOnGateway,
-                    "workers" => Trouble::Start,
-                    "roster" => |_| Trouble::DiscoveryStop(false),
+                let on: fn(usize) -> Fault = match words.at(4)? {
+                    "gateways" => Fault::PowerOnGateway,
+                    "workers" => Fault::Start,
+                    "roster" => |_| Fault::DiscoveryStop(false),
                     other => return Err(format!("there is no power for '{other}'")),
                 };
                 let (first, last) = if words.at(4)? == "roster" {
@@ -489,7 +489,7 @@
                 } else {
                     (index(5)?, index(6)?)
                 };
-                self.troubles.extend(
+                self.faults.extend(
                     (first..=last)
                         .zip(0..)
                         .map(|(n, step)| (at + every * step, on(n))),
@@ -498,7 +498,7 @@
             }
             (verb, of) => return Err(format!("'{verb} {of}' is no trouble")),
         };
-        self.troubles.push((at, trouble));
+        self.faults.push((at, fault));
         Ok(())
     }
 }
@@ -572,7 +572,7 @@
         functions: words.number("functions", 1)?,
         memory_mb: words.number("memory", 100.0)?,
         load: words.span("load", ms(200))?,
-        lanes: words.number("lanes", 4)?,
+        slots: words.number("lanes", 4)?,
         asynchronous: words.0.contains(&"deferred"),
         hang_up: words.number("hang-up", 0.0)?,
         latency_objective: words.span("target", words.span("limit", ms(3000))?)?,
@@ -595,11 +595,8 @@
             ),
             (2, 1.0, Idempotency::NonIdempotent)
         );
-        assert_eq!(
-            script.troubles[0],
-            (Duration::from_secs(1), Trouble::Lose(3, 0.5))
-        );
-        assert_eq!(script.troubles.len(), 7);
+        assert_eq!(script.faults[0], (Duration::from_secs(1), Fault::Lose(3, 0.5)));
+        assert_eq!(script.faults.len(), 7);
         for (text, line) in [
             ("workers x", "line 1"),
             ("\nat 2s tickle worker 1", "line 2"),
--- a/crates/quartzdrift-lab/src/stage.rs
+++ b/crates/quartzdrift-lab/src/stage.rs
@@ -1,6 +1,6 @@
-//! A scheduler process on the platform's sockets with its stand-ins, as tests set it up.
+//! A scheduler process on the platform's sockets with its fakes, as tests set it up.
 use crate::badday::listens_at;
-use crate::platform::{Asked, Coordinator, Front, Received, Reply, Worker};
+use crate::platform::{Asked, Coordinator, Frontend, Received, Reply, Worker};
 use std::io::{self, BufReader, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
     "\"connect-timeout-ns\":250000000",
     "\"connect-timeout-ns\":60000000000",
 );
-/// Room for eight clients and eight lanes.
+/// Room for eight clients and eight connections.
 pub const SCARCE: (&str, &str) = ("\"sockets\":128", "\"sockets\":40");
 /// How long a listener whose queue is full is tried before it counts as full.
 const FULL: Duration = Duration::from_millis(200);
@@ -89,7 +89,7 @@
 }
 
 impl Stage {
-    /// With the stand-ins' usual settings.
+    /// With the fakes' usual settings.
     pub fn start(lab: &str, workers: usize) -> Stage {
         Stage::with(lab, workers, &[])
     }
@@ -123,8 +123,8 @@
         }
     }
 
-    pub fn front(&self) -> Front {
-        Front::connect(self.at).expect("the scheduler takes connections")
+    pub fn frontend(&self) -> Frontend {
+        Frontend::connect(self.at).expect("the scheduler takes connections")
     }
 
     /// Its number among processes.
@@ -166,16 +166,16 @@
         self.signal("-HUP");
     }
 
-    /// A lane of the first worker on which a request has ended, and which has rested for so long that it must prove that
+    /// A connection of the first worker on which a request has ended, and which has rested for so long that it must prove that
     /// it works.
-    pub fn rested(&mut self, front: &mut Front, id: &str) -> usize {
-        ask(front, 1, &asked("/do/once", id));
-        let (lane, ..) = serve(&mut self.workers[0], front, b"");
+    pub fn rested(&mut self, frontend: &mut Frontend, id: &str) -> usize {
+        ask(frontend, 1, &asked("/do/once", id));
+        let (connection, ..) = serve(&mut self.workers[0], frontend, b"");
         let answered = Instant::now();
         while answered.elapsed() < quartzdrift_platform::connection_choice::MAX_UNVERIFIED_IDLE * 2 {
-            assert_eq!(check(front), 200);
+            assert_eq!(check(frontend), 200);
         }
-        lane
+        connection
     }
 
     /// Kills it.
@@ -202,7 +202,7 @@
 
     /// The worker that the next command reaches, and the command. Workers not met are asked in turn.
     pub fn command(&mut self) -> (usize, Received) {
-        let mut front = self.front();
+        let mut frontend = self.frontend();
         loop {
             for n in 0..self.workers.len() {
                 if let Some(command) = self.workers[n].command_now() {
@@ -210,7 +210,7 @@
                 }
             }
             // An answered check is a turn of the scheduler's loop, in which a command may have left.
-            assert_eq!(check(&mut front), 200);
+            assert_eq!(check(&mut frontend), 200);
         }
     }
 
@@ -263,29 +263,29 @@
     }
 }
 
-pub fn ask(front: &mut Front, number: u16, asked: &Asked) {
-    front
-        .send(&Front::request(number, asked))
+pub fn ask(frontend: &mut Frontend, number: u16, asked: &Asked) {
+    frontend
+        .send(&Frontend::request(number, asked))
         .expect("the scheduler takes a request");
 }
 
-pub fn ask_and_reply(front: &mut Front, asked: &Asked) -> Reply {
-    ask(front, 1, asked);
-    front.reply().expect("a reply")
+pub fn ask_and_reply(frontend: &mut Frontend, asked: &Asked) -> Reply {
+    ask(frontend, 1, asked);
+    frontend.reply().expect("a reply")
 }
 
-/// Answers the next command that reaches a worker, and returns its lane, code and id once the client has the answer.
-pub fn serve(worker: &mut Worker, front: &mut Front, body: &[u8]) -> (usize, u8, u64) {
-    let (lane, code, id, ..) = worker.command();
-    worker.answer(lane, DONE, id, body);
-    let reply = front.reply().expect("a reply");
+/// Answers the next command that reaches a worker, and returns its connection, code and id once the client has the answer.
+pub fn serve(worker: &mut Worker, frontend: &mut Frontend, body: &[u8]) -> (usize, u8, u64) {
+    let (connection, code, id, ..) = worker.command();
+    worker.answer(connection, DONE, id, body);
+    let reply = frontend.reply().expect("a reply");
     assert_eq!((reply.status, &reply.body[..]), (200, body));
-    (lane, code, id)
+    (connection, code, id)
 }
 
 /// Status of an answered check. It is also a turn of the scheduler's loop.
-pub fn check(front: &mut Front) -> u16 {
-    ask_and_reply(front, &asked("/check", "0000000000000000")).status
+pub fn check(frontend: &mut Frontend) -> u16 {
+    ask_and_reply(frontend, &asked("/check", "0000000000000000")).status
 }
 
 /// A listener that answers no new connection, as a machine that has vanished: its queue of one is full, and stays
--- a/crates/quartzdrift-lab/src/store.rs
+++ b/crates/quartzdrift-lab/src/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the store that workers fetch functions from: it slows down when crowded, turns fetches away past
+//! A fake for the store that workers fetch functions from: it slows down when crowded, turns fetches away past
 //! a limit, and stops for a while when pushed far over its capacity. [`Model`] is without sockets.
 use crate::actor::Fake;
 use calloop::LoopHandle;
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker on sockets: the invoke API on the worker's side, load reports, orders and probes, and faults.
+//! A fake worker on sockets: the invoke API on the worker's side, load reports, orders and probes, and faults.
 use crate::actor::Fake;
 use crate::functions;
 use crate::model::{Found, Machine, Say, Spec, Worker};
@@ -91,7 +91,7 @@
     start: Instant,
     config: Config,
     model: Worker,
-    life: u64,
+    incarnation: u64,
     up: bool,
     faults: Faults,
     open: HashMap<u64, Open>,
@@ -151,7 +151,7 @@
             address,
             start: Instant::now(),
             model: Worker::new(machine, config.specs.clone(), Duration::ZERO),
-            life: 0,
+            incarnation: 0,
             up: true,
             faults: Faults::default(),
             open: HashMap::new(),
@@ -176,12 +176,12 @@
     }
 
     fn started(&mut self, cold_for: Duration) {
-        self.life += 1;
+        self.incarnation += 1;
         let Machine { cores, cold_from, .. } = self.config.machine;
         let cold_us = cold_for.as_micros() as u64;
         self.see(Seen::Started {
             worker: self.address.to_string(),
-            life: self.life,
+            incarnation: self.incarnation,
             cores,
             cold_from,
             cold_us,
@@ -207,7 +207,7 @@
             let told: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
             self.see(Seen::Came {
                 worker: self.address.to_string(),
-                life: self.life,
+                incarnation: self.incarnation,
                 call: id,
                 gateway: scheduler(&head.headers),
                 request: head.headers.get("x-amzn-requestid").unwrap_or("").to_owned(),
@@ -263,7 +263,7 @@
     fn not_taken(&mut self, id: u64) {
         self.see(Seen::Refused {
             worker: self.address.to_string(),
-            life: self.life,
+            incarnation: self.incarnation,
             call: id,
         });
         self.forget(id);
@@ -414,10 +414,10 @@
     }
 
     fn may_have_executed(&mut self, call: u64, found: Found, crowd: usize, wanted: bool) {
-        let (worker, life, warm) = (self.address.to_string(), self.life, found == Found::Warm);
+        let (worker, incarnation, warm) = (self.address.to_string(), self.incarnation, found == Found::Warm);
         self.see(Seen::Began {
             worker,
-            life,
+            incarnation,
             call,
             warm,
         });
@@ -483,7 +483,7 @@
         if self.by_exchange.remove(&exchange).is_some() {
             self.see(Seen::Over {
                 worker: self.address.to_string(),
-                life: self.life,
+                incarnation: self.incarnation,
                 call: id,
             });
         }
@@ -506,7 +506,7 @@
         for (_, id) in open {
             self.see(Seen::Over {
                 worker: self.address.to_string(),
-                life: self.life,
+                incarnation: self.incarnation,
                 call: id,
             });
         }
--- a/crates/quartzdrift-lab/tests/closes.rs
+++ b/crates/quartzdrift-lab/tests/closes.rs
@@ -1,7 +1,7 @@
-//! Ill-timed closes: clients, workers' lanes and readers of the log that close, fall silent or stop reading while
-//! something is under way. A scheduler process on loopback, against stand-ins that make the order certain.
+//! Ill-timed closes: clients, workers' connections and readers of the log that close, fall silent or stop reading while
+//! something is under way. A scheduler process on loopback, against fakes that make the order certain.
 use quartzdrift_lab::badday::listens_at;
-use quartzdrift_lab::platform::{Asked, Coordinator, Front, Worker};
+use quartzdrift_lab::platform::{Asked, Coordinator, Frontend, Worker};
 use quartzdrift_lab::stage::{
     DONE, ID, NO_CANCEL, OTHER, SCARCE, Stage, THIRD, ask, asked, check, config, event, ids, number,
     scheduler, serve, signal, target,
@@ -34,18 +34,18 @@
 fn a_request_whose_client_has_closed_by_then_reaches_no_lane_that_is_at_hand() {
     for half in [true, false] {
         let mut stage = Stage::with(LAB, 1, &[NO_CANCEL]);
-        let (mut front, mut leaves, mut checks) = (stage.front(), stage.front(), stage.front());
+        let (mut frontend, mut leaves, mut checks) = (stage.frontend(), stage.frontend(), stage.frontend());
         assert_eq!((check(&mut leaves), check(&mut checks)), (200, 200));
-        ask(&mut front, 1, &asked("/do/once", ID));
-        let (lane, _, id, ..) = stage.workers[0].command();
+        ask(&mut frontend, 1, &asked("/do/once", ID));
+        let (connection, _, id, ..) = stage.workers[0].command();
         stage.pause();
-        // The answer frees a lane that has just worked: what is put on it now leaves in this turn.
-        stage.workers[0].answer(lane, DONE, id, b"");
+        // The answer frees a connection that has just worked: what is put on it now leaves in this turn.
+        stage.workers[0].answer(connection, DONE, id, b"");
         ask(&mut leaves, 1, &asked("/do/once", OTHER));
         leaves.finish().unwrap();
         let kept = half.then_some(leaves);
         stage.go_on();
-        assert_eq!(front.reply().unwrap().status, 200);
+        assert_eq!(frontend.reply().unwrap().status, 200);
         assert_eq!(check(&mut checks), 200);
         assert_eq!(ids(&stage.last_commands(0)), [], "half closed: {half}");
         drop(kept);
@@ -55,26 +55,26 @@
 #[test]
 fn requests_that_overlap_on_a_connection_do_not_end_it() {
     let stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     let requests: Vec<Vec<u8>> = (1..=12)
-        .map(|n| Front::request(n, &asked("/check", ID)))
+        .map(|n| Frontend::request(n, &asked("/check", ID)))
         .collect();
     let half = requests[0].len() / 2;
-    front.send(&requests[0][..half]).unwrap();
+    frontend.send(&requests[0][..half]).unwrap();
     // Each is whole a fifth of a second after it began, but there is always one that is not.
     for (n, both) in (1..).zip(requests.windows(2)) {
         std::thread::sleep(Duration::from_millis(200));
-        front
+        frontend
             .send(&[&both[0][half..], &both[1][..half]].concat())
             .unwrap();
-        let reply = front.reply().unwrap();
+        let reply = frontend.reply().unwrap();
         assert_eq!((reply.number, reply.status), (n, 200));
     }
     // One that stays half is not kept by others that come whole beside it.
-    let (mut other, began) = (stage.front(), Instant::now());
+    let (mut other, began) = (stage.frontend(), Instant::now());
     assert_eq!(check(&mut other), 200);
     // Its first record alone: what comes behind it is whole, and in step.
-    let begun = &Front::request(99, &asked("/check", ID))[..quartzdrift_fastcgi::HEADER_LENGTH + 8];
+    let begun = &Frontend::request(99, &asked("/check", ID))[..quartzdrift_fastcgi::HEADER_LENGTH + 8];
     other.send(begun).unwrap();
     let mut served = 0;
     while other.send(&requests[0]).is_ok() {
@@ -97,24 +97,24 @@
 #[test]
 fn whoever_has_taken_all_answers_may_stay_silent_while_a_request_runs() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     // One is answered in the turn in which it came, the other one takes its time.
-    front
+    frontend
         .send(
             &[
-                Front::request(1, &asked("/check", ID)),
-                Front::request(2, &asked("/do/once", ID)),
+                Frontend::request(1, &asked("/check", ID)),
+                Frontend::request(2, &asked("/do/once", ID)),
             ]
             .concat(),
         )
         .unwrap();
-    assert_eq!(front.reply().unwrap().status, 200);
-    let (lane, _, id, ..) = stage.workers[0].command();
+    assert_eq!(frontend.reply().unwrap().status, 200);
+    let (connection, _, id, ..) = stage.workers[0].command();
     // Longer than a client may take to read what waits for it: nothing does.
     std::thread::sleep(Duration::from_millis(5500));
-    assert_eq!(check(&mut stage.front()), 200);
-    stage.workers[0].answer(lane, DONE, id, b"long");
-    assert_eq!(front.reply().unwrap().body, b"long");
+    assert_eq!(check(&mut stage.frontend()), 200);
+    stage.workers[0].answer(connection, DONE, id, b"long");
+    assert_eq!(frontend.reply().unwrap().body, b"long");
 }
 
 #[test]
@@ -123,18 +123,18 @@
     // A client that takes nothing of what it is answered.
     let socket = narrow();
     socket.connect(&stage.at.into()).unwrap();
-    let mut deaf = Front::of(TcpStream::from(socket)).unwrap();
+    let mut deaf = Frontend::of(TcpStream::from(socket)).unwrap();
     for n in 1..=17 {
         ask(&mut deaf, n, &asked("/do/once", &format!("{n:016x}")));
-        let (lane, _, id, ..) = stage.workers[0].command();
-        stage.workers[0].answer(lane, DONE, id, &[7; 60_000]);
+        let (connection, _, id, ..) = stage.workers[0].command();
+        stage.workers[0].answer(connection, DONE, id, &[7; 60_000]);
     }
     // Checks, then a request that is withdrawn at once. Past what may wait for a client it is cut off, among the checks of
     // a read, and requests behind them are still there. A number is used again when it has long been answered, and the
     // checks are so long that few of them exceed what may be open.
     let body = vec![7; 1000];
     let check_of = |n| {
-        Front::request(
+        Frontend::request(
             n,
             &Asked {
                 body: &body,
@@ -144,10 +144,10 @@
     };
     let unit = |first: u16| {
         let checks = (first..first + 7).flat_map(check_of);
-        let request = Front::request(first + 7, &asked("/do/once", OTHER));
+        let request = Frontend::request(first + 7, &asked("/do/once", OTHER));
         checks
             .chain(request)
-            .chain(Front::abort(first + 7))
+            .chain(Frontend::abort(first + 7))
             .collect::<Vec<u8>>()
     };
     let units: Vec<Vec<u8>> = (1..=64_000).step_by(8).map(unit).collect();
@@ -159,7 +159,7 @@
             .any(|unit| deaf.send(unit).is_err()),
         "it is cut off"
     );
-    assert_eq!(check(&mut stage.front()), 200);
+    assert_eq!(check(&mut stage.frontend()), 200);
     assert_eq!(ids(&stage.last_commands(0)), []);
 }
 
@@ -167,28 +167,28 @@
 fn a_worker_is_no_worse_for_a_lane_that_we_have_not_left() {
     let one = ("\"streams-per-conn\":32", "\"streams-per-conn\":1");
     let mut stage = Stage::with(LAB, 1, &[SCARCE, one, COLD]);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     for n in 1..=8 {
-        ask(&mut front, n, &asked("/do/once", &format!("{n:016x}")));
+        ask(&mut frontend, n, &asked("/do/once", &format!("{n:016x}")));
         stage.workers[0].command();
     }
-    ask(&mut front, 9, &asked("/do/once", ID));
+    ask(&mut frontend, 9, &asked("/do/once", ID));
     assert_eq!(
-        front.reply().unwrap().status,
+        frontend.reply().unwrap().status,
         503,
         "there is no lane for it, and it never ran"
     );
-    // Half of them are withdrawn: there are lanes again, and nothing has been measured of the worker.
-    front
-        .send(&(1..=4).flat_map(Front::abort).collect::<Vec<u8>>())
+    // Half of them are withdrawn: there are connections again, and nothing has been measured of the worker.
+    frontend
+        .send(&(1..=4).flat_map(Frontend::abort).collect::<Vec<u8>>())
         .unwrap();
     for _ in 1..=4 {
-        assert_eq!(front.reply().unwrap().status, 0);
+        assert_eq!(frontend.reply().unwrap().status, 0);
         assert_eq!(stage.workers[0].command().1, frame::GIVE_UP);
     }
     // The worker was not down, so it has not come back cold.
-    ask(&mut front, 10, &asked("/do/once", OTHER));
-    serve(&mut stage.workers[0], &mut front, b"");
+    ask(&mut frontend, 10, &asked("/do/once", OTHER));
+    serve(&mut stage.workers[0], &mut frontend, b"");
 }
 
 /// The lowest descriptor that a process does not hold: with this limit it can have no other.
@@ -218,12 +218,14 @@
 fn without_a_descriptor_left_a_silent_client_makes_room_and_no_worker_counts_as_down() {
     let mut stage = Stage::with(LAB, 1, &[COLD]);
     let process = stage.process();
-    let mut clients: Vec<Front> = (0..3).map(|_| stage.front()).collect();
-    clients.iter_mut().for_each(|front| assert_eq!(check(front), 200));
+    let mut clients: Vec<Frontend> = (0..3).map(|_| stage.frontend()).collect();
+    clients
+        .iter_mut()
+        .for_each(|frontend| assert_eq!(check(frontend), 200));
     stage.coordinator.poll();
     // It polls over the connection that it has.
     limit_descriptors(process, next_descriptor(process));
-    let mut newcomer = stage.front();
+    let mut newcomer = stage.frontend();
     assert_eq!(check(&mut newcomer), 200);
     let ended = clients[0].reply().unwrap_err().kind();
     assert_eq!(
@@ -231,7 +233,7 @@
         ErrorKind::UnexpectedEof,
         "the one that was silent longest has made room"
     );
-    // There is none for a lane either.
+    // There is none for a connection either.
     ask(&mut newcomer, 1, &asked("/do/once", ID));
     assert_eq!(newcomer.reply().unwrap().status, 503);
     limit_descriptors(process, 1000);
@@ -258,20 +260,20 @@
         .unwrap();
     let at = listens_at(&mut BufReader::new(child.stdout.take().unwrap())).unwrap();
     // More clients than there are descriptors; of each the connection is kept.
-    let mut clients: Vec<Front> = Vec::new();
+    let mut clients: Vec<Frontend> = Vec::new();
     for _ in 0..60 {
-        let mut front = Front::connect(at).unwrap();
-        assert_eq!(check(&mut front), 200);
-        clients.push(front);
+        let mut frontend = Frontend::connect(at).unwrap();
+        assert_eq!(check(&mut frontend), 200);
+        clients.push(frontend);
     }
-    let front = clients.last_mut().unwrap();
-    ask(front, 1, &asked("/do/once", ID));
-    serve(&mut worker, front, b"");
+    let frontend = clients.last_mut().unwrap();
+    ask(frontend, 1, &asked("/do/once", ID));
+    serve(&mut worker, frontend, b"");
     child.kill().unwrap();
     child.wait().unwrap();
 }
 
-/// All that was sent on a lane, as whole frames, and what is left over.
+/// All that was sent on a connection, as whole frames, and what is left over.
 fn frames(mut bytes: &[u8]) -> (Vec<(u8, u64)>, usize) {
     let mut whole = Vec::new();
     while let Some(head) = bytes.get(..frame::HEAD) {
@@ -292,9 +294,9 @@
 #[test]
 fn of_what_has_left_in_part_nothing_else_is_lost_or_sent() {
     for alone in [false, true] {
-        // Seven lanes are held by a worker that then drains, so the other one has a single lane.
+        // Seven connections are held by a worker that then drains, so the other one has a single connection.
         let mut stage = Stage::with(LAB, 1, &[SCARCE, NO_CANCEL]);
-        let (mut holds, mut front, mut checks) = (stage.front(), stage.front(), stage.front());
+        let (mut holds, mut frontend, mut checks) = (stage.frontend(), stage.frontend(), stage.frontend());
         for n in 1..=7 {
             ask(&mut holds, n, &asked("/do/once", &format!("{n:016x}")));
             stage.workers[0].command();
@@ -319,7 +321,7 @@
         const ALL: u16 = 20;
         for n in 1..=ALL {
             ask(
-                &mut front,
+                &mut frontend,
                 n,
                 &Asked {
                     body: &body,
@@ -328,9 +330,9 @@
             );
         }
         // All of them are placed once what came behind them is answered.
-        ask(&mut front, ALL + 1, &asked("/check", ID));
-        assert_eq!(front.reply().unwrap().number, ALL + 1);
-        let (mut lane, _) = clogged.accept().unwrap();
+        ask(&mut frontend, ALL + 1, &asked("/check", ID));
+        assert_eq!(frontend.reply().unwrap().number, ALL + 1);
+        let (mut connection, _) = clogged.accept().unwrap();
         // Nothing is read of it: it takes some of the commands, and one of them in part.
         for _ in 0..3 {
             assert_eq!(check(&mut checks), 200);
@@ -346,12 +348,12 @@
                 b"",
             );
         }
-        lane.write_all(&answers).unwrap();
+        connection.write_all(&answers).unwrap();
         assert_eq!(check(&mut checks), 200);
         // Those that had left are answered before this check.
-        ask(&mut front, ALL + 1, &asked("/check", ID));
+        ask(&mut frontend, ALL + 1, &asked("/check", ID));
         let mut left = 0;
-        for reply in std::iter::repeat_with(|| front.reply().unwrap()) {
+        for reply in std::iter::repeat_with(|| frontend.reply().unwrap()) {
             if reply.number == ALL + 1 {
                 break;
             }
@@ -359,25 +361,25 @@
             assert_eq!((reply.number, reply.status), (left, 200));
         }
         assert!((1..ALL - 2).contains(&left), "{left} have left whole");
-        let aborts = |from: u16, to: u16| (from..=to).flat_map(Front::abort).collect::<Vec<u8>>();
+        let aborts = |from: u16, to: u16| (from..=to).flat_map(Frontend::abort).collect::<Vec<u8>>();
         let first = if alone { left + 2 } else { left + 1 };
-        front.send(&aborts(first, ALL)).unwrap();
-        (first..=ALL).for_each(|_| assert_eq!(front.reply().unwrap().status, 0));
+        frontend.send(&aborts(first, ALL)).unwrap();
+        (first..=ALL).for_each(|_| assert_eq!(frontend.reply().unwrap().status, 0));
         if alone {
-            front.send(&aborts(left + 1, left + 1)).unwrap();
-            assert_eq!(front.reply().unwrap().status, 0);
+            frontend.send(&aborts(left + 1, left + 1)).unwrap();
+            assert_eq!(frontend.reply().unwrap().status, 0);
         }
         assert_eq!(check(&mut checks), 200);
-        // A further one: on the same lane behind what goes on, or on a new one where that lane was ended.
-        ask(&mut front, 1, &asked("/do/once", THIRD));
+        // A further one: on the same connection behind what goes on, or on a new one where that connection was ended.
+        ask(&mut frontend, 1, &asked("/do/once", THIRD));
         assert_eq!(check(&mut checks), 200);
         let (mut sent, mut further) = (Vec::new(), Vec::new());
         let third = (frame::EXECUTE, number(THIRD));
         if alone {
             read_until(&mut clogged.accept().unwrap().0, &mut further, third);
-            lane.read_to_end(&mut sent).unwrap();
+            connection.read_to_end(&mut sent).unwrap();
         } else {
-            read_until(&mut lane, &mut sent, third);
+            read_until(&mut connection, &mut sent, third);
         }
         let (sent, over) = frames(&sent);
         let expected = |n: u16| {
@@ -394,12 +396,14 @@
     }
 }
 
-/// Reads what is sent on a lane until a command has come whole.
-fn read_until(lane: &mut TcpStream, sent: &mut Vec<u8>, last: (u8, u64)) {
-    lane.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+/// Reads what is sent on a connection until a command has come whole.
+fn read_until(connection: &mut TcpStream, sent: &mut Vec<u8>, last: (u8, u64)) {
+    connection
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .unwrap();
     let mut piece = vec![0; 64 << 10];
     while !frames(sent).0.contains(&last) {
-        let read = lane.read(&mut piece).unwrap();
+        let read = connection.read(&mut piece).unwrap();
         assert!(read > 0, "the lane has ended before");
         sent.extend_from_slice(&piece[..read]);
     }
@@ -427,11 +431,11 @@
         let at = listens_at(&mut out).unwrap();
         let mut log = child.stderr.take().filter(|_| !leaves);
         drop(out);
-        let mut front = Front::connect(at).unwrap();
+        let mut frontend = Frontend::connect(at).unwrap();
         // Its lines are far more than a pipe holds.
         for n in 1..=1000 {
-            ask(&mut front, 1, &asked("/do/once", &format!("{n:016x}")));
-            serve(&mut worker, &mut front, b"");
+            ask(&mut frontend, 1, &asked("/do/once", &format!("{n:016x}")));
+            serve(&mut worker, &mut frontend, b"");
         }
         if let Some(log) = &mut log {
             // Whoever reads it wakes up.
@@ -439,7 +443,7 @@
         }
         std::fs::write(&file, &text[..20]).unwrap();
         signal("-HUP", child.id());
-        assert_eq!(check(&mut front), 200);
+        assert_eq!(check(&mut frontend), 200);
         signal("-TERM", child.id());
         assert!(child.wait().unwrap().success(), "leaves: {leaves}");
         if let Some(mut log) = log {
--- a/crates/quartzdrift-lab/tests/crossings.rs
+++ b/crates/quartzdrift-lab/tests/crossings.rs
@@ -1,6 +1,6 @@
 //! What crosses: requests, answers, closes, aborts, news and signals that come in the same moment, or in the other
-//! order. A scheduler process on loopback, against stand-ins that make the order certain.
-use quartzdrift_lab::platform::{Asked, Front, Reached, Worker};
+//! order. A scheduler process on loopback, against fakes that make the order certain.
+use quartzdrift_lab::platform::{Asked, Frontend, Reached, Worker};
 use quartzdrift_lab::stage::{
     DONE, ID, NO_CANCEL, OTHER, PATIENT, SCARCE, Stage, THIRD, Vanished, ask, asked, check, config, event,
     ids, number, serve, target,
@@ -19,21 +19,21 @@
 fn whoever_left_while_its_command_waited_for_a_proof_is_not_sent_on() {
     for proved in [true, false] {
         let mut stage = Stage::with(LAB, 1, &[NO_CANCEL]);
-        let mut front = stage.front();
-        let lane = stage.rested(&mut front, ID);
+        let mut frontend = stage.frontend();
+        let connection = stage.rested(&mut frontend, ID);
         stage.workers[0].hold_proofs(true);
-        ask(&mut front, 1, &asked("/do/once", OTHER));
-        assert_eq!(stage.workers[0].asked(), lane);
-        front.send(&Front::abort(1)).unwrap();
-        assert_eq!(front.reply().unwrap().status, 0);
+        ask(&mut frontend, 1, &asked("/do/once", OTHER));
+        assert_eq!(stage.workers[0].asked(), connection);
+        frontend.send(&Frontend::abort(1)).unwrap();
+        assert_eq!(frontend.reply().unwrap().status, 0);
         stage.workers[0].hold_proofs(false);
         match proved {
-            true => stage.workers[0].prove(lane, number(OTHER)),
-            false => stage.workers[0].close(lane),
+            true => stage.workers[0].prove(connection, number(OTHER)),
+            false => stage.workers[0].close(connection),
         }
-        // The lane's news was there before this check: the loop has worked it.
-        assert_eq!(check(&mut front), 200);
-        ask(&mut front, 1, &asked("/do/once", THIRD));
+        // The connection's news was there before this check: the loop has worked it.
+        assert_eq!(check(&mut frontend), 200);
+        ask(&mut frontend, 1, &asked("/do/once", THIRD));
         let (_, code, id, ..) = stage.workers[0].command();
         assert_eq!((code, id), (48, number(THIRD)), "proved: {proved}");
         assert_eq!(ids(&stage.last_commands(0)), [], "proved: {proved}");
@@ -43,15 +43,15 @@
 #[test]
 fn whoever_left_while_its_command_waited_for_a_connection_is_not_sent_on() {
     let mut stage = Stage::with(LAB, 0, &[NO_CANCEL, PATIENT]);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     let vanished = Vanished::start().unwrap();
     stage.coordinator.poll();
     stage.tell(2, &[target("w0", vanished.at, "Ready")]);
-    ask(&mut front, 1, &asked("/do/once", ID));
-    front.send(&Front::abort(1)).unwrap();
-    assert_eq!(front.reply().unwrap().status, 0);
-    ask(&mut front, 1, &asked("/do/once", OTHER));
-    check(&mut stage.front());
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    frontend.send(&Frontend::abort(1)).unwrap();
+    assert_eq!(frontend.reply().unwrap().status, 0);
+    ask(&mut frontend, 1, &asked("/do/once", OTHER));
+    check(&mut stage.frontend());
     stage.workers.push(vanished.returns().unwrap());
     let (_, code, id, ..) = stage.workers[0].command();
     assert_eq!((code, id), (48, number(OTHER)));
@@ -61,52 +61,52 @@
 #[test]
 fn what_waits_for_a_proof_past_its_time_is_not_sent_on() {
     let mut stage = Stage::with(LAB, 1, &[NO_CANCEL, PATIENT]);
-    let mut front = stage.front();
-    let lane = stage.rested(&mut front, ID);
+    let mut frontend = stage.frontend();
+    let connection = stage.rested(&mut frontend, ID);
     stage.workers[0].hold_proofs(true);
     ask(
-        &mut front,
+        &mut frontend,
         1,
         &Asked {
             time: "300",
             ..asked("/do/once", OTHER)
         },
     );
-    assert_eq!(stage.workers[0].asked(), lane);
+    assert_eq!(stage.workers[0].asked(), connection);
     // It never ran, so trying again is harmless, and it has its final answer within its time.
-    assert_eq!(front.reply().unwrap().status, 503);
-    stage.workers[0].prove(lane, number(OTHER));
-    assert_eq!(check(&mut front), 200);
+    assert_eq!(frontend.reply().unwrap().status, 503);
+    stage.workers[0].prove(connection, number(OTHER));
+    assert_eq!(check(&mut frontend), 200);
     assert_eq!(ids(&stage.last_commands(0)), []);
 }
 
 #[test]
 fn what_waits_for_a_connection_past_its_time_is_rejected() {
     let stage = Stage::with(LAB, 0, &[NO_CANCEL, PATIENT]);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     let vanished = Vanished::start().unwrap();
     stage.coordinator.poll();
     stage.tell(2, &[target("w0", vanished.at, "Ready")]);
     ask(
-        &mut front,
+        &mut frontend,
         1,
         &Asked {
             time: "300",
             ..asked("/do/once", ID)
         },
     );
-    assert_eq!(front.reply().unwrap().status, 503);
+    assert_eq!(frontend.reply().unwrap().status, 503);
 }
 
 #[test]
 fn a_request_that_is_withdrawn_in_the_same_read_reaches_no_worker() {
     for change in [&[][..], &[NO_CANCEL]] {
         let mut stage = Stage::with(LAB, 1, change);
-        let mut front = stage.front();
-        let both = [Front::request(1, &asked("/do/once", ID)), Front::abort(1)].concat();
-        front.send(&both).unwrap();
-        assert_eq!(front.reply().unwrap().status, 0);
-        assert_eq!(check(&mut front), 200);
+        let mut frontend = stage.frontend();
+        let both = [Frontend::request(1, &asked("/do/once", ID)), Frontend::abort(1)].concat();
+        frontend.send(&both).unwrap();
+        assert_eq!(frontend.reply().unwrap().status, 0);
+        assert_eq!(check(&mut frontend), 200);
         assert_eq!(ids(&stage.last_commands(0)), []);
     }
 }
@@ -115,7 +115,7 @@
 fn a_request_whose_client_has_closed_or_half_closed_by_then_reaches_no_worker() {
     for half in [true, false] {
         let mut stage = Stage::with(LAB, 1, &[NO_CANCEL]);
-        let (mut leaves, mut checks) = (stage.front(), stage.front());
+        let (mut leaves, mut checks) = (stage.frontend(), stage.frontend());
         assert_eq!((check(&mut leaves), check(&mut checks)), (200, 200));
         stage.pause();
         ask(&mut leaves, 1, &asked("/do/once", ID));
@@ -132,24 +132,24 @@
 fn the_last_request_of_a_connection_ends_no_other_that_is_open_on_it() {
     for aborted in [false, true] {
         let mut stage = Stage::start(LAB, 1);
-        let mut front = stage.front();
-        ask(&mut front, 2, &asked("/do/once", OTHER));
+        let mut frontend = stage.frontend();
+        ask(&mut frontend, 2, &asked("/do/once", OTHER));
         let (other, ..) = stage.workers[0].command();
-        front
-            .send(&Front::last_request(1, &asked("/do/once", ID)))
+        frontend
+            .send(&Frontend::last_request(1, &asked("/do/once", ID)))
             .unwrap();
-        serve(&mut stage.workers[0], &mut front, b"first");
+        serve(&mut stage.workers[0], &mut frontend, b"first");
         if aborted {
             // Its withdrawal is heard, though nothing new is taken any more.
-            front.send(&Front::abort(2)).unwrap();
+            frontend.send(&Frontend::abort(2)).unwrap();
             let (_, code, id, ..) = stage.workers[0].command();
             assert_eq!((code, id), (GIVE_UP, number(OTHER)));
         } else {
-            assert_eq!(check(&mut stage.front()), 200);
+            assert_eq!(check(&mut stage.frontend()), 200);
             stage.workers[0].answer(other, DONE, number(OTHER), b"second");
-            assert_eq!(front.reply().unwrap().body, b"second");
+            assert_eq!(frontend.reply().unwrap().body, b"second");
         }
-        assert!(front.reply().is_err() || aborted);
+        assert!(frontend.reply().is_err() || aborted);
     }
 }
 
@@ -160,21 +160,21 @@
     // The consequences of the first answer may end its client's connection, with the other request open on it.
     for last in [false, true] {
         let mut stage = Stage::with(LAB, 1, &[SCARCE]);
-        let mut front = stage.front();
+        let mut frontend = stage.frontend();
         let mut at = Vec::new();
-        // Eight lanes, and a ninth request that shares one.
+        // Eight connections, and a ninth request that shares one.
         for n in 1..=9 {
             let (path, id) = ("/do/once", format!("{n:016x}"));
             let bytes = if last && n == 9 {
-                Front::last_request
+                Frontend::last_request
             } else {
-                Front::request
+                Frontend::request
             };
-            front.send(&bytes(n, &asked(path, &id))).unwrap();
+            frontend.send(&bytes(n, &asked(path, &id))).unwrap();
             at.push(stage.workers[0].command().0);
         }
         let shared = at[8];
-        let first = at.iter().position(|lane| *lane == shared).unwrap() as u64 + 1;
+        let first = at.iter().position(|connection| *connection == shared).unwrap() as u64 + 1;
         let mut both = Vec::new();
         for id in [9, first] {
             let body = format!("of {id}");
@@ -182,7 +182,7 @@
         }
         stage.workers[0].send(shared, &both);
         for _ in 0..2 {
-            let reply = front.reply().unwrap();
+            let reply = frontend.reply().unwrap();
             assert_eq!(
                 String::from_utf8_lossy(&reply.body),
                 format!("of {}", reply.number)
@@ -194,36 +194,36 @@
 #[test]
 fn a_late_second_answer_is_not_taken_for_the_next_request_under_its_id() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
-    ask(&mut front, 1, &asked("/do/once", ID));
-    let (lane, _, id) = serve(&mut stage.workers[0], &mut front, b"first");
-    ask(&mut front, 1, &asked("/do/once", ID));
+    let mut frontend = stage.frontend();
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    let (connection, _, id) = serve(&mut stage.workers[0], &mut frontend, b"first");
+    ask(&mut frontend, 1, &asked("/do/once", ID));
     let (next, ..) = stage.workers[0].command();
     assert_ne!(
-        next, lane,
+        next, connection,
         "a late answer on a lane that has carried the id could not be told from the next"
     );
-    stage.workers[0].answer(lane, DONE, id, b"first");
-    assert_eq!(check(&mut stage.front()), 200);
+    stage.workers[0].answer(connection, DONE, id, b"first");
+    assert_eq!(check(&mut stage.frontend()), 200);
     stage.workers[0].answer(next, DONE, id, b"second");
-    assert_eq!(front.reply().unwrap().body, b"second");
+    assert_eq!(frontend.reply().unwrap().body, b"second");
 }
 
 #[test]
 fn an_answer_to_what_has_not_left_yet_is_none() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
-    let lane = stage.rested(&mut front, ID);
+    let mut frontend = stage.frontend();
+    let connection = stage.rested(&mut frontend, ID);
     stage.workers[0].hold_proofs(true);
-    ask(&mut front, 1, &asked("/do/once", OTHER));
-    assert_eq!(stage.workers[0].asked(), lane);
-    stage.workers[0].answer(lane, DONE, number(OTHER), b"of nothing");
-    assert_eq!(check(&mut stage.front()), 200);
-    stage.workers[0].prove(lane, number(OTHER));
-    let (lane, code, id, ..) = stage.workers[0].command();
+    ask(&mut frontend, 1, &asked("/do/once", OTHER));
+    assert_eq!(stage.workers[0].asked(), connection);
+    stage.workers[0].answer(connection, DONE, number(OTHER), b"of nothing");
+    assert_eq!(check(&mut stage.frontend()), 200);
+    stage.workers[0].prove(connection, number(OTHER));
+    let (connection, code, id, ..) = stage.workers[0].command();
     assert_eq!((code, id), (48, number(OTHER)));
-    stage.workers[0].answer(lane, DONE, id, b"its own");
-    assert_eq!(front.reply().unwrap().body, b"its own");
+    stage.workers[0].answer(connection, DONE, id, b"its own");
+    assert_eq!(frontend.reply().unwrap().body, b"its own");
 }
 
 // --- Connections ---
@@ -239,12 +239,12 @@
         "gone and back in one event",
     ] {
         let mut stage = Stage::with(LAB, 0, &[PATIENT]);
-        let mut front = stage.front();
+        let mut frontend = stage.frontend();
         let vanished = Vanished::start().unwrap();
         stage.coordinator.poll();
         stage.tell(2, &[target("w0", vanished.at, "Ready")]);
-        ask(&mut front, 1, &asked("/do/once", ID));
-        assert_eq!(check(&mut stage.front()), 200);
+        ask(&mut frontend, 1, &asked("/do/once", ID));
+        assert_eq!(check(&mut stage.frontend()), 200);
         let gone = target("w0", vanished.at, "Gone");
         // A request is not placed twice at one worker: where that has moved, or has come back, another one gets it.
         let new = target("new", at, "Ready");
@@ -255,7 +255,7 @@
             _ => vec![gone, target("w0", at, "Ready"), new],
         };
         stage.tell(3, &targets);
-        let (_, code, id) = serve(&mut there, &mut front, b"");
+        let (_, code, id) = serve(&mut there, &mut frontend, b"");
         assert_eq!((code, id), (48, number(ID)), "{way}");
         // Whoever stands at the old address later gets nothing of it.
         let mut old = vanished.returns().unwrap();
@@ -268,12 +268,12 @@
 #[test]
 fn a_newcomer_at_an_address_gets_nothing_that_was_meant_for_the_one_before() {
     let mut stage = Stage::with(LAB, 0, &[PATIENT]);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     let vanished = Vanished::start().unwrap();
     stage.coordinator.poll();
     stage.tell(2, &[target("w0", vanished.at, "Ready")]);
-    ask(&mut front, 1, &asked("/do/once", ID));
-    assert_eq!(check(&mut stage.front()), 200);
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    assert_eq!(check(&mut stage.frontend()), 200);
     stage.tell(
         3,
         &[
@@ -282,7 +282,7 @@
         ],
     );
     stage.workers.push(vanished.returns().unwrap());
-    let (_, code, id) = serve(&mut stage.workers[0], &mut front, b"once");
+    let (_, code, id) = serve(&mut stage.workers[0], &mut frontend, b"once");
     assert_eq!((code, id), (48, number(ID)));
     assert_eq!(ids(&stage.last_commands(0)), []);
 }
@@ -290,72 +290,73 @@
 #[test]
 fn what_waits_for_the_proof_of_a_worker_that_was_restarted_is_placed_anew() {
     let mut stage = Stage::with(LAB, 1, &[PATIENT]);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     stage.coordinator.poll();
-    let lane = stage.rested(&mut front, ID);
+    let connection = stage.rested(&mut frontend, ID);
     stage.workers[0].hold_proofs(true);
-    ask(&mut front, 1, &asked("/do/once", OTHER));
-    assert_eq!(stage.workers[0].asked(), lane);
+    ask(&mut frontend, 1, &asked("/do/once", OTHER));
+    assert_eq!(stage.workers[0].asked(), connection);
     let again =
         target("w0", stage.workers[0].at, "Ready").replace("\"boot_ms\":0", "\"boot_ms\":1700000000000");
     // A request is not placed twice at one worker: another one, which stands at the same address here, gets it.
     stage.tell(2, &[again, target("w1", stage.workers[0].at, "Ready")]);
-    let (new, code, id) = serve(&mut stage.workers[0], &mut front, b"done");
+    let (new, code, id) = serve(&mut stage.workers[0], &mut frontend, b"done");
     assert_eq!((code, id), (48, number(OTHER)));
-    assert_ne!(new, lane);
+    assert_ne!(new, connection);
 }
 
 #[test]
 fn a_lane_that_its_worker_closed_a_moment_ago_costs_no_request() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
-    ask(&mut front, 1, &asked("/do/once", ID));
-    let (lane, ..) = serve(&mut stage.workers[0], &mut front, b"");
+    let mut frontend = stage.frontend();
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    let (connection, ..) = serve(&mut stage.workers[0], &mut frontend, b"");
     stage.pause();
-    stage.workers[0].close(lane);
-    ask(&mut front, 1, &asked("/do/once", OTHER));
+    stage.workers[0].close(connection);
+    ask(&mut frontend, 1, &asked("/do/once", OTHER));
     stage.go_on();
-    let (next, ..) = serve(&mut stage.workers[0], &mut front, b"done");
-    assert_ne!(next, lane);
+    let (next, ..) = serve(&mut stage.workers[0], &mut frontend, b"done");
+    assert_ne!(next, connection);
 }
 
 #[test]
 fn a_keep_alive_shorter_than_a_proof_cuts_no_request() {
     let mut stage = Stage::with(LAB, 1, &[PATIENT, ("15000000000", "100000000")]);
-    let mut front = stage.front();
-    let lane = stage.rested(&mut front, ID);
+    let mut frontend = stage.frontend();
+    let connection = stage.rested(&mut frontend, ID);
     stage.workers[0].hold_proofs(true);
-    ask(&mut front, 1, &asked("/do/once", OTHER));
-    // Where the machine was slow the lane has ended before, and there is nothing to prove.
+    ask(&mut frontend, 1, &asked("/do/once", OTHER));
+    // Where the machine was slow the connection has ended before, and there is nothing to prove.
     let sent = loop {
         match stage.workers[0].reached() {
             Reached::Asked(asked) => {
-                assert_eq!(asked, lane);
+                assert_eq!(asked, connection);
                 std::thread::sleep(Duration::from_millis(200));
-                stage.workers[0].prove(lane, number(OTHER));
+                stage.workers[0].prove(connection, number(OTHER));
             }
-            Reached::Command((lane, ..)) => break lane,
+            Reached::Command((connection, ..)) => break connection,
             Reached::Connected(_) | Reached::Closed(_) => {}
         }
     };
     stage.workers[0].answer(sent, DONE, number(OTHER), b"done");
-    assert_eq!(front.reply().unwrap().body, b"done");
+    assert_eq!(frontend.reply().unwrap().body, b"done");
 }
 
 #[test]
 fn a_request_that_has_come_is_not_closed_to_make_room_for_others() {
     let mut stage = Stage::with(LAB, 1, &[SCARCE]);
-    let mut held: Vec<Front> = (0..8).map(|_| stage.front()).collect();
-    held.iter_mut().for_each(|front| assert_eq!(check(front), 200));
+    let mut held: Vec<Frontend> = (0..8).map(|_| stage.frontend()).collect();
+    held.iter_mut()
+        .for_each(|frontend| assert_eq!(check(frontend), 200));
     stage.pause();
     // The one that has been silent longest asks in the moment in which a newcomer needs its place.
     ask(&mut held[0], 1, &asked("/do/once", ID));
-    let mut newcomer = stage.front();
+    let mut newcomer = stage.frontend();
     ask(&mut newcomer, 1, &asked("/do/once", OTHER));
     stage.go_on();
     for _ in 0..2 {
-        let (lane, _, id, ..) = stage.workers[0].command();
-        stage.workers[0].answer(lane, DONE, id, &id.to_be_bytes());
+        let (connection, _, id, ..) = stage.workers[0].command();
+        stage.workers[0].answer(connection, DONE, id, &id.to_be_bytes());
     }
     assert_eq!(held[0].reply().unwrap().body, number(ID).to_be_bytes());
     assert_eq!(newcomer.reply().unwrap().body, number(OTHER).to_be_bytes());
@@ -364,18 +365,18 @@
 #[test]
 fn a_request_that_stays_half_costs_no_other_on_its_connection() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
-    ask(&mut front, 1, &asked("/do/once", ID));
-    let (lane, _, id, ..) = stage.workers[0].command();
-    let half = Front::request(2, &asked("/do/once", OTHER));
-    front.send(&half[..half.len() / 2]).unwrap();
+    let mut frontend = stage.frontend();
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    let (connection, _, id, ..) = stage.workers[0].command();
+    let half = Frontend::request(2, &asked("/do/once", OTHER));
+    frontend.send(&half[..half.len() / 2]).unwrap();
     // Past the time for a request to be whole.
     std::thread::sleep(Duration::from_millis(2500));
-    assert_eq!(check(&mut stage.front()), 200);
-    stage.workers[0].answer(lane, DONE, id, b"whole");
-    assert_eq!(front.reply().unwrap().body, b"whole");
+    assert_eq!(check(&mut stage.frontend()), 200);
+    stage.workers[0].answer(connection, DONE, id, b"whole");
+    assert_eq!(frontend.reply().unwrap().body, b"whole");
     assert!(
-        front.reply().is_err(),
+        frontend.reply().is_err(),
         "the half one cannot be answered, and its connection ends"
     );
 }
@@ -383,7 +384,7 @@
 #[test]
 fn a_first_request_that_came_while_the_process_was_paused_is_served() {
     let mut stage = Stage::start(LAB, 1);
-    let (mut first, mut checks) = (stage.front(), stage.front());
+    let (mut first, mut checks) = (stage.frontend(), stage.frontend());
     assert_eq!(check(&mut checks), 200);
     stage.pause();
     // Past the time within which a first request must be whole; it came within it.
@@ -455,8 +456,8 @@
             reader.read_line(&mut again).unwrap();
         }
         assert!(again.contains("follow=2&"), "{again}");
-        let mut front = stage.front();
-        ask(&mut front, 1, &asked("/do/again", ID));
+        let mut frontend = stage.frontend();
+        ask(&mut frontend, 1, &asked("/do/again", ID));
         assert_eq!(stage.command().0, 1, "a draining worker gets nothing new");
     }
 }
@@ -474,36 +475,36 @@
     // And news still counts.
     stage.coordinator.poll();
     stage.tell(2, &[target("w0", stage.workers[0].at, "Terminating")]);
-    assert_eq!(check(&mut stage.front()), 503);
+    assert_eq!(check(&mut stage.frontend()), 503);
 }
 
 #[test]
 fn numbers_that_repeat_or_start_over_bring_back_no_worker_that_drains() {
     let stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     let at = stage.workers[0].at;
     stage.coordinator.poll();
     stage.tell(2, &[target("w0", at, "Terminating")]);
-    assert_eq!(check(&mut front), 503);
+    assert_eq!(check(&mut frontend), 503);
     let ready = target("w0", at, "Ready");
     for old in [
         event(1, true, std::slice::from_ref(&ready)),
         event(2, false, std::slice::from_ref(&ready)),
     ] {
         stage.say(2, &old);
-        assert_eq!(check(&mut front), 503, "{old}");
+        assert_eq!(check(&mut frontend), 503, "{old}");
     }
     // A jump is a gap, unless it brings the whole list.
     stage.say(2, &event(9, false, std::slice::from_ref(&ready)));
-    assert_eq!(check(&mut front), 503);
+    assert_eq!(check(&mut frontend), 503);
     stage.say(9, &event(9, true, &[ready]));
-    assert_eq!(check(&mut front), 200);
+    assert_eq!(check(&mut frontend), 200);
 }
 
 #[test]
 fn two_events_for_one_worker_in_one_answer_count_in_their_order() {
     let stage = Stage::start(LAB, 1);
-    let (mut front, at) = (stage.front(), stage.workers[0].at);
+    let (mut frontend, at) = (stage.frontend(), stage.workers[0].at);
     stage.coordinator.poll();
     let of = |index: u64, state: &str| {
         format!(
@@ -519,17 +520,17 @@
         )
     };
     stage.say(3, &both(3, "Ready", "Terminating"));
-    assert_eq!(check(&mut front), 503);
+    assert_eq!(check(&mut frontend), 503);
     stage.say(5, &both(5, "Terminating", "Ready"));
-    assert_eq!(check(&mut front), 200);
+    assert_eq!(check(&mut frontend), 200);
     stage.tell(6, &[target("w0", at, "Ready"), target("w0", at, "Gone")]);
-    assert_eq!(check(&mut front), 503);
+    assert_eq!(check(&mut frontend), 503);
 }
 
 #[test]
 fn a_hang_up_signal_takes_a_newer_list_and_no_older_one() {
     let mut stage = Stage::start(LAB, 2);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     let (w0, w1) = (stage.workers[0].at, stage.workers[1].at);
     stage.coordinator.poll();
     stage.tell(2, &[target("w0", w0, "Terminating")]);
@@ -538,17 +539,17 @@
     let next = quartzdrift_lab::platform::Coordinator::start().unwrap();
     stage.hang_up(next.at, &older);
     assert!(next.poll().contains("follow=2&"));
-    ask(&mut front, 1, &asked("/do/again", ID));
-    let (at, (lane, _, id, ..)) = stage.command();
+    ask(&mut frontend, 1, &asked("/do/again", ID));
+    let (at, (connection, _, id, ..)) = stage.command();
     assert_eq!(at, 1);
-    stage.workers[1].answer(lane, DONE, id, b"");
-    assert_eq!(front.reply().unwrap().status, 200);
+    stage.workers[1].answer(connection, DONE, id, b"");
+    assert_eq!(frontend.reply().unwrap().status, 200);
     // Newer: taken at once, and followed from.
     let newer = event(3, false, &[target("w1", w1, "Gone"), target("w2", w0, "Ready")]);
     let third = quartzdrift_lab::platform::Coordinator::start().unwrap();
     stage.hang_up(third.at, &newer);
     assert!(third.poll().contains("follow=3&"));
-    ask(&mut front, 1, &asked("/do/again", OTHER));
+    ask(&mut frontend, 1, &asked("/do/again", OTHER));
     let (at, (_, _, id, ..)) = stage.command();
     assert_eq!((at, id), (0, number(OTHER)));
 }
@@ -569,20 +570,20 @@
         next.tell(&drains);
         assert!(next.poll().contains("follow=2&"));
     }
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     for id in [ID, OTHER, THIRD] {
-        ask(&mut front, 1, &asked("/do/again", id));
-        let (at, (lane, _, id, ..)) = stage.command();
+        ask(&mut frontend, 1, &asked("/do/again", id));
+        let (at, (connection, _, id, ..)) = stage.command();
         assert_eq!(at, 1);
-        stage.workers[1].answer(lane, DONE, id, b"");
-        assert_eq!(front.reply().unwrap().status, 200);
+        stage.workers[1].answer(connection, DONE, id, b"");
+        assert_eq!(frontend.reply().unwrap().status, 200);
     }
 }
 
 // --- Stop ---
 
 /// Sends SIGTERM, and returns once the scheduler has taken it.
-fn stop(stage: &Stage, checks: &mut Front) -> Instant {
+fn stop(stage: &Stage, checks: &mut Frontend) -> Instant {
     let told = Instant::now();
     stage.signal("-TERM");
     while check(checks) != 503 {}
@@ -592,20 +593,20 @@
 #[test]
 fn what_cannot_end_before_the_kill_has_its_final_answer_before() {
     let mut stage = Stage::start(LAB, 1);
-    let (mut front, mut checks) = (stage.front(), stage.front());
-    let lane = stage.rested(&mut front, ID);
+    let (mut frontend, mut checks) = (stage.frontend(), stage.frontend());
+    let connection = stage.rested(&mut frontend, ID);
     // Out at a worker that answers no more: one that may run again, and one that may not.
-    ask(&mut front, 1, &asked("/do/once", OTHER));
+    ask(&mut frontend, 1, &asked("/do/once", OTHER));
     stage.workers[0].hold_proofs(true);
     stage.workers[0].asked();
-    stage.workers[0].prove(lane, number(OTHER));
+    stage.workers[0].prove(connection, number(OTHER));
     stage.workers[0].command();
-    ask(&mut front, 2, &asked("/do/again", THIRD));
+    ask(&mut frontend, 2, &asked("/do/again", THIRD));
     stage.workers[0].command();
     let told = stop(&stage, &mut checks);
     // The longest time limit counts as 3 s, and SIGKILL comes 0.7 s after it.
     let kill = Duration::from_millis(3700);
-    let mut replies = [front.reply().unwrap(), front.reply().unwrap()];
+    let mut replies = [frontend.reply().unwrap(), frontend.reply().unwrap()];
     assert!(told.elapsed() < kill, "{:?}", told.elapsed());
     replies.sort_by_key(|reply| reply.number);
     assert_eq!(replies.map(|reply| reply.status), [500, 503]);
@@ -616,16 +617,16 @@
 #[test]
 fn what_was_never_sent_before_the_kill_is_rejected() {
     let mut stage = Stage::with(LAB, 0, &[PATIENT]);
-    let (mut front, mut checks) = (stage.front(), stage.front());
+    let (mut frontend, mut checks) = (stage.frontend(), stage.frontend());
     let vanished = Vanished::start().unwrap();
     stage.coordinator.poll();
     stage.tell(2, &[target("w0", vanished.at, "Ready")]);
-    ask(&mut front, 1, &asked("/do/once", ID));
+    ask(&mut frontend, 1, &asked("/do/once", ID));
     let told = stop(&stage, &mut checks);
     // Whoever comes during the stop has just the time that it leaves.
-    ask(&mut front, 2, &asked("/do/once", OTHER));
+    ask(&mut frontend, 2, &asked("/do/once", OTHER));
     for _ in 0..2 {
-        let reply = front.reply().unwrap();
+        let reply = frontend.reply().unwrap();
         assert_eq!(
             reply.status, 503,
             "{} never ran, so trying again is harmless",
@@ -643,23 +644,23 @@
 #[test]
 fn what_has_come_when_the_stay_ends_is_served_all_the_same() {
     let mut stage = Stage::start(LAB, 1);
-    let (mut front, mut checks) = (stage.front(), stage.front());
-    check(&mut front);
+    let (mut frontend, mut checks) = (stage.frontend(), stage.frontend());
+    check(&mut frontend);
     stop(&stage, &mut checks);
     stage.pause();
     // On an open connection, on a new one, and on one that waits to be taken with half of its request.
-    ask(&mut front, 1, &asked("/do/once", ID));
-    let mut late = stage.front();
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    let mut late = stage.frontend();
     ask(&mut late, 1, &asked("/do/once", OTHER));
-    let (mut half, bytes) = (stage.front(), Front::request(1, &asked("/do/once", THIRD)));
+    let (mut half, bytes) = (stage.frontend(), Frontend::request(1, &asked("/do/once", THIRD)));
     half.send(&bytes[..40]).unwrap();
     std::thread::sleep(Duration::from_millis(1300));
     stage.go_on();
     for _ in 0..2 {
-        let (lane, _, id, ..) = stage.workers[0].command();
-        stage.workers[0].answer(lane, DONE, id, &id.to_be_bytes());
+        let (connection, _, id, ..) = stage.workers[0].command();
+        stage.workers[0].answer(connection, DONE, id, &id.to_be_bytes());
     }
-    assert_eq!(front.reply().unwrap().body, number(ID).to_be_bytes());
+    assert_eq!(frontend.reply().unwrap().body, number(ID).to_be_bytes());
     assert_eq!(late.reply().unwrap().body, number(OTHER).to_be_bytes());
     half.send(&bytes[40..]).unwrap();
     serve(&mut stage.workers[0], &mut half, b"whole");
@@ -669,19 +670,19 @@
 #[test]
 fn the_end_destroys_no_answer_that_a_slow_client_has_yet_to_take() {
     let mut stage = Stage::start(LAB, 1);
-    let mut checks = stage.front();
+    let mut checks = stage.frontend();
     // A client that takes little at a time: most of its answer stands in the scheduler's system.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4 << 10).unwrap();
     socket.connect(&stage.at.into()).unwrap();
-    let mut slow = Front::of(TcpStream::from(socket)).unwrap();
+    let mut slow = Frontend::of(TcpStream::from(socket)).unwrap();
     ask(&mut slow, 1, &asked("/do/once", ID));
-    let (lane, _, id, ..) = stage.workers[0].command();
+    let (connection, _, id, ..) = stage.workers[0].command();
     stop(&stage, &mut checks);
     std::thread::sleep(Duration::from_millis(1300));
     stage.pause();
     let body = vec![7; 60 << 10];
-    stage.workers[0].answer(lane, DONE, id, &body);
+    stage.workers[0].answer(connection, DONE, id, &body);
     // More than is read in a turn, of records that belong to nothing.
     let mut stray = Vec::new();
     for _ in 0..5 {
@@ -718,9 +719,9 @@
     let mut out = BufReader::new(child.stdout.take().unwrap());
     let at = quartzdrift_lab::badday::listens_at(&mut out).unwrap();
     // It stays for those that come meanwhile.
-    let mut front = Front::connect(at).unwrap();
-    ask(&mut front, 1, &asked("/do/once", ID));
-    serve(&mut worker, &mut front, b"served");
+    let mut frontend = Frontend::connect(at).unwrap();
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    serve(&mut worker, &mut frontend, b"served");
     let mut rest = String::new();
     out.read_to_string(&mut rest).unwrap();
     assert!(child.wait().unwrap().success());
@@ -729,9 +730,9 @@
 #[test]
 fn a_hang_up_signal_during_a_stop_and_one_with_half_a_file_end_nothing() {
     let mut stage = Stage::start(LAB, 1);
-    let (mut front, mut checks) = (stage.front(), stage.front());
-    ask(&mut front, 1, &asked("/do/once", ID));
-    let (lane, _, id, ..) = stage.workers[0].command();
+    let (mut frontend, mut checks) = (stage.frontend(), stage.frontend());
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    let (connection, _, id, ..) = stage.workers[0].command();
     stop(&stage, &mut checks);
     let whole = std::fs::read(&stage.file).unwrap();
     for cut in [0, 1, whole.len() / 2, whole.len() - 1] {
@@ -739,8 +740,8 @@
         stage.signal("-HUP");
         assert_eq!(check(&mut checks), 503);
     }
-    stage.workers[0].answer(lane, DONE, id, b"done");
-    assert_eq!(front.reply().unwrap().body, b"done");
+    stage.workers[0].answer(connection, DONE, id, b"done");
+    assert_eq!(frontend.reply().unwrap().body, b"done");
     assert!(stage.ends().success());
 }
 
@@ -749,18 +750,21 @@
 #[test]
 fn killed_and_started_anew_under_its_name_it_knows_nothing_of_its_earlier_life() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
-    ask(&mut front, 1, &asked("/do/once", ID));
-    let (lane, ..) = stage.workers[0].command();
+    let mut frontend = stage.frontend();
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    let (connection, ..) = stage.workers[0].command();
     stage.restart(LAB);
-    assert!(front.reply().is_err(), "what a killed process had taken is over");
+    assert!(
+        frontend.reply().is_err(),
+        "what a killed process had taken is over"
+    );
     // The client asks again under a new id, while the worker still has the attempt of the earlier life.
-    let mut front = stage.front();
-    assert_eq!(check(&mut front), 200);
-    ask(&mut front, 1, &asked("/do/once", OTHER));
-    let (next, code, id) = serve(&mut stage.workers[0], &mut front, b"anew");
+    let mut frontend = stage.frontend();
+    assert_eq!(check(&mut frontend), 200);
+    ask(&mut frontend, 1, &asked("/do/once", OTHER));
+    let (next, code, id) = serve(&mut stage.workers[0], &mut frontend, b"anew");
     assert_eq!((code, id), (48, number(OTHER)));
-    assert_ne!(next, lane);
+    assert_ne!(next, connection);
 }
 
 #[test]
--- a/crates/quartzdrift-lab/tests/floods.rs
+++ b/crates/quartzdrift-lab/tests/floods.rs
@@ -1,6 +1,6 @@
 //! A scheduler process on the platform's sockets under floods, very slow peers, answers that break off, repeats after a
 //! short window, and a start with a long list of workers.
-use quartzdrift_lab::platform::{Asked, Coordinator, Front};
+use quartzdrift_lab::platform::{Asked, Coordinator, Frontend};
 use quartzdrift_lab::stage::{
     DONE, ID, OTHER, Stage, ask, ask_and_reply, asked, check, config, event, scheduler, target,
 };
@@ -21,18 +21,18 @@
     let mut stage = Stage::start(LAB, 1);
     let clients: Vec<_> = (0..CONNECTIONS)
         .map(|connection| {
-            let mut front = stage.front();
+            let mut frontend = stage.frontend();
             let bytes: Vec<u8> = (1..=OPEN_EACH)
                 .flat_map(|number| {
                     let id = format!("{:016x}", u64::from(connection) << 16 | u64::from(number));
-                    Front::request(number, &asked("/do/again", &id))
+                    Frontend::request(number, &asked("/do/again", &id))
                 })
                 .collect();
             thread::spawn(move || {
-                front.send(&bytes).unwrap();
+                frontend.send(&bytes).unwrap();
                 let mut statuses = BTreeMap::new();
                 for _ in 0..OPEN_EACH {
-                    let reply = front.reply().unwrap();
+                    let reply = frontend.reply().unwrap();
                     let before = statuses.insert(reply.number, reply.status);
                     assert_eq!(before, None, "a second answer");
                 }
@@ -41,8 +41,8 @@
         })
         .collect();
     while clients.iter().any(|client| !client.is_finished()) {
-        if let Some((lane, _, id, ..)) = stage.workers[0].command_now() {
-            stage.workers[0].answer(lane, DONE, id, b"");
+        if let Some((connection, _, id, ..)) = stage.workers[0].command_now() {
+            stage.workers[0].answer(connection, DONE, id, b"");
         }
     }
     let mut served = 0;
@@ -55,16 +55,16 @@
         served += statuses.values().filter(|status| **status == 200).count();
     }
     assert!(served > 0);
-    assert_eq!(check(&mut stage.front()), 200);
+    assert_eq!(check(&mut stage.frontend()), 200);
 }
 
 #[test]
 fn an_answer_that_breaks_off_after_its_head_is_no_answer() {
     let mut stage = Stage::start(LAB, 2);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     for (path, id) in [("/do/once", ID), ("/do/again", OTHER)] {
-        ask(&mut front, 1, &asked(path, id));
-        let (first, (lane, _, id, ..)) = stage.command();
+        ask(&mut frontend, 1, &asked(path, id));
+        let (first, (connection, _, id, ..)) = stage.command();
         let mut answer = Vec::new();
         frame::write(
             &mut answer,
@@ -74,30 +74,30 @@
             b"report=queue:1",
             b"half of it",
         );
-        stage.workers[first].send(lane, &answer[..frame::HEAD]);
-        stage.workers[first].close(lane);
+        stage.workers[first].send(connection, &answer[..frame::HEAD]);
+        stage.workers[first].close(connection);
         if path == "/do/once" {
-            let reply = front.reply().unwrap();
+            let reply = frontend.reply().unwrap();
             assert_eq!(reply.status, 500, "it may have run, and may not run twice");
             continue;
         }
-        let (second, (lane, _, id, ..)) = stage.command();
+        let (second, (connection, _, id, ..)) = stage.command();
         assert_ne!(second, first);
-        stage.workers[second].answer(lane, DONE, id, b"whole");
-        assert_eq!(front.reply().unwrap().body, b"whole");
+        stage.workers[second].answer(connection, DONE, id, b"whole");
+        assert_eq!(frontend.reply().unwrap().body, b"whole");
     }
 }
 
 #[test]
 fn a_client_and_a_worker_that_drip_a_byte_at_a_time_are_heard() {
     let mut stage = Stage::start(LAB, 1);
-    let (mut dripping, mut checks) = (stage.front(), stage.front());
-    for byte in Front::request(1, &asked("/do/once", ID)) {
+    let (mut dripping, mut checks) = (stage.frontend(), stage.frontend());
+    for byte in Frontend::request(1, &asked("/do/once", ID)) {
         dripping.send(&[byte]).unwrap();
         // An answered check is a turn of the scheduler's loop, in which the byte is read.
         assert_eq!(check(&mut checks), 200);
     }
-    let (lane, _, id, ..) = stage.workers[0].command();
+    let (connection, _, id, ..) = stage.workers[0].command();
     let mut answer = Vec::new();
     frame::write(
         &mut answer,
@@ -108,7 +108,7 @@
         b"done",
     );
     for byte in answer {
-        stage.workers[0].send(lane, &[byte]);
+        stage.workers[0].send(connection, &[byte]);
         assert_eq!(check(&mut checks), 200);
     }
     assert_eq!(dripping.reply().unwrap().body, b"done");
@@ -119,26 +119,26 @@
     for (window, again) in [("8000000000", true), ("100000000", false)] {
         let keyed = format!("\"effect\":\"dedup\",\"key-scope\":\"all\",\"window-ns\":{window}");
         let mut stage = Stage::with(LAB, 2, &[("\"effect\":\"fragile\"", &keyed)]);
-        let mut front = stage.front();
+        let mut frontend = stage.frontend();
         let request = Asked {
             idempotency_key: "0f3a",
             ..asked("/do/once", ID)
         };
-        ask(&mut front, 1, &request);
-        let (first, (lane, ..)) = stage.command();
+        ask(&mut frontend, 1, &request);
+        let (first, (connection, ..)) = stage.command();
         let sent = Instant::now();
-        let mut checks = stage.front();
+        let mut checks = stage.frontend();
         while sent.elapsed() < Duration::from_millis(150) {
             assert_eq!(check(&mut checks), 200);
         }
-        stage.workers[first].close(lane);
+        stage.workers[first].close(connection);
         if again {
-            let (second, (lane, _, id, ..)) = stage.command();
+            let (second, (connection, _, id, ..)) = stage.command();
             assert_ne!(second, first);
-            stage.workers[second].answer(lane, DONE, id, b"done");
-            assert_eq!(front.reply().unwrap().body, b"done");
+            stage.workers[second].answer(connection, DONE, id, b"done");
+            assert_eq!(frontend.reply().unwrap().body, b"done");
         } else {
-            let reply = front.reply().unwrap();
+            let reply = frontend.reply().unwrap();
             assert_ne!(reply.status, 200);
             assert_eq!(
                 stage.last_commands(1 - first).len(),
@@ -148,11 +148,11 @@
         }
         // The same request by its client: within the window workers know it, and after it they run it anew.
         if again {
-            ask(&mut front, 1, &request);
-            let (at, (lane, _, id, fields, _)) = stage.command();
+            ask(&mut frontend, 1, &request);
+            let (at, (connection, _, id, fields, _)) = stage.command();
             assert!(fields.contains(",replay=0f3a,"), "{fields}");
-            stage.workers[at].answer(lane, DONE, id, b"done");
-            assert_eq!(front.reply().unwrap().body, b"done");
+            stage.workers[at].answer(connection, DONE, id, b"done");
+            assert_eq!(frontend.reply().unwrap().body, b"done");
         }
     }
 }
@@ -180,8 +180,8 @@
     let at = line
         .split_whitespace()
         .find_map(|word| word.trim_matches(|c: char| !c.is_ascii_digit()).parse().ok());
-    let mut front = Front::connect(at.unwrap_or_else(|| panic!("no address in {line:?}"))).unwrap();
-    let status = ask_and_reply(&mut front, &asked("/check", ID)).status;
+    let mut frontend = Frontend::connect(at.unwrap_or_else(|| panic!("no address in {line:?}"))).unwrap();
+    let status = ask_and_reply(&mut frontend, &asked("/check", ID)).status;
     let ready = began.elapsed();
     // Killed before the verdict, which may end the test.
     let _ = child.kill();
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway process and stand-in workers on loopback: the hard cases, seen from the sockets.
+//! A gateway process and fake workers on loopback: the hard cases, seen from the sockets.
 use quartzdrift::gateway::fleet::View;
 use quartzdrift::invoke::{Invoke, invoke};
 use quartzdrift::snapshots;
--- a/crates/quartzdrift-lab/tests/platform.rs
+++ b/crates/quartzdrift-lab/tests/platform.rs
@@ -1,6 +1,6 @@
-//! A scheduler process on the platform's sockets, against stand-ins on loopback: the hard cases.
+//! A scheduler process on the platform's sockets, against fakes on loopback: the hard cases.
 use quartzdrift::platform::Node;
-use quartzdrift_lab::platform::{Asked, Coordinator, Front, Reached, Worker};
+use quartzdrift_lab::platform::{Asked, Coordinator, Frontend, Reached, Worker};
 use quartzdrift_lab::stage::{
     DONE, ID, OTHER, Stage, Vanished, ask, ask_and_reply, asked, config, event, target,
 };
@@ -16,9 +16,9 @@
 #[test]
 fn a_request_goes_out_as_it_came_and_its_answer_comes_back_unchanged() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
-    ask(&mut front, 5, &asked("/do/again", ID));
-    let (lane, code, id, fields, body) = stage.workers[0].command();
+    let mut frontend = stage.frontend();
+    ask(&mut frontend, 5, &asked("/do/again", ID));
+    let (connection, code, id, fields, body) = stage.workers[0].command();
     assert_eq!(
         (code, id, &body[..]),
         (48, 0x9b1f_03aa_5c7e_2d41, &b"the body"[..])
@@ -26,28 +26,28 @@
     let (fields, max) = fields.rsplit_once(",max=").unwrap();
     assert_eq!(fields, "profile=again,thing=7f3a9c21e0b4d655");
     assert!((1..=50000).contains(&max.parse::<u32>().unwrap()));
-    // Before it, an answer under an unknown id; after it, a second copy. Both are dropped, and the lane lives.
-    stage.workers[0].answer(lane, DONE, 99, b"not asked for");
+    // Before it, an answer under an unknown id; after it, a second copy. Both are dropped, and the connection lives.
+    stage.workers[0].answer(connection, DONE, 99, b"not asked for");
     let said: Vec<u8> = (0..=255).collect();
-    stage.workers[0].answer(lane, DONE, id, &said);
-    stage.workers[0].answer(lane, DONE, id, b"second copy");
-    let reply = front.reply().unwrap();
+    stage.workers[0].answer(connection, DONE, id, &said);
+    stage.workers[0].answer(connection, DONE, id, b"second copy");
+    let reply = frontend.reply().unwrap();
     assert_eq!((reply.number, reply.status, &reply.body), (5, 200, &said));
-    ask(&mut front, 5, &asked("/do/again", OTHER));
+    ask(&mut frontend, 5, &asked("/do/again", OTHER));
     let (again, _, id, ..) = stage.workers[0].command();
-    assert_eq!(again, lane);
-    stage.workers[0].answer(lane, DONE, id, b"next");
-    assert_eq!(front.reply().unwrap().body, b"next");
+    assert_eq!(again, connection);
+    stage.workers[0].answer(connection, DONE, id, b"next");
+    assert_eq!(frontend.reply().unwrap().body, b"next");
 }
 
 #[test]
 fn a_keyed_request_carries_its_idempotency_key_to_every_worker_and_none_goes_without() {
     let dedup = "\"effect\":\"dedup\",\"key-scope\":\"all\",\"window-ns\":8000000000";
     let mut stage = Stage::with(LAB, 2, &[("\"effect\":\"fragile\"", dedup)]);
-    let mut front = stage.front();
-    assert_eq!(ask_and_reply(&mut front, &asked("/do/once", ID)).status, 400);
+    let mut frontend = stage.frontend();
+    assert_eq!(ask_and_reply(&mut frontend, &asked("/do/once", ID)).status, 400);
     ask(
-        &mut front,
+        &mut frontend,
         1,
         &Asked {
             idempotency_key: "0f3a-77",
@@ -55,40 +55,40 @@
         },
     );
     // The first may have run it; the second can tell the repeat, as it hears the same.
-    let (first, (lane, _, _, fields, _)) = stage.command();
+    let (first, (connection, _, _, fields, _)) = stage.command();
     assert!(fields.contains(",replay=0f3a-77,"), "{fields}");
-    stage.workers[first].close(lane);
-    let (second, (lane, _, id, again, _)) = stage.command();
+    stage.workers[first].close(connection);
+    let (second, (connection, _, id, again, _)) = stage.command();
     assert!(second != first && again.contains(",replay=0f3a-77,"), "{again}");
-    stage.workers[second].answer(lane, DONE, id, b"done");
-    assert_eq!(front.reply().unwrap().body, b"done");
+    stage.workers[second].answer(connection, DONE, id, b"done");
+    assert_eq!(frontend.reply().unwrap().body, b"done");
 }
 
 #[test]
 fn a_worker_that_turns_one_tenant_away_stays_open_to_the_others() {
     let tenants = r#""tenants":[{"name":"a","quota-rps":10},{"name":"b","quota-rps":10}],"stats""#;
     let mut stage = Stage::with(LAB, 2, &[("\"stats\"", tenants)]);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     // Full for this request, though by its report it has room: it has no more for this tenant.
     ask(
-        &mut front,
+        &mut frontend,
         1,
         &Asked {
             tenant: "a",
             ..asked("/do/once", ID)
         },
     );
-    let (turns, (lane, _, id, ..)) = stage.command();
-    stage.workers[turns].answer(lane, FULL, id, b"");
-    let (other, (lane, ..)) = stage.command();
-    stage.workers[other].answer(lane, DONE, id, b"");
-    assert_eq!(front.reply().unwrap().status, 200);
+    let (turns, (connection, _, id, ..)) = stage.command();
+    stage.workers[turns].answer(connection, FULL, id, b"");
+    let (other, (connection, ..)) = stage.command();
+    stage.workers[other].answer(connection, DONE, id, b"");
+    assert_eq!(frontend.reply().unwrap().status, 200);
     // Functions that nobody has loaded are at home at one of the two by chance.
     let mut met = |tenant, from| {
         let requests = (from..from + 12).map(|n| {
             let (id, function) = (format!("{n:016x}"), format!("{n:016x}"));
             ask(
-                &mut front,
+                &mut frontend,
                 1,
                 &Asked {
                     tenant,
@@ -96,9 +96,9 @@
                     ..asked("/do/once", &id)
                 },
             );
-            let (at, (lane, _, id, ..)) = stage.command();
-            stage.workers[at].answer(lane, DONE, id, b"");
-            assert_eq!(front.reply().unwrap().status, 200);
+            let (at, (connection, _, id, ..)) = stage.command();
+            stage.workers[at].answer(connection, DONE, id, b"");
+            assert_eq!(frontend.reply().unwrap().status, 200);
             at
         });
         requests.filter(|at| *at == turns).count()
@@ -111,7 +111,7 @@
 #[test]
 fn what_is_wrong_is_told_at_the_door_and_reaches_no_worker() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     let good = asked("/do/again", ID);
     for (bad, status) in [
         (
@@ -166,17 +166,17 @@
             400,
         ),
     ] {
-        assert_eq!(ask_and_reply(&mut front, &bad).status, status, "{bad:?}");
+        assert_eq!(ask_and_reply(&mut frontend, &bad).status, status, "{bad:?}");
     }
     // Too large a body is refused from its head, and ends its connection.
     let body = vec![0; 20 << 10];
     assert_eq!(
-        ask_and_reply(&mut front, &Asked { body: &body, ..good }).status,
+        ask_and_reply(&mut frontend, &Asked { body: &body, ..good }).status,
         413
     );
-    assert!(front.reply().is_err());
+    assert!(frontend.reply().is_err());
     // What is not FastCGI is closed.
-    let mut other = stage.front();
+    let mut other = stage.frontend();
     other.send(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     assert!(other.reply().is_err());
     assert!(stage.workers[0].untouched());
@@ -185,9 +185,9 @@
 #[test]
 fn the_id_of_an_open_request_is_refused_and_the_open_one_goes_on() {
     let mut stage = Stage::start(LAB, 1);
-    let (mut first, mut second) = (stage.front(), stage.front());
+    let (mut first, mut second) = (stage.frontend(), stage.frontend());
     ask(&mut first, 1, &asked("/do/once", ID));
-    let (lane, _, id, ..) = stage.workers[0].command();
+    let (connection, _, id, ..) = stage.workers[0].command();
     assert_eq!(
         ask_and_reply(
             &mut second,
@@ -199,7 +199,7 @@
         .status,
         409
     );
-    stage.workers[0].answer(lane, DONE, id, b"done");
+    stage.workers[0].answer(connection, DONE, id, b"done");
     assert_eq!(first.reply().unwrap().body, b"done");
     // Where both come over one connection, neither is trusted, and the worker is told.
     ask(&mut first, 1, &asked("/do/once", OTHER));
@@ -210,7 +210,7 @@
     assert_eq!(stage.workers[0].command().1, GIVE_UP);
 }
 
-/// Ways to spoil an answer. After each the lane is of no further use.
+/// Ways to spoil an answer. After each the connection is of no further use.
 fn spoilt(id: u64) -> Vec<(&'static str, Vec<u8>)> {
     let mut good = Vec::new();
     quartzdrift_platform::frame::write(&mut good, 193, DONE, id, b"", b"spoilt");
@@ -233,13 +233,13 @@
 #[test]
 fn nothing_spoilt_is_passed_on_and_what_may_have_run_runs_once() {
     let mut stage = Stage::start(LAB, 2);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     for (what, bytes) in spoilt(0x9b1f_03aa_5c7e_2d41) {
-        ask(&mut front, 1, &asked("/do/once", ID));
-        let (at, (lane, ..)) = stage.command();
-        stage.workers[at].send(lane, &bytes);
+        ask(&mut frontend, 1, &asked("/do/once", ID));
+        let (at, (connection, ..)) = stage.command();
+        stage.workers[at].send(connection, &bytes);
         // Killed: it may have run, so neither a further attempt nor a rejection may follow.
-        assert_eq!(front.reply().unwrap().status, 500, "{what}");
+        assert_eq!(frontend.reply().unwrap().status, 500, "{what}");
         assert!(
             stage
                 .workers
@@ -248,55 +248,55 @@
             "{what}"
         );
     }
-    ask(&mut front, 1, &asked("/do/once", ID));
-    let (at, (lane, ..)) = stage.command();
-    stage.workers[at].close(lane);
-    assert_eq!(front.reply().unwrap().status, 500);
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    let (at, (connection, ..)) = stage.command();
+    stage.workers[at].close(connection);
+    assert_eq!(frontend.reply().unwrap().status, 500);
 }
 
 #[test]
 fn an_idempotent_request_runs_elsewhere_after_a_spoilt_answer() {
     let mut stage = Stage::start(LAB, 2);
-    let mut front = stage.front();
-    ask(&mut front, 1, &asked("/do/again", ID));
-    let (first, (lane, _, id, ..)) = stage.command();
-    stage.workers[first].send(lane, b"\xc1\x41 what is this");
-    let (second, (lane, _, again, ..)) = stage.command();
+    let mut frontend = stage.frontend();
+    ask(&mut frontend, 1, &asked("/do/again", ID));
+    let (first, (connection, _, id, ..)) = stage.command();
+    stage.workers[first].send(connection, b"\xc1\x41 what is this");
+    let (second, (connection, _, again, ..)) = stage.command();
     assert!(second != first && again == id);
-    stage.workers[second].answer(lane, DONE, id, b"done");
-    assert_eq!(front.reply().unwrap().body, b"done");
+    stage.workers[second].answer(connection, DONE, id, b"done");
+    assert_eq!(frontend.reply().unwrap().body, b"done");
 }
 
 #[test]
 fn what_never_ran_goes_elsewhere_also_where_it_may_run_only_once() {
     let mut stage = Stage::start(LAB, 2);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     for code in [MISS, FULL, OVER] {
-        ask(&mut front, 1, &asked("/do/once", ID));
-        let (first, (lane, _, id, ..)) = stage.command();
-        stage.workers[first].answer(lane, code, id, b"");
-        let (second, (lane, ..)) = stage.command();
+        ask(&mut frontend, 1, &asked("/do/once", ID));
+        let (first, (connection, _, id, ..)) = stage.command();
+        stage.workers[first].answer(connection, code, id, b"");
+        let (second, (connection, ..)) = stage.command();
         assert_ne!(first, second);
-        stage.workers[second].answer(lane, DONE, id, b"done");
-        assert_eq!(front.reply().unwrap().status, 200);
+        stage.workers[second].answer(connection, DONE, id, b"done");
+        assert_eq!(frontend.reply().unwrap().status, 200);
     }
 }
 
 #[test]
 fn a_refused_connection_is_no_attempt_and_without_a_worker_left_there_is_a_time_to_come_back() {
     let stage = Stage::start(LAB, 0);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     let gone = TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap();
     // Without a worker no request can be taken, and the check says so.
-    assert_eq!(ask_and_reply(&mut front, &asked("/check", ID)).status, 503);
+    assert_eq!(ask_and_reply(&mut frontend, &asked("/check", ID)).status, 503);
     stage.coordinator.poll();
     stage
         .coordinator
         .tell(&event(2, false, &[target("w9", gone, "Ready")]));
     // The next poll follows from there: the news has been taken.
     assert!(stage.coordinator.poll().contains("follow=2"));
-    assert_eq!(ask_and_reply(&mut front, &asked("/check", ID)).status, 200);
-    let reply = ask_and_reply(&mut front, &asked("/do/once", ID));
+    assert_eq!(ask_and_reply(&mut frontend, &asked("/check", ID)).status, 200);
+    let reply = ask_and_reply(&mut frontend, &asked("/do/once", ID));
     assert_eq!(reply.status, 503);
     assert!(reply.head.contains("Retry-After-Ms: "), "{}", reply.head);
 }
@@ -304,22 +304,22 @@
 #[test]
 fn a_lane_that_was_forgotten_while_idle_costs_no_request() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
-    let lane = stage.rested(&mut front, ID);
-    stage.workers[0].cut_idle_lanes();
-    // Asked first, so that nothing that may run once is written to a lane in doubt.
-    ask(&mut front, 1, &asked("/do/once", OTHER));
-    assert!(matches!(stage.workers[0].reached(), Reached::Asked(asked) if asked == lane));
+    let mut frontend = stage.frontend();
+    let connection = stage.rested(&mut frontend, ID);
+    stage.workers[0].cut_idle_connections();
+    // Asked first, so that nothing that may run once is written to a connection in doubt.
+    ask(&mut frontend, 1, &asked("/do/once", OTHER));
+    assert!(matches!(stage.workers[0].reached(), Reached::Asked(asked) if asked == connection));
     let (other, _, id, ..) = stage.workers[0].command();
-    assert_ne!(other, lane);
+    assert_ne!(other, connection);
     stage.workers[0].answer(other, DONE, id, b"done");
-    assert_eq!(front.reply().unwrap().body, b"done");
+    assert_eq!(frontend.reply().unwrap().body, b"done");
 }
 
 #[test]
 fn a_machine_that_has_vanished_costs_the_connect_timeout_and_no_request() {
     let stage = Stage::start(LAB, 0);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     let vanished = Vanished::start().unwrap();
     let at = vanished.at;
     stage.coordinator.poll();
@@ -327,7 +327,7 @@
         .coordinator
         .tell(&event(2, false, &[target("w0", at, "Ready")]));
     assert!(stage.coordinator.poll().contains("follow=2&"));
-    let reply = ask_and_reply(&mut front, &asked("/do/once", ID));
+    let reply = ask_and_reply(&mut frontend, &asked("/do/once", ID));
     assert!(
         reply.status == 503 && reply.head.contains("Retry-After-Ms: "),
         "it never ran: {reply:?}"
@@ -337,7 +337,7 @@
 #[test]
 fn what_waits_for_a_slow_connection_goes_elsewhere_once_its_worker_drains() {
     let mut stage = Stage::with(LAB, 0, &[("250000000", "60000000000")]);
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     let vanished = Vanished::start().unwrap();
     let at = vanished.at;
     stage.coordinator.poll();
@@ -345,10 +345,10 @@
         .coordinator
         .tell(&event(2, false, &[target("w0", at, "Ready")]));
     assert!(stage.coordinator.poll().contains("follow=2&"));
-    ask(&mut front, 1, &asked("/do/once", ID));
+    ask(&mut frontend, 1, &asked("/do/once", ID));
     // The request has been taken once a later one on the same connection is answered.
-    ask(&mut front, 2, &asked("/check", OTHER));
-    assert_eq!(front.reply().unwrap().number, 2);
+    ask(&mut frontend, 2, &asked("/check", OTHER));
+    assert_eq!(frontend.reply().unwrap().number, 2);
     stage.workers.push(Worker::start().unwrap());
     let there = stage.workers[0].at;
     stage.coordinator.tell(&event(
@@ -356,27 +356,27 @@
         false,
         &[target("w0", at, "Terminating"), target("w1", there, "Ready")],
     ));
-    let (lane, _, id, ..) = stage.workers[0].command();
-    stage.workers[0].answer(lane, DONE, id, b"elsewhere");
-    assert_eq!(front.reply().unwrap().body, b"elsewhere");
+    let (connection, _, id, ..) = stage.workers[0].command();
+    stage.workers[0].answer(connection, DONE, id, b"elsewhere");
+    assert_eq!(frontend.reply().unwrap().body, b"elsewhere");
 }
 
 #[test]
 fn whoever_leaves_has_its_attempt_given_up() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
-    ask(&mut front, 1, &asked("/do/once", ID));
+    let mut frontend = stage.frontend();
+    ask(&mut frontend, 1, &asked("/do/once", ID));
     let (_, _, id, ..) = stage.workers[0].command();
     let mut abort = Vec::new();
     quartzdrift_fastcgi::write_record(&mut abort, quartzdrift_fastcgi::ABORT_REQUEST, 1, b"");
-    front.send(&abort).unwrap();
+    frontend.send(&abort).unwrap();
     let (_, code, of, ..) = stage.workers[0].command();
     assert_eq!((code, of), (GIVE_UP, id));
-    ask(&mut front, 1, &asked("/do/once", OTHER));
+    ask(&mut frontend, 1, &asked("/do/once", OTHER));
     // The end of the aborted one comes without a response, then nothing of it.
-    assert_eq!(front.reply().unwrap().status, 0);
+    assert_eq!(frontend.reply().unwrap().status, 0);
     let (_, _, id, ..) = stage.workers[0].command();
-    drop(front);
+    drop(frontend);
     let (_, code, of, ..) = stage.workers[0].command();
     assert_eq!((code, of), (GIVE_UP, id));
 }
@@ -384,11 +384,11 @@
 #[test]
 fn a_worker_is_known_by_its_uid_whoever_stood_at_its_address() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
-    ask(&mut front, 1, &asked("/do/again", ID));
-    let (lane, _, id, ..) = stage.workers[0].command();
-    stage.workers[0].answer(lane, DONE, id, b"old");
-    front.reply().unwrap();
+    let mut frontend = stage.frontend();
+    ask(&mut frontend, 1, &asked("/do/again", ID));
+    let (connection, _, id, ..) = stage.workers[0].command();
+    stage.workers[0].answer(connection, DONE, id, b"old");
+    frontend.reply().unwrap();
     let at = stage.workers[0].at;
     stage.coordinator.poll();
     stage.coordinator.tell(&event(
@@ -396,18 +396,18 @@
         false,
         &[target("w0", at, "Gone"), target("new", at, "Ready")],
     ));
-    // The lane to the one that has gone is closed, and the newcomer gets one of its own.
+    // The connection to the one that has gone is closed, and the newcomer gets one of its own.
     loop {
         if let Reached::Closed(closed) = stage.workers[0].reached() {
-            assert_eq!(closed, lane);
+            assert_eq!(closed, connection);
             break;
         }
     }
-    ask(&mut front, 1, &asked("/do/again", OTHER));
+    ask(&mut frontend, 1, &asked("/do/again", OTHER));
     let (new, _, id, ..) = stage.workers[0].command();
-    assert_ne!(new, lane);
+    assert_ne!(new, connection);
     stage.workers[0].answer(new, DONE, id, b"new");
-    assert_eq!(front.reply().unwrap().body, b"new");
+    assert_eq!(frontend.reply().unwrap().body, b"new");
 }
 
 #[test]
@@ -427,39 +427,39 @@
     assert!(stage.coordinator.poll().contains("follow=1&"));
     stage.coordinator.tell(&cut);
     assert!(stage.coordinator.poll().contains("follow=2&"));
-    let mut front = stage.front();
+    let mut frontend = stage.frontend();
     for id in [ID, OTHER] {
-        ask(&mut front, 1, &asked("/do/again", id));
-        let (at, (lane, _, id, ..)) = stage.command();
+        ask(&mut frontend, 1, &asked("/do/again", id));
+        let (at, (connection, _, id, ..)) = stage.command();
         assert_eq!(at, 1, "a draining worker gets nothing new");
-        stage.workers[at].answer(lane, DONE, id, b"");
-        assert_eq!(front.reply().unwrap().status, 200);
+        stage.workers[at].answer(connection, DONE, id, b"");
+        assert_eq!(frontend.reply().unwrap().status, 200);
     }
 }
 
 #[test]
 fn a_hang_up_signal_brings_another_coordinator_and_touches_no_request() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
-    ask(&mut front, 1, &asked("/do/once", ID));
-    let (lane, _, id, ..) = stage.workers[0].command();
+    let mut frontend = stage.frontend();
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    let (connection, _, id, ..) = stage.workers[0].command();
     std::fs::write(&stage.file, "{ half a file").unwrap();
     stage.signal("-HUP");
     let next = Coordinator::start().unwrap();
     stage.hang_up(next.at, r#"{"index":0,"updates":[]}"#);
     assert!(next.poll().contains("follow=1&"));
-    stage.workers[0].answer(lane, DONE, id, b"done");
-    assert_eq!(front.reply().unwrap().body, b"done");
+    stage.workers[0].answer(connection, DONE, id, b"done");
+    assert_eq!(frontend.reply().unwrap().body, b"done");
 }
 
 #[test]
 fn told_to_stop_it_serves_those_that_still_come_and_ends_well() {
     let mut stage = Stage::start(LAB, 1);
-    let mut front = stage.front();
-    ask(&mut front, 1, &asked("/do/once", ID));
-    let (lane, _, id, ..) = stage.workers[0].command();
+    let mut frontend = stage.frontend();
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    let (connection, _, id, ..) = stage.workers[0].command();
     stage.signal("-TERM");
-    let mut late = stage.front();
+    let mut late = stage.frontend();
     loop {
         ask(&mut late, 1, &asked("/check", OTHER));
         if late.reply().unwrap().status == 503 {
@@ -470,22 +470,22 @@
     let (other, _, late_id, ..) = stage.workers[0].command();
     stage.workers[0].answer(other, DONE, late_id, b"late");
     assert_eq!(late.reply().unwrap().body, b"late");
-    stage.workers[0].answer(lane, DONE, id, b"done");
-    assert_eq!(front.reply().unwrap().body, b"done");
+    stage.workers[0].answer(connection, DONE, id, b"done");
+    assert_eq!(frontend.reply().unwrap().body, b"done");
     assert!(stage.ends().success());
 }
 
 #[test]
 fn a_client_that_reads_nothing_is_cut_and_others_go_on() {
     let mut stage = Stage::start(LAB, 1);
-    let (mut deaf, mut checks) = (stage.front(), stage.front());
+    let (mut deaf, mut checks) = (stage.frontend(), stage.frontend());
     let said = vec![7; 60 << 10];
     let (mut requests, mut idle) = (0_u64, 0);
     // Far past what buffers hold; without a bound this would end at the largest number of requests.
     while requests < 2000 && idle < 1000 {
         if idle == 0
             && deaf
-                .send(&Front::request(
+                .send(&Frontend::request(
                     1,
                     &asked("/do/again", &format!("{requests:016x}")),
                 ))
@@ -494,8 +494,8 @@
             break;
         }
         match stage.workers[0].command_now() {
-            Some((lane, _, id, ..)) => {
-                stage.workers[0].answer(lane, DONE, id, &said);
+            Some((connection, _, id, ..)) => {
+                stage.workers[0].answer(connection, DONE, id, &said);
                 (requests, idle) = (requests + 1, 0);
             }
             // Each answered check is a turn of the scheduler's loop.
@@ -517,16 +517,16 @@
 #[test]
 fn hundreds_of_silent_connections_leave_room_and_are_closed() {
     let mut stage = Stage::start(LAB, 1);
-    let mut silent: Vec<Front> = (0..300).map(|_| stage.front()).collect();
-    let mut front = stage.front();
-    ask(&mut front, 1, &asked("/do/once", ID));
-    let (lane, _, id, ..) = stage.workers[0].command();
-    stage.workers[0].answer(lane, DONE, id, b"done");
-    assert_eq!(front.reply().unwrap().body, b"done");
+    let mut silent: Vec<Frontend> = (0..300).map(|_| stage.frontend()).collect();
+    let mut frontend = stage.frontend();
+    ask(&mut frontend, 1, &asked("/do/once", ID));
+    let (connection, _, id, ..) = stage.workers[0].command();
+    stage.workers[0].answer(connection, DONE, id, b"done");
+    assert_eq!(frontend.reply().unwrap().body, b"done");
     assert!(silent.iter_mut().all(|silent| silent.reply().is_err()));
     // One that has been answered may be held for good.
-    ask(&mut front, 1, &asked("/check", ID));
-    assert_eq!(front.reply().unwrap().status, 200);
+    ask(&mut frontend, 1, &asked("/check", ID));
+    assert_eq!(frontend.reply().unwrap().status, 200);
 }
 
 #[test]
@@ -555,16 +555,16 @@
     });
     std::thread::spawn(move || {
         loop {
-            let (lane, code, id, ..) = worker.command();
+            let (connection, code, id, ..) = worker.command();
             if code != GIVE_UP {
-                worker.answer(lane, DONE, id, b"");
+                worker.answer(connection, DONE, id, b"");
             }
         }
     });
     let asking = std::thread::spawn(move || {
         for n in 0..REPLACED {
             let id = format!("{n:016x}");
-            let reply = ask_and_reply(&mut Front::connect(door).unwrap(), &asked("/do/again", &id));
+            let reply = ask_and_reply(&mut Frontend::connect(door).unwrap(), &asked("/do/again", &id));
             assert!([200, 503].contains(&reply.status), "{reply:?}");
         }
     });
--- a/crates/quartzdrift-lab/tests/recovery.rs
+++ b/crates/quartzdrift-lab/tests/recovery.rs
@@ -21,8 +21,8 @@
 workload once run-once rate=10 work=20ms limit=2s functions=1 memory=60 load=100ms lanes=2 deferred
 ";
 
-fn played(troubles: &str, seed: u64) -> Day {
-    let script = script::read(&format!("{FLEET}\n{troubles}")).unwrap();
+fn played(faults: &str, seed: u64) -> Day {
+    let script = script::read(&format!("{FLEET}\n{faults}")).unwrap();
     let lab = Path::new(env!("CARGO_BIN_EXE_quartzdrift-lab"));
     let day = play(&script, &Program::lab(lab, "gateway"), seed).unwrap();
     let (broken, views) = (&day.broken, &day.views);
@@ -219,8 +219,8 @@
 workload quote restartable rate=150 work=5ms limit=2s functions=40 memory=60 load=200ms lanes=2
 ";
 
-fn crowded(troubles: &str, seed: u64) -> Day {
-    let script = script::read(&format!("{CROWDED}\n{troubles}")).unwrap();
+fn crowded(faults: &str, seed: u64) -> Day {
+    let script = script::read(&format!("{CROWDED}\n{faults}")).unwrap();
     let lab = Path::new(env!("CARGO_BIN_EXE_quartzdrift-lab"));
     let day = play(&script, &Program::lab(lab, "gateway"), seed).unwrap();
     assert!(day.broken.is_empty(), "{:?} {:?}", day.broken, day.views);
--- a/crates/quartzdrift-lab/tests/wire.rs
+++ b/crates/quartzdrift-lab/tests/wire.rs
@@ -142,11 +142,11 @@
     client
         .write_all(invocation(fields, "{\"a\": 1}").as_bytes())
         .unwrap();
-    let mut lane = accept(&worker);
-    let mut all = http_normal(&read_until(&mut lane, |all| all.ends_with(b"{\"a\": 1}")));
+    let mut connection = accept(&worker);
+    let mut all = http_normal(&read_until(&mut connection, |all| all.ends_with(b"{\"a\": 1}")));
     let answer = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nendpoint-load-metrics: JSON {\"named_metrics\":{\"inflight\":1}}\r\n\
         x-other: 1\r\ncontent-length: 4\r\n\r\ndone";
-    lane.write_all(answer.as_bytes()).unwrap();
+    connection.write_all(answer.as_bytes()).unwrap();
     all.push_str("\n---\n");
     all.push_str(&http_normal(&read_until(&mut client, |all| {
         all.ends_with(b"done")
@@ -156,11 +156,11 @@
         .write_all(invocation("x-customer: first\r\n", "{}").as_bytes())
         .unwrap();
     all.push_str("\n---\n");
-    all.push_str(&http_normal(&read_until(&mut lane, |all| {
+    all.push_str(&http_normal(&read_until(&mut connection, |all| {
         all.ends_with(b"\r\n\r\n{}")
     })));
     let full = "HTTP/1.1 429 Too Many Requests\r\nx-amzn-errortype: TooManyRequestsException\r\ncontent-length: 0\r\n\r\n";
-    lane.write_all(full.as_bytes()).unwrap();
+    connection.write_all(full.as_bytes()).unwrap();
     all.push_str("\n---\n");
     all.push_str(&http_normal(&read_until(&mut client, |all| all.ends_with(b"}"))));
     for (asked, last) in [
@@ -235,21 +235,21 @@
 }
 
 /// The next command on a worker's connection; a question whether it works is answered.
-fn command(lane: &mut TcpStream) -> Vec<u8> {
+fn command(connection: &mut TcpStream) -> Vec<u8> {
     loop {
         let mut frame = vec![0; 16];
-        lane.read_exact(&mut frame).unwrap();
+        connection.read_exact(&mut frame).unwrap();
         let fields = usize::from(u16::from_be_bytes([frame[2], frame[3]]));
         let body = u32::from_be_bytes([frame[4], frame[5], frame[6], frame[7]]) as usize;
         frame.resize(16 + fields + body + 4, 0);
-        lane.read_exact(&mut frame[16..]).unwrap();
+        connection.read_exact(&mut frame[16..]).unwrap();
         if frame[1] != 50 {
             return frame;
         }
         let id = frame[8..16].iter().fold(0, |id, byte| id << 8 | u64::from(*byte));
         let mut alive = Vec::new();
         quartzdrift_platform::frame::write(&mut alive, 193, 70, id, b"", b"");
-        lane.write_all(&alive).unwrap();
+        connection.write_all(&alive).unwrap();
     }
 }
 
@@ -267,8 +267,8 @@
     client
         .write_all(&fastcgi(1, "/do/again", "50000", b"the body"))
         .unwrap();
-    let mut lane = accept(&worker);
-    let sent = command(&mut lane);
+    let mut connection = accept(&worker);
+    let sent = command(&mut connection);
     // The check at the end is of fields that hold a time.
     let text = shown(&sent[..sent.len() - 4]);
     all.push_str(&format!("---\n{}<check>\n", without(&text, "max=", &['t'], "ms")));
@@ -282,7 +282,7 @@
         b"said",
     );
     all.push_str(&format!("---\n{}\n", shown(&answer)));
-    lane.write_all(&answer).unwrap();
+    connection.write_all(&answer).unwrap();
     all.push_str(&format!(
         "---\n{}\n",
         shown(&read_until(&mut client, |all| ended(all, 1)))
@@ -292,7 +292,7 @@
         client
             .write_all(&fastcgi(number, path, "50000", b"again"))
             .unwrap();
-        command(&mut lane);
+        command(&mut connection);
         let mut answer = Vec::new();
         quartzdrift_platform::frame::write(
             &mut answer,
@@ -302,7 +302,7 @@
             b"",
             b"",
         );
-        lane.write_all(&answer).unwrap();
+        connection.write_all(&answer).unwrap();
         all.push_str(&format!(
             "---\n{}\n",
             shown(&read_until(&mut client, |all| ended(all, number)))
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a poll may wait: short, so that a silence is found well before its an update counts as told.
+/// How long a poll may wait: short, so that a coordinator that is silent is noticed soon.
 const POLL_WAIT: Duration = Duration::from_millis(1000);
 /// How much longer than its wait a poll may take before it counts as lost.
 const POLL_GRACE: Duration = Duration::from_millis(400);
--- a/crates/quartzdrift/src/platform/run.rs
+++ b/crates/quartzdrift/src/platform/run.rs
@@ -31,16 +31,16 @@
 
 /// Serves by the configuration at `path`; `ready` is given the address that is listened at.
 fn run(path: &Path, signals: Signals, ready: impl FnOnce(SocketAddr)) -> io::Result<()> {
-    let poll_answered = |what: &str| io::Error::other(format!("{}: {what}", path.display()));
+    let config_error = |message: &str| io::Error::other(format!("{}: {message}", path.display()));
     let config = load(path).and_then(|bytes| quartzdrift_platform::config::read(&bytes));
-    let mut config = config.map_err(|e| poll_answered(&e))?;
+    let mut config = config.map_err(|e| config_error(&e))?;
     // The system may grant fewer than the configuration tells, or than is taken where it tells none.
     let granted = getrlimit(Resource::Nofile)
         .current
         .map_or(usize::MAX, |most| most as usize);
     if granted < config.sockets {
         tracing::info!(
-            poll_answered = config.sockets,
+            configured = config.sockets,
             granted,
             "fewer descriptors than the configuration allows"
         );
