--- a/crates/quartzdrift-scheduler/src/scheduler/estimate.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/estimate.rs
@@ -1,6 +1,7 @@
 //! Estimates that decisions rest on: attempt durations and timeouts, claims, and the capacity of workers.
-use super::constants::TIMEOUT_RATIO;
-use super::constants::{MAX_CLAIM, MIN_SAMPLES, NEARLY_ALL, SLOW_START_SAFETY, SMALL_WORKER_COPIES};
+use super::constants::{
+    MAX_CLAIM, MIN_SAMPLES, NEARLY_ALL, SLOW_START_SAFETY, SMALL_WORKER_COPIES, TIMEOUT_RATIO,
+};
 use crate::messages::PlacementQuery;
 use crate::state::{ClassState, Scheduler};
 use std::time::Duration;
@@ -21,6 +22,27 @@
 }
 
 impl Scheduler {
+    /// Work of a request of this class, in usual requests; crowding slows all and changes no weight.
+    pub(super) fn weight(&self, request_class: usize) -> f64 {
+        let mean = self.classes[request_class].cached_durations.mean();
+        mean.map_or(1.0, |mean| mean.as_secs_f64() / self.usual_seconds())
+    }
+
+    /// Duration of the usual attempt in seconds: the mean over request classes.
+    pub(super) fn usual_seconds(&self) -> f64 {
+        let means = self.classes.iter().filter_map(|class| class.cached_durations.mean());
+        let (count, sum) = means.fold((0, Duration::ZERO), |(count, sum), mean| (count + 1, sum + mean));
+        sum.checked_div(count).or(self.measured.usual_duration).map_or(1.0, |usual| usual.as_secs_f64())
+    }
+
+    /// Share of the listed workers' memory that a copy takes; zero where the worker's memory is not known.
+    pub(super) fn memory_share(&self, worker: usize, copy_mb: f64) -> f64 {
+        let kind = |worker: usize| self.workers[worker].endpoint.kind as usize;
+        let worker_mb = |worker: usize| self.settings.memory_mb_by_kind.get(kind(worker));
+        let fleet_mb: f64 = self.listed_workers.iter().filter_map(|&worker| worker_mb(worker)).sum();
+        worker_mb(worker).map_or(0.0, |_| copy_mb / fleet_mb)
+    }
+
     /// Priority weight of a request class for each unit of work.
     pub(super) fn priority_per_work(&self, request_class: usize) -> f64 {
         let priority = self.classes[request_class].priority_weight;
--- a/crates/quartzdrift-scheduler/src/scheduler/mod.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/mod.rs
@@ -5,7 +5,8 @@
 //! exchange messages through a mailbox. A request is a placement query to every listed worker: of the
 //! candidates that answer, those past the overload bound are skipped and the rest ranked by cache status,
 //! then by fewest estimated requests. The modules below follow a request from its arrival to its final
-//! answer; the background work comes last. All but `dispatch`, which passes events and messages on, decide.
+//! answer; the background work comes last. All but two decide: `dispatch` passes events and messages on, and
+//! `housekeeping` bounds memory.
 
 mod constants;
 mod settings;
--- a/crates/quartzdrift-scheduler/src/scheduler/settings.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/settings.rs
@@ -2,9 +2,9 @@
 use super::constants::{BIN_RATIO, BINS, DEFAULT_KEEP_ALIVE, DEFAULT_RETRY_AFTER, DEFAULT_SLOW_START_WINDOW};
 use super::constants::{DEFAULT_TIMEOUT, FIRST_BIN, MAX_SAMPLES, POPULARITY_HALF_LIFE, SLOW_START_SAFETY};
 use super::constants::{THROUGHPUT_HALF_LIFE, WATCH_RETRY_DELAY};
-use crate::interface::{ReportField, Settings};
+use crate::interface::{ReportField, Settings, Tenant};
 use crate::measure::{DecayingSums, Histogram, RelativeSpeeds, Window};
-use crate::state::{ClassState, DerivedSettings, Scheduler, tenant_shares};
+use crate::state::{ClassState, DerivedSettings, Scheduler};
 use std::time::Duration;
 
 impl Scheduler {
@@ -49,3 +49,10 @@
         ..DerivedSettings::copied(settings, seed)
     }
 }
+
+/// Each tenant's share of all quotas; not a number where there are none.
+fn tenant_shares(tenants: &[Tenant]) -> Vec<f64> {
+    let quota = |tenant: &Tenant| tenant.requests_per_second.unwrap_or(0.0).max(0.0);
+    let total: f64 = tenants.iter().map(quota).sum();
+    tenants.iter().map(|tenant| quota(tenant) / total).collect()
+}
--- a/crates/quartzdrift-scheduler/src/state/class.rs
+++ b/crates/quartzdrift-scheduler/src/state/class.rs
@@ -1,5 +1,5 @@
 //! State of a request class, and tenants' shares.
-use crate::interface::{DeduplicationScope, Idempotency, RequestClass, Tenant};
+use crate::interface::{DeduplicationScope, Idempotency, RequestClass};
 use crate::measure::Histogram;
 use std::time::Duration;
 
@@ -45,10 +45,3 @@
         Some(duration.as_secs_f64() / mean.as_secs_f64())
     }
 }
-
-/// Each tenant's share of all quotas; not a number where there are none.
-pub(crate) fn tenant_shares(tenants: &[Tenant]) -> Vec<f64> {
-    let quota = |tenant: &Tenant| tenant.requests_per_second.unwrap_or(0.0).max(0.0);
-    let total: f64 = tenants.iter().map(quota).sum();
-    tenants.iter().map(|tenant| quota(tenant) / total).collect()
-}
--- a/crates/quartzdrift-scheduler/src/state/mod.rs
+++ b/crates/quartzdrift-scheduler/src/state/mod.rs
@@ -5,7 +5,7 @@
 mod settings;
 mod worker;
 
-pub(crate) use class::{ClassState, tenant_shares};
+pub(crate) use class::ClassState;
 pub(crate) use request::{OpenRequest, PendingQuery, UncertainAttempt};
 pub use scheduler::{Scheduler, TableSizes};
 pub(crate) use settings::DerivedSettings;
--- a/crates/quartzdrift-scheduler/src/state/scheduler.rs
+++ b/crates/quartzdrift-scheduler/src/state/scheduler.rs
@@ -94,28 +94,6 @@
         value(self.settings.load_field)
     }
 
-    /// Work of a request of this class, in usual requests; crowding slows all and changes no weight.
-    pub(crate) fn weight(&self, request_class: usize) -> f64 {
-        let mean = self.classes[request_class].cached_durations.mean();
-        mean.map_or(1.0, |mean| mean.as_secs_f64() / self.usual_seconds())
-    }
-
-    /// Duration of the usual attempt in seconds: the mean over request classes.
-    pub(crate) fn usual_seconds(&self) -> f64 {
-        let means = self.classes.iter().filter_map(|class| class.cached_durations.mean());
-        let (count, sum) = means.fold((0, Duration::ZERO), |(count, sum), mean| (count + 1, sum + mean));
-        let usual = sum.checked_div(count).or(self.measured.usual_duration);
-        usual.map_or(1.0, |usual| usual.as_secs_f64())
-    }
-
-    /// Share of the listed workers' memory that a copy takes; zero where the worker's memory is not known.
-    pub(crate) fn memory_share(&self, worker: usize, copy_mb: f64) -> f64 {
-        let kind = |worker: usize| self.workers[worker].endpoint.kind as usize;
-        let worker_mb = |worker: usize| self.settings.memory_mb_by_kind.get(kind(worker));
-        let fleet_mb: f64 = self.listed_workers.iter().filter_map(|&worker| worker_mb(worker)).sum();
-        worker_mb(worker).map_or(0.0, |_| copy_mb / fleet_mb)
-    }
-
     /// Functions that an open request or an attempt names: an attempt may outlive its request.
     pub(crate) fn functions_in_use(&self) -> BTreeSet<usize> {
         let attempts = self.workers.iter().flat_map(|worker| &worker.attempts);
