--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -445,7 +445,7 @@
     Ok((listener, address))
 }
 
-fn faults(faults: Vec<settings::Fault>) -> std::io::Error {
+fn faults(faults: Vec<settings::SettingsError>) -> std::io::Error {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     std::io::Error::other(lines.join("\n"))
 }
--- a/crates/quartzdrift/src/gateway/destinations.rs
+++ b/crates/quartzdrift/src/gateway/destinations.rs
@@ -95,7 +95,11 @@
                 target,
                 body,
             }),
-            Err(reason) => tracing::error!(url, why = reason, "a record for a destination was lost"),
+            Err(reason) => tracing::error!(
+                url,
+                why = reason.to_string(),
+                "a record for a destination was lost"
+            ),
         }
     }
 }
--- a/crates/quartzdrift/src/main.rs
+++ b/crates/quartzdrift/src/main.rs
@@ -311,8 +311,8 @@
     ExitCode::FAILURE
 }
 
-fn say(faults: &[settings::Fault]) -> ExitCode {
-    faults.iter().for_each(|fault| eprintln!("{fault}"));
+fn say(errors: &[settings::SettingsError]) -> ExitCode {
+    errors.iter().for_each(|error| eprintln!("{error}"));
     ExitCode::FAILURE
 }
 
--- /dev/null
+++ b/crates/quartzdrift/src/settings/check/destinations.rs
@@ -0,0 +1,61 @@
+//! Checks of destinations of asynchronous invocations, in `[deferred]` and in `[[functions]]`.
+use super::collector::ErrorCollector;
+use super::url::destination;
+use crate::settings::plain_name;
+use crate::settings::raw::{DestinationEntry, File};
+use quartzdrift_async_queue::Destination;
+use std::ops::Range;
+
+/// Checks and converts a destination; errors are reported at `position`.
+pub(super) fn check(
+    entry: &Option<DestinationEntry>,
+    raw: &File,
+    position: Range<usize>,
+    errors: &mut ErrorCollector,
+) -> Option<Destination> {
+    let entry = entry.as_ref()?;
+    match (&entry.function, &entry.url) {
+        (Some(name), None) => Some(function_destination(name, raw, position, errors)),
+        (None, Some(url)) => Some(url_destination(url, position, errors)),
+        _ => {
+            errors.add(
+                position,
+                "a destination is a function or a URL",
+                "write either function = \"name\" or url = \"http://...\"",
+            );
+            None
+        }
+    }
+}
+
+fn function_destination(
+    name: &str,
+    raw: &File,
+    position: Range<usize>,
+    errors: &mut ErrorCollector,
+) -> Destination {
+    let plain = plain_name(name);
+    let is_named = raw.functions.iter().any(|function| {
+        let function = &function.get_ref().name;
+        function == name || function == plain
+    });
+    if !is_named && raw.gateway.default_request_class.is_none() {
+        errors.add(
+            position,
+            format!("the destination '{name}' is no function"),
+            "name one of [[functions]]",
+        );
+    }
+    Destination::Function(name.to_owned())
+}
+
+fn url_destination(url: &str, position: Range<usize>, errors: &mut ErrorCollector) -> Destination {
+    if let Err(error) = destination(url) {
+        errors.add(
+            position,
+            format!("destination: {error}"),
+            "write it like \"http://127.0.0.1:8080/path\"",
+        );
+    }
+    Destination::Url(url.to_owned())
+}
--- /dev/null
+++ b/crates/quartzdrift/src/settings/check/forecasts.rs
@@ -0,0 +1,66 @@
+//! Checks of `[forecasts]`.
+use super::collector::ErrorCollector;
+use crate::settings::Forecasts;
+use crate::settings::raw::{self, File};
+use quartzdrift_forecast::Settings as ForecastSettings;
+use std::time::Duration;
+
+const MIN_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_SEASONS: usize = 2;
+const MIN_SEASON: Duration = Duration::from_secs(60);
+
+/// Checks and converts the table; `None` where it is absent.
+pub(super) fn check(raw: &File, errors: &mut ErrorCollector) -> Option<Forecasts> {
+    let section = raw.forecasts.as_ref()?;
+    check_counts(section, errors);
+    check_seasons(section, errors);
+    if !raw.copies.load_commands {
+        errors.add_at_table(
+            "forecasts",
+            "forecasts are kept, but load orders are not allowed",
+            "write orders = true under [copies], or leave [forecasts] out",
+        );
+    }
+    let defaults = ForecastSettings::default();
+    let settings = ForecastSettings {
+        functions: section.functions,
+        keep: raw.copies.keep.map_or(defaults.keep, |keep| keep.0),
+        seasons: section.seasons.iter().map(|season| season.0).collect(),
+        ..defaults
+    };
+    Some(Forecasts {
+        settings,
+        every: section.every.0,
+    })
+}
+
+fn check_counts(section: &raw::Forecasts, errors: &mut ErrorCollector) {
+    if section.functions == 0 {
+        errors.add_at_key(
+            "forecasts",
+            "functions",
+            "no function is remembered",
+            "write a number over 0",
+        );
+    }
+    if section.every.0 < MIN_INTERVAL {
+        errors.add_at_key(
+            "forecasts",
+            "every",
+            "every is under a second",
+            "write \"60s\" or so",
+        );
+    }
+}
+
+fn check_seasons(section: &raw::Forecasts, errors: &mut ErrorCollector) {
+    let too_short = section.seasons.iter().any(|season| season.0 < MIN_SEASON);
+    if section.seasons.len() > MAX_SEASONS || too_short {
+        errors.add_at_key(
+            "forecasts",
+            "seasons",
+            "there are too many seasons, or too short ones",
+            "write two spans of a minute or more at most, like [\"1d\", \"7d\"]",
+        );
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift/src/settings/check/limits.rs
@@ -0,0 +1,56 @@
+//! Checks of `[limits]`, and the limits of the HTTP package that come of it.
+use super::collector::ErrorCollector;
+use crate::settings::raw::{File, HumanDuration};
+use quartzdrift_http::Limits;
+use std::time::Duration;
+
+/// No limit may be zero.
+pub(super) fn check(raw: &File, errors: &mut ErrorCollector) {
+    let limits = &raw.limits;
+    let counts = [
+        ("head_bytes", limits.head_bytes),
+        ("answer_bytes", limits.answer_bytes),
+        ("connections", limits.connections),
+        ("connections_each_worker", limits.connections_each_worker),
+    ];
+    for (key, count) in counts {
+        if count == Some(0) {
+            let problem = format!("{key} is 0: nothing could pass");
+            errors.add_at_key("limits", key, problem, "write a number over 0");
+        }
+    }
+    let times = [
+        ("receive", limits.receive),
+        ("idle", limits.idle),
+        ("send", limits.send),
+    ];
+    for (key, time) in times {
+        if time.is_some_and(|time| time.0.is_zero()) {
+            let problem = format!("{key} is zero");
+            errors.add_at_key("limits", key, problem, "write a span like \"20s\"");
+        }
+    }
+}
+
+/// The table's limits, and the HTTP package's defaults for absent keys.
+pub(super) fn http_limits(raw: &File) -> Limits {
+    let section = &raw.limits;
+    let defaults = Limits::default();
+    Limits {
+        head: section.head_bytes.unwrap_or(defaults.head),
+        request_body: section.payload_bytes.unwrap_or(defaults.request_body),
+        answer_body: section.answer_bytes.unwrap_or(defaults.answer_body),
+        connections: section.connections.unwrap_or(defaults.connections),
+        connections_each: section
+            .connections_each_worker
+            .unwrap_or(defaults.connections_each),
+        receive: duration_or(section.receive, defaults.receive),
+        idle: duration_or(section.idle, defaults.idle),
+        send: duration_or(section.send, defaults.send),
+        keepalive: raw.allowed.keepalive.0,
+    }
+}
+
+fn duration_or(value: Option<HumanDuration>, default: Duration) -> Duration {
+    value.map_or(default, |duration| duration.0)
+}
--- /dev/null
+++ b/crates/quartzdrift/src/settings/check/mod.rs
@@ -0,0 +1,22 @@
+//! Checks of a deserialized settings file, a module for each group of tables. Use [`check`] to turn a [`super::raw::File`] into
+//! [`super::Settings`]; it reports every contradiction, each with its line and a remedy.
+mod asynchronous;
+mod collector;
+mod destinations;
+mod fleet;
+mod forecasts;
+mod functions;
+mod gateway;
+mod key_file;
+mod limits;
+mod recovery;
+mod request_classes;
+mod rules;
+mod schedules;
+mod tenants;
+mod url;
+mod whole_file;
+mod workers;
+
+pub use url::{UrlError, destination};
+pub(super) use whole_file::check;
--- /dev/null
+++ b/crates/quartzdrift/src/settings/raw/forecasts.rs
@@ -0,0 +1,27 @@
+//! The table `[forecasts]`: loads ahead of need by forecasts of use.
+use super::duration::HumanDuration;
+use serde::Deserialize;
+use std::time::Duration;
+
+/// The table `[forecasts]`.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub(crate) struct Forecasts {
+    /// Maximum number of functions whose use is recorded.
+    pub(crate) functions: usize,
+    /// Lengths of the seasonal periods.
+    pub(crate) seasons: Vec<HumanDuration>,
+    /// Interval of snapshots, where `gateway.state` is set, and of the summary in the log.
+    pub(crate) every: HumanDuration,
+}
+
+impl Default for Forecasts {
+    fn default() -> Forecasts {
+        let day = Duration::from_secs(86_400);
+        Forecasts {
+            functions: 100_000,
+            seasons: vec![HumanDuration(day), HumanDuration(day * 7)],
+            every: HumanDuration(Duration::from_secs(60)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/quartzdrift/src/settings/raw/reports.rs
@@ -0,0 +1,43 @@
+//! The table `[reports]`: where workers' load reports come from, and which metric holds which figure.
+use serde::Deserialize;
+
+/// The table `[reports]`.
+#[derive(Clone, Debug, Default, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub(crate) struct Reports {
+    pub(crate) source: ReportSource,
+    pub(crate) fields: Vec<Metric>,
+}
+
+/// Where load reports come from.
+#[derive(Clone, Copy, Debug, Default, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub(crate) enum ReportSource {
+    Answers,
+    Probes,
+    #[default]
+    Silent,
+}
+
+/// A figure, and the metric of the worker's report that holds it.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(crate) struct Metric {
+    pub(crate) field: ReportField,
+    pub(crate) metric: String,
+}
+
+/// A figure of a load report.
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
+#[serde(rename_all = "kebab-case")]
+pub(crate) enum ReportField {
+    Held,
+    Queued,
+    Busy,
+    LatencyMs,
+    #[serde(rename = "finished-per-second")]
+    SucceededPerSecond,
+    ErrorsPerSecond,
+    MemoryTaken,
+    Loads,
+}
--- /dev/null
+++ b/crates/quartzdrift/src/settings/raw/scheduler_settings.rs
@@ -0,0 +1,194 @@
+//! The scheduler's own settings, built from the file's tables. Use [`File::scheduler`] once the file is deserialized.
+use super::{
+    Allowed, CacheSettings, CountedBy, DeduplicationScope, DiscoveryMode, File, Goal, HumanDuration,
+    Idempotency, OnMiss, Prices, ReportField, ReportSource, RequestClass, Rules, Scheduler, Tenant, Weights,
+};
+use quartzdrift_scheduler::interface as scheduler;
+use std::time::Duration;
+use toml::Spanned;
+
+impl File {
+    /// The scheduler's part of the settings. A zone that is not one of `scheduler.zones` is left out.
+    pub(crate) fn scheduler(&self) -> scheduler::Settings {
+        let section = self.scheduler.clone();
+        scheduler::Settings {
+            me: section.me,
+            schedulers: section.schedulers,
+            zone: own_zone(&section),
+            zones: section.zones,
+            kinds: section.kinds,
+            tier: section.tier,
+            tiers: section.tiers,
+            family: section.family,
+            resolution: duration(section.resolution),
+            discovery: section.discovery.into(),
+            weights: section.weights.into(),
+            counted_by: section.counted_by.into(),
+            over_quota_weight: section.over_quota_weight,
+            clients_mark_retries: section.clients_mark_retries,
+            request_classes: spanned(&self.request_classes),
+            tenants: spanned(&self.tenants),
+            allowed: (&self.allowed).into(),
+            rules: (&self.rules).into(),
+            copies: (&self.copies).into(),
+            report_source: self.reports.source.into(),
+            report_fields: self
+                .reports
+                .fields
+                .iter()
+                .map(|metric| metric.field.into())
+                .collect(),
+            prices: (&self.prices).into(),
+            goal: (&self.goal).into(),
+        }
+    }
+}
+
+/// Index of the scheduler's own zone among all zones.
+fn own_zone(section: &Scheduler) -> Option<u32> {
+    let name = section.zone.as_ref()?.get_ref();
+    let index = section.zones.iter().position(|zone| zone == name)?;
+    Some(index as u32)
+}
+
+fn duration(value: Option<HumanDuration>) -> Option<Duration> {
+    value.map(|duration| duration.0)
+}
+
+fn spanned<'a, Entry, Converted: From<&'a Entry>>(entries: &'a [Spanned<Entry>]) -> Vec<Converted> {
+    entries.iter().map(|entry| entry.get_ref().into()).collect()
+}
+
+impl From<&RequestClass> for scheduler::RequestClass {
+    fn from(class: &RequestClass) -> Self {
+        scheduler::RequestClass {
+            name: class.name.clone(),
+            idempotency: class.idempotency.into(),
+            latency_objective: duration(class.latency_objective),
+            latency_objective_stretch: class.latency_objective_stretch,
+            timeout: Some(class.timeout.0),
+            priority_weight: class.priority_weight,
+            late_weight: class.late_weight,
+            deduplication_scope: class
+                .deduplication_scope
+                .unwrap_or(DeduplicationScope::All)
+                .into(),
+            window: duration(class.window),
+            streams: class.streams,
+        }
+    }
+}
+
+impl From<&Tenant> for scheduler::Tenant {
+    fn from(tenant: &Tenant) -> Self {
+        scheduler::Tenant {
+            name: tenant.name.clone(),
+            share: tenant.share,
+            requests_per_second: tenant.requests_per_second,
+        }
+    }
+}
+
+impl From<&Allowed> for scheduler::Allowed {
+    fn from(allowed: &Allowed) -> Self {
+        scheduler::Allowed {
+            cancel: allowed.cancel,
+            probes: allowed.probes,
+            peers: allowed.peers,
+            hedging: allowed.hedging,
+            retry_after: allowed.retry_after,
+            max_retry_after: duration(allowed.max_retry_after),
+            max_attempts: allowed.max_attempts,
+            max_open: allowed.max_open,
+            connect_timeout: Some(allowed.connect_timeout.0),
+            keepalive: Some(allowed.keepalive.0),
+            cpu_us_per_second: allowed.cpu_us_per_second,
+            cpu_us_per_request: allowed.cpu_us_per_request,
+            streams_per_connection: allowed.streams_per_connection,
+        }
+    }
+}
+
+impl From<&Rules> for scheduler::Rules {
+    fn from(rules: &Rules) -> Self {
+        scheduler::Rules {
+            answer_slack: Some(rules.answer_slack.0),
+            ask_within: duration(rules.ask_within),
+            cold_from: rules.cold_from,
+            cold_for: duration(rules.cold_for),
+            drain_grace: Some(rules.drain_grace.0),
+            fall_multiple: rules.fall_multiple,
+            fall_window: duration(rules.fall_window),
+        }
+    }
+}
+
+impl From<&CacheSettings> for scheduler::CacheSettings {
+    fn from(cache: &CacheSettings) -> Self {
+        scheduler::CacheSettings {
+            on_miss: cache.on_miss.into(),
+            load_commands: cache.load_commands,
+            reports_cache_status: cache.reports_cache_status,
+            reports_concurrency: cache.reports_concurrency,
+            keep: duration(cache.keep),
+            memory_mb_by_kind: cache.memory_mb_by_kind.clone(),
+            idle_memory_price: cache.idle_memory_price,
+            load_quota_burst: cache.load_quota_burst,
+            load_quota_share: cache.load_quota_share,
+            load_quota_window: duration(cache.load_quota_window),
+            load_command_timeout: duration(cache.load_command_timeout),
+        }
+    }
+}
+
+impl From<&Prices> for scheduler::Prices {
+    fn from(prices: &Prices) -> Self {
+        scheduler::Prices {
+            connection: prices.connection,
+            cross_zone: prices.cross_zone,
+            handshake: prices.handshake,
+            late_failure: prices.late_failure,
+            moves: prices.moves,
+            origin: prices.origin,
+            peer: prices.peer,
+            probe: prices.probe,
+            discovery: prices.discovery,
+            waste: prices.waste,
+        }
+    }
+}
+
+impl From<&Goal> for scheduler::Goal {
+    fn from(goal: &Goal) -> Self {
+        scheduler::Goal {
+            whole: goal.whole,
+            worst_window: goal.worst_window,
+            worst_request_class: goal.worst_request_class,
+            worst_tenant: goal.worst_tenant,
+        }
+    }
+}
+
+/// Converts enums of the file to the scheduler's, variant by variant.
+macro_rules! convert_variants {
+    ($($name:ident { $($variant:ident),+ })+) => {
+        $(impl From<$name> for scheduler::$name {
+            fn from(value: $name) -> Self {
+                match value {
+                    $($name::$variant => scheduler::$name::$variant,)+
+                }
+            }
+        })+
+    };
+}
+
+convert_variants! {
+    Idempotency { Idempotent, IdempotentWithKey, NonIdempotent }
+    DeduplicationScope { All, Zone, Cell }
+    DiscoveryMode { Push, Poll }
+    Weights { Silent, Nominal, Rough, Live }
+    CountedBy { Request, Work }
+    OnMiss { Load, Miss }
+    ReportSource { Answers, Probes, Silent }
+    ReportField { Held, Queued, Busy, LatencyMs, SucceededPerSecond, ErrorsPerSecond, MemoryTaken, Loads }
+}
