--- a/crates/quartzdrift/src/commands/outcome.rs
+++ b/crates/quartzdrift/src/commands/outcome.rs
@@ -1,5 +1,5 @@
-//! Exit codes and error lines that the subcommands share. Use [`fail`] for one error, [`with_settings`] for a subcommand that
-//! takes a settings file.
+//! Exit codes and error lines that the subcommands share. Use [`fail`] for one error, [`with_settings`] for a
+//! subcommand that takes a settings file.
 use quartzdrift::settings::{self, Settings};
 use std::fmt::Display;
 use std::path::Path;
--- a/crates/quartzdrift/src/commands/run.rs
+++ b/crates/quartzdrift/src/commands/run.rs
@@ -1,5 +1,5 @@
-//! `serve`, `run` and `check`: a gateway by a settings file, a scheduler on the operators' platform, and the check of a
-//! settings file without a start.
+//! `serve`, `run` and `check`: a gateway by a settings file, a scheduler on the operators' platform, and the
+//! check of a settings file without a start.
 use super::outcome::{fail, with_settings};
 use quartzdrift::platform::run as platform;
 use quartzdrift::settings::Settings;
--- a/crates/quartzdrift/src/settings/check/asynchronous.rs
+++ b/crates/quartzdrift/src/settings/check/asynchronous.rs
@@ -15,7 +15,7 @@
             "name a folder in store, or leave answer out",
         );
     }
-    if section.wait > section.longest_wait {
+    if section.first_retry_delay > section.max_retry_delay {
         errors.add_at_key(
             "deferred",
             "wait",
@@ -24,18 +24,18 @@
         );
     }
     QueueSettings {
-        max_attempts: section.tries,
-        first_retry_delay: section.wait.0,
-        max_retry_delay: section.longest_wait.0,
-        max_age: section.greatest_age.0,
-        max_invocations: section.requests,
-        max_bytes: section.bytes,
-        max_concurrent_attempts: section.out,
+        max_attempts: section.max_attempts,
+        first_retry_delay: section.first_retry_delay.0,
+        max_retry_delay: section.max_retry_delay.0,
+        max_age: section.max_age.0,
+        max_invocations: section.max_invocations,
+        max_bytes: section.max_bytes,
+        max_concurrent_attempts: section.max_concurrent_attempts,
     }
 }
 
 fn check_counts(section: &Asynchronous, errors: &mut ErrorCollector) {
-    if section.tries == 0 {
+    if section.max_attempts == 0 {
         errors.add_at_key(
             "deferred",
             "tries",
@@ -43,7 +43,7 @@
             "write 1 for no further tries",
         );
     }
-    if section.out == 0 {
+    if section.max_concurrent_attempts == 0 {
         errors.add_at_key(
             "deferred",
             "out",
--- a/crates/quartzdrift/src/settings/check/collector.rs
+++ b/crates/quartzdrift/src/settings/check/collector.rs
@@ -1,5 +1,5 @@
-//! Collects the errors of one settings file. Use [`ErrorCollector`] in each check: a check reports and goes on, so that
-//! one run finds all errors.
+//! Collects the errors of one settings file. Use [`ErrorCollector`] in each check: a check reports and goes
+//! on, so that one run finds all errors.
 use crate::settings::SettingsError;
 use crate::settings::load::line_of;
 use std::ops::Range;
--- a/crates/quartzdrift/src/settings/check/rules.rs
+++ b/crates/quartzdrift/src/settings/check/rules.rs
@@ -1,4 +1,5 @@
-//! Checks of what the scheduler decides by: `[rules]`, `[copies]`, `[allowed]`, `[scheduler]` and `[reports]`.
+//! Checks of what the scheduler decides by: `[rules]`, `[copies]`, `[allowed]`, `[scheduler]` and
+//! `[reports]`.
 use super::collector::ErrorCollector;
 use crate::settings::raw::{File, ReportSource, Rules};
 
--- a/crates/quartzdrift/src/settings/check/schedules.rs
+++ b/crates/quartzdrift/src/settings/check/schedules.rs
@@ -8,7 +8,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Checks and converts the schedules, each with its payload. `has_default`: functions that are not named can be called.
+/// Checks and converts the schedules, each with its payload. `has_default`: functions that are not named can
+/// be called.
 pub(super) fn check(
     raw: &File,
     functions: &HashMap<String, Rc<Function>>,
--- a/crates/quartzdrift/src/settings/check/url.rs
+++ b/crates/quartzdrift/src/settings/check/url.rs
@@ -13,8 +13,8 @@
     Address(#[from] AddressError),
 }
 
-/// Splits a URL like `http://127.0.0.1:8080/path?query` into the address and the request target; the target is `/` where
-/// the URL has no path.
+/// Splits a URL like `http://127.0.0.1:8080/path?query` into the address and the request target; the target
+/// is `/` where the URL has no path.
 ///
 /// # Errors
 ///
--- a/crates/quartzdrift/src/settings/error.rs
+++ b/crates/quartzdrift/src/settings/error.rs
@@ -1,4 +1,5 @@
-//! The error of a settings file. Print it as it is: its text has the position, the problem and, on a second line, the remedy.
+//! The error of a settings file. Print it as it is: its text has the position, the problem and, on a second
+//! line, the remedy.
 
 /// A problem in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/quartzdrift/src/settings/load.rs
+++ b/crates/quartzdrift/src/settings/load.rs
@@ -8,8 +8,8 @@
 ///
 /// # Errors
 ///
-/// The file cannot be read or is no TOML of the right form, or its settings contradict each other: then all problems, in the
-/// order of their lines.
+/// The file cannot be read or is no TOML of the right form, or its settings contradict each other: then all
+/// problems, in the order of their lines.
 pub fn load(path: &Path) -> Result<Settings, Vec<SettingsError>> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
--- a/crates/quartzdrift/src/settings/raw/asynchronous.rs
+++ b/crates/quartzdrift/src/settings/raw/asynchronous.rs
@@ -8,14 +8,27 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Asynchronous {
-    pub(crate) tries: u32,
-    pub(crate) wait: HumanDuration,
-    pub(crate) longest_wait: HumanDuration,
-    pub(crate) greatest_age: HumanDuration,
+    /// Maximum attempts, the first included.
+    #[serde(rename = "tries")]
+    pub(crate) max_attempts: u32,
+    /// Delay before the second attempt; doubles with each further one.
+    #[serde(rename = "wait")]
+    pub(crate) first_retry_delay: HumanDuration,
+    /// Maximum delay before a further attempt.
+    #[serde(rename = "longest_wait")]
+    pub(crate) max_retry_delay: HumanDuration,
+    /// Maximum time from acceptance to the last attempt.
+    #[serde(rename = "greatest_age")]
+    pub(crate) max_age: HumanDuration,
+    /// Maximum number of invocations held.
     #[serde(rename = "jobs")]
-    pub(crate) requests: usize,
-    pub(crate) bytes: usize,
-    pub(crate) out: usize,
+    pub(crate) max_invocations: usize,
+    /// Maximum bytes held.
+    #[serde(rename = "bytes")]
+    pub(crate) max_bytes: usize,
+    /// Maximum attempts at a time.
+    #[serde(rename = "out")]
+    pub(crate) max_concurrent_attempts: usize,
     pub(crate) on_success: Option<DestinationEntry>,
     pub(crate) on_failure: Option<DestinationEntry>,
     /// Folder of the write-ahead log; `None`: requests are lost with the process.
@@ -27,13 +40,13 @@
 impl Default for Asynchronous {
     fn default() -> Asynchronous {
         Asynchronous {
-            tries: 3,
-            wait: HumanDuration(Duration::from_secs(1)),
-            longest_wait: HumanDuration(Duration::from_secs(300)),
-            greatest_age: HumanDuration(Duration::from_secs(6 * 3600)),
-            requests: 100_000,
-            bytes: 256 << 20,
-            out: 256,
+            max_attempts: 3,
+            first_retry_delay: HumanDuration(Duration::from_secs(1)),
+            max_retry_delay: HumanDuration(Duration::from_secs(300)),
+            max_age: HumanDuration(Duration::from_secs(6 * 3600)),
+            max_invocations: 100_000,
+            max_bytes: 256 << 20,
+            max_concurrent_attempts: 256,
             on_success: None,
             on_failure: None,
             store: None,
--- a/crates/quartzdrift/src/settings/raw/cache.rs
+++ b/crates/quartzdrift/src/settings/raw/cache.rs
@@ -3,6 +3,7 @@
 use serde::Deserialize;
 
 /// The table `[copies]`.
+/// The fields are those of [`quartzdrift_scheduler::interface::CacheSettings`].
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct CacheSettings {
--- a/crates/quartzdrift/src/settings/raw/duration.rs
+++ b/crates/quartzdrift/src/settings/raw/duration.rs
@@ -1,4 +1,5 @@
-//! Durations in a settings file: a string with a unit, like "250ms". Use [`HumanDuration`] for each key that holds one.
+//! Durations in a settings file: a string with a unit, like "250ms". Use [`HumanDuration`] for each key that
+//! holds one.
 use serde::Deserialize;
 use serde::de::{Deserializer, Error, Visitor};
 use std::time::Duration;
@@ -12,8 +13,10 @@
         struct DurationVisitor;
         impl Visitor<'_> for DurationVisitor {
             type Value = HumanDuration;
-            fn expecting(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-                f.write_str("a span of time with its unit in quotes, like \"250ms\", \"1s 500ms\" or \"2m\"")
+            fn expecting(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
+                formatter.write_str(
+                    "a span of time with its unit in quotes, like \"250ms\", \"1s 500ms\" or \"2m\"",
+                )
             }
             fn visit_str<E: Error>(self, text: &str) -> Result<HumanDuration, E> {
                 humantime::parse_duration(text).map(HumanDuration).map_err(|e| {
--- a/crates/quartzdrift/src/settings/raw/fleet.rs
+++ b/crates/quartzdrift/src/settings/raw/fleet.rs
@@ -1,4 +1,5 @@
-//! The tables `[fleet]` and `[recovery]`: membership of a fleet of schedulers, and the return to service after a start.
+//! The tables `[fleet]` and `[recovery]`: membership of a fleet of schedulers, and the return to service
+//! after a start.
 use super::duration::HumanDuration;
 use serde::Deserialize;
 use std::time::Duration;
--- a/crates/quartzdrift/src/settings/raw/gateway.rs
+++ b/crates/quartzdrift/src/settings/raw/gateway.rs
@@ -1,4 +1,5 @@
-//! The tables `[gateway]`, `[limits]`, `[log]` and `[record]`: the process itself, its sockets and what it writes.
+//! The tables `[gateway]`, `[limits]`, `[log]` and `[record]`: the process itself, its sockets and what it
+//! writes.
 use super::duration::HumanDuration;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/crates/quartzdrift/src/settings/raw/request_classes.rs
+++ b/crates/quartzdrift/src/settings/raw/request_classes.rs
@@ -1,8 +1,10 @@
-//! The arrays `[[workloads]]` and `[[customers]]`: classes of requests, and the tenants that share the capacity.
+//! The arrays `[[workloads]]` and `[[customers]]`: classes of requests, and the tenants that share the
+//! capacity.
 use super::duration::HumanDuration;
 use serde::Deserialize;
 
 /// An entry of `[[workloads]]`.
+/// The fields are those of [`quartzdrift_scheduler::interface::RequestClass`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RequestClass {
@@ -48,6 +50,7 @@
 }
 
 /// An entry of `[[customers]]`.
+/// The fields are those of [`quartzdrift_scheduler::interface::Tenant`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Tenant {
--- a/crates/quartzdrift/src/settings/raw/scheduler.rs
+++ b/crates/quartzdrift/src/settings/raw/scheduler.rs
@@ -5,6 +5,7 @@
 use toml::Spanned;
 
 /// The table `[scheduler]`.
+/// The fields are those of [`quartzdrift_scheduler::interface::Settings`].
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Scheduler {
@@ -57,6 +58,7 @@
 }
 
 /// The table `[allowed]`: what the scheduler may do, and to what extent.
+/// The fields are those of [`quartzdrift_scheduler::interface::Allowed`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Allowed {
@@ -99,6 +101,7 @@
 }
 
 /// The table `[rules]`: properties of the workers that the scheduler relies on.
+/// The fields are those of [`quartzdrift_scheduler::interface::Rules`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Rules {
@@ -126,6 +129,7 @@
 }
 
 /// The table `[prices]`: what each action costs in the scheduler's account.
+/// The fields are those of [`quartzdrift_scheduler::interface::Prices`].
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Prices {
@@ -143,6 +147,7 @@
 }
 
 /// The table `[goal]`: weights of the parts of the objective.
+/// The fields are those of [`quartzdrift_scheduler::interface::Goal`].
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Goal {
--- a/crates/quartzdrift/src/settings/raw/scheduler_settings.rs
+++ b/crates/quartzdrift/src/settings/raw/scheduler_settings.rs
@@ -1,4 +1,5 @@
-//! The scheduler's own settings, built from the file's tables. Use [`File::scheduler`] once the file is deserialized.
+//! The scheduler's own settings, built from the file's tables. Use [`File::scheduler`] once the file is
+//! deserialized.
 use super::{
     Allowed, CacheSettings, CountedBy, DeduplicationScope, DiscoveryMode, File, Goal, HumanDuration,
     Idempotency, OnMiss, Prices, ReportField, ReportSource, RequestClass, Rules, Scheduler, Tenant, Weights,
--- a/crates/quartzdrift/src/settings/raw/workers.rs
+++ b/crates/quartzdrift/src/settings/raw/workers.rs
@@ -1,4 +1,5 @@
-//! The array `[[workers]]` and the table `[roster]`: the workers by address, or the endpoint list that names them.
+//! The array `[[workers]]` and the table `[roster]`: the workers by address, or the endpoint list that names
+//! them.
 use super::duration::HumanDuration;
 use serde::Deserialize;
 use std::time::Duration;
--- a/crates/quartzdrift/src/settings/tests.rs
+++ b/crates/quartzdrift/src/settings/tests.rs
@@ -1,7 +1,8 @@
 //! Errors of settings that contradict each other or are incomplete.
 use super::read;
 
-/// The problems of a small settings file that has these lines under its only request class, then these tables.
+/// The problems of a small settings file that has these lines under its only request class, then these
+/// tables.
 fn problems(request_class: &str, tables: &str) -> Vec<String> {
     let text = format!(
         "[gateway]\nlisten = [\"127.0.0.1:0\"]\n[[workloads]]\nname = \"a\"\ntime_limit = \"3s\"\n{request_class}\n\
--- a/crates/quartzdrift/src/settings/types.rs
+++ b/crates/quartzdrift/src/settings/types.rs
@@ -1,4 +1,5 @@
-//! The checked settings, in the types that the gateway's parts take. They come from [`super::load`]; nothing in them contradicts.
+//! The checked settings, in the types that the gateway's parts take. They come from [`super::load`]; nothing
+//! in them contradicts.
 use quartzdrift_async_queue::{Destination, QueueSettings};
 use quartzdrift_discovery::{DiscoveredEndpoint, KnownNames};
 use quartzdrift_http::Limits;
@@ -161,8 +162,8 @@
 }
 
 impl Settings {
-    /// The function for a name as it is loaded. A version or alias that the settings do not name is treated as the function
-    /// itself.
+    /// The function for a name as it is loaded. A version or alias that the settings do not name is treated
+    /// as the function itself.
     pub fn function(&self, loaded_name: &str) -> Option<Rc<Function>> {
         self.functions
             .get(loaded_name)
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -1,17 +1,19 @@
 //! What earlier releases stored is read, and means the same: files that a gateway of 2026-12-02 left, killed with
 //! invocations of each kind open. Each is written again and compared byte for byte.
+#![allow(clippy::unwrap_used, reason = "a test may stop at what must not be")]
 use quartzdrift::{durable, snapshots};
-use quartzdrift_async_queue::Destination;
+use quartzdrift_async_queue::{Destination, StoredInvocation};
 use quartzdrift_discovery::{KnownNames, list};
 use quartzdrift_forecast::Forecasts;
 use quartzdrift_recovery::{Checkpoint, RecoveryPhase, RestartKind, View};
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
 use quartzdrift_scheduler::measure::Measurements;
-use quartzdrift_wal::{DirectoryStorage, Log, inspect};
+use quartzdrift_wal::{DirectoryStorage, Inspection, InvocationRecord, Log, LogRecord, inspect};
 use serde_json::Value;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
+use tempfile::TempDir;
 
 fn stored() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored")
@@ -39,7 +41,7 @@
             one.len() == other.len()
                 && one
                     .iter()
-                    .all(|(key, of)| other.get(key).is_some_and(|to| alike(of, to)))
+                    .all(|(key, value)| other.get(key).is_some_and(|other| alike(value, other)))
         }
         (Value::Array(one), Value::Array(other)) => {
             one.len() == other.len() && one.iter().zip(other).all(|(one, other)| alike(one, other))
@@ -52,43 +54,52 @@
     }
 }
 
-#[test]
-fn open_invocations_are_read_from_the_log() {
-    // Opening a folder locks it, which leaves a file behind.
+/// A copy of the stored log: opening a folder locks it, which leaves a file behind.
+fn copied_log() -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     let name = "deferred-000000000001.log";
     fs::copy(stored().join("deferred").join(name), folder.path().join(name)).unwrap();
-    let found = inspect(&DirectoryStorage::open(folder.path()).unwrap()).unwrap();
+    folder
+}
+
+fn inspected(folder: &Path) -> Inspection {
+    inspect(&DirectoryStorage::open(folder).unwrap()).unwrap()
+}
+
+/// A logged invocation as the queue restores it; written again it is the same.
+fn restored(record: &InvocationRecord) -> StoredInvocation {
+    let invocation = durable::stored_invocation(record).expect("it is of this release's form");
+    assert_eq!(
+        invocation.invocation.to_bytes(),
+        record.request,
+        "written again it is the same"
+    );
+    invocation
+}
+
+#[test]
+fn open_invocations_are_read_from_the_log() {
+    let folder = copied_log();
+    let inspection = inspected(folder.path());
     assert!(
-        found.faults.is_empty() && found.incomplete_bytes == 0,
-        "{found:?}"
+        inspection.faults.is_empty() && inspection.incomplete_bytes == 0,
+        "{inspection:?}"
     );
-    let read: Vec<_> = found
-        .open_invocations
+    let invocations: Vec<_> = inspection.open_invocations.iter().map(restored).collect();
+    let summaries: Vec<_> = invocations
         .iter()
-        .map(|live| {
-            let kept = durable::stored_invocation(live).expect("it is of this release's form");
-            assert_eq!(
-                kept.invocation.to_bytes(),
-                live.request,
-                "written again it is the same"
-            );
+        .map(|stored| {
             (
-                kept.id.0,
-                kept.invocation.function.clone(),
-                kept.invocation.idempotency,
-                kept.attempts,
-                kept.attempt_started_at.is_some(),
-                kept.invocation,
+                stored.id.0,
+                &*stored.invocation.function,
+                stored.invocation.idempotency,
+                stored.attempts,
+                stored.attempt_started_at.is_some(),
             )
         })
         .collect();
-    let told: Vec<_> = read
-        .iter()
-        .map(|(id, function, idempotency, tries, out, _)| (*id, &**function, *idempotency, *tries, *out))
-        .collect();
     assert_eq!(
-        told,
+        summaries,
         [
             (1, "fail", Idempotency::Idempotent, 1, false),
             (2, "echo", Idempotency::Idempotent, 1, true),
@@ -96,7 +107,12 @@
             (4, "mark", Idempotency::IdempotentWithKey, 1, true),
         ]
     );
-    let requests: Vec<_> = read.into_iter().map(|(.., request)| request).collect();
+    assert_requests_are_whole(&invocations);
+    assert_log_continues(folder.path());
+}
+
+fn assert_requests_are_whole(invocations: &[StoredInvocation]) {
+    let requests: Vec<_> = invocations.iter().map(|stored| &stored.invocation).collect();
     assert_eq!(
         requests[0].on_failure,
         Some(Destination::Url("http://127.0.0.1:19999/dead".to_owned()))
@@ -113,20 +129,16 @@
         (Some("k-1"), Duration::from_secs(60))
     );
     assert_eq!(&requests[2].payload[..], br#"{"n":3}"#);
-    // It goes on where the old process ended.
-    let (mut log, live) =
-        Log::open(DirectoryStorage::open(folder.path()).unwrap_or_else(|e| panic!("{e}"))).unwrap();
-    assert_eq!(live.len(), 4);
-    log.commit(vec![quartzdrift_wal::LogRecord::Completed { id: 2 }])
-        .unwrap();
+}
+
+/// The log goes on where the old process ended.
+fn assert_log_continues(folder: &Path) {
+    let (mut log, open_invocations) =
+        Log::open(DirectoryStorage::open(folder).unwrap_or_else(|error| panic!("{error}"))).unwrap();
+    assert_eq!(open_invocations.len(), 4);
+    log.commit(vec![LogRecord::Completed { id: 2 }]).unwrap();
     drop(log);
-    assert_eq!(
-        inspect(&DirectoryStorage::open(folder.path()).unwrap())
-            .unwrap()
-            .open_invocations
-            .len(),
-        3
-    );
+    assert_eq!(inspected(folder).open_invocations.len(), 3);
 }
 
 #[test]
@@ -221,10 +233,10 @@
 
 #[test]
 fn every_key_of_a_settings_file_is_known() {
-    let settings = quartzdrift::settings::load(&stored().join("settings.toml")).unwrap_or_else(|faults| {
+    let settings = quartzdrift::settings::load(&stored().join("settings.toml")).unwrap_or_else(|errors| {
         panic!(
             "{}",
-            faults
+            errors
                 .iter()
                 .map(ToString::to_string)
                 .collect::<Vec<_>>()
