--- a/crates/quartzdrift/src/platform/run.rs
+++ b/crates/quartzdrift/src/platform/run.rs
@@ -13,6 +13,9 @@
 
 /// Runs as the platform starts it, by its environment, and says on standard output where it listens. Signals come
 /// first: from the very first moment none of them ends the process.
+///
+/// # Errors
+/// There is no configuration, it cannot be read, or the system does not grant what it asks for.
 pub fn start() -> io::Result<()> {
     let signals =
         Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(io::Error::other)?;
