--- a/crates/quartzdrift-fastcgi/src/responder.rs
+++ b/crates/quartzdrift-fastcgi/src/responder.rs
@@ -6,6 +6,7 @@
     RecordHeader, STDIN, STDOUT, UNKNOWN_TYPE, UnsupportedVersion, write_record, write_stream,
 };
 use std::collections::BTreeMap;
+use std::collections::btree_map::Entry;
 use std::fmt::Write;
 
 /// The role of a responder in a record that begins a request.
@@ -166,11 +167,9 @@
 
     /// Answers a request.
     pub fn respond(&mut self, request_id: u16, response: &Response, out: &mut Vec<u8>) -> ConnectionFate {
-        if !self.open.get(&request_id).is_some_and(OpenRequest::is_unanswered) {
-            return ConnectionFate::UnknownRequest;
-        }
-        let Some(request) = self.open.remove(&request_id) else {
-            return ConnectionFate::UnknownRequest;
+        let request = match self.open.entry(request_id) {
+            Entry::Occupied(entry) if entry.get().is_unanswered() => entry.remove(),
+            Entry::Occupied(_) | Entry::Vacant(_) => return ConnectionFate::UnknownRequest,
         };
         write_record(out, STDOUT, request_id, response_header(response).as_bytes());
         write_stream(out, STDOUT, request_id, response.body);
--- a/crates/quartzdrift-invoke/src/models.rs
+++ b/crates/quartzdrift-invoke/src/models.rs
@@ -44,7 +44,7 @@
 impl ModelRequest {
     /// Reads a request's path; `None` for other paths.
     pub fn parse(path: &str) -> Option<ModelRequest> {
-        if path == READY_PATH || path == LIVE_PATH {
+        if is_health_check(path) {
             return Some(ModelRequest::ServerReady);
         }
         if path == INDEX_PATH {
@@ -63,6 +63,11 @@
     }
 }
 
+/// Whether a path is that of a server's readiness or liveness check.
+pub(crate) fn is_health_check(path: &str) -> bool {
+    path == READY_PATH || path == LIVE_PATH
+}
+
 fn decode(text: &str) -> Option<String> {
     let text = percent_decode_str(text).decode_utf8().ok()?;
     Some(text.into_owned())
--- a/crates/quartzdrift-invoke/src/request.rs
+++ b/crates/quartzdrift-invoke/src/request.rs
@@ -1,5 +1,6 @@
 //! A client's request: `POST /2015-03-31/functions/{FunctionName}/invocations` (API reference, Invoke).
 use crate::function_name::FunctionName;
+use crate::models;
 use crate::response::ApiError;
 use base64::Engine;
 use percent_encoding::percent_decode_str;
@@ -9,8 +10,6 @@
 
 const PATH_PREFIX: &str = "/2015-03-31/functions/";
 const PATH_SUFFIX: &str = "/invocations";
-const READY_PATH: &str = "/v2/health/ready";
-const LIVE_PATH: &str = "/v2/health/live";
 /// Maximum bytes of the decoded client context (API reference).
 const MAX_CLIENT_CONTEXT: usize = 3583;
 /// Maximum bytes of an idempotency key, which is stored with the request.
@@ -68,7 +67,7 @@
     header: impl Fn(&str) -> Option<&'a str>,
 ) -> Result<ApiRequest, ApiError> {
     let (path, query) = split_target(target);
-    if path == READY_PATH || path == LIVE_PATH {
+    if models::is_health_check(path) {
         return Ok(ApiRequest::Ready);
     }
     let name = path
