--- a/crates/quartzdrift-lab/src/platform.rs
+++ b/crates/quartzdrift-lab/src/platform.rs
@@ -191,16 +191,16 @@
 }
 
 fn command(stream: &mut TcpStream, connection: usize) -> io::Result<Received> {
-    let mut head = [0; frame::HEAD];
+    let mut head = [0; frame::HEADER_BYTES];
     stream.read_exact(&mut head)?;
     let [mark, code, f1, f0, b3, b2, b1, b0, id @ ..] = head;
     if mark != frame::FROM_SCHEDULER {
         return Err(io::Error::other("no frame of a scheduler"));
     }
     let fields = usize::from(u16::from_be_bytes([f1, f0]));
-    let mut rest = vec![0; fields + u32::from_be_bytes([b3, b2, b1, b0]) as usize + frame::CHECK];
+    let mut rest = vec![0; fields + u32::from_be_bytes([b3, b2, b1, b0]) as usize + frame::CHECKSUM_BYTES];
     stream.read_exact(&mut rest)?;
-    let body = rest[fields..rest.len() - frame::CHECK].to_vec();
+    let body = rest[fields..rest.len() - frame::CHECKSUM_BYTES].to_vec();
     let fields = String::from_utf8_lossy(&rest[..fields]).into_owned();
     Ok((connection, code, u64::from_be_bytes(id), fields, body))
 }
@@ -240,7 +240,7 @@
                 thread::spawn(move || {
                     while let Ok(received) = command(&mut stream, connection) {
                         let (_, code, id, ..) = received;
-                        let asked = code == frame::ASK_ALIVE;
+                        let asked = code == frame::PING;
                         let held = hold.load(Ordering::SeqCst);
                         // The test may have seen enough.
                         let said = if asked {
--- a/crates/quartzdrift-lab/tests/closes.rs
+++ b/crates/quartzdrift-lab/tests/closes.rs
@@ -184,7 +184,7 @@
         .unwrap();
     for _ in 1..=4 {
         assert_eq!(frontend.reply().unwrap().status, 0);
-        assert_eq!(stage.workers[0].command().1, frame::GIVE_UP);
+        assert_eq!(stage.workers[0].command().1, frame::CANCEL);
     }
     // The worker was not down, so it has not come back cold.
     ask(&mut frontend, 10, &asked("/do/once", OTHER));
@@ -318,12 +318,12 @@
 /// All that was sent on a connection, as whole frames, and what is left over.
 fn frames(mut bytes: &[u8]) -> (Vec<(u8, u64)>, usize) {
     let mut whole = Vec::new();
-    while let Some(head) = bytes.get(..frame::HEAD) {
+    while let Some(head) = bytes.get(..frame::HEADER_BYTES) {
         assert_eq!(head[0], frame::FROM_SCHEDULER, "a frame begins here");
         let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
         let body = u32::from_be_bytes([head[4], head[5], head[6], head[7]]) as usize;
         let id = u64::from_be_bytes(head[8..16].try_into().unwrap());
-        let length = frame::HEAD + fields + body + frame::CHECK;
+        let length = frame::HEADER_BYTES + fields + body + frame::CHECKSUM_BYTES;
         if bytes.len() < length {
             break;
         }
--- a/crates/quartzdrift-lab/tests/floods.rs
+++ b/crates/quartzdrift-lab/tests/floods.rs
@@ -74,7 +74,7 @@
             b"report=queue:1",
             b"half of it",
         );
-        stage.workers[first].send(connection, &answer[..frame::HEAD]);
+        stage.workers[first].send(connection, &answer[..frame::HEADER_BYTES]);
         stage.workers[first].close(connection);
         if path == "/do/once" {
             let reply = frontend.reply().unwrap();
--- a/crates/quartzdrift-lab/tests/outage/worker.rs
+++ b/crates/quartzdrift-lab/tests/outage/worker.rs
@@ -231,11 +231,11 @@
     fn next_command(&mut self, id: u64) -> Option<(u8, u64)> {
         let connection = self.connections.get_mut(&id)?;
         let input = &mut connection.input;
-        let head: [u8; frame::HEAD] = input.get(..frame::HEAD)?.try_into().ok()?;
+        let head: [u8; frame::HEADER_BYTES] = input.get(..frame::HEADER_BYTES)?.try_into().ok()?;
         let [_, code, f1, f0, b3, b2, b1, b0, request @ ..] = head;
         let fields = usize::from(u16::from_be_bytes([f1, f0]));
         let body = u32::from_be_bytes([b3, b2, b1, b0]) as usize;
-        let length = frame::HEAD + fields + body + frame::CHECK;
+        let length = frame::HEADER_BYTES + fields + body + frame::CHECKSUM_BYTES;
         if input.len() < length {
             return None;
         }
@@ -246,7 +246,7 @@
     fn command(&mut self, connection: u64, code: u8, id: u64) {
         match code {
             frame::EXECUTE => self.execute(connection, id),
-            frame::ASK_ALIVE => self.answer(connection, ALIVE, id),
+            frame::PING => self.answer(connection, ALIVE, id),
             _ => self.due.retain(|_, due| *due != (connection, id)),
         }
         if let Some(connection) = self.connections.get_mut(&connection)
--- a/crates/quartzdrift-platform/src/attempt_outcome.rs
+++ b/crates/quartzdrift-platform/src/attempt_outcome.rs
@@ -13,7 +13,7 @@
 //! | connection ended, the command whole on it | it may have | reset |
 //! | bytes on it that cannot be read | it may have, all that is open on it | reset |
 //! | given up by us | it may have | cancelled or timed out, by the request table |
-use crate::frame::Code;
+use crate::frame::AnswerCode;
 use quartzdrift_scheduler::interface::Outcome;
 
 /// How an attempt's connection ended under it.
@@ -30,14 +30,14 @@
 }
 
 /// What an answer proves; `None` for one that speaks of the connection alone.
-pub fn from_answer(code: Code) -> Option<Outcome> {
+pub fn from_answer(code: AnswerCode) -> Option<Outcome> {
     match code {
-        Code::Done => Some(Outcome::Succeeded),
-        Code::Miss => Some(Outcome::CacheMiss),
-        Code::Full => Some(Outcome::AtCapacity),
-        Code::Error => Some(Outcome::Error),
-        Code::Over => Some(Outcome::NeverSent),
-        Code::Alive => None,
+        AnswerCode::Succeeded => Some(Outcome::Succeeded),
+        AnswerCode::CacheMiss => Some(Outcome::CacheMiss),
+        AnswerCode::AtCapacity => Some(Outcome::AtCapacity),
+        AnswerCode::Error => Some(Outcome::Error),
+        AnswerCode::AlreadyConcluded => Some(Outcome::NeverSent),
+        AnswerCode::Alive => None,
     }
 }
 
--- a/crates/quartzdrift-platform/src/attempt_outcome/tests.rs
+++ b/crates/quartzdrift-platform/src/attempt_outcome/tests.rs
@@ -8,14 +8,18 @@
         Outcome::NeverSent,
         Outcome::ConnectFailed,
     ];
-    for code in [Code::Miss, Code::Full, Code::Over] {
+    for code in [
+        AnswerCode::CacheMiss,
+        AnswerCode::AtCapacity,
+        AnswerCode::AlreadyConcluded,
+    ] {
         assert!(
             from_answer(code).is_some_and(|outcome| harmless.contains(&outcome)),
             "{code:?}"
         );
     }
-    assert_eq!(from_answer(Code::Error), Some(Outcome::Error));
-    assert_eq!(from_answer(Code::Alive), None);
+    assert_eq!(from_answer(AnswerCode::Error), Some(Outcome::Error));
+    assert_eq!(from_answer(AnswerCode::Alive), None);
     assert_eq!(
         (
             from_loss(ConnectionLoss::NotSent),
--- a/crates/quartzdrift-platform/src/frame/tests.rs
+++ b/crates/quartzdrift-platform/src/frame/tests.rs
@@ -11,25 +11,25 @@
 fn a_frame_is_laid_out_as_published() {
     let bytes = frame(64, b"a=b", b"xyz");
     assert_eq!(
-        &bytes[..HEAD],
+        &bytes[..HEADER_BYTES],
         &[193, 64, 0, 3, 0, 0, 0, 3, 1, 2, 3, 4, 5, 6, 7, 8]
     );
     // The check value that the CRC-32's definition gives for these nine digits.
     assert_eq!(
-        frame(64, b"123456789", b"")[HEAD + 9..],
+        frame(64, b"123456789", b"")[HEADER_BYTES + 9..],
         0xcbf4_3926_u32.to_be_bytes()
     );
 }
 
 #[test]
 fn what_is_wrong_is_refused_from_the_first_byte_that_shows_it() {
-    assert_eq!(read(&[192]), Err(Unreadable::Magic(192)));
-    assert_eq!(read(&[193, 65]), Err(Unreadable::Code(65)));
+    assert_eq!(read(&[192]), Err(FrameError::Magic(192)));
+    assert_eq!(read(&[193, 65]), Err(FrameError::Code(65)));
     let three_gigabytes = [193, 64, 0, 0, 0xb2, 0xd0, 0x5e, 0, 0, 0, 0, 0, 0, 0, 0, 1];
-    assert_eq!(read(&three_gigabytes), Err(Unreadable::Length(3_000_000_000)));
+    assert_eq!(read(&three_gigabytes), Err(FrameError::Length(3_000_000_000)));
     let mut spoilt = frame(64, b"", b"good");
-    spoilt[HEAD + 1] ^= 1;
-    assert_eq!(read(&spoilt), Err(Unreadable::Check));
+    spoilt[HEADER_BYTES + 1] ^= 1;
+    assert_eq!(read(&spoilt), Err(FrameError::Check));
 }
 
 proptest! {
@@ -42,8 +42,8 @@
         let bytes = frame(67, &fields, &body);
         prop_assert_eq!(read(&bytes[..cut.index(bytes.len())]), Ok(None));
         let answer = read(&bytes).unwrap().unwrap();
-        prop_assert_eq!((answer.code, answer.fields, answer.body), (Code::Full, &fields[..], &body[..]));
-        prop_assert_eq!(answer.length, bytes.len());
+        prop_assert_eq!((answer.code, answer.fields, answer.body), (AnswerCode::AtCapacity, &fields[..], &body[..]));
+        prop_assert_eq!(answer.frame_bytes, bytes.len());
     }
 
     #[test]
--- a/crates/quartzdrift/src/platform/answers.rs
+++ b/crates/quartzdrift/src/platform/answers.rs
@@ -5,7 +5,7 @@
 use quartzdrift_http::sockets::SocketId;
 use quartzdrift_lifecycle::AttemptResult;
 use quartzdrift_platform::attempt_outcome::{self, ConnectionLoss};
-use quartzdrift_platform::frame::{self, Answer, Code, Unreadable};
+use quartzdrift_platform::frame::{self, Answer, AnswerCode, FrameError};
 use quartzdrift_platform::report;
 use quartzdrift_scheduler::interface::{CacheResult, Outcome, ReportField, RequestId};
 
@@ -29,7 +29,7 @@
     /// The worker has said that the connection works, and was asked.
     verified: bool,
     /// Why what follows cannot be read.
-    unreadable: Option<Unreadable>,
+    unreadable: Option<FrameError>,
 }
 
 impl Node {
@@ -110,7 +110,7 @@
         loop {
             match frame::read(&input[received.used..]) {
                 Ok(Some(answer)) => {
-                    received.used += answer.length;
+                    received.used += answer.frame_bytes;
                     received.take(&answer, connection, sent, report_fields);
                 }
                 Ok(None) => return received,
@@ -133,14 +133,14 @@
             self.verified |= connection.phase == ConnectionPhase::Verifying;
             return;
         };
-        let Some(at) = connection.position_of_answered(answer.id, sent) else {
+        let Some(at) = connection.position_of_answered(answer.request_id, sent) else {
             self.unmatched += 1;
             return;
         };
         self.answered.push(Answered {
             command: connection.commands.swap_remove(at),
             result: result(outcome, answer, report_fields),
-            body: (answer.code == Code::Done).then(|| answer.body.to_vec()),
+            body: (answer.code == AnswerCode::Succeeded).then(|| answer.body.to_vec()),
         });
     }
 }
--- a/crates/quartzdrift/src/platform/commands.rs
+++ b/crates/quartzdrift/src/platform/commands.rs
@@ -221,7 +221,7 @@
             frame::write(
                 output,
                 frame::FROM_SCHEDULER,
-                frame::GIVE_UP,
+                frame::CANCEL,
                 command.context.id,
                 b"",
                 b"",
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -115,14 +115,7 @@
         };
         connection.phase = ConnectionPhase::Verifying;
         if let Some(output) = self.sockets.output(id) {
-            frame::write(
-                output,
-                frame::FROM_SCHEDULER,
-                frame::ASK_ALIVE,
-                request_id,
-                b"",
-                b"",
-            );
+            frame::write(output, frame::FROM_SCHEDULER, frame::PING, request_id, b"", b"");
         }
         self.sockets.set_deadline(id, Some(self.connect_timeout()));
     }
