--- a/crates/quartzdrift-platform/src/connection_choice.rs
+++ b/crates/quartzdrift-platform/src/connection_choice.rs
@@ -18,9 +18,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionState {
     /// Attempts open on it.
-    pub open: usize,
+    pub open_attempts: usize,
     /// It has come up.
-    pub up: bool,
+    pub is_up: bool,
 }
 
 /// Where an attempt goes.
@@ -44,10 +44,10 @@
     let free = connections
         .iter()
         .enumerate()
-        .filter(|(_, connection)| connection.open < streams);
+        .filter(|(_, connection)| connection.open_attempts < streams);
     // Of equally used ones the one that is up, so that nobody waits for a handshake without need.
-    match free.min_by_key(|(_, connection)| (connection.open, !connection.up)) {
-        Some((at, connection)) if connection.open == 0 => ConnectionChoice::Use(at),
+    match free.min_by_key(|(_, connection)| (connection.open_attempts, !connection.is_up)) {
+        Some((at, connection)) if connection.open_attempts == 0 => ConnectionChoice::Use(at),
         least_used => match (may_connect(), least_used) {
             (true, _) => ConnectionChoice::Connect,
             (false, Some((at, _))) => ConnectionChoice::Use(at),
--- a/crates/quartzdrift-platform/src/connection_choice/tests.rs
+++ b/crates/quartzdrift-platform/src/connection_choice/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn each_has_its_own_while_descriptors_last() {
-    let connection = |open, up| ConnectionState { open, up };
+    let connection = |open_attempts, is_up| ConnectionState { open_attempts, is_up };
     assert_eq!(choose(&[], 32, || true), ConnectionChoice::Connect);
     assert_eq!(
         choose(
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -48,7 +48,7 @@
             let may_connect = || self.connections < self.budget.workers || self.close_longest_idle(worker);
             match connection_choice::choose(&states, streams, may_connect) {
                 ConnectionChoice::Use(at) => {
-                    let idle = states[at].open == 0 && states[at].up;
+                    let idle = states[at].open_attempts == 0 && states[at].is_up;
                     if idle && self.is_closed_by_worker(sockets[at]) {
                         self.request_table.worker_disconnected(self.now(), worker);
                         self.close_connection(sockets[at]);
@@ -66,12 +66,12 @@
     fn connection_state(&self, socket: SocketId, id: u64) -> ConnectionState {
         match self.sockets.get(socket).map(|socket| &socket.state) {
             Some(Peer::WorkerConnection(connection)) if !connection.carried_lately(id) => ConnectionState {
-                open: connection.commands.len(),
-                up: connection.phase == ConnectionPhase::Up,
+                open_attempts: connection.commands.len(),
+                is_up: connection.phase == ConnectionPhase::Up,
             },
             Some(Peer::WorkerConnection(_) | Peer::Client(_)) | None => ConnectionState {
-                open: usize::MAX,
-                up: false,
+                open_attempts: usize::MAX,
+                is_up: false,
             },
         }
     }
