--- a/crates/quartzdrift-platform/src/request_fields.rs
+++ b/crates/quartzdrift-platform/src/request_fields.rs
@@ -24,7 +24,7 @@
     /// Id that the client chose for the request: 16 hexadecimal digits.
     pub id: Option<&'a str>,
     /// Time until the client gives up, in milliseconds.
-    pub time: Option<&'a str>,
+    pub timeout_ms: Option<&'a str>,
     /// Id of the function to run: 16 hexadecimal digits.
     pub function: Option<&'a str>,
     /// Key by which workers recognize a repeat of the request.
@@ -34,9 +34,9 @@
     /// What the function needs, `name:number` pairs separated by semicolons.
     pub resource_hints: Option<&'a str>,
     /// Length of the body as the client states it, in bytes.
-    pub length: Option<&'a str>,
+    pub content_length: Option<&'a str>,
     /// Bytes of the body that arrived.
-    pub body: usize,
+    pub body_bytes: usize,
 }
 
 /// A request whose fields were checked.
@@ -59,9 +59,9 @@
     /// Requests that a loaded replica runs at a time.
     pub concurrency_slots: Option<f64>,
     /// Time that a load takes.
-    pub load: Option<Duration>,
+    pub load_hint: Option<Duration>,
     /// Work of this request.
-    pub work: Option<Duration>,
+    pub work_hint: Option<Duration>,
 }
 
 /// The first field of a request that was refused.
@@ -132,8 +132,8 @@
         .ok_or(FieldError::Id)?;
     let function = hex_digits(fields.function).ok_or(FieldError::Function)?;
     let idempotency_key = idempotency_key(fields.idempotency_key, class)?;
-    let time_remaining = time_remaining(fields.time, class)?;
-    check_length(fields.length, fields.body)?;
+    let time_remaining = time_remaining(fields.timeout_ms, class)?;
+    check_length(fields.content_length, fields.body_bytes)?;
     let request = PlatformRequest {
         id,
         request_class: request_class as u32,
@@ -143,8 +143,8 @@
         time_remaining,
         memory_mb: None,
         concurrency_slots: None,
-        load: None,
-        work: None,
+        load_hint: None,
+        work_hint: None,
     };
     with_resource_hints(request, fields.resource_hints.unwrap_or(""))
 }
@@ -230,8 +230,8 @@
         match name {
             "memory_mb" => request.memory_mb = Some(number(value, f64::MIN_POSITIVE, MAX_MEMORY_MB)?),
             "lanes" => request.concurrency_slots = Some(number(value, 1.0, MAX_CONCURRENCY_SLOTS)?),
-            "load_ms" => request.load = Some(milliseconds(value)?),
-            "hint" => request.work = Some(milliseconds(value)?),
+            "load_ms" => request.load_hint = Some(milliseconds(value)?),
+            "hint" => request.work_hint = Some(milliseconds(value)?),
             _ => {}
         }
     }
--- a/crates/quartzdrift-platform/src/request_fields/tests.rs
+++ b/crates/quartzdrift-platform/src/request_fields/tests.rs
@@ -25,13 +25,13 @@
     RequestFields {
         path: Some("/do/map"),
         id: Some("9b1f03aa5c7e2d41"),
-        time: Some("1500"),
+        timeout_ms: Some("1500"),
         function: Some("7f3a9c21e0b4d655"),
         idempotency_key: None,
         tenant: None,
         resource_hints: Some("memory_mb:512;lanes:2;load_ms:640"),
-        length: Some("3"),
-        body: 3,
+        content_length: Some("3"),
+        body_bytes: 3,
     }
 }
 
@@ -48,7 +48,7 @@
         (Duration::from_millis(1500), Some(512.0))
     );
     assert_eq!(
-        (request.concurrency_slots, request.load),
+        (request.concurrency_slots, request.load_hint),
         (Some(2.0), Some(Duration::from_millis(640)))
     );
 }
@@ -102,7 +102,7 @@
 
 #[test]
 fn values_that_are_out_of_range_are_named() {
-    for time in [
+    for timeout_ms in [
         None,
         Some("0"),
         Some("-5"),
@@ -111,7 +111,7 @@
         Some("4006"),
         Some("99999999999999999999"),
     ] {
-        assert_eq!(wrong(&|f| f.time = time), FieldError::Time);
+        assert_eq!(wrong(&|f| f.timeout_ms = timeout_ms), FieldError::Time);
     }
     for resource_hints in [
         "lanes:-1",
@@ -133,7 +133,7 @@
         );
     }
     for length in ["4", "-1", "99999999999999999999", "x"] {
-        assert_eq!(wrong(&|f| f.length = Some(length)), FieldError::Length);
+        assert_eq!(wrong(&|f| f.content_length = Some(length)), FieldError::Length);
     }
 }
 
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -25,17 +25,17 @@
     params.text(name).map(Some).ok_or(invalid)
 }
 
-fn fields(params: &Params, body: usize) -> Result<RequestFields<'_>, FieldError> {
+fn fields(params: &Params, body_bytes: usize) -> Result<RequestFields<'_>, FieldError> {
     Ok(RequestFields {
         path: params.text("SCRIPT_NAME"),
         id: params.text("HTTP_X_REQUEST_ID"),
-        time: params.text("HTTP_X_TIMEOUT_MS"),
+        timeout_ms: params.text("HTTP_X_TIMEOUT_MS"),
         function: params.text("HTTP_X_OBJECT"),
         idempotency_key: optional(params, "HTTP_IDEMPOTENCY_KEY", FieldError::IdempotencyKey)?,
         tenant: optional(params, "HTTP_X_TENANT", FieldError::Tenant)?,
         resource_hints: optional(params, "HTTP_X_SPEC", FieldError::ResourceHints)?,
-        length: optional(params, "CONTENT_LENGTH", FieldError::Length)?,
-        body,
+        content_length: optional(params, "CONTENT_LENGTH", FieldError::Length)?,
+        body_bytes,
     })
 }
 
@@ -165,10 +165,10 @@
         tenant: request.tenant,
         function: request.function.into(),
         left,
-        work_hint: request.work,
+        work_hint: request.work_hint,
         memory_mb: request.memory_mb,
         concurrency_slots: request.concurrency_slots,
-        load_hint: request.load,
+        load_hint: request.load_hint,
         is_retry: false,
         writes: false,
         payload: Rc::new(context),
