--- a/crates/quartzdrift-lab/tests/platform.rs
+++ b/crates/quartzdrift-lab/tests/platform.rs
@@ -537,7 +537,7 @@
     let known = event(1, true, &[target("w1", at, "Ready")]);
     let coordinator = Coordinator::knowing(&known).unwrap();
     let text = config(coordinator.at, &known);
-    let config = quartzdrift_platform::config::read(text.as_bytes()).unwrap();
+    let config = quartzdrift_platform::config::parse(text.as_bytes()).unwrap();
     let mut event_loop = calloop::EventLoop::<Node>::try_new().unwrap();
     let mut node = Node::new(config, PathBuf::new(), event_loop.handle());
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
--- a/crates/quartzdrift-platform/src/budget.rs
+++ b/crates/quartzdrift-platform/src/budget.rs
@@ -7,19 +7,19 @@
 
 /// Largest numbers of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
+pub struct ConnectionBudget {
     /// Connections of clients; well-behaved ones hold at most a third of all descriptors.
     pub clients: usize,
     /// Connections to workers.
     pub workers: usize,
 }
 
-impl Budget {
+impl ConnectionBudget {
     /// The division of `sockets` descriptors.
-    pub fn of(sockets: usize) -> Budget {
+    pub fn divide(sockets: usize) -> ConnectionBudget {
         let shared = sockets.saturating_sub(RESERVE);
         let clients = (shared / 2).max(MIN_SIDE);
-        Budget {
+        ConnectionBudget {
             clients,
             workers: shared.saturating_sub(clients).max(MIN_SIDE),
         }
--- a/crates/quartzdrift-platform/src/config.rs
+++ b/crates/quartzdrift-platform/src/config.rs
@@ -1,12 +1,12 @@
 //! The configuration file that the platform gives a scheduler (`GW_CONFIG`).
-use crate::coordinator::{TOLD_AFTER_BREAK, WatchResponse};
+use crate::coordinator::{ENDPOINT_LEASE, WatchResponse};
 use serde::Deserialize;
 use serde_json::Value;
 use std::io::Read as _;
 use std::net::SocketAddr;
 
 /// Descriptors where the configuration states no limit.
-const DEFAULT_SOCKETS: usize = 1024;
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
 /// Largest accepted configuration, in bytes; the list of the largest fleet takes far less.
 pub const MAX_BYTES: u64 = 64 << 20;
 
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-struct Raw {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     #[serde(default)]
@@ -48,11 +48,11 @@
     /// Seed of all random draws.
     pub seed: u64,
     /// Descriptors that the process may have open.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Address of the coordinator whose events are followed.
     pub coordinator: SocketAddr,
     /// Events of the coordinator that are known already.
-    pub known: WatchResponse,
+    pub known_events: WatchResponse,
     /// Settings of the scheduler.
     pub settings: quartzdrift_scheduler::interface::Settings,
 }
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 /// It cannot be read, or is larger than [`MAX_BYTES`].
-pub fn load(from: impl std::io::Read) -> Result<Vec<u8>, String> {
+pub fn read_bytes(from: impl std::io::Read) -> Result<Vec<u8>, String> {
     let mut bytes = Vec::new();
     from.take(MAX_BYTES + 1)
         .read_to_end(&mut bytes)
@@ -84,20 +84,20 @@
 ///
 /// # Errors
 /// One line that says what is wrong with it.
-pub fn read(bytes: &[u8]) -> Result<Config, String> {
-    let raw: Raw = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
-    let mut settings = crate::settings::read(&raw.settings)?;
-    settings.rules.endpoint_lease = Some(TOLD_AFTER_BREAK);
+pub fn parse(bytes: &[u8]) -> Result<Config, String> {
+    let file: ConfigFile = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
+    let mut settings = crate::settings::read(&file.settings)?;
+    settings.rules.endpoint_lease = Some(ENDPOINT_LEASE);
     Ok(Config {
-        name: raw.name,
-        listen: raw.listen,
-        seed: seed(&raw.seed),
-        sockets: raw
+        name: file.name,
+        listen: file.listen,
+        seed: seed(&file.seed),
+        max_descriptors: file
             .limits
             .and_then(|limits| limits.sockets)
-            .unwrap_or(DEFAULT_SOCKETS),
-        coordinator: raw.coordinator,
-        known: raw.known,
+            .unwrap_or(DEFAULT_MAX_DESCRIPTORS),
+        coordinator: file.coordinator,
+        known_events: file.known,
         settings,
     })
 }
--- a/crates/quartzdrift-platform/src/config/tests.rs
+++ b/crates/quartzdrift-platform/src/config/tests.rs
@@ -8,8 +8,11 @@
 
 #[test]
 fn a_configuration_is_read_whole_or_not_at_all() {
-    let config = read(GOOD.as_bytes()).unwrap();
-    assert_eq!((config.seed, config.sockets), (0x8c1f_30d2_7a5b_e964, 256));
+    let config = parse(GOOD.as_bytes()).unwrap();
+    assert_eq!(
+        (config.seed, config.max_descriptors),
+        (0x8c1f_30d2_7a5b_e964, 256)
+    );
     assert_eq!(config.settings.request_classes[0].name, "map");
     assert_eq!(config.settings.report_fields, [ReportField::Queued]);
     for (good, bad) in [
@@ -17,17 +20,17 @@
         ("\"map\"", "7,"),
         ("\"classes\"", "\"other\""),
     ] {
-        assert!(read(GOOD.replace(good, bad).as_bytes()).is_err(), "{bad}");
+        assert!(parse(GOOD.replace(good, bad).as_bytes()).is_err(), "{bad}");
     }
-    assert!(read(&GOOD.as_bytes()[..200]).is_err());
+    assert!(parse(&GOOD.as_bytes()[..200]).is_err());
 }
 
 #[test]
 fn a_configuration_has_a_bound_and_the_worker_list_may_be_missing() {
-    assert!(load(std::io::repeat(b' ')).is_err_and(|why| why.contains("bytes")));
-    assert_eq!(load(GOOD.as_bytes()).unwrap(), GOOD.as_bytes());
+    assert!(read_bytes(std::io::repeat(b' ')).is_err_and(|why| why.contains("bytes")));
+    assert_eq!(read_bytes(GOOD.as_bytes()).unwrap(), GOOD.as_bytes());
     let start = GOOD.find("\"known\"").unwrap();
     let end = GOOD.find("\"settings\"").unwrap();
     let without = format!("{}{}", &GOOD[..start], &GOOD[end..]);
-    assert!(read(without.as_bytes()).is_ok_and(|config| config.known.index.is_none()));
+    assert!(parse(without.as_bytes()).is_ok_and(|config| config.known_events.index.is_none()));
 }
--- a/crates/quartzdrift-platform/src/coordinator.rs
+++ b/crates/quartzdrift-platform/src/coordinator.rs
@@ -11,9 +11,9 @@
 
 /// What the coordinator would have told counts as told so long after its connections break, at the earliest that the protocol
 /// names; a silence and a new configuration leave more time.
-pub const TOLD_AFTER_BREAK: Duration = Duration::from_secs(2);
+pub const ENDPOINT_LEASE: Duration = Duration::from_secs(2);
 /// Most workers that one event may name; a fleet is far smaller.
-pub const MAX_TARGETS: usize = 100_000;
+pub const MAX_WORKERS_PER_EVENT: usize = 100_000;
 
 /// The coordinator's answer to a poll, or the events that a configuration holds.
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
     /// The worker, named by its uid.
-    pub listed: DiscoveredEndpoint,
+    pub endpoint: DiscoveredEndpoint,
     /// Its address; `None` where none is stated.
     pub address: Option<SocketAddr>,
 }
@@ -67,14 +67,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointChange {
     /// The event holds the whole list: workers that it does not name have left.
-    pub all: bool,
+    pub is_full_list: bool,
     /// The workers that it names, in its order.
     pub workers: Vec<EndpointUpdate>,
 }
 
 /// What an answer says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reading {
+pub struct AppliedResponse {
     /// The changes that it makes, in order.
     pub changes: Vec<EndpointChange>,
     /// It holds all events from the one that was asked for to the coordinator's last, and nothing else: with its changes the
@@ -163,7 +163,7 @@
             _ => EndpointState::Draining,
         };
         let boot = self.boot_ms.filter(|ms| ms.is_finite() && *ms > 0.0);
-        let listed = DiscoveredEndpoint {
+        let endpoint = DiscoveredEndpoint {
             capacity: self.capacity_hint,
             cell: place(&self.pod_group, &[], &self.uid),
             kind: kind(&self.model, kinds),
@@ -173,7 +173,7 @@
             state,
         };
         EndpointUpdate {
-            listed,
+            endpoint,
             address: self.endpoint,
         }
     }
@@ -196,38 +196,38 @@
 
 impl EndpointWatch {
     /// Index of the last applied event, to follow from.
-    pub fn last(&self) -> u64 {
+    pub fn last_index(&self) -> u64 {
         self.last
     }
 
     /// Index of the event before the last applied one: following from there has the coordinator tell the last one again, at
     /// once, which shows that it is there and has the same events.
-    pub fn before_last(&self) -> u64 {
+    pub fn index_before_last(&self) -> u64 {
         self.last.saturating_sub(1)
     }
 
     /// Reads and applies the coordinator's answer to a poll that followed from the event numbered `asked`; see
-    /// [`EndpointWatch::take`].
+    /// [`EndpointWatch::apply`].
     ///
     /// # Errors
     /// It cannot be read, has a gap, or is older than what was applied; nothing of it is applied.
-    pub fn read(
+    pub fn apply_response(
         &mut self,
         body: &[u8],
         asked: u64,
         zones: &[String],
         kinds: &[String],
-    ) -> Result<Reading, WatchError> {
+    ) -> Result<AppliedResponse, WatchError> {
         let response: WatchResponse =
             serde_json::from_slice(body).map_err(|e| WatchError::Unreadable(e.to_string()))?;
         let (have, got) = (self.last, response.index.unwrap_or(u64::MAX));
         let is_complete = is_complete(&response, asked);
         let is_empty = response.updates.is_empty();
-        let changes = self.take(response, zones, kinds)?;
+        let changes = self.apply(response, zones, kinds)?;
         if self.last == have && got < have {
             Err(WatchError::Stale { have, got })
         } else {
-            Ok(Reading {
+            Ok(AppliedResponse {
                 changes,
                 is_current: is_complete && self.last == got,
                 is_empty,
@@ -239,7 +239,7 @@
     ///
     /// # Errors
     /// An event is missing, and what follows it only holds changes; nothing is applied.
-    pub fn take(
+    pub fn apply(
         &mut self,
         response: WatchResponse,
         zones: &[String],
@@ -261,14 +261,17 @@
             let Some(Endpoints { all, targets }) = update.endpoints else {
                 continue;
             };
-            if targets.len() > MAX_TARGETS {
+            if targets.len() > MAX_WORKERS_PER_EVENT {
                 return Err(WatchError::Unreadable("too many workers in an event".to_owned()));
             }
             let workers = targets
                 .into_iter()
                 .map(|target| target.resolved(zones, kinds))
                 .collect();
-            changes.push(EndpointChange { all, workers });
+            changes.push(EndpointChange {
+                is_full_list: all,
+                workers,
+            });
         }
         self.last = last;
         Ok(changes)
--- a/crates/quartzdrift-platform/src/coordinator/tests.rs
+++ b/crates/quartzdrift-platform/src/coordinator/tests.rs
@@ -17,12 +17,12 @@
 }
 
 fn read(watch: &mut EndpointWatch, body: &[u8]) -> Result<Vec<EndpointChange>, WatchError> {
-    let asked = watch.last();
+    let asked = watch.last_index();
     read_asked(watch, asked, body).map(|reading| reading.changes)
 }
 
-fn read_asked(watch: &mut EndpointWatch, asked: u64, body: &[u8]) -> Result<Reading, WatchError> {
-    watch.read(
+fn read_asked(watch: &mut EndpointWatch, asked: u64, body: &[u8]) -> Result<AppliedResponse, WatchError> {
+    watch.apply_response(
         body,
         asked,
         &["west".to_owned(), "east".to_owned()],
@@ -40,8 +40,8 @@
         &[("a", "127.0.0.1:1", "Terminating"), ("b", "127.0.0.1:1", "Ready")],
     );
     let changes = read(&mut watch, &response(1, std::slice::from_ref(&first))).unwrap();
-    assert!(changes[0].all);
-    let a = &changes[0].workers[0].listed;
+    assert!(changes[0].is_full_list);
+    let a = &changes[0].workers[0].endpoint;
     assert_eq!((a.zone, a.kind, a.cell, a.state), (1, 1, 2, EndpointState::Up));
     assert_eq!(a.started, Some(Duration::from_millis(1500)));
     let changes = read(&mut watch, &response(2, &[first, second])).unwrap();
@@ -49,10 +49,10 @@
     let states: Vec<(&str, EndpointState)> = changes[0]
         .workers
         .iter()
-        .map(|resolved| (&resolved.listed.worker[..], resolved.listed.state))
+        .map(|resolved| (&resolved.endpoint.worker[..], resolved.endpoint.state))
         .collect();
     assert_eq!(states, [("a", EndpointState::Draining), ("b", EndpointState::Up)]);
-    assert_eq!(watch.last(), 2);
+    assert_eq!(watch.last_index(), 2);
 }
 
 #[test]
@@ -71,14 +71,14 @@
             "{cut}"
         );
     }
-    assert_eq!(watch.last(), 1);
+    assert_eq!(watch.last_index(), 1);
     // The whole list mends a gap.
     let again = read(
         &mut watch,
         &response(7, &[event(7, true, &[("c", "127.0.0.1:3", "Ready")])]),
     )
     .unwrap();
-    assert!(again[0].all && watch.last() == 7);
+    assert!(again[0].is_full_list && watch.last_index() == 7);
 }
 
 #[test]
@@ -92,7 +92,7 @@
     )
     .unwrap();
     assert_eq!(
-        (changes[0].workers[0].listed.state, watch.last()),
+        (changes[0].workers[0].endpoint.state, watch.last_index()),
         (EndpointState::Draining, 2)
     );
 }
@@ -111,7 +111,7 @@
     // Nothing new, and no word on the last event.
     assert_eq!(read(&mut watch, &response(5, &[ready(5)])), Ok(Vec::new()));
     assert_eq!(read(&mut watch, br#"{"updates":[]}"#), Ok(Vec::new()));
-    assert_eq!(watch.last(), 5);
+    assert_eq!(watch.last_index(), 5);
 }
 
 #[test]
@@ -122,7 +122,7 @@
             format!(r#"{{"uid":"w{index}","endpoint":"127.0.0.1:1","state":"Ready","{field}":{value}}}"#);
         let event = format!(r#"{{"index":{index},"endpoints":{{"all":false,"targets":[{target}]}}}}"#);
         read(&mut watch, &response(index, &[event])).unwrap()[0].workers[0]
-            .listed
+            .endpoint
             .clone()
     };
     // West and east are named.
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -2,7 +2,7 @@
 use super::Node;
 use quartzdrift_http::{CallId, Failure, Headers, Outgoing, Response};
 use quartzdrift_platform::coordinator::{
-    EndpointChange, EndpointUpdate, EndpointWatch, Reading, WatchError, WatchResponse,
+    AppliedResponse, EndpointChange, EndpointUpdate, EndpointWatch, WatchError, WatchResponse,
 };
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, RequestId};
 use std::collections::HashSet;
@@ -48,7 +48,7 @@
 
 impl Poll {
     /// Whether an answer that came now shows that the list is current with its changes.
-    fn is_confirmed_by(&self, reading: &Reading, now: Duration) -> bool {
+    fn is_confirmed_by(&self, reading: &AppliedResponse, now: Duration) -> bool {
         let waited = now.saturating_sub(self.sent_at) >= POLL_WAIT.mul_f64(MIN_WAITED_SHARE);
         reading.is_current && (waited || !reading.is_empty)
     }
@@ -115,7 +115,7 @@
 
     /// Index of the last event that was applied.
     pub(super) fn index(&self) -> u64 {
-        self.watch.last()
+        self.watch.last_index()
     }
 
     /// Whether the list was current at some time since the start.
@@ -128,9 +128,9 @@
     fn next_asked(&self, now: Duration) -> u64 {
         let is_heard = self.list_age(now).is_some_and(|age| age <= MAX_HEARD_AGE);
         if self.failures > 0 || !is_heard {
-            self.watch.before_last()
+            self.watch.index_before_last()
         } else {
-            self.watch.last()
+            self.watch.last_index()
         }
     }
 
@@ -215,7 +215,7 @@
         };
         let call = self.http.call(self.coordinator.address, request);
         let sent_at = self.now();
-        let asks_again = asked < self.coordinator.watch.last();
+        let asks_again = asked < self.coordinator.watch.last_index();
         let wait = if asks_again { Duration::ZERO } else { POLL_WAIT };
         let deadline = sent_at + wait + self.coordinator.poll_grace();
         self.coordinator.poll = Some(Poll {
@@ -238,7 +238,7 @@
             failures,
             "a poll of the coordinator failed; the list stands"
         );
-        let index = self.coordinator.watch.last();
+        let index = self.coordinator.watch.last_index();
         let age = self.coordinator.list_age(now);
         if failures == 0 {
             self.coordinator.outage_logged_at = now;
@@ -290,7 +290,7 @@
         let now = self.now();
         self.counts.polls.answered += 1;
         if self.coordinator.failures > 0 {
-            let (index, failures) = (self.coordinator.watch.last(), self.coordinator.failures);
+            let (index, failures) = (self.coordinator.watch.last_index(), self.coordinator.failures);
             let age = self.coordinator.list_age(now);
             let turned_away = self.turned_away_by_worker();
             tracing::info!(
@@ -318,10 +318,10 @@
             return self.poll_failed(PollFailure::Status(answer.status));
         }
         let settings = &self.config.settings;
-        let read = self
-            .coordinator
-            .watch
-            .read(&answer.body, poll.asked, &settings.zones, &settings.kinds);
+        let read =
+            self.coordinator
+                .watch
+                .apply_response(&answer.body, poll.asked, &settings.zones, &settings.kinds);
         match read {
             Ok(reading) => {
                 let is_confirmed = poll.is_confirmed_by(&reading, self.now());
@@ -353,7 +353,7 @@
         let applied = self
             .coordinator
             .watch
-            .take(known, &settings.zones, &settings.kinds);
+            .apply(known, &settings.zones, &settings.kinds);
         match applied {
             Ok(changes) => self.apply_changes(changes),
             Err(error) => tracing::warn!(?error, "the workers that a configuration holds are refused"),
@@ -379,18 +379,24 @@
     }
 
     fn apply_change(&mut self, change: EndpointChange) {
-        let EndpointChange { all, mut workers } = change;
-        if all {
+        let EndpointChange {
+            is_full_list,
+            mut workers,
+        } = change;
+        if is_full_list {
             keep_last_of_each(&mut workers);
             self.remove_unnamed(&workers);
         }
         let displaced = self.update_workers(&workers);
-        let kind = if all {
+        let kind = if is_full_list {
             EndpointListKind::Full
         } else {
             EndpointListKind::Changes
         };
-        let endpoints = workers.iter().map(|update| update.listed.as_endpoint()).collect();
+        let endpoints = workers
+            .iter()
+            .map(|update| update.endpoint.as_endpoint())
+            .collect();
         self.request_table.update_endpoints(self.now(), kind, endpoints);
         // Also where the worker is up again by the end of the event: what waits is not for the one that is there now.
         for (request, attempt) in displaced {
@@ -403,7 +409,7 @@
     fn remove_unnamed(&mut self, listed: &[EndpointUpdate]) {
         let named: HashSet<&str> = listed
             .iter()
-            .map(|update| update.listed.worker.as_str())
+            .map(|update| update.endpoint.worker.as_str())
             .collect();
         let gone: Vec<Rc<str>> = self
             .workers
@@ -420,12 +426,12 @@
     /// left.
     fn update_workers(&mut self, workers: &[EndpointUpdate]) -> Vec<(RequestId, u32)> {
         let mut displaced = Vec::new();
-        for EndpointUpdate { listed, address } in workers {
-            match (listed.state, address) {
+        for EndpointUpdate { endpoint, address } in workers {
+            match (endpoint.state, address) {
                 (EndpointState::Up | EndpointState::Draining, Some(address)) => {
-                    displaced.extend(self.worker_listed(&listed.worker, *address, listed.started));
+                    displaced.extend(self.worker_listed(&endpoint.worker, *address, endpoint.started));
                 }
-                (EndpointState::Gone, _) => displaced.extend(self.worker_gone(&listed.worker)),
+                (EndpointState::Gone, _) => displaced.extend(self.worker_gone(&endpoint.worker)),
                 (EndpointState::Up | EndpointState::Draining, None) => {}
             }
         }
@@ -437,5 +443,5 @@
 fn keep_last_of_each(workers: &mut Vec<EndpointUpdate>) {
     let mut named = HashSet::new();
     workers.reverse();
-    workers.retain(|update| named.insert(update.listed.worker.clone()));
+    workers.retain(|update| named.insert(update.endpoint.worker.clone()));
 }
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -14,7 +14,7 @@
 use quartzdrift_http::sockets::{SocketId, Sockets};
 use quartzdrift_http::{HasHttp, Http, HttpEvent, Limits};
 use quartzdrift_lifecycle::{Output, RequestTable};
-use quartzdrift_platform::budget::Budget;
+use quartzdrift_platform::budget::ConnectionBudget;
 use quartzdrift_platform::config::Config;
 use quartzdrift_scheduler::interface::{EndpointListKind, Outcome, RequestId};
 use std::collections::HashMap;
@@ -63,7 +63,7 @@
     /// Calls to the coordinator.
     pub(super) http: Http<Node>,
     pub(super) request_table: RequestTable<Rc<RequestContext>>,
-    pub(super) budget: Budget,
+    pub(super) budget: ConnectionBudget,
     /// Connections of clients that are open.
     pub(super) clients: usize,
     /// When a connection may have come that was left waiting to be accepted.
@@ -165,7 +165,7 @@
             sockets: Sockets::new(handle.clone(), |node| &mut node.sockets),
             http: Http::new(handle, limits),
             request_table: RequestTable::new(&config.settings, config.seed),
-            budget: Budget::of(config.sockets),
+            budget: ConnectionBudget::divide(config.max_descriptors),
             clients: 0,
             unaccepted_since: None,
             closing: Vec::new(),
@@ -183,7 +183,7 @@
             config,
         };
         node.started_at = node.now();
-        let known = node.config.known.clone();
+        let known = node.config.known_events.clone();
         node.request_table
             .update_endpoints(node.now(), EndpointListKind::Snapshot, Vec::new());
         node.apply_known(known);
@@ -440,8 +440,8 @@
             true => run::load(&self.path),
             false => Err("it is no regular file".to_owned()),
         };
-        match read.and_then(|bytes| quartzdrift_platform::config::read(&bytes)) {
-            Ok(config) => self.switch_coordinator(config.coordinator, config.known),
+        match read.and_then(|bytes| quartzdrift_platform::config::parse(&bytes)) {
+            Ok(config) => self.switch_coordinator(config.coordinator, config.known_events),
             Err(why) => tracing::warn!(why, "the new configuration cannot be read; the old one stands"),
         }
     }
--- a/crates/quartzdrift/src/platform/run.rs
+++ b/crates/quartzdrift/src/platform/run.rs
@@ -29,25 +29,25 @@
 pub(super) fn load(path: &Path) -> Result<Vec<u8>, String> {
     std::fs::File::open(path)
         .map_err(|e| e.to_string())
-        .and_then(quartzdrift_platform::config::load)
+        .and_then(quartzdrift_platform::config::read_bytes)
 }
 
 /// Serves by the configuration at `path`; `ready` is given the address that is listened at.
 fn run(path: &Path, signals: Signals, ready: impl FnOnce(SocketAddr)) -> io::Result<()> {
     let config_error = |message: &str| io::Error::other(format!("{}: {message}", path.display()));
-    let config = load(path).and_then(|bytes| quartzdrift_platform::config::read(&bytes));
+    let config = load(path).and_then(|bytes| quartzdrift_platform::config::parse(&bytes));
     let mut config = config.map_err(|e| config_error(&e))?;
     // The system may grant fewer than the configuration tells, or than is taken where it tells none.
     let granted = getrlimit(Resource::Nofile)
         .current
         .map_or(usize::MAX, |most| most as usize);
-    if granted < config.sockets {
+    if granted < config.max_descriptors {
         tracing::info!(
-            configured = config.sockets,
+            configured = config.max_descriptors,
             granted,
             "fewer descriptors than the configuration allows"
         );
-        config.sockets = granted;
+        config.max_descriptors = granted;
     }
     let mut event_loop = EventLoop::<Node>::try_new().map_err(io::Error::other)?;
     let handle = event_loop.handle();
