--- a/crates/quartzdrift-platform/src/attempt_outcome.rs
+++ b/crates/quartzdrift-platform/src/attempt_outcome.rs
@@ -1,35 +1,40 @@
-//! What each end on a worker's connection proves.
+//! Maps the end of an attempt on a worker's connection to the [`Outcome`] that the scheduler is given.
 //!
-//! | seen | may it have run? | told to the scheduler as |
+//! | end of the attempt | may the request have run? | outcome |
 //! | --- | --- | --- |
-//! | code 64 | it ran | finished |
-//! | code 66 | never | miss |
-//! | code 67 | never | full |
-//! | code 68 | it may have | error |
-//! | code 69 | never | moot |
-//! | connection refused, or not there in time | never | connect failed |
-//! | no connection left to us, on any connection | never | full |
-//! | connection reset while it came up, or ended with the command not whole on it | never | sent again on another, then moot |
-//! | connection ended, the command whole on it | it may have | reset |
-//! | bytes on it that cannot be read | it may have, all that is open on it | reset |
-//! | given up by us | it may have | cancelled or timed out, by the request table |
+//! | answer with code 64 | it ran | `Succeeded` |
+//! | answer with code 66 | no | `CacheMiss` |
+//! | answer with code 67 | no | `AtCapacity` |
+//! | answer with code 68 | it may have | `Error` |
+//! | answer with code 69 | no | `NeverSent` |
+//! | connection refused, or not established in time | no | `ConnectFailed` |
+//! | no connection may be opened, and all existing ones are full | no | `AtCapacity` |
+//! | connection reset while connecting | no | `NeverSent`, after resending |
+//! | connection lost before the whole command was sent | no | `NeverSent`, after resending |
+//! | connection lost after the whole command was sent | it may have | `Reset` |
+//! | bytes that cannot be decoded, for each attempt on the connection | it may have | `Reset` |
+//! | attempt cancelled by the scheduler | it may have | `Cancelled` or `TimedOut`, by the request table |
+//!
+//! "After resending" means that the command is first sent on other connections, a limited number of times.
 use crate::frame::AnswerCode;
 use quartzdrift_scheduler::interface::Outcome;
 
-/// How an attempt's connection ended under it.
+/// Why an attempt lost its connection, or never had one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionLoss {
-    /// Refused, or not there in time: the worker is down or cut off.
+    /// The connection was refused or not established in time: the worker is down or unreachable.
     NotConnected,
-    /// It never had one: all that we may hold are in use. For us the worker is full, and otherwise as it was.
+    /// All connections that this scheduler may hold are in use, so it treats the worker as being at capacity.
+    /// This says nothing else about the worker.
     NoConnectionLeft,
-    /// Not the whole command had left: no worker can have read it.
+    /// The connection was lost before the whole command was sent, so the worker cannot have executed it.
     NotSent,
-    /// The whole command had left.
+    /// The connection was lost after the whole command was sent.
     Sent,
 }
 
-/// What an answer proves; `None` for one that speaks of the connection alone.
+/// The outcome that an answer reports; `None` for [`AnswerCode::Alive`], which answers a ping and ends no
+/// attempt.
 pub fn from_answer(code: AnswerCode) -> Option<Outcome> {
     match code {
         AnswerCode::Succeeded => Some(Outcome::Succeeded),
@@ -41,12 +46,12 @@
     }
 }
 
-/// What the end of a connection proves of an attempt on it.
-pub fn from_loss(how: ConnectionLoss) -> Outcome {
-    match how {
+/// The outcome of an attempt whose connection was lost.
+pub fn from_loss(loss: ConnectionLoss) -> Outcome {
+    match loss {
         ConnectionLoss::NotConnected => Outcome::ConnectFailed,
         ConnectionLoss::NoConnectionLeft => Outcome::AtCapacity,
-        // The worker took the connection, so it is not down.
+        // Not `ConnectFailed`: the worker accepted the connection, so it is not down.
         ConnectionLoss::NotSent => Outcome::NeverSent,
         ConnectionLoss::Sent => Outcome::Reset,
     }
--- a/crates/quartzdrift-platform/src/attempt_outcome/tests.rs
+++ b/crates/quartzdrift-platform/src/attempt_outcome/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn only_what_cannot_have_run_is_told_as_such() {
-    let harmless = [
+fn only_attempts_that_cannot_have_run_get_such_an_outcome() {
+    let not_executed = [
         Outcome::CacheMiss,
         Outcome::AtCapacity,
         Outcome::NeverSent,
@@ -14,7 +14,7 @@
         AnswerCode::AlreadyConcluded,
     ] {
         assert!(
-            from_answer(code).is_some_and(|outcome| harmless.contains(&outcome)),
+            from_answer(code).is_some_and(|outcome| not_executed.contains(&outcome)),
             "{code:?}"
         );
     }
--- a/crates/quartzdrift-platform/src/budget.rs
+++ b/crates/quartzdrift-platform/src/budget.rs
@@ -1,27 +1,27 @@
-//! Divides the descriptors of the process between connections of clients and connections to workers.
+//! Divides the file descriptors of the process between connections from clients and connections to workers.
 
-/// Descriptors of the event loop, signals, log, listener and coordinator, with room for those that close slowly.
-const RESERVE: usize = 24;
-/// Smallest number for either side: with fewer nothing can be served.
-const MIN_SIDE: usize = 8;
+/// Descriptors for the event loop, signals, log, listener and coordinator, and for sockets that close slowly.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Fewest connections for clients and for workers each; with fewer, no request can be served.
+const MIN_CONNECTIONS: usize = 8;
 
-/// Largest numbers of connections.
+/// Largest numbers of open connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionBudget {
-    /// Connections of clients; well-behaved ones hold at most a third of all descriptors.
+    /// Connections from clients. Well-behaved clients hold at most a third of all descriptors.
     pub clients: usize,
     /// Connections to workers.
     pub workers: usize,
 }
 
 impl ConnectionBudget {
-    /// The division of `sockets` descriptors.
-    pub fn divide(sockets: usize) -> ConnectionBudget {
-        let shared = sockets.saturating_sub(RESERVE);
-        let clients = (shared / 2).max(MIN_SIDE);
+    /// Divides `descriptors` evenly, after subtracting the reserved ones.
+    pub fn divide(descriptors: usize) -> ConnectionBudget {
+        let shared = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
+        let clients = (shared / 2).max(MIN_CONNECTIONS);
         ConnectionBudget {
             clients,
-            workers: shared.saturating_sub(clients).max(MIN_SIDE),
+            workers: shared.saturating_sub(clients).max(MIN_CONNECTIONS),
         }
     }
 }
--- a/crates/quartzdrift-platform/src/config.rs
+++ b/crates/quartzdrift-platform/src/config.rs
@@ -1,16 +1,16 @@
-//! The configuration file that the platform gives a scheduler (`GW_CONFIG`).
+//! Parses the configuration file that the platform gives a scheduler (`GW_CONFIG`).
 use crate::coordinator::{ENDPOINT_LEASE, WatchResponse};
 use serde::Deserialize;
 use serde_json::Value;
 use std::io::Read as _;
 use std::net::SocketAddr;
 
-/// Descriptors where the configuration states no limit.
+/// Limit of open file descriptors if the configuration states none.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
-/// Largest accepted configuration, in bytes; the list of the largest fleet takes far less.
+/// Largest accepted configuration, in bytes; the worker list of the largest cluster takes far less.
 pub const MAX_BYTES: u64 = 64 << 20;
 
-/// Limits of the process, where they are stated.
+/// Resource limits of the process; `None` where the configuration states none.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
     /// Processor cores.
@@ -19,11 +19,12 @@
     /// Memory, in megabytes.
     #[serde(default)]
     pub memory_mb: Option<f64>,
-    /// Open descriptors.
+    /// Open file descriptors.
     #[serde(default)]
     pub sockets: Option<usize>,
 }
 
+/// The configuration as the file holds it.
 #[derive(Clone, Debug, Deserialize)]
 struct ConfigFile {
     name: String,
@@ -38,26 +39,26 @@
     settings: Value,
 }
 
-/// A configuration that was read whole.
+/// Configuration of a scheduler.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of the scheduler, for its log.
     pub name: String,
-    /// Address at which clients are accepted; port 0 takes a free one.
+    /// Address on which the scheduler accepts clients; with port 0 the system chooses a free port.
     pub listen: SocketAddr,
-    /// Seed of all random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Descriptors that the process may have open.
+    /// File descriptors that the process may have open.
     pub max_descriptors: usize,
     /// Address of the coordinator whose events are followed.
     pub coordinator: SocketAddr,
-    /// Events of the coordinator that are known already.
+    /// Events of the coordinator up to the time when the configuration was written.
     pub known_events: WatchResponse,
     /// Settings of the scheduler.
     pub settings: quartzdrift_scheduler::interface::Settings,
 }
 
-/// Hexadecimal text or a number; anything else is 0.
+/// The seed as a number, given as hexadecimal text or as a number; 0 for any other value.
 fn seed(value: &Value) -> u64 {
     match value {
         Value::String(hex) => u64::from_str_radix(hex, 16).unwrap_or(0),
@@ -65,25 +66,28 @@
     }
 }
 
-/// Reads a configuration's bytes.
+/// Reads the bytes of a configuration.
 ///
 /// # Errors
-/// It cannot be read, or is larger than [`MAX_BYTES`].
-pub fn read_bytes(from: impl std::io::Read) -> Result<Vec<u8>, String> {
+/// The source cannot be read or has more than [`MAX_BYTES`] bytes.
+pub fn read_bytes(source: impl std::io::Read) -> Result<Vec<u8>, String> {
     let mut bytes = Vec::new();
-    from.take(MAX_BYTES + 1)
+    source
+        .take(MAX_BYTES + 1)
         .read_to_end(&mut bytes)
         .map_err(|e| e.to_string())?;
     if bytes.len() as u64 > MAX_BYTES {
-        return Err(format!("it has more than {MAX_BYTES} bytes"));
+        return Err(format!(
+            "the configuration has more than the allowed {MAX_BYTES} bytes"
+        ));
     }
     Ok(bytes)
 }
 
-/// Reads a configuration.
+/// Parses a configuration.
 ///
 /// # Errors
-/// One line that says what is wrong with it.
+/// The configuration is invalid; the text is one line that names the problem.
 pub fn parse(bytes: &[u8]) -> Result<Config, String> {
     let file: ConfigFile = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
     let mut settings = crate::settings::read(&file.settings)?;
--- a/crates/quartzdrift-platform/src/connection_choice.rs
+++ b/crates/quartzdrift-platform/src/connection_choice.rs
@@ -1,56 +1,61 @@
-//! Which connection to a worker carries an attempt.
+//! Chooses the connection to a worker that carries an attempt.
 //!
-//! Whatever spoils a connection puts all that is open on it in doubt, so each attempt has one to itself while
-//! descriptors last; beyond that they are shared, the least used one first.
+//! When a connection breaks, the outcome of every attempt on it is uncertain. Each attempt therefore gets a
+//! connection of its own while descriptors last; after that, attempts share connections, the least used one
+//! first.
 use std::time::Duration;
 
-/// For so long a connection that has just worked is taken to work. Hosts, and whatever is between them, forget idle
-/// connections sooner than they say, and a command written to one of those is in doubt, not refused: a question
-/// that can run nothing is cheaper.
+/// A connection that has been idle for this time or longer is pinged before it carries a command.
+///
+/// Hosts and middleboxes drop idle connections sooner than they announce. A command sent on a dropped
+/// connection may or may not have run, so a ping, which runs nothing, is the cheaper way to find out.
 pub const MAX_UNVERIFIED_IDLE: Duration = Duration::from_millis(20);
 
-/// Whether a connection that has been idle for so long must prove that it works before it carries a command.
+/// Whether a connection must be pinged before it carries a command, given how long it has been idle.
 pub fn needs_verification(idle: Duration) -> bool {
     idle >= MAX_UNVERIFIED_IDLE
 }
 
-/// A connection as the choice sees it.
+/// State of a connection to a worker, as [`choose`] needs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionState {
-    /// Attempts open on it.
+    /// Number of open attempts on the connection.
     pub open_attempts: usize,
-    /// It has come up.
+    /// Whether the connection is established.
     pub is_up: bool,
 }
 
-/// Where an attempt goes.
+/// The connection that carries an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionChoice {
-    /// The connection at this place.
+    /// The existing connection with this index.
     Use(usize),
     /// A new connection.
     Connect,
-    /// All are full, and none may be added.
+    /// No connection: each existing one is full, and no other may be opened.
     Full,
 }
 
-/// Chooses among a worker's connections. `streams`: attempts that one carries at most; `may_connect`: a descriptor is
-/// left for one more, or can be won; asked only where a new connection is wanted.
+/// Chooses among the connections to a worker.
+///
+/// A connection carries at most `max_streams` attempts. `may_connect` returns whether a descriptor is free,
+/// or can be freed, for another connection; it may close an idle connection to do so, and is called only if a
+/// new connection is wanted.
 pub fn choose(
     connections: &[ConnectionState],
-    streams: usize,
+    max_streams: usize,
     may_connect: impl FnOnce() -> bool,
 ) -> ConnectionChoice {
-    let free = connections
+    let available = connections
         .iter()
         .enumerate()
-        .filter(|(_, connection)| connection.open_attempts < streams);
-    // Of equally used ones the one that is up, so that nobody waits for a handshake without need.
-    match free.min_by_key(|(_, connection)| (connection.open_attempts, !connection.is_up)) {
-        Some((at, connection)) if connection.open_attempts == 0 => ConnectionChoice::Use(at),
+        .filter(|(_, connection)| connection.open_attempts < max_streams);
+    // Among equally used connections an established one is preferred, since it needs no handshake.
+    match available.min_by_key(|(_, connection)| (connection.open_attempts, !connection.is_up)) {
+        Some((index, connection)) if connection.open_attempts == 0 => ConnectionChoice::Use(index),
         least_used => match (may_connect(), least_used) {
             (true, _) => ConnectionChoice::Connect,
-            (false, Some((at, _))) => ConnectionChoice::Use(at),
+            (false, Some((index, _))) => ConnectionChoice::Use(index),
             (false, None) => ConnectionChoice::Full,
         },
     }
--- a/crates/quartzdrift-platform/src/connection_choice/tests.rs
+++ b/crates/quartzdrift-platform/src/connection_choice/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_has_its_own_while_descriptors_last() {
+fn attempts_share_a_connection_only_when_no_descriptor_is_left() {
     let connection = |open_attempts, is_up| ConnectionState { open_attempts, is_up };
     assert_eq!(choose(&[], 32, || true), ConnectionChoice::Connect);
     assert_eq!(
@@ -24,10 +24,10 @@
         choose(&[connection(32, true)], 32, || false),
         ConnectionChoice::Full
     );
-    // Nobody gives up a connection for a worker that has an idle one.
-    let asked = || panic!("room is asked for without need");
+    // A worker with an idle connection takes no descriptor from another worker.
+    let may_connect = || panic!("a descriptor was requested although a connection is idle");
     assert_eq!(
-        choose(&[connection(1, true), connection(0, true)], 32, asked),
+        choose(&[connection(1, true), connection(0, true)], 32, may_connect),
         ConnectionChoice::Use(1)
     );
 }
--- a/crates/quartzdrift-platform/src/coordinator.rs
+++ b/crates/quartzdrift-platform/src/coordinator.rs
@@ -1,6 +1,6 @@
-//! Reads the coordinator's numbered events, which make up the list of workers.
+//! Applies the coordinator's numbered events to the list of workers.
 //!
-//! A worker is identified by its uid alone: another worker may later use the same address.
+//! A worker is identified by its uid alone, since another worker may later use the same address.
 use quartzdrift_discovery::DiscoveredEndpoint;
 use quartzdrift_scheduler::interface::EndpointState;
 use serde::Deserialize;
@@ -9,38 +9,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the coordinator would have told counts as told so long after its connections break, at the earliest that the protocol
-/// names; a silence and a new configuration leave more time.
+/// How long the list of workers holds after the last time when it was known to be current.
+///
+/// The protocol treats the events of an unreachable coordinator as known to the scheduler after a delay. This
+/// is the shortest such delay, which starts when the coordinator's connections break. The delays for a
+/// coordinator that stays silent and for a new configuration are longer.
 pub const ENDPOINT_LEASE: Duration = Duration::from_secs(2);
-/// Most workers that one event may name; a fleet is far smaller.
+/// Most workers that one event may name; a cluster is far smaller.
 pub const MAX_WORKERS_PER_EVENT: usize = 100_000;
 
-/// The coordinator's answer to a poll, or the events that a configuration holds.
+/// The coordinator's answer to a poll, or the events in a configuration.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct WatchResponse {
-    /// Index of the coordinator's last event; `None` where it is not stated.
+    /// Index of the coordinator's last event; `None` if it is not stated.
     #[serde(default)]
     pub index: Option<u64>,
     #[serde(default)]
-    updates: Vec<Update>,
+    updates: Vec<CoordinatorEvent>,
 }
 
+/// An event of the coordinator; one without `endpoints` does not concern the list of workers.
 #[derive(Clone, Debug, Deserialize)]
-struct Update {
+struct CoordinatorEvent {
     index: u64,
-    endpoints: Option<Endpoints>,
+    endpoints: Option<EndpointsEvent>,
+}
+
+impl CoordinatorEvent {
+    /// Whether the event holds the whole list of workers, so that it can be applied without the events before
+    /// it.
+    fn is_full_list(&self) -> bool {
+        self.endpoints.as_ref().is_some_and(|endpoints| endpoints.all)
+    }
 }
 
+/// The whole list of workers (`all`), or changes to it.
 #[derive(Clone, Debug, Deserialize)]
-struct Endpoints {
+struct EndpointsEvent {
     #[serde(default)]
     all: bool,
     #[serde(default)]
-    targets: Vec<Target>,
+    targets: Vec<WorkerEntry>,
 }
 
+/// A worker in an event.
 #[derive(Clone, Debug, Deserialize)]
-struct Target {
+struct WorkerEntry {
     uid: String,
     endpoint: Option<SocketAddr>,
     #[serde(default)]
@@ -54,49 +68,50 @@
     boot_ms: Option<f64>,
 }
 
-/// What an event says of one worker.
+/// State and address of a worker, as an event gives them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
-    /// The worker, named by its uid.
+    /// The worker, identified by its uid.
     pub endpoint: DiscoveredEndpoint,
-    /// Its address; `None` where none is stated.
+    /// Address of the worker; `None` if the event states none.
     pub address: Option<SocketAddr>,
 }
 
-/// The changes that one event makes.
+/// Changes that one event makes to the list of workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointChange {
-    /// The event holds the whole list: workers that it does not name have left.
+    /// Whether the event holds the whole list; workers that it does not name are removed then.
     pub is_full_list: bool,
-    /// The workers that it names, in its order.
+    /// Workers that the event names, in its order.
     pub workers: Vec<EndpointUpdate>,
 }
 
-/// What an answer says.
+/// Result of applying the coordinator's answer to a poll.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedResponse {
-    /// The changes that it makes, in order.
+    /// Changes to the list of workers, in order.
     pub changes: Vec<EndpointChange>,
-    /// It holds all events from the one that was asked for to the coordinator's last, and nothing else: with its changes the
-    /// list is what the coordinator had when it answered.
+    /// Whether the answer holds exactly the events from the first one that the poll requested to the
+    /// coordinator's last one. With `changes` applied, the list is then the one that the coordinator had when
+    /// it answered.
     pub is_current: bool,
-    /// It brings no event, neither a new nor a known one.
+    /// Whether the answer holds no event at all, neither a new one nor one that was already applied.
     pub is_empty: bool,
 }
 
-/// Why an answer is refused. The list of workers stays as it is.
+/// Why an answer of the coordinator is rejected. The list of workers does not change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchError {
-    /// It is not of the protocol's form.
+    /// The answer is not valid in the protocol; the text names the problem.
     Unreadable(String),
-    /// Events between the last applied one and the first that came are missing.
+    /// The answer holds a change to the list, but not the event before that change.
     Gap {
-        /// Index of the last applied event.
+        /// Index of the last event before the gap.
         have: u64,
-        /// Index of the first event that came.
+        /// Index of the event after the gap.
         got: u64,
     },
-    /// The coordinator knows fewer events than were applied; indexes do not start over while a scheduler runs.
+    /// The coordinator has fewer events than were applied. Indexes do not restart while a scheduler runs.
     Stale {
         /// Index of the last applied event.
         have: u64,
@@ -105,70 +120,73 @@
     },
 }
 
-/// Follows the coordinator's events; remembers the last one that was applied.
+/// Applies the coordinator's events in order, each one once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointWatch {
-    last: u64,
+    last_index: u64,
 }
 
-/// Numbers of places that the settings do not list begin here; a list of names is far shorter.
-const FIRST_UNLISTED_PLACE: u32 = 1 << 16;
+/// First location number for locations that the settings do not list; the lists in the settings are far
+/// shorter.
+const FIRST_UNLISTED_LOCATION: u32 = 1 << 16;
 
-/// The number of a place (a zone, or a group of workers) that an event gives by name or number.
+/// The number of a location (a zone or a pod group), which an event gives as a name or as a number.
 ///
-/// A name that the settings do not list is a place apart from the listed ones, the same for the same name. Where no place is
-/// stated, the worker `uid` is in a place of its own, so that rules that hold within a place bind most.
-fn place(value: &Value, names: &[String], uid: &str) -> u32 {
-    let known =
-        |at: &u64| *at < u64::from(FIRST_UNLISTED_PLACE) && (names.is_empty() || *at < names.len() as u64);
-    let resolved = match value {
+/// Each name that is not in `names` gets a number of its own above the listed ones, the same number each
+/// time. A worker without a location gets a location of its own, derived from `uid`: rules that hold within
+/// one location are then strictest for it.
+fn location_number(value: &Value, names: &[String], uid: &str) -> u32 {
+    let is_listed = |number: &u64| {
+        *number < u64::from(FIRST_UNLISTED_LOCATION) && (names.is_empty() || *number < names.len() as u64)
+    };
+    let listed_number = match value {
         Value::String(name) => names
             .iter()
-            .position(|known| known == name)
-            .map(|at| at as u64)
+            .position(|listed| listed == name)
+            .map(|index| index as u64)
             .ok_or(name.clone()),
         Value::Null => Err(format!("of {uid}")),
-        other => other.as_u64().filter(known).ok_or(other.to_string()),
+        other => other.as_u64().filter(is_listed).ok_or(other.to_string()),
     };
-    match resolved {
-        Ok(at) => at as u32,
-        Err(name) => {
+    match listed_number {
+        Ok(number) => number as u32,
+        Err(unlisted_name) => {
             let mut hasher = DefaultHasher::new();
-            name.hash(&mut hasher);
-            FIRST_UNLISTED_PLACE | hasher.finish() as u32
+            unlisted_name.hash(&mut hasher);
+            FIRST_UNLISTED_LOCATION | hasher.finish() as u32
         }
     }
 }
 
-/// The number of a kind of machine. All kinds that the settings do not list are one more kind, since only measurements
-/// tell them apart.
-fn kind(value: &Value, names: &[String]) -> u32 {
-    let most = if names.is_empty() {
-        FIRST_UNLISTED_PLACE
+/// The number of a machine kind. All kinds that the settings do not list share one further number, since only
+/// measurements can distinguish them.
+fn machine_kind(value: &Value, names: &[String]) -> u32 {
+    let unlisted_kind = if names.is_empty() {
+        FIRST_UNLISTED_LOCATION
     } else {
         names.len() as u32
     };
     match value {
         Value::Null => 0,
-        _ => place(value, names, "").min(most),
+        _ => location_number(value, names, "").min(unlisted_kind),
     }
 }
 
-impl Target {
-    fn resolved(self, zones: &[String], kinds: &[String]) -> EndpointUpdate {
+impl WorkerEntry {
+    fn into_update(self, zones: &[String], kinds: &[String]) -> EndpointUpdate {
         let state = match self.state.as_str() {
             "Ready" => EndpointState::Up,
             "Gone" => EndpointState::Gone,
-            // A worker in an unknown state gets nothing new.
+            // A worker in an unknown state gets no new requests.
             _ => EndpointState::Draining,
         };
-        let boot = self.boot_ms.filter(|ms| ms.is_finite() && *ms > 0.0);
+        let boot_ms = self.boot_ms.filter(|ms| ms.is_finite() && *ms > 0.0);
         let endpoint = DiscoveredEndpoint {
             capacity: self.capacity_hint,
-            cell: place(&self.pod_group, &[], &self.uid),
-            kind: kind(&self.model, kinds),
-            zone: place(&self.az, zones, &self.uid),
-            started: boot.and_then(|ms| Duration::try_from_secs_f64(ms / 1e3).ok()),
+            cell: location_number(&self.pod_group, &[], &self.uid),
+            kind: machine_kind(&self.model, kinds),
+            zone: location_number(&self.az, zones, &self.uid),
+            started: boot_ms.and_then(|ms| Duration::try_from_secs_f64(ms / 1e3).ok()),
             worker: self.uid,
             state,
         };
@@ -179,107 +197,112 @@
     }
 }
 
-/// Whether an answer holds each event behind the one numbered `asked`, up to the last one that it names. An event with the
-/// whole list stands for those before it.
-fn is_complete(response: &WatchResponse, asked: u64) -> bool {
-    let mut last = asked;
-    for update in &response.updates {
-        let whole = update.endpoints.as_ref().is_some_and(|endpoints| endpoints.all);
-        let follows = update.index == last + 1 || whole && update.index > last;
-        if !follows {
+/// Whether an answer holds every event after the one with the index `follow_from`, up to the coordinator's
+/// last one. An event with the whole list replaces those before it.
+fn is_complete(response: &WatchResponse, follow_from: u64) -> bool {
+    let mut last = follow_from;
+    for event in &response.updates {
+        let follows_last = event.index == last + 1 || event.is_full_list() && event.index > last;
+        if !follows_last {
             return false;
         }
-        last = update.index;
+        last = event.index;
     }
     response.index == Some(last)
 }
 
 impl EndpointWatch {
-    /// Index of the last applied event, to follow from.
+    /// Index of the last applied event. The next poll follows from it.
     pub fn last_index(&self) -> u64 {
-        self.last
+        self.last_index
     }
 
-    /// Index of the event before the last applied one: following from there has the coordinator tell the last one again, at
-    /// once, which shows that it is there and has the same events.
+    /// Index of the event before the last applied one.
+    ///
+    /// The coordinator answers a poll that follows from there at once, with the last applied event. The
+    /// answer shows that the coordinator is reachable and has the same events.
     pub fn index_before_last(&self) -> u64 {
-        self.last.saturating_sub(1)
+        self.last_index.saturating_sub(1)
     }
 
-    /// Reads and applies the coordinator's answer to a poll that followed from the event numbered `asked`; see
-    /// [`EndpointWatch::apply`].
+    /// Applies the coordinator's answer to a poll that followed from the event with the index `follow_from`;
+    /// see [`EndpointWatch::apply`].
     ///
     /// # Errors
-    /// It cannot be read, has a gap, or is older than what was applied; nothing of it is applied.
+    /// The answer cannot be decoded, has a gap, or is older than the applied events; none of it is applied.
     pub fn apply_response(
         &mut self,
         body: &[u8],
-        asked: u64,
+        follow_from: u64,
         zones: &[String],
         kinds: &[String],
     ) -> Result<AppliedResponse, WatchError> {
         let response: WatchResponse =
             serde_json::from_slice(body).map_err(|e| WatchError::Unreadable(e.to_string()))?;
-        let (have, got) = (self.last, response.index.unwrap_or(u64::MAX));
-        let is_complete = is_complete(&response, asked);
+        let (have, got) = (self.last_index, response.index.unwrap_or(u64::MAX));
+        let is_complete = is_complete(&response, follow_from);
         let is_empty = response.updates.is_empty();
         let changes = self.apply(response, zones, kinds)?;
-        if self.last == have && got < have {
+        if self.last_index == have && got < have {
             Err(WatchError::Stale { have, got })
         } else {
             Ok(AppliedResponse {
                 changes,
-                is_current: is_complete && self.last == got,
+                is_current: is_complete && self.last_index == got,
                 is_empty,
             })
         }
     }
 
-    /// Applies events and returns what they change. Events that were applied already are skipped.
+    /// Applies events and returns the changes that they make. Events that were applied before are skipped.
     ///
     /// # Errors
-    /// An event is missing, and what follows it only holds changes; nothing is applied.
+    /// An event names too many workers, or an event is missing and the next one does not hold the whole list;
+    /// no event is applied.
     pub fn apply(
         &mut self,
         response: WatchResponse,
         zones: &[String],
         kinds: &[String],
     ) -> Result<Vec<EndpointChange>, WatchError> {
-        let (mut last, mut changes) = (self.last, Vec::new());
-        for update in response.updates {
-            let whole = update.endpoints.as_ref().is_some_and(|endpoints| endpoints.all);
-            if update.index <= last {
+        let (mut last, mut changes) = (self.last_index, Vec::new());
+        for event in response.updates {
+            let index = event.index;
+            if index <= last {
                 continue;
             }
-            if update.index > last + 1 && !whole {
+            if index > last + 1 && !event.is_full_list() {
                 return Err(WatchError::Gap {
                     have: last,
-                    got: update.index,
+                    got: index,
                 });
             }
-            last = update.index;
-            let Some(Endpoints { all, targets }) = update.endpoints else {
+            last = index;
+            let Some(EndpointsEvent { all, targets }) = event.endpoints else {
                 continue;
             };
             if targets.len() > MAX_WORKERS_PER_EVENT {
-                return Err(WatchError::Unreadable("too many workers in an event".to_owned()));
+                return Err(WatchError::Unreadable(format!(
+                    "event {index} names {} workers, the limit is {MAX_WORKERS_PER_EVENT}",
+                    targets.len()
+                )));
             }
             let workers = targets
                 .into_iter()
-                .map(|target| target.resolved(zones, kinds))
+                .map(|entry| entry.into_update(zones, kinds))
                 .collect();
             changes.push(EndpointChange {
                 is_full_list: all,
                 workers,
             });
         }
-        self.last = last;
+        self.last_index = last;
         Ok(changes)
     }
 
-    /// Follows from the first event again, which carries the whole list.
+    /// Makes the next poll follow from the start; the coordinator answers with the whole list.
     pub fn restart(&mut self) {
-        self.last = 0;
+        self.last_index = 0;
     }
 }
 
--- a/crates/quartzdrift-platform/src/frame.rs
+++ b/crates/quartzdrift-platform/src/frame.rs
@@ -1,47 +1,50 @@
-//! Frames between schedulers and workers: sixteen bytes of head, fields, body, check.
+//! Encodes and decodes frames between schedulers and workers: a header of 16 bytes, fields, body, checksum.
 //!
-//! `mark:1 code:1 fields:2 body:4 id:8`, numbers big-endian; the check is the CRC-32 (IEEE) of fields and body.
+//! The header is `magic:1 code:1 fields:2 body:4 id:8`, with lengths in bytes and big-endian numbers. The
+//! checksum is the CRC-32 (IEEE) of fields and body.
 
 /// First byte of a frame from a scheduler.
 pub const FROM_SCHEDULER: u8 = 192;
 /// First byte of a frame from a worker.
 pub const FROM_WORKER: u8 = 193;
 
-/// Bytes of a frame's head.
+/// Length of a frame's header, in bytes.
 pub const HEADER_BYTES: usize = 16;
-/// Bytes of a frame's checksum.
+/// Length of a frame's checksum, in bytes.
 pub const CHECKSUM_BYTES: usize = 4;
-/// Largest fields of an answer, in bytes; a frame that claims more is refused from its head.
+/// Longest fields of an answer, in bytes. A frame whose header states more is rejected without waiting for
+/// the rest.
 pub const MAX_FIELDS_BYTES: usize = 4 << 10;
-/// Largest body of an answer, in bytes; a frame that claims more is refused from its head.
+/// Longest body of an answer, in bytes. A frame whose header states more is rejected without waiting for the
+/// rest.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// Code of a command: run a request.
+/// Code of the command to execute a request.
 pub const EXECUTE: u8 = 48;
-/// Code of a command: nobody waits for a request any more.
+/// Code of the command to cancel a request, for which no client waits any more.
 pub const CANCEL: u8 = 49;
-/// Code of a command: answer if this connection works.
+/// Code of the command to answer with [`AnswerCode::Alive`], which shows that the connection works.
 pub const PING: u8 = 50;
 
-/// What a worker says.
+/// Result that a worker's answer reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerCode {
-    /// The request ran; the body is its answer.
+    /// The request was executed; the body is its response.
     Succeeded,
-    /// The function is not loaded and was not loaded for the request.
+    /// The worker has not loaded the function and did not load it for the request, which was not executed.
     CacheMiss,
-    /// The worker is at capacity; nothing ran.
+    /// The worker is at capacity; the request was not executed.
     AtCapacity,
-    /// The request failed and may have run.
+    /// The request failed and may have been executed.
     Error,
-    /// The request was concluded already; nothing ran.
+    /// The request was concluded before; this attempt executed nothing.
     AlreadyConcluded,
-    /// The connection works.
+    /// Answer to a [`PING`]: the connection works.
     Alive,
 }
 
 impl AnswerCode {
-    fn read(code: u8) -> Option<AnswerCode> {
+    fn from_byte(code: u8) -> Option<AnswerCode> {
         Some(match code {
             64 => AnswerCode::Succeeded,
             66 => AnswerCode::CacheMiss,
@@ -54,42 +57,45 @@
     }
 }
 
-/// A worker's answer, in the bytes that it came in.
+/// A worker's answer, borrowed from the received bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer<'a> {
-    /// What the worker says.
+    /// Result that the worker reports.
     pub code: AnswerCode,
-    /// Id of the request that it is about.
+    /// Id of the request that the answer is for.
     pub request_id: u64,
     /// `name=value` pairs separated by commas.
     pub fields: &'a [u8],
-    /// The answer itself.
+    /// Body of the response for the client.
     pub body: &'a [u8],
-    /// Bytes of the whole frame.
+    /// Length of the whole frame, in bytes.
     pub frame_bytes: usize,
 }
 
-/// Bytes that are no answer: where the next one begins is not known, so the connection is of no further use.
+/// Why received bytes are not an answer. The start of the next frame is unknown then, so the connection
+/// cannot be used any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The first byte is not that of a worker's frame.
+    /// The first byte, given here, is not [`FROM_WORKER`].
     Magic(u8),
-    /// The code is unknown.
+    /// The code, given here, is unknown.
     Code(u8),
-    /// Longer than any answer may be.
+    /// The header states longer fields or a longer body than allowed; the value is the sum of both lengths,
+    /// in bytes.
     Length(u64),
-    /// The checksum does not fit.
+    /// The checksum does not match the fields and the body.
     Check,
 }
 
-fn number<const N: usize>(bytes: &[u8], at: usize) -> Option<[u8; N]> {
-    bytes.get(at..at + N)?.try_into().ok()
+/// The `N` bytes at `offset`; `None` if they have not all been received.
+fn bytes_at<const N: usize>(bytes: &[u8], offset: usize) -> Option<[u8; N]> {
+    bytes.get(offset..offset + N)?.try_into().ok()
 }
 
-/// Reads the first answer in `bytes`; `None` while it is not complete.
+/// Reads the first answer in `bytes`; `None` while it is incomplete.
 ///
 /// # Errors
-/// The bytes are no answer; what the head already shows to be wrong is refused at once.
+/// The bytes are not an answer. A wrong header is rejected as soon as the wrong value has been received.
 pub fn read(bytes: &[u8]) -> Result<Option<Answer<'_>>, FrameError> {
     let Some(&magic) = bytes.first() else {
         return Ok(None);
@@ -100,46 +106,49 @@
     let Some(&code) = bytes.get(1) else {
         return Ok(None);
     };
-    let code = AnswerCode::read(code).ok_or(FrameError::Code(code))?;
-    let (Some(fields), Some(body), Some(request_id)) = (number(bytes, 2), number(bytes, 4), number(bytes, 8))
+    let code = AnswerCode::from_byte(code).ok_or(FrameError::Code(code))?;
+    let (Some(fields_length), Some(body_length), Some(request_id)) =
+        (bytes_at(bytes, 2), bytes_at(bytes, 4), bytes_at(bytes, 8))
     else {
         return Ok(None);
     };
-    let (fields, body) = (
-        usize::from(u16::from_be_bytes(fields)),
-        u32::from_be_bytes(body) as usize,
-    );
-    if fields > MAX_FIELDS_BYTES || body > MAX_BODY_BYTES {
-        return Err(FrameError::Length((fields + body) as u64));
+    let fields_length = usize::from(u16::from_be_bytes(fields_length));
+    let body_length = u32::from_be_bytes(body_length) as usize;
+    if fields_length > MAX_FIELDS_BYTES || body_length > MAX_BODY_BYTES {
+        return Err(FrameError::Length((fields_length + body_length) as u64));
     }
-    let (mid, end) = (HEADER_BYTES + fields, HEADER_BYTES + fields + body);
-    let Some(check) = number(bytes, end) else {
+    let body_start = HEADER_BYTES + fields_length;
+    let body_end = body_start + body_length;
+    let Some(checksum) = bytes_at(bytes, body_end) else {
         return Ok(None);
     };
-    if crc32fast::hash(&bytes[HEADER_BYTES..end]) != u32::from_be_bytes(check) {
+    if crc32fast::hash(&bytes[HEADER_BYTES..body_end]) != u32::from_be_bytes(checksum) {
         return Err(FrameError::Check);
     }
     Ok(Some(Answer {
         code,
         request_id: u64::from_be_bytes(request_id),
-        fields: &bytes[HEADER_BYTES..mid],
-        body: &bytes[mid..end],
-        frame_bytes: end + CHECKSUM_BYTES,
+        fields: &bytes[HEADER_BYTES..body_start],
+        body: &bytes[body_start..body_end],
+        frame_bytes: body_end + CHECKSUM_BYTES,
     }))
 }
 
-/// Writes a frame. The caller's fields and body are within the bounds that it checked at its own door.
-pub fn write(out: &mut Vec<u8>, magic: u8, code: u8, id: u64, fields: &[u8], body: &[u8]) {
+/// Appends a frame to `out`.
+///
+/// The caller has checked the sizes: the header has 16 bits for the length of `fields` and 32 bits for that
+/// of `body`.
+pub fn write(out: &mut Vec<u8>, magic: u8, code: u8, request_id: u64, fields: &[u8], body: &[u8]) {
     out.reserve(HEADER_BYTES + fields.len() + body.len() + CHECKSUM_BYTES);
     out.extend_from_slice(&[magic, code]);
     out.extend_from_slice(&(fields.len() as u16).to_be_bytes());
     out.extend_from_slice(&(body.len() as u32).to_be_bytes());
-    out.extend_from_slice(&id.to_be_bytes());
-    let from = out.len();
+    out.extend_from_slice(&request_id.to_be_bytes());
+    let fields_start = out.len();
     out.extend_from_slice(fields);
     out.extend_from_slice(body);
-    let check = crc32fast::hash(&out[from..]);
-    out.extend_from_slice(&check.to_be_bytes());
+    let checksum = crc32fast::hash(&out[fields_start..]);
+    out.extend_from_slice(&checksum.to_be_bytes());
 }
 
 #[cfg(test)]
--- a/crates/quartzdrift-platform/src/lib.rs
+++ b/crates/quartzdrift-platform/src/lib.rs
@@ -1,13 +1,13 @@
-//! The protocol of the operators' platform. No I/O, no clock.
+//! The protocol of the platform that runs the schedulers. Does no I/O and reads no clock.
 //!
-//! * [`frame`]: what schedulers and workers send each other.
-//! * [`request_fields`]: a client's fields, read and checked before anything reaches a worker.
-//! * [`report`]: load reports of workers.
-//! * [`attempt_outcome`]: what each end on a worker's connection proves.
-//! * [`connection_choice`]: which connection to a worker carries an attempt.
-//! * [`config`], [`settings`]: what a scheduler is told at its start.
-//! * [`coordinator`]: the list of workers, event by event.
-//! * [`budget`]: who may hold how many descriptors.
+//! * [`frame`]: encodes and decodes frames between schedulers and workers.
+//! * [`request_fields`]: validates the fields of a client's request before anything is sent to a worker.
+//! * [`report`]: parses load reports of workers.
+//! * [`attempt_outcome`]: maps answers and lost connections to outcomes of attempts.
+//! * [`connection_choice`]: chooses the connection to a worker that carries an attempt.
+//! * [`config`], [`settings`]: parse the configuration and the settings of a scheduler.
+//! * [`coordinator`]: applies the coordinator's events to the list of workers.
+//! * [`budget`]: divides the file descriptors between connections to clients and to workers.
 pub mod attempt_outcome;
 pub mod budget;
 pub mod config;
--- a/crates/quartzdrift-platform/src/report.rs
+++ b/crates/quartzdrift-platform/src/report.rs
@@ -1,8 +1,8 @@
-//! Load reports of workers: `report=queue:7;x0:0.61` among the fields of an answer.
+//! Parses load reports of workers: `report=queue:7;x0:0.61` among the fields of an answer.
 use crate::settings;
 use quartzdrift_scheduler::interface::ReportField;
 
-/// Names that reports give to values which the settings name otherwise.
+/// Pairs of a field's name in reports and its name in the settings, where the two differ.
 const ALIASES: [(&str, &str); 6] = [
     ("inflight", "rif"),
     ("queue", "q"),
@@ -12,29 +12,28 @@
     ("eps", "fail_rate"),
 ];
 
-fn field(name: &str) -> ReportField {
-    settings::field(
-        ALIASES
-            .iter()
-            .find(|(alias, _)| *alias == name)
-            .map_or(name, |a| a.1),
-    )
+/// The field that a report calls `name`, by its own name or by that of the settings.
+fn report_field(name: &str) -> ReportField {
+    let alias = ALIASES.iter().find(|(alias, _)| *alias == name);
+    settings::report_field(alias.map_or(name, |(_, settings_name)| settings_name))
 }
 
-/// The values in the order of the settings; empty where there is no report, `None` where one value is missing, no
-/// number, or of a field that we do not know.
+/// Reads the values of the report in `fields`, in the order of `expected`.
+///
+/// The result is empty if there is no report. A value is `None` if it is missing, is not a finite number, or
+/// belongs to [`ReportField::Unknown`].
 pub fn read(fields: &[u8], expected: &[ReportField]) -> Vec<Option<f64>> {
     let text = std::str::from_utf8(fields).unwrap_or("");
     let Some(report) = text.split(',').find_map(|field| field.strip_prefix("report=")) else {
         return Vec::new();
     };
-    let value = |expected: &ReportField| {
-        let mut reported = report.split(';').filter_map(|one| one.split_once(':'));
+    let value_of = |expected: &ReportField| {
+        let mut entries = report.split(';').filter_map(|entry| entry.split_once(':'));
         let (_, value) =
-            reported.find(|(name, _)| field(name) == *expected && *expected != ReportField::Unknown)?;
+            entries.find(|(name, _)| report_field(name) == *expected && *expected != ReportField::Unknown)?;
         value.parse::<f64>().ok().filter(|value| value.is_finite())
     };
-    expected.iter().map(value).collect()
+    expected.iter().map(value_of).collect()
 }
 
 #[cfg(test)]
--- a/crates/quartzdrift-platform/src/report/tests.rs
+++ b/crates/quartzdrift-platform/src/report/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn values_come_in_the_order_of_the_settings() {
-    let names = ["q", "x0", "x1"].map(settings::field);
+fn values_are_returned_in_the_order_of_the_settings() {
+    let names = ["q", "x0", "x1"].map(settings::report_field);
     let read = |text: &str| read(text.as_bytes(), &names);
     assert_eq!(read("report=x0:0.5;queue:7"), [Some(7.0), Some(0.5), None]);
     assert_eq!(
--- a/crates/quartzdrift-platform/src/request_fields.rs
+++ b/crates/quartzdrift-platform/src/request_fields.rs
@@ -1,70 +1,74 @@
-//! Reads and checks the fields of a client's request.
+//! Validates the fields of a client's request before it is sent to a worker.
 //!
-//! Use it before anything of a request goes to a worker. Workers close a whole connection, with everything that is open on
-//! it, when they cannot read a command, so a field that is not known to be readable is refused here.
+//! A worker that cannot decode a command closes the whole connection, with every attempt on it. A field that
+//! a worker might not be able to decode is therefore rejected here.
 use quartzdrift_scheduler::interface::{Idempotency, RequestClass, Settings, Tenant};
 use std::time::Duration;
 
-/// Largest resource hints that are accepted: more memory, slots or load time than any machine has.
+/// Largest accepted hint for the memory of a replica, in megabytes; no machine has more.
 const MAX_MEMORY_MB: f64 = 1e7;
+/// Largest accepted hint for the concurrency of a replica; no machine runs more requests at a time.
 const MAX_CONCURRENCY_SLOTS: f64 = 1e5;
-const MAX_LOAD_MS: f64 = 3.6e6;
-/// By how much a client's time may exceed the timeout of its request class, because of rounding on the way.
+/// Largest accepted hint for the time of a load or of the work, in milliseconds; no load takes longer.
+const MAX_HINT_MS: f64 = 3.6e6;
+/// By how much a client's timeout may exceed that of its request class, to allow for rounding on the way.
 const TIMEOUT_ROUNDING: Duration = Duration::from_millis(5);
-/// Digits of a request id and of a function id.
+/// Number of hexadecimal digits in a request id and in a function id.
 const ID_DIGITS: usize = 16;
-/// Longest accepted idempotency key, in characters; a SHA-256 in hexadecimal digits has 64.
-const MAX_IDEMPOTENCY_KEY: usize = 128;
+/// Longest accepted idempotency key, in bytes; a SHA-256 in hexadecimal digits has 64.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
-/// The fields as they arrived; `None` where one is missing.
+/// Fields of a request as they arrived; `None` for a missing one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestFields<'a> {
-    /// Path under which the program was called, `/do/CLASS` (CGI `SCRIPT_NAME`).
+    /// Path of the request, `/do/CLASS` (CGI `SCRIPT_NAME`).
     pub path: Option<&'a str>,
-    /// Id that the client chose for the request: 16 hexadecimal digits.
+    /// Id of the request, chosen by the client: 16 hexadecimal digits.
     pub id: Option<&'a str>,
-    /// Time until the client gives up, in milliseconds.
+    /// Time that the client still waits for a response, in milliseconds.
     pub timeout_ms: Option<&'a str>,
     /// Id of the function to run: 16 hexadecimal digits.
     pub function: Option<&'a str>,
-    /// Key by which workers recognize a repeat of the request.
+    /// Key by which workers recognize a repeated request.
     pub idempotency_key: Option<&'a str>,
     /// Name of the tenant.
     pub tenant: Option<&'a str>,
-    /// What the function needs, `name:number` pairs separated by semicolons.
+    /// Resource needs of the function, as `name:number` pairs separated by semicolons.
     pub resource_hints: Option<&'a str>,
-    /// Length of the body as the client states it, in bytes.
+    /// Length of the body that the client states, in bytes.
     pub content_length: Option<&'a str>,
-    /// Bytes of the body that arrived.
+    /// Length of the body that arrived, in bytes.
     pub body_bytes: usize,
 }
 
-/// A request whose fields were checked.
+/// A request whose fields are valid.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlatformRequest<'a> {
-    /// Id that the client chose.
+    /// Id of the request, chosen by the client.
     pub id: u64,
     /// Index of the request class in the settings.
     pub request_class: u32,
-    /// Index of the tenant in the settings; a tenant that is missing or unknown has the index after the last.
+    /// Index of the tenant in the settings. All requests with a missing or unknown tenant share the index
+    /// after the last one.
     pub tenant: u32,
-    /// Id of the function, as it arrived.
+    /// Id of the function: 16 hexadecimal digits.
     pub function: &'a str,
-    /// To be passed on unchanged; always present where the request class requires a key.
+    /// Idempotency key, which is passed to the worker unchanged; always present if the request class requires
+    /// one.
     pub idempotency_key: Option<&'a str>,
-    /// Time until the client gives up.
+    /// Time that the client still waits for a response.
     pub time_remaining: Duration,
     /// Memory of a loaded replica, in megabytes.
     pub memory_mb: Option<f64>,
-    /// Requests that a loaded replica runs at a time.
+    /// Requests that a loaded replica executes at a time.
     pub concurrency_slots: Option<f64>,
-    /// Time that a load takes.
+    /// Estimated time to load the function.
     pub load_hint: Option<Duration>,
-    /// Work of this request.
+    /// Estimated work of this request.
     pub work_hint: Option<Duration>,
 }
 
-/// The first field of a request that was refused.
+/// The field for which a request is rejected; the first one if several are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FieldError {
     /// The path is not under `/do/`.
@@ -77,18 +81,18 @@
     Function,
     /// The idempotency key is missing where it is required, or malformed.
     IdempotencyKey,
-    /// The tenant is given twice or is not text.
+    /// The tenant is given twice or is not valid text.
     Tenant,
-    /// The time is missing, malformed, zero or longer than the class allows.
+    /// The timeout is missing, malformed, zero or longer than the request class allows.
     Time,
     /// A resource hint is malformed or out of range.
     ResourceHints,
-    /// The stated length is not that of the body.
+    /// The stated length is malformed or differs from the length of the body.
     Length,
 }
 
 impl FieldError {
-    /// HTTP status of the answer.
+    /// HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             FieldError::Path | FieldError::RequestClass => 404,
@@ -102,7 +106,7 @@
         }
     }
 
-    /// Body of the answer.
+    /// Body of the response.
     pub fn text(self) -> &'static str {
         match self {
             FieldError::Path => "no such path",
@@ -120,17 +124,17 @@
     }
 }
 
-/// Checks a request's fields against the settings.
+/// Validates the fields of a request against the settings.
 ///
 /// # Errors
 /// The first field that is missing, malformed or out of range.
 pub fn read<'a>(fields: &RequestFields<'a>, settings: &Settings) -> Result<PlatformRequest<'a>, FieldError> {
     let request_class = class_index(fields.path, &settings.request_classes)?;
     let class = &settings.request_classes[request_class];
-    let id = hex_digits(fields.id)
-        .and_then(|digits| u64::from_str_radix(digits, 16).ok())
+    let id = valid_id(fields.id)
+        .and_then(|id| u64::from_str_radix(id, 16).ok())
         .ok_or(FieldError::Id)?;
-    let function = hex_digits(fields.function).ok_or(FieldError::Function)?;
+    let function = valid_id(fields.function).ok_or(FieldError::Function)?;
     let idempotency_key = idempotency_key(fields.idempotency_key, class)?;
     let time_remaining = time_remaining(fields.timeout_ms, class)?;
     check_length(fields.content_length, fields.body_bytes)?;
@@ -159,38 +163,39 @@
         .ok_or(FieldError::RequestClass)
 }
 
-fn hex_digits(text: Option<&str>) -> Option<&str> {
+/// The id, if it has the right number of hexadecimal digits and nothing else.
+fn valid_id(text: Option<&str>) -> Option<&str> {
     let well_formed =
         |text: &&str| text.len() == ID_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     text.filter(well_formed)
 }
 
-/// An empty key counts as none. Without a required key workers could not recognize a repeat, and its effect would happen
-/// twice.
+/// Validates the idempotency key; an empty one counts as missing. Without the key that a request class
+/// requires, workers would not recognize a repeated request and would execute it twice.
 fn idempotency_key<'a>(key: Option<&'a str>, class: &RequestClass) -> Result<Option<&'a str>, FieldError> {
     let key = key.filter(|text| !text.is_empty());
     let required = class.idempotency == Idempotency::IdempotentWithKey;
     match key {
         None if required => Err(FieldError::IdempotencyKey),
-        Some(text) if !is_key(text) => Err(FieldError::IdempotencyKey),
+        Some(text) if !is_valid_key(text) => Err(FieldError::IdempotencyKey),
         Some(_) | None => Ok(key),
     }
 }
 
-fn is_key(text: &str) -> bool {
-    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
-    (1..=MAX_IDEMPOTENCY_KEY).contains(&text.len()) && text.bytes().all(allowed)
+fn is_valid_key(text: &str) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&text.len()) && text.bytes().all(is_allowed)
 }
 
-fn time_remaining(time: Option<&str>, class: &RequestClass) -> Result<Duration, FieldError> {
-    let milliseconds = time
+fn time_remaining(timeout_ms: Option<&str>, class: &RequestClass) -> Result<Duration, FieldError> {
+    let milliseconds = timeout_ms
         .filter(is_decimal)
         .and_then(|text| text.parse::<u64>().ok())
         .ok_or(FieldError::Time)?;
     let remaining = Duration::from_millis(milliseconds);
     let timeout = class.timeout.unwrap_or(Duration::MAX);
-    let longest = timeout.saturating_add(TIMEOUT_ROUNDING);
-    if remaining.is_zero() || remaining > longest {
+    let max_remaining = timeout.saturating_add(TIMEOUT_ROUNDING);
+    if remaining.is_zero() || remaining > max_remaining {
         return Err(FieldError::Time);
     }
     Ok(remaining)
@@ -200,15 +205,15 @@
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-/// An empty length counts as none.
-fn check_length(length: Option<&str>, body: usize) -> Result<(), FieldError> {
-    let Some(length) = length.filter(|text| !text.is_empty()) else {
+/// Compares the stated length of the body with the actual one; an empty text counts as missing.
+fn check_length(content_length: Option<&str>, body_bytes: usize) -> Result<(), FieldError> {
+    let Some(content_length) = content_length.filter(|text| !text.is_empty()) else {
         return Ok(());
     };
-    let stated = Some(length)
+    let stated_bytes = Some(content_length)
         .filter(is_decimal)
         .and_then(|text| text.parse::<usize>().ok());
-    if stated == Some(body) {
+    if stated_bytes == Some(body_bytes) {
         Ok(())
     } else {
         Err(FieldError::Length)
@@ -216,11 +221,11 @@
 }
 
 fn tenant_index(name: Option<&str>, tenants: &[Tenant]) -> u32 {
-    let known = tenants.iter().position(|tenant| Some(&tenant.name[..]) == name);
-    known.unwrap_or(tenants.len()) as u32
+    let index = tenants.iter().position(|tenant| Some(&tenant.name[..]) == name);
+    index.unwrap_or(tenants.len()) as u32
 }
 
-/// A hint that has no use here may have any form behind its name.
+/// Adds the resource hints to a request. Hints with an unknown name are ignored, whatever their value.
 fn with_resource_hints<'a>(
     mut request: PlatformRequest<'a>,
     hints: &str,
@@ -228,8 +233,8 @@
     for hint in hints.split(';').filter(|hint| !hint.is_empty()) {
         let (name, value) = hint.split_once(':').ok_or(FieldError::ResourceHints)?;
         match name {
-            "memory_mb" => request.memory_mb = Some(number(value, f64::MIN_POSITIVE, MAX_MEMORY_MB)?),
-            "lanes" => request.concurrency_slots = Some(number(value, 1.0, MAX_CONCURRENCY_SLOTS)?),
+            "memory_mb" => request.memory_mb = Some(decimal(value, f64::MIN_POSITIVE, MAX_MEMORY_MB)?),
+            "lanes" => request.concurrency_slots = Some(decimal(value, 1.0, MAX_CONCURRENCY_SLOTS)?),
             "load_ms" => request.load_hint = Some(milliseconds(value)?),
             "hint" => request.work_hint = Some(milliseconds(value)?),
             _ => {}
@@ -239,13 +244,13 @@
 }
 
 fn milliseconds(text: &str) -> Result<Duration, FieldError> {
-    number(text, 0.0, MAX_LOAD_MS).map(|ms| Duration::from_secs_f64(ms / 1e3))
+    decimal(text, 0.0, MAX_HINT_MS).map(|ms| Duration::from_secs_f64(ms / 1e3))
 }
 
-/// A number in plain decimal digits, within both bounds.
-fn number(text: &str, min: f64, max: f64) -> Result<f64, FieldError> {
-    let plain = |byte: u8| byte.is_ascii_digit() || byte == b'.';
-    if !text.bytes().all(plain) {
+/// A number from `min` to `max` that is written with decimal digits and a point only.
+fn decimal(text: &str, min: f64, max: f64) -> Result<f64, FieldError> {
+    let is_allowed = |byte: u8| byte.is_ascii_digit() || byte == b'.';
+    if !text.bytes().all(is_allowed) {
         return Err(FieldError::ResourceHints);
     }
     let value: f64 = text.parse().map_err(|_| FieldError::ResourceHints)?;
--- a/crates/quartzdrift-platform/src/request_fields/tests.rs
+++ b/crates/quartzdrift-platform/src/request_fields/tests.rs
@@ -15,13 +15,13 @@
     }
 }
 
-/// One character more than an idempotency key may have.
-const LONG: &str = match str::from_utf8(&[b'f'; MAX_IDEMPOTENCY_KEY + 1]) {
+/// An idempotency key that is one byte too long.
+const OVERLONG_KEY: &str = match str::from_utf8(&[b'f'; MAX_IDEMPOTENCY_KEY_BYTES + 1]) {
     Ok(text) => text,
-    Err(_) => panic!("it is ASCII"),
+    Err(_) => panic!("the key is not valid UTF-8"),
 };
 
-fn good<'a>() -> RequestFields<'a> {
+fn valid_fields<'a>() -> RequestFields<'a> {
     RequestFields {
         path: Some("/do/map"),
         id: Some("9b1f03aa5c7e2d41"),
@@ -36,9 +36,12 @@
 }
 
 #[test]
-fn a_good_one_is_read_as_it_came() {
-    let request = read(&good(), &settings()).unwrap();
-    assert_eq!(request.tenant, 0, "no customers are told, and none is named");
+fn valid_fields_are_read_unchanged() {
+    let request = read(&valid_fields(), &settings()).unwrap();
+    assert_eq!(
+        request.tenant, 0,
+        "neither the settings nor the request names a tenant"
+    );
     assert_eq!(
         (request.id, request.function),
         (0x9b1f_03aa_5c7e_2d41, "7f3a9c21e0b4d655")
@@ -54,37 +57,49 @@
 }
 
 #[test]
-fn tenants_are_those_of_the_settings_and_all_others_are_one_more() {
-    let name = |name: &str| Tenant {
+fn unknown_tenants_share_the_index_after_those_of_the_settings() {
+    let tenant = |name: &str| Tenant {
         name: name.to_owned(),
         ..Tenant::default()
     };
     let settings = Settings {
-        tenants: vec![name("a"), name("b")],
+        tenants: vec![tenant("a"), tenant("b")],
         ..settings()
     };
-    let of = |tenant| {
-        read(&RequestFields { tenant, ..good() }, &settings)
-            .unwrap()
-            .tenant
+    let index_of = |tenant| {
+        read(
+            &RequestFields {
+                tenant,
+                ..valid_fields()
+            },
+            &settings,
+        )
+        .unwrap()
+        .tenant
     };
     assert_eq!(
-        [Some("a"), Some("b"), Some("c"), Some(""), None].map(of),
+        [Some("a"), Some("b"), Some("c"), Some(""), None].map(index_of),
         [0, 1, 2, 2, 2]
     );
 }
 
-/// The error for good fields with one change.
-fn wrong(change: &dyn Fn(&mut RequestFields)) -> FieldError {
-    let mut fields = good();
+/// The error for valid fields with one change.
+fn error_after(change: &dyn Fn(&mut RequestFields)) -> FieldError {
+    let mut fields = valid_fields();
     change(&mut fields);
     read(&fields, &settings()).unwrap_err()
 }
 
 #[test]
-fn ids_and_paths_that_are_malformed_are_named() {
-    assert_eq!(wrong(&|f| f.path = Some("/other")), FieldError::Path);
-    assert_eq!(wrong(&|f| f.path = Some("/do/map,x=1")), FieldError::RequestClass);
+fn malformed_paths_and_ids_are_rejected() {
+    assert_eq!(
+        error_after(&|fields| fields.path = Some("/other")),
+        FieldError::Path
+    );
+    assert_eq!(
+        error_after(&|fields| fields.path = Some("/do/map,x=1")),
+        FieldError::RequestClass
+    );
     for id in [
         None,
         Some(""),
@@ -92,16 +107,16 @@
         Some("9b1f03aa5c7e2d41a"),
         Some("+b1f03aa5c7e2d41"),
     ] {
-        assert_eq!(wrong(&|f| f.id = id), FieldError::Id);
+        assert_eq!(error_after(&|fields| fields.id = id), FieldError::Id);
     }
     assert_eq!(
-        wrong(&|f| f.function = Some("7f3a9c21,x=4d655")),
+        error_after(&|fields| fields.function = Some("7f3a9c21,x=4d655")),
         FieldError::Function
     );
 }
 
 #[test]
-fn values_that_are_out_of_range_are_named() {
+fn values_out_of_range_are_rejected() {
     for timeout_ms in [
         None,
         Some("0"),
@@ -111,7 +126,10 @@
         Some("4006"),
         Some("99999999999999999999"),
     ] {
-        assert_eq!(wrong(&|f| f.timeout_ms = timeout_ms), FieldError::Time);
+        assert_eq!(
+            error_after(&|fields| fields.timeout_ms = timeout_ms),
+            FieldError::Time
+        );
     }
     for resource_hints in [
         "lanes:-1",
@@ -122,24 +140,27 @@
         "lanes",
     ] {
         assert_eq!(
-            wrong(&|f| f.resource_hints = Some(resource_hints)),
+            error_after(&|fields| fields.resource_hints = Some(resource_hints)),
             FieldError::ResourceHints
         );
     }
-    for idempotency_key in ["a,b", "a=b", "a b", "\u{e9}", LONG] {
+    for idempotency_key in ["a,b", "a=b", "a b", "\u{e9}", OVERLONG_KEY] {
         assert_eq!(
-            wrong(&|f| f.idempotency_key = Some(idempotency_key)),
+            error_after(&|fields| fields.idempotency_key = Some(idempotency_key)),
             FieldError::IdempotencyKey
         );
     }
     for length in ["4", "-1", "99999999999999999999", "x"] {
-        assert_eq!(wrong(&|f| f.content_length = Some(length)), FieldError::Length);
+        assert_eq!(
+            error_after(&|fields| fields.content_length = Some(length)),
+            FieldError::Length
+        );
     }
 }
 
 #[test]
-fn a_keyed_request_has_its_idempotency_key_and_others_may() {
-    let (mut settings, mut fields) = (settings(), good());
+fn an_idempotency_key_is_required_only_by_classes_that_deduplicate() {
+    let (mut settings, mut fields) = (settings(), valid_fields());
     assert_eq!(read(&fields, &settings).unwrap().idempotency_key, None);
     settings.request_classes[0].idempotency = Idempotency::IdempotentWithKey;
     for missing in [None, Some("")] {
@@ -163,8 +184,12 @@
 
 proptest! {
     #[test]
-    fn nothing_that_passes_can_break_a_frames_fields(function in ".{0,20}", resource_hints in ".{0,40}") {
-        let fields = RequestFields { function: Some(&function), resource_hints: Some(&resource_hints), ..good() };
+    fn valid_fields_have_no_separator_of_a_frames_fields(function in ".{0,20}", resource_hints in ".{0,40}") {
+        let fields = RequestFields {
+            function: Some(&function),
+            resource_hints: Some(&resource_hints),
+            ..valid_fields()
+        };
         if let Ok(request) = read(&fields, &settings()) {
             prop_assert!(request.function.bytes().all(|b| b.is_ascii_alphanumeric()));
         }
--- a/crates/quartzdrift-platform/src/settings.rs
+++ b/crates/quartzdrift-platform/src/settings.rs
@@ -1,7 +1,8 @@
-//! Reads the platform's settings object into the scheduler's settings, for the adapter and the daemon alike.
+//! Reads the platform's settings object into the scheduler's [`Settings`]; used by the adapter and by the
+//! daemon.
 //!
-//! A value that a rule rests on is refused when it cannot be read. A value that is missing or unknown counts as the one that
-//! binds most.
+//! A number of a rule that cannot be read is an error, since the rule would otherwise not be enforced. A
+//! missing or unknown value counts as the most restrictive one.
 use quartzdrift_scheduler::interface::{
     Allowed, CacheSettings, CountedBy, DeduplicationScope, DiscoveryMode, Goal, Idempotency, OnMiss, Prices,
     ReportField, ReportSource, RequestClass, Rules, Settings, Tenant, Weights,
@@ -9,41 +10,46 @@
 use serde_json::Value;
 use std::time::Duration;
 
-fn number(from: &Value, key: &str) -> Option<f64> {
-    from.get(key)?.as_f64()
+fn number(object: &Value, key: &str) -> Option<f64> {
+    object.get(key)?.as_f64()
 }
 
-/// A whole number from 0 on, whether written as one or as a float.
-fn whole(from: &Value, key: &str) -> Option<u64> {
-    let value = from.get(key)?;
+/// A number as an unsigned integer. A float, such as `3e9`, is truncated, and a negative number is read as 0.
+fn whole_number(object: &Value, key: &str) -> Option<u64> {
+    let value = object.get(key)?;
     value.as_u64().or_else(|| value.as_f64().map(|n| n as u64))
 }
 
-fn count(from: &Value, key: &str) -> Option<u32> {
-    whole(from, key).map(|n| n.try_into().unwrap_or(u32::MAX))
+/// A number as a `u32`; a larger one is read as `u32::MAX`.
+fn count(object: &Value, key: &str) -> Option<u32> {
+    whole_number(object, key).map(|n| n.try_into().unwrap_or(u32::MAX))
 }
 
-fn span(from: &Value, key: &str) -> Option<Duration> {
-    whole(from, key).map(Duration::from_nanos)
+/// A time in nanoseconds.
+fn duration(object: &Value, key: &str) -> Option<Duration> {
+    whole_number(object, key).map(Duration::from_nanos)
 }
 
-fn flag(from: &Value, key: &str) -> bool {
-    match from.get(key) {
+/// A Boolean, or a number that is not 0 for `true`; a missing value is `false`.
+fn boolean(object: &Value, key: &str) -> bool {
+    match object.get(key) {
         Some(Value::Bool(on)) => *on,
         Some(other) => other.as_f64().is_some_and(|n| n != 0.0),
         None => false,
     }
 }
 
-fn word<'a>(from: &'a Value, key: &str) -> &'a str {
-    from.get(key).and_then(Value::as_str).unwrap_or("")
+/// A text; empty if the value is missing or not a text.
+fn text<'a>(object: &'a Value, key: &str) -> &'a str {
+    object.get(key).and_then(Value::as_str).unwrap_or("")
 }
 
-fn list<'a>(from: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
-    from.get(key).and_then(Value::as_array).into_iter().flatten()
+/// The elements of an array; none if the value is missing or not an array.
+fn list<'a>(object: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
+    object.get(key).and_then(Value::as_array).into_iter().flatten()
 }
 
-/// Numbers that the rules rest on, as JSON pointers; misread, they would bind nothing.
+/// JSON pointers to the numbers of rules. A number that could not be read would leave its rule unenforced.
 const RULE_NUMBERS: [&str; 14] = [
     "/replicas-of-me",
     "/allowed/max-attempts",
@@ -60,9 +66,9 @@
     "/family-info/load-share",
     "/family-info/stays-loaded-ns",
 ];
-/// The same in each request class.
+/// JSON pointers to the numbers of rules within a request class.
 const CLASS_RULE_NUMBERS: [&str; 3] = ["/deadline-ns", "/on-time-ns", "/window-ns"];
-/// Rules of several numbers: without the first the others say nothing.
+/// Rules of several numbers, as JSON pointers: the other numbers have no effect without the first one.
 const COMPOUND_RULES: [(&str, &[&str]); 2] = [
     (
         "/safety/cold-ns",
@@ -74,59 +80,65 @@
     ),
 ];
 
-/// Why no scheduler can keep the rules by these settings, if so.
-fn fault(all: &Value) -> Option<String> {
-    if list(all, "classes").next().is_none() {
-        return Some("the settings name no class".to_owned());
+/// The first problem of the settings that keeps a scheduler from following the rules.
+fn find_rule_error(object: &Value) -> Option<String> {
+    if list(object, "classes").next().is_none() {
+        return Some("'/classes' is missing or empty, at least one request class is required".to_owned());
     }
-    let of_all = RULE_NUMBERS.iter().map(|at| (at, all.pointer(at)));
-    let of_classes =
-        list(all, "classes").flat_map(|class| CLASS_RULE_NUMBERS.iter().map(|at| (at, class.pointer(at))));
-    for (at, value) in of_all.chain(of_classes) {
+    let global_numbers = RULE_NUMBERS
+        .iter()
+        .map(|pointer| ((*pointer).to_owned(), object.pointer(pointer)));
+    let class_numbers = list(object, "classes").enumerate().flat_map(|(index, class)| {
+        CLASS_RULE_NUMBERS
+            .iter()
+            .map(move |pointer| (format!("/classes/{index}{pointer}"), class.pointer(pointer)))
+    });
+    for (pointer, value) in global_numbers.chain(class_numbers) {
         if let Some(value) = value.filter(|value| value.as_f64().is_none_or(|n| n < 0.0)) {
-            return Some(format!("'{at}' is {value}, no number from 0 on"));
+            return Some(format!("'{pointer}' is {value}, expected a number of at least 0"));
         }
     }
-    let configured = |at: &str| all.pointer(at).is_some();
-    let part = COMPOUND_RULES
-        .iter()
-        .find(|(first, others)| !configured(first) && others.iter().any(|at| configured(at)));
-    part.map(|(first, _)| format!("a rule is told in part: '{first}' is missing"))
+    let is_set = |pointer: &str| object.pointer(pointer).is_some();
+    COMPOUND_RULES.iter().find_map(|(first, others)| {
+        let dependent = others.iter().find(|pointer| is_set(pointer))?;
+        (!is_set(first)).then(|| format!("'{first}' is missing, but '{dependent}' depends on it"))
+    })
 }
 
-fn names(from: &Value, key: &str) -> Vec<String> {
-    list(from, key)
+/// The texts of an array; an element that is not a text is read as an empty one.
+fn strings(object: &Value, key: &str) -> Vec<String> {
+    list(object, key)
         .map(|name| name.as_str().unwrap_or("").to_owned())
         .collect()
 }
 
-/// A missing or unknown kind of idempotency is the strictest.
-fn request_class(from: &Value) -> RequestClass {
+/// Reads a request class. A missing or unknown `effect` means that a request is executed at most once.
+fn request_class(object: &Value) -> RequestClass {
     RequestClass {
-        name: word(from, "name").to_owned(),
-        idempotency: match word(from, "effect") {
+        name: text(object, "name").to_owned(),
+        idempotency: match text(object, "effect") {
             "retryable" => Idempotency::Idempotent,
             "dedup" => Idempotency::IdempotentWithKey,
             _ => Idempotency::NonIdempotent,
         },
-        latency_objective: span(from, "on-time-ns"),
-        latency_objective_stretch: number(from, "aim-stretch"),
-        timeout: span(from, "deadline-ns"),
-        priority_weight: number(from, "importance"),
-        late_weight: number(from, "late-worth"),
-        deduplication_scope: match word(from, "key-scope") {
+        latency_objective: duration(object, "on-time-ns"),
+        latency_objective_stretch: number(object, "aim-stretch"),
+        timeout: duration(object, "deadline-ns"),
+        priority_weight: number(object, "importance"),
+        late_weight: number(object, "late-worth"),
+        deduplication_scope: match text(object, "key-scope") {
             "all" => DeduplicationScope::All,
             "zone" => DeduplicationScope::Zone,
-            // Missing or unknown: the narrowest.
+            // A missing or unknown value is read as the narrowest scope.
             _ => DeduplicationScope::Cell,
         },
-        window: span(from, "window-ns"),
-        streams: flag(from, "stream"),
+        window: duration(object, "window-ns"),
+        streams: boolean(object, "stream"),
     }
 }
 
-/// The field of a load report that has this name in the settings; [`ReportField::Unknown`] for any other.
-pub fn field(name: &str) -> ReportField {
+/// The field of a load report with this name in the settings; [`ReportField::Unknown`] for any other name.
+pub fn report_field(name: &str) -> ReportField {
     match name {
         "rif" => ReportField::Held,
         "q" => ReportField::Queued,
@@ -140,57 +152,59 @@
     }
 }
 
-/// Reads the settings object, as the simulator's first message and a scheduler's configuration hold it.
+/// Reads the settings object, which is part of the simulator's first message and of a scheduler's
+/// configuration.
 ///
 /// # Errors
-/// One line that says why no scheduler can keep the rules by these settings: a value that a rule rests on cannot be read,
-/// or a rule is given in part.
-pub fn read(all: &Value) -> Result<Settings, String> {
-    if let Some(fault) = fault(all) {
-        return Err(fault);
+/// No request class is given, a number of a rule cannot be read, or a rule of several numbers lacks its first
+/// one. The text is one line that names the value by its JSON pointer.
+pub fn read(object: &Value) -> Result<Settings, String> {
+    if let Some(error) = find_rule_error(object) {
+        return Err(error);
     }
     Ok(Settings {
-        me: count(all, "me"),
-        schedulers: count(all, "replicas-of-me"),
-        zone: count(all, "zone"),
-        zones: names(all, "zones"),
-        kinds: names(all, "skus"),
-        tier: count(all, "tier"),
-        tiers: names(all, "tiers"),
-        family: word(all, "workload").to_owned(),
-        resolution: span(all, "resolution-ns"),
-        discovery: discovery_mode(all),
-        weights: weights(all),
-        counted_by: counted_by(all),
-        over_quota_weight: number(all, "over-share-worth"),
-        clients_mark_retries: flag(section(all, "clients"), "marks-retry"),
-        request_classes: list(all, "classes").map(request_class).collect(),
-        tenants: list(all, "tenants").map(tenant).collect(),
-        allowed: allowed(section(all, "allowed")),
-        rules: rules(section(all, "safety")),
-        copies: cache_settings(section(all, "family-info")),
-        report_source: report_source(section(all, "stats")),
-        report_fields: report_fields(section(all, "stats")),
-        prices: prices(section(all, "fees")),
-        goal: goal(section(all, "goal")),
+        me: count(object, "me"),
+        schedulers: count(object, "replicas-of-me"),
+        zone: count(object, "zone"),
+        zones: strings(object, "zones"),
+        kinds: strings(object, "skus"),
+        tier: count(object, "tier"),
+        tiers: strings(object, "tiers"),
+        family: text(object, "workload").to_owned(),
+        resolution: duration(object, "resolution-ns"),
+        discovery: discovery_mode(object),
+        weights: weights(object),
+        counted_by: counted_by(object),
+        over_quota_weight: number(object, "over-share-worth"),
+        clients_mark_retries: boolean(section(object, "clients"), "marks-retry"),
+        request_classes: list(object, "classes").map(request_class).collect(),
+        tenants: list(object, "tenants").map(tenant).collect(),
+        allowed: allowed(section(object, "allowed")),
+        rules: rules(section(object, "safety")),
+        copies: cache_settings(section(object, "family-info")),
+        report_source: report_source(section(object, "stats")),
+        report_fields: report_fields(section(object, "stats")),
+        prices: prices(section(object, "fees")),
+        goal: goal(section(object, "goal")),
     })
 }
 
-/// A part of the settings; one that is missing reads as empty.
-fn section<'a>(all: &'a Value, key: &str) -> &'a Value {
-    all.get(key).unwrap_or(&Value::Null)
+/// An object within the settings; `null` if it is missing, so that each of its values is read as missing.
+fn section<'a>(object: &'a Value, key: &str) -> &'a Value {
+    object.get(key).unwrap_or(&Value::Null)
 }
 
-fn discovery_mode(all: &Value) -> DiscoveryMode {
-    match word(all, "registry-mode") {
+fn discovery_mode(object: &Value) -> DiscoveryMode {
+    match text(object, "registry-mode") {
         "push" => DiscoveryMode::Push,
-        // Missing or unknown: a subscription is allowed everywhere, and a list that nobody sends would be stale.
+        // A missing or unknown value is read as `Poll`: every deployment allows subscribing, and with `Push`
+        // the list would become stale if the platform does not send it.
         _ => DiscoveryMode::Poll,
     }
 }
 
-fn weights(all: &Value) -> Weights {
-    match word(all, "weight-kind") {
+fn weights(object: &Value) -> Weights {
+    match text(object, "weight-kind") {
         "nominal" => Weights::Nominal,
         "rough" => Weights::Rough,
         "live" => Weights::Live,
@@ -198,90 +212,90 @@
     }
 }
 
-fn counted_by(all: &Value) -> CountedBy {
-    match word(all, "worth-by") {
+fn counted_by(object: &Value) -> CountedBy {
+    match text(object, "worth-by") {
         "work" => CountedBy::Work,
         _ => CountedBy::Request,
     }
 }
 
-fn tenant(from: &Value) -> Tenant {
+fn tenant(object: &Value) -> Tenant {
     Tenant {
-        name: word(from, "name").to_owned(),
-        share: number(from, "share"),
-        requests_per_second: number(from, "quota-rps"),
+        name: text(object, "name").to_owned(),
+        share: number(object, "share"),
+        requests_per_second: number(object, "quota-rps"),
     }
 }
 
-fn allowed(from: &Value) -> Allowed {
+fn allowed(object: &Value) -> Allowed {
     Allowed {
-        cancel: flag(from, "cancel"),
-        probes: flag(from, "may-probe"),
-        peers: flag(from, "peers"),
-        hedging: flag(from, "second-copies"),
-        retry_after: flag(from, "retry-after"),
-        max_retry_after: span(from, "max-retry-after-ns"),
-        max_attempts: count(from, "max-attempts"),
-        max_open: count(from, "max-open"),
-        connect_timeout: span(from, "connect-timeout-ns"),
-        keepalive: span(from, "keepalive-ns"),
-        cpu_us_per_second: number(from, "cpu-us-per-s"),
-        cpu_us_per_request: number(from, "cpu-us-per-request"),
-        streams_per_connection: count(from, "streams-per-conn"),
+        cancel: boolean(object, "cancel"),
+        probes: boolean(object, "may-probe"),
+        peers: boolean(object, "peers"),
+        hedging: boolean(object, "second-copies"),
+        retry_after: boolean(object, "retry-after"),
+        max_retry_after: duration(object, "max-retry-after-ns"),
+        max_attempts: count(object, "max-attempts"),
+        max_open: count(object, "max-open"),
+        connect_timeout: duration(object, "connect-timeout-ns"),
+        keepalive: duration(object, "keepalive-ns"),
+        cpu_us_per_second: number(object, "cpu-us-per-s"),
+        cpu_us_per_request: number(object, "cpu-us-per-request"),
+        streams_per_connection: count(object, "streams-per-conn"),
     }
 }
 
-fn rules(from: &Value) -> Rules {
+fn rules(object: &Value) -> Rules {
     Rules {
-        answer_slack: span(from, "answer-slack-ns"),
-        ask_within: span(from, "ask-within-ns"),
-        cold_from: number(from, "cold-from"),
-        cold_for: span(from, "cold-ns"),
-        drain_grace: span(from, "drain-grace-ns"),
+        answer_slack: duration(object, "answer-slack-ns"),
+        ask_within: duration(object, "ask-within-ns"),
+        cold_from: number(object, "cold-from"),
+        cold_for: duration(object, "cold-ns"),
+        drain_grace: duration(object, "drain-grace-ns"),
         endpoint_lease: None,
-        fall_multiple: number(from, "fall-multiple"),
-        fall_window: span(from, "fall-ns"),
+        fall_multiple: number(object, "fall-multiple"),
+        fall_window: duration(object, "fall-ns"),
     }
 }
 
-fn cache_settings(from: &Value) -> CacheSettings {
+fn cache_settings(object: &Value) -> CacheSettings {
     CacheSettings {
-        on_miss: match word(from, "on-miss") {
+        on_miss: match text(object, "on-miss") {
             "miss" => OnMiss::Miss,
             _ => OnMiss::Load,
         },
-        load_commands: flag(from, "may-order"),
-        reports_cache_status: flag(from, "tells-warm"),
-        reports_concurrency: flag(from, "tells-crowd"),
-        keep: span(from, "stays-loaded-ns"),
-        memory_mb_by_kind: list(from, "memory-mb-by-kind")
+        load_commands: boolean(object, "may-order"),
+        reports_cache_status: boolean(object, "tells-warm"),
+        reports_concurrency: boolean(object, "tells-crowd"),
+        keep: duration(object, "stays-loaded-ns"),
+        memory_mb_by_kind: list(object, "memory-mb-by-kind")
             .filter_map(Value::as_f64)
             .collect(),
-        idle_memory_price: number(from, "idle-memory-cost"),
-        load_quota_burst: number(from, "load-free"),
-        load_quota_share: number(from, "load-share"),
-        load_quota_window: span(from, "load-period-ns"),
-        load_command_timeout: span(from, "order-timeout-ns"),
+        idle_memory_price: number(object, "idle-memory-cost"),
+        load_quota_burst: number(object, "load-free"),
+        load_quota_share: number(object, "load-share"),
+        load_quota_window: duration(object, "load-period-ns"),
+        load_command_timeout: duration(object, "order-timeout-ns"),
     }
 }
 
-fn report_source(from: &Value) -> ReportSource {
-    match word(from, "source") {
+fn report_source(object: &Value) -> ReportSource {
+    match text(object, "source") {
         "piggyback" => ReportSource::Answers,
         "pull" => ReportSource::Probes,
         _ => ReportSource::Silent,
     }
 }
 
-fn report_fields(from: &Value) -> Vec<ReportField> {
-    list(from, "fields")
-        .map(|name| field(name.as_str().unwrap_or("")))
+fn report_fields(object: &Value) -> Vec<ReportField> {
+    list(object, "fields")
+        .map(|name| report_field(name.as_str().unwrap_or("")))
         .collect()
 }
 
-/// A price that is missing is nothing.
-fn prices(from: &Value) -> Prices {
-    let price = |key: &str| number(from, key).unwrap_or(0.0);
+/// Reads the prices; a missing one is 0.
+fn prices(object: &Value) -> Prices {
+    let price = |key: &str| number(object, key).unwrap_or(0.0);
     Prices {
         connection: price("connection"),
         cross_zone: price("cross-zone"),
@@ -296,8 +310,8 @@
     }
 }
 
-fn goal(from: &Value) -> Goal {
-    let weight = |key: &str| number(from, key).unwrap_or(0.0);
+fn goal(object: &Value) -> Goal {
+    let weight = |key: &str| number(object, key).unwrap_or(0.0);
     Goal {
         whole: weight("whole"),
         worst_window: weight("worst-window"),
--- a/crates/quartzdrift-platform/src/settings/tests.rs
+++ b/crates/quartzdrift-platform/src/settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-fn good() -> Value {
+fn valid_settings() -> Value {
     json!({
         "allowed": {"max-attempts": 3, "max-retry-after-ns": 2_000_000_000u64},
         "classes": [{"effect": "dedup", "key-scope": "all", "deadline-ns": 3e9, "window-ns": 5e9}],
@@ -11,64 +11,77 @@
     })
 }
 
-/// The good settings with one value set, or left out where it is `None`.
-fn with(at: &str, value: Option<Value>) -> Result<Settings, String> {
-    let (mut all, (part, key)) = (good(), at.rsplit_once('/').unwrap());
-    let from = all.pointer_mut(part).and_then(Value::as_object_mut).unwrap();
+/// Reads the valid settings with the value at a JSON pointer replaced, or removed if `value` is `None`.
+fn read_with(pointer: &str, value: Option<Value>) -> Result<Settings, String> {
+    let (parent, key) = pointer.rsplit_once('/').unwrap();
+    let mut settings = valid_settings();
+    let object = settings
+        .pointer_mut(parent)
+        .and_then(Value::as_object_mut)
+        .unwrap();
     match value {
-        Some(value) => from.insert(key.to_owned(), value),
-        None => from.remove(key),
+        Some(value) => object.insert(key.to_owned(), value),
+        None => object.remove(key),
     };
-    read(&all)
+    read(&settings)
 }
 
 #[test]
-fn what_rules_rest_on_is_refused_where_it_cannot_be_read() {
-    assert!(read(&good()).is_ok());
-    let of_classes = CLASS_RULE_NUMBERS.map(|key| format!("/classes/0{key}"));
-    for at in RULE_NUMBERS.map(str::to_owned).iter().chain(&of_classes) {
+fn numbers_of_rules_that_cannot_be_read_are_rejected() {
+    assert!(read(&valid_settings()).is_ok());
+    let class_pointers = CLASS_RULE_NUMBERS.map(|key| format!("/classes/0{key}"));
+    for pointer in RULE_NUMBERS.map(str::to_owned).iter().chain(&class_pointers) {
         for bad in [json!("3"), json!(-1), json!(null), json!([3]), json!(true)] {
-            let why = with(at, Some(bad.clone())).expect_err(at);
-            let key = at.rsplit_once('/').unwrap().1;
-            assert!(why.contains(key) && !why.contains('\n'), "{at} {bad}: {why}");
+            let error = read_with(pointer, Some(bad.clone())).expect_err(pointer);
+            let key = pointer.rsplit_once('/').unwrap().1;
+            assert!(
+                error.contains(key) && !error.contains('\n'),
+                "{pointer} {bad}: {error}"
+            );
         }
-        assert!(with(at, Some(json!(0))).is_ok(), "{at} may be nothing");
-        assert!(with(at, Some(json!(1e300))).is_ok(), "{at} may be large");
+        assert!(read_with(pointer, Some(json!(0))).is_ok(), "{pointer} may be 0");
+        assert!(
+            read_with(pointer, Some(json!(1e300))).is_ok(),
+            "{pointer} may be large"
+        );
     }
-    for at in ["/classes", "/safety/cold-ns", "/family-info/load-period-ns"] {
-        assert!(with(at, None).is_err(), "{at} is missing");
+    for pointer in ["/classes", "/safety/cold-ns", "/family-info/load-period-ns"] {
+        assert!(read_with(pointer, None).is_err(), "{pointer} is missing");
     }
     assert!(read(&json!([])).is_err() && read(&json!({"classes": []})).is_err());
 }
 
 #[test]
-fn what_is_not_told_or_not_known_counts_as_what_binds_most() {
-    let class = |key, word| {
-        with(&format!("/classes/0/{key}"), word)
+fn missing_and_unknown_values_count_as_the_most_restrictive_ones() {
+    let class_with = |key, text| {
+        read_with(&format!("/classes/0/{key}"), text)
             .unwrap()
             .request_classes
             .remove(0)
     };
-    for word in [None, Some(json!("")), Some(json!("planet")), Some(json!(7))] {
+    for text in [None, Some(json!("")), Some(json!("planet")), Some(json!(7))] {
         assert_eq!(
-            class("key-scope", word.clone()).deduplication_scope,
+            class_with("key-scope", text.clone()).deduplication_scope,
             DeduplicationScope::Cell
         );
         assert_eq!(
-            class("effect", word.clone()).idempotency,
+            class_with("effect", text.clone()).idempotency,
             Idempotency::NonIdempotent
         );
         assert_eq!(
-            with("/registry-mode", word).unwrap().discovery,
+            read_with("/registry-mode", text).unwrap().discovery,
             DiscoveryMode::Poll
         );
     }
-    let most = |configured| {
-        with("/allowed/max-attempts", configured)
+    let max_attempts = |configured| {
+        read_with("/allowed/max-attempts", configured)
             .unwrap()
             .allowed
             .max_attempts
     };
-    assert_eq!((most(None), most(Some(json!(1e12)))), (None, Some(u32::MAX)));
-    assert_eq!(class("window-ns", None).window, None);
+    assert_eq!(
+        (max_attempts(None), max_attempts(Some(json!(1e12)))),
+        (None, Some(u32::MAX))
+    );
+    assert_eq!(class_with("window-ns", None).window, None);
 }
