--- a/crates/quartzdrift-platform/src/attempt_outcome/tests.rs
+++ b/crates/quartzdrift-platform/src/attempt_outcome/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_attempts_that_cannot_have_run_get_such_an_outcome() {
+fn outcomes_that_exclude_execution_are_given_only_to_unexecuted_attempts() {
     let not_executed = [
         Outcome::CacheMiss,
         Outcome::AtCapacity,
