--- a/crates/quartzdrift-lab/src/emulate/fleet.rs
+++ b/crates/quartzdrift-lab/src/emulate/fleet.rs
@@ -133,7 +133,7 @@
         let Some(fleet) = &mut self.schedulers[s].fleet else {
             return;
         };
-        let told = fleet.count.update(now, changed, fleet.members.others());
+        let told = fleet.count.update(now, changed, fleet.members.other_members());
         let next = fleet.members.next_due();
         let plans = fleet.planned.is_none_or(|at| next < at);
         let changes = std::mem::replace(&mut fleet.told, told) != told;
@@ -153,7 +153,7 @@
     fn fleet_output(&mut self, s: usize, output: Output) {
         let now = self.now;
         match output {
-            Output::Send { to, bytes } => {
+            Output::SendDatagram { to, bytes } => {
                 self.deaths.bytes += bytes.len() as u64;
                 let to = index(to);
                 let apart = self.apart.as_ref().is_some_and(|(some, one_way)| {
@@ -210,14 +210,14 @@
                     self.return_says(s);
                 }
             }
-            Output::Message { from, bytes, .. } => {
+            Output::MessageReceived { from, bytes, .. } => {
                 if let Some(machine) = &mut self.schedulers[s].returning.machine {
                     // What is not understood is refused by a test of its own.
                     let _ = machine.receive(now, &from, &bytes);
                     self.return_says(s);
                 }
             }
-            Output::Rejected { .. } | Output::NameConflict { .. } => {}
+            Output::DatagramRejected { .. } | Output::NameConflict { .. } => {}
         }
     }
 
@@ -229,10 +229,17 @@
             found: None,
         });
         if let Some(fleet) = self.schedulers[s].fleet.take() {
-            self.return_killed(s, fleet.members.reachable().map(|m| m.name.to_string()).collect());
+            self.return_killed(
+                s,
+                fleet
+                    .members
+                    .reachable_members()
+                    .map(|m| m.name.to_string())
+                    .collect(),
+            );
             let known = fleet
                 .members
-                .others()
+                .other_members()
                 .filter(|m| m.state != MemberState::Left)
                 .map(|m| m.address);
             self.schedulers[s].met = (known.collect(), fleet.told);
--- a/crates/quartzdrift-lab/src/emulate/returning.rs
+++ b/crates/quartzdrift-lab/src/emulate/returning.rs
@@ -112,7 +112,7 @@
         let known = scheduler
             .fleet
             .as_ref()
-            .map(|fleet| fleet.members.reachable().map(|m| m.name.to_string()));
+            .map(|fleet| fleet.members.reachable_members().map(|m| m.name.to_string()));
         let known: Vec<String> = known.into_iter().flatten().collect();
         scheduler.returning.copy = scheduler
             .returning
--- a/crates/quartzdrift-membership/src/lib.rs
+++ b/crates/quartzdrift-membership/src/lib.rs
@@ -21,7 +21,7 @@
 mod wire;
 
 pub use member::{Member, MemberState, MemberUpdate};
-pub use membership::{Membership, MemoryUsage, Output};
+pub use membership::{EntryCounts, Membership, Output};
 pub use scheduler_count::SchedulerCount;
 pub use settings::Settings;
 pub use wire::{MAX_NAME_LENGTH, RejectReason};
--- a/crates/quartzdrift-membership/src/member.rs
+++ b/crates/quartzdrift-membership/src/member.rs
@@ -55,7 +55,7 @@
     /// Its state as far as this member knows.
     pub state: MemberState,
     /// When it entered this state, by the caller's clock.
-    pub since: Duration,
+    pub state_since: Duration,
 }
 
 impl Member {
@@ -67,7 +67,7 @@
             instance: update.instance,
             incarnation: update.incarnation,
             state: update.state,
-            since: now,
+            state_since: now,
         }
     }
 
@@ -89,7 +89,7 @@
         self.instance = update.instance;
         self.incarnation = update.incarnation;
         self.state = update.state;
-        self.since = now;
+        self.state_since = now;
     }
 
     /// Whether nobody suspects it.
--- a/crates/quartzdrift-membership/src/membership.rs
+++ b/crates/quartzdrift-membership/src/membership.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// A datagram is to be sent.
-    Send {
+    SendDatagram {
         /// Where to.
         to: SocketAddr,
         /// The whole datagram.
@@ -36,7 +36,7 @@
     /// A member is new or its state has changed.
     MemberChanged(Member),
     /// A datagram was rejected.
-    Rejected {
+    DatagramRejected {
         /// Where it came from.
         from: SocketAddr,
         /// Why.
@@ -45,10 +45,10 @@
     /// Another member uses this member's name. Reported once for each instance of it.
     NameConflict {
         /// Where it is.
-        with: SocketAddr,
+        address: SocketAddr,
     },
     /// Another member has sent a message with [`Membership::send_message`].
-    Message {
+    MessageReceived {
         /// The sender's name.
         from: Rc<str>,
         /// Whom among the membership's users it is for.
@@ -60,7 +60,7 @@
 
 /// How many entries the state holds, for bounds on memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MemoryUsage {
+pub struct EntryCounts {
     /// Other members, including dead ones.
     pub members: usize,
     /// Addresses of members, seeds and senders.
@@ -192,23 +192,23 @@
     }
 
     /// Lifeguard's local health multiplier: 0 is healthy, and timeouts grow with it.
-    pub fn health(&self) -> u32 {
+    pub fn health_multiplier(&self) -> u32 {
         self.health
     }
 
     /// All other members, in whatever state.
-    pub fn others(&self) -> impl Iterator<Item = &Member> {
+    pub fn other_members(&self) -> impl Iterator<Item = &Member> {
         self.peers.values().map(|peer| &peer.member)
     }
 
     /// The other members that are alive or suspected.
-    pub fn reachable(&self) -> impl Iterator<Item = &Member> {
-        self.others().filter(|member| member.state.is_reachable())
+    pub fn reachable_members(&self) -> impl Iterator<Item = &Member> {
+        self.other_members().filter(|member| member.state.is_reachable())
     }
 
     /// How much the state holds.
-    pub fn memory_usage(&self) -> MemoryUsage {
-        MemoryUsage {
+    pub fn entry_counts(&self) -> EntryCounts {
+        EntryCounts {
             members: self.peers.len(),
             addresses: self.addresses.len(),
             queued_updates: self.gossip.len(),
@@ -298,7 +298,7 @@
 
     /// Addresses of at most `count` reachable members that satisfy `filter`, chosen at random.
     fn random_members(&mut self, count: usize, filter: impl Fn(&Member) -> bool) -> Vec<SocketAddr> {
-        let candidates = self.reachable().filter(|member| filter(member));
+        let candidates = self.reachable_members().filter(|member| filter(member));
         let mut addresses: Vec<SocketAddr> = candidates.map(|member| member.address).collect();
         addresses.shuffle(&mut self.random);
         addresses.truncate(count);
@@ -312,7 +312,7 @@
     fn forget_dead_members(&mut self) {
         let retention = self.settings.dead_retention;
         let now = self.now;
-        let is_expired = |peer: &Peer| !peer.is_reachable() && peer.member.since + retention < now;
+        let is_expired = |peer: &Peer| !peer.is_reachable() && peer.member.state_since + retention < now;
         let expired: Vec<Rc<str>> = self
             .peers
             .iter()
@@ -327,7 +327,7 @@
 
     /// Drops the records of addresses that no member or seed has.
     fn forget_unused_addresses(&mut self) {
-        let mut used: BTreeSet<SocketAddr> = self.others().map(|member| member.address).collect();
+        let mut used: BTreeSet<SocketAddr> = self.other_members().map(|member| member.address).collect();
         used.extend(&self.settings.seeds);
         self.addresses.retain(|address, _| used.contains(address));
     }
--- a/crates/quartzdrift-membership/src/membership/joining.rs
+++ b/crates/quartzdrift-membership/src/membership/joining.rs
@@ -69,7 +69,7 @@
 
     /// Requests a full exchange with a random reachable member, and one with a random dead member or lost seed.
     pub(super) fn request_exchanges(&mut self) {
-        let reachable: Vec<SocketAddr> = self.reachable().map(|member| member.address).collect();
+        let reachable: Vec<SocketAddr> = self.reachable_members().map(|member| member.address).collect();
         let unreachable = self.unreachable_addresses(&reachable);
         for candidates in [reachable, unreachable] {
             if !candidates.is_empty() {
@@ -82,7 +82,7 @@
 
     fn unreachable_addresses(&self, reachable: &[SocketAddr]) -> Vec<SocketAddr> {
         let dead = self
-            .others()
+            .other_members()
             .filter(|member| member.state == MemberState::Dead)
             .map(|member| member.address);
         let seeds = self.settings.seeds.iter().copied();
--- a/crates/quartzdrift-membership/src/membership/probing.rs
+++ b/crates/quartzdrift-membership/src/membership/probing.rs
@@ -66,7 +66,10 @@
                 return self.send_probe(target, address);
             }
         }
-        self.probe_order = self.reachable().map(|member| member.name.clone()).collect();
+        self.probe_order = self
+            .reachable_members()
+            .map(|member| member.name.clone())
+            .collect();
         self.probe_order.shuffle(&mut self.random);
         if let Some(target) = self.probe_order.pop()
             && let Some(peer) = self.peers.get(&target)
--- a/crates/quartzdrift-membership/src/membership/receiving.rs
+++ b/crates/quartzdrift-membership/src/membership/receiving.rs
@@ -34,7 +34,7 @@
     pub fn receive(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) {
         self.advance_clock(now);
         if let Err(reason) = self.accept(from, bytes) {
-            self.outputs.push(Output::Rejected { from, reason });
+            self.outputs.push(Output::DatagramRejected { from, reason });
         }
     }
 
@@ -132,7 +132,7 @@
             Part::Introduction { answered_sequence } => self.handle_introduction(from, answered_sequence),
             Part::ExchangeRequest { after } => self.send_exchange_page(from, &after),
             Part::ExchangePage { last, more } => self.handle_exchange_page(from, last, more),
-            Part::Message { topic, bytes } => self.outputs.push(Output::Message {
+            Part::Message { topic, bytes } => self.outputs.push(Output::MessageReceived {
                 from: sender.clone(),
                 topic,
                 bytes,
@@ -162,10 +162,10 @@
         }
     }
 
-    fn report_name_conflict(&mut self, with: SocketAddr, instance: u64) {
+    fn report_name_conflict(&mut self, address: SocketAddr, instance: u64) {
         let reported = std::mem::replace(&mut self.conflicting_instance, instance);
         if reported != instance {
-            self.outputs.push(Output::NameConflict { with });
+            self.outputs.push(Output::NameConflict { address });
         }
     }
 }
--- a/crates/quartzdrift-membership/src/membership/sending.rs
+++ b/crates/quartzdrift-membership/src/membership/sending.rs
@@ -86,7 +86,7 @@
     pub(super) fn sign_and_send(&mut self, to: SocketAddr, writer: DatagramWriter) {
         if let Some(key) = self.settings.keys.first() {
             let bytes = writer.sign(key);
-            self.outputs.push(Output::Send { to, bytes });
+            self.outputs.push(Output::SendDatagram { to, bytes });
         }
     }
 }
--- a/crates/quartzdrift-membership/src/membership/suspicion.rs
+++ b/crates/quartzdrift-membership/src/membership/suspicion.rs
@@ -67,7 +67,7 @@
         }
         if peer.accusers.len() <= CONFIRMATIONS && peer.accusers.insert(update.accuser) {
             let accusers = peer.accusers.len();
-            let since = peer.member.since;
+            let since = peer.member.state_since;
             let end = since + self.suspicion_timeout(accusers);
             self.suspicion_ends.insert(name, end);
             self.gossip.push(update);
--- a/crates/quartzdrift-membership/src/scheduler_count.rs
+++ b/crates/quartzdrift-membership/src/scheduler_count.rs
@@ -65,7 +65,7 @@
     fn counts(&self, now: Duration, member: &Member) -> bool {
         match member.state {
             MemberState::Alive | MemberState::Suspect => true,
-            MemberState::Dead => now.saturating_sub(member.since) < self.silence_limit,
+            MemberState::Dead => now.saturating_sub(member.state_since) < self.silence_limit,
             MemberState::Left => false,
         }
     }
--- a/crates/quartzdrift-membership/src/scheduler_count/tests.rs
+++ b/crates/quartzdrift-membership/src/scheduler_count/tests.rs
@@ -2,14 +2,14 @@
 
 fn member(state: MemberState, since: u64) -> Member {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-    let since = Duration::from_secs(since);
+    let state_since = Duration::from_secs(since);
     Member {
         name: "m".into(),
         address,
         instance: 1,
         incarnation: 0,
         state,
-        since,
+        state_since,
     }
 }
 
--- a/crates/quartzdrift-membership/tests/fleet/main.rs
+++ b/crates/quartzdrift-membership/tests/fleet/main.rs
@@ -121,7 +121,7 @@
     network.members[0] = None;
     network.members[1] = None;
     network.run(20 * S);
-    assert!((2..6).all(|n| network.members[n].as_ref().unwrap().others().count() == 0));
+    assert!((2..6).all(|n| network.members[n].as_ref().unwrap().other_members().count() == 0));
     network.start(1);
     network.run(60 * S);
     assert!(network.is_whole(1..6));
@@ -169,7 +169,7 @@
     let second = network.members[0]
         .as_ref()
         .unwrap()
-        .others()
+        .other_members()
         .find(|member| *member.name == *"m2")
         .unwrap();
     assert_eq!(second.address, address(2));
@@ -179,7 +179,7 @@
     let second = network.members[0]
         .as_ref()
         .unwrap()
-        .others()
+        .other_members()
         .find(|member| *member.name == *"m2")
         .unwrap();
     assert_eq!((second.address, second.state), (address(6), MemberState::Alive));
@@ -260,7 +260,7 @@
     assert_eq!(network.state(0, 4), Some(MemberState::Dead));
     // All datagrams are replayed, the dead member's among them, and sent once more with a flipped bit to another member.
     let before = network.changes.len();
-    let usage = network.members[0].as_ref().unwrap().memory_usage();
+    let usage = network.members[0].as_ref().unwrap().entry_counts();
     network.rejected.clear();
     for (index, datagram) in recorded.into_iter().enumerate() {
         let InFlight { from, to, bytes } = datagram;
@@ -286,7 +286,7 @@
     assert_eq!(network.changes.len(), before, "{:?}", &network.changes[before..]);
     assert_eq!(network.state(0, 4), Some(MemberState::Dead));
     assert_eq!(
-        network.members[0].as_ref().unwrap().memory_usage().members,
+        network.members[0].as_ref().unwrap().entry_counts().members,
         usage.members
     );
 }
--- a/crates/quartzdrift-membership/tests/fleet/network.rs
+++ b/crates/quartzdrift-membership/tests/fleet/network.rs
@@ -113,7 +113,7 @@
             .unwrap_or_default();
         for output in outputs {
             match output {
-                Output::Send { to, bytes } => {
+                Output::SendDatagram { to, bytes } => {
                     assert!(bytes.len() <= 1200);
                     self.bytes += bytes.len() as u64;
                     self.deliver(member, Network::index(to), bytes);
@@ -127,9 +127,9 @@
                         state: changed.state,
                     });
                 }
-                Output::Rejected { reason, .. } => self.rejected.push((member, reason)),
+                Output::DatagramRejected { reason, .. } => self.rejected.push((member, reason)),
                 Output::NameConflict { .. } => self.name_conflicts.push(member),
-                Output::Message { bytes, .. } => self.messages.push((member, bytes)),
+                Output::MessageReceived { bytes, .. } => self.messages.push((member, bytes)),
             }
         }
     }
@@ -196,7 +196,7 @@
         let name = format!("m{member}");
         self.members[observer]
             .as_ref()?
-            .others()
+            .other_members()
             .find(|other| *other.name == *name)
             .map(|other| other.state)
     }
--- a/crates/quartzdrift/src/gateway/fleet.rs
+++ b/crates/quartzdrift/src/gateway/fleet.rs
@@ -80,7 +80,7 @@
             address: member.address,
             incarnation: member.incarnation,
             state: member.state,
-            since: now.saturating_sub(member.since).as_secs(),
+            since: now.saturating_sub(member.state_since).as_secs(),
         }
     }
 }
@@ -164,13 +164,13 @@
 
     fn view(&self, now: Duration) -> View {
         let own = self.members.settings();
-        let others = self.members.others();
+        let others = self.members.other_members();
         View {
             at: now.as_secs(),
             name: own.name.clone(),
             address: own.address,
             incarnation: self.members.incarnation(),
-            health: self.members.health(),
+            health: self.members.health_multiplier(),
             schedulers: self.schedulers,
             members: others.map(|member| MemberView::new(member, now)).collect(),
         }
@@ -193,17 +193,21 @@
         let mut events = FleetEvents::default();
         for output in self.members.take_outputs() {
             match output {
-                Output::Send { to, bytes } => {
+                Output::SendDatagram { to, bytes } => {
                     let failed = self.socket.send_to(&bytes, to).is_err();
                     self.unsent += u64::from(failed);
                 }
                 Output::MemberChanged(member) => self.handle_change(now, member, &mut events),
-                Output::Rejected { from, reason } => self.rejections.log(now, from, reason),
-                Output::NameConflict { with } => {
+                Output::DatagramRejected { from, reason } => self.rejections.log(now, from, reason),
+                Output::NameConflict { address } => {
                     let mend = "give each scheduler a name of its own in [fleet]";
-                    tracing::error!(by = %with, mend, "another member bears our name: others do not hear us");
+                    tracing::error!(
+                        by = %address,
+                        mend,
+                        "another member bears our name: others do not hear us"
+                    );
                 }
-                Output::Message { from, topic, bytes } => {
+                Output::MessageReceived { from, topic, bytes } => {
                     events.messages.push(Message { from, topic, bytes });
                 }
             }
@@ -328,7 +332,7 @@
         let events = fleet.carry_out(now);
         let schedulers = fleet
             .count
-            .update(now, events.member_changed, fleet.members.others());
+            .update(now, events.member_changed, fleet.members.other_members());
         if schedulers != fleet.schedulers {
             tracing::info!(before = fleet.schedulers, schedulers, "number of schedulers");
             fleet.schedulers = schedulers;
