--- a/crates/quartzdrift-membership/src/member.rs
+++ b/crates/quartzdrift-membership/src/member.rs
@@ -4,62 +4,64 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// SWIM's member states, in the order in which one overrides the other at the same incarnation.
+/// The member states of SWIM. At the same incarnation, a later variant overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Answers probes.
+    /// The member answers probes.
     Alive,
-    /// Missed a probe and may still refute the suspicion.
+    /// The member missed a probe and may still refute the suspicion.
     Suspect,
-    /// Did not refute a suspicion in time.
+    /// The member did not refute a suspicion in time.
     Dead,
-    /// Announced that it leaves.
+    /// The member announced that it leaves the fleet.
     Left,
 }
 
 impl MemberState {
-    /// Whether such a member takes part in the protocol: suspects do until they are declared dead.
+    /// Whether a member in this state takes part in the protocol. A suspect does until it is declared dead.
     pub(crate) fn is_reachable(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// One statement about a member, as gossip carries it.
+/// The state of one member at one incarnation, as members exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member that the update is about.
+    /// Name of the member that the update describes.
     pub name: String,
-    /// Where it is reached.
+    /// Address at which the other members reach it.
     pub address: SocketAddr,
-    /// Its process instance, drawn at each start.
+    /// Identifies its process; drawn at random on each start.
     pub instance: u64,
-    /// SWIM's incarnation, raised by the member itself to refute updates about it.
+    /// SWIM incarnation; the member raises it to refute updates about itself.
     pub incarnation: u32,
-    /// Its state according to this update.
+    /// The state that the update assigns to the member.
     pub state: MemberState,
-    /// The instance of the member that first suspects it; 0 in updates that are not accusations.
-    pub accuser: u64,
+    /// Instance of the member that suspects this one or declares it dead; 0 if the update only passes on a
+    /// record.
+    #[serde(rename = "accuser")]
+    pub suspecting_instance: u64,
 }
 
-/// A member as this one currently sees it.
+/// Another member as recorded in the local member table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Unique within the cluster.
+    /// Name, unique within the cluster.
     pub name: Rc<str>,
-    /// Where it is reached.
+    /// Address at which the other members reach it.
     pub address: SocketAddr,
-    /// Its process instance, drawn at each start.
+    /// Identifies its process; drawn at random on each start.
     pub instance: u64,
-    /// SWIM's incarnation, raised by the member itself to refute updates about it.
+    /// SWIM incarnation; the member raises it to refute updates about itself.
     pub incarnation: u32,
-    /// Its state as far as this member knows.
+    /// The last state that an update assigned to it.
     pub state: MemberState,
-    /// When it entered this state, by the caller's clock.
+    /// When the update that set this state was applied, by the caller's clock.
     pub state_since: Duration,
 }
 
 impl Member {
-    /// The member that an update introduces, as of `now`.
+    /// Creates the record of a member that `update` describes for the first time.
     pub(crate) fn from_update(update: &MemberUpdate, now: Duration) -> Member {
         Member {
             name: Rc::from(update.name.as_str()),
@@ -71,19 +73,19 @@
         }
     }
 
-    /// The update that makes others see this member as this one does.
-    pub(crate) fn to_update(&self, accuser: u64) -> MemberUpdate {
+    /// Builds the update that passes this record on to other members.
+    pub(crate) fn to_update(&self, suspecting_instance: u64) -> MemberUpdate {
         MemberUpdate {
             name: self.name.to_string(),
             address: self.address,
             instance: self.instance,
             incarnation: self.incarnation,
             state: self.state,
-            accuser,
+            suspecting_instance,
         }
     }
 
-    /// Takes over what an update says.
+    /// Overwrites the record with the contents of an update about the same member.
     pub(crate) fn apply(&mut self, update: &MemberUpdate, now: Duration) {
         self.address = update.address;
         self.instance = update.instance;
@@ -92,12 +94,12 @@
         self.state_since = now;
     }
 
-    /// Whether nobody suspects it.
+    /// Whether the member is [`MemberState::Alive`], so neither suspected, dead nor gone.
     pub(crate) fn is_alive(&self) -> bool {
         self.state == MemberState::Alive
     }
 
-    /// Whether SWIM's order lets the update override the current state.
+    /// Whether `update` overrides this record: SWIM orders updates by incarnation, then by state.
     pub(crate) fn is_overridden_by(&self, update: &MemberUpdate) -> bool {
         (self.incarnation, self.state) < (update.incarnation, update.state)
     }
--- a/crates/quartzdrift-membership/src/membership.rs
+++ b/crates/quartzdrift-membership/src/membership.rs
@@ -1,6 +1,7 @@
-//! The protocol's state machine. Datagrams and the time go in, [`Output`]s come out; `probing` detects failures,
-//! `suspicion` decides what is believed of members, `joining` finds the fleet and exchanges full member tables, `sending`
-//! and `receiving` handle datagrams.
+//! The protocol's state machine, which turns received datagrams and the time into [`Output`]s.
+//!
+//! `probing` detects failures, `suspicion` decides the state of each member, `joining` contacts the fleet and
+//! exchanges full member tables, `sending` and `receiving` handle datagrams.
 mod joining;
 mod probing;
 mod receiving;
@@ -17,74 +18,75 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
-use receiving::IntroductionBudget;
+use receiving::IntroductionRateLimiter;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What the caller has to carry out.
+/// An action or a notification for the caller of [`Membership`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// A datagram is to be sent.
+    /// The caller has to send a datagram.
     SendDatagram {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
-        /// The whole datagram.
+        /// The encoded and signed datagram.
         bytes: Vec<u8>,
     },
-    /// A member is new or its state has changed.
+    /// A member was added to the table, or an update has changed its record.
     MemberChanged(Member),
-    /// A datagram was rejected.
+    /// A received datagram was rejected.
     DatagramRejected {
-        /// Where it came from.
+        /// Address that the datagram came from.
         from: SocketAddr,
-        /// Why.
+        /// The failed check.
         reason: RejectReason,
     },
-    /// Another member uses this member's name. Reported once for each instance of it.
+    /// Another member uses this member's name. Consecutive conflicts with the same instance are reported
+    /// once.
     NameConflict {
-        /// Where it is.
+        /// Address of the other member.
         address: SocketAddr,
     },
     /// Another member has sent a message with [`Membership::send_message`].
     MessageReceived {
-        /// The sender's name.
+        /// Name of the sending member.
         from: Rc<str>,
-        /// Whom among the membership's users it is for.
+        /// Selects the component of the application that handles the message.
         topic: u8,
-        /// Its payload.
+        /// Payload of the message.
         bytes: Vec<u8>,
     },
 }
 
-/// How many entries the state holds, for bounds on memory.
+/// Numbers of entries in the state of a [`Membership`], which determine its memory use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryCounts {
-    /// Other members, including dead ones.
+    /// Other members, including those that are dead or have left.
     pub members: usize,
-    /// Addresses of members, seeds and senders.
+    /// Addresses of members, seeds and senders of datagrams.
     pub addresses: usize,
     /// Updates in the gossip queue.
     pub queued_updates: usize,
-    /// Probes that are relayed for others.
+    /// Probes that this member relays for others.
     pub relayed_probes: usize,
 }
 
-/// Another member, and what the protocol remembers of it.
+/// Another member, its replay window and the suspicions against it.
 struct Peer {
     member: Member,
-    window: ReplayWindow,
-    /// The instances of those that suspect it.
-    accusers: BTreeSet<u64>,
+    replay_window: ReplayWindow,
+    /// Instances of the members that suspect it.
+    suspecting_instances: BTreeSet<u64>,
 }
 
 impl Peer {
     fn new(member: Member) -> Peer {
         Peer {
             member,
-            window: ReplayWindow::default(),
-            accusers: BTreeSet::new(),
+            replay_window: ReplayWindow::default(),
+            suspecting_instances: BTreeSet::new(),
         }
     }
 
@@ -93,57 +95,60 @@
     }
 }
 
-/// What is known of an address.
+/// The process at an address and the last datagrams sent to it.
 #[derive(Default)]
 struct AddressRecord {
-    /// The instance that is reached there; 0 where unknown.
+    /// Instance of the process at the address; 0 if unknown.
     instance: u64,
-    /// Sequence numbers of the last datagrams sent there.
-    sent: VecDeque<u64>,
-    /// The member that was last reached there.
-    member: Option<Rc<str>>,
+    /// Sequence numbers of the last datagrams sent to the address.
+    sent_sequences: VecDeque<u64>,
+    /// Name of the member that was last recorded with this address.
+    member_name: Option<Rc<str>>,
 }
 
-/// One member's view of its fleet, and the protocol that keeps it current.
+/// One member's table of its fleet, and the SWIM protocol that keeps the table current.
 pub struct Membership {
     settings: Settings,
-    /// [`wire::cluster_id`] of the settings' cluster.
+    /// The [`wire::cluster_id`] of the cluster named in the settings.
     cluster: u64,
     instance: u64,
     incarnation: u32,
     is_leaving: bool,
     now: Duration,
     random: StdRng,
-    /// The sequence number of the last datagram.
+    /// Sequence number of the last datagram sent.
     sequence: u64,
     peers: BTreeMap<Rc<str>, Peer>,
-    /// How many of the peers are reachable.
+    /// Number of peers that are alive or suspected.
     reachable_peers: usize,
-    /// When each suspicion ends in a declaration of death.
-    suspicion_ends: BTreeMap<Rc<str>, Duration>,
+    /// When each suspect is declared dead, by its name.
+    suspicion_deadlines: BTreeMap<Rc<str>, Duration>,
     addresses: BTreeMap<SocketAddr, AddressRecord>,
     gossip: GossipQueue,
-    /// Members left to probe in this round, the next one last.
+    /// Names of the members still to be probed in this round; the last entry is probed next.
     probe_order: Vec<Rc<str>>,
-    /// The number of the last probe, own or relayed.
-    last_probe: u32,
-    probe: Option<Probe>,
+    /// Number of the last probe that this member sent for itself or relayed for another.
+    last_probe_number: u32,
+    /// The probe whose answer is awaited.
+    current_probe: Option<Probe>,
+    /// Probes relayed for other members, by the probe number in the ping to the target.
     relayed_probes: BTreeMap<u32, RelayedProbe>,
     /// Lifeguard's local health multiplier; 0 is healthy.
-    health: u32,
-    next_period: Duration,
+    health_multiplier: u32,
+    next_period_at: Duration,
     /// Protocol periods since the start.
-    periods: u32,
-    join: JoinSchedule,
-    introductions: IntroductionBudget,
-    /// The last instance that a name conflict was reported for.
+    period_count: u32,
+    join_schedule: JoinSchedule,
+    introduction_limiter: IntroductionRateLimiter,
+    /// Instance of the other member in the last name conflict.
     conflicting_instance: u64,
     outputs: Vec<Output>,
 }
 
 impl Membership {
-    /// A member that starts at `now`. `instance` must never be used again by a member of this name; `known_addresses` are
-    /// those of members met before a restart, which are contacted beside the seeds; `random_seed` drives all random choices.
+    /// Creates a member that starts at `now`. `instance` must be unique among all starts of members of this
+    /// name. `known_addresses` are addresses of members known before a restart, which are contacted in
+    /// addition to the seeds. `random_seed` determines all random choices.
     pub fn new(
         mut settings: Settings,
         instance: u64,
@@ -151,8 +156,8 @@
         random_seed: u64,
         now: Duration,
     ) -> Membership {
-        let contacts = known_addresses.iter().take(settings.max_members);
-        settings.seeds.extend(contacts);
+        let additional_seeds = known_addresses.iter().take(settings.max_members);
+        settings.seeds.extend(additional_seeds);
         Membership {
             cluster: wire::cluster_id(&settings.cluster),
             settings,
@@ -164,39 +169,39 @@
             sequence: 0,
             peers: BTreeMap::new(),
             reachable_peers: 0,
-            suspicion_ends: BTreeMap::new(),
+            suspicion_deadlines: BTreeMap::new(),
             addresses: BTreeMap::new(),
             gossip: GossipQueue::default(),
             probe_order: Vec::new(),
-            last_probe: 0,
-            probe: None,
+            last_probe_number: 0,
+            current_probe: None,
             relayed_probes: BTreeMap::new(),
-            health: 0,
-            next_period: now,
-            periods: 0,
-            join: JoinSchedule::new(now),
-            introductions: IntroductionBudget::default(),
+            health_multiplier: 0,
+            next_period_at: now,
+            period_count: 0,
+            join_schedule: JoinSchedule::new(now),
+            introduction_limiter: IntroductionRateLimiter::default(),
             conflicting_instance: 0,
             outputs: Vec::new(),
         }
     }
 
-    /// The settings that this member runs with.
+    /// The settings, with the addresses known before a restart added to the seeds.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// This member's incarnation.
+    /// This member's current SWIM incarnation.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// Lifeguard's local health multiplier: 0 is healthy, and timeouts grow with it.
+    /// Lifeguard's local health multiplier: 0 is healthy, and probe timeouts grow with it.
     pub fn health_multiplier(&self) -> u32 {
-        self.health
+        self.health_multiplier
     }
 
-    /// All other members, in whatever state.
+    /// All other members, in any state.
     pub fn other_members(&self) -> impl Iterator<Item = &Member> {
         self.peers.values().map(|peer| &peer.member)
     }
@@ -206,7 +211,7 @@
         self.other_members().filter(|member| member.state.is_reachable())
     }
 
-    /// How much the state holds.
+    /// Counts the entries of the state.
     pub fn entry_counts(&self) -> EntryCounts {
         EntryCounts {
             members: self.peers.len(),
@@ -216,43 +221,44 @@
         }
     }
 
-    /// When [`Membership::due`] is to be called next.
+    /// When [`Membership::due`] has to be called next.
     pub fn next_due(&self) -> Duration {
-        let probe = self.probe.iter().map(Probe::next_due);
+        let probe = self.current_probe.iter().map(Probe::next_due);
         let relays = self.relayed_probes.values().map(RelayedProbe::next_due);
-        let suspicions = self.suspicion_ends.values().copied();
-        let join = self.join.next_due().filter(|_| !self.is_leaving);
+        let suspicions = self.suspicion_deadlines.values().copied();
+        let join = self.join_schedule.next_due().filter(|_| !self.is_leaving);
         probe
             .chain(relays)
             .chain(suspicions)
             .chain(join)
-            .fold(self.next_period, Duration::min)
+            .fold(self.next_period_at, Duration::min)
     }
 
-    /// Takes what is to be carried out.
+    /// Removes and returns the outputs that have accumulated since the last call.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Advances the protocol to `now`: timeouts, suspicions, joining and the periodic probe.
+    /// Advances the protocol to `now`: handles expired probes and suspicions, joins, and starts the next
+    /// period.
     pub fn due(&mut self, now: Duration) {
         let lateness = now.saturating_sub(self.next_due());
         self.advance_clock(now);
         if lateness > self.settings.protocol_period {
-            self.recover_from_pause(lateness);
+            self.compensate_for_pause(lateness);
         }
         self.expire_relayed_probes();
         self.check_probe();
         self.expire_suspicions();
-        if !self.is_leaving && self.join.is_due(self.now) {
-            self.try_join();
+        if !self.is_leaving && self.join_schedule.is_due(self.now) {
+            self.contact_seeds();
         }
-        if self.next_period <= self.now {
+        if self.next_period_at <= self.now {
             self.begin_period();
         }
     }
 
-    /// Announces to a few members that this one leaves; they pass it on.
+    /// Announces to a few members that this one leaves; gossip informs the others.
     pub fn leave(&mut self, now: Duration) {
         self.advance_clock(now);
         self.is_leaving = true;
@@ -260,43 +266,44 @@
         self.announce_leaving();
     }
 
-    /// Time does not run backwards.
+    /// Sets the current time, which never decreases.
     fn advance_clock(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
 
     fn begin_period(&mut self) {
-        // Missed periods are not made up for.
-        self.next_period = self.now + self.settings.protocol_period;
-        self.periods = self.periods.wrapping_add(1);
+        // After a late call, missed periods are skipped instead of caught up.
+        self.next_period_at = self.now + self.settings.protocol_period;
+        self.period_count = self.period_count.wrapping_add(1);
         if self.is_leaving {
             return;
         }
-        self.forget_dead_members();
-        if joining::exchanges_in_period(self.periods) {
+        self.remove_expired_members();
+        if joining::is_exchange_period(self.period_count) {
             self.request_exchanges();
         }
-        if self.probe.is_none() {
+        if self.current_probe.is_none() {
             self.probe_next_member();
         }
     }
 
-    /// After a pause of this process, members that did not answer meanwhile are not to blame.
-    fn recover_from_pause(&mut self, lateness: Duration) {
-        self.probe = None;
+    /// Drops pending probes and extends suspicions after a pause of this process: it could not receive
+    /// answers and refutations during the pause, so their absence is no evidence of a failure.
+    fn compensate_for_pause(&mut self, pause: Duration) {
+        self.current_probe = None;
         self.relayed_probes.clear();
-        for end in self.suspicion_ends.values_mut() {
-            *end += lateness;
+        for deadline in self.suspicion_deadlines.values_mut() {
+            *deadline += pause;
         }
         self.degrade_health();
     }
 
-    /// Members of the fleet as far as they are reachable, this one included.
+    /// Number of members that are alive or suspected, including this one.
     fn fleet_size(&self) -> usize {
         1 + self.reachable_peers
     }
 
-    /// Addresses of at most `count` reachable members that satisfy `filter`, chosen at random.
+    /// Chooses at random up to `count` reachable members that satisfy `filter`, and returns their addresses.
     fn random_members(&mut self, count: usize, filter: impl Fn(&Member) -> bool) -> Vec<SocketAddr> {
         let candidates = self.reachable_members().filter(|member| filter(member));
         let mut addresses: Vec<SocketAddr> = candidates.map(|member| member.address).collect();
@@ -309,7 +316,8 @@
         self.addresses.entry(address).or_default()
     }
 
-    fn forget_dead_members(&mut self) {
+    /// Removes members that have been dead or have left for longer than the retention time.
+    fn remove_expired_members(&mut self) {
         let retention = self.settings.dead_retention;
         let now = self.now;
         let is_expired = |peer: &Peer| !peer.is_reachable() && peer.member.state_since + retention < now;
@@ -325,8 +333,8 @@
         }
     }
 
-    /// Drops the records of addresses that no member or seed has.
-    fn forget_unused_addresses(&mut self) {
+    /// Removes the records of addresses that belong to no member or seed.
+    fn remove_unused_addresses(&mut self) {
         let mut used: BTreeSet<SocketAddr> = self.other_members().map(|member| member.address).collect();
         used.extend(&self.settings.seeds);
         self.addresses.retain(|address, _| used.contains(address));
--- a/crates/quartzdrift-membership/src/membership/joining.rs
+++ b/crates/quartzdrift-membership/src/membership/joining.rs
@@ -1,4 +1,4 @@
-//! Joining the fleet and exchanging full member tables, page by page in the order of names.
+//! Joining the fleet, and the exchange of full member tables in pages that are ordered by name.
 use super::Membership;
 use crate::member::MemberState;
 use crate::wire::{DatagramWriter, MAX_NAME_LENGTH, Part};
@@ -7,59 +7,61 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-/// Protocol periods between full exchanges with a reachable member, and with an unreachable one: what looks like its death
-/// may be a network partition.
-const EXCHANGE_PERIODS: u32 = 20;
-/// Early exchanges, in periods since the start: in a fleet that starts at once, the first to answer knows only a part.
-const EARLY_EXCHANGES: [u32; 2] = [3, 7];
-/// Periods between attempts to join, which double up to this.
-const MAX_JOIN_BACKOFF: u32 = 32;
-/// The attempts are spread by this share of the backoff, so that a fleet that starts at once does not ask at once.
+/// Protocol periods between full exchanges. Each time, this member exchanges with a reachable member and with
+/// an unreachable one, which may be alive behind a network partition.
+const EXCHANGE_INTERVAL_PERIODS: u32 = 20;
+/// Additional exchanges, in periods since the start. If all members start at the same time, the first one to
+/// answer knows only some of them.
+const EARLY_EXCHANGE_PERIODS: [u32; 2] = [3, 7];
+/// Maximum number of protocol periods between attempts to join; the backoff doubles up to it.
+const MAX_JOIN_BACKOFF_PERIODS: u32 = 32;
+/// Random factor on the backoff, so that members that start at the same time spread their attempts.
 const JOIN_JITTER: std::ops::Range<f64> = 0.75..1.25;
-/// Bytes reserved for the end of an exchange page: a name and its encoding.
-const PAGE_END_RESERVE: usize = MAX_NAME_LENGTH + 8;
+/// Bytes reserved for the part that ends an exchange page: a name and its encoding.
+const PAGE_END_RESERVED_BYTES: usize = MAX_NAME_LENGTH + 8;
 
-/// When to contact the seeds.
+/// Schedules the attempts to contact the seeds, with exponential backoff, until a member has answered.
 pub(super) struct JoinSchedule {
-    next_attempt: Duration,
-    /// Periods until the attempt after it.
-    backoff: u32,
+    next_attempt_at: Duration,
+    /// Protocol periods between the next attempt and the one after it.
+    backoff_periods: u32,
     has_joined: bool,
 }
 
 impl JoinSchedule {
     pub(super) fn new(now: Duration) -> JoinSchedule {
         JoinSchedule {
-            next_attempt: now,
-            backoff: 1,
+            next_attempt_at: now,
+            backoff_periods: 1,
             has_joined: false,
         }
     }
 
     pub(super) fn next_due(&self) -> Option<Duration> {
-        (!self.has_joined).then_some(self.next_attempt)
+        (!self.has_joined).then_some(self.next_attempt_at)
     }
 
     pub(super) fn is_due(&self, now: Duration) -> bool {
-        !self.has_joined && self.next_attempt <= now
+        !self.has_joined && self.next_attempt_at <= now
     }
 }
 
-/// Whether full exchanges are requested in this protocol period.
-pub(super) fn exchanges_in_period(period: u32) -> bool {
-    period.is_multiple_of(EXCHANGE_PERIODS) || EARLY_EXCHANGES.contains(&period)
+/// Whether full exchanges are requested in this protocol period, counted from the start.
+pub(super) fn is_exchange_period(period: u32) -> bool {
+    period.is_multiple_of(EXCHANGE_INTERVAL_PERIODS) || EARLY_EXCHANGE_PERIODS.contains(&period)
 }
 
 impl Membership {
-    /// Asks all seeds for their members.
-    pub(super) fn try_join(&mut self) {
+    /// Requests the member tables of all seeds and schedules the next attempt.
+    pub(super) fn contact_seeds(&mut self) {
         for seed in self.settings.seeds.clone() {
             self.request_exchange(seed);
         }
-        let backoff = self.settings.protocol_period * self.join.backoff;
+        let backoff = self.settings.protocol_period * self.join_schedule.backoff_periods;
         let jitter = self.random.random_range(JOIN_JITTER);
-        self.join.next_attempt = self.now + backoff.mul_f64(jitter);
-        self.join.backoff = (self.join.backoff * 2).min(MAX_JOIN_BACKOFF);
+        self.join_schedule.next_attempt_at = self.now + backoff.mul_f64(jitter);
+        let doubled = self.join_schedule.backoff_periods * 2;
+        self.join_schedule.backoff_periods = doubled.min(MAX_JOIN_BACKOFF_PERIODS);
     }
 
     fn request_exchange(&mut self, from: SocketAddr) {
@@ -67,7 +69,8 @@
         self.send(from, &[Part::ExchangeRequest { after }]);
     }
 
-    /// Requests a full exchange with a random reachable member, and one with a random dead member or lost seed.
+    /// Requests a full exchange with a random reachable member, and with a random dead member or unreachable
+    /// seed.
     pub(super) fn request_exchanges(&mut self) {
         let reachable: Vec<SocketAddr> = self.reachable_members().map(|member| member.address).collect();
         let unreachable = self.unreachable_addresses(&reachable);
@@ -77,7 +80,7 @@
                 self.request_exchange(candidates[chosen]);
             }
         }
-        self.forget_unused_addresses();
+        self.remove_unused_addresses();
     }
 
     fn unreachable_addresses(&self, reachable: &[SocketAddr]) -> Vec<SocketAddr> {
@@ -86,31 +89,36 @@
             .filter(|member| member.state == MemberState::Dead)
             .map(|member| member.address);
         let seeds = self.settings.seeds.iter().copied();
-        let lost_seeds = seeds.filter(|seed| !reachable.contains(seed));
-        dead.chain(lost_seeds).collect()
+        let unreachable_seeds = seeds.filter(|seed| !reachable.contains(seed));
+        dead.chain(unreachable_seeds).collect()
     }
 
-    /// Our instance was unknown to a member and now is known: joining goes on there, if we have sent the datagram that it
-    /// answers.
+    /// Handles the answer of a member that did not know this member's instance, and repeats the exchange
+    /// request now that it does. The answer is ignored unless it names one of the last datagrams sent to that
+    /// address.
     pub(super) fn handle_introduction(&mut self, from: SocketAddr, answered_sequence: u64) {
         let record = self.addresses.get(&from);
-        let is_answer = record.is_some_and(|record| record.sent.contains(&answered_sequence));
-        if is_answer {
+        let has_sent_it = record.is_some_and(|record| record.sent_sequences.contains(&answered_sequence));
+        if has_sent_it {
             self.request_exchange(from);
         }
     }
 
-    /// Sends as many members after this name as fit into a datagram.
+    /// Sends a page of the member table: as many members with names after `after` as fit into a datagram.
     pub(super) fn send_exchange_page(&mut self, to: SocketAddr, after: &str) {
         let header = self.next_header(to);
-        let reserved_size = self.settings.max_datagram_size.saturating_sub(PAGE_END_RESERVE);
-        let mut writer = DatagramWriter::new(&header, reserved_size);
+        let size_without_page_end = self
+            .settings
+            .max_datagram_size
+            .saturating_sub(PAGE_END_RESERVED_BYTES);
+        let mut writer = DatagramWriter::new(&header, size_without_page_end);
         let page_end = self.write_members(&mut writer, after);
-        writer.release_reserved(PAGE_END_RESERVE);
+        writer.release_reserved_bytes(PAGE_END_RESERVED_BYTES);
         writer.push(&page_end);
         self.sign_and_send(to, writer);
     }
 
+    /// Appends members with names after `after` while they fit. Returns the part that ends the page.
     fn write_members(&self, writer: &mut DatagramWriter, after: &str) -> Part {
         let mut last = after.to_owned();
         let range = (Bound::Excluded(after), Bound::Unbounded);
@@ -123,9 +131,10 @@
         Part::ExchangePage { last, more: false }
     }
 
-    /// The page's updates precede this part; the first page completes joining.
+    /// Handles the end of a page, whose updates precede it in the datagram. The first page completes joining;
+    /// if more pages follow, requests the next one.
     pub(super) fn handle_exchange_page(&mut self, from: SocketAddr, last: String, more: bool) {
-        self.join.has_joined = true;
+        self.join_schedule.has_joined = true;
         if more {
             self.send(from, &[Part::ExchangeRequest { after: last }]);
         }
--- a/crates/quartzdrift-membership/src/membership/receiving.rs
+++ b/crates/quartzdrift-membership/src/membership/receiving.rs
@@ -1,4 +1,4 @@
-//! Incoming datagrams: which are accepted, and what their parts cause.
+//! Incoming datagrams: the checks before one is accepted, and the handling of its parts.
 use super::{Membership, Output};
 use crate::member::{MemberState, MemberUpdate};
 use crate::wire::{self, Datagram, Header, MAX_NAME_LENGTH, Part, RejectReason};
@@ -6,39 +6,42 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Introductions a second at most: a replayed datagram that does not name our instance draws no more answers than that.
+/// Maximum number of introductions sent in a second. It bounds the answers to replayed datagrams that do not
+/// name this member's instance.
 const MAX_INTRODUCTIONS_PER_SECOND: u32 = 512;
 
-/// How many introductions were sent in the current second.
+/// Limits the rate of introductions.
 #[derive(Default)]
-pub(super) struct IntroductionBudget {
+pub(super) struct IntroductionRateLimiter {
+    /// The current second, counted by the caller's clock.
     second: u64,
-    used: u32,
+    /// Number of introductions sent in that second.
+    sent: u32,
 }
 
-impl IntroductionBudget {
+impl IntroductionRateLimiter {
     fn begin_second(&mut self, second: u64) {
         if self.second != second {
             self.second = second;
-            self.used = 0;
+            self.sent = 0;
         }
     }
 
-    fn is_spent(&self) -> bool {
-        self.used >= MAX_INTRODUCTIONS_PER_SECOND
+    fn is_exhausted(&self) -> bool {
+        self.sent >= MAX_INTRODUCTIONS_PER_SECOND
     }
 }
 
 impl Membership {
-    /// Handles a received datagram.
+    /// Handles a received datagram; a rejected one is reported as [`Output::DatagramRejected`].
     pub fn receive(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) {
         self.advance_clock(now);
-        if let Err(reason) = self.accept(from, bytes) {
+        if let Err(reason) = self.process_datagram(from, bytes) {
             self.outputs.push(Output::DatagramRejected { from, reason });
         }
     }
 
-    fn accept(&mut self, from: SocketAddr, bytes: &[u8]) -> Result<(), RejectReason> {
+    fn process_datagram(&mut self, from: SocketAddr, bytes: &[u8]) -> Result<(), RejectReason> {
         if bytes.len() > self.settings.max_datagram_size {
             return Err(RejectReason::Malformed);
         }
@@ -47,11 +50,11 @@
             return Err(self.reject_own_name(from, &header));
         }
         if header.recipient_instance != self.instance {
-            return self.introduce(from, &header, &parts);
+            return self.send_introduction(from, &header, &parts);
         }
         let name: Rc<str> = Rc::from(header.sender.as_str());
-        let is_newer = self.accept_sender(&name, from, &header)?;
-        if is_newer && !parts.iter().any(|part| announces_leaving(part, &header)) {
+        let header_is_newer = self.check_sender(&name, from, &header)?;
+        if header_is_newer && !parts.iter().any(|part| announces_leaving(part, &header)) {
             self.apply_update(alive_update(from, &header));
         }
         for part in parts {
@@ -60,7 +63,8 @@
         Ok(())
     }
 
-    /// A datagram by our own name is another member's, or ours replayed.
+    /// Rejects a datagram whose sender has this member's name: it is of another member, or a replayed one of
+    /// this member.
     fn reject_own_name(&mut self, from: SocketAddr, header: &Header) -> RejectReason {
         if header.instance == self.instance {
             return RejectReason::Replayed;
@@ -69,9 +73,10 @@
         RejectReason::NameConflict
     }
 
-    /// Checks the sender's name, instance and sequence number. Returns whether its header says something newer of it than
-    /// what is believed; if it says something older, the next datagram to it makes it refute.
-    fn accept_sender(
+    /// Checks the sender's name, instance and sequence number. Returns whether the header is newer than the
+    /// record of the sender. If the record is newer, the next datagram to the sender carries it, so that the
+    /// sender refutes it.
+    fn check_sender(
         &mut self,
         name: &Rc<str>,
         from: SocketAddr,
@@ -88,36 +93,43 @@
         if is_reachable && peer.member.address != from && is_other_instance {
             return Err(RejectReason::NameConflict);
         }
-        if !peer.window.accept(header.instance, header.sequence) {
+        if !peer.replay_window.accept(header.instance, header.sequence) {
             return Err(RejectReason::Replayed);
         }
-        let believed = peer.member.incarnation;
-        let has_restarted = is_reachable && is_other_instance && header.incarnation == believed;
+        let recorded_incarnation = peer.member.incarnation;
+        let has_restarted = is_reachable && is_other_instance && header.incarnation == recorded_incarnation;
         self.address_record(from).instance = header.instance;
-        Ok(header.incarnation > believed || has_restarted)
+        Ok(header.incarnation > recorded_incarnation || has_restarted)
     }
 
-    /// Answers a datagram that does not name our instance. Nothing of it is taken but the sender's instance, so that it
-    /// can try again with ours.
-    fn introduce(&mut self, from: SocketAddr, header: &Header, parts: &[Part]) -> Result<(), RejectReason> {
-        self.introductions.begin_second(self.now.as_secs());
+    /// Answers a datagram that does not name this member's instance, so that the sender can repeat it with
+    /// the instance in the answer's header. The datagram may be a replayed one: the answer names the sender's
+    /// instance, and everything else in the datagram is ignored.
+    fn send_introduction(
+        &mut self,
+        from: SocketAddr,
+        header: &Header,
+        parts: &[Part],
+    ) -> Result<(), RejectReason> {
+        self.introduction_limiter.begin_second(self.now.as_secs());
         let is_introduction = |part: &Part| matches!(part, Part::Introduction { .. });
-        if parts.iter().any(is_introduction) || self.introductions.is_spent() {
+        if parts.iter().any(is_introduction) || self.introduction_limiter.is_exhausted() {
             return Err(RejectReason::Replayed);
         }
-        self.introductions.used += 1;
+        self.introduction_limiter.sent += 1;
         let record = self.address_record(from);
-        let proven_instance = std::mem::replace(&mut record.instance, header.instance);
+        let recorded_instance = std::mem::replace(&mut record.instance, header.instance);
         let mut answer = vec![Part::Introduction {
             answered_sequence: header.sequence,
         }];
-        // The sender may have to refute what is believed of it.
-        let believed = self.peers.get(header.sender.as_str());
-        answer.extend(believed.map(|peer| Part::Update(peer.member.to_update(0))));
+        // The record of the sender may be outdated, so that the sender has to refute it.
+        let recorded = self.peers.get(header.sender.as_str());
+        answer.extend(recorded.map(|peer| Part::Update(peer.member.to_update(0))));
         self.send(from, &answer);
-        // Only a datagram that names our instance proves that another one is reached there.
-        if proven_instance != 0 {
-            self.address_record(from).instance = proven_instance;
+        // Only a datagram that names this member's instance proves that another instance now uses the
+        // address, so the recorded instance is restored.
+        if recorded_instance != 0 {
+            self.address_record(from).instance = recorded_instance;
         }
         Ok(())
     }
@@ -150,7 +162,7 @@
         self.apply_update(update);
     }
 
-    /// An update about this member: a wrong one is refuted by a higher incarnation.
+    /// Handles an update about this member: reports a name conflict, or refutes a wrong state or instance.
     fn handle_own_update(&mut self, update: &MemberUpdate) {
         let is_other_member = update.instance != self.instance && update.address != self.settings.address;
         if is_other_member && update.state.is_reachable() {
@@ -163,14 +175,14 @@
     }
 
     fn report_name_conflict(&mut self, address: SocketAddr, instance: u64) {
-        let reported = std::mem::replace(&mut self.conflicting_instance, instance);
-        if reported != instance {
+        let last_reported = std::mem::replace(&mut self.conflicting_instance, instance);
+        if last_reported != instance {
             self.outputs.push(Output::NameConflict { address });
         }
     }
 }
 
-/// What a header says of its sender.
+/// The update that a header implies: its sender is alive with this instance and incarnation.
 fn alive_update(from: SocketAddr, header: &Header) -> MemberUpdate {
     MemberUpdate {
         name: header.sender.clone(),
@@ -178,7 +190,7 @@
         instance: header.instance,
         incarnation: header.incarnation,
         state: MemberState::Alive,
-        accuser: 0,
+        suspecting_instance: 0,
     }
 }
 
--- a/crates/quartzdrift-membership/src/membership/sending.rs
+++ b/crates/quartzdrift-membership/src/membership/sending.rs
@@ -1,19 +1,20 @@
-//! Outgoing datagrams: headers, piggybacked updates and signatures.
+//! Outgoing datagrams: their headers, piggybacked updates and signatures.
 use super::{Membership, Output};
 use crate::member::{MemberState, MemberUpdate};
 use crate::wire::{DatagramWriter, Header, Part};
 use std::net::SocketAddr;
 
-/// Datagrams to an address whose answers are still recognised.
-const MAX_SENT_RECORDS: usize = 8;
-/// Outputs that wait to be carried out; while so many do, no datagrams are made.
-const MAX_OUTPUTS: usize = 100_000;
-/// Members that a leaving one tells.
+/// Number of sequence numbers kept for each address, to recognise the answers to the last datagrams sent
+/// there.
+const MAX_SENT_SEQUENCES: usize = 8;
+/// Maximum number of outputs that the caller has not taken yet; at this number no further datagrams are sent.
+const MAX_PENDING_OUTPUTS: usize = 100_000;
+/// Number of members to which a leaving member announces that it leaves.
 const LEAVE_FANOUT: usize = 6;
 
 impl Membership {
-    /// Sends a message to a member, unreliably: it is lost where the network loses it, where the member is unknown, or
-    /// where it does not fit into a datagram.
+    /// Sends a message to a member without a delivery guarantee. The message is dropped if the member is
+    /// unknown or if it does not fit into a datagram, and the network may lose it.
     pub fn send_message(&mut self, to: &str, topic: u8, bytes: Vec<u8>) {
         if let Some(address) = self.peers.get(to).map(|peer| peer.member.address) {
             self.send(address, &[Part::Message { topic, bytes }]);
@@ -27,16 +28,16 @@
             instance: self.instance,
             incarnation: self.incarnation,
             state: MemberState::Left,
-            accuser: 0,
+            suspecting_instance: 0,
         };
         for address in self.random_members(LEAVE_FANOUT, |_| true) {
             self.send(address, &[Part::Update(update.clone())]);
         }
     }
 
-    /// Sends a datagram of these parts and fills it up with gossip.
+    /// Sends a datagram of these parts and fills the remaining space with gossip.
     pub(super) fn send(&mut self, to: SocketAddr, parts: &[Part]) {
-        if self.outputs.len() >= MAX_OUTPUTS {
+        if self.outputs.len() >= MAX_PENDING_OUTPUTS {
             return;
         }
         let header = self.next_header(to);
@@ -47,20 +48,20 @@
         for part in parts {
             writer.push(part);
         }
-        let size = self.fleet_size();
+        let fleet_size = self.fleet_size();
         self.gossip
-            .transmit(size, |update| writer.push(&Part::Update(update.clone())));
+            .transmit(fleet_size, |update| writer.push(&Part::Update(update.clone())));
         self.sign_and_send(to, writer);
     }
 
-    /// The header of the next datagram to this address, which is now recorded as sent.
+    /// Creates the header of the next datagram to an address, and records its sequence number as sent.
     pub(super) fn next_header(&mut self, to: SocketAddr) -> Header {
         self.sequence += 1;
         let sequence = self.sequence;
         let record = self.address_record(to);
-        record.sent.push_back(sequence);
-        if record.sent.len() > MAX_SENT_RECORDS {
-            record.sent.pop_front();
+        record.sent_sequences.push_back(sequence);
+        if record.sent_sequences.len() > MAX_SENT_SEQUENCES {
+            record.sent_sequences.pop_front();
         }
         Header {
             recipient_instance: record.instance,
@@ -72,15 +73,17 @@
         }
     }
 
-    /// What is believed of the recipient, where it has to refute that: it is not alive, or of an instance that has sent
-    /// nothing yet. It comes first, as Lifeguard's buddy system has it.
+    /// The record of the recipient as an update, if the recipient has to refute it: the recorded state is not
+    /// alive, or the recorded instance differs from the one of the last accepted datagram. Lifeguard's buddy
+    /// system puts this update first in the datagram.
     fn update_to_refute(&self, to: SocketAddr) -> Option<MemberUpdate> {
-        let name = self.addresses.get(&to)?.member.as_ref()?;
+        let name = self.addresses.get(&to)?.member_name.as_ref()?;
         let peer = self.peers.get(name)?;
         let member = &peer.member;
-        let is_unconfirmed = peer.window.instance != 0 && peer.window.instance != member.instance;
-        let is_doubted = !member.is_alive() || is_unconfirmed;
-        (member.address == to && is_doubted).then(|| member.to_update(0))
+        let accepted_instance = peer.replay_window.instance;
+        let is_unconfirmed = accepted_instance != 0 && accepted_instance != member.instance;
+        let needs_refutation = !member.is_alive() || is_unconfirmed;
+        (member.address == to && needs_refutation).then(|| member.to_update(0))
     }
 
     pub(super) fn sign_and_send(&mut self, to: SocketAddr, writer: DatagramWriter) {
--- a/crates/quartzdrift-membership/src/replay/tests.rs
+++ b/crates/quartzdrift-membership/src/replay/tests.rs
@@ -22,7 +22,7 @@
     #[test]
     fn no_datagram_is_accepted_twice(sequences in proptest::collection::vec(1u64..300, 1..200)) {
         let mut window = ReplayWindow::default();
-            let mut accepted = std::collections::BTreeSet::new();
+        let mut accepted = std::collections::BTreeSet::new();
         for sequence in sequences {
             if window.accept(1, sequence) {
                 proptest::prop_assert!(accepted.insert(sequence));
--- a/crates/quartzdrift-membership/src/scheduler_count.rs
+++ b/crates/quartzdrift-membership/src/scheduler_count.rs
@@ -1,35 +1,37 @@
-//! The number of schedulers that each scheduler divides shared limits by. In doubt it is too high rather than too low: each
-//! scheduler then takes a smaller share of a limit.
+//! The number of schedulers by which each scheduler divides shared limits. If the number is uncertain, the
+//! count errs on the high side: each scheduler then uses a smaller share of a limit, and the limit holds.
 //!
-//! A silent member may be dead, or alive behind a network partition and still sending requests. It counts until it is back,
-//! has announced that it leaves, or was silent for longer than operators say that a partitioned scheduler can live.
+//! A silent member may be dead, or alive behind a network partition and still sending requests. It is counted
+//! until it announces that it leaves, or until it has been dead for the silence limit: the longest time, set
+//! by the operator, for which a partitioned scheduler may keep running. A member that returns is counted as
+//! alive.
 use crate::member::{Member, MemberState};
 use std::time::Duration;
 
-/// How often members are counted again while no change is reported.
+/// Time between counts while no member has changed.
 const RECOUNT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a lower count must hold before it is reported: updates about a member take that long to reach all.
+/// How long a lower count must hold before it is reported: gossip takes up to that long to reach all members.
 const SETTLE_TIME: Duration = Duration::from_secs(10);
 
-/// Counts schedulers: rises at once, falls late.
+/// Counts the schedulers of a fleet. A higher count is reported at once, a lower one after a settling time.
 pub struct SchedulerCount {
     minimum: u32,
     silence_limit: Duration,
     reported: u32,
-    /// Since when a lower count would do.
+    /// When the count first fell below the reported one; `None` while it has not.
     lower_since: Option<Duration>,
     counted_at: Option<Duration>,
 }
 
 impl SchedulerCount {
-    /// `minimum`: the count that the settings ask for at least; `before`: what was reported before a restart;
-    /// `silence_limit`: how long a dead member still counts.
-    pub fn new(minimum: u32, before: u32, silence_limit: Duration) -> SchedulerCount {
+    /// Starts with the count that was reported before a restart. `minimum` is the lowest count to report,
+    /// `silence_limit` the time for which a dead member is still counted.
+    pub fn new(minimum: u32, previously_reported: u32, silence_limit: Duration) -> SchedulerCount {
         SchedulerCount {
             minimum: minimum.max(1),
             silence_limit,
-            reported: before.max(minimum).max(1),
+            reported: previously_reported.max(minimum).max(1),
             lower_since: None,
             counted_at: None,
         }
@@ -40,29 +42,29 @@
         self.reported
     }
 
-    /// The count as of `now`, this scheduler included. Unless the state of a member `changed`, members are counted again
-    /// only once a second: calls come with each datagram.
+    /// Returns the count as of `now`, including this scheduler. This is called for each datagram, so members
+    /// are counted again only if the state of one has changed or a second has passed.
     pub fn update<'a>(
         &mut self,
         now: Duration,
-        changed: bool,
-        others: impl Iterator<Item = &'a Member>,
+        member_changed: bool,
+        other_members: impl Iterator<Item = &'a Member>,
     ) -> u32 {
-        let is_fresh = self.counted_at.is_some_and(|at| now < at + RECOUNT_INTERVAL);
-        if !changed && is_fresh {
+        let counted_recently = self.counted_at.is_some_and(|at| now < at + RECOUNT_INTERVAL);
+        if !member_changed && counted_recently {
             return self.reported;
         }
         self.counted_at = Some(now);
-        let counted = others.filter(|member| self.counts(now, member)).count() as u32;
-        let current = (1 + counted).max(self.minimum);
-        if current >= self.reported || self.lower_for(now) >= SETTLE_TIME {
+        let counted_members = other_members.filter(|member| self.is_counted(now, member));
+        let current = (1 + counted_members.count() as u32).max(self.minimum);
+        if current >= self.reported || self.time_below_reported(now) >= SETTLE_TIME {
             self.reported = current;
             self.lower_since = None;
         }
         self.reported
     }
 
-    fn counts(&self, now: Duration, member: &Member) -> bool {
+    fn is_counted(&self, now: Duration, member: &Member) -> bool {
         match member.state {
             MemberState::Alive | MemberState::Suspect => true,
             MemberState::Dead => now.saturating_sub(member.state_since) < self.silence_limit,
@@ -70,7 +72,7 @@
         }
     }
 
-    fn lower_for(&mut self, now: Duration) -> Duration {
+    fn time_below_reported(&mut self, now: Duration) -> Duration {
         now.saturating_sub(*self.lower_since.get_or_insert(now))
     }
 }
--- a/crates/quartzdrift-membership/src/settings.rs
+++ b/crates/quartzdrift-membership/src/settings.rs
@@ -1,31 +1,32 @@
-//! Configuration of one member. Use [`Settings::default`] for the protocol's timing and bounds, and set at least the name,
-//! address, cluster, seeds and keys.
+//! Configuration of one member. [`Settings::default`] provides the protocol's timing and bounds; callers set
+//! at least the name, address, cluster, seeds and keys.
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a member takes part in its fleet.
+/// Identity of a member, its authentication keys, and the timing and bounds of the protocol.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Unique within the cluster; 1 to [`MAX_NAME_LENGTH`](crate::MAX_NAME_LENGTH) bytes.
+    /// Name, unique within the cluster; 1 to [`MAX_NAME_LENGTH`](crate::MAX_NAME_LENGTH) bytes.
     pub name: String,
-    /// Where other members reach this one.
+    /// Address at which other members reach this one.
     pub address: SocketAddr,
-    /// Datagrams of other clusters are rejected.
+    /// Name of the cluster. Datagrams of other clusters are rejected.
     pub cluster: String,
-    /// Addresses that are contacted to join.
+    /// Addresses of the members that are contacted to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Authentication keys. The first one signs, all are accepted: rotate a key by adding the new one everywhere as second,
-    /// then moving it to the front, then removing the old one.
+    /// Authentication keys. The first one signs, all of them are accepted. To rotate a key, add the new one
+    /// as second key on all members, then move it to the front, then remove the old one.
     pub keys: Vec<Vec<u8>>,
     /// SWIM's protocol period: the time between probes.
     pub protocol_period: Duration,
-    /// How long a probe may take before others are asked to relay one; shorter than a period.
+    /// How long to wait for the answer to a direct probe before other members are asked to relay one; shorter
+    /// than the protocol period.
     pub probe_timeout: Duration,
-    /// Size of a datagram in bytes at most.
+    /// Maximum size of a datagram in bytes, including its authentication tag.
     pub max_datagram_size: usize,
-    /// Members in the table at most, including dead ones.
+    /// Maximum number of other members in the table, including those that are dead or have left.
     pub max_members: usize,
-    /// How long a dead member stays in the table; afterwards its name is free for another member.
+    /// How long a member stays in the table after it died or left.
     pub dead_retention: Duration,
 }
 
--- a/crates/quartzdrift-membership/src/wire/tests.rs
+++ b/crates/quartzdrift-membership/src/wire/tests.rs
@@ -36,16 +36,19 @@
         rejection(&signed_datagram(b"new"), 8),
         Some(RejectReason::OtherCluster)
     );
-    let mut later = signed_datagram(b"new");
-    later[3] = 2;
-    assert_eq!(rejection(&later, 7), Some(RejectReason::UnsupportedVersion(2)));
+    let mut later_version = signed_datagram(b"new");
+    later_version[3] = 2;
+    assert_eq!(
+        rejection(&later_version, 7),
+        Some(RejectReason::UnsupportedVersion(2))
+    );
     assert_eq!(
         rejection(b"GET / HTTP/1.1\r\n\r\n", 7),
         Some(RejectReason::Malformed)
     );
 }
 
-/// A datagram with a part of each kind, as the release of 2026-12-02 sends it.
+/// A datagram with a part of each kind, recorded from the release of 2026-12-02 as hexadecimal digits.
 const RECORDED: &str = "51444d01070161010203040200000102000102100002030162007f000001bf4cac02050107020003040f00040162007f000001bf4cac02050107030005f403030006016d040007017a01060008010301020302fdcb6075684d77ac1a288a24f814f5";
 
 #[test]
@@ -56,7 +59,7 @@
         instance: 300,
         incarnation: 5,
         state: crate::member::MemberState::Suspect,
-        accuser: 7,
+        suspecting_instance: 7,
     };
     let parts = [
         Part::Ping { probe: 1 },
@@ -112,10 +115,14 @@
 
 proptest::proptest! {
     #[test]
-    fn arbitrary_bytes_never_panic_and_any_flipped_bit_is_rejected(bytes: Vec<u8>, damage in 0usize..60, bit in 0u8..8) {
+    fn arbitrary_bytes_never_panic_and_any_flipped_bit_is_rejected(
+        bytes: Vec<u8>,
+        position in 0usize..60,
+        bit in 0u8..8,
+    ) {
         let _ = decode(&bytes, 7, &[b"k".to_vec()]);
         let mut damaged = signed_datagram(b"k");
-        let position = damage % damaged.len();
+        let position = position % damaged.len();
         damaged[position] ^= 1 << bit;
         proptest::prop_assert!(decode(&damaged, 7, &[b"k".to_vec()]).is_err());
     }
--- a/crates/quartzdrift-membership/tests/fleet/network.rs
+++ b/crates/quartzdrift-membership/tests/fleet/network.rs
@@ -1,4 +1,4 @@
-//! A fleet over a simulated network, driven by simulated time.
+//! A fleet of members on a simulated network and a simulated clock.
 use quartzdrift_membership::{MemberState, Membership, Output, RejectReason, Settings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -21,16 +21,16 @@
     }
 }
 
-/// A member was seen to enter a state.
+/// A change of a member's state in the table of another member, the observer.
 #[derive(Debug)]
-pub(crate) struct Change {
+pub(crate) struct StateChange {
     pub(crate) at: Duration,
     pub(crate) observer: usize,
     pub(crate) name: String,
     pub(crate) state: MemberState,
 }
 
-/// A datagram on its way.
+/// A sent datagram that has not been received yet.
 #[derive(Clone)]
 pub(crate) struct InFlight {
     pub(crate) from: usize,
@@ -38,24 +38,29 @@
     pub(crate) bytes: Vec<u8>,
 }
 
-/// A network that delivers datagrams within half a millisecond to three, loses some, and is cut between some pairs.
+/// A network that delivers each datagram after 0.5 to 3 ms, loses a share of them, and blocks some links.
 pub(crate) struct Network {
     pub(crate) now: Duration,
     pub(crate) members: Vec<Option<Membership>>,
-    /// Until when each member does nothing; it then receives what arrived meanwhile.
-    pub(crate) paused: Vec<Duration>,
+    /// Until when each member is paused; datagrams that arrive during the pause are received at its end.
+    pub(crate) paused_until: Vec<Duration>,
+    /// Datagrams in flight by arrival time; a unique number orders those that arrive at the same time.
     pub(crate) in_flight: BTreeMap<(Duration, u64), InFlight>,
+    /// The last unique number given to a datagram or used as the random seed of a member.
     last_number: u64,
     random: StdRng,
-    pub(crate) loss: f64,
-    /// Pairs of sender and recipient between which nothing is delivered.
-    pub(crate) cut: BTreeSet<(usize, usize)>,
-    pub(crate) rejected: Vec<(usize, RejectReason)>,
-    pub(crate) changes: Vec<Change>,
+    /// Share of the datagrams that are lost, from 0 to 1.
+    pub(crate) loss_rate: f64,
+    /// Pairs of sender and recipient between which no datagram is delivered.
+    pub(crate) blocked_links: BTreeSet<(usize, usize)>,
+    /// Rejected datagrams: the recipient and the reason.
+    pub(crate) rejections: Vec<(usize, RejectReason)>,
+    pub(crate) changes: Vec<StateChange>,
+    /// Received messages: the recipient and the payload.
     pub(crate) messages: Vec<(usize, Vec<u8>)>,
     /// Members that reported a name conflict.
     pub(crate) name_conflicts: Vec<usize>,
-    pub(crate) bytes: u64,
+    pub(crate) sent_bytes: u64,
 }
 
 impl Network {
@@ -63,17 +68,17 @@
         let mut network = Network {
             now: Duration::ZERO,
             members: Vec::new(),
-            paused: vec![Duration::ZERO; size],
+            paused_until: vec![Duration::ZERO; size],
             in_flight: BTreeMap::new(),
             last_number: seed << 32,
             random: StdRng::seed_from_u64(seed),
-            loss: 0.0,
-            cut: BTreeSet::new(),
-            rejected: Vec::new(),
+            loss_rate: 0.0,
+            blocked_links: BTreeSet::new(),
+            rejections: Vec::new(),
             changes: Vec::new(),
             messages: Vec::new(),
             name_conflicts: Vec::new(),
-            bytes: 0,
+            sent_bytes: 0,
         };
         for member in 0..size {
             network.members.push(None);
@@ -98,14 +103,16 @@
         ));
     }
 
-    fn index(address: SocketAddr) -> usize {
+    /// The member that has an address.
+    fn member_at(address: SocketAddr) -> usize {
         let SocketAddr::V4(address) = address else {
-            unreachable!("all addresses are of IPv4")
+            unreachable!("the simulated network has only IPv4 addresses")
         };
         let octets = address.ip().octets();
         usize::from(octets[2]) * 250 + usize::from(octets[3])
     }
 
+    /// Takes the outputs of a member, sends its datagrams and records the rest.
     pub(crate) fn carry_out(&mut self, member: usize) {
         let outputs = self.members[member]
             .as_mut()
@@ -115,40 +122,42 @@
             match output {
                 Output::SendDatagram { to, bytes } => {
                     assert!(bytes.len() <= 1200);
-                    self.bytes += bytes.len() as u64;
-                    self.deliver(member, Network::index(to), bytes);
+                    self.sent_bytes += bytes.len() as u64;
+                    self.send_datagram(member, Network::member_at(to), bytes);
                 }
                 Output::MemberChanged(changed) => {
                     let name = changed.name.to_string();
-                    self.changes.push(Change {
+                    self.changes.push(StateChange {
                         at: self.now,
                         observer: member,
                         name,
                         state: changed.state,
                     });
                 }
-                Output::DatagramRejected { reason, .. } => self.rejected.push((member, reason)),
+                Output::DatagramRejected { reason, .. } => self.rejections.push((member, reason)),
                 Output::NameConflict { .. } => self.name_conflicts.push(member),
                 Output::MessageReceived { bytes, .. } => self.messages.push((member, bytes)),
             }
         }
     }
 
-    pub(crate) fn deliver(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+    /// Sends a datagram, unless its link is blocked or the datagram is lost.
+    pub(crate) fn send_datagram(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         if to >= self.members.len()
-            || self.cut.contains(&(from, to))
-            || self.random.random_range(0.0..1.0) < self.loss
+            || self.blocked_links.contains(&(from, to))
+            || self.random.random_range(0.0..1.0) < self.loss_rate
         {
             return;
         }
         self.last_number += 1;
         let arrival = self.now + Duration::from_micros(self.random.random_range(500..3000));
-        let position = (arrival.max(self.paused[to]), self.last_number);
+        let position = (arrival.max(self.paused_until[to]), self.last_number);
         self.in_flight.insert(position, InFlight { from, to, bytes });
     }
 
-    pub(crate) fn run(&mut self, length: Duration) {
-        let end = self.now + length;
+    /// Advances the clock by `duration`, with all datagrams and timers that fall due meanwhile.
+    pub(crate) fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         loop {
             let timer = self.next_timer();
             let due = timer.map(|(at, _)| at);
@@ -166,9 +175,16 @@
         self.now = end;
     }
 
-    /// When the next member is due, and which.
+    /// The earliest timer of all members: its time and its member.
     fn next_timer(&self) -> Option<(Duration, usize)> {
-        let due = |member: usize| Some(self.members[member].as_ref()?.next_due().max(self.paused[member]));
+        let due = |member: usize| {
+            Some(
+                self.members[member]
+                    .as_ref()?
+                    .next_due()
+                    .max(self.paused_until[member]),
+            )
+        };
         (0..self.members.len())
             .filter_map(|member| Some((due(member)?, member)))
             .min()
@@ -191,7 +207,7 @@
         self.carry_out(member);
     }
 
-    /// The state of a member as another one sees it.
+    /// The state of a member in the table of another one; `None` if it is not in the table.
     pub(crate) fn state(&self, observer: usize, member: usize) -> Option<MemberState> {
         let name = format!("m{member}");
         self.members[observer]
@@ -201,8 +217,8 @@
             .map(|other| other.state)
     }
 
-    /// Whether each of these sees all of them alive.
-    pub(crate) fn is_whole(&self, members: impl Iterator<Item = usize> + Clone) -> bool {
+    /// Whether each of these members has all the others in its table as alive.
+    pub(crate) fn are_all_alive(&self, members: impl Iterator<Item = usize> + Clone) -> bool {
         let sees_alive =
             |observer, member| observer == member || self.state(observer, member) == Some(MemberState::Alive);
         members
@@ -210,8 +226,8 @@
             .all(|observer| members.clone().all(|member| sees_alive(observer, member)))
     }
 
-    /// When a member was first seen in a state.
-    pub(crate) fn first_seen(&self, member: usize, state: MemberState) -> Option<Duration> {
+    /// When the first other member recorded a member in this state.
+    pub(crate) fn first_observed(&self, member: usize, state: MemberState) -> Option<Duration> {
         let name = format!("m{member}");
         self.changes
             .iter()
