--- a/crates/quartzdrift-fastcgi/src/lib.rs
+++ b/crates/quartzdrift-fastcgi/src/lib.rs
@@ -10,7 +10,7 @@
 mod record;
 mod responder;
 
-pub use messages::{ConnectionFate, Event, InvalidRequest, Limits, ProtocolError, Response};
+pub use messages::{Event, InvalidRequestReason, Limits, ProtocolError, Response, ResponseOutcome};
 pub use params::{InvalidParams, Params, write_pair};
 pub use record::{
     ABORT_REQUEST, BEGIN_REQUEST, END_REQUEST, GET_VALUES, GET_VALUES_RESULT, HEADER_LENGTH, PARAMS,
--- a/crates/quartzdrift-fastcgi/src/messages.rs
+++ b/crates/quartzdrift-fastcgi/src/messages.rs
@@ -6,18 +6,18 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Maximum bytes of a request's parameters.
-    pub params: usize,
+    pub max_params_bytes: usize,
     /// Maximum bytes of a request's body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Maximum open requests; further ones are ended as overloaded.
-    pub open_requests: usize,
+    pub max_open_requests: usize,
 }
 
 /// Why a request cannot be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InvalidRequest {
+pub enum InvalidRequestReason {
     /// Its parameters are malformed.
-    Params,
+    MalformedParams,
     /// Its parameters or its body are over the limit. The connection accepts no further request.
     TooLarge,
 }
@@ -39,7 +39,7 @@
         /// The request's id on this connection.
         request_id: u16,
         /// Why it cannot be served.
-        reason: InvalidRequest,
+        reason: InvalidRequestReason,
     },
     /// The client has aborted a request. Its end has been written; it is not to be answered.
     Aborted {
@@ -80,11 +80,11 @@
 
 /// What becomes of a connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConnectionFate {
+pub enum ResponseOutcome {
     /// It stays open.
-    KeepOpen,
+    KeepConnection,
     /// It is to be closed once the response has been sent: it accepts no further request, and nothing else is unanswered.
-    Close,
+    CloseConnection,
     /// No such request is unanswered: nothing was written.
     UnknownRequest,
 }
--- a/crates/quartzdrift-fastcgi/src/responder.rs
+++ b/crates/quartzdrift-fastcgi/src/responder.rs
@@ -1,5 +1,5 @@
 //! The requests of one connection: which are open, how far each has been received, and how they are answered.
-use crate::messages::{ConnectionFate, Event, InvalidRequest, Limits, ProtocolError, Response};
+use crate::messages::{Event, InvalidRequestReason, Limits, ProtocolError, Response, ResponseOutcome};
 use crate::params::{InvalidParams, Params, write_pair};
 use crate::record::{
     ABORT_REQUEST, BEGIN_REQUEST, END_REQUEST, GET_VALUES, GET_VALUES_RESULT, HEADER_LENGTH, PARAMS,
@@ -85,7 +85,7 @@
     }
 
     /// Ids of the requests that wait for a response.
-    pub fn unanswered(&self) -> impl Iterator<Item = u16> {
+    pub fn unanswered_requests(&self) -> impl Iterator<Item = u16> {
         self.open
             .iter()
             .filter(|(_, request)| request.is_unanswered())
@@ -166,20 +166,20 @@
     }
 
     /// Answers a request.
-    pub fn respond(&mut self, request_id: u16, response: &Response, out: &mut Vec<u8>) -> ConnectionFate {
+    pub fn respond(&mut self, request_id: u16, response: &Response, out: &mut Vec<u8>) -> ResponseOutcome {
         let request = match self.open.entry(request_id) {
             Entry::Occupied(entry) if entry.get().is_unanswered() => entry.remove(),
-            Entry::Occupied(_) | Entry::Vacant(_) => return ConnectionFate::UnknownRequest,
+            Entry::Occupied(_) | Entry::Vacant(_) => return ResponseOutcome::UnknownRequest,
         };
         write_record(out, STDOUT, request_id, response_header(response).as_bytes());
         write_stream(out, STDOUT, request_id, response.body);
         write_record(out, STDOUT, request_id, b"");
         write_end(out, request_id, ProtocolStatus::Complete, APPLICATION_SUCCESS);
         self.closing |= !request.keep_connection;
-        if self.closing && self.unanswered().next().is_none() {
-            ConnectionFate::Close
+        if self.closing && self.unanswered_requests().next().is_none() {
+            ResponseOutcome::CloseConnection
         } else {
-            ConnectionFate::KeepOpen
+            ResponseOutcome::KeepConnection
         }
     }
 
@@ -199,13 +199,13 @@
         let request = self.open.get_mut(&header.request_id);
         let is_too_large = match request.as_ref().map(|request| &request.stage) {
             Some(ReceiveStage::Params(bytes)) if header.record_type == PARAMS => {
-                bytes.len() + header.content_length > limits.params
+                bytes.len() + header.content_length > limits.max_params_bytes
             }
             Some(ReceiveStage::Body { body, .. }) if header.record_type == STDIN => {
-                body.len() + header.content_length > limits.body
+                body.len() + header.content_length > limits.max_body_bytes
             }
-            Some(_) => header.content_length > limits.body,
-            None => header.content_length > limits.body.max(limits.params),
+            Some(_) => header.content_length > limits.max_body_bytes,
+            None => header.content_length > limits.max_body_bytes.max(limits.max_params_bytes),
         };
         if !is_too_large {
             return;
@@ -216,7 +216,7 @@
         self.closing = true;
         events.push(Event::InvalidRequest {
             request_id: header.request_id,
-            reason: InvalidRequest::TooLarge,
+            reason: InvalidRequestReason::TooLarge,
         });
     }
 
@@ -274,7 +274,7 @@
         self.begun += 1;
         let rejection = if u16::from_be_bytes([role1, role0]) != ROLE_RESPONDER {
             Some(ProtocolStatus::UnknownRole)
-        } else if self.open.len() >= self.limits.open_requests {
+        } else if self.open.len() >= self.limits.max_open_requests {
             Some(ProtocolStatus::Overloaded)
         } else {
             None
@@ -337,7 +337,7 @@
             Err(InvalidParams) => {
                 request.stage = ReceiveStage::Unanswered;
                 self.received_request = true;
-                let reason = InvalidRequest::Params;
+                let reason = InvalidRequestReason::MalformedParams;
                 events.push(Event::InvalidRequest { request_id, reason });
             }
         }
@@ -382,7 +382,7 @@
         let mut values = Vec::new();
         for (name, _) in queried.iter() {
             let value = match name {
-                b"FCGI_MAX_REQS" => self.limits.open_requests.to_string(),
+                b"FCGI_MAX_REQS" => self.limits.max_open_requests.to_string(),
                 b"FCGI_MPXS_CONNS" => "1".to_owned(),
                 _ => continue,
             };
--- a/crates/quartzdrift-fastcgi/tests/responder.rs
+++ b/crates/quartzdrift-fastcgi/tests/responder.rs
@@ -3,15 +3,15 @@
 
 use proptest::prelude::*;
 use quartzdrift_fastcgi::{
-    ABORT_REQUEST, BEGIN_REQUEST, ConnectionFate, END_REQUEST, Event, GET_VALUES, GET_VALUES_RESULT,
-    HEADER_LENGTH, InvalidParams, InvalidRequest, Limits, PARAMS, Params, ProtocolError, RecordHeader,
-    Responder, Response, STDIN, STDOUT, UNKNOWN_TYPE, write_pair, write_record, write_stream,
+    ABORT_REQUEST, BEGIN_REQUEST, END_REQUEST, Event, GET_VALUES, GET_VALUES_RESULT, HEADER_LENGTH,
+    InvalidParams, InvalidRequestReason, Limits, PARAMS, Params, ProtocolError, RecordHeader, Responder,
+    Response, ResponseOutcome, STDIN, STDOUT, UNKNOWN_TYPE, write_pair, write_record, write_stream,
 };
 
 const LIMITS: Limits = Limits {
-    params: 256,
-    body: 1024,
-    open_requests: 4,
+    max_params_bytes: 256,
+    max_body_bytes: 1024,
+    max_open_requests: 4,
 };
 
 fn responder() -> Responder {
@@ -84,7 +84,7 @@
     let mut out = Vec::new();
     assert_eq!(
         responder.respond(3, &response(b"said"), &mut out),
-        ConnectionFate::KeepOpen
+        ResponseOutcome::KeepConnection
     );
     let records = records(&out);
     let text: Vec<u8> = records
@@ -100,7 +100,7 @@
     let before = out.len();
     assert_eq!(
         responder.respond(3, &response(b"again"), &mut out),
-        ConnectionFate::UnknownRequest
+        ResponseOutcome::UnknownRequest
     );
     assert_eq!(out.len(), before);
 }
@@ -111,7 +111,7 @@
     assert_eq!(feed(&mut responder, &request(1, 0, &[], b"")).1.len(), 1);
     assert_eq!(
         responder.respond(1, &response(b""), &mut Vec::new()),
-        ConnectionFate::Close
+        ResponseOutcome::CloseConnection
     );
 }
 
@@ -140,7 +140,7 @@
         })
         .collect();
     assert_eq!(bodies, [(2, &b"two"[..]), (1, b"one")]);
-    assert_eq!(responder.unanswered().collect::<Vec<_>>(), [1, 2]);
+    assert_eq!(responder.unanswered_requests().collect::<Vec<_>>(), [1, 2]);
 }
 
 #[test]
@@ -172,7 +172,7 @@
         .flat_map(|request_id| request(request_id, 1, &[], b""))
         .collect();
     let (_, events, out) = feed(&mut responder, &input);
-    assert_eq!(events.len(), LIMITS.open_requests);
+    assert_eq!(events.len(), LIMITS.max_open_requests);
     assert_eq!(records(&out), [(END_REQUEST, 5, vec![0, 0, 0, 0, 2, 0, 0, 0])]);
 }
 
@@ -192,7 +192,7 @@
     assert!(responder.is_idle());
     assert_eq!(
         responder.respond(1, &response(b""), &mut Vec::new()),
-        ConnectionFate::UnknownRequest
+        ResponseOutcome::UnknownRequest
     );
 }
 
@@ -212,14 +212,14 @@
             events,
             [Event::InvalidRequest {
                 request_id: 1,
-                reason: InvalidRequest::TooLarge
+                reason: InvalidRequestReason::TooLarge
             }]
         );
         assert!(responder.is_closing());
         // The flag to keep the connection does not bind a responder that can read no more requests on it.
         assert_eq!(
             responder.respond(1, &response(b""), &mut Vec::new()),
-            ConnectionFate::Close
+            ResponseOutcome::CloseConnection
         );
     }
 }
@@ -304,7 +304,7 @@
         prop_assert_eq!(read, Ok(input.len()));
         let expected = Params::read(bytes).is_ok();
         prop_assert_eq!(matches!(events[..], [Event::Request { .. }]), expected);
-        prop_assert_eq!(matches!(events[..], [Event::InvalidRequest { reason: InvalidRequest::Params, .. }]), !expected);
+        prop_assert_eq!(matches!(events[..], [Event::InvalidRequest { reason: InvalidRequestReason::MalformedParams, .. }]), !expected);
     }
 
     #[test]
@@ -333,7 +333,7 @@
     assert_eq!(feed(&mut responder, &input).1.len(), 3);
     assert_eq!(
         responder.respond(2, &response(b""), &mut Vec::new()),
-        ConnectionFate::KeepOpen
+        ResponseOutcome::KeepConnection
     );
     assert!(responder.is_closing());
     // Nothing new is taken, in whatever pieces it comes, and the withdrawal behind it is heard.
@@ -348,11 +348,11 @@
     assert_eq!(events, [Event::Aborted { request_id: 3 }]);
     assert_eq!(
         responder.respond(1, &response(b""), &mut Vec::new()),
-        ConnectionFate::Close
+        ResponseOutcome::CloseConnection
     );
     assert_eq!(
         responder.respond(4, &response(b""), &mut Vec::new()),
-        ConnectionFate::UnknownRequest
+        ResponseOutcome::UnknownRequest
     );
 }
 
@@ -373,7 +373,7 @@
             [
                 Event::InvalidRequest {
                     request_id: 3,
-                    reason: InvalidRequest::TooLarge
+                    reason: InvalidRequestReason::TooLarge
                 },
                 Event::Aborted { request_id: 1 }
             ]
@@ -382,12 +382,12 @@
     );
     assert_eq!(
         responder.respond(3, &response(b""), &mut Vec::new()),
-        ConnectionFate::KeepOpen
+        ResponseOutcome::KeepConnection
     );
     // What cannot be read any more is dropped; the one that waits is answered all the same.
     assert_eq!(feed(&mut responder, &[9; 64]).0, Ok(64));
     assert_eq!(
         responder.respond(2, &response(b""), &mut Vec::new()),
-        ConnectionFate::Close
+        ResponseOutcome::CloseConnection
     );
 }
--- a/crates/quartzdrift/src/platform/client_connection.rs
+++ b/crates/quartzdrift/src/platform/client_connection.rs
@@ -1,6 +1,6 @@
 //! A client's FastCGI connection: its requests are read, its deadlines kept, and it is closed once its last answer has left.
 use super::{Node, Peer};
-use quartzdrift_fastcgi::{self as fastcgi, Event, InvalidRequest, Responder};
+use quartzdrift_fastcgi::{self as fastcgi, Event, InvalidRequestReason, Responder};
 use quartzdrift_http::sockets::{Socket, SocketId, Sockets};
 use quartzdrift_scheduler::interface::RequestId;
 use std::collections::BTreeMap;
@@ -8,9 +8,9 @@
 
 /// Bounds of the platform's protocol, and a bound on parameters that is far above what they need.
 const LIMITS: fastcgi::Limits = fastcgi::Limits {
-    params: 8 << 10,
-    body: 16 << 10,
-    open_requests: 32,
+    max_params_bytes: 8 << 10,
+    max_body_bytes: 16 << 10,
+    max_open_requests: 32,
 };
 /// For a first request to arrive whole, and for each later one that has begun. Whoever cannot be served is owed an end within
 /// 3 s.
@@ -159,11 +159,11 @@
             } => self.request(id, request_id, &params, body, arrived),
             Event::InvalidRequest {
                 request_id,
-                reason: InvalidRequest::Params,
+                reason: InvalidRequestReason::MalformedParams,
             } => self.respond(id, request_id, 400, "parameters", None),
             Event::InvalidRequest {
                 request_id,
-                reason: InvalidRequest::TooLarge,
+                reason: InvalidRequestReason::TooLarge,
             } => self.respond(id, request_id, 413, "too large", None),
             Event::Aborted { request_id } => {
                 let client = client(&mut self.sockets, id);
@@ -196,7 +196,7 @@
             return;
         }
         let responder = &client.responder;
-        if responder.is_closing() && responder.unanswered().next().is_none() {
+        if responder.is_closing() && responder.unanswered_requests().next().is_none() {
             return self.close_when_flushed(id);
         }
         if unread > MAX_UNREAD_BYTES {
--- a/crates/quartzdrift/src/platform/responses.rs
+++ b/crates/quartzdrift/src/platform/responses.rs
@@ -59,15 +59,17 @@
             return;
         };
         let mut output = Vec::with_capacity(body.len() + HEAD_CAPACITY);
-        let fate = client.responder.respond(request_id, &response, &mut output);
+        let outcome = client.responder.respond(request_id, &response, &mut output);
         self.write(socket, &output);
-        match fate {
-            fastcgi::ConnectionFate::Close => self.close_when_flushed(socket),
+        match outcome {
+            fastcgi::ResponseOutcome::CloseConnection => self.close_when_flushed(socket),
             // The loop may never be told of this client again: what it does not read sets its deadline.
-            fastcgi::ConnectionFate::KeepOpen | fastcgi::ConnectionFate::UnknownRequest if has_unread => {
+            fastcgi::ResponseOutcome::KeepConnection | fastcgi::ResponseOutcome::UnknownRequest
+                if has_unread =>
+            {
                 self.update_client_deadline(socket);
             }
-            fastcgi::ConnectionFate::KeepOpen | fastcgi::ConnectionFate::UnknownRequest => {}
+            fastcgi::ResponseOutcome::KeepConnection | fastcgi::ResponseOutcome::UnknownRequest => {}
         }
     }
 
