--- a/crates/quartzdrift-wal/src/lib.rs
+++ b/crates/quartzdrift-wal/src/lib.rs
@@ -1,14 +1,14 @@
-//! A write-ahead log of asynchronous invocations, in segments.
+//! A write-ahead log of asynchronous invocations, stored in segments.
 //!
-//! Use it where accepted invocations must survive a crash of the process or the machine. [`Log::open`] recovers the log and
-//! returns the invocations that have not completed. [`Log::commit`] appends a batch of [`LogRecord`]s, all or none of it, and
-//! returns once the batch is durable. After a failed write the log refuses every further batch, because the state on disk
-//! after a failed sync is unknown; it has to be opened again.
+//! It keeps accepted invocations across a crash of the process or the machine. [`Log::open`] recovers the log
+//! and returns the invocations that have not completed. [`Log::commit`] appends a batch of [`LogRecord`]s
+//! atomically and returns once the batch is durable. After a failed write the state on disk is unknown, so
+//! the log refuses every further batch until [`Log::resume`] succeeds.
 //!
-//! * `record`: what is logged.
-//! * `framing`: segment headers, and batches with length and checksum.
-//! * `segment`: names of segment files, and how much of each is still needed.
-//! * `storage`: the file system operations that the log needs, and a directory that provides them.
+//! * `record`: the logged records: invocations and their transitions.
+//! * `framing`: the binary format: segment headers, and batches with length and checksum.
+//! * `segment`: segment file names, and the number of open invocations of each segment.
+//! * `storage`: the file system operations that the log needs, implemented for a directory.
 //! * `recovery`: reading, inspecting and repairing a log.
 //! * `log`: the open log, its commits and its compaction.
 mod error;
--- a/crates/quartzdrift-wal/src/log.rs
+++ b/crates/quartzdrift-wal/src/log.rs
@@ -1,119 +1,128 @@
-//! The open log: commits, and compaction of segments that are no longer needed.
+//! The open log: commits, and compaction to remove old segments.
 use crate::error::LogError;
 use crate::framing::{self, HEADER_LENGTH};
 use crate::record::{InvocationRecord, LogRecord};
-use crate::recovery::Recovery;
+use crate::recovery::RecoveredLog;
 use crate::segment::{self, Segment, SegmentNumber};
 use crate::storage::LogStorage;
 use std::collections::BTreeMap;
 use std::io;
 
-/// Bytes beyond which a segment takes no further batch, unless [`Log::open_with`] says otherwise.
-const MAX_SEGMENT: u64 = 8 << 20;
-/// Fewest segments at which the oldest is compacted, where little of the log is still needed.
-const MIN_SEGMENTS: usize = 3;
+/// Default maximum bytes of a segment; the batch that would exceed it goes to a new segment.
+const DEFAULT_MAX_SEGMENT_BYTES: u64 = 8 << 20;
+/// Minimum number of segments for the compaction of the oldest one.
+const MIN_SEGMENTS_TO_COMPACT: usize = 3;
 /// Number of the first segment of a new log.
 const FIRST_SEGMENT: SegmentNumber = 1;
 
-/// An open invocation: where its latest snapshot lies, and its state without the request.
-struct Entry {
+/// State of an open invocation and the location of its latest snapshot.
+struct OpenInvocation {
+    /// Segment that contains the latest snapshot.
     segment: SegmentNumber,
+    /// Current state, without the request.
     state: InvocationRecord,
+    /// Bytes of the request in the snapshot.
     request_bytes: u64,
 }
 
-/// How much an open log holds.
+/// Size of an open log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogSize {
-    /// Invocations that have not completed.
+    /// Number of invocations that have not completed.
     pub open_invocations: usize,
     /// Number of segments.
     pub segments: usize,
-    /// Bytes of all segments.
+    /// Total bytes of all segments.
     pub bytes: u64,
 }
 
 /// An open write-ahead log.
 pub struct Log<S: LogStorage> {
     storage: S,
-    entries: BTreeMap<u64, Entry>,
+    /// Open invocations by id.
+    open_invocations: BTreeMap<u64, OpenInvocation>,
     segments: BTreeMap<SegmentNumber, Segment>,
-    /// Bytes of the requests of all open invocations.
+    /// Total bytes of the requests of all open invocations.
     request_bytes: u64,
-    max_segment: u64,
+    /// Bytes beyond which a batch goes to a new segment.
+    max_segment_bytes: u64,
+    /// Whether a write failed and [`Log::resume`] has not succeeded since.
     failed: bool,
 }
 
 impl<S: LogStorage> Log<S> {
-    /// Opens a log, drops what a crash left incomplete at its end, and returns the invocations that have not completed, by
-    /// id. An empty storage becomes a new log.
+    /// Opens a log and truncates an incomplete write that a crash left at its end. Returns the log and the
+    /// invocations that have not completed, in order of their ids. In an empty storage it creates a new log.
     ///
     /// # Errors
     /// The first fault that [`inspect`](crate::inspect) would report, or an error of the storage.
     pub fn open(storage: S) -> Result<(Log<S>, Vec<InvocationRecord>), LogError> {
-        Log::open_with(storage, MAX_SEGMENT)
+        Log::open_with_max_segment_bytes(storage, DEFAULT_MAX_SEGMENT_BYTES)
     }
 
-    /// Like [`Log::open`], with a new segment after `max_segment` bytes.
+    /// Like [`Log::open`], with a maximum segment size of `max_segment_bytes`.
     ///
     /// # Errors
     /// Those of [`Log::open`].
-    pub fn open_with(mut storage: S, max_segment: u64) -> Result<(Log<S>, Vec<InvocationRecord>), LogError> {
-        let mut recovery = Recovery::read(&storage)?;
-        if !recovery.inspection.faults.is_empty() {
-            return Err(recovery.inspection.faults.swap_remove(0));
+    pub fn open_with_max_segment_bytes(
+        mut storage: S,
+        max_segment_bytes: u64,
+    ) -> Result<(Log<S>, Vec<InvocationRecord>), LogError> {
+        let mut recovered = RecoveredLog::read(&storage)?;
+        if !recovered.inspection.faults.is_empty() {
+            return Err(recovered.inspection.faults.swap_remove(0));
         }
-        if recovery.inspection.incomplete_bytes > 0
-            && let Some((last, segment)) = recovery.segments.iter().next_back()
+        if recovered.inspection.incomplete_bytes > 0
+            && let Some((last, segment)) = recovered.segments.iter().next_back()
         {
             storage.truncate(&segment::file_name(*last), segment.length)?;
         }
         let mut log = Log {
             storage,
-            entries: BTreeMap::new(),
-            segments: std::mem::take(&mut recovery.segments),
+            open_invocations: BTreeMap::new(),
+            segments: std::mem::take(&mut recovered.segments),
             request_bytes: 0,
-            max_segment,
+            max_segment_bytes,
             failed: false,
         };
-        for invocation in recovery.invocations.values() {
-            log.insert_entry(invocation.segment, &invocation.record);
+        for invocation in recovered.invocations.values() {
+            log.insert_invocation(invocation.segment, &invocation.record);
         }
         log.ensure_writable_segment()?;
-        Ok((log, recovery.open_invocations()))
+        Ok((log, recovered.into_open_invocations()))
     }
 
-    /// How much the log holds.
+    /// Returns the current size of the log.
     pub fn size(&self) -> LogSize {
         LogSize {
-            open_invocations: self.entries.len(),
+            open_invocations: self.open_invocations.len(),
             segments: self.segments.len(),
-            bytes: self.bytes(),
+            bytes: self.total_bytes(),
         }
     }
 
-    /// Appends a batch, which is durable once this has returned, and compacts the log where that is due.
+    /// Appends a batch and makes it durable, then compacts the log if necessary.
     ///
     /// # Errors
-    /// After any error nothing of the batch is promised to be durable or lost, and each further commit is
-    /// [`LogError::Failed`] until [`Log::resume`] has succeeded. [`LogError::TooLong`] where the batch does not fit a frame, else
-    /// those of the storage.
+    /// [`LogError::BatchTooLarge`] if the batch does not fit into a frame, otherwise those of the storage.
+    /// After any error the batch may be durable or lost, and each further commit returns
+    /// [`LogError::EarlierWriteFailed`] until [`Log::resume`] succeeds.
     pub fn commit(&mut self, records: Vec<LogRecord>) -> Result<(), LogError> {
         if self.failed {
-            return Err(LogError::Failed);
+            return Err(LogError::EarlierWriteFailed);
         }
         let result = self.append(records).and_then(|()| self.compact());
         self.failed = result.is_err();
         result
     }
 
-    /// Makes a log that has failed take batches again: removes what failed writes left behind, makes sure that all batches
-    /// before them are still there, and begins a new segment. The batch whose commit failed is to be committed anew; each of
-    /// its records may be applied twice.
+    /// Makes the log accept batches again after a failed commit: removes the remains of failed writes,
+    /// verifies the last segment up to the last acknowledged batch, and begins a new segment. The caller then
+    /// commits the failed batch again; each of its records may be applied twice.
     ///
     /// # Errors
-    /// Those of the storage, and [`LogError::Corrupt`] where an earlier batch is gone. The log stays failed, and this may be
-    /// tried again.
+    /// [`LogError::Corrupt`] if an acknowledged batch cannot be read back, otherwise those of the storage.
+    /// The log then still refuses batches, and the caller may try again.
     pub fn resume(&mut self) -> Result<(), LogError> {
         if !self.failed {
             return Ok(());
@@ -132,21 +141,22 @@
         Ok(())
     }
 
-    /// Removes the segments that were begun and never became part of the log.
+    /// Removes the files of segments after `last`, left by an attempt to begin a segment that failed.
     fn remove_segments_after(&mut self, last: SegmentNumber) -> Result<(), LogError> {
         let names = self.storage.list()?;
-        let begun = |name: &&String| segment::number_of_file(name).is_some_and(|number| number > last);
-        let stray: Vec<&String> = names.iter().filter(begun).collect();
+        let is_after_last =
+            |name: &&String| segment::parse_file_name(name).is_some_and(|number| number > last);
+        let stray: Vec<&String> = names.iter().filter(is_after_last).collect();
         for name in &stray {
             self.storage.remove(name)?;
         }
         if !stray.is_empty() {
-            self.storage.sync_names()?;
+            self.storage.sync_directory()?;
         }
         Ok(())
     }
 
-    /// Reads a segment back: all its frames must be whole, up to its length.
+    /// Reads a segment and checks that it consists of valid frames and has exactly this length.
     fn verify_segment(&self, number: SegmentNumber, length: u64) -> Result<(), LogError> {
         let name = segment::file_name(number);
         let bytes = self.storage.read(&name)?;
@@ -161,11 +171,12 @@
         }
     }
 
-    fn bytes(&self) -> u64 {
+    fn total_bytes(&self) -> u64 {
         self.segments.values().map(|segment| segment.length).sum()
     }
 
-    /// Gives the last segment its header, and a new log its first segment.
+    /// Creates the first segment of a new log, or writes the header of the last segment again if a crash
+    /// truncated it.
     fn ensure_writable_segment(&mut self) -> Result<(), LogError> {
         match self.segments.iter().next_back() {
             Some((_, segment)) if segment.length >= HEADER_LENGTH as u64 => Ok(()),
@@ -174,19 +185,21 @@
         }
     }
 
+    /// Writes the header of a segment and makes the file durable.
     fn begin_segment(&mut self, number: SegmentNumber) -> Result<(), LogError> {
         let name = segment::file_name(number);
-        self.storage.append(&name, &framing::header())?;
+        self.storage.append(&name, &framing::encode_header())?;
         self.storage.sync(&name)?;
-        self.storage.sync_names()?;
+        self.storage.sync_directory()?;
         let segment = Segment::with_length(HEADER_LENGTH as u64);
         self.segments.insert(number, segment);
         Ok(())
     }
 
+    /// Writes a batch durably, then applies it to the state in memory.
     fn append(&mut self, records: Vec<LogRecord>) -> Result<(), LogError> {
-        let frame = framing::encode_frame(&records).ok_or(LogError::TooLong)?;
-        let number = self.segment_with_room(frame.len() as u64)?;
+        let frame = framing::encode_frame(&records).ok_or(LogError::BatchTooLarge(records.len()))?;
+        let number = self.segment_for_frame(frame.len() as u64)?;
         let name = segment::file_name(number);
         self.storage.append(&name, &frame)?;
         self.storage.sync(&name)?;
@@ -199,62 +212,66 @@
         Ok(())
     }
 
-    /// The segment to append to: the last one, or a new one where the frame would make that too long.
-    fn segment_with_room(&mut self, frame_bytes: u64) -> Result<SegmentNumber, LogError> {
+    /// Returns the last segment, or begins a new one if the frame would make the last one exceed the maximum
+    /// size.
+    fn segment_for_frame(&mut self, frame_bytes: u64) -> Result<SegmentNumber, LogError> {
         let (last, length) = match self.segments.iter().next_back() {
             Some((last, segment)) => (*last, segment.length),
             None => (FIRST_SEGMENT, 0),
         };
-        if length <= HEADER_LENGTH as u64 || length + frame_bytes <= self.max_segment {
+        if length <= HEADER_LENGTH as u64 || length + frame_bytes <= self.max_segment_bytes {
             return Ok(last);
         }
         self.begin_segment(last + 1)?;
         Ok(last + 1)
     }
 
+    /// Applies a record of this segment to the state in memory.
     fn apply(&mut self, segment: SegmentNumber, record: LogRecord) {
         match record {
-            LogRecord::Snapshot(invocation) => self.insert_entry(segment, &invocation),
-            LogRecord::Completed { id } => self.remove_entry(id),
+            LogRecord::Snapshot(invocation) => self.insert_invocation(segment, &invocation),
+            LogRecord::Completed { id } => self.remove_invocation(id),
             LogRecord::AttemptStarted { id, .. } | LogRecord::RetryScheduled { id, .. } => {
-                if let Some(entry) = self.entries.get_mut(&id) {
-                    entry.state.apply(&record);
+                if let Some(invocation) = self.open_invocations.get_mut(&id) {
+                    invocation.state.apply(&record);
                 }
             }
         }
     }
 
-    fn insert_entry(&mut self, number: SegmentNumber, invocation: &InvocationRecord) {
-        self.remove_entry(invocation.id);
-        let request_bytes = invocation.request.len() as u64;
+    fn insert_invocation(&mut self, number: SegmentNumber, record: &InvocationRecord) {
+        self.remove_invocation(record.id);
+        let request_bytes = record.request.len() as u64;
         self.request_bytes += request_bytes;
         if let Some(segment) = self.segments.get_mut(&number) {
             segment.open_invocations += 1;
         }
-        let entry = Entry {
+        let invocation = OpenInvocation {
             segment: number,
-            state: invocation.without_request(),
+            state: record.without_request(),
             request_bytes,
         };
-        self.entries.insert(invocation.id, entry);
+        self.open_invocations.insert(record.id, invocation);
     }
 
-    fn remove_entry(&mut self, id: u64) {
-        let Some(entry) = self.entries.remove(&id) else {
+    fn remove_invocation(&mut self, id: u64) {
+        let Some(invocation) = self.open_invocations.remove(&id) else {
             return;
         };
-        self.request_bytes -= entry.request_bytes;
-        if let Some(segment) = self.segments.get_mut(&entry.segment) {
+        self.request_bytes -= invocation.request_bytes;
+        if let Some(segment) = self.segments.get_mut(&invocation.segment) {
             segment.open_invocations -= 1;
         }
     }
 
-    /// Removes the oldest segments that hold no open invocation, and moves the invocations out of one more where less than
-    /// half of the log is still needed.
+    /// Removes the oldest segments without open invocations. If less than half of the log is still needed, it
+    /// also copies the open invocations of the oldest remaining segment to the end of the log and removes
+    /// that segment.
     fn compact(&mut self) -> Result<(), LogError> {
-        self.remove_unneeded_segments()?;
-        let mostly_unneeded = self.request_bytes * 2 < self.bytes().saturating_sub(self.max_segment);
-        if self.segments.len() < MIN_SEGMENTS || !mostly_unneeded {
+        self.remove_obsolete_segments()?;
+        let mostly_obsolete =
+            self.request_bytes * 2 < self.total_bytes().saturating_sub(self.max_segment_bytes);
+        if self.segments.len() < MIN_SEGMENTS_TO_COMPACT || !mostly_obsolete {
             return Ok(());
         }
         let Some(oldest) = self.segments.keys().next().copied() else {
@@ -264,10 +281,11 @@
         if !snapshots.is_empty() {
             self.append(snapshots)?;
         }
-        self.remove_unneeded_segments()
+        self.remove_obsolete_segments()
     }
 
-    /// The invocations whose latest snapshot lies in this segment, with their state of now, by id.
+    /// Returns snapshots, in order of their ids and in their current state, of the open invocations whose
+    /// latest snapshot is in this segment.
     fn current_snapshots(&self, number: SegmentNumber) -> Result<Vec<LogRecord>, LogError> {
         let bytes = self.storage.read(&segment::file_name(number))?;
         let mut snapshots = BTreeMap::new();
@@ -275,13 +293,13 @@
         while let Some((records, next)) = framing::decode_frame(&bytes, offset) {
             offset = next;
             for record in records {
-                if let LogRecord::Snapshot(invocation) = record
-                    && let Some(entry) = self.entries.get(&invocation.id)
-                    && entry.segment == number
+                if let LogRecord::Snapshot(stored) = record
+                    && let Some(invocation) = self.open_invocations.get(&stored.id)
+                    && invocation.segment == number
                 {
                     let current = InvocationRecord {
-                        request: invocation.request,
-                        ..entry.state.clone()
+                        request: stored.request,
+                        ..invocation.state.clone()
                     };
                     snapshots.insert(current.id, LogRecord::Snapshot(current));
                 }
@@ -290,16 +308,17 @@
         Ok(snapshots.into_values().collect())
     }
 
-    /// Removes segments without open invocations from the oldest on. A later one stays while an older one is needed, since
-    /// it may hold the records that complete the older one's invocations.
-    fn remove_unneeded_segments(&mut self) -> Result<(), LogError> {
+    /// Removes segments without open invocations, starting at the oldest. It stops at the first segment with
+    /// open invocations, because later segments may contain the records that completed other invocations of
+    /// that segment.
+    fn remove_obsolete_segments(&mut self) -> Result<(), LogError> {
         let mut removed = false;
         while self.segments.len() > 1
             && let Some((&oldest, segment)) = self.segments.iter().next()
             && segment.open_invocations == 0
         {
             match self.storage.remove(&segment::file_name(oldest)) {
-                // A removal that was reported as failed may have been carried out.
+                // An earlier removal may have succeeded although the storage reported an error.
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                 removal => removal?,
             }
@@ -307,7 +326,7 @@
             removed = true;
         }
         if removed {
-            self.storage.sync_names()?;
+            self.storage.sync_directory()?;
         }
         Ok(())
     }
--- a/crates/quartzdrift-wal/src/record.rs
+++ b/crates/quartzdrift-wal/src/record.rs
@@ -1,29 +1,31 @@
-//! What is logged: accepted invocations and their transitions.
+//! The records of the log: accepted invocations and their transitions.
 //!
-//! Both types are encoded with postcard, which is positional: fields and variants may be renamed, but never reordered.
+//! Both types are encoded with postcard, which is positional: fields and variants may be renamed, but never
+//! reordered.
 use serde::{Deserialize, Serialize};
 
-/// An invocation that has not completed. Times are microseconds since 1970.
+/// An invocation that has not completed. Times are in microseconds since the Unix epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InvocationRecord {
-    /// Unique within the log.
+    /// Id of the invocation, unique within the log.
     pub id: u64,
-    /// When it was accepted.
+    /// Time at which the invocation was accepted.
     pub accepted_us: u64,
-    /// When its next attempt is due.
+    /// Time at which the next attempt is due.
     pub due_us: u64,
-    /// Attempts that ran or may be running.
+    /// Number of attempts so far, including a running one and excluding rejected ones.
     pub attempts: u32,
-    /// No attempt may start after this time.
+    /// Time after which no attempt may start, because workers may have forgotten the idempotency key.
     pub deduplication_deadline_us: Option<u64>,
-    /// Start of an attempt whose outcome is unknown: it may have executed.
+    /// Start time of an attempt whose outcome is unknown. The function may have been executed.
     pub attempt_started_us: Option<u64>,
-    /// The invocation itself, encoded by the caller.
+    /// The request of the invocation, as encoded by the caller.
     pub request: Vec<u8>,
 }
 
 impl InvocationRecord {
-    /// A copy with an empty request, so that the open log does not hold payloads in memory.
+    /// Copies the record without its request. The open log keeps such copies, so that payloads do not stay in
+    /// memory.
     pub(crate) fn without_request(&self) -> InvocationRecord {
         InvocationRecord {
             id: self.id,
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Applies a transition that neither creates nor completes the invocation; others are ignored.
+    /// Applies a started attempt or a scheduled retry to this invocation; other records are ignored.
     pub(crate) fn apply(&mut self, record: &LogRecord) {
         match *record {
             LogRecord::AttemptStarted { at_us, attempts, .. } => {
@@ -59,34 +61,34 @@
     }
 }
 
-/// One entry of a batch.
+/// One record of a batch. Times are in microseconds since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogRecord {
-    /// The invocation was accepted, or moved here from an older segment with its state at that time.
+    /// Complete state of an invocation that was accepted, or that compaction copied from an older segment.
     Snapshot(InvocationRecord),
     /// An attempt is about to start.
     AttemptStarted {
-        /// The invocation.
+        /// Id of the invocation.
         id: u64,
-        /// When the attempt starts, in microseconds since 1970.
+        /// Start time of the attempt.
         at_us: u64,
-        /// Attempts so far, this one included.
+        /// Number of attempts so far, including this one.
         attempts: u32,
     },
-    /// The last attempt has ended and another one will follow.
+    /// An attempt has ended, and a retry is scheduled.
     RetryScheduled {
-        /// The invocation.
+        /// Id of the invocation.
         id: u64,
-        /// When the next attempt is due, in microseconds since 1970.
+        /// Time at which the next attempt is due.
         due_us: u64,
-        /// Attempts that count so far.
+        /// Number of attempts so far, excluding rejected ones.
         attempts: u32,
-        /// No attempt may start after this time, in microseconds since 1970.
+        /// Time after which no attempt may start, because workers may have forgotten the idempotency key.
         deduplication_deadline_us: Option<u64>,
     },
     /// The invocation needs no further attempt.
     Completed {
-        /// The invocation.
+        /// Id of the invocation.
         id: u64,
     },
 }
--- a/crates/quartzdrift-wal/src/segment.rs
+++ b/crates/quartzdrift-wal/src/segment.rs
@@ -1,19 +1,19 @@
-//! Segments: the names of their files, and how much of each is still needed.
+//! Segment file names, and the bookkeeping that tells when a segment can be removed.
 
-/// Place of a segment in the log; later segments have greater numbers.
+/// Number of a segment; segments are written in the order of their numbers.
 pub(crate) type SegmentNumber = u64;
 
-/// What the open log knows of a segment.
+/// Size of a segment and its number of open invocations.
 #[derive(Default)]
 pub(crate) struct Segment {
     /// Bytes of the file, its header included.
     pub(crate) length: u64,
-    /// Open invocations whose latest snapshot lies here.
+    /// Number of open invocations whose latest snapshot is in this segment.
     pub(crate) open_invocations: usize,
 }
 
 impl Segment {
-    /// A segment of `length` bytes to which no invocation was assigned yet.
+    /// Creates a segment of `length` bytes without open invocations.
     pub(crate) fn with_length(length: u64) -> Segment {
         Segment {
             length,
@@ -22,12 +22,12 @@
     }
 }
 
-/// Name of a segment's file.
+/// Returns the file name of a segment.
 pub(crate) fn file_name(number: SegmentNumber) -> String {
     format!("deferred-{number:012}.log")
 }
 
-/// The segment in a file with this name; `None` for any other file.
-pub(crate) fn number_of_file(name: &str) -> Option<SegmentNumber> {
+/// Parses the file name of a segment; `None` if it is another kind of file.
+pub(crate) fn parse_file_name(name: &str) -> Option<SegmentNumber> {
     name.strip_prefix("deferred-")?.strip_suffix(".log")?.parse().ok()
 }
--- a/crates/quartzdrift-wal/src/storage.rs
+++ b/crates/quartzdrift-wal/src/storage.rs
@@ -1,25 +1,26 @@
-//! The storage below the log. Implement [`LogStorage`] to run the log on something other than a directory, such as a disk
-//! that fails on purpose in tests.
+//! The storage of the log's files. Implement [`LogStorage`] to run the log on something other than a
+//! directory, such as an in-memory disk with injected faults in tests.
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The file system operations that the log needs. Names are file names without a path.
+/// The file system operations that the log needs. Files are identified by their names, without a path.
 pub trait LogStorage {
-    /// Names of all files.
+    /// Returns the names of all files.
     ///
     /// # Errors
     /// Those of the file system.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// The whole content of a file.
+    /// Returns the whole content of a file.
     ///
     /// # Errors
     /// Those of the file system.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Appends to a file, which is created if it does not exist. A crash before [`sync`](Self::sync) may lose the bytes.
+    /// Appends to a file, which is created if it does not exist. A crash before [`sync`](Self::sync) may lose
+    /// the appended bytes.
     ///
     /// # Errors
     /// Those of the file system; some of the bytes may have been written.
@@ -28,33 +29,33 @@
     /// Makes the content of a file durable.
     ///
     /// # Errors
-    /// Those of the file system; what is durable is then unknown.
+    /// Those of the file system; it is then unknown how much of the file is durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
     /// Makes the creation and removal of files durable.
     ///
     /// # Errors
     /// Those of the file system.
-    fn sync_names(&mut self) -> io::Result<()>;
+    fn sync_directory(&mut self) -> io::Result<()>;
 
-    /// Shortens a file to `length` bytes, durably.
+    /// Truncates a file to `length` bytes and makes that durable.
     ///
     /// # Errors
     /// Those of the file system.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
-    /// Removes a file. A crash before [`sync_names`](Self::sync_names) may bring it back.
+    /// Removes a file. A crash before [`sync_directory`](Self::sync_directory) may undo the removal.
     ///
     /// # Errors
     /// Those of the file system.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Closes all files, so that the next operation on each opens it anew. A descriptor on which a sync has failed may report
-    /// success the next time although nothing was written.
+    /// Closes all open files; the next operation on a file reopens it. After a failed sync, a later sync on
+    /// the same descriptor may report success although the data was never written.
     fn close_files(&mut self);
 }
 
-/// A directory on disk, which one process at a time may hold: a lock on the file `lock` in it guards against a second one.
+/// A directory on disk. The lock on its file named `lock` keeps a second process from using the directory.
 pub struct DirectoryStorage {
     path: PathBuf,
     open_files: HashMap<String, File>,
@@ -62,10 +63,11 @@
 }
 
 impl DirectoryStorage {
-    /// Opens the directory, which is created if it does not exist, and locks it.
+    /// Opens and locks the directory, which is created if it does not exist.
     ///
     /// # Errors
-    /// Kind [`io::ErrorKind::WouldBlock`] where another process holds the lock, else those of the file system.
+    /// An error of kind [`io::ErrorKind::WouldBlock`] if another process holds the lock, otherwise those of
+    /// the file system.
     pub fn open(path: &Path) -> io::Result<DirectoryStorage> {
         fs::create_dir_all(path)?;
         let lock = OpenOptions::new()
@@ -76,7 +78,7 @@
         lock.try_lock().map_err(|error| match error {
             fs::TryLockError::WouldBlock => io::Error::new(
                 io::ErrorKind::WouldBlock,
-                format!("another process uses {}", path.display()),
+                format!("directory {} is locked by another process", path.display()),
             ),
             fs::TryLockError::Error(error) => error,
         })?;
@@ -87,8 +89,8 @@
         })
     }
 
-    /// The file with this name, opened for appending and kept open.
-    fn file(&mut self, name: &str) -> io::Result<&mut File> {
+    /// Returns the file with this name, which is opened for appending on first use and then kept open.
+    fn open_file(&mut self, name: &str) -> io::Result<&mut File> {
         if !self.open_files.contains_key(name) {
             let file = OpenOptions::new()
                 .create(true)
@@ -98,7 +100,7 @@
         }
         self.open_files
             .get_mut(name)
-            .ok_or_else(|| io::Error::other("it was just opened"))
+            .ok_or_else(|| io::Error::other(format!("file {name} is not open")))
     }
 }
 
@@ -114,19 +116,19 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.file(name)?.write_all(bytes)
+        self.open_file(name)?.write_all(bytes)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.file(name)?.sync_data()
+        self.open_file(name)?.sync_data()
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        let file = self.file(name)?;
+        let file = self.open_file(name)?;
         file.set_len(length)?;
         file.sync_all()
     }
--- a/crates/quartzdrift-wal/tests/crashes.rs
+++ b/crates/quartzdrift-wal/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! A crash at every step, a disk that fails, and damage.
-#![allow(clippy::unwrap_used, reason = "a test may stop at what must not be")]
+//! Recovery of the log after crashes, disk faults and damage.
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use proptest::prelude::*;
 use quartzdrift_wal::{
@@ -13,67 +13,70 @@
 #[derive(Clone, Default)]
 struct FileContent {
     bytes: Vec<u8>,
-    /// Bytes from the start that are durable.
-    synced: usize,
-    /// Whether the file's creation is durable.
-    name_synced: bool,
+    /// Number of bytes, from the start of the file, that are durable.
+    synced_bytes: usize,
+    /// Whether the creation of the file is durable.
+    creation_synced: bool,
 }
 
-/// A disk in memory that knows what is durable, counts operations, and fails as it is told to.
+/// An in-memory disk with injected faults. It tracks which bytes are durable and counts its operations.
 #[derive(Clone, Default)]
 struct Disk {
     files: BTreeMap<String, FileContent>,
     operations: usize,
-    /// The machine stops at this operation; of a write then under way this many bytes reach the disk.
-    stop: Option<(usize, usize)>,
-    /// From this operation on the disk is full: half of each write reaches it.
+    /// Number of the operation during which the machine crashes, and the bytes of its write that reach the
+    /// disk.
+    crash: Option<(usize, usize)>,
+    /// Number of the operation from which on the disk is full. Half of each write still reaches the disk.
     full_from: Option<usize>,
-    /// From this operation on each sync fails.
+    /// Number of the operation from which on every sync fails.
     sync_fails_from: Option<usize>,
-    /// Each operation from the first one up to the second one fails; of a write half has reached the disk.
-    fails: Option<(usize, usize)>,
+    /// Numbers of the first failing operation and of the first one after it that succeeds. Half of each
+    /// failed write still reaches the disk.
+    failing: Option<(usize, usize)>,
 }
 
-/// A disk that the log and the test share.
+/// A disk shared by the log and the test.
 #[derive(Clone, Default)]
 struct SharedDisk(Rc<RefCell<Disk>>);
 
-fn stopped() -> io::Error {
-    io::Error::other("the machine stopped")
+fn crashed() -> io::Error {
+    io::Error::other("the machine has crashed")
 }
 
 impl Disk {
-    /// Counts an operation; `true` if the machine stops during it, an error if it has stopped before.
+    /// Counts an operation. Returns whether the machine crashes during it, or an error if it has crashed
+    /// before.
     fn begin_operation(&mut self) -> io::Result<bool> {
         self.operations += 1;
         if self
-            .fails
+            .failing
             .is_some_and(|(from, to)| (from..to).contains(&self.operations))
         {
-            return Err(io::Error::other("the disk fails for a while"));
+            return Err(io::Error::other("injected disk failure"));
         }
-        match self.stop {
-            Some((at, _)) if self.operations > at => Err(stopped()),
-            Some((at, _)) => Ok(self.operations == at),
+        match self.crash {
+            Some((operation, _)) if self.operations > operation => Err(crashed()),
+            Some((operation, _)) => Ok(self.operations == operation),
             None => Ok(false),
         }
     }
 
-    /// The disk after a restart: all that was synced, and up to `unsynced` further bytes of each file.
-    fn after_restart(&self, unsynced: usize) -> Disk {
+    /// The disk after a restart: all synced bytes, and up to `unsynced_bytes` further bytes of each file.
+    fn after_restart(&self, unsynced_bytes: usize) -> Disk {
         let mut disk = Disk::default();
         for (name, file) in &self.files {
-            if !file.name_synced && unsynced == 0 {
+            if !file.creation_synced && unsynced_bytes == 0 {
                 continue;
             }
-            let length = (file.synced + unsynced).min(file.bytes.len());
+            let length = (file.synced_bytes + unsynced_bytes).min(file.bytes.len());
             let bytes = file.bytes[..length].to_vec();
             disk.files.insert(
                 name.clone(),
                 FileContent {
-                    synced: bytes.len(),
+                    synced_bytes: bytes.len(),
                     bytes,
-                    name_synced: true,
+                    creation_synced: true,
                 },
             );
         }
@@ -96,55 +99,60 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        let begun = disk.begin_operation();
-        if begun.is_err() && disk.fails.is_some() {
+        let operation = disk.begin_operation();
+        if operation.is_err() && disk.failing.is_some() {
             let half = &bytes[..bytes.len() / 2];
             disk.files.entry(name.to_owned()).or_default().bytes.extend(half);
         }
-        let stops = begun?;
-        let written = disk.stop.filter(|_| stops).map(|(_, part)| part.min(bytes.len()));
-        let full = disk.full_from.is_some_and(|at| disk.operations >= at);
+        let crashes = operation?;
+        let partial_length = disk
+            .crash
+            .filter(|_| crashes)
+            .map(|(_, written)| written.min(bytes.len()));
+        let full = disk.full_from.is_some_and(|first| disk.operations >= first);
         let file = disk.files.entry(name.to_owned()).or_default();
         if full {
             file.bytes.extend(&bytes[..bytes.len() / 2]);
             return Err(io::ErrorKind::StorageFull.into());
         }
-        file.bytes.extend(&bytes[..written.unwrap_or(bytes.len())]);
-        if stops { Err(stopped()) } else { Ok(()) }
+        file.bytes.extend(&bytes[..partial_length.unwrap_or(bytes.len())]);
+        if crashes { Err(crashed()) } else { Ok(()) }
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        let stops = disk.begin_operation()?;
-        if disk.sync_fails_from.is_some_and(|at| disk.operations >= at) {
-            return Err(io::Error::other("the disk is bad"));
+        let crashes = disk.begin_operation()?;
+        if disk.sync_fails_from.is_some_and(|first| disk.operations >= first) {
+            return Err(io::Error::other("injected sync failure"));
         }
-        if stops {
-            return Err(stopped());
+        if crashes {
+            return Err(crashed());
         }
         if let Some(file) = disk.files.get_mut(name) {
-            file.synced = file.bytes.len();
+            file.synced_bytes = file.bytes.len();
         }
         Ok(())
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
         if disk.begin_operation()? {
-            return Err(stopped());
+            return Err(crashed());
         }
-        disk.files.values_mut().for_each(|file| file.name_synced = true);
+        disk.files
+            .values_mut()
+            .for_each(|file| file.creation_synced = true);
         Ok(())
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
         if disk.begin_operation()? {
-            return Err(stopped());
+            return Err(crashed());
         }
         if let Some(file) = disk.files.get_mut(name) {
             file.bytes.truncate(length as usize);
-            file.synced = file.bytes.len();
+            file.synced_bytes = file.bytes.len();
         }
         Ok(())
     }
@@ -152,7 +160,7 @@
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
         if disk.begin_operation()? {
-            return Err(stopped());
+            return Err(crashed());
         }
         disk.files.remove(name);
         Ok(())
@@ -161,9 +169,10 @@
     fn close_files(&mut self) {}
 }
 
-/// Small, so that a few requests fill some segments.
-const SEGMENT: u64 = 300;
+/// Small enough that a few requests fill several segments.
+const MAX_SEGMENT_BYTES: u64 = 300;
 
+/// A snapshot of an invocation that was just accepted.
 fn accepted(id: u64) -> LogRecord {
     LogRecord::Snapshot(InvocationRecord {
         id,
@@ -174,18 +183,19 @@
     })
 }
 
-/// Twelve invocations: accepted, attempted, scheduled for a retry, completed, some never.
+/// Batches of twelve invocations with one attempt each. Every third one has a retry scheduled, and every
+/// fourth one does not complete.
 fn batches() -> Vec<Vec<LogRecord>> {
-    let mut all = Vec::new();
+    let mut batches = Vec::new();
     for id in 1..=12 {
-        all.push(vec![accepted(id)]);
-        all.push(vec![LogRecord::AttemptStarted {
+        batches.push(vec![accepted(id)]);
+        batches.push(vec![LogRecord::AttemptStarted {
             id,
             at_us: 100 + id,
             attempts: 1,
         }]);
         if id % 3 == 0 {
-            all.push(vec![LogRecord::RetryScheduled {
+            batches.push(vec![LogRecord::RetryScheduled {
                 id,
                 due_us: 900,
                 attempts: 1,
@@ -193,12 +203,13 @@
             }]);
         }
         if id % 4 != 0 {
-            // Completed, and the event for its destination accepted: both or neither.
-            all.push(vec![LogRecord::Completed { id }, accepted(100 + id)]);
-            all.push(vec![LogRecord::Completed { id: 100 + id }]);
+            // One batch completes the invocation and accepts the event for its destination: both or neither
+            // survive.
+            batches.push(vec![LogRecord::Completed { id }, accepted(100 + id)]);
+            batches.push(vec![LogRecord::Completed { id: 100 + id }]);
         }
     }
-    all
+    batches
 }
 
 /// The open invocations after these batches.
@@ -231,10 +242,10 @@
 }
 
 fn open(disk: &SharedDisk) -> Result<(Log<SharedDisk>, Vec<InvocationRecord>), LogError> {
-    Log::open_with(disk.clone(), SEGMENT)
+    Log::open_with_max_segment_bytes(disk.clone(), MAX_SEGMENT_BYTES)
 }
 
-/// Commits the batches until one fails; returns how many were acknowledged.
+/// Commits the batches until one fails; returns the number of acknowledged batches.
 fn commit_all(disk: &SharedDisk) -> usize {
     let Ok((mut log, _)) = open(disk) else { return 0 };
     batches()
@@ -246,7 +257,7 @@
 /// The open invocations that a log on this disk recovers.
 fn recover(disk: Disk) -> BTreeMap<u64, InvocationRecord> {
     let (_, open_invocations) =
-        open(&SharedDisk(Rc::new(RefCell::new(disk)))).expect("a crash leaves a log that opens");
+        open(&SharedDisk(Rc::new(RefCell::new(disk)))).expect("a log opens after a crash");
     open_invocations
         .into_iter()
         .map(|record| (record.id, record))
@@ -255,29 +266,30 @@
 
 #[test]
 fn a_crash_at_any_step_loses_no_acknowledged_batch() {
-    let whole = SharedDisk::default();
-    assert_eq!(commit_all(&whole), batches().len());
-    let operations = whole.0.borrow().operations;
+    let healthy_disk = SharedDisk::default();
+    assert_eq!(commit_all(&healthy_disk), batches().len());
+    let operations = healthy_disk.0.borrow().operations;
     assert!(operations > 100, "{operations}");
-    for stop in 1..=operations {
-        // Nothing, a little or all of the write under way reaches the disk, and nothing, a little or all of what was not
-        // synced stays.
-        for part in [0, 1, 7, 9, 30, usize::MAX] {
+    for crash_at in 1..=operations {
+        // None, some or all bytes of the interrupted write reach the disk, and none, some or all unsynced
+        // bytes survive the restart.
+        for written in [0, 1, 7, 9, 30, usize::MAX] {
             for unsynced in [0, 5, usize::MAX / 2] {
                 let disk = SharedDisk::default();
-                disk.0.borrow_mut().stop = Some((stop, part));
+                disk.0.borrow_mut().crash = Some((crash_at, written));
                 let acknowledged = commit_all(&disk);
-                let found = recover(disk.0.borrow().after_restart(unsynced));
+                let recovered = recover(disk.0.borrow().after_restart(unsynced));
                 let batches = batches();
                 let next = (acknowledged + 1).min(batches.len());
-                // The batch under way may be durable as a whole; nothing else.
-                let good = [acknowledged, next]
+                // The interrupted batch may be durable as a whole, but not in part.
+                let is_expected = [acknowledged, next]
                     .iter()
-                    .any(|n| found == expected(&batches[..*n]));
+                    .any(|count| recovered == expected(&batches[..*count]));
                 assert!(
-                    good,
-                    "stop {stop} part {part} unsynced {unsynced}: {acknowledged} acknowledged, found {:?}",
-                    found.keys()
+                    is_expected,
+                    "crash at operation {crash_at}, {written} bytes written, {unsynced} unsynced bytes kept: \
+                     {acknowledged} batches acknowledged, invocations {:?} recovered",
+                    recovered.keys()
                 );
             }
         }
@@ -307,7 +319,7 @@
         bytes,
     } = log.size();
     assert!(
-        open_invocations == 1 && segments <= 4 && bytes < 5 * SEGMENT,
+        open_invocations == 1 && segments <= 4 && bytes < 5 * MAX_SEGMENT_BYTES,
         "{segments} segments, {bytes} bytes"
     );
     drop(log);
@@ -321,14 +333,14 @@
 }
 
 #[test]
-fn a_full_disk_or_a_failed_sync_ends_the_log_and_acknowledges_nothing_more() {
+fn after_a_full_disk_or_a_failed_sync_no_further_batch_is_acknowledged() {
     for sync_fails in [false, true] {
-        for at in 5..60 {
+        for first in 5..60 {
             let disk = SharedDisk::default();
             if sync_fails {
-                disk.0.borrow_mut().sync_fails_from = Some(at);
+                disk.0.borrow_mut().sync_fails_from = Some(first);
             } else {
-                disk.0.borrow_mut().full_from = Some(at);
+                disk.0.borrow_mut().full_from = Some(first);
             }
             let (mut log, _) = open(&disk).unwrap();
             let batches = batches();
@@ -337,26 +349,30 @@
                 .take_while(|batch| log.commit((*batch).clone()).is_ok())
                 .count();
             assert!(acknowledged < batches.len());
-            assert!(matches!(log.commit(vec![accepted(99)]), Err(LogError::Failed)));
+            assert!(matches!(
+                log.commit(vec![accepted(99)]),
+                Err(LogError::EarlierWriteFailed)
+            ));
             drop(log);
-            let found = recover(disk.0.borrow().after_restart(0));
+            let recovered = recover(disk.0.borrow().after_restart(0));
             let next = (acknowledged + 1).min(batches.len());
             assert!(
                 [acknowledged, next]
                     .iter()
-                    .any(|n| found == expected(&batches[..*n])),
-                "{at}: {acknowledged}"
+                    .any(|count| recovered == expected(&batches[..*count])),
+                "fault from operation {first} on: {acknowledged} batches acknowledged"
             );
         }
     }
 }
 
-/// Commits the batches, each until it is acknowledged or the machine has stopped; returns how many were acknowledged.
-fn commit_all_persistently(disk: &SharedDisk, most_tries: usize) -> usize {
+/// Commits the batches, resuming the log and retrying each batch up to `max_tries` times; returns the number
+/// of acknowledged batches.
+fn commit_all_with_retries(disk: &SharedDisk, max_tries: usize) -> usize {
     let Ok((mut log, _)) = open(disk) else { return 0 };
     let mut acknowledged = 0;
     for batch in batches() {
-        let committed = (0..most_tries).any(|_| log.resume().is_ok() && log.commit(batch.clone()).is_ok());
+        let committed = (0..max_tries).any(|_| log.resume().is_ok() && log.commit(batch.clone()).is_ok());
         if !committed {
             break;
         }
@@ -366,47 +382,60 @@
 }
 
 #[test]
-fn a_disk_that_fails_for_a_while_costs_no_batch() {
+fn a_temporary_disk_failure_loses_no_batch() {
     for length in [1, 2, 3, 9] {
         for from in 5..150 {
             let disk = SharedDisk::default();
-            disk.0.borrow_mut().fails = Some((from, from + length));
-            let acknowledged = commit_all_persistently(&disk, 20);
-            assert_eq!(acknowledged, batches().len(), "{from} for {length}");
+            disk.0.borrow_mut().failing = Some((from, from + length));
+            let acknowledged = commit_all_with_retries(&disk, 20);
+            assert_eq!(
+                acknowledged,
+                batches().len(),
+                "{length} operations fail from operation {from} on"
+            );
             for unsynced in [0, usize::MAX / 2] {
-                let found = recover(disk.0.borrow().after_restart(unsynced));
-                assert_eq!(found, expected(&batches()), "{from} for {length}");
+                let recovered = recover(disk.0.borrow().after_restart(unsynced));
+                assert_eq!(
+                    recovered,
+                    expected(&batches()),
+                    "{length} operations fail from operation {from} on"
+                );
             }
         }
     }
 }
 
-/// A system that has failed to sync a file may take what is written to it again for synced: the failed write's pages are no
-/// longer dirty. The batch must go to a file that no sync has failed on.
+/// After a failed sync the kernel may mark the pages of the failed write as clean, so a later sync of the
+/// same file may report success without writing them. The retried batch must therefore go to a file without a
+/// failed sync.
 #[test]
-fn what_is_committed_after_a_failed_sync_goes_to_another_segment() {
+fn a_batch_retried_after_a_failed_sync_goes_to_a_new_segment() {
     let disk = SharedDisk::default();
     let (mut log, _) = open(&disk).unwrap();
     log.commit(vec![accepted(1)]).unwrap();
-    let before: BTreeMap<String, usize> = lengths(&disk);
-    // The next operations are the write of a batch and its sync; the sync fails.
+    let lengths_before: BTreeMap<String, usize> = file_lengths(&disk);
+    // The next two operations are the write of the batch and its sync. The sync fails.
     let sync = disk.0.borrow().operations + 2;
-    disk.0.borrow_mut().fails = Some((sync, sync + 1));
+    disk.0.borrow_mut().failing = Some((sync, sync + 1));
     assert!(log.commit(vec![accepted(2)]).is_err());
     log.resume().unwrap();
     log.commit(vec![accepted(2)]).unwrap();
-    let after = lengths(&disk);
-    assert_eq!(after.len(), before.len() + 1, "a new segment was begun");
-    for (name, length) in before {
+    let lengths_after = file_lengths(&disk);
+    assert_eq!(
+        lengths_after.len(),
+        lengths_before.len() + 1,
+        "number of segments with the new one"
+    );
+    for (name, length) in lengths_before {
         assert_eq!(
-            after[&name], length,
-            "{name} is as long as before the failed batch"
+            lengths_after[&name], length,
+            "length of {name} before and after the failed batch"
         );
     }
 }
 
-/// The files of a disk with their lengths.
-fn lengths(disk: &SharedDisk) -> BTreeMap<String, usize> {
+/// The names and lengths of all files.
+fn file_lengths(disk: &SharedDisk) -> BTreeMap<String, usize> {
     let names = disk.list().unwrap();
     let length = |name: &String| disk.read(name).unwrap().len();
     names.iter().map(|name| (name.clone(), length(name))).collect()
@@ -415,19 +444,20 @@
 #[test]
 fn a_crash_while_a_log_resumes_loses_no_acknowledged_batch() {
     for from in (5..100).step_by(3) {
-        for stop in from + 1..from + 12 {
-            for (part, unsynced) in [(0, 0), (7, 5), (9, usize::MAX / 2), (usize::MAX, usize::MAX / 2)] {
+        for crash_at in from + 1..from + 12 {
+            for (written, unsynced) in [(0, 0), (7, 5), (9, usize::MAX / 2), (usize::MAX, usize::MAX / 2)] {
                 let disk = SharedDisk::default();
-                disk.0.borrow_mut().fails = Some((from, from + 2));
-                disk.0.borrow_mut().stop = Some((stop, part));
-                let acknowledged = commit_all_persistently(&disk, 20);
-                let found = recover(disk.0.borrow().after_restart(unsynced));
+                disk.0.borrow_mut().failing = Some((from, from + 2));
+                disk.0.borrow_mut().crash = Some((crash_at, written));
+                let acknowledged = commit_all_with_retries(&disk, 20);
+                let recovered = recover(disk.0.borrow().after_restart(unsynced));
                 let next = (acknowledged + 1).min(batches().len());
                 assert!(
                     [acknowledged, next]
                         .iter()
-                        .any(|n| found == expected(&batches()[..*n])),
-                    "fails at {from}, stops at {stop}, part {part}, unsynced {unsynced}: {acknowledged} acknowledged"
+                        .any(|count| recovered == expected(&batches()[..*count])),
+                    "fault at operation {from}, crash at {crash_at}, {written} bytes written, \
+                     {unsynced} unsynced bytes kept: {acknowledged} batches acknowledged"
                 );
             }
         }
@@ -435,21 +465,23 @@
 }
 
 #[test]
-fn damage_is_reported_with_its_place_and_repair_saves_what_can_be_read() {
+fn damage_is_reported_with_its_offset_and_repair_keeps_the_readable_invocations() {
     let directory = tempfile::tempdir().unwrap();
-    let (mut log, _) = Log::open_with(DirectoryStorage::open(directory.path()).unwrap(), SEGMENT).unwrap();
+    let storage = DirectoryStorage::open(directory.path()).unwrap();
+    let (mut log, _) = Log::open_with_max_segment_bytes(storage, MAX_SEGMENT_BYTES).unwrap();
     (1..=20).for_each(|id| log.commit(vec![accepted(id)]).unwrap());
-    let second = DirectoryStorage::open(directory.path())
+    let lock_error = DirectoryStorage::open(directory.path())
         .err()
-        .expect("one process at a time");
-    assert_eq!(second.kind(), io::ErrorKind::WouldBlock);
+        .expect("the directory is already locked");
+    assert_eq!(lock_error.kind(), io::ErrorKind::WouldBlock);
     drop(log);
     let path = directory.path().join("deferred-000000000002.log");
     let mut bytes = std::fs::read(&path).unwrap();
     bytes[30] ^= 1;
     std::fs::write(&path, &bytes).unwrap();
     let open = || {
-        Log::open_with(DirectoryStorage::open(directory.path()).unwrap(), SEGMENT)
+        let storage = DirectoryStorage::open(directory.path()).unwrap();
+        Log::open_with_max_segment_bytes(storage, MAX_SEGMENT_BYTES)
             .map(|(_, open_invocations)| open_invocations.len())
     };
     assert!(matches!(open(), Err(LogError::Corrupt(name, 16)) if name.contains("0002")));
@@ -464,18 +496,18 @@
         .open_invocations
         .len();
     assert_eq!((open().unwrap(), repaired > 10), (repaired, true));
-    // A later release's segment is left alone.
-    let newer = directory.path().join("deferred-000000000099.log");
+    // A segment with another format version is left unchanged.
+    let other_version = directory.path().join("deferred-000000000099.log");
     let mut header = b"QDDEFER\0".to_vec();
     header.extend(2u32.to_le_bytes());
     header.extend(crc32fast::hash(&header).to_le_bytes());
-    std::fs::write(&newer, header).unwrap();
-    assert!(matches!(open(), Err(LogError::Version(_, 2))));
-    assert!(repair(DirectoryStorage::open(directory.path()).unwrap()).is_err() && newer.exists());
+    std::fs::write(&other_version, header).unwrap();
+    assert!(matches!(open(), Err(LogError::UnsupportedVersion(_, 2))));
+    assert!(repair(DirectoryStorage::open(directory.path()).unwrap()).is_err() && other_version.exists());
 }
 
 proptest! {
-    /// Opening a segment of any content never panics.
+    /// Opening a segment with arbitrary content never panics.
     #[test]
     fn any_segment_content_is_read_or_rejected(bytes: Vec<u8>, with_header: bool) {
         let disk = SharedDisk::default();
