--- a/crates/quartzdrift-wal/src/record.rs
+++ b/crates/quartzdrift-wal/src/record.rs
@@ -72,7 +72,7 @@
         id: u64,
         /// Start time of the attempt.
         at_us: u64,
-        /// Number of attempts so far, including this one.
+        /// Number of attempts so far, including this one and excluding rejected ones.
         attempts: u32,
     },
     /// An attempt has ended, and a retry is scheduled.
