--- a/crates/quartzdrift-lab/src/badday.rs
+++ b/crates/quartzdrift-lab/src/badday.rs
@@ -12,7 +12,7 @@
 use crate::traffic;
 use crate::worker::{self, FakeWorker, Faults};
 use quartzdrift_discovery::DiscoveredEndpoint;
-use quartzdrift_recovery::View;
+use quartzdrift_recovery::RecoveryView;
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -46,7 +46,7 @@
     /// Of the fetches, those that the store turned away.
     pub refused: usize,
     /// How each gateway that was there at the end had come back.
-    pub views: Vec<Option<View>>,
+    pub views: Vec<Option<RecoveryView>>,
 }
 
 /// How the gateways of a day are started.
@@ -739,7 +739,7 @@
         }
         std::thread::sleep(Duration::from_millis(500));
     }
-    let view = |gateway: &Gateway| -> Option<View> {
+    let view = |gateway: &Gateway| -> Option<RecoveryView> {
         let bytes =
             quartzdrift::snapshots::read(&gateway.state, quartzdrift::snapshots::RECOVERY_VIEW).ok()??;
         serde_json::from_slice(&bytes).ok()
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -913,7 +913,7 @@
         // It is written beside the loop, now and then.
         stage.wait("the successor's own start", |_| {
             let bytes = snapshots::read(&state, snapshots::RECOVERY_VIEW).ok()??;
-            let view: quartzdrift_recovery::View = serde_json::from_slice(&bytes).ok()?;
+            let view: quartzdrift_recovery::RecoveryView = serde_json::from_slice(&bytes).ok()?;
             (view.starts == 2 && view.classification?.kind == quartzdrift_recovery::RestartKind::Planned)
                 .then_some(())
         });
--- a/crates/quartzdrift-lab/tests/recovery.rs
+++ b/crates/quartzdrift-lab/tests/recovery.rs
@@ -31,7 +31,7 @@
 }
 
 fn kinds(day: &Day) -> Vec<Option<(RestartKind, DiskState)>> {
-    let verdict = |view: &Option<quartzdrift_recovery::View>| {
+    let verdict = |view: &Option<quartzdrift_recovery::RecoveryView>| {
         view.as_ref()?.classification.as_ref().map(|v| (v.kind, v.disk))
     };
     day.views.iter().map(verdict).collect()
--- a/crates/quartzdrift-recovery/src/lib.rs
+++ b/crates/quartzdrift-recovery/src/lib.rs
@@ -41,4 +41,4 @@
     RestoreDecision, RestoreRow, StateItem, repeats_are_detected, restore_decisions, waiting_may_have_run,
 };
 pub use settings::Settings;
-pub use view::View;
+pub use view::RecoveryView;
--- a/crates/quartzdrift-recovery/src/recovery.rs
+++ b/crates/quartzdrift-recovery/src/recovery.rs
@@ -13,7 +13,7 @@
 use crate::phase::RecoveryPhase;
 use crate::restore_policy::{self, RestoreRow};
 use crate::settings::Settings;
-use crate::view::View;
+use crate::view::RecoveryView;
 use members::{AskedMember, CheckpointNotice, PresentStart};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -153,9 +153,9 @@
     }
 
     /// What operators see.
-    pub fn view(&self, now: Duration) -> View {
+    pub fn view(&self, now: Duration) -> RecoveryView {
         let is_draining = self.phase == RecoveryPhase::Backlog;
-        View {
+        RecoveryView {
             starts: self.starts,
             phase: self.phase,
             phase_seconds: now.saturating_sub(self.phase_since).as_secs(),
--- a/crates/quartzdrift-recovery/src/view.rs
+++ b/crates/quartzdrift-recovery/src/view.rs
@@ -7,7 +7,7 @@
 
 /// The state of a recovery. The serialized names are those of earlier releases.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct View {
+pub struct RecoveryView {
     /// The number of this start.
     pub starts: u64,
     /// The current phase.
@@ -35,7 +35,7 @@
     pub ramp: Option<RampView>,
 }
 
-impl View {
+impl RecoveryView {
     /// The table for operators.
     pub fn table(&self) -> String {
         let mut text = format!(
--- a/crates/quartzdrift-recovery/src/view/tests.rs
+++ b/crates/quartzdrift-recovery/src/view/tests.rs
@@ -3,7 +3,7 @@
 use crate::evidence::DiskState;
 use crate::restore_policy::restore_decisions;
 
-fn view() -> View {
+fn view() -> RecoveryView {
     let classification = RestartClassification {
         kind: RestartKind::MassFailure,
         disk: DiskState::Stale,
@@ -14,7 +14,7 @@
         latest_start: 4,
         later_checkpoint_known: true,
     };
-    View {
+    RecoveryView {
         starts: 5,
         phase: RecoveryPhase::Backlog,
         phase_seconds: 6,
--- a/crates/quartzdrift/src/commands/views.rs
+++ b/crates/quartzdrift/src/commands/views.rs
@@ -3,7 +3,7 @@
 use quartzdrift::gateway::fleet::View as FleetView;
 use quartzdrift::settings::Settings;
 use quartzdrift::snapshots;
-use quartzdrift_recovery::View as RecoveryView;
+use quartzdrift_recovery::RecoveryView;
 use serde::de::DeserializeOwned;
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -5,7 +5,7 @@
 use quartzdrift_async_queue::{Destination, StoredInvocation};
 use quartzdrift_discovery::{KnownNames, list};
 use quartzdrift_forecast::Forecasts;
-use quartzdrift_recovery::{Checkpoint, RecoveryPhase, RestartKind, View};
+use quartzdrift_recovery::{Checkpoint, RecoveryPhase, RecoveryView, RestartKind};
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
 use quartzdrift_scheduler::measure::Measurements;
 use quartzdrift_wal::{DirectoryStorage, Inspection, InvocationRecord, Log, LogRecord, inspect};
@@ -192,7 +192,7 @@
         (Duration::from_millis(831_480), 1)
     );
     is_written_again(snapshots::CHECKPOINT, &serde_json::to_vec(&checkpoint).unwrap());
-    let view: View = serde_json::from_slice(&last(snapshots::RECOVERY_VIEW)).unwrap();
+    let view: RecoveryView = serde_json::from_slice(&last(snapshots::RECOVERY_VIEW)).unwrap();
     assert_eq!(
         (
             view.phase,
