--- a/crates/quartzdrift-lab/src/emulate/returning.rs
+++ b/crates/quartzdrift-lab/src/emulate/returning.rs
@@ -3,7 +3,8 @@
 use super::{START, Sim};
 use crate::script::Spoil;
 use quartzdrift_recovery::{
-    Checkpoint, ClockSample, DiskState, LoadResult, Output, Recovery, RestartKind, Settings, StartupEvidence,
+    Checkpoint, ClockSample, DiskState, LoadResult, Output, Recovery, RecoverySettings, RestartKind,
+    StartupEvidence,
 };
 use quartzdrift_scheduler::measure::Measurements;
 use std::time::Duration;
@@ -75,10 +76,10 @@
                 StartupEvidence::without_checkpoint(disk, Vec::new(), moment)
             }
         };
-        let settings = Settings {
+        let settings = RecoverySettings {
             name,
             has_fleet: self.variant.members && now > START,
-            ask_timeout: ASK,
+            classification_timeout: ASK,
             max_duration: LONGEST,
             idempotency_keys_on_disk: false,
             load_quota_window: Duration::from_secs_f64(self.variant.load_window_s.max(0.0)),
--- a/crates/quartzdrift-recovery/src/lib.rs
+++ b/crates/quartzdrift-recovery/src/lib.rs
@@ -40,5 +40,5 @@
 pub use restore_policy::{
     RestoreDecision, RestoreRow, StateItem, repeats_are_detected, restore_decisions, waiting_may_have_run,
 };
-pub use settings::Settings;
+pub use settings::RecoverySettings;
 pub use view::RecoveryView;
--- a/crates/quartzdrift-recovery/src/recovery.rs
+++ b/crates/quartzdrift-recovery/src/recovery.rs
@@ -12,7 +12,7 @@
 use crate::evidence::{DiskState, StartupEvidence};
 use crate::phase::RecoveryPhase;
 use crate::restore_policy::{self, RestoreRow};
-use crate::settings::Settings;
+use crate::settings::RecoverySettings;
 use crate::view::RecoveryView;
 use members::{AskedMember, CheckpointNotice, PresentStart};
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,7 +39,7 @@
 /// The recovery of one scheduler.
 #[derive(Debug)]
 pub struct Recovery {
-    settings: Settings,
+    settings: RecoverySettings,
     evidence: StartupEvidence,
     started_at: Duration,
     /// The number of this start.
@@ -81,7 +81,7 @@
 
 impl Recovery {
     /// The recovery of a scheduler that starts at `now`, by the steady clock ([`ClockSample::steady`]).
-    pub fn new(settings: Settings, evidence: StartupEvidence, now: Duration) -> Recovery {
+    pub fn new(settings: RecoverySettings, evidence: StartupEvidence, now: Duration) -> Recovery {
         let checkpoint = evidence.checkpoint.clone().unwrap_or_default();
         let last_store_start = settings.store_start.unwrap_or(0);
         let mut recovery = Recovery {
@@ -195,7 +195,7 @@
 }
 
 /// The last run may have gone on after its last checkpoint, but not into this one: its load quota's window is over by then.
-fn prefetch_from(settings: &Settings, evidence: &StartupEvidence, now: Duration) -> Duration {
+fn prefetch_from(settings: &RecoverySettings, evidence: &StartupEvidence, now: Duration) -> Duration {
     match evidence.disk {
         DiskState::Empty => now,
         _ => now + settings.load_quota_window,
--- a/crates/quartzdrift-recovery/src/recovery/members.rs
+++ b/crates/quartzdrift-recovery/src/recovery/members.rs
@@ -265,11 +265,11 @@
         let has_all_answers = !self.asked.is_empty() && self.asked.values().all(|asked| !asked.is_silent());
         // Where no member was known, those that have answered may not be all.
         let min_wait = if self.evidence.known_members.is_empty() {
-            self.settings.ask_timeout / 2
+            self.settings.classification_timeout / 2
         } else {
             Duration::ZERO
         };
-        let is_timed_out = now >= self.started_at + self.settings.ask_timeout;
+        let is_timed_out = now >= self.started_at + self.settings.classification_timeout;
         if is_timed_out || has_all_answers && now >= self.started_at + min_wait {
             self.classify(now);
         }
--- a/crates/quartzdrift-recovery/src/recovery/phases.rs
+++ b/crates/quartzdrift-recovery/src/recovery/phases.rs
@@ -28,9 +28,9 @@
     }
 
     fn next_classifying_due(&self) -> Option<Duration> {
-        let min_wait_end = self.started_at + self.settings.ask_timeout / 2;
+        let min_wait_end = self.started_at + self.settings.classification_timeout / 2;
         let min_wait = Some(min_wait_end).filter(|at| *at > self.phase_check_at);
-        let timeout = self.started_at + self.settings.ask_timeout;
+        let timeout = self.started_at + self.settings.classification_timeout;
         self.next_requests().chain(min_wait).chain([timeout]).min()
     }
 
--- a/crates/quartzdrift-recovery/src/recovery/tests.rs
+++ b/crates/quartzdrift-recovery/src/recovery/tests.rs
@@ -7,11 +7,11 @@
 const S: Duration = Duration::from_secs(1);
 const ZERO: Duration = Duration::from_secs(1_000_000);
 
-fn settings(name: &str) -> Settings {
-    Settings {
+fn settings(name: &str) -> RecoverySettings {
+    RecoverySettings {
         name: name.to_owned(),
         has_fleet: true,
-        ask_timeout: S * 2,
+        classification_timeout: S * 2,
         max_duration: S * 60,
         idempotency_keys_on_disk: false,
         load_quota_window: S * 10,
@@ -163,7 +163,7 @@
     };
     let checkpoint = recovery.checkpoint(taken_at);
     let evidence = StartupEvidence::from_checkpoint(checkpoint, "a", vec![], now);
-    let settings = Settings {
+    let settings = RecoverySettings {
         has_fleet: false,
         ..settings("a")
     };
--- a/crates/quartzdrift-recovery/src/settings.rs
+++ b/crates/quartzdrift-recovery/src/settings.rs
@@ -3,13 +3,13 @@
 
 /// How a scheduler recovers.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct RecoverySettings {
     /// Its name in the fleet; empty without one.
     pub name: String,
     /// Whether there may be other members to ask.
     pub has_fleet: bool,
     /// How long other members are asked at most.
-    pub ask_timeout: Duration,
+    pub classification_timeout: Duration,
     /// How long after the start phases may last at most.
     pub max_duration: Duration,
     /// Whether the idempotency keys that workers remember survive a loss of power.
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -9,7 +9,7 @@
 use quartzdrift_lifecycle::FinalAnswer;
 use quartzdrift_recovery::{
     Checkpoint, ClockSample, DiskState, LoadResult, Output, RECOVERY_TOPIC, Recovery, RecoveryPhase,
-    RestartClassification, RestartKind, Settings as RecoverySettings, StartupEvidence,
+    RecoverySettings, RestartClassification, RestartKind, StartupEvidence,
 };
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, Idempotency};
 use quartzdrift_wal::{DirectoryStorage, InvocationRecord};
@@ -137,7 +137,7 @@
     RecoverySettings {
         name: scheduler_name(settings),
         has_fleet: settings.fleet.is_some(),
-        ask_timeout: settings.recovery.ask,
+        classification_timeout: settings.recovery.ask,
         max_duration: settings.recovery.longest,
         idempotency_keys_on_disk: settings.recovery.idempotency_keys_on_disk,
         load_quota_window: scheduler.copies.load_quota_window.unwrap_or_default(),
