--- a/crates/quartzdrift-lab/src/emulate/returning.rs
+++ b/crates/quartzdrift-lab/src/emulate/returning.rs
@@ -3,7 +3,7 @@
 use super::{START, Sim};
 use crate::script::Spoil;
 use quartzdrift_recovery::{
-    Checkpoint, ClockSample, DiskState, LoadResult, Output, Recovery, RecoverySettings, RestartKind,
+    Checkpoint, ClockSample, DiskState, LoadResult, Recovery, RecoveryOutput, RecoverySettings, RestartKind,
     StartupEvidence,
 };
 use quartzdrift_scheduler::measure::Measurements;
@@ -180,22 +180,22 @@
         let outputs = machine.take_outputs();
         for output in outputs {
             match (output, &mut scheduler.fleet) {
-                (Output::Send { to, bytes }, Some(fleet)) => {
+                (RecoveryOutput::Send { to, bytes }, Some(fleet)) => {
                     fleet
                         .members
                         .send_message(&to, quartzdrift_recovery::RECOVERY_TOPIC, bytes);
                 }
-                (Output::Classified(restart), _) => {
+                (RecoveryOutput::Classified(restart), _) => {
                     scheduler.returning.judged = Some((self.now - scheduler.returning.since, restart.kind));
                 }
-                (Output::RestoreMeasurements, _) => {
+                (RecoveryOutput::RestoreMeasurements, _) => {
                     if let (Some(before), Some(request_table)) =
                         (scheduler.returning.measured.take(), &mut scheduler.request_table)
                     {
                         request_table.restore_measurements(self.now, before);
                     }
                 }
-                (Output::Send { .. } | Output::PhaseEntered(_), _) => {}
+                (RecoveryOutput::Send { .. } | RecoveryOutput::PhaseEntered(_), _) => {}
             }
         }
     }
--- a/crates/quartzdrift-recovery/src/lib.rs
+++ b/crates/quartzdrift-recovery/src/lib.rs
@@ -36,7 +36,7 @@
 pub use evidence::{DiskState, StartupEvidence};
 pub use messages::{MemberStatus, MessageError, RECOVERY_TOPIC, RecoveryMessage};
 pub use phase::RecoveryPhase;
-pub use recovery::{Output, Recovery};
+pub use recovery::{Recovery, RecoveryOutput};
 pub use restore_policy::{
     RestoreDecision, RestoreRow, StateItem, repeats_are_detected, restore_decisions, waiting_may_have_run,
 };
--- a/crates/quartzdrift-recovery/src/recovery.rs
+++ b/crates/quartzdrift-recovery/src/recovery.rs
@@ -20,7 +20,7 @@
 
 /// What the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Output {
+pub enum RecoveryOutput {
     /// A message is to be sent to a member, under [`RECOVERY_TOPIC`](crate::RECOVERY_TOPIC).
     Send {
         /// The member's name.
@@ -76,7 +76,7 @@
     /// Limits loads of functions after a mass failure.
     ramp: Option<AdmissionRamp>,
     backlog: BacklogDrain,
-    outputs: Vec<Output>,
+    outputs: Vec<RecoveryOutput>,
 }
 
 impl Recovery {
@@ -184,7 +184,7 @@
     }
 
     /// Takes what is to be carried out.
-    pub fn take_outputs(&mut self) -> Vec<Output> {
+    pub fn take_outputs(&mut self) -> Vec<RecoveryOutput> {
         std::mem::take(&mut self.outputs)
     }
 
--- a/crates/quartzdrift-recovery/src/recovery/members.rs
+++ b/crates/quartzdrift-recovery/src/recovery/members.rs
@@ -1,5 +1,5 @@
 //! Asking other members, answering them, and classifying the restart by their answers.
-use super::{Output, Recovery};
+use super::{Recovery, RecoveryOutput};
 use crate::admission_ramp::AdmissionRamp;
 use crate::checkpoint::CheckpointNumber;
 use crate::classification::{self, MemberAnswer, RestartKind};
@@ -136,7 +136,7 @@
         let first = (checkpoint as usize * NOTICE_FANOUT) % self.met.len();
         let count = NOTICE_FANOUT.min(self.met.len());
         for member in self.met.iter().cycle().skip(first).take(count) {
-            self.outputs.push(Output::Send {
+            self.outputs.push(RecoveryOutput::Send {
                 to: member.clone(),
                 bytes: bytes.clone(),
             });
@@ -204,7 +204,7 @@
     }
 
     fn send(&mut self, to: &str, message: &RecoveryMessage) {
-        self.outputs.push(Output::Send {
+        self.outputs.push(RecoveryOutput::Send {
             to: to.to_owned(),
             bytes: message.encode(),
         });
@@ -326,7 +326,8 @@
         } else {
             RecoveryPhase::FullService
         };
-        self.outputs.push(Output::Classified(classification.clone()));
+        self.outputs
+            .push(RecoveryOutput::Classified(classification.clone()));
         self.classification = Some(classification);
         self.enter(now, phase);
     }
--- a/crates/quartzdrift-recovery/src/recovery/phases.rs
+++ b/crates/quartzdrift-recovery/src/recovery/phases.rs
@@ -1,5 +1,5 @@
 //! Moving from phase to phase: by time, by how synchronous service recovers, or by an operator.
-use super::{Output, Recovery};
+use super::{Recovery, RecoveryOutput};
 use crate::admission_ramp::AdmissionRamp;
 use crate::backlog_drain::BacklogDrain;
 use crate::messages::RecoveryMessage;
@@ -38,7 +38,7 @@
     pub fn due(&mut self, now: Duration) {
         let restores = self.restore_measurements_at.take_if(|at| *at <= now);
         if restores.is_some() {
-            self.outputs.push(Output::RestoreMeasurements);
+            self.outputs.push(RecoveryOutput::RestoreMeasurements);
         }
         self.send_gossip(now);
         let is_overdue = now >= self.started_at + self.settings.max_duration;
@@ -77,7 +77,7 @@
         let bytes = RecoveryMessage::CacheUpdates { updates }.encode();
         for to in message.recipients {
             let bytes = bytes.clone();
-            self.outputs.push(Output::Send { to, bytes });
+            self.outputs.push(RecoveryOutput::Send { to, bytes });
         }
     }
 
@@ -95,7 +95,7 @@
             RecoveryPhase::Backlog => self.backlog.begin(),
             RecoveryPhase::Classifying | RecoveryPhase::Schedules | RecoveryPhase::FullService => {}
         }
-        self.outputs.push(Output::PhaseEntered(phase));
+        self.outputs.push(RecoveryOutput::PhaseEntered(phase));
     }
 
     /// No asynchronous request is due any more: the backlog has drained, whatever its limit.
--- a/crates/quartzdrift-recovery/src/recovery/tests.rs
+++ b/crates/quartzdrift-recovery/src/recovery/tests.rs
@@ -69,8 +69,10 @@
 
 fn entered_phases(recovery: &mut Recovery) -> Vec<RecoveryPhase> {
     let phase = |output| match output {
-        Output::PhaseEntered(phase) => Some(phase),
-        Output::Send { .. } | Output::Classified(_) | Output::RestoreMeasurements => None,
+        RecoveryOutput::PhaseEntered(phase) => Some(phase),
+        RecoveryOutput::Send { .. } | RecoveryOutput::Classified(_) | RecoveryOutput::RestoreMeasurements => {
+            None
+        }
     };
     recovery.take_outputs().into_iter().filter_map(phase).collect()
 }
@@ -112,7 +114,7 @@
         asks += recovery
             .take_outputs()
             .iter()
-            .filter(|output| matches!(output, Output::Send { .. }))
+            .filter(|output| matches!(output, RecoveryOutput::Send { .. }))
             .count();
         now = recovery.next_due().unwrap().max(now);
         recovery.due(now);
@@ -127,7 +129,7 @@
         !recovery
             .take_outputs()
             .iter()
-            .any(|output| matches!(output, Output::Send { .. }))
+            .any(|output| matches!(output, RecoveryOutput::Send { .. }))
     );
 }
 
@@ -225,8 +227,11 @@
     assert!(recovery.view(ZERO).ramp.is_some() && recovery.classification().is_none());
     // The machine has been up for the slow-start window: the last run spent nothing within it.
     recovery.due(ZERO);
-    let restores_measurements =
-        |recovery: &mut Recovery| recovery.take_outputs().contains(&Output::RestoreMeasurements);
+    let restores_measurements = |recovery: &mut Recovery| {
+        recovery
+            .take_outputs()
+            .contains(&RecoveryOutput::RestoreMeasurements)
+    };
     assert!(restores_measurements(&mut recovery));
     let number = recovery.admit(ZERO, "f").unwrap().expect("a load");
     assert!(recovery.admit(ZERO, "f").is_err());
@@ -298,7 +303,7 @@
             .receive(ZERO, "x", &RecoveryMessage::StatusRequest { status }.encode())
             .unwrap();
         other.take_outputs().into_iter().find_map(|output| match output {
-            Output::Send { bytes, .. } => match RecoveryMessage::decode(&bytes) {
+            RecoveryOutput::Send { bytes, .. } => match RecoveryMessage::decode(&bytes) {
                 Ok(RecoveryMessage::StatusResponse { known_start, .. }) => Some(known_start),
                 Ok(
                     RecoveryMessage::StatusRequest { .. }
@@ -307,7 +312,9 @@
                 )
                 | Err(_) => None,
             },
-            Output::Classified(_) | Output::PhaseEntered(_) | Output::RestoreMeasurements => None,
+            RecoveryOutput::Classified(_)
+            | RecoveryOutput::PhaseEntered(_)
+            | RecoveryOutput::RestoreMeasurements => None,
         })
     };
     assert_eq!(known_start(&mut other, 3, 30), Some(0));
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -8,7 +8,7 @@
 use quartzdrift_async_queue::RestoreContext;
 use quartzdrift_lifecycle::FinalAnswer;
 use quartzdrift_recovery::{
-    Checkpoint, ClockSample, DiskState, LoadResult, Output, RECOVERY_TOPIC, Recovery, RecoveryPhase,
+    Checkpoint, ClockSample, DiskState, LoadResult, RECOVERY_TOPIC, Recovery, RecoveryOutput, RecoveryPhase,
     RecoverySettings, RestartClassification, RestartKind, StartupEvidence,
 };
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, Idempotency};
@@ -281,13 +281,13 @@
         };
         for output in recovery.machine.take_outputs() {
             match output {
-                Output::Send { to, bytes } => self.send_to_member(&to, RECOVERY_TOPIC, bytes),
-                Output::Classified(classification) => self.restart_classified(&classification),
-                Output::PhaseEntered(phase) => {
+                RecoveryOutput::Send { to, bytes } => self.send_to_member(&to, RECOVERY_TOPIC, bytes),
+                RecoveryOutput::Classified(classification) => self.restart_classified(&classification),
+                RecoveryOutput::PhaseEntered(phase) => {
                     tracing::info!(stage = %phase, "service returns");
                     self.write_checkpoint();
                 }
-                Output::RestoreMeasurements => self.restore_measurements(),
+                RecoveryOutput::RestoreMeasurements => self.restore_measurements(),
             }
         }
         self.limit_asynchronous();
