--- a/crates/quartzdrift-recovery/src/lib.rs
+++ b/crates/quartzdrift-recovery/src/lib.rs
@@ -38,7 +38,8 @@
 pub use phase::RecoveryPhase;
 pub use recovery::{Recovery, RecoveryOutput};
 pub use restore_policy::{
-    RestoreDecision, RestoreRow, StateItem, repeats_are_detected, restore_decisions, waiting_may_have_run,
+    RestoreDecision, RestoreRow, StateItem, repeats_are_detected, restore_decisions,
+    waiting_requests_may_have_run,
 };
 pub use settings::RecoverySettings;
 pub use view::RecoveryView;
--- a/crates/quartzdrift-recovery/src/recovery/admission.rs
+++ b/crates/quartzdrift-recovery/src/recovery/admission.rs
@@ -68,11 +68,11 @@
     }
 
     /// Whether a request that the store shows as waiting may have executed all the same.
-    pub fn waiting_may_have_run(&self) -> bool {
+    pub fn waiting_requests_may_have_run(&self) -> bool {
         let store_start = self.settings.store_start;
-        self.classification
-            .as_ref()
-            .is_none_or(|classification| restore_policy::waiting_may_have_run(classification, store_start))
+        self.classification.as_ref().is_none_or(|classification| {
+            restore_policy::waiting_requests_may_have_run(classification, store_start)
+        })
     }
 
     /// Whether the stored measurements are still needed: they are to be restored, or it is not known yet whether they are.
--- a/crates/quartzdrift-recovery/src/restore_policy.rs
+++ b/crates/quartzdrift-recovery/src/restore_policy.rs
@@ -114,14 +114,17 @@
 
 /// Whether an asynchronous request that the store shows as waiting may have executed: there was a later start or checkpoint
 /// than `store_start`, the start that last opened the store. `None`: an earlier release wrote it. Guards "no effect twice".
-pub fn waiting_may_have_run(classification: &RestartClassification, store_start: Option<u64>) -> bool {
+pub fn waiting_requests_may_have_run(
+    classification: &RestartClassification,
+    store_start: Option<u64>,
+) -> bool {
     let latest = classification.latest_start;
     store_start
         .is_some_and(|start| start < latest || classification.later_checkpoint_known && start == latest)
 }
 
 /// The decisions after a restart, in the order of [`StateItem`]; see [`repeats_are_detected`] and
-/// [`waiting_may_have_run`] for the parameters.
+/// [`waiting_requests_may_have_run`] for the parameters.
 pub fn restore_decisions(
     classification: &RestartClassification,
     keys_on_disk: bool,
@@ -153,7 +156,7 @@
             "the outage is no evidence that nobody calls",
         ),
         idempotency_keys(repeats_are_detected(classification, keys_on_disk)),
-        waiting_requests(waiting_may_have_run(classification, store_start)),
+        waiting_requests(waiting_requests_may_have_run(classification, store_start)),
         RestoreRow::new(
             StateItem::Schedules,
             if_readable(RestoreDecision::Restore),
--- a/crates/quartzdrift-recovery/src/restore_policy/tests.rs
+++ b/crates/quartzdrift-recovery/src/restore_policy/tests.rs
@@ -24,7 +24,7 @@
         ..classification(RestartKind::MassFailure)
     };
     assert!(
-        waiting_may_have_run(&within_start, Some(4)),
+        waiting_requests_may_have_run(&within_start, Some(4)),
         "a copy made within the same start"
     );
     for kind in [
@@ -43,7 +43,7 @@
             (!is_mass_failure, true)
         );
         for (store, is_doubted) in [(None, false), (Some(3), true), (Some(4), false), (Some(5), false)] {
-            assert_eq!(waiting_may_have_run(&classification, store), is_doubted);
+            assert_eq!(waiting_requests_may_have_run(&classification, store), is_doubted);
             check_decisions(&classification, store, is_doubted);
         }
     }
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -353,7 +353,7 @@
         let machine = &recovery.machine;
         let context = RestoreContext {
             keys_remembered: machine.repeats_are_detected(),
-            earlier_copy: machine.waiting_may_have_run(),
+            earlier_copy: machine.waiting_requests_may_have_run(),
         };
         let unproven_downtime = machine.unproven_downtime();
         self.restore(requests, context, unproven_downtime);
