--- a/crates/quartzdrift-recovery/src/classification.rs
+++ b/crates/quartzdrift-recovery/src/classification.rs
@@ -179,7 +179,7 @@
 
 /// How long we were down before this start.
 fn downtime(evidence: &StartupEvidence, disk: DiskState) -> Duration {
-    match evidence.age() {
+    match evidence.checkpoint_age() {
         Some(Age::Monotonic(age) | Age::WallClock(age)) if disk == DiskState::Intact => age + DOWNTIME_SLACK,
         Some(_) | None => DEFAULT_DOWNTIME,
     }
--- a/crates/quartzdrift-recovery/src/evidence.rs
+++ b/crates/quartzdrift-recovery/src/evidence.rs
@@ -72,7 +72,7 @@
     /// Members that counted at the end of the last run.
     pub known_members: Vec<String>,
     /// The clocks at this start.
-    pub now: ClockSample,
+    pub clock_at_start: ClockSample,
     /// The last run has not ended yet: it hands over to this one.
     pub predecessor_running: bool,
 }
@@ -83,16 +83,16 @@
         checkpoint: Checkpoint,
         name: &str,
         known_members: Vec<String>,
-        now: ClockSample,
+        clock_at_start: ClockSample,
     ) -> StartupEvidence {
         if checkpoint.name != name {
-            return StartupEvidence::without_checkpoint(DiskState::Foreign, Vec::new(), now);
+            return StartupEvidence::without_checkpoint(DiskState::Foreign, Vec::new(), clock_at_start);
         }
         StartupEvidence {
             checkpoint: Some(checkpoint),
             disk: DiskState::Intact,
             known_members,
-            now,
+            clock_at_start,
             predecessor_running: false,
         }
     }
@@ -101,21 +101,21 @@
     pub fn without_checkpoint(
         disk: DiskState,
         known_members: Vec<String>,
-        now: ClockSample,
+        clock_at_start: ClockSample,
     ) -> StartupEvidence {
         StartupEvidence {
             checkpoint: None,
             disk,
             known_members,
-            now,
+            clock_at_start,
             predecessor_running: false,
         }
     }
 
     /// Time since the last checkpoint, where there is one.
-    pub fn age(&self) -> Option<Age> {
+    pub fn checkpoint_age(&self) -> Option<Age> {
         let checkpoint = self.checkpoint.as_ref()?;
-        Some(Age::between(&checkpoint.taken_at, &self.now))
+        Some(Age::between(&checkpoint.taken_at, &self.clock_at_start))
     }
 
     /// Whether the last run, if there was one, stopped as planned or hands over.
@@ -128,6 +128,6 @@
 
     /// Whether the machine is known to have run since the last checkpoint.
     pub fn machine_stayed_up(&self) -> bool {
-        matches!(self.age(), Some(Age::Monotonic(_)))
+        matches!(self.checkpoint_age(), Some(Age::Monotonic(_)))
     }
 }
--- a/crates/quartzdrift-recovery/src/recovery/admission.rs
+++ b/crates/quartzdrift-recovery/src/recovery/admission.rs
@@ -82,9 +82,9 @@
 
     /// The part of the downtime that only the wall clock tells of: it may have been set ahead.
     pub fn unproven_downtime(&self) -> Duration {
-        match self.evidence.age() {
+        match self.evidence.checkpoint_age() {
             Some(age @ Age::WallClock(claimed)) => {
-                claimed.saturating_sub(age.lower_bound(&self.evidence.now))
+                claimed.saturating_sub(age.lower_bound(&self.evidence.clock_at_start))
             }
             Some(Age::Monotonic(_) | Age::AtLeast(_)) | None => Duration::ZERO,
         }
--- a/crates/quartzdrift-recovery/src/recovery/members.rs
+++ b/crates/quartzdrift-recovery/src/recovery/members.rs
@@ -300,7 +300,7 @@
         let down_before_start = if self.evidence.machine_stayed_up() {
             Duration::ZERO
         } else {
-            self.evidence.now.since_boot
+            self.evidence.clock_at_start.since_boot
         };
         let window = self.settings.slow_start_window;
         let window_end = self.started_at + window.saturating_sub(down_before_start);
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -152,7 +152,7 @@
 fn log_evidence(evidence: &StartupEvidence) {
     let disk = evidence.disk;
     let was_clean = evidence.ended_cleanly();
-    let age = match evidence.age() {
+    let age = match evidence.checkpoint_age() {
         Some(age) => format!("Some({age})"),
         None => "None".to_owned(),
     };
