--- a/crates/quartzdrift-lab/src/emulate/returning.rs
+++ b/crates/quartzdrift-lab/src/emulate/returning.rs
@@ -39,7 +39,7 @@
 impl Sim<'_> {
     /// All machines run on the same clock, and one that was killed has started anew.
     fn moment(&self, s: usize) -> ClockSample {
-        let boot = format!("{s}-{}", self.schedulers[s].returning.starts);
+        let boot_id = format!("{s}-{}", self.schedulers[s].returning.starts);
         let (by, ahead) = self.schedulers[s].returning.clock;
         let wall = if ahead {
             self.now + by
@@ -48,7 +48,7 @@
         };
         ClockSample {
             wall,
-            boot,
+            boot_id,
             since_boot: BOOT,
         }
     }
--- a/crates/quartzdrift-recovery/src/classification.rs
+++ b/crates/quartzdrift-recovery/src/classification.rs
@@ -1,5 +1,5 @@
 //! Kinds of restart, distinguished by what was found on disk and by what other members answer.
-use crate::clock::Age;
+use crate::clock::ElapsedTime;
 use crate::evidence::{DiskState, StartupEvidence};
 use crate::messages::MemberStatus;
 use serde::{Deserialize, Serialize};
@@ -180,7 +180,9 @@
 /// How long we were down before this start.
 fn downtime(evidence: &StartupEvidence, disk: DiskState) -> Duration {
     match evidence.checkpoint_age() {
-        Some(Age::Monotonic(age) | Age::WallClock(age)) if disk == DiskState::Intact => age + DOWNTIME_SLACK,
+        Some(ElapsedTime::Monotonic(age) | ElapsedTime::WallClock(age)) if disk == DiskState::Intact => {
+            age + DOWNTIME_SLACK
+        }
         Some(_) | None => DEFAULT_DOWNTIME,
     }
 }
--- a/crates/quartzdrift-recovery/src/classification/tests.rs
+++ b/crates/quartzdrift-recovery/src/classification/tests.rs
@@ -7,7 +7,7 @@
 fn sample(since_boot: u64, boot: &str) -> ClockSample {
     ClockSample {
         wall: S * 1_000_000 + S * since_boot as u32,
-        boot: boot.into(),
+        boot_id: boot.into(),
         since_boot: S * since_boot as u32,
     }
 }
--- a/crates/quartzdrift-recovery/src/clock/tests.rs
+++ b/crates/quartzdrift-recovery/src/clock/tests.rs
@@ -5,7 +5,7 @@
 fn sample(wall: u64, boot: &str, since_boot: u64) -> ClockSample {
     ClockSample {
         wall: Duration::from_secs(wall),
-        boot: boot.to_owned(),
+        boot_id: boot.to_owned(),
         since_boot: Duration::from_secs(since_boot),
     }
 }
@@ -15,22 +15,22 @@
     let seconds = Duration::from_secs;
     let before = sample(10 * HOUR, "a", 100);
     for (wall, boot, since, age) in [
-        (9 * HOUR, "a", 130, Age::Monotonic(seconds(30))),
-        (11 * HOUR, "a", 130, Age::Monotonic(seconds(30))),
-        (11 * HOUR, "b", 20, Age::WallClock(seconds(HOUR))),
-        (9 * HOUR, "b", 20, Age::AtLeast(seconds(20))),
+        (9 * HOUR, "a", 130, ElapsedTime::Monotonic(seconds(30))),
+        (11 * HOUR, "a", 130, ElapsedTime::Monotonic(seconds(30))),
+        (11 * HOUR, "b", 20, ElapsedTime::WallClock(seconds(HOUR))),
+        (9 * HOUR, "b", 20, ElapsedTime::AtLeast(seconds(20))),
         // The wall clock shows less time than the machine has been up.
-        (10 * HOUR + 5, "b", 20, Age::AtLeast(seconds(20))),
-        (10 * HOUR + 5, "", 0, Age::WallClock(seconds(5))),
+        (10 * HOUR + 5, "b", 20, ElapsedTime::AtLeast(seconds(20))),
+        (10 * HOUR + 5, "", 0, ElapsedTime::WallClock(seconds(5))),
     ] {
         let now = sample(wall, boot, since);
-        assert_eq!(Age::between(&before, &now), age, "{now:?}");
-        assert!(now.steady(&before) >= before.wall, "time goes back: {now:?}");
+        assert_eq!(ElapsedTime::between(&before, &now), age, "{now:?}");
+        assert!(now.steady_time(&before) >= before.wall, "time goes back: {now:?}");
     }
     let ahead = sample(11 * HOUR, "b", 20);
-    let age = Age::between(&before, &ahead);
+    let age = ElapsedTime::between(&before, &ahead);
     assert_eq!(
         (age, age.lower_bound(&ahead)),
-        (Age::WallClock(seconds(HOUR)), seconds(20))
+        (ElapsedTime::WallClock(seconds(HOUR)), seconds(20))
     );
 }
--- a/crates/quartzdrift-recovery/src/evidence.rs
+++ b/crates/quartzdrift-recovery/src/evidence.rs
@@ -1,6 +1,6 @@
 //! What a start finds on disk, before other members are asked.
 use crate::checkpoint::Checkpoint;
-use crate::clock::{Age, ClockSample};
+use crate::clock::{ClockSample, ElapsedTime};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -113,9 +113,9 @@
     }
 
     /// Time since the last checkpoint, where there is one.
-    pub fn checkpoint_age(&self) -> Option<Age> {
+    pub fn checkpoint_age(&self) -> Option<ElapsedTime> {
         let checkpoint = self.checkpoint.as_ref()?;
-        Some(Age::between(&checkpoint.taken_at, &self.clock_at_start))
+        Some(ElapsedTime::between(&checkpoint.taken_at, &self.clock_at_start))
     }
 
     /// Whether the last run, if there was one, stopped as planned or hands over.
@@ -128,6 +128,6 @@
 
     /// Whether the machine is known to have run since the last checkpoint.
     pub fn machine_stayed_up(&self) -> bool {
-        matches!(self.checkpoint_age(), Some(Age::Monotonic(_)))
+        matches!(self.checkpoint_age(), Some(ElapsedTime::Monotonic(_)))
     }
 }
--- a/crates/quartzdrift-recovery/src/lib.rs
+++ b/crates/quartzdrift-recovery/src/lib.rs
@@ -32,7 +32,7 @@
 pub use admission_ramp::{CacheState, CacheUpdate, LoadResult, RampView};
 pub use checkpoint::{Checkpoint, CheckpointNumber};
 pub use classification::{RestartClassification, RestartKind};
-pub use clock::{Age, ClockSample};
+pub use clock::{ClockSample, ElapsedTime};
 pub use evidence::{DiskState, StartupEvidence};
 pub use messages::{MemberStatus, MessageError, RECOVERY_TOPIC, RecoveryMessage};
 pub use phase::RecoveryPhase;
--- a/crates/quartzdrift-recovery/src/recovery.rs
+++ b/crates/quartzdrift-recovery/src/recovery.rs
@@ -80,7 +80,7 @@
 }
 
 impl Recovery {
-    /// The recovery of a scheduler that starts at `now`, by the steady clock ([`ClockSample::steady`]).
+    /// The recovery of a scheduler that starts at `now`, by the steady clock ([`ClockSample::steady_time`]).
     pub fn new(settings: RecoverySettings, evidence: StartupEvidence, now: Duration) -> Recovery {
         let checkpoint = evidence.checkpoint.clone().unwrap_or_default();
         let last_store_start = settings.store_start.unwrap_or(0);
--- a/crates/quartzdrift-recovery/src/recovery/admission.rs
+++ b/crates/quartzdrift-recovery/src/recovery/admission.rs
@@ -1,7 +1,7 @@
 //! What is admitted in the current phase, and what a restart allows to be repeated.
 use super::Recovery;
 use crate::admission_ramp::{Admission, LoadResult};
-use crate::clock::Age;
+use crate::clock::ElapsedTime;
 use crate::phase::RecoveryPhase;
 use crate::restore_policy;
 use std::time::Duration;
@@ -83,10 +83,10 @@
     /// The part of the downtime that only the wall clock tells of: it may have been set ahead.
     pub fn unproven_downtime(&self) -> Duration {
         match self.evidence.checkpoint_age() {
-            Some(age @ Age::WallClock(claimed)) => {
+            Some(age @ ElapsedTime::WallClock(claimed)) => {
                 claimed.saturating_sub(age.lower_bound(&self.evidence.clock_at_start))
             }
-            Some(Age::Monotonic(_) | Age::AtLeast(_)) | None => Duration::ZERO,
+            Some(ElapsedTime::Monotonic(_) | ElapsedTime::AtLeast(_)) | None => Duration::ZERO,
         }
     }
 
--- a/crates/quartzdrift-recovery/src/recovery/tests.rs
+++ b/crates/quartzdrift-recovery/src/recovery/tests.rs
@@ -31,7 +31,7 @@
 fn crashed(name: &str, known: &[&str]) -> Recovery {
     let taken_at = ClockSample {
         wall: ZERO - S * 3,
-        boot: "a".into(),
+        boot_id: "a".into(),
         since_boot: S * 500,
     };
     let checkpoint = Checkpoint {
@@ -43,7 +43,7 @@
     };
     let now = ClockSample {
         wall: ZERO,
-        boot: "b".into(),
+        boot_id: "b".into(),
         since_boot: S,
     };
     let known = known.iter().map(|&name| name.to_owned()).collect();
@@ -156,7 +156,7 @@
 fn crash_again(recovery: &Recovery) -> Recovery {
     let taken_at = ClockSample {
         wall: ZERO + S * 2,
-        boot: "b".into(),
+        boot_id: "b".into(),
         since_boot: S * 3,
     };
     let now = ClockSample {
--- a/crates/quartzdrift/src/clock.rs
+++ b/crates/quartzdrift/src/clock.rs
@@ -35,10 +35,10 @@
 
 /// What this machine's clocks say; where the system does not tell its boot, none is named.
 pub fn sample() -> ClockSample {
-    let (boot, since_boot) = overridden_boot().or_else(system_boot).unwrap_or_default();
+    let (boot_id, since_boot) = overridden_boot().or_else(system_boot).unwrap_or_default();
     ClockSample {
         wall: wall_clock(),
-        boot,
+        boot_id,
         since_boot,
     }
 }
@@ -78,7 +78,7 @@
     pub fn resume(now: &ClockSample, before: Option<&ClockSample>) -> Clock {
         Clock {
             zero: Instant::now(),
-            epoch: before.map_or(now.wall, |before| now.steady(before)),
+            epoch: before.map_or(now.wall, |before| now.steady_time(before)),
         }
     }
 
