--- a/crates/quartzdrift-recovery/src/checkpoint.rs
+++ b/crates/quartzdrift-recovery/src/checkpoint.rs
@@ -23,16 +23,16 @@
     /// When the last mass failure ended, by the steady clock. Clients may repeat requests from before it for as long as
     /// their idempotency keys' window after it.
     #[serde(rename = "back_at")]
-    pub restored_at: Option<Duration>,
+    pub mass_failure_ended_at: Option<Duration>,
     /// The highest start that other members reported of themselves, by name.
     #[serde(rename = "seen")]
-    pub seen_starts: BTreeMap<String, u64>,
+    pub reported_starts: BTreeMap<String, u64>,
     /// Counts the checkpoints of this start.
     #[serde(default, rename = "notes")]
-    pub checkpoints: u64,
+    pub checkpoint_count: u64,
     /// The latest checkpoint that other members reported, by name.
     #[serde(default, rename = "seen_notes")]
-    pub seen_checkpoints: BTreeMap<String, CheckpointNumber>,
+    pub reported_checkpoints: BTreeMap<String, CheckpointNumber>,
 }
 
 /// Identifies a checkpoint of one member; the later one is greater. Serialized as a pair.
--- a/crates/quartzdrift-recovery/src/classification.rs
+++ b/crates/quartzdrift-recovery/src/classification.rs
@@ -171,7 +171,7 @@
 fn knows_later_checkpoint(evidence: &StartupEvidence, answers: &[MemberAnswer]) -> bool {
     let checkpoint = evidence.checkpoint.as_ref();
     let own_start = checkpoint.map_or(0, |own| own.starts);
-    let own_checkpoint = checkpoint.map_or(0, |own| own.checkpoints);
+    let own_checkpoint = checkpoint.map_or(0, |own| own.checkpoint_count);
     answers
         .iter()
         .any(|answer| answer.known_start == own_start && answer.known_checkpoint > own_checkpoint)
--- a/crates/quartzdrift-recovery/src/classification/tests.rs
+++ b/crates/quartzdrift-recovery/src/classification/tests.rs
@@ -211,7 +211,7 @@
 #[test]
 fn a_copy_made_within_the_same_start_is_stale_if_a_member_knows_a_later_checkpoint() {
     let mut copy = evidence(false, 1, "k");
-    copy.checkpoint.as_mut().unwrap().checkpoints = 3;
+    copy.checkpoint.as_mut().unwrap().checkpoint_count = 3;
     for (known_start, known_checkpoint, disk) in [
         (4, 3, DiskState::Intact),
         (4, 4, DiskState::Stale),
--- a/crates/quartzdrift-recovery/src/recovery.rs
+++ b/crates/quartzdrift-recovery/src/recovery.rs
@@ -50,7 +50,7 @@
     /// When the phase may end, as far as it ends by time.
     phase_check_at: Duration,
     /// When the last mass failure ended.
-    restored_at: Option<Duration>,
+    mass_failure_ended_at: Option<Duration>,
     /// No prefetch before then: the last run may have spent the load quota.
     prefetch_from: Duration,
     /// When measurements from before a mass failure may be restored: what the last run spent of the slow-start budget is
@@ -60,15 +60,15 @@
     measurements_scheduled: bool,
     stopped_cleanly: bool,
     /// Checkpoints written by this start.
-    checkpoints: u64,
+    checkpoint_count: u64,
     /// The checkpoint that members are notified of next.
     notice: CheckpointNotice,
     /// The highest start that each member reported.
-    seen_starts: BTreeMap<String, u64>,
+    reported_starts: BTreeMap<String, u64>,
     /// The present start of each member that reported one to this start.
     present_starts: BTreeMap<String, PresentStart>,
     /// The latest checkpoint that each member reported; stored for them.
-    seen_checkpoints: BTreeMap<String, CheckpointNumber>,
+    reported_checkpoints: BTreeMap<String, CheckpointNumber>,
     /// Members that are asked: those known before the start and those met since.
     asked: BTreeMap<String, AskedMember>,
     /// Members met since the start.
@@ -97,15 +97,15 @@
             phase_since: now,
             phase_check_at: now,
             // In the future it cannot be: the clock was not known then.
-            restored_at: checkpoint.restored_at.map(|at| at.min(now)),
+            mass_failure_ended_at: checkpoint.mass_failure_ended_at.map(|at| at.min(now)),
             restore_measurements_at: None,
             measurements_scheduled: false,
             stopped_cleanly: false,
-            checkpoints: 0,
+            checkpoint_count: 0,
             notice: CheckpointNotice::new(now),
-            seen_starts: checkpoint.seen_starts,
+            reported_starts: checkpoint.reported_starts,
             present_starts: BTreeMap::new(),
-            seen_checkpoints: checkpoint.seen_checkpoints,
+            reported_checkpoints: checkpoint.reported_checkpoints,
             met: BTreeSet::new(),
             ramp: None,
             outputs: Vec::new(),
@@ -145,10 +145,10 @@
             stopped_cleanly: self.stopped_cleanly,
             classified: self.classification.is_some(),
             taken_at,
-            restored_at: self.restored_at,
-            seen_starts: self.seen_starts.clone(),
-            checkpoints: self.checkpoints,
-            seen_checkpoints: self.seen_checkpoints.clone(),
+            mass_failure_ended_at: self.mass_failure_ended_at,
+            reported_starts: self.reported_starts.clone(),
+            checkpoint_count: self.checkpoint_count,
+            reported_checkpoints: self.reported_checkpoints.clone(),
         }
     }
 
--- a/crates/quartzdrift-recovery/src/recovery/admission.rs
+++ b/crates/quartzdrift-recovery/src/recovery/admission.rs
@@ -55,7 +55,7 @@
         if self.classification.is_none() {
             return Some(DEFAULT_RETRY_AFTER);
         }
-        let end = self.restored_at? + window;
+        let end = self.mass_failure_ended_at? + window;
         (now < end).then(|| end - now)
     }
 
--- a/crates/quartzdrift-recovery/src/recovery/members.rs
+++ b/crates/quartzdrift-recovery/src/recovery/members.rs
@@ -112,13 +112,13 @@
     /// A checkpoint is being written. A few members are notified of an earlier one that is on disk by now, and remember
     /// it: a folder that is restored from a copy is detected by that.
     pub fn checkpoint_begun(&mut self, now: Duration) {
-        self.checkpoints += 1;
+        self.checkpoint_count += 1;
         if now < self.notice.taken_at + NOTICE_DELAY {
             return;
         }
         let next = CheckpointNotice {
             taken_at: now,
-            checkpoint: self.checkpoints,
+            checkpoint: self.checkpoint_count,
         };
         let due = std::mem::replace(&mut self.notice, next);
         if due.checkpoint > 0 && !self.met.is_empty() {
@@ -182,7 +182,7 @@
 
     fn answer(&mut self, now: Duration, from: &str, status: &MemberStatus) {
         let known_start = self.remember_start(from, status);
-        let seen = self.seen_checkpoints.get(from);
+        let seen = self.reported_checkpoints.get(from);
         let known_checkpoint = seen
             .filter(|seen| seen.start == known_start)
             .map_or(0, |seen| seen.checkpoint);
@@ -212,10 +212,10 @@
 
     /// Remembers a member's present start. Returns the highest start that it had reported before that one; 0: none.
     fn remember_start(&mut self, name: &str, status: &MemberStatus) -> u64 {
-        if !self.seen_starts.contains_key(name) && self.seen_starts.len() >= MAX_SEEN {
+        if !self.reported_starts.contains_key(name) && self.reported_starts.len() >= MAX_SEEN {
             return 0;
         }
-        let seen = self.seen_starts.entry(name.to_owned()).or_default();
+        let seen = self.reported_starts.entry(name.to_owned()).or_default();
         let highest = status.starts.max(*seen);
         // The instance identifies a start however often it asks; its number may be used twice, after a restored copy.
         let present = self.present_starts.get(name);
@@ -233,9 +233,9 @@
     }
 
     fn remember_checkpoint(&mut self, name: &str, reported: CheckpointNumber) {
-        let is_known = self.seen_checkpoints.contains_key(name);
-        if is_known || self.seen_checkpoints.len() < MAX_SEEN {
-            let seen = self.seen_checkpoints.entry(name.to_owned()).or_default();
+        let is_known = self.reported_checkpoints.contains_key(name);
+        if is_known || self.reported_checkpoints.len() < MAX_SEEN {
+            let seen = self.reported_checkpoints.entry(name.to_owned()).or_default();
             *seen = (*seen).max(reported);
         }
     }
@@ -315,7 +315,7 @@
         self.starts = self.starts.max(classification.latest_start + 1);
         let is_mass_failure = classification.kind == RestartKind::MassFailure;
         if is_mass_failure {
-            self.restored_at = Some(self.started_at);
+            self.mass_failure_ended_at = Some(self.started_at);
             self.begin_mass_recovery(now);
         }
         if !is_mass_failure || classification.disk != DiskState::Intact {
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -183,12 +183,12 @@
             checkpoint.starts,
             checkpoint.stopped_cleanly,
             checkpoint.classified,
-            checkpoint.checkpoints
+            checkpoint.checkpoint_count
         ),
         ("a", 1, false, true, 4)
     );
     assert_eq!(
-        (checkpoint.taken_at.since_boot, checkpoint.seen_starts["b"]),
+        (checkpoint.taken_at.since_boot, checkpoint.reported_starts["b"]),
         (Duration::from_millis(831_480), 1)
     );
     is_written_again(snapshots::CHECKPOINT, &serde_json::to_vec(&checkpoint).unwrap());
