--- a/crates/quartzdrift-recovery/src/messages.rs
+++ b/crates/quartzdrift-recovery/src/messages.rs
@@ -1,78 +1,83 @@
-//! What recovering members ask and answer: the payload of the membership's messages under [`RECOVERY_TOPIC`], in postcard's
-//! published format.
+//! Messages between recovering members: the payload of the membership's messages under [`RECOVERY_TOPIC`], in
+//! postcard's published format.
 //!
-//! An answer is worth what it proves. The start that it reports can only rise: an old, duplicated or restored member
-//! reports a lower one, which changes nothing. No answer makes a start trust more of its state; it makes it trust less,
-//! and what that can cost is bounded.
+//! The start number that is remembered of a member can only rise: an old or duplicated message, or a member
+//! restored from a copy, reports a lower number, which changes nothing. A status response never lets a start
+//! restore more of its state, only less, and the cost of restoring less is bounded.
 use crate::admission_ramp::CacheUpdate;
 use serde::{Deserialize, Serialize};
 
-/// The membership's topic for these messages.
+/// The topic of recovery messages in the membership's protocol.
 pub const RECOVERY_TOPIC: u8 = 1;
-/// Bytes of a message at most: it has to fit into a datagram beside a header, a tag and gossip.
+/// Maximum size of a message, in bytes: it has to fit into a datagram beside a header, a tag and gossip.
 pub(crate) const MAX_MESSAGE_SIZE: usize = 256;
 
-/// What a member says of itself.
+/// The status that a member reports of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Counts its starts; never less than any that another member has heard of.
+    /// The number of starts of the member, the current one included. Once the restart is classified, it
+    /// exceeds every earlier start number of the member that others reported to it.
     pub starts: u64,
-    /// A number drawn at its start, which tells two starts with the same count apart.
+    /// A random number drawn at this start, to distinguish two starts with the same start number.
     pub instance: u64,
-    /// Milliseconds since its start.
+    /// Milliseconds since this start.
     pub up_ms: u64,
-    /// Whether it had stopped as planned before, or never run.
+    /// Whether the run before this start stopped as planned, or there was none.
     pub ended_cleanly: bool,
-    /// Whether it is at full service.
+    /// Whether the member is at full service.
     pub at_full_service: bool,
 }
 
 /// A message between members. Encoded by position: the order of variants and fields is the format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecoveryMessage {
-    /// Asks what the recipient knows of the sender.
+    /// Asks for the recipient's status and for its knowledge of the sender.
     StatusRequest {
         /// The sender's status.
         status: MemberStatus,
     },
-    /// Answers a request.
+    /// Answers a status request.
     StatusResponse {
         /// The sender's status.
         status: MemberStatus,
-        /// The highest of the recipient's starts, before the present one, that the sender knows of; 0: none.
+        /// The highest start number of the recipient, before its current start, that the sender knows of; 0:
+        /// none.
         known_start: u64,
-        /// The latest checkpoint of that start that the sender knows of.
+        /// The latest checkpoint of that start that the sender knows of; 0: none.
         known_checkpoint: u64,
     },
-    /// Reports that a checkpoint of the sender is on its disk.
+    /// Reports that a checkpoint of the sender is on the sender's disk.
     CheckpointWritten {
-        /// The sender's present start.
+        /// The number of the sender's current start.
         start: u64,
-        /// The checkpoint's number within it.
+        /// The number of the checkpoint within that start, from 1.
         checkpoint: u64,
     },
-    /// Gossip about the cache state of functions after a mass failure.
+    /// Gossip about the cache states of functions after a mass failure.
     CacheUpdates {
-        /// The states of at most 32 functions.
+        /// The cache states of at most 32 functions.
         updates: Vec<CacheUpdate>,
     },
 }
 
-/// Why a message cannot be read.
+/// The error of a message that cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// Longer than messages may be.
-    #[error("it is longer than {MAX_MESSAGE_SIZE} bytes")]
-    TooLong,
-    /// Not one of these messages.
-    #[error("it is not of this release's form")]
+    /// The message is longer than the limit.
+    #[error("recovery message of {size} bytes exceeds the limit of {MAX_MESSAGE_SIZE} bytes")]
+    TooLong {
+        /// The size of the message, in bytes.
+        size: usize,
+    },
+    /// The bytes do not encode a [`RecoveryMessage`] of this release.
+    #[error("recovery message is not in this release's format")]
     Malformed,
 }
 
 impl RecoveryMessage {
-    /// The encoded message.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // Writing numbers and flags into memory cannot fail.
+        // Encoding numbers and flags into memory cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
@@ -83,7 +88,7 @@
     /// The bytes are too long or not a message of this release.
     pub fn decode(bytes: &[u8]) -> Result<RecoveryMessage, MessageError> {
         if bytes.len() > MAX_MESSAGE_SIZE {
-            return Err(MessageError::TooLong);
+            return Err(MessageError::TooLong { size: bytes.len() });
         }
         postcard::from_bytes(bytes).map_err(|_| MessageError::Malformed)
     }
--- a/crates/quartzdrift-recovery/src/messages/tests.rs
+++ b/crates/quartzdrift-recovery/src/messages/tests.rs
@@ -84,7 +84,9 @@
 fn messages_that_are_too_long_or_malformed_are_rejected() {
     assert_eq!(
         RecoveryMessage::decode(&[0; MAX_MESSAGE_SIZE + 1]),
-        Err(MessageError::TooLong)
+        Err(MessageError::TooLong {
+            size: MAX_MESSAGE_SIZE + 1
+        })
     );
     assert_eq!(RecoveryMessage::decode(&[9]), Err(MessageError::Malformed));
 }
