--- a/crates/quartzdrift-recovery/src/clock.rs
+++ b/crates/quartzdrift-recovery/src/clock.rs
@@ -1,28 +1,29 @@
-//! How much time has passed between a clock sample taken before a restart and now, when the wall clock may be wrong.
+//! Clock samples taken before and after a restart, and the time between them, although the wall clock may be
+//! wrong.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::time::Duration;
 
-/// What the clocks of a machine say at one time.
+/// The readings of a machine's clocks at one time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockSample {
-    /// Since 1970, by a clock that anybody may set.
+    /// Time since 1970 by the wall clock, which may be set at any time.
     pub wall: Duration,
     /// Identifies this boot of the machine's kernel; empty where it is unknown.
     #[serde(rename = "boot")]
     pub boot_id: String,
-    /// Since that boot; nobody sets it.
+    /// Time since that boot, by a monotonic clock.
     pub since_boot: Duration,
 }
 
-/// Time between two clock samples, by how well it is known.
+/// The time between two clock samples, with its source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElapsedTime {
-    /// By the time since boot: the machine has run all the while.
+    /// Measured by the time since boot: the machine was up all the time.
     Monotonic(Duration),
-    /// By the wall clock alone, over a reboot: it may have been set ahead.
+    /// Measured by the wall clock alone, across a reboot: the wall clock may have been set ahead.
     WallClock(Duration),
-    /// The wall clock went backwards: all that is known is how long the machine has been up.
+    /// A lower bound, the time since the last boot: the wall clock went backwards.
     AtLeast(Duration),
 }
 
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The time that has certainly passed, as of the later sample.
+    /// The time that has certainly passed until the later sample `now`.
     pub fn lower_bound(self, now: &ClockSample) -> Duration {
         match self {
             ElapsedTime::Monotonic(age) | ElapsedTime::AtLeast(age) => age,
@@ -48,7 +49,7 @@
     }
 }
 
-/// As operators read it in the log.
+/// The form in the log, with the names of earlier releases.
 impl fmt::Display for ElapsedTime {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -60,7 +61,8 @@
 }
 
 impl ClockSample {
-    /// Time since 1970 that continues from `before`: it never runs backwards, and forwards as far as is known.
+    /// Time since 1970 that continues from the earlier sample `before`. It never runs backwards, and it
+    /// advances by the elapsed time as far as that is known.
     pub fn steady_time(&self, before: &ClockSample) -> Duration {
         match ElapsedTime::between(before, self) {
             ElapsedTime::Monotonic(age) | ElapsedTime::AtLeast(age) => before.wall + age,
--- a/crates/quartzdrift-recovery/src/clock/tests.rs
+++ b/crates/quartzdrift-recovery/src/clock/tests.rs
@@ -11,26 +11,29 @@
 }
 
 #[test]
-fn setting_the_wall_clock_changes_no_age_that_is_known_otherwise() {
+fn elapsed_time_prefers_the_time_since_boot_to_the_wall_clock() {
     let seconds = Duration::from_secs;
     let before = sample(10 * HOUR, "a", 100);
-    for (wall, boot, since, age) in [
+    for (wall, boot, since_boot, elapsed) in [
         (9 * HOUR, "a", 130, ElapsedTime::Monotonic(seconds(30))),
         (11 * HOUR, "a", 130, ElapsedTime::Monotonic(seconds(30))),
         (11 * HOUR, "b", 20, ElapsedTime::WallClock(seconds(HOUR))),
         (9 * HOUR, "b", 20, ElapsedTime::AtLeast(seconds(20))),
-        // The wall clock shows less time than the machine has been up.
+        // The wall clock advanced by less than the machine has been up.
         (10 * HOUR + 5, "b", 20, ElapsedTime::AtLeast(seconds(20))),
         (10 * HOUR + 5, "", 0, ElapsedTime::WallClock(seconds(5))),
     ] {
-        let now = sample(wall, boot, since);
-        assert_eq!(ElapsedTime::between(&before, &now), age, "{now:?}");
-        assert!(now.steady_time(&before) >= before.wall, "time goes back: {now:?}");
+        let now = sample(wall, boot, since_boot);
+        assert_eq!(ElapsedTime::between(&before, &now), elapsed, "{now:?}");
+        assert!(
+            now.steady_time(&before) >= before.wall,
+            "steady time runs backwards: {now:?}"
+        );
     }
     let ahead = sample(11 * HOUR, "b", 20);
-    let age = ElapsedTime::between(&before, &ahead);
+    let elapsed = ElapsedTime::between(&before, &ahead);
     assert_eq!(
-        (age, age.lower_bound(&ahead)),
+        (elapsed, elapsed.lower_bound(&ahead)),
         (ElapsedTime::WallClock(seconds(HOUR)), seconds(20))
     );
 }
--- a/crates/quartzdrift-recovery/src/evidence.rs
+++ b/crates/quartzdrift-recovery/src/evidence.rs
@@ -1,35 +1,36 @@
-//! What a start finds on disk, before other members are asked.
+//! The evidence that a start finds on disk, before other members are asked.
 use crate::checkpoint::Checkpoint;
 use crate::clock::{ClockSample, ElapsedTime};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The state of the disk as far as a start knows.
+/// The state of the checkpoint on disk, as far as this start knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskState {
-    /// The checkpoint is there, is ours, and nobody knows of a later one.
+    /// The checkpoint is this scheduler's own, and no member knows of a later one.
     #[serde(rename = "Whole")]
     Intact,
-    /// Nothing is there.
+    /// There are no state files.
     Empty,
-    /// Nothing is there, but other members know us.
+    /// There are no state files, but other members know of an earlier start of this scheduler.
     #[serde(rename = "Gone")]
     Lost,
-    /// Other files are there but no checkpoint: an earlier release wrote them.
+    /// There are state files but no checkpoint: an earlier release wrote them.
     #[serde(rename = "Unmarked")]
     WithoutCheckpoint,
     /// The checkpoint cannot be read.
     #[serde(rename = "Spoilt")]
     Damaged,
-    /// The checkpoint is another member's.
+    /// The checkpoint belongs to a scheduler of another name.
     Foreign,
-    /// Other members know of a later start or checkpoint.
+    /// Other members know of a later start or checkpoint than the one on disk: the folder was restored
+    /// from a copy.
     #[serde(rename = "Old")]
     Stale,
 }
 
 impl DiskState {
-    /// Whether state files on it are used at all.
+    /// Whether state files on the disk are used at all.
     pub(crate) fn is_readable(self) -> bool {
         match self {
             DiskState::Intact | DiskState::WithoutCheckpoint | DiskState::Stale => true,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// The state once other members have reported a later start or checkpoint than it shows.
+    /// The state of the disk once other members have reported a later start or checkpoint than it holds.
     pub(crate) fn outdated(self) -> DiskState {
         match self {
             DiskState::Intact => DiskState::Stale,
@@ -47,7 +48,7 @@
     }
 }
 
-/// As operators read it.
+/// The name of the state in logs and in the table for operators.
 impl fmt::Display for DiskState {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
@@ -62,23 +63,24 @@
     }
 }
 
-/// What was found at a start.
+/// The evidence about the last run that a start finds on its machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartupEvidence {
-    /// The checkpoint, if there is one of ours that can be read.
+    /// The checkpoint of the last run, if it can be read and is this scheduler's own.
     pub checkpoint: Option<Checkpoint>,
-    /// Why there is none, or that there is one.
+    /// The state of the checkpoint; the reason for its absence if there is none.
     pub disk: DiskState,
-    /// Members that counted at the end of the last run.
+    /// Members that belonged to the fleet at the end of the last run.
     pub known_members: Vec<String>,
-    /// The clocks at this start.
+    /// A sample of the clocks at this start.
     pub clock_at_start: ClockSample,
-    /// The last run has not ended yet: it hands over to this one.
+    /// Whether the last run has not ended yet: it hands over to this one.
     pub predecessor_running: bool,
 }
 
 impl StartupEvidence {
-    /// The evidence of a checkpoint that could be read, for a scheduler of this name.
+    /// The evidence of a readable checkpoint, for the scheduler `name`. A checkpoint of another scheduler is
+    /// not used.
     pub fn from_checkpoint(
         checkpoint: Checkpoint,
         name: &str,
@@ -97,7 +99,7 @@
         }
     }
 
-    /// The evidence where no usable checkpoint was found.
+    /// The evidence without a usable checkpoint; `disk` is the reason for its absence.
     pub fn without_checkpoint(
         disk: DiskState,
         known_members: Vec<String>,
@@ -112,13 +114,13 @@
         }
     }
 
-    /// Time since the last checkpoint, where there is one.
+    /// The time from the last checkpoint to this start; `None`: there is no checkpoint.
     pub fn checkpoint_age(&self) -> Option<ElapsedTime> {
         let checkpoint = self.checkpoint.as_ref()?;
         Some(ElapsedTime::between(&checkpoint.taken_at, &self.clock_at_start))
     }
 
-    /// Whether the last run, if there was one, stopped as planned or hands over.
+    /// Whether the last run stopped as planned, hands over to this one, or never took place.
     pub fn ended_cleanly(&self) -> bool {
         match (&self.checkpoint, self.disk) {
             (Some(checkpoint), DiskState::Intact) => checkpoint.stopped_cleanly || self.predecessor_running,
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Whether the machine is known to have run since the last checkpoint.
+    /// Whether the machine is known to have stayed up since the last checkpoint.
     pub fn machine_stayed_up(&self) -> bool {
         matches!(self.checkpoint_age(), Some(ElapsedTime::Monotonic(_)))
     }
--- a/crates/quartzdrift-recovery/src/lib.rs
+++ b/crates/quartzdrift-recovery/src/lib.rs
@@ -1,20 +1,21 @@
-//! From the start of a scheduler to full service. No I/O, no clock.
+//! Recovery of a scheduler, from its start to full service. The crate does no I/O and reads no clock.
 //!
 //! Create a [`Recovery`] from the [`StartupEvidence`] found on disk. Pass it the members of the fleet
-//! ([`Recovery::member_seen`]), their messages ([`Recovery::receive`]) and the time ([`Recovery::due`]), and carry out
-//! [`Recovery::take_outputs`]. It classifies the restart ([`RestartKind`]), decides what is restored
-//! ([`restore_decisions`]), and limits what is admitted meanwhile ([`RecoveryPhase`]). Where a request goes is not decided
-//! here.
+//! ([`Recovery::member_seen`]), their messages ([`Recovery::receive`]) and the time ([`Recovery::due`]), and
+//! carry out the actions that [`Recovery::take_outputs`] returns. The recovery classifies the restart
+//! ([`RestartKind`]), decides which state is restored ([`restore_decisions`]), and limits which requests are
+//! admitted until full service ([`RecoveryPhase`]). It does not choose the worker of a request.
 //!
-//! * `clock`: clock samples before and after a restart, and how much time lies between.
-//! * `checkpoint`, `evidence`: what a start leaves on disk for the next one, and what that one finds.
-//! * `messages`: what members ask and answer, and its bounds.
-//! * `classification`: kinds of restart, by evidence.
-//! * `restore_policy`: which state is restored; the table of docs/design-recovery.md.
-//! * `backlog_drain`: how many asynchronous requests are admitted.
-//! * `admission_ramp`, `cache_gossip`: which functions' calls are admitted while caches are cold.
+//! * `clock`: clock samples before and after a restart, and the time between them.
+//! * `checkpoint`, `evidence`: the state that a run leaves on disk, and its assessment by the next start.
+//! * `messages`: messages between recovering members, and their maximum size.
+//! * `classification`: the kinds of restart, and how the evidence distinguishes them.
+//! * `restore_policy`: the decisions about which state is restored; docs/design-recovery.md has them as a
+//!   table.
+//! * `backlog_drain`: the limit of asynchronous requests in flight.
+//! * `admission_ramp`, `cache_gossip`: the limit of calls that load a function while caches are cold.
 //! * `recovery`, `phase`: the state machine and its phases.
-//! * `settings`, `view`: its configuration, and what operators see of it.
+//! * `settings`, `view`: the configuration of a recovery, and its state for operators.
 mod admission_ramp;
 mod backlog_drain;
 mod cache_gossip;
--- a/crates/quartzdrift-recovery/src/phase.rs
+++ b/crates/quartzdrift-recovery/src/phase.rs
@@ -2,20 +2,22 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Phases in their order.
+/// A phase of a recovery, in the order of the phases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RecoveryPhase {
-    /// Other members are asked, to classify the restart. What may have executed before is not executed again meanwhile.
+    /// Other members are asked for their status, to classify the restart. Requests that may have executed
+    /// before the restart are not executed again in this phase.
     #[serde(rename = "Asking")]
     Classifying,
-    /// Synchronous requests alone, until they keep their latency objectives.
+    /// Only synchronous requests are admitted, until they meet their latency objectives.
     Synchronous,
-    /// The backlog of asynchronous requests too, as far as synchronous requests leave room.
+    /// The backlog of asynchronous requests is admitted too, with the capacity that synchronous requests
+    /// leave.
     Backlog,
-    /// Missed schedules too.
+    /// Schedules trigger requests too, missed triggers included.
     #[serde(rename = "Timers")]
     Schedules,
-    /// Everything, prefetches included.
+    /// Everything is admitted, prefetches included.
     #[serde(rename = "Full")]
     FullService,
 }
--- a/crates/quartzdrift-recovery/src/view.rs
+++ b/crates/quartzdrift-recovery/src/view.rs
@@ -1,42 +1,43 @@
-//! What operators see of a recovery: written as JSON while it runs, and printed by `quartzdrift recovery`.
+//! The state of a recovery for operators: written as JSON while the scheduler runs, and printed by
+//! `quartzdrift recovery`.
 use crate::admission_ramp::RampView;
 use crate::classification::RestartClassification;
 use crate::phase::RecoveryPhase;
 use crate::restore_policy::RestoreRow;
 use serde::{Deserialize, Serialize};
 
-/// The state of a recovery. The serialized names are those of earlier releases.
+/// The state of a recovery at one time. The serialized names are those of earlier releases.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecoveryView {
-    /// The number of this start.
+    /// The number of starts of the scheduler so far, this one included.
     pub starts: u64,
     /// The current phase.
     #[serde(rename = "stage")]
     pub phase: RecoveryPhase,
-    /// Seconds since the phase began.
+    /// Seconds since the current phase began.
     #[serde(rename = "stage_for")]
     pub phase_seconds: u64,
-    /// Seconds since the start.
+    /// Seconds since this start.
     #[serde(rename = "up")]
     pub up_seconds: u64,
-    /// What the restart was classified as, once it is.
+    /// The classification of the restart; `None` until it is classified.
     #[serde(rename = "verdict")]
     pub classification: Option<RestartClassification>,
-    /// Which state is restored; empty until the restart is classified.
+    /// The decisions about restored state; empty until the restart is classified.
     #[serde(rename = "beliefs")]
     pub restore_decisions: Vec<RestoreRow>,
-    /// Members whose answers are awaited.
+    /// The names of members whose status responses are awaited.
     pub waits_for: Vec<String>,
-    /// Asynchronous requests in flight at most, while the backlog drains.
+    /// The limit of asynchronous requests in flight; `None` except while the backlog drains.
     #[serde(rename = "backlog")]
     pub async_limit: Option<usize>,
-    /// The admission ramp, while there is one.
+    /// The state of the admission ramp; `None` unless it limits loads of functions.
     #[serde(default, rename = "pace")]
     pub ramp: Option<RampView>,
 }
 
 impl RecoveryView {
-    /// The table for operators.
+    /// The state as the text that operators read, with the terms of earlier releases.
     pub fn table(&self) -> String {
         let mut text = format!(
             "stage {} for {} s, start {}, up {} s\n",
--- a/crates/quartzdrift-recovery/src/view/tests.rs
+++ b/crates/quartzdrift-recovery/src/view/tests.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// As the release of 2026-12-02 prints it.
+/// The table as the release of 2026-12-02 prints it.
 const RECORDED_TABLE: &str = "\
 stage backlog for 6 s, start 5, up 7 s
 loss of many: 3 others answered, 2 of them ended with us, 1 did not answer; disk Old
