--- a/crates/quartzdrift-recovery/src/classification.rs
+++ b/crates/quartzdrift-recovery/src/classification.rs
@@ -1,4 +1,4 @@
-//! Kinds of restart, distinguished by what was found on disk and by what other members answer.
+//! Classification of a restart by the evidence on disk and the answers of other members.
 use crate::clock::ElapsedTime;
 use crate::evidence::{DiskState, StartupEvidence};
 use crate::messages::MemberStatus;
@@ -6,25 +6,28 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A mass failure takes more than one in so many members, and at least two: fewer are independent crashes.
+/// In a mass failure more than one in this many members fail, and at least two; fewer count as independent
+/// crashes.
 const MASS_FAILURE_DIVISOR: usize = 10;
-/// A member that started after our last checkpoint, within this tolerance for clocks and datagrams, failed with us.
+/// Added to the age of the last checkpoint, to allow for clock differences and the delay of datagrams, when
+/// members that started after that checkpoint are counted as failed with this scheduler.
 const DOWNTIME_SLACK: Duration = Duration::from_millis(200);
-/// Where our downtime is unknown, a member that started within this span may have failed with us.
+/// The assumed downtime where the true one is unknown: a member that started within it may have failed with
+/// this scheduler.
 const DEFAULT_DOWNTIME: Duration = Duration::from_secs(60);
 
-/// Why a scheduler starts.
+/// The reason for a scheduler's start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RestartKind {
-    /// It has never run before.
+    /// The scheduler has never run before.
     #[serde(rename = "First")]
     FirstStart,
     /// The last run stopped as planned.
     Planned,
-    /// The last run crashed, others ran on.
+    /// The last run crashed while other members ran on.
     #[serde(rename = "CrashOfOne")]
     SingleCrash,
-    /// Many members failed together: presumably power was lost, and workers with it.
+    /// Many members failed together: presumably they lost power, and workers did too.
     #[serde(rename = "LossOfMany")]
     MassFailure,
 }
@@ -40,46 +43,50 @@
     }
 }
 
-/// What a restart was classified as, and by which evidence.
+/// The kind of a restart, with the evidence for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RestartClassification {
     /// The kind of restart.
     pub kind: RestartKind,
-    /// The state of the disk, now that other members have answered.
+    /// The state of the disk, in view of the answers of other members.
     pub disk: DiskState,
-    /// Other members that answered.
+    /// The number of other members that answered.
     pub answered: usize,
-    /// Those among them that failed together with us.
+    /// The number of members that answered and had failed together with this scheduler.
     pub lost: usize,
-    /// Members that were known and did not answer.
+    /// The number of asked members that did not answer.
     pub silent: usize,
-    /// Whether some member is at full service.
+    /// Whether at least one other member is at full service.
     #[serde(rename = "others_full")]
     pub others_at_full_service: bool,
-    /// The highest of our earlier starts that the checkpoint or any member knows of.
+    /// The highest start number of this scheduler, before the current start, that the checkpoint or any
+    /// member knows of; 0: none.
     #[serde(rename = "latest")]
     pub latest_start: u64,
-    /// Some member knows of a later checkpoint of that very start: the folder was restored from a copy made within it.
+    /// Whether a member knows of a later checkpoint of the start that wrote the one on disk: the folder was
+    /// restored from a copy made during that start.
     #[serde(default, rename = "noted_later")]
     pub later_checkpoint_known: bool,
 }
 
-/// One member's answer: what it says of itself, and what it knows of us.
+/// The answer of a member: its own status and its knowledge of this scheduler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct MemberAnswer {
     pub(crate) status: MemberStatus,
-    /// The highest of our earlier starts that it knows of; 0: none.
+    /// The highest start number of this scheduler, before the current start, that the member knows of; 0:
+    /// none.
     pub(crate) known_start: u64,
-    /// The latest checkpoint of that start that it knows of.
+    /// The latest checkpoint of that start that the member knows of; 0: none.
     pub(crate) known_checkpoint: u64,
 }
 
-/// Classifies a restart `up` after its start; `silent` known members did not answer.
+/// Classifies a restart at the time `uptime` after its start; `silent` is the number of asked members that
+/// did not answer.
 pub(crate) fn classify(
     evidence: &StartupEvidence,
     answers: &[MemberAnswer],
     silent: usize,
-    up: Duration,
+    uptime: Duration,
 ) -> RestartClassification {
     let own_start = evidence.checkpoint.as_ref().map_or(0, |own| own.starts);
     let known_starts = answers.iter().map(|answer| answer.known_start);
@@ -91,17 +98,17 @@
     } else {
         evidence.disk
     };
-    let lost = count_lost(answers, downtime(evidence, disk) + up);
-    let tally = Tally {
+    let lost = count_failed_with_this_scheduler(answers, downtime(evidence, disk) + uptime);
+    let counts = MemberCounts {
         answered: answers.len(),
         lost,
         silent,
     };
     let ended_cleanly = evidence.ended_cleanly() && !is_outdated;
     RestartClassification {
-        kind: restart_kind(evidence, disk, ended_cleanly, &tally),
+        kind: restart_kind(evidence, disk, ended_cleanly, &counts),
         disk,
-        answered: tally.answered,
+        answered: counts.answered,
         lost,
         silent,
         others_at_full_service: answers.iter().any(|answer| answer.status.at_full_service),
@@ -110,30 +117,32 @@
     }
 }
 
-/// How other members fared.
-struct Tally {
+/// Counts of the other members, by their answers.
+struct MemberCounts {
     answered: usize,
+    /// Members among `answered` that failed together with this scheduler.
     lost: usize,
+    /// Members that were asked and did not answer.
     silent: usize,
 }
 
-impl Tally {
+impl MemberCounts {
     fn is_mass_failure(&self, ended_cleanly: bool) -> bool {
-        // After a planned stop silent members may be on their way through the same.
+        // After a planned stop of this scheduler, silent members may be in a planned restart too.
         let failed = if ended_cleanly {
             self.lost
         } else {
             self.lost + self.silent + 1
         };
-        failed >= 2 && is_mass(failed, self.answered + self.silent)
+        failed >= 2 && exceeds_mass_failure_share(failed, self.answered + self.silent)
     }
 
-    fn is_alone(&self) -> bool {
+    fn has_no_other_members(&self) -> bool {
         self.answered == 0 && self.silent == 0
     }
 }
 
-fn is_mass(failed: usize, members: usize) -> bool {
+fn exceeds_mass_failure_share(failed: usize, members: usize) -> bool {
     failed * MASS_FAILURE_DIVISOR > members
 }
 
@@ -141,9 +150,9 @@
     evidence: &StartupEvidence,
     disk: DiskState,
     ended_cleanly: bool,
-    tally: &Tally,
+    counts: &MemberCounts,
 ) -> RestartKind {
-    if tally.is_mass_failure(ended_cleanly) {
+    if counts.is_mass_failure(ended_cleanly) {
         return RestartKind::MassFailure;
     }
     if ended_cleanly {
@@ -152,18 +161,19 @@
             _ => RestartKind::Planned,
         };
     }
-    // With nobody to ask, what took this machine has to be assumed to have taken the others as well.
-    let may_be_mass_failure = tally.is_alone() && !evidence.machine_stayed_up();
-    // The last start may have followed a mass failure that it did not get to classify.
-    let may_continue_one = ended_unclassified(evidence);
-    if may_be_mass_failure || may_continue_one {
+    // Without other members to ask, a reboot of this machine may stem from a power loss that hit them as
+    // well.
+    let may_be_mass_failure = counts.has_no_other_members() && !evidence.machine_stayed_up();
+    // The last run may have followed a mass failure and ended before its start was classified.
+    let may_continue_mass_failure = ended_before_classification(evidence);
+    if may_be_mass_failure || may_continue_mass_failure {
         RestartKind::MassFailure
     } else {
         RestartKind::SingleCrash
     }
 }
 
-fn ended_unclassified(evidence: &StartupEvidence) -> bool {
+fn ended_before_classification(evidence: &StartupEvidence) -> bool {
     let checkpoint = evidence.checkpoint.as_ref();
     checkpoint.is_some_and(|own| !own.stopped_cleanly && !own.classified)
 }
@@ -177,7 +187,7 @@
         .any(|answer| answer.known_start == own_start && answer.known_checkpoint > own_checkpoint)
 }
 
-/// How long we were down before this start.
+/// An assumed upper bound of the time from the end of the last run to this start.
 fn downtime(evidence: &StartupEvidence, disk: DiskState) -> Duration {
     match evidence.checkpoint_age() {
         Some(ElapsedTime::Monotonic(age) | ElapsedTime::WallClock(age)) if disk == DiskState::Intact => {
@@ -187,28 +197,30 @@
     }
 }
 
-/// A member that did not stop as planned and started less than `span` ago failed together with us; an older one ran on.
-fn count_lost(answers: &[MemberAnswer], span: Duration) -> usize {
-    let failed_with_us =
+/// Counts the members that failed together with this scheduler: those that started less than `span` ago and
+/// had not stopped as planned. A member that started earlier ran on.
+fn count_failed_with_this_scheduler(answers: &[MemberAnswer], span: Duration) -> usize {
+    let failed_together =
         |status: &MemberStatus| !status.ended_cleanly && Duration::from_millis(status.up_ms) < span;
     answers
         .iter()
-        .filter(|answer| failed_with_us(&answer.status))
+        .filter(|answer| failed_together(&answer.status))
         .count()
 }
 
-/// Whether the answers so far prove a mass failure, whatever the others of `asked` members will answer.
+/// Whether the answers so far prove a mass failure, whatever the remaining ones of the `asked` members
+/// answer.
 pub(crate) fn proves_mass_failure(
     evidence: &StartupEvidence,
     answers: &[MemberAnswer],
     asked: usize,
-    up: Duration,
+    uptime: Duration,
 ) -> bool {
-    let so_far = classify(evidence, answers, 0, up);
-    so_far.kind == RestartKind::MassFailure
-        && so_far.lost > 0
+    let preliminary = classify(evidence, answers, 0, uptime);
+    preliminary.kind == RestartKind::MassFailure
+        && preliminary.lost > 0
         && !evidence.ended_cleanly()
-        && is_mass(so_far.lost + 1, asked)
+        && exceeds_mass_failure_share(preliminary.lost + 1, asked)
 }
 
 #[cfg(test)]
--- a/crates/quartzdrift-recovery/src/classification/tests.rs
+++ b/crates/quartzdrift-recovery/src/classification/tests.rs
@@ -12,7 +12,8 @@
     }
 }
 
-fn evidence(stopped_cleanly: bool, away: u64, boot: &str) -> StartupEvidence {
+/// The evidence of a start `downtime` seconds after a checkpoint that was taken in the boot "k".
+fn evidence(stopped_cleanly: bool, downtime: u64, boot: &str) -> StartupEvidence {
     let checkpoint = Checkpoint {
         name: "a".into(),
         starts: 4,
@@ -21,14 +22,14 @@
         taken_at: sample(1000, "k"),
         ..Checkpoint::default()
     };
-    StartupEvidence::from_checkpoint(checkpoint, "a", vec!["b".into()], sample(1000 + away, boot))
+    StartupEvidence::from_checkpoint(checkpoint, "a", vec!["b".into()], sample(1000 + downtime, boot))
 }
 
-fn answer(up: u64, ended_cleanly: bool, known_start: u64) -> MemberAnswer {
+fn answer(up_seconds: u64, ended_cleanly: bool, known_start: u64) -> MemberAnswer {
     let status = MemberStatus {
         starts: 1,
         instance: 1,
-        up_ms: up * 1000,
+        up_ms: up_seconds * 1000,
         ended_cleanly,
         at_full_service: false,
     };
@@ -48,7 +49,7 @@
     (classification.kind, classification.disk)
 }
 
-/// A start and the kind that it is classified as; its disk is intact.
+/// A start with an intact disk, and the kind of restart that is expected for it.
 struct Case {
     name: &'static str,
     evidence: StartupEvidence,
@@ -84,40 +85,40 @@
     let restarted = answer(2, false, 4);
     check([
         crash(
-            "one crashed, others ran on",
+            "this scheduler crashed, others ran on",
             vec![ran_on.clone(); 4],
             0,
             RestartKind::SingleCrash,
         ),
         crash(
-            "all restarted with us",
+            "all members restarted with this scheduler",
             vec![restarted.clone(); 4],
             0,
             RestartKind::MassFailure,
         ),
-        crash("one is back, the rest never", vec![], 4, RestartKind::MassFailure),
+        crash("one restarted, rest silent", vec![], 4, RestartKind::MassFailure),
         crash(
-            "half answer, restarted ones",
+            "half of the members restarted and answer, the others stay silent",
             vec![restarted.clone(); 2],
             2,
             RestartKind::MassFailure,
         ),
         crash(
-            "two of thirty crash by chance",
+            "two of thirty members crashed independently",
             [vec![ran_on; 29], vec![restarted]].concat(),
             0,
             RestartKind::SingleCrash,
         ),
-        crash("alone, the machine ran on", vec![], 0, RestartKind::SingleCrash),
+        crash("alone, machine stayed up", vec![], 0, RestartKind::SingleCrash),
         Case {
             evidence: evidence(false, 3, "other"),
-            ..crash("alone, the machine was off", vec![], 0, RestartKind::MassFailure)
+            ..crash("alone, machine rebooted", vec![], 0, RestartKind::MassFailure)
         },
-        // The others lost power with us, and started after our last checkpoint.
+        // All members lost power together, and the others started after this scheduler's last checkpoint.
         Case {
             evidence: evidence(false, 60, "k"),
             ..crash(
-                "back after a minute",
+                "this scheduler restarted a minute after its last checkpoint",
                 vec![answer(55, false, 4); 4],
                 0,
                 RestartKind::MassFailure,
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn a_planned_stop_or_handover_is_recognised_unless_power_went() {
+fn a_planned_stop_or_handover_is_recognised_unless_members_failed_together() {
     let ran_on = answer(900, false, 4);
     let restarted = answer(2, false, 4);
     let handover = StartupEvidence {
@@ -142,23 +143,29 @@
         expected,
     };
     check([
-        case("hands over", handover, vec![], 0, RestartKind::Planned),
         case(
-            "stopped as planned",
+            "the predecessor hands over",
+            handover,
+            vec![],
+            0,
+            RestartKind::Planned,
+        ),
+        case(
+            "this scheduler stopped as planned",
             evidence(true, 3, "k"),
             vec![ran_on; 4],
             0,
             RestartKind::Planned,
         ),
         case(
-            "all stopped as planned",
+            "all members stopped as planned",
             evidence(true, 3, "k"),
             vec![answer(2, true, 4); 3],
             1,
             RestartKind::Planned,
         ),
         case(
-            "stopped as planned, and power went",
+            "this scheduler stopped as planned, the others lost power",
             evidence(true, 30, "k"),
             vec![restarted; 4],
             0,
@@ -169,17 +176,18 @@
 
 #[test]
 fn a_disk_is_outdated_by_later_starts_and_not_by_stale_answers() {
-    let whole = evidence(false, 3, "k");
+    let intact = evidence(false, 3, "k");
     assert_eq!(
-        kind_and_disk(&whole, &[answer(900, true, 3)], 0).1,
+        kind_and_disk(&intact, &[answer(900, true, 3)], 0).1,
         DiskState::Intact,
-        "a member with a stale answer"
+        "a member that knows of an earlier start only"
     );
     assert_eq!(
-        kind_and_disk(&whole, &[answer(900, true, 5), answer(900, true, 3)], 0).1,
+        kind_and_disk(&intact, &[answer(900, true, 5), answer(900, true, 3)], 0).1,
         DiskState::Stale
     );
-    // A copy from before a planned stop is no planned stop.
+    // A disk restored from a copy does not show how the last run ended, even if the copy shows a planned
+    // stop.
     assert_eq!(
         kind_and_disk(&evidence(true, 3, "k"), &[answer(900, true, 9)], 0),
         (RestartKind::SingleCrash, DiskState::Stale)
@@ -225,17 +233,17 @@
         assert_eq!(
             (classification.disk, classification.later_checkpoint_known),
             (disk, disk == DiskState::Stale),
-            "{known_start} {known_checkpoint}"
+            "known start {known_start}, known checkpoint {known_checkpoint}"
         );
     }
 }
 
 #[test]
 fn power_lost_again_before_classification_is_still_a_mass_failure() {
-    let mut again = evidence(false, 1, "k");
-    again.checkpoint.as_mut().unwrap().classified = false;
+    let mut unclassified = evidence(false, 1, "k");
+    unclassified.checkpoint.as_mut().unwrap().classified = false;
     assert_eq!(
-        kind_and_disk(&again, &[answer(900, true, 4)], 0).0,
+        kind_and_disk(&unclassified, &[answer(900, true, 4)], 0).0,
         RestartKind::MassFailure
     );
 }
