--- a/crates/quartzdrift-recovery/src/backlog_drain.rs
+++ b/crates/quartzdrift-recovery/src/backlog_drain.rs
@@ -1,33 +1,37 @@
-//! How many asynchronous requests are in flight while service returns, by what synchronous requests leave.
+//! The limit of asynchronous requests in flight during recovery: they use the capacity that synchronous
+//! requests leave.
 //!
-//! Slow start and congestion avoidance (Jacobson 1988). Loads of functions are not limited here: each way that was tried
-//! made service return later (docs/gap.md).
+//! The limit follows slow start and congestion avoidance (Jacobson 1988). Loads of functions are not limited
+//! here: every such limit delayed the return of service (docs/gap.md).
 use std::time::Duration;
 
-/// The share of synchronous requests answered in a second that must have met their latency objective for the limit to grow.
+/// The share of the synchronous requests answered in an observation that must have met their latency
+/// objective for the limit to grow.
 const HEALTHY_SHARE: f64 = 0.95;
-/// Fewer answers in a second are no evidence against it.
+/// Observations with fewer answers than this count as healthy: they are too few to show overload.
 const MIN_ANSWERS: u64 = 5;
 /// Length of an observation.
-const SECOND: Duration = Duration::from_secs(1);
-/// Healthy seconds in a row after which synchronous service counts as recovered.
+const OBSERVATION_LENGTH: Duration = Duration::from_secs(1);
+/// Number of consecutive healthy observations, of a second each, after which synchronous service counts as
+/// recovered.
 const STABLE_SECONDS: u32 = 2;
-/// Past the threshold the limit grows by such a part of the threshold a second: a second of overload costs synchronous
-/// requests more than a slow one costs the backlog.
+/// Above the threshold the limit grows by the threshold divided by this number each second: a second of
+/// overload costs synchronous requests more than a second of slow growth costs the backlog.
 const GROWTH_DIVISOR: usize = 32;
 
-/// The synchronous requests answered since `begun`.
+/// Counts of the synchronous requests answered since `began_at`.
 #[derive(Debug)]
 struct Observation {
-    begun: Duration,
+    began_at: Duration,
     answered: u64,
+    /// Requests among `answered` that met their latency objective.
     on_time: u64,
 }
 
 impl Observation {
-    fn new(begun: Duration) -> Observation {
+    fn new(began_at: Duration) -> Observation {
         Observation {
-            begun,
+            began_at,
             answered: 0,
             on_time: 0,
         }
@@ -38,21 +42,22 @@
     }
 }
 
-/// Limits asynchronous requests in flight while the backlog of an outage drains beside synchronous requests.
+/// Limits the asynchronous requests in flight while the backlog of an outage drains beside synchronous
+/// requests.
 #[derive(Debug)]
 pub(crate) struct BacklogDrain {
-    /// Requests in flight at most; 0 before the drain begins.
+    /// The limit of requests in flight; 0 before the drain begins.
     limit: usize,
     max_limit: usize,
-    /// The limit left after the last overload; growth beyond it is slow.
+    /// The halved limit after the last overload; above it the limit grows slowly.
     threshold: usize,
     observation: Observation,
-    /// Healthy seconds in a row.
+    /// The number of consecutive healthy observations, of a second each.
     healthy_seconds: u32,
 }
 
 impl BacklogDrain {
-    /// A drain that has not begun; `max_limit`: what the settings allow.
+    /// Creates a drain that has not begun; `max_limit` is the limit of the settings.
     pub(crate) fn new(now: Duration, max_limit: usize) -> BacklogDrain {
         BacklogDrain {
             limit: 0,
@@ -63,38 +68,39 @@
         }
     }
 
-    /// Asynchronous requests in flight at most.
+    /// The limit of asynchronous requests in flight.
     pub(crate) fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Whether the limit is that of the settings.
+    /// Whether the limit has reached that of the settings.
     pub(crate) fn is_unlimited(&self) -> bool {
         self.limit >= self.max_limit
     }
 
-    /// Whether synchronous service was healthy for long enough to admit more beside it.
+    /// Whether synchronous service has been healthy for long enough to admit asynchronous requests beside it.
     pub(crate) fn is_stable(&self) -> bool {
         self.healthy_seconds >= STABLE_SECONDS
     }
 
-    /// When [`BacklogDrain::due`] is to be called.
+    /// The time at which to call [`BacklogDrain::due`].
     pub(crate) fn next_due(&self) -> Duration {
-        self.observation.begun + SECOND
+        self.observation.began_at + OBSERVATION_LENGTH
     }
 
-    /// A synchronous request had its final answer.
+    /// Reports the final response to a synchronous request; `on_time`: it met its latency objective.
     pub(crate) fn request_answered(&mut self, on_time: bool) {
         self.observation.answered += 1;
         self.observation.on_time += u64::from(on_time);
     }
 
-    /// Begins the drain with one request at a time.
+    /// Begins the drain with a limit of one request in flight.
     pub(crate) fn begin(&mut self) {
         self.limit = 1;
     }
 
-    /// Ends a second's observation and adjusts the limit. At least one request is always admitted, so that the drain ends.
+    /// Ends the observation, if it is over at `now`, and adjusts the limit. The limit stays at one at least,
+    /// so that the drain ends.
     pub(crate) fn due(&mut self, now: Duration) {
         if now < self.next_due() {
             return;
@@ -124,7 +130,7 @@
 
     fn halve(&mut self, was_healthy: bool) {
         self.limit = (self.limit / 2).max(1);
-        // Only the first overloaded second of a run shows which limit was too high.
+        // Only the first of consecutive overloaded observations shows which limit was too high.
         if was_healthy {
             self.threshold = self.limit;
         }
--- a/crates/quartzdrift-recovery/src/restore_policy.rs
+++ b/crates/quartzdrift-recovery/src/restore_policy.rs
@@ -1,18 +1,18 @@
-//! Which state is restored after a restart. The same table, in words, is in docs/design-recovery.md.
+//! The decisions about which state is restored after a restart; docs/design-recovery.md has them as a table.
 use crate::classification::{RestartClassification, RestartKind};
 use serde::{Deserialize, Serialize};
 
-/// State that outlasts a scheduler, or seems to.
+/// A kind of state that may outlast a run of the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum StateItem {
-    /// The last list of workers.
+    /// The last endpoint list, which names the workers.
     Workers,
-    /// Other members of the fleet.
+    /// The other schedulers of the fleet.
     Schedulers,
-    /// How much of the load quotas was used.
+    /// The used part of the load quotas.
     #[serde(rename = "Rations")]
     LoadQuotas,
-    /// What forecasts have learnt.
+    /// The state that forecasts have learned.
     Forecasts,
     /// The idempotency keys that workers remember.
     #[serde(rename = "Fingerprints")]
@@ -20,13 +20,13 @@
     /// Asynchronous requests that the store shows as waiting.
     #[serde(rename = "Waiting")]
     WaitingRequests,
-    /// Schedules that triggers may have been missed of.
+    /// Schedules, with triggers that may have been missed.
     #[serde(rename = "Timers")]
     Schedules,
 }
 
 impl StateItem {
-    /// As operators read it.
+    /// The name in the table for operators.
     pub fn name(self) -> &'static str {
         match self {
             StateItem::Workers => "Workers",
@@ -40,22 +40,23 @@
     }
 }
 
-/// What becomes of a state item.
+/// The decision whether a state item is restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RestoreDecision {
-    /// It is restored as it was.
+    /// The item is restored as it was.
     #[serde(rename = "Kept")]
     Restore,
-    /// It is restored with less taken for granted: workers as just started, an outage as no evidence.
+    /// The item is restored with reservations: workers count as just started, waiting requests as possibly
+    /// executed, and the outage does not count as a time without calls.
     #[serde(rename = "Lessened")]
     RestorePartly,
-    /// It is not used.
+    /// The item is not used.
     #[serde(rename = "Aside")]
     Discard,
 }
 
 impl RestoreDecision {
-    /// As operators read it.
+    /// The name in the table for operators.
     pub fn name(self) -> &'static str {
         match self {
             RestoreDecision::Restore => "Kept",
@@ -65,7 +66,7 @@
     }
 }
 
-/// How a [`RestoreRow`] is serialized.
+/// The serialized form of a [`RestoreRow`].
 type RestoreTriple = (StateItem, RestoreDecision, String);
 
 /// The decision about one state item. Serialized as a triple.
@@ -74,9 +75,9 @@
 pub struct RestoreRow {
     /// The state item.
     pub item: StateItem,
-    /// What becomes of it.
+    /// The decision about the item.
     pub decision: RestoreDecision,
-    /// Why, for operators.
+    /// The reason for the decision, for operators.
     pub reason: String,
 }
 
@@ -106,14 +107,18 @@
     }
 }
 
-/// Whether workers still detect repeats of requests from before the restart; `keys_on_disk`: their idempotency keys survive
-/// a loss of power. Guards "no effect twice".
+/// Whether workers still detect repeats of requests from before the restart. `keys_on_disk`: the idempotency
+/// keys that workers remember survive a loss of power. Requests with an idempotency key are sent again only
+/// if repeats are detected, so that none takes effect twice.
 pub fn repeats_are_detected(classification: &RestartClassification, keys_on_disk: bool) -> bool {
     keys_on_disk || classification.kind != RestartKind::MassFailure
 }
 
-/// Whether an asynchronous request that the store shows as waiting may have executed: there was a later start or checkpoint
-/// than `store_start`, the start that last opened the store. `None`: an earlier release wrote it. Guards "no effect twice".
+/// Whether an asynchronous request that the store shows as waiting may already have executed. This holds if
+/// there was a start or a checkpoint later than `store_start`, the start that last opened the store: the
+/// store is then an older copy. If `store_start` is `None`, an earlier release wrote the store, and the
+/// result is false. Waiting requests that may have executed are executed only if executing them twice is
+/// allowed, so that none takes effect twice.
 pub fn waiting_requests_may_have_run(
     classification: &RestartClassification,
     store_start: Option<u64>,
@@ -123,8 +128,8 @@
         .is_some_and(|start| start < latest || classification.later_checkpoint_known && start == latest)
 }
 
-/// The decisions after a restart, in the order of [`StateItem`]; see [`repeats_are_detected`] and
-/// [`waiting_requests_may_have_run`] for the parameters.
+/// The decisions after a restart, in the order of [`StateItem`]. [`repeats_are_detected`] and
+/// [`waiting_requests_may_have_run`] explain the parameters.
 pub fn restore_decisions(
     classification: &RestartClassification,
     keys_on_disk: bool,
@@ -139,7 +144,7 @@
         }
     };
     vec![
-        workers(classification.kind, if_readable),
+        workers_row(classification.kind, if_readable),
         RestoreRow::new(
             StateItem::Schedulers,
             if_readable(RestoreDecision::Restore),
@@ -155,8 +160,8 @@
             if_readable(RestoreDecision::RestorePartly),
             "the outage is no evidence that nobody calls",
         ),
-        idempotency_keys(repeats_are_detected(classification, keys_on_disk)),
-        waiting_requests(waiting_requests_may_have_run(classification, store_start)),
+        idempotency_keys_row(repeats_are_detected(classification, keys_on_disk)),
+        waiting_requests_row(waiting_requests_may_have_run(classification, store_start)),
         RestoreRow::new(
             StateItem::Schedules,
             if_readable(RestoreDecision::Restore),
@@ -165,7 +170,7 @@
     ]
 }
 
-fn workers(kind: RestartKind, if_readable: impl Fn(RestoreDecision) -> RestoreDecision) -> RestoreRow {
+fn workers_row(kind: RestartKind, if_readable: impl Fn(RestoreDecision) -> RestoreDecision) -> RestoreRow {
     match kind {
         RestartKind::MassFailure => RestoreRow::new(
             StateItem::Workers,
@@ -180,7 +185,7 @@
     }
 }
 
-fn idempotency_keys(repeats_are_detected: bool) -> RestoreRow {
+fn idempotency_keys_row(repeats_are_detected: bool) -> RestoreRow {
     if repeats_are_detected {
         RestoreRow::new(
             StateItem::IdempotencyKeys,
@@ -196,7 +201,7 @@
     }
 }
 
-fn waiting_requests(may_have_run: bool) -> RestoreRow {
+fn waiting_requests_row(may_have_run: bool) -> RestoreRow {
     if may_have_run {
         RestoreRow::new(
             StateItem::WaitingRequests,
--- a/crates/quartzdrift-recovery/src/restore_policy/tests.rs
+++ b/crates/quartzdrift-recovery/src/restore_policy/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn state_lost_with_power_is_discarded_and_an_older_store_is_doubted() {
+fn a_power_loss_discards_idempotency_keys_and_an_older_store_is_restored_partly() {
     let within_start = RestartClassification {
         disk: DiskState::Stale,
         answered: 1,
@@ -25,7 +25,7 @@
     };
     assert!(
         waiting_requests_may_have_run(&within_start, Some(4)),
-        "a copy made within the same start"
+        "the store is a copy made during the same start"
     );
     for kind in [
         RestartKind::FirstStart,
