--- a/crates/quartzdrift-recovery/src/admission_ramp.rs
+++ b/crates/quartzdrift-recovery/src/admission_ramp.rs
@@ -1,82 +1,85 @@
-//! Which functions' calls are admitted while caches are cold after a mass failure, so that the origin store is asked once
-//! for each function and no more than it bears.
+//! Admission of calls by function while caches are cold after a mass failure, so that the origin store is
+//! asked once for each function and is not overloaded.
 //!
-//! A function that is not known to be cached is loaded by one call; others for it are asked to retry once that load should
-//! be over. How many such loads a scheduler has in flight is limited by additive increase and multiplicative decrease
-//! (AIMD, Chiu and Jain 1989): one more for each load that did not take much longer than the quickest, half as many after
-//! one that the store rejected. Members share what is loading and what is cached by [`cache_gossip`](crate::cache_gossip).
+//! A function that is not known to be cached is loaded by one call; other calls for it are asked to retry
+//! when that load should be over. The number of loads that a scheduler has in flight is limited by additive
+//! increase and multiplicative decrease (AIMD, Chiu and Jain 1989): the limit grows by one for each load that
+//! did not take much longer than the quickest load, and is halved after a load that the store rejected.
+//! Members share the cache states of functions by [`cache_gossip`](crate::cache_gossip).
 use crate::cache_gossip::{CacheGossip, CacheMessage};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// Longest retry delay: by then the limit has changed.
+/// Maximum retry delay: after this time the limit has changed.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Functions with a known cache state at most; calls for others are then admitted.
-const MAX_FUNCTIONS: usize = 65_536;
-/// A load that has not finished by then is given up on: one in a crowded store takes less.
+/// Maximum number of functions whose cache state is tracked; calls for further functions are admitted without
+/// limit.
+const MAX_TRACKED_FUNCTIONS: usize = 65_536;
+/// Time after which an unfinished load no longer counts: even a congested store takes less for a load.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// The assumed duration of a load before one was measured.
+/// The assumed duration of a load before the first one is measured.
 const DEFAULT_LOAD_DURATION: Duration = Duration::from_millis(500);
-/// A load that took so many times the quickest shows a crowded store: the limit does not grow.
-const CROWDED_FACTOR: u32 = 2;
-/// Loads in flight at first.
+/// A load that took more than this multiple of the quickest load shows a congested store: the limit does not
+/// grow.
+const CONGESTION_FACTOR: u32 = 2;
+/// The limit of loads in flight at the start of the ramp.
 const INITIAL_LIMIT: f64 = 2.0;
-/// Loads in flight at least; below one there are pauses between loads.
+/// The lower bound of the limit of loads in flight. A limit below one stands for pauses between single loads.
 const MIN_LIMIT: f64 = 0.0625;
-/// The inverse weight of a measurement in the moving average of load durations.
-const AVERAGE_WEIGHT: u32 = 8;
+/// The inverse of the weight that a new measurement has in the moving average of load durations.
+const AVERAGE_INVERSE_WEIGHT: u32 = 8;
 
-/// The cache state of a function, as members share it.
+/// The cache state of a function on the workers, as members share it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum CacheState {
-    /// A load came to nothing: another may begin.
+    /// A load ended without caching the function: another one may begin.
     NotCached,
     /// A load is in flight.
     Loading,
-    /// Some worker has it cached.
+    /// At least one worker has the function cached.
     Cached,
 }
 
-/// A function's cache state in gossip.
+/// A gossip update about the cache state of a function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheUpdate {
-    /// A hash of the function's name.
+    /// The lower 32 bits of the hash of the function's name.
     pub function: u32,
-    /// Its state.
+    /// The cache state of the function.
     pub state: CacheState,
 }
 
-/// What came of a load.
+/// The result of a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadResult {
     /// The function is cached.
     Cached,
     /// The origin store rejected the load.
     Rejected,
-    /// The request did not get as far, or was cancelled.
+    /// The request failed for another reason or was cancelled.
     Inconclusive,
 }
 
-/// How an admitted call relates to its function's cache state.
+/// Whether an admitted call counts as a load of its function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// No load is expected of it, or it is not tracked.
+    /// The call is not expected to load the function, or the function is not tracked.
     Unlimited,
-    /// It loads the function; its end is reported with [`AdmissionRamp::load_finished`].
+    /// The call loads the function; the end of the load is reported with [`AdmissionRamp::load_finished`].
     Load,
 }
 
-/// What operators see of a ramp. Serialized as a triple.
+/// The state of an admission ramp as operators see it. Serialized as a triple.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(usize, usize, f64)", into = "(usize, usize, f64)")]
 pub struct RampView {
-    /// Functions that are known to be cached.
+    /// The number of functions that are known to be cached.
     pub cached: usize,
-    /// Functions that are known to be loading, here or elsewhere.
+    /// The number of functions that are known to be loading, by calls of this scheduler or another.
     pub loading: usize,
-    /// Loads of this scheduler in flight at most.
+    /// The limit of loads in flight of this scheduler.
     pub limit: f64,
 }
 
@@ -96,50 +99,53 @@
     }
 }
 
-/// A deterministic source of random numbers.
+/// A pseudorandom number generator; the same seed yields the same sequence.
 #[derive(Debug)]
-pub(crate) struct Jitter {
+pub(crate) struct SeededRandom {
     seed: u64,
-    drawn: u64,
+    draws: u64,
 }
 
-impl Jitter {
-    pub(crate) fn new(seed: u64) -> Jitter {
-        Jitter { seed, drawn: 0 }
+impl SeededRandom {
+    pub(crate) fn new(seed: u64) -> SeededRandom {
+        SeededRandom { seed, draws: 0 }
     }
 
-    pub(crate) fn next(&mut self) -> u64 {
-        self.drawn += 1;
+    pub(crate) fn next_u64(&mut self) -> u64 {
+        self.draws += 1;
         let mut hasher = DefaultHasher::new();
-        (self.seed, self.drawn).hash(&mut hasher);
+        (self.seed, self.draws).hash(&mut hasher);
         hasher.finish()
     }
 
-    /// Between 0 and 1.
-    fn next_share(&mut self) -> f64 {
-        self.next() as f64 / u64::MAX as f64
+    /// A random number between 0 and 1.
+    fn next_fraction(&mut self) -> f64 {
+        self.next_u64() as f64 / u64::MAX as f64
     }
 }
 
 #[derive(Debug)]
 struct KnownFunction {
     state: CacheState,
-    /// When a load is given up on.
+    /// The time from which a load of the function no longer counts.
     load_deadline: Duration,
 }
 
-/// Limits loads of functions by AIMD.
+/// Limits the loads of functions in flight by AIMD.
 #[derive(Debug)]
 pub(crate) struct AdmissionRamp {
-    jitter: Jitter,
+    random: SeededRandom,
+    /// The known cache states, by the hash of the function's name.
     functions: BTreeMap<u32, KnownFunction>,
-    /// When each own load in flight began.
-    own_loads: BTreeMap<u32, Duration>,
+    /// The start time of each load in flight of this scheduler, by the hash of the function's name.
+    own_load_starts: BTreeMap<u32, Duration>,
     limit: f64,
-    /// No load before, where the limit is below one.
-    next_load: Duration,
-    /// Loads that are rejected before then began before the limit was last halved.
-    next_decrease: Duration,
+    /// The earliest time of the next load, which is delayed after each halving of the limit, and after each
+    /// load while the limit is below one.
+    next_load_at: Duration,
+    /// The earliest time of the next halving: loads that are rejected before then began before the last
+    /// halving.
+    next_decrease_at: Duration,
     quickest_load: Option<Duration>,
     average_load: Duration,
     gossip: CacheGossip,
@@ -148,19 +154,19 @@
 impl AdmissionRamp {
     pub(crate) fn new(now: Duration, seed: u64) -> AdmissionRamp {
         AdmissionRamp {
-            jitter: Jitter::new(seed),
+            random: SeededRandom::new(seed),
             functions: BTreeMap::new(),
-            own_loads: BTreeMap::new(),
+            own_load_starts: BTreeMap::new(),
             limit: INITIAL_LIMIT,
-            next_load: now,
-            next_decrease: now,
+            next_load_at: now,
+            next_decrease_at: now,
             quickest_load: None,
             average_load: DEFAULT_LOAD_DURATION,
             gossip: CacheGossip::new(now),
         }
     }
 
-    /// What operators see.
+    /// The state of the ramp as operators see it.
     pub(crate) fn view(&self) -> RampView {
         let count = |state| {
             let functions = self.functions.values();
@@ -173,56 +179,58 @@
         }
     }
 
-    /// When gossip is to be sent next, if there is any.
+    /// The time at which the next gossip message is due; `None`: there is none to send.
     pub(crate) fn next_due(&self) -> Option<Duration> {
         self.gossip.next_due()
     }
 
-    /// The gossip that is due to some of these members.
+    /// The gossip message that is due at `now`, if any, to a few of the `members`.
     pub(crate) fn next_message(&mut self, now: Duration, members: &[&String]) -> Option<CacheMessage> {
-        self.gossip.next_message(now, members, &mut self.jitter)
+        self.gossip.next_message(now, members, &mut self.random)
     }
 
-    /// Whether a call for this function is admitted; `Err`: when to retry.
+    /// Admits a call for a function, or returns the delay after which to retry as `Err`.
     pub(crate) fn admit(&mut self, now: Duration, function: u32) -> Result<Admission, Duration> {
         match self.functions.get(&function) {
             Some(known) if known.state == CacheState::Cached => return Ok(Admission::Unlimited),
             Some(known) if known.state == CacheState::Loading && known.load_deadline > now => {
                 return Err(self.retry_after(0.5));
             }
-            None if self.functions.len() >= MAX_FUNCTIONS => return Ok(Admission::Unlimited),
+            None if self.functions.len() >= MAX_TRACKED_FUNCTIONS => return Ok(Admission::Unlimited),
             Some(_) | None => {}
         }
-        self.own_loads.retain(|_, begun| *begun + LOAD_TIMEOUT > now);
-        if self.own_loads.len() as f64 >= self.limit.max(1.0) || now < self.next_load {
-            // The lower the limit, the longer until there is room for another load.
+        self.own_load_starts
+            .retain(|_, began_at| *began_at + LOAD_TIMEOUT > now);
+        if self.own_load_starts.len() as f64 >= self.limit.max(1.0) || now < self.next_load_at {
+            // The lower the limit, the longer the wait until another load may begin.
             let loads = 1.0 / self.limit.min(1.0);
             return Err(self.retry_after(loads));
         }
         if self.limit < 1.0 {
-            self.next_load = now + self.average_load.mul_f64(1.0 / self.limit);
+            self.next_load_at = now + self.average_load.mul_f64(1.0 / self.limit);
         }
-        self.own_loads.insert(function, now);
-        self.learn(now, function, CacheState::Loading);
+        self.own_load_starts.insert(function, now);
+        self.update_state(now, function, CacheState::Loading);
         Ok(Admission::Load)
     }
 
-    /// The duration of so many average loads, once to twice: rejected calls do not retry in one wave.
+    /// A retry delay of once to twice the average duration of a load, times `loads`. It is random, so that
+    /// rejected calls do not retry in one wave.
     fn retry_after(&mut self, loads: f64) -> Duration {
-        let jitter = self.jitter.next_share();
+        let jitter = self.random.next_fraction();
         self.average_load
             .mul_f64(loads * (1.0 + jitter))
             .min(MAX_RETRY_AFTER)
     }
 
-    /// The request of a call that was admitted as [`Admission::Load`] has its final answer.
+    /// Reports the result of a load: the final response to a call that was admitted as [`Admission::Load`].
     pub(crate) fn load_finished(&mut self, now: Duration, function: u32, result: LoadResult) {
-        let Some(begun) = self.own_loads.remove(&function) else {
+        let Some(began_at) = self.own_load_starts.remove(&function) else {
             return;
         };
         let state = match result {
             LoadResult::Cached => {
-                self.measure_load(now.saturating_sub(begun));
+                self.record_load_duration(now.saturating_sub(began_at));
                 CacheState::Cached
             }
             LoadResult::Rejected => {
@@ -231,43 +239,47 @@
             }
             LoadResult::Inconclusive => CacheState::NotCached,
         };
-        self.learn(now, function, state);
+        self.update_state(now, function, state);
     }
 
-    fn measure_load(&mut self, duration: Duration) {
+    /// Updates the average and the quickest duration, and raises the limit unless the load shows a congested
+    /// store.
+    fn record_load_duration(&mut self, duration: Duration) {
         let quickest = self
             .quickest_load
             .map_or(duration, |quickest| quickest.min(duration));
         self.quickest_load = Some(quickest);
-        self.average_load = (self.average_load * (AVERAGE_WEIGHT - 1) + duration) / AVERAGE_WEIGHT;
-        if duration <= quickest.max(DEFAULT_LOAD_DURATION / 2) * CROWDED_FACTOR {
+        self.average_load =
+            (self.average_load * (AVERAGE_INVERSE_WEIGHT - 1) + duration) / AVERAGE_INVERSE_WEIGHT;
+        if duration <= quickest.max(DEFAULT_LOAD_DURATION / 2) * CONGESTION_FACTOR {
             self.limit += 1.0;
         }
     }
 
-    /// Loads that are rejected together, within the duration of a load, halve the limit once.
+    /// Halves the limit, once for loads that are rejected within the average duration of a load.
     fn decrease_limit(&mut self, now: Duration) {
-        if now < self.next_decrease {
+        if now < self.next_decrease_at {
             return;
         }
         self.limit = (self.limit / 2.0).max(MIN_LIMIT);
-        self.next_decrease = now + self.average_load;
-        self.next_load = now + self.retry_after(1.0);
+        self.next_decrease_at = now + self.average_load;
+        self.next_load_at = now + self.retry_after(1.0);
     }
 
-    /// Takes over what another member reports; its loads are none of ours.
-    pub(crate) fn learn_all(&mut self, now: Duration, updates: &[CacheUpdate]) {
+    /// Applies the cache states that another member reports. Its loads do not count against this scheduler's
+    /// limit.
+    pub(crate) fn apply_updates(&mut self, now: Duration, updates: &[CacheUpdate]) {
         for update in updates {
-            self.learn(now, update.function, update.state);
+            self.update_state(now, update.function, update.state);
         }
     }
 
-    /// Records a state and, if it is new, gossips it.
-    fn learn(&mut self, now: Duration, function: u32, state: CacheState) {
+    /// Records the cache state of a function and, if it is new, queues it for gossip.
+    fn update_state(&mut self, now: Duration, function: u32, state: CacheState) {
         let is_new = match self.functions.get(&function).map(|known| known.state) {
             Some(CacheState::Cached) => false,
             Some(known) => known != state,
-            None => self.functions.len() < MAX_FUNCTIONS && state != CacheState::NotCached,
+            None => self.functions.len() < MAX_TRACKED_FUNCTIONS && state != CacheState::NotCached,
         };
         if is_new {
             let load_deadline = now + LOAD_TIMEOUT;
--- a/crates/quartzdrift-recovery/src/admission_ramp/tests.rs
+++ b/crates/quartzdrift-recovery/src/admission_ramp/tests.rs
@@ -8,16 +8,22 @@
 fn a_function_is_loaded_by_one_call_and_admitted_once_it_is_cached() {
     let mut ramp = AdmissionRamp::new(S, 1);
     assert_eq!(ramp.admit(S, 1), Ok(Admission::Load));
-    let wait = ramp.admit(S, 1).unwrap_err();
-    assert!(wait > Duration::ZERO && wait <= DEFAULT_LOAD_DURATION, "{wait:?}");
+    let retry_after = ramp.admit(S, 1).unwrap_err();
+    assert!(
+        retry_after > Duration::ZERO && retry_after <= DEFAULT_LOAD_DURATION,
+        "{retry_after:?}"
+    );
     assert_eq!(ramp.admit(S, 2), Ok(Admission::Load));
-    assert!(ramp.admit(S, 3).is_err(), "two at a time at first");
+    assert!(
+        ramp.admit(S, 3).is_err(),
+        "the initial limit is two loads in flight"
+    );
     ramp.load_finished(S + 300 * MS, 1, LoadResult::Cached);
     assert_eq!(
         (ramp.admit(S * 2, 1), ramp.admit(S * 2, 1)),
         (Ok(Admission::Unlimited), Ok(Admission::Unlimited))
     );
-    // A load that came to nothing is begun again; one without a result times out.
+    // A function is loaded again after an inconclusive load, and after a load without a result has timed out.
     ramp.load_finished(S * 2, 2, LoadResult::Inconclusive);
     assert_eq!(ramp.admit(S * 2, 2), Ok(Admission::Load));
     assert!(ramp.admit(S * 4, 2).is_err());
@@ -29,7 +35,7 @@
     let mut ramp = AdmissionRamp::new(S, 1);
     let mut now = S;
     let mut function = 0;
-    let mut fill = |ramp: &mut AdmissionRamp, now| {
+    let mut begin_loads = |ramp: &mut AdmissionRamp, now| {
         let first = function + 1;
         while ramp.admit(now, function + 1) == Ok(Admission::Load) {
             function += 1;
@@ -37,30 +43,30 @@
         first..=function
     };
     for limit in [2, 4, 8] {
-        let loads = fill(&mut ramp, now);
+        let loads = begin_loads(&mut ramp, now);
         assert_eq!(loads.clone().count(), limit);
         now += 300 * MS;
         loads.for_each(|load| ramp.load_finished(now, load, LoadResult::Cached));
     }
-    let loads = fill(&mut ramp, now);
+    let loads = begin_loads(&mut ramp, now);
     now += 300 * MS;
     for load in loads {
         ramp.load_finished(now, load, LoadResult::Rejected);
     }
     assert!(
-        fill(&mut ramp, now).is_empty(),
-        "it waits for the duration of a load"
+        begin_loads(&mut ramp, now).is_empty(),
+        "a load began within the average duration of a load after the halving"
     );
     now += S;
-    assert_eq!(fill(&mut ramp, now).count(), 8);
-    // Slow loads do not raise the limit.
+    assert_eq!(begin_loads(&mut ramp, now).count(), 8);
+    // Loads that take more than twice the quickest do not raise the limit.
     let mut slow = AdmissionRamp::new(S, 1);
     for (at, duration) in [(1, 300), (2, 990), (3, 990)] {
         slow.admit(S * at, at).unwrap();
         slow.load_finished(S * at + duration * MS, at, LoadResult::Cached);
     }
-    assert_eq!(slow.limit, 3.0, "one quick load");
-    // Below one load at a time there are pauses between loads.
+    assert_eq!(slow.limit, 3.0, "only the one quick load raises the limit");
+    // With a limit below one there are pauses between loads.
     (0..20u32).for_each(|second| slow.decrease_limit(S * (10 + second)));
     assert_eq!(
         (slow.limit, slow.admit(S * 60, 9)),
@@ -72,7 +78,7 @@
 
 #[test]
 fn gossip_reaches_nearly_all_members_and_ends() {
-    for (members, lost) in [(2usize, 0.0), (17, 0.0), (17, 0.3), (200, 0.1)] {
+    for (members, loss_rate) in [(2usize, 0.0), (17, 0.0), (17, 0.3), (200, 0.1)] {
         let names: Vec<String> = (0..members).map(|n| format!("{n:03}")).collect();
         let mut ramps: Vec<AdmissionRamp> = (0..members)
             .map(|member| AdmissionRamp::new(S, member as u64))
@@ -81,7 +87,7 @@
         ramps[0].load_finished(S, 7, LoadResult::Cached);
         let mut now = S;
         let mut sent = 0;
-        let mut drawn = 0u64;
+        let mut draws = 0u64;
         while ramps.iter().any(|ramp| ramp.next_due().is_some()) {
             for member in 0..members {
                 let others: Vec<&String> = names.iter().filter(|name| **name != names[member]).collect();
@@ -89,26 +95,29 @@
                     continue;
                 };
                 for name in message.recipients {
-                    drawn += 1;
+                    draws += 1;
                     let mut hasher = DefaultHasher::new();
-                    drawn.hash(&mut hasher);
+                    draws.hash(&mut hasher);
                     sent += 1;
-                    if hasher.finish() as f64 / u64::MAX as f64 >= lost {
-                        ramps[name.parse::<usize>().unwrap()].learn_all(now, &message.updates);
+                    if hasher.finish() as f64 / u64::MAX as f64 >= loss_rate {
+                        ramps[name.parse::<usize>().unwrap()].apply_updates(now, &message.updates);
                     }
                 }
             }
             now += SEND_INTERVAL;
-            assert!(now < S * 3, "it is sent without end");
+            assert!(now < S * 3, "gossip does not end within two seconds");
         }
         let informed = ramps
             .iter_mut()
             .filter_map(|ramp| (ramp.admit(now, 7) == Ok(Admission::Unlimited)).then_some(()))
             .count();
-        assert!(informed * 10 >= members * 9, "{informed} of {members}");
+        assert!(
+            informed * 10 >= members * 9,
+            "{informed} of {members} members learned that the function is cached"
+        );
         assert!(
             sent <= members * FANOUT * (members.ilog2() as usize + 2),
-            "{sent} datagrams"
+            "{sent} datagrams were sent"
         );
     }
 }
--- a/crates/quartzdrift-recovery/src/cache_gossip.rs
+++ b/crates/quartzdrift-recovery/src/cache_gossip.rs
@@ -1,20 +1,20 @@
-//! Gossip between recovering members about the cache state of functions, each update sent to a few members, a few times
-//! (Demers and others 1987). It saves loads and guarantees nothing: an update that is lost, late or wrong causes one more
-//! load, or delays a call until a load would be over.
-use crate::admission_ramp::{CacheUpdate, Jitter};
+//! Gossip between recovering members about the cache states of functions. Each update is sent to a few
+//! members, a few times (Demers et al. 1987). Gossip saves loads and guarantees nothing: an update that is
+//! lost, late or wrong causes one more load, or delays a call for the duration of a load.
+use crate::admission_ramp::{CacheUpdate, SeededRandom};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time between messages.
+/// Minimum time between two messages.
 pub(crate) const SEND_INTERVAL: Duration = Duration::from_millis(50);
-/// Members that a message goes to.
+/// Maximum number of recipients of a message.
 pub(crate) const FANOUT: usize = 3;
-/// Updates in a message; a longer queue is sent with the next ones.
+/// Maximum number of updates in a message; the remaining ones follow in the next messages.
 pub(crate) const MAX_UPDATES_PER_MESSAGE: usize = 32;
-/// Rounds beyond the logarithm of the fleet's size that an update is sent for.
+/// Number of rounds for which an update is sent, beyond the logarithm of the number of members.
 const EXTRA_ROUNDS: u32 = 2;
 
-/// Updates to send, and to whom.
+/// Updates to send to each of the recipients.
 #[derive(Debug)]
 pub(crate) struct CacheMessage {
     pub(crate) recipients: Vec<String>,
@@ -24,26 +24,27 @@
 #[derive(Debug)]
 struct QueuedUpdate {
     update: CacheUpdate,
-    /// Rounds that it is still sent for; lowered to what the fleet's size needs once it is sent.
+    /// The number of rounds for which the update is still sent. It starts at the maximum and is capped when
+    /// the update is sent, according to the number of members.
     rounds_left: u32,
 }
 
-/// Updates that are still to be sent, at most one for each function.
+/// The queue of updates to send, at most one for each function.
 #[derive(Debug)]
 pub(crate) struct CacheGossip {
     queue: VecDeque<QueuedUpdate>,
-    next_send: Duration,
+    next_send_at: Duration,
 }
 
 impl CacheGossip {
     pub(crate) fn new(now: Duration) -> CacheGossip {
         CacheGossip {
             queue: VecDeque::new(),
-            next_send: now,
+            next_send_at: now,
         }
     }
 
-    /// Queues an update ahead of all others, in place of an earlier one about the same function.
+    /// Queues an update ahead of all others, and removes an earlier one about the same function.
     pub(crate) fn push(&mut self, update: CacheUpdate) {
         self.queue
             .retain(|queued| queued.update.function != update.function);
@@ -53,26 +54,27 @@
         });
     }
 
-    /// When the next message is to be sent, if there is any update.
+    /// The time at which the next message is due; `None`: the queue is empty.
     pub(crate) fn next_due(&self) -> Option<Duration> {
-        (!self.queue.is_empty()).then_some(self.next_send)
+        (!self.queue.is_empty()).then_some(self.next_send_at)
     }
 
-    /// The next message to a few of these members, if it is due. An update is sent about as often as it takes to reach all.
+    /// The next message to a few of the `members`, if it is due. Each update is sent in a few more rounds
+    /// than the binary logarithm of the number of members, which is about enough to reach all of them.
     pub(crate) fn next_message(
         &mut self,
         now: Duration,
         members: &[&String],
-        jitter: &mut Jitter,
+        random: &mut SeededRandom,
     ) -> Option<CacheMessage> {
-        if now < self.next_send || self.queue.is_empty() || members.is_empty() {
+        if now < self.next_send_at || self.queue.is_empty() || members.is_empty() {
             return None;
         }
-        self.next_send = now + SEND_INTERVAL;
+        self.next_send_at = now + SEND_INTERVAL;
         let rounds = members.len().ilog2() + EXTRA_ROUNDS;
         Some(CacheMessage {
             updates: self.next_updates(rounds),
-            recipients: choose_recipients(members, jitter),
+            recipients: choose_recipients(members, random),
         })
     }
 
@@ -92,9 +94,9 @@
     }
 }
 
-fn choose_recipients(members: &[&String], jitter: &mut Jitter) -> Vec<String> {
+fn choose_recipients(members: &[&String], random: &mut SeededRandom) -> Vec<String> {
     let mut chosen: Vec<usize> = (0..FANOUT)
-        .map(|_| (jitter.next() % members.len() as u64) as usize)
+        .map(|_| (random.next_u64() % members.len() as u64) as usize)
         .collect();
     chosen.sort_unstable();
     chosen.dedup();
--- a/crates/quartzdrift-recovery/src/recovery.rs
+++ b/crates/quartzdrift-recovery/src/recovery.rs
@@ -1,5 +1,6 @@
-//! The state machine from a start to full service: `members` asks other members and classifies the restart, `phases` moves
-//! on as service recovers, `admission` says what is admitted in the current phase.
+//! The state machine that takes a scheduler from its start to full service: `members` exchanges statuses with
+//! other members and classifies the restart, `phases` advances the phase as service recovers, `admission`
+//! decides what is admitted in the current phase.
 mod admission;
 mod members;
 mod phases;
@@ -14,25 +15,25 @@
 use crate::restore_policy::{self, RestoreRow};
 use crate::settings::RecoverySettings;
 use crate::view::RecoveryView;
-use members::{AskedMember, CheckpointNotice, PresentStart};
+use members::{AskedMember, CheckpointNotice, CurrentStart};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What the caller has to carry out.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecoveryOutput {
-    /// A message is to be sent to a member, under [`RECOVERY_TOPIC`](crate::RECOVERY_TOPIC).
+    /// Send a message to a member, under [`RECOVERY_TOPIC`](crate::RECOVERY_TOPIC).
     Send {
-        /// The member's name.
+        /// The recipient's name.
         to: String,
         /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// The restart is classified; reported once.
+    /// The restart has been classified; emitted once.
     Classified(RestartClassification),
-    /// A phase begins.
+    /// The recovery has entered this phase.
     PhaseEntered(RecoveryPhase),
-    /// The scheduler's measurements from before the mass failure may be restored.
+    /// Restore the scheduler's measurements from before the mass failure.
     RestoreMeasurements,
 }
 
@@ -42,53 +43,56 @@
     settings: RecoverySettings,
     evidence: StartupEvidence,
     started_at: Duration,
-    /// The number of this start.
+    /// The number of starts of this scheduler so far, this one included.
     starts: u64,
     classification: Option<RestartClassification>,
     phase: RecoveryPhase,
     phase_since: Duration,
-    /// When the phase may end, as far as it ends by time.
+    /// [`RecoveryPhase::Classifying`]: the time of the last check whether the restart can be classified.
+    /// [`RecoveryPhase::Schedules`]: the time when the phase ends.
     phase_check_at: Duration,
-    /// When the last mass failure ended.
+    /// The end of the last mass failure.
     mass_failure_ended_at: Option<Duration>,
-    /// No prefetch before then: the last run may have spent the load quota.
-    prefetch_from: Duration,
-    /// When measurements from before a mass failure may be restored: what the last run spent of the slow-start budget is
-    /// not spent again.
+    /// The earliest time of a prefetch: the last run may have spent the load quota.
+    earliest_prefetch: Duration,
+    /// When measurements from before a mass failure may be restored. Earlier, this run could spend a part of
+    /// the slow-start budget that the last run has already spent.
     restore_measurements_at: Option<Duration>,
-    /// The time for that was determined.
-    measurements_scheduled: bool,
+    /// Whether `restore_measurements_at` has been set before: measurements are restored once.
+    measurement_restore_scheduled: bool,
     stopped_cleanly: bool,
-    /// Checkpoints written by this start.
+    /// The number of checkpoints that this start has begun to write.
     checkpoint_count: u64,
-    /// The checkpoint that members are notified of next.
-    notice: CheckpointNotice,
-    /// The highest start that each member reported.
+    /// The checkpoint that members are notified of once it is certain to be on disk.
+    pending_notice: CheckpointNotice,
+    /// The highest number of starts that each member has reported, by the member's name.
     reported_starts: BTreeMap<String, u64>,
-    /// The present start of each member that reported one to this start.
-    present_starts: BTreeMap<String, PresentStart>,
-    /// The latest checkpoint that each member reported; stored for them.
+    /// The current start of each member that has sent its status since this start, by the member's name.
+    current_starts: BTreeMap<String, CurrentStart>,
+    /// The latest checkpoint that each member has reported, by the member's name. A member whose folder was
+    /// restored from a copy learns from it that its disk is stale.
     reported_checkpoints: BTreeMap<String, CheckpointNumber>,
-    /// Members that are asked: those known before the start and those met since.
-    asked: BTreeMap<String, AskedMember>,
-    /// Members met since the start.
-    met: BTreeSet<String>,
-    /// Limits loads of functions after a mass failure.
+    /// Members that are asked for their status: those known before the start and those seen alive since.
+    asked_members: BTreeMap<String, AskedMember>,
+    /// Members that were seen alive since the start.
+    seen_members: BTreeSet<String>,
+    /// Limits loads of functions after a mass failure; `None`: they are not limited.
     ramp: Option<AdmissionRamp>,
     backlog: BacklogDrain,
     outputs: Vec<RecoveryOutput>,
 }
 
 impl Recovery {
-    /// The recovery of a scheduler that starts at `now`, by the steady clock ([`ClockSample::steady_time`]).
+    /// Creates the recovery of a scheduler that starts at `now`, by the steady clock
+    /// ([`ClockSample::steady_time`]).
     pub fn new(settings: RecoverySettings, evidence: StartupEvidence, now: Duration) -> Recovery {
         let checkpoint = evidence.checkpoint.clone().unwrap_or_default();
         let last_store_start = settings.store_start.unwrap_or(0);
         let mut recovery = Recovery {
             starts: checkpoint.starts.max(last_store_start) + 1,
             backlog: BacklogDrain::new(now, settings.max_async_in_flight),
-            prefetch_from: prefetch_from(&settings, &evidence, now),
-            asked: members::members_to_ask(&evidence),
+            earliest_prefetch: earliest_prefetch(&settings, &evidence, now),
+            asked_members: members::members_to_ask(&evidence),
             settings,
             evidence,
             started_at: now,
@@ -96,21 +100,22 @@
             phase: RecoveryPhase::Classifying,
             phase_since: now,
             phase_check_at: now,
-            // In the future it cannot be: the clock was not known then.
+            // A mass failure cannot end in the future: the clock of an earlier run was wrong.
             mass_failure_ended_at: checkpoint.mass_failure_ended_at.map(|at| at.min(now)),
             restore_measurements_at: None,
-            measurements_scheduled: false,
+            measurement_restore_scheduled: false,
             stopped_cleanly: false,
             checkpoint_count: 0,
-            notice: CheckpointNotice::new(now),
+            pending_notice: CheckpointNotice::new(now),
             reported_starts: checkpoint.reported_starts,
-            present_starts: BTreeMap::new(),
+            current_starts: BTreeMap::new(),
             reported_checkpoints: checkpoint.reported_checkpoints,
-            met: BTreeSet::new(),
+            seen_members: BTreeSet::new(),
             ramp: None,
             outputs: Vec::new(),
         };
-        // A successor cannot be reached before its predecessor has left, and was never away.
+        // Two starts are classified at once: one without a fleet, and a handover. In a handover service was
+        // not interrupted, and other members cannot reach the successor before its predecessor has left.
         if !recovery.settings.has_fleet || recovery.evidence.predecessor_running {
             recovery.classify(now);
         }
@@ -122,22 +127,22 @@
         self.phase
     }
 
-    /// What the restart was classified as, once it is.
+    /// The classification of the restart; `None` until it is classified.
     pub fn classification(&self) -> Option<&RestartClassification> {
         self.classification.as_ref()
     }
 
-    /// What was found at the start.
+    /// The evidence that this start found on disk.
     pub fn evidence(&self) -> &StartupEvidence {
         &self.evidence
     }
 
-    /// The number of this start.
+    /// The number of starts of this scheduler so far, this one included.
     pub fn starts(&self) -> u64 {
         self.starts
     }
 
-    /// The checkpoint to write for the next start; `taken_at`: the clocks now.
+    /// The checkpoint to write for the next start; `taken_at` is a sample of the clocks now.
     pub fn checkpoint(&self, taken_at: ClockSample) -> Checkpoint {
         Checkpoint {
             name: self.settings.name.clone(),
@@ -152,14 +157,14 @@
         }
     }
 
-    /// What operators see.
+    /// The state of the recovery as operators see it.
     pub fn view(&self, now: Duration) -> RecoveryView {
         let is_draining = self.phase == RecoveryPhase::Backlog;
         RecoveryView {
             starts: self.starts,
             phase: self.phase,
             phase_seconds: now.saturating_sub(self.phase_since).as_secs(),
-            up_seconds: self.up(now).as_secs(),
+            up_seconds: self.uptime(now).as_secs(),
             classification: self.classification.clone(),
             restore_decisions: self.restore_decisions(),
             waits_for: self.awaited_members(),
@@ -178,24 +183,25 @@
             })
     }
 
-    /// Time since the start.
-    fn up(&self, now: Duration) -> Duration {
+    /// Time since this start.
+    fn uptime(&self, now: Duration) -> Duration {
         now.saturating_sub(self.started_at)
     }
 
-    /// Takes what is to be carried out.
+    /// Takes the actions to carry out, in order.
     pub fn take_outputs(&mut self) -> Vec<RecoveryOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// A planned stop: all open requests have their final answer.
+    /// Records that this run stops as planned: all open requests have received their final response.
     pub fn stop_cleanly(&mut self) {
         self.stopped_cleanly = true;
     }
 }
 
-/// The last run may have gone on after its last checkpoint, but not into this one: its load quota's window is over by then.
-fn prefetch_from(settings: &RecoverySettings, evidence: &StartupEvidence, now: Duration) -> Duration {
+/// The earliest time of a prefetch. The last run may have spent its load quota up to this start, also after
+/// its last checkpoint; the quota's window has passed by the returned time. A first start has no earlier run.
+fn earliest_prefetch(settings: &RecoverySettings, evidence: &StartupEvidence, now: Duration) -> Duration {
     match evidence.disk {
         DiskState::Empty => now,
         _ => now + settings.load_quota_window,
--- a/crates/quartzdrift-recovery/src/recovery/members.rs
+++ b/crates/quartzdrift-recovery/src/recovery/members.rs
@@ -1,4 +1,5 @@
-//! Asking other members, answering them, and classifying the restart by their answers.
+//! Status requests to other members, responses to theirs, and the classification of the restart by the
+//! responses received.
 use super::{Recovery, RecoveryOutput};
 use crate::admission_ramp::AdmissionRamp;
 use crate::checkpoint::CheckpointNumber;
@@ -9,21 +10,23 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Members asked at most: what one of them does not know, another does.
-const MAX_ASKED: usize = 32;
-/// Time between requests to a member that has not answered: datagrams get lost.
-const ASK_INTERVAL: Duration = Duration::from_millis(250);
-/// Members of which starts and checkpoints are remembered at most.
-const MAX_SEEN: usize = 4096;
-/// Members that are notified of a checkpoint.
+/// The largest number of members that are asked for their status: knowledge that one of them lacks, another
+/// one has.
+const MAX_ASKED_MEMBERS: usize = 32;
+/// Time between status requests to a member that has not answered: datagrams get lost.
+const STATUS_REQUEST_INTERVAL: Duration = Duration::from_millis(250);
+/// The largest number of members whose starts and checkpoints are remembered.
+const MAX_REMEMBERED_MEMBERS: usize = 4096;
+/// The number of members that are notified of a checkpoint.
 const NOTICE_FANOUT: usize = 3;
-/// The age of a checkpoint that members are notified of: it is written in the background and is on disk by then.
+/// The minimum age of a checkpoint that members are notified of: it is written in the background and is on
+/// disk by then.
 const NOTICE_DELAY: Duration = Duration::from_millis(1500);
 
-/// A member that is asked.
+/// A member that is asked for its status.
 #[derive(Debug, Default)]
 pub(super) struct AskedMember {
-    next_request: Duration,
+    next_request_at: Duration,
     answer: Option<MemberAnswer>,
 }
 
@@ -33,18 +36,19 @@
     }
 }
 
-/// The present start of another member.
+/// The current start of another member.
 #[derive(Debug)]
-pub(super) struct PresentStart {
+pub(super) struct CurrentStart {
     instance: u64,
-    /// The highest start that it had reported before.
-    start_before: u64,
+    /// The highest number of starts that the member had reported before this start; 0: none.
+    previous_start: u64,
 }
 
-/// The checkpoint that members are notified of next.
+/// The checkpoint of which members are notified next.
 #[derive(Debug)]
 pub(super) struct CheckpointNotice {
     taken_at: Duration,
+    /// The checkpoint's number within this start; 0: none.
     checkpoint: u64,
 }
 
@@ -57,34 +61,35 @@
     }
 }
 
-/// The members known before the start.
+/// The members known before the start, up to [`MAX_ASKED_MEMBERS`].
 pub(super) fn members_to_ask(evidence: &StartupEvidence) -> BTreeMap<String, AskedMember> {
-    let known = evidence.known_members.iter().take(MAX_ASKED).cloned();
+    let known = evidence.known_members.iter().take(MAX_ASKED_MEMBERS).cloned();
     known.map(|name| (name, AskedMember::default())).collect()
 }
 
 impl Recovery {
-    /// A member of the fleet is alive: it is asked while the restart is not classified.
+    /// Reports that a member of the fleet is alive. It is asked for its status until the restart is
+    /// classified.
     pub fn member_seen(&mut self, now: Duration, name: &str) {
-        if self.met.len() < MAX_SEEN {
-            self.met.insert(name.to_owned());
+        if self.seen_members.len() < MAX_REMEMBERED_MEMBERS {
+            self.seen_members.insert(name.to_owned());
         }
-        let has_room = self.asked.len() < MAX_ASKED || self.asked.contains_key(name);
+        let has_room = self.asked_members.len() < MAX_ASKED_MEMBERS || self.asked_members.contains_key(name);
         if self.classification.is_some() || !has_room {
             return;
         }
-        self.asked.entry(name.to_owned()).or_default();
+        self.asked_members.entry(name.to_owned()).or_default();
         self.request_status(now, name);
     }
 
-    /// Handles a message of another member.
+    /// Handles a message from another member.
     ///
     /// # Errors
     ///
-    /// The bytes are not a message of this release; nothing has changed.
+    /// The bytes are too long or not a message of this release; the message is dropped.
     pub fn receive(&mut self, now: Duration, from: &str, bytes: &[u8]) -> Result<(), MessageError> {
         match RecoveryMessage::decode(bytes)? {
-            RecoveryMessage::StatusRequest { status } => self.answer(now, from, &status),
+            RecoveryMessage::StatusRequest { status } => self.answer_status_request(now, from, &status),
             RecoveryMessage::StatusResponse {
                 status,
                 known_start,
@@ -95,33 +100,34 @@
                     known_start,
                     known_checkpoint,
                 };
-                self.handle_answer(now, from, answer);
+                self.handle_status_response(now, from, answer);
             }
             RecoveryMessage::CheckpointWritten { start, checkpoint } => {
                 self.remember_checkpoint(from, CheckpointNumber { start, checkpoint });
             }
             RecoveryMessage::CacheUpdates { updates } => {
                 if let Some(ramp) = &mut self.ramp {
-                    ramp.learn_all(now, &updates);
+                    ramp.apply_updates(now, &updates);
                 }
             }
         }
         Ok(())
     }
 
-    /// A checkpoint is being written. A few members are notified of an earlier one that is on disk by now, and remember
-    /// it: a folder that is restored from a copy is detected by that.
+    /// Reports that a checkpoint is being written. A few members are notified of an earlier checkpoint that
+    /// is on disk by now. They remember it, which allows a later start to detect that its folder was restored
+    /// from an older copy.
     pub fn checkpoint_begun(&mut self, now: Duration) {
         self.checkpoint_count += 1;
-        if now < self.notice.taken_at + NOTICE_DELAY {
+        if now < self.pending_notice.taken_at + NOTICE_DELAY {
             return;
         }
         let next = CheckpointNotice {
             taken_at: now,
             checkpoint: self.checkpoint_count,
         };
-        let due = std::mem::replace(&mut self.notice, next);
-        if due.checkpoint > 0 && !self.met.is_empty() {
+        let due = std::mem::replace(&mut self.pending_notice, next);
+        if due.checkpoint > 0 && !self.seen_members.is_empty() {
             self.notify_checkpoint(due.checkpoint);
         }
     }
@@ -132,10 +138,10 @@
             checkpoint,
         };
         let bytes = message.encode();
-        // Members take turns, so that all of them know a checkpoint that is not far behind.
-        let first = (checkpoint as usize * NOTICE_FANOUT) % self.met.len();
-        let count = NOTICE_FANOUT.min(self.met.len());
-        for member in self.met.iter().cycle().skip(first).take(count) {
+        // Members are notified in rotation, so that each of them knows a recent checkpoint.
+        let first = (checkpoint as usize * NOTICE_FANOUT) % self.seen_members.len();
+        let count = NOTICE_FANOUT.min(self.seen_members.len());
+        for member in self.seen_members.iter().cycle().skip(first).take(count) {
             self.outputs.push(RecoveryOutput::Send {
                 to: member.clone(),
                 bytes: bytes.clone(),
@@ -147,7 +153,7 @@
         MemberStatus {
             starts: self.starts,
             instance: self.settings.instance,
-            up_ms: self.up(now).as_millis() as u64,
+            up_ms: self.uptime(now).as_millis() as u64,
             ended_cleanly: self.evidence.ended_cleanly(),
             at_full_service: self.phase == RecoveryPhase::FullService,
         }
@@ -155,37 +161,37 @@
 
     fn request_status(&mut self, now: Duration, name: &str) {
         let status = self.status(now);
-        let Some(asked) = self.asked.get_mut(name) else {
+        let Some(asked) = self.asked_members.get_mut(name) else {
             return;
         };
-        if asked.is_silent() && asked.next_request <= now {
-            asked.next_request = now + ASK_INTERVAL;
+        if asked.is_silent() && asked.next_request_at <= now {
+            asked.next_request_at = now + STATUS_REQUEST_INTERVAL;
             self.send(name, &RecoveryMessage::StatusRequest { status });
         }
     }
 
-    /// Asks those that were met and have not answered.
-    pub(super) fn request_missing_answers(&mut self, now: Duration) {
-        let names: Vec<String> = self.met.iter().cloned().collect();
+    /// Asks the members that were seen alive and have not answered for their status.
+    pub(super) fn request_missing_statuses(&mut self, now: Duration) {
+        let names: Vec<String> = self.seen_members.iter().cloned().collect();
         for name in names {
             self.request_status(now, &name);
         }
     }
 
-    /// When a member is asked again.
-    pub(super) fn next_requests(&self) -> impl Iterator<Item = Duration> {
-        self.asked
+    /// The times at which members that have not answered are asked again.
+    pub(super) fn next_status_requests(&self) -> impl Iterator<Item = Duration> {
+        self.asked_members
             .iter()
-            .filter(|(name, asked)| asked.is_silent() && self.met.contains(*name))
-            .map(|(_, asked)| asked.next_request)
+            .filter(|(name, asked)| asked.is_silent() && self.seen_members.contains(*name))
+            .map(|(_, asked)| asked.next_request_at)
     }
 
-    fn answer(&mut self, now: Duration, from: &str, status: &MemberStatus) {
+    fn answer_status_request(&mut self, now: Duration, from: &str, status: &MemberStatus) {
         let known_start = self.remember_start(from, status);
-        let seen = self.reported_checkpoints.get(from);
-        let known_checkpoint = seen
-            .filter(|seen| seen.start == known_start)
-            .map_or(0, |seen| seen.checkpoint);
+        let reported = self.reported_checkpoints.get(from);
+        let known_checkpoint = reported
+            .filter(|reported| reported.start == known_start)
+            .map_or(0, |reported| reported.checkpoint);
         let response = RecoveryMessage::StatusResponse {
             status: self.status(now),
             known_start,
@@ -194,13 +200,13 @@
         self.send(from, &response);
     }
 
-    fn handle_answer(&mut self, now: Duration, from: &str, answer: MemberAnswer) {
+    fn handle_status_response(&mut self, now: Duration, from: &str, answer: MemberAnswer) {
         self.remember_start(from, &answer.status);
-        if let Some(asked) = self.asked.get_mut(from).filter(|asked| asked.is_silent()) {
+        if let Some(asked) = self.asked_members.get_mut(from).filter(|asked| asked.is_silent()) {
             asked.answer = Some(answer);
         }
         self.classify_if_ready(now);
-        self.begin_ramp_if_certain(now);
+        self.begin_ramp_if_mass_failure_proven(now);
     }
 
     fn send(&mut self, to: &str, message: &RecoveryMessage) {
@@ -210,42 +216,44 @@
         });
     }
 
-    /// Remembers a member's present start. Returns the highest start that it had reported before that one; 0: none.
+    /// Remembers a member's current start. Returns the highest number of starts that the member had reported
+    /// before it; 0: none.
     fn remember_start(&mut self, name: &str, status: &MemberStatus) -> u64 {
-        if !self.reported_starts.contains_key(name) && self.reported_starts.len() >= MAX_SEEN {
+        if !self.reported_starts.contains_key(name) && self.reported_starts.len() >= MAX_REMEMBERED_MEMBERS {
             return 0;
         }
-        let seen = self.reported_starts.entry(name.to_owned()).or_default();
-        let highest = status.starts.max(*seen);
-        // The instance identifies a start however often it asks; its number may be used twice, after a restored copy.
-        let present = self.present_starts.get(name);
-        let start_before = match present.filter(|present| present.instance == status.instance) {
-            Some(present) => present.start_before,
-            None => *seen,
+        let reported = self.reported_starts.entry(name.to_owned()).or_default();
+        let highest = status.starts.max(*reported);
+        // A start sends several requests, and its number may be used again after the folder was restored from
+        // a copy: only the instance identifies it.
+        let current = self.current_starts.get(name);
+        let previous_start = match current.filter(|current| current.instance == status.instance) {
+            Some(current) => current.previous_start,
+            None => *reported,
         };
-        *seen = highest;
-        let present = PresentStart {
+        *reported = highest;
+        let current = CurrentStart {
             instance: status.instance,
-            start_before,
+            previous_start,
         };
-        self.present_starts.insert(name.to_owned(), present);
-        start_before
+        self.current_starts.insert(name.to_owned(), current);
+        previous_start
     }
 
-    fn remember_checkpoint(&mut self, name: &str, reported: CheckpointNumber) {
+    fn remember_checkpoint(&mut self, name: &str, checkpoint: CheckpointNumber) {
         let is_known = self.reported_checkpoints.contains_key(name);
-        if is_known || self.reported_checkpoints.len() < MAX_SEEN {
-            let seen = self.reported_checkpoints.entry(name.to_owned()).or_default();
-            *seen = (*seen).max(reported);
+        if is_known || self.reported_checkpoints.len() < MAX_REMEMBERED_MEMBERS {
+            let latest = self.reported_checkpoints.entry(name.to_owned()).or_default();
+            *latest = (*latest).max(checkpoint);
         }
     }
 
-    /// Members whose answers the classification waits for.
+    /// Members whose status responses the classification waits for.
     pub(super) fn awaited_members(&self) -> Vec<String> {
         if self.classification.is_some() {
             return Vec::new();
         }
-        self.asked
+        self.asked_members
             .iter()
             .filter(|(_, asked)| asked.is_silent())
             .map(|(name, _)| name.clone())
@@ -253,17 +261,18 @@
     }
 
     fn answers(&self) -> Vec<MemberAnswer> {
-        let answers = self.asked.values().map(|asked| asked.answer.clone());
+        let answers = self.asked_members.values().map(|asked| asked.answer.clone());
         answers.flatten().collect()
     }
 
-    /// Classifies the restart once all have answered or the time for it is over.
+    /// Classifies the restart if all asked members have answered or the classification timeout has passed.
     pub(super) fn classify_if_ready(&mut self, now: Duration) {
         if self.classification.is_some() {
             return;
         }
-        let has_all_answers = !self.asked.is_empty() && self.asked.values().all(|asked| !asked.is_silent());
-        // Where no member was known, those that have answered may not be all.
+        let has_all_answers =
+            !self.asked_members.is_empty() && self.asked_members.values().all(|asked| !asked.is_silent());
+        // Where no member was known before the start, further members may still be seen.
         let min_wait = if self.evidence.known_members.is_empty() {
             self.settings.classification_timeout / 2
         } else {
@@ -275,48 +284,51 @@
         }
     }
 
-    /// Where the answers so far prove a mass failure, the ramp begins before all have answered.
-    fn begin_ramp_if_certain(&mut self, now: Duration) {
+    /// Begins the admission ramp before all members have answered, if the answers so far prove a mass
+    /// failure.
+    fn begin_ramp_if_mass_failure_proven(&mut self, now: Duration) {
         if self.classification.is_some() || self.ramp.is_some() {
             return;
         }
         let answers = self.answers();
-        let asked = self.asked.len();
-        if classification::proves_mass_failure(&self.evidence, &answers, asked, self.up(now)) {
-            self.begin_mass_recovery(now);
+        let asked = self.asked_members.len();
+        if classification::proves_mass_failure(&self.evidence, &answers, asked, self.uptime(now)) {
+            self.begin_mass_failure_recovery(now);
         }
     }
 
-    /// Begins the ramp, and schedules measurements to be restored once the slow-start window has passed since the last run:
-    /// that ended before this start, and before the machine's boot if it was rebooted.
-    fn begin_mass_recovery(&mut self, now: Duration) {
+    /// Begins the admission ramp, and schedules the restore of measurements for when the slow-start window
+    /// has passed since the last run. The last run ended before this start, and before the machine's boot if
+    /// it was rebooted.
+    fn begin_mass_failure_recovery(&mut self, now: Duration) {
         if self.settings.admission_ramp && self.ramp.is_none() {
             self.ramp = Some(AdmissionRamp::new(now, self.settings.instance));
         }
-        if self.measurements_scheduled {
+        if self.measurement_restore_scheduled {
             return;
         }
-        self.measurements_scheduled = true;
-        let down_before_start = if self.evidence.machine_stayed_up() {
+        self.measurement_restore_scheduled = true;
+        let downtime_before_start = if self.evidence.machine_stayed_up() {
             Duration::ZERO
         } else {
             self.evidence.clock_at_start.since_boot
         };
         let window = self.settings.slow_start_window;
-        let window_end = self.started_at + window.saturating_sub(down_before_start);
+        let window_end = self.started_at + window.saturating_sub(downtime_before_start);
         self.restore_measurements_at = Some(now.max(window_end));
     }
 
+    /// Classifies the restart by the answers so far and enters the phase that follows.
     pub(super) fn classify(&mut self, now: Duration) {
         let answers = self.answers();
-        let silent = self.asked.len() - answers.len();
-        let classification = classification::classify(&self.evidence, &answers, silent, self.up(now));
-        // The number of a start that other members know of is not used again.
+        let silent = self.asked_members.len() - answers.len();
+        let classification = classification::classify(&self.evidence, &answers, silent, self.uptime(now));
+        // A start number that another member knows of must not be used again.
         self.starts = self.starts.max(classification.latest_start + 1);
         let is_mass_failure = classification.kind == RestartKind::MassFailure;
         if is_mass_failure {
             self.mass_failure_ended_at = Some(self.started_at);
-            self.begin_mass_recovery(now);
+            self.begin_mass_failure_recovery(now);
         }
         if !is_mass_failure || classification.disk != DiskState::Intact {
             self.restore_measurements_at = None;
@@ -329,6 +341,6 @@
         self.outputs
             .push(RecoveryOutput::Classified(classification.clone()));
         self.classification = Some(classification);
-        self.enter(now, phase);
+        self.enter_phase(now, phase);
     }
 }
