--- a/crates/quartzdrift-http/src/client.rs
+++ b/crates/quartzdrift-http/src/client.rs
@@ -3,7 +3,7 @@
 use crate::connection::{ClientConnection, ClientState, Connection, Role, without_framing};
 use crate::head::{self, Framing, ResponseHead};
 use crate::http::{HasHttp, Http};
-use crate::messages::{CallId, Failure, HttpEvent, Outgoing, Response};
+use crate::messages::{CallFailure, CallId, HttpEvent, OutgoingRequest, Response};
 use crate::socket::Socket;
 use crate::sockets::SocketId;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 
 impl<S: HasHttp> Http<S> {
     /// Sends a request over a pooled or a new connection. Its result is reported as an event, never earlier.
-    pub fn call(&mut self, server: SocketAddr, request: Outgoing) -> CallId {
+    pub fn call(&mut self, server: SocketAddr, request: OutgoingRequest) -> CallId {
         self.last_call += 1;
         let call = CallId(self.last_call);
         self.start_call(server, call, request);
@@ -35,10 +35,10 @@
         // It may have ended a moment ago, with the event still in the queue.
         self.events.retain(|event| match event {
             HttpEvent::Response { call: ended, .. }
-            | HttpEvent::Part { call: ended, .. }
-            | HttpEvent::End { call: ended }
-            | HttpEvent::Failed { call: ended, .. } => *ended != call,
-            HttpEvent::Request { .. } | HttpEvent::Gone { .. } => true,
+            | HttpEvent::ResponsePart { call: ended, .. }
+            | HttpEvent::ResponseEnd { call: ended }
+            | HttpEvent::CallFailed { call: ended, .. } => *ended != call,
+            HttpEvent::Request { .. } | HttpEvent::ClientDisconnected { .. } => true,
         });
     }
 
@@ -49,7 +49,7 @@
         idle.into_iter().for_each(|id| self.close(id));
     }
 
-    fn start_call(&mut self, server: SocketAddr, call: CallId, request: Outgoing) {
+    fn start_call(&mut self, server: SocketAddr, call: CallId, request: OutgoingRequest) {
         while let Some(id) = self.take_idle(server) {
             if self.is_usable(id) {
                 return self.start_call_on(id, call, request);
@@ -58,8 +58,8 @@
         }
         let open = self.pools.get(&server).map_or(0, |pool| pool.open);
         if open >= self.limits.connections_per_server {
-            let failure = Failure::ConnectionLimit;
-            return self.events.push_back(HttpEvent::Failed { call, failure });
+            let failure = CallFailure::ConnectionLimit;
+            return self.events.push_back(HttpEvent::CallFailed { call, failure });
         }
         self.start_call_on_new_connection(server, call, request);
     }
@@ -77,7 +77,7 @@
             .is_some_and(|socket| !socket.ended() && socket.input.is_empty())
     }
 
-    fn start_call_on(&mut self, id: SocketId, call: CallId, request: Outgoing) {
+    fn start_call_on(&mut self, id: SocketId, call: CallId, request: OutgoingRequest) {
         let Some(socket) = self.sockets.get_mut(id) else {
             return;
         };
@@ -86,7 +86,7 @@
             return;
         };
         client.call = Some(call);
-        client.streams = request.streams;
+        client.streams = request.streams_response;
         client.request_position = position;
         client.state = ClientState::Head { scanned: 0 };
         let server = client.server;
@@ -99,13 +99,13 @@
         self.drive_client(id);
     }
 
-    fn start_call_on_new_connection(&mut self, server: SocketAddr, call: CallId, request: Outgoing) {
+    fn start_call_on_new_connection(&mut self, server: SocketAddr, call: CallId, request: OutgoingRequest) {
         let timeout = request.connect_timeout;
         let client = ClientConnection {
             server,
             call: Some(call),
             state: ClientState::Connecting,
-            streams: request.streams,
+            streams: request.streams_response,
             request: Some(request),
             request_position: 0,
         };
@@ -114,8 +114,8 @@
             role: Role::Client(client),
         };
         let Ok(id) = self.sockets.connect(server, connection) else {
-            let failure = Failure::Connect;
-            return self.events.push_back(HttpEvent::Failed { call, failure });
+            let failure = CallFailure::Connect;
+            return self.events.push_back(HttpEvent::CallFailed { call, failure });
         };
         self.opened += 1;
         self.pools.entry(server).or_default().open += 1;
@@ -124,9 +124,9 @@
     }
 
     /// Ends the call of a connection, and the connection.
-    pub(crate) fn fail_call(&mut self, id: SocketId, failure: Failure) {
+    pub(crate) fn fail_call(&mut self, id: SocketId, failure: CallFailure) {
         if let Some(call) = self.client_connection(id).and_then(|client| client.call) {
-            self.events.push_back(HttpEvent::Failed { call, failure });
+            self.events.push_back(HttpEvent::CallFailed { call, failure });
         }
         self.close(id);
     }
@@ -139,7 +139,7 @@
         if matches!(client.state, ClientState::Connecting) {
             match self.sockets.connected(id) {
                 Some(Ok(())) => self.connection_established(id),
-                Some(Err(_)) => return self.fail_call(id, Failure::Connect),
+                Some(Err(_)) => return self.fail_call(id, CallFailure::Connect),
                 None => return,
             }
         }
@@ -203,8 +203,8 @@
         match &client.state {
             ClientState::Body { reader, .. } if reader.is_complete_at_close() => self.response_complete(id),
             ClientState::Idle => self.close(id),
-            ClientState::Connecting => self.fail_call(id, Failure::Connect),
-            ClientState::Head { .. } | ClientState::Body { .. } => self.fail_call(id, Failure::Reset),
+            ClientState::Connecting => self.fail_call(id, CallFailure::Connect),
+            ClientState::Head { .. } | ClientState::Body { .. } => self.fail_call(id, CallFailure::Reset),
         }
     }
 
@@ -244,7 +244,7 @@
         is_silent
     }
 
-    fn parse_response_head(&mut self, id: SocketId) -> Result<Progress, Failure> {
+    fn parse_response_head(&mut self, id: SocketId) -> Result<Progress, CallFailure> {
         let Some(socket) = self.sockets.get_mut(id) else {
             return Ok(Progress::Wait);
         };
@@ -256,19 +256,19 @@
         };
         let end = head::head_end(&socket.input, scanned);
         if end.unwrap_or(socket.input.len()) > self.limits.head {
-            return Err(Failure::TooLarge);
+            return Err(CallFailure::TooLarge);
         }
         let Some(end) = end else {
             return Ok(Progress::Wait);
         };
-        let head = head::parse_response(&socket.input[..end]).map_err(|_| Failure::Malformed)?;
+        let head = head::parse_response(&socket.input[..end]).map_err(|_| CallFailure::Malformed)?;
         socket.input.drain(..end);
         if head.is_interim() {
             client.state = ClientState::Head { scanned: 0 };
             return Ok(Progress::Continue);
         }
         let reader =
-            BodyReader::new(head.framing, self.limits.response_body).map_err(|_| Failure::TooLarge)?;
+            BodyReader::new(head.framing, self.limits.response_body).map_err(|_| CallFailure::TooLarge)?;
         if let Some(call) = client.call.filter(|_| client.streams) {
             let response = Response {
                 status: head.status,
@@ -281,7 +281,7 @@
         Ok(Progress::Continue)
     }
 
-    fn parse_response_body(&mut self, id: SocketId) -> Result<Progress, Failure> {
+    fn parse_response_body(&mut self, id: SocketId) -> Result<Progress, CallFailure> {
         let Some(socket) = self.sockets.get_mut(id) else {
             return Ok(Progress::Wait);
         };
@@ -296,7 +296,7 @@
             && !reader.bytes.is_empty()
         {
             let bytes = std::mem::take(&mut reader.bytes);
-            self.events.push_back(HttpEvent::Part { call, bytes });
+            self.events.push_back(HttpEvent::ResponsePart { call, bytes });
         }
         let is_complete = reader.is_complete();
         socket.consume(used);
@@ -334,7 +334,7 @@
             ..
         } = head;
         let event = if streams {
-            HttpEvent::End { call }
+            HttpEvent::ResponseEnd { call }
         } else {
             let body = reader.bytes;
             let response = Response {
@@ -353,7 +353,7 @@
     }
 }
 
-fn write_request(out: &mut Vec<u8>, server: SocketAddr, request: &Outgoing) {
+fn write_request(out: &mut Vec<u8>, server: SocketAddr, request: &OutgoingRequest) {
     let mut headers = without_framing(&request.headers);
     if headers.get("host").is_none() {
         headers.push("host", &server.to_string());
@@ -366,9 +366,9 @@
     out.extend_from_slice(&request.body);
 }
 
-fn body_failure(error: BodyError) -> Failure {
+fn body_failure(error: BodyError) -> CallFailure {
     match error {
-        BodyError::TooLarge => Failure::TooLarge,
-        BodyError::Malformed => Failure::Malformed,
+        BodyError::TooLarge => CallFailure::TooLarge,
+        BodyError::Malformed => CallFailure::Malformed,
     }
 }
--- a/crates/quartzdrift-http/src/connection.rs
+++ b/crates/quartzdrift-http/src/connection.rs
@@ -1,7 +1,7 @@
 //! The state of one connection, as a server or as a client. What is done with it is in `server.rs` and `client.rs`.
 use crate::body::BodyReader;
 use crate::head::{Headers, RequestHead, ResponseHead};
-use crate::messages::{CallId, Outgoing};
+use crate::messages::{CallId, OutgoingRequest};
 use std::net::SocketAddr;
 
 /// Headers that are set here and never passed on.
@@ -53,7 +53,7 @@
     pub(crate) call: Option<CallId>,
     pub(crate) state: ClientState,
     /// Kept until its first byte was sent, for another connection if this one turns out to be closed.
-    pub(crate) request: Option<Outgoing>,
+    pub(crate) request: Option<OutgoingRequest>,
     /// The position of the request's first byte in all that the socket sends.
     pub(crate) request_position: u64,
     pub(crate) streams: bool,
--- a/crates/quartzdrift-http/src/http.rs
+++ b/crates/quartzdrift-http/src/http.rs
@@ -1,7 +1,7 @@
 //! All HTTP connections of one event loop.
 use crate::connection::{ClientState, Connection, Role, ServerState};
 use crate::limits::Limits;
-use crate::messages::{CallId, Failure, HttpEvent, RequestError};
+use crate::messages::{CallFailure, CallId, HttpEvent, RequestError};
 use crate::sockets::{SocketId, Sockets};
 use calloop::LoopHandle;
 use std::collections::{HashMap, VecDeque};
@@ -136,7 +136,7 @@
             }
             Role::Server(_) => self.client_lost(id),
             Role::Client(client) => match client.state {
-                ClientState::Connecting => self.fail_call(id, Failure::Connect),
+                ClientState::Connecting => self.fail_call(id, CallFailure::Connect),
                 ClientState::Idle => self.close(id),
                 // Calls are ended by their owner.
                 ClientState::Head { .. } | ClientState::Body { .. } => {}
--- a/crates/quartzdrift-http/src/lib.rs
+++ b/crates/quartzdrift-http/src/lib.rs
@@ -23,4 +23,6 @@
 pub use http::{HasHttp, Http};
 pub use limits::Limits;
 pub use listener::bind;
-pub use messages::{CallId, Exchange, Failure, HttpEvent, Outgoing, Request, RequestError, Response};
+pub use messages::{
+    CallFailure, CallId, Exchange, HttpEvent, OutgoingRequest, Request, RequestError, Response,
+};
--- a/crates/quartzdrift-http/src/messages.rs
+++ b/crates/quartzdrift-http/src/messages.rs
@@ -25,9 +25,9 @@
     /// Its body.
     pub body: Vec<u8>,
     /// The client's address.
-    pub from: Option<SocketAddr>,
+    pub client_address: Option<SocketAddr>,
     /// The address at which the client connected.
-    pub at: Option<SocketAddr>,
+    pub local_address: Option<SocketAddr>,
 }
 
 /// A response, to a client or from a server.
@@ -43,7 +43,7 @@
 
 /// A request to a server.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// The method.
     pub method: &'static str,
     /// Path and query.
@@ -54,8 +54,8 @@
     pub body: Rc<[u8]>,
     /// A connection that is not established within this time counts as refused.
     pub connect_timeout: Duration,
-    /// Whether the response's body is reported in parts ([`HttpEvent::Part`]) rather than with the response.
-    pub streams: bool,
+    /// Whether the response's body is reported in parts ([`HttpEvent::ResponsePart`]) rather than with the response.
+    pub streams_response: bool,
 }
 
 /// What a peer did.
@@ -69,7 +69,7 @@
         request: Result<Request, RequestError>,
     },
     /// The client left before it was answered, or before a streamed response ended.
-    Gone {
+    ClientDisconnected {
         /// The exchange that is over.
         exchange: Exchange,
     },
@@ -81,23 +81,23 @@
         response: Response,
     },
     /// A part of a streamed response's body.
-    Part {
+    ResponsePart {
         /// The call.
         call: CallId,
         /// The bytes.
         bytes: Vec<u8>,
     },
     /// A streamed response is complete.
-    End {
+    ResponseEnd {
         /// The call.
         call: CallId,
     },
     /// A call ended without a complete response.
-    Failed {
+    CallFailed {
         /// The call.
         call: CallId,
         /// How it ended.
-        failure: Failure,
+        failure: CallFailure,
     },
 }
 
@@ -118,7 +118,7 @@
 
 /// How a call to a server ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum CallFailure {
     /// No connection was established: nothing was sent.
     Connect,
     /// As many connections to this server as the limits allow are in use: nothing was sent.
--- a/crates/quartzdrift-http/src/server.rs
+++ b/crates/quartzdrift-http/src/server.rs
@@ -163,7 +163,7 @@
         let connection = &socket.state;
         if let Role::Server(ServerState::AwaitsResponse(_) | ServerState::Streaming(_)) = connection.role {
             let exchange = connection.exchange(id);
-            self.events.push_back(HttpEvent::Gone { exchange });
+            self.events.push_back(HttpEvent::ClientDisconnected { exchange });
         }
         self.close(id);
     }
@@ -325,12 +325,17 @@
         let received = Role::Server(ServerState::AwaitsResponse(mode));
         let role = std::mem::replace(&mut socket.state.role, received);
         let exchange = socket.state.exchange(id);
-        let from = socket.peer();
-        let at = socket.local();
+        let client_address = socket.peer();
+        let local_address = socket.local();
         socket.consume(used);
         if let Role::Server(ServerState::Body { head, reader }) = role {
             let body = reader.bytes;
-            let request = Ok(Request { head, body, from, at });
+            let request = Ok(Request {
+                head,
+                body,
+                client_address,
+                local_address,
+            });
             self.events.push_back(HttpEvent::Request { exchange, request });
         }
         self.sockets.set_deadline(id, None);
--- a/crates/quartzdrift-http/tests/sockets.rs
+++ b/crates/quartzdrift-http/tests/sockets.rs
@@ -3,8 +3,8 @@
 
 use calloop::EventLoop;
 use quartzdrift_http::{
-    CallId, Exchange, Failure, HasHttp, Headers, Http, HttpEvent, Limits, Outgoing, Request, RequestError,
-    Response, sockets,
+    CallFailure, CallId, Exchange, HasHttp, Headers, Http, HttpEvent, Limits, OutgoingRequest, Request,
+    RequestError, Response, sockets,
 };
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -89,13 +89,13 @@
     fn call(&mut self, to: SocketAddr) -> CallId {
         let connect_timeout = Duration::from_secs(5);
         let (target, body) = ("/x".to_owned(), Rc::from(&b"payload"[..]));
-        let request = Outgoing {
+        let request = OutgoingRequest {
             method: "POST",
             target,
             headers: Headers::new(),
             body,
             connect_timeout,
-            streams: false,
+            streams_response: false,
         };
         self.state.0.call(to, request)
     }
@@ -227,7 +227,7 @@
     let client = stage.client(b"GET / HTTP/1.1\r\n\r\n");
     let (exchange, _) = stage.request();
     drop(client);
-    assert!(matches!(stage.next(), HttpEvent::Gone { exchange: gone } if gone == exchange));
+    assert!(matches!(stage.next(), HttpEvent::ClientDisconnected { exchange: gone } if gone == exchange));
     stage.state.0.respond(exchange, &answer("late"));
     assert_eq!(stage.state.0.clients(), 0);
 }
@@ -278,7 +278,9 @@
     let nobody = free.local_addr().unwrap();
     drop(free);
     let call = stage.call(nobody);
-    assert!(matches!(stage.next(), HttpEvent::Failed { call: of, failure: Failure::Connect } if of == call));
+    assert!(
+        matches!(stage.next(), HttpEvent::CallFailed { call: of, failure: CallFailure::Connect } if of == call)
+    );
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = server.local_addr().unwrap();
     let reader = std::thread::spawn(move || {
@@ -286,7 +288,9 @@
         read_some(&mut stream, "payload");
     });
     let call = stage.call(at);
-    assert!(matches!(stage.next(), HttpEvent::Failed { call: of, failure: Failure::Reset } if of == call));
+    assert!(
+        matches!(stage.next(), HttpEvent::CallFailed { call: of, failure: CallFailure::Reset } if of == call)
+    );
     reader.join().unwrap();
     // Nothing is left of either: taking them back is no mistake.
     stage.state.0.cancel(call);
@@ -323,13 +327,13 @@
     for (said, expected) in [
         (
             &b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"[..],
-            Failure::Reset,
+            CallFailure::Reset,
         ),
         (
             b"HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n",
-            Failure::TooLarge,
+            CallFailure::TooLarge,
         ),
-        (b"HTTP/2 what\r\n\r\n", Failure::Malformed),
+        (b"HTTP/2 what\r\n\r\n", CallFailure::Malformed),
     ] {
         let mut stage = Stage::new(Limits {
             response_body: 50,
@@ -344,7 +348,7 @@
         });
         stage.call(at);
         match stage.next() {
-            HttpEvent::Failed { failure, .. } => assert_eq!(failure, expected),
+            HttpEvent::CallFailed { failure, .. } => assert_eq!(failure, expected),
             other => panic!("{other:?}"),
         }
         serving.join().unwrap();
--- a/crates/quartzdrift-lab/src/clients.rs
+++ b/crates/quartzdrift-lab/src/clients.rs
@@ -5,7 +5,9 @@
 use crate::script::RequestClass;
 use crate::traffic::{self, Arrival};
 use calloop::LoopHandle;
-use quartzdrift_http::{CallId, Failure, HasHttp, Headers, Http, HttpEvent, Limits, Outgoing, Response};
+use quartzdrift_http::{
+    CallFailure, CallId, HasHttp, Headers, Http, HttpEvent, Limits, OutgoingRequest, Response,
+};
 use quartzdrift_invoke::request;
 use quartzdrift_scheduler::interface::Idempotency;
 use rand::rngs::StdRng;
@@ -171,13 +173,13 @@
         if request_class.idempotency == Idempotency::IdempotentWithKey {
             headers.push("idempotency-key", &of.key);
         }
-        let request = Outgoing {
+        let request = OutgoingRequest {
             method: "POST",
             target: request::target(&of.function),
             headers,
             body: payload.into_bytes().into(),
             connect_timeout: Duration::from_secs(1),
-            streams: false,
+            streams_response: false,
         };
         self.drawn += 1;
         of.call = self.drawn;
@@ -252,20 +254,20 @@
                 self.answered(of, &response);
                 self.open.fetch_sub(1, Ordering::Relaxed);
             }
-            HttpEvent::Failed { call, failure } => {
+            HttpEvent::CallFailed { call, failure } => {
                 let Some(of) = self.out.remove(&call) else { return };
                 self.recorder.see(Seen::Cut { call: of.call });
                 self.count(|tally| tally.no_answer += 1);
                 // Nobody was there: the call never reached a gateway, so that trying another is harmless.
-                if failure == Failure::Connect {
+                if failure == CallFailure::Connect {
                     self.again(of, Duration::from_millis(50));
                 }
                 self.open.fetch_sub(1, Ordering::Relaxed);
             }
             HttpEvent::Request { .. }
-            | HttpEvent::Gone { .. }
-            | HttpEvent::Part { .. }
-            | HttpEvent::End { .. } => {}
+            | HttpEvent::ClientDisconnected { .. }
+            | HttpEvent::ResponsePart { .. }
+            | HttpEvent::ResponseEnd { .. } => {}
         }
     }
 
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -178,11 +178,11 @@
                     },
                 ),
             },
-            HttpEvent::Gone { exchange } => self.streams.retain(|(of, _)| *of != exchange),
+            HttpEvent::ClientDisconnected { exchange } => self.streams.retain(|(of, _)| *of != exchange),
             HttpEvent::Response { .. }
-            | HttpEvent::Part { .. }
-            | HttpEvent::End { .. }
-            | HttpEvent::Failed { .. } => {}
+            | HttpEvent::ResponsePart { .. }
+            | HttpEvent::ResponseEnd { .. }
+            | HttpEvent::CallFailed { .. } => {}
         }
     }
 
--- a/crates/quartzdrift-lab/src/load.rs
+++ b/crates/quartzdrift-lab/src/load.rs
@@ -4,7 +4,7 @@
 use crate::traffic::{self, Arrival};
 use calloop::LoopHandle;
 use hdrhistogram::Histogram;
-use quartzdrift_http::{CallId, HasHttp, Headers, Http, HttpEvent, Limits, Outgoing, Response};
+use quartzdrift_http::{CallId, HasHttp, Headers, Http, HttpEvent, Limits, OutgoingRequest, Response};
 use quartzdrift_invoke::request;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -167,13 +167,13 @@
         if self.plan.asynchronous {
             headers.push("x-amz-invocation-type", "Event");
         }
-        let request = Outgoing {
+        let request = OutgoingRequest {
             method: "POST",
             target,
             headers,
             body: self.payload.clone(),
             connect_timeout: self.plan.timeout,
-            streams: false,
+            streams_response: false,
         };
         let to = self.plan.to[self.sent % self.plan.to.len()];
         self.sent += 1;
@@ -210,11 +210,11 @@
     fn event(&mut self, event: HttpEvent) {
         match event {
             HttpEvent::Response { call, response } => self.over(call, outcome(&response)),
-            HttpEvent::Failed { call, .. } => self.over(call, "no-answer"),
+            HttpEvent::CallFailed { call, .. } => self.over(call, "no-answer"),
             HttpEvent::Request { .. }
-            | HttpEvent::Gone { .. }
-            | HttpEvent::Part { .. }
-            | HttpEvent::End { .. } => {}
+            | HttpEvent::ClientDisconnected { .. }
+            | HttpEvent::ResponsePart { .. }
+            | HttpEvent::ResponseEnd { .. } => {}
         }
     }
 
--- a/crates/quartzdrift-lab/src/naive.rs
+++ b/crates/quartzdrift-lab/src/naive.rs
@@ -5,7 +5,7 @@
 use quartzdrift::settings::Settings;
 use quartzdrift_discovery::list;
 use quartzdrift_http::{
-    CallId, Exchange, HasHttp, Headers, Http, HttpEvent, Limits, Outgoing, Request, Response,
+    CallId, Exchange, HasHttp, Headers, Http, HttpEvent, Limits, OutgoingRequest, Request, Response,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -46,15 +46,21 @@
 }
 
 impl Naive {
-    fn outgoing(&self, method: &'static str, target: String, headers: Headers, body: Rc<[u8]>) -> Outgoing {
+    fn outgoing(
+        &self,
+        method: &'static str,
+        target: String,
+        headers: Headers,
+        body: Rc<[u8]>,
+    ) -> OutgoingRequest {
         let connect_timeout = Duration::from_millis(250);
-        Outgoing {
+        OutgoingRequest {
             method,
             target,
             headers,
             body,
             connect_timeout,
-            streams: false,
+            streams_response: false,
         }
     }
 
@@ -146,11 +152,11 @@
                     .collect();
             }
             HttpEvent::Response { call, response } => self.ended(call, Some(response)),
-            HttpEvent::Failed { call, .. } => self.ended(call, None),
+            HttpEvent::CallFailed { call, .. } => self.ended(call, None),
             HttpEvent::Request { .. }
-            | HttpEvent::Gone { .. }
-            | HttpEvent::Part { .. }
-            | HttpEvent::End { .. } => {}
+            | HttpEvent::ClientDisconnected { .. }
+            | HttpEvent::ResponsePart { .. }
+            | HttpEvent::ResponseEnd { .. } => {}
         }
     }
 
--- a/crates/quartzdrift-lab/src/store.rs
+++ b/crates/quartzdrift-lab/src/store.rs
@@ -195,7 +195,7 @@
                 exchange,
                 request: Err(_),
             } => self.say(exchange, 400),
-            HttpEvent::Gone { exchange } => {
+            HttpEvent::ClientDisconnected { exchange } => {
                 let of = self
                     .open
                     .iter()
@@ -207,9 +207,9 @@
                 }
             }
             HttpEvent::Response { .. }
-            | HttpEvent::Part { .. }
-            | HttpEvent::End { .. }
-            | HttpEvent::Failed { .. } => {}
+            | HttpEvent::ResponsePart { .. }
+            | HttpEvent::ResponseEnd { .. }
+            | HttpEvent::CallFailed { .. } => {}
         }
     }
 
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -5,7 +5,7 @@
 use crate::record::{Recorder, Seen};
 use calloop::LoopHandle;
 use quartzdrift_http::{
-    CallId, Exchange, HasHttp, Headers, Http, HttpEvent, Limits, Outgoing, Request, Response,
+    CallId, Exchange, HasHttp, Headers, Http, HttpEvent, Limits, OutgoingRequest, Request, Response,
 };
 use quartzdrift_invoke::load_report::{self, LoadReport};
 use quartzdrift_invoke::models::{self, ModelRequest};
@@ -443,13 +443,13 @@
             let at = self.now() + takes;
             return self.local_fetches.push((at, load));
         };
-        let request = Outgoing {
+        let request = OutgoingRequest {
             method: "GET",
             target: format!("/{function}?us={}", takes.as_micros()),
             headers: Headers::new(),
             body: Rc::from([]),
             connect_timeout: Duration::from_secs(2),
-            streams: false,
+            streams_response: false,
         };
         let call = self.http.call(store, request);
         self.fetches.insert(call, load);
@@ -544,7 +544,7 @@
                 exchange,
                 request: Err(_),
             } => self.say(exchange, 400, Headers::new(), Vec::new()),
-            HttpEvent::Gone { exchange } => {
+            HttpEvent::ClientDisconnected { exchange } => {
                 let Some(&id) = self.by_exchange.get(&exchange) else {
                     return;
                 };
@@ -570,14 +570,14 @@
                     self.act();
                 }
             }
-            HttpEvent::Failed { call, .. } => {
+            HttpEvent::CallFailed { call, .. } => {
                 if let Some(load) = self.fetches.remove(&call) {
                     let now = self.now();
                     self.model.fetched(now, load, false);
                     self.act();
                 }
             }
-            HttpEvent::Part { .. } | HttpEvent::End { .. } => {}
+            HttpEvent::ResponsePart { .. } | HttpEvent::ResponseEnd { .. } => {}
         }
     }
 
--- a/crates/quartzdrift/src/gateway/call_events.rs
+++ b/crates/quartzdrift/src/gateway/call_events.rs
@@ -2,7 +2,7 @@
 //! the table in `quartzdrift_invoke::outcome`.
 use super::Gateway;
 use super::calls::{AttemptCall, CallPurpose};
-use quartzdrift_http::{CallId, Exchange, Failure, Headers, Response};
+use quartzdrift_http::{CallFailure, CallId, Exchange, Headers, Response};
 use quartzdrift_invoke::load_report::{self, LoadReport};
 use quartzdrift_invoke::models;
 use quartzdrift_invoke::outcome::{self, CallResult};
@@ -104,7 +104,7 @@
     }
 
     /// A call ended without a complete response.
-    pub(super) fn call_failed(&mut self, call: CallId, failure: Failure) {
+    pub(super) fn call_failed(&mut self, call: CallId, failure: CallFailure) {
         let outcome = outcome::outcome(observed(failure));
         match self.calls.remove(&call) {
             Some(CallPurpose::Attempt(failed)) => self.attempt_failed(&failed, failure, outcome),
@@ -119,7 +119,7 @@
         }
     }
 
-    fn attempt_failed(&mut self, failed: &AttemptCall, failure: Failure, outcome: Outcome) {
+    fn attempt_failed(&mut self, failed: &AttemptCall, failure: CallFailure, outcome: Outcome) {
         let AttemptCall {
             request,
             attempt,
@@ -196,11 +196,11 @@
     })
 }
 
-fn observed(failure: Failure) -> CallResult<'static> {
+fn observed(failure: CallFailure) -> CallResult<'static> {
     match failure {
-        Failure::Connect => CallResult::ConnectFailed,
-        Failure::ConnectionLimit => CallResult::NoConnectionAvailable,
-        Failure::Reset => CallResult::ConnectionClosed,
-        Failure::Malformed | Failure::TooLarge => CallResult::InvalidResponse,
+        CallFailure::Connect => CallResult::ConnectFailed,
+        CallFailure::ConnectionLimit => CallResult::NoConnectionAvailable,
+        CallFailure::Reset => CallResult::ConnectionClosed,
+        CallFailure::Malformed | CallFailure::TooLarge => CallResult::InvalidResponse,
     }
 }
--- a/crates/quartzdrift/src/gateway/destinations.rs
+++ b/crates/quartzdrift/src/gateway/destinations.rs
@@ -2,7 +2,7 @@
 use super::{CallPurpose, Gateway};
 use crate::settings::destination;
 use quartzdrift_async_queue::{CompletedInvocation, Destination, Invocation};
-use quartzdrift_http::{Headers, Outgoing, Response};
+use quartzdrift_http::{Headers, OutgoingRequest, Response};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -57,13 +57,13 @@
                 "a record for a destination was lost"
             );
         }
-        let request = Outgoing {
+        let request = OutgoingRequest {
             method: "POST",
             target: event.target.clone(),
             headers: Headers::new().with("content-type", "application/json"),
             body: event.body.clone(),
             connect_timeout: self.settings.connect_timeout,
-            streams: false,
+            streams_response: false,
         };
         let call = self.http.call(event.address, request);
         let event = DestinationEvent {
--- a/crates/quartzdrift/src/gateway/discovery.rs
+++ b/crates/quartzdrift/src/gateway/discovery.rs
@@ -4,7 +4,7 @@
 use quartzdrift_discovery::list::ListError;
 use quartzdrift_discovery::stream::{EventReader, ServerSentEvent};
 use quartzdrift_discovery::{DiscoveredEndpoint, ListDecision, list};
-use quartzdrift_http::{CallId, Headers, Outgoing};
+use quartzdrift_http::{CallId, Headers, OutgoingRequest};
 use quartzdrift_scheduler::interface::{DiscoveryMode, EndpointListKind};
 use std::rc::Rc;
 use std::time::Duration;
@@ -221,13 +221,13 @@
 
     fn call_source(&mut self, accept: &str, streams: bool, purpose: CallPurpose) -> Option<CallId> {
         let discovery = self.settings.discovery.as_ref()?;
-        let request = Outgoing {
+        let request = OutgoingRequest {
             method: "GET",
             target: discovery.target.clone(),
             headers: Headers::new().with("accept", accept),
             body: Rc::from([]),
             connect_timeout: discovery.timeout,
-            streams,
+            streams_response: streams,
         };
         let call = self.http.call(discovery.address, request);
         self.calls.insert(call, purpose);
--- a/crates/quartzdrift/src/gateway/event_loop.rs
+++ b/crates/quartzdrift/src/gateway/event_loop.rs
@@ -42,11 +42,11 @@
     fn handle_http(&mut self, event: HttpEvent) {
         match event {
             HttpEvent::Request { exchange, request } => self.request_received(exchange, request),
-            HttpEvent::Gone { exchange } => self.client_gone(exchange),
+            HttpEvent::ClientDisconnected { exchange } => self.client_gone(exchange),
             HttpEvent::Response { call, response } => self.response_received(call, response),
-            HttpEvent::Part { call, bytes } => self.part_received(call, bytes),
-            HttpEvent::End { call } => self.stream_ended(call),
-            HttpEvent::Failed { call, failure } => self.call_failed(call, failure),
+            HttpEvent::ResponsePart { call, bytes } => self.part_received(call, bytes),
+            HttpEvent::ResponseEnd { call } => self.stream_ended(call),
+            HttpEvent::CallFailed { call, failure } => self.call_failed(call, failure),
         }
     }
 
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -3,7 +3,7 @@
 use super::calls::{AttemptCall, CallPurpose};
 use super::{Gateway, RequestContext};
 use quartzdrift_discovery::list;
-use quartzdrift_http::{Headers, Outgoing};
+use quartzdrift_http::{Headers, OutgoingRequest};
 use quartzdrift_invoke::{models, request};
 use quartzdrift_lifecycle::AttemptResult;
 use quartzdrift_scheduler::interface::{Outcome, RequestId};
@@ -42,7 +42,7 @@
             // A connection that comes up later would carry the attempt too late.
             outgoing.connect_timeout = outgoing.connect_timeout.min(send_by - now);
         }
-        outgoing.streams = context.streaming_client().is_some();
+        outgoing.streams_response = context.streaming_client().is_some();
         let call = self.http.call(address, outgoing);
         tracing::trace!(request, attempt, %worker, %function, "attempt sent");
         let attempt_call = AttemptCall {
@@ -94,7 +94,7 @@
         }
     }
 
-    fn send_command(&mut self, worker: &str, outgoing: Outgoing, command: u64, purpose: CallPurpose) {
+    fn send_command(&mut self, worker: &str, outgoing: OutgoingRequest, command: u64, purpose: CallPurpose) {
         let Ok(address) = list::address(worker) else {
             return self
                 .request_table
@@ -111,17 +111,17 @@
         target: String,
         mut headers: Headers,
         body: Rc<[u8]>,
-    ) -> Outgoing {
+    ) -> OutgoingRequest {
         if let Some(me) = self.settings.scheduler.me {
             headers.push("x-quartzdrift-scheduler", &me.to_string());
         }
-        Outgoing {
+        OutgoingRequest {
             method,
             target,
             headers,
             body,
             connect_timeout: self.settings.connect_timeout,
-            streams: false,
+            streams_response: false,
         }
     }
 }
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -1,6 +1,6 @@
 //! Follows the list of workers: one long poll to the coordinator is always out, and its answers change the list.
 use super::Node;
-use quartzdrift_http::{CallId, Failure, Headers, Outgoing, Response};
+use quartzdrift_http::{CallFailure, CallId, Headers, OutgoingRequest, Response};
 use quartzdrift_platform::coordinator::{
     EndpointChange, EndpointUpdate, EndpointWatch, Reading, WatchError, WatchResponse,
 };
@@ -83,7 +83,7 @@
     #[error("status {0}")]
     Status(u16),
     #[error("no connection, or it ended before the answer did: {0:?}")]
-    Disconnected(Failure),
+    Disconnected(CallFailure),
     #[error("no answer in time")]
     TimedOut,
 }
@@ -205,13 +205,13 @@
 
     fn poll(&mut self) {
         let asked = self.coordinator.next_asked(self.now());
-        let request = Outgoing {
+        let request = OutgoingRequest {
             method: "GET",
             target: format!("/v2/stream?follow={}&wait_ms={}", asked, POLL_WAIT.as_millis()),
             headers: Headers::new(),
             body: Rc::from([]),
             connect_timeout: POLL_GRACE,
-            streams: false,
+            streams_response: false,
         };
         let call = self.http.call(self.coordinator.address, request);
         let sent_at = self.now();
@@ -341,7 +341,7 @@
     }
 
     /// A call over HTTP failed; all of them are polls.
-    pub(super) fn poll_error(&mut self, call: CallId, how: Failure) {
+    pub(super) fn poll_error(&mut self, call: CallId, how: CallFailure) {
         if self.coordinator.is_poll(call) {
             self.poll_failed(PollFailure::Disconnected(how));
         }
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -277,12 +277,12 @@
         for event in self.http.take_events() {
             match event {
                 HttpEvent::Response { call, response } => self.poll_answered(call, &response),
-                HttpEvent::Failed { call, failure } => self.poll_error(call, failure),
+                HttpEvent::CallFailed { call, failure } => self.poll_error(call, failure),
                 // Nobody calls here over HTTP, and no answer is streamed.
                 HttpEvent::Request { .. }
-                | HttpEvent::Gone { .. }
-                | HttpEvent::Part { .. }
-                | HttpEvent::End { .. } => {}
+                | HttpEvent::ClientDisconnected { .. }
+                | HttpEvent::ResponsePart { .. }
+                | HttpEvent::ResponseEnd { .. } => {}
             }
         }
     }
