--- a/crates/quartzdrift-http/src/client.rs
+++ b/crates/quartzdrift-http/src/client.rs
@@ -255,7 +255,7 @@
             return Ok(Progress::Wait);
         };
         let end = head::head_end(&socket.input, scanned);
-        if end.unwrap_or(socket.input.len()) > self.limits.head {
+        if end.unwrap_or(socket.input.len()) > self.limits.head_bytes {
             return Err(CallFailure::TooLarge);
         }
         let Some(end) = end else {
@@ -267,8 +267,8 @@
             client.state = ClientState::Head { scanned: 0 };
             return Ok(Progress::Continue);
         }
-        let reader =
-            BodyReader::new(head.framing, self.limits.response_body).map_err(|_| CallFailure::TooLarge)?;
+        let reader = BodyReader::new(head.framing, self.limits.response_body_bytes)
+            .map_err(|_| CallFailure::TooLarge)?;
         if let Some(call) = client.call.filter(|_| client.streams) {
             let response = Response {
                 status: head.status,
@@ -348,7 +348,8 @@
         if !keep_alive || has_leftovers {
             return self.close(id);
         }
-        self.sockets.set_deadline(id, Some(self.limits.keepalive));
+        self.sockets
+            .set_deadline(id, Some(self.limits.keep_alive_timeout));
         self.pools.entry(server).or_default().idle.push(id);
     }
 }
--- a/crates/quartzdrift-http/src/limits.rs
+++ b/crates/quartzdrift-http/src/limits.rs
@@ -5,37 +5,37 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Maximum bytes of the head of a request or response.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Maximum bytes of a request's body.
-    pub request_body: usize,
+    pub request_body_bytes: usize,
     /// Maximum bytes of a response's body, as a client.
-    pub response_body: usize,
+    pub response_body_bytes: usize,
     /// Maximum connections of clients.
     pub connections: usize,
     /// Maximum connections to one server.
     pub connections_per_server: usize,
     /// From the first byte of a request to the end of its head, and from there to the end of its body.
-    pub receive: Duration,
+    pub receive_timeout: Duration,
     /// Between two requests on a connection.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Without a byte of a response taken by the client.
-    pub send: Duration,
+    pub send_timeout: Duration,
     /// An idle connection to a server is closed after this time, which is less than servers allow.
-    pub keepalive: Duration,
+    pub keep_alive_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            head: 16 << 10,
-            request_body: 6 << 20,
-            response_body: 6 << 20,
+            head_bytes: 16 << 10,
+            request_body_bytes: 6 << 20,
+            response_body_bytes: 6 << 20,
             connections: 4096,
             connections_per_server: 1024,
-            receive: Duration::from_secs(20),
-            idle: Duration::from_secs(60),
-            send: Duration::from_secs(20),
-            keepalive: Duration::from_secs(15),
+            receive_timeout: Duration::from_secs(20),
+            idle_timeout: Duration::from_secs(60),
+            send_timeout: Duration::from_secs(20),
+            keep_alive_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/quartzdrift-http/src/server.rs
+++ b/crates/quartzdrift-http/src/server.rs
@@ -90,7 +90,8 @@
             }
         });
         if self.sockets.deadline(exchange.socket).is_none() {
-            self.sockets.set_deadline(exchange.socket, Some(self.limits.send));
+            self.sockets
+                .set_deadline(exchange.socket, Some(self.limits.send_timeout));
         }
         self.drive_server(exchange.socket);
         self.open_exchange(exchange).is_some()
@@ -129,7 +130,7 @@
             };
             if let Ok(id) = self.sockets.insert(stream, connection) {
                 self.clients += 1;
-                self.sockets.set_deadline(id, Some(self.limits.idle));
+                self.sockets.set_deadline(id, Some(self.limits.idle_timeout));
             }
         }
     }
@@ -239,7 +240,7 @@
                 self.sockets.set_deadline(id, Some(LINGER_TIME));
             }
             Role::Server(ServerState::Head { .. }) => {
-                self.sockets.set_deadline(id, Some(self.limits.idle));
+                self.sockets.set_deadline(id, Some(self.limits.idle_timeout));
             }
             Role::Server(ServerState::Streaming(_)) => self.sockets.set_deadline(id, None),
             Role::Server(_) | Role::Client(_) => {}
@@ -286,22 +287,22 @@
         }
         let is_first_part = *scanned == 0;
         let end = head::head_end(&socket.input, scanned);
-        if end.unwrap_or(socket.input.len()) > self.limits.head {
+        if end.unwrap_or(socket.input.len()) > self.limits.head_bytes {
             return Err(RequestError::HeadTooLarge);
         }
         let Some(end) = end else {
             // The time runs from the first byte, however slowly the others follow.
             if is_first_part {
-                self.sockets.set_deadline(id, Some(self.limits.receive));
+                self.sockets.set_deadline(id, Some(self.limits.receive_timeout));
             }
             return Ok(Progress::Wait);
         };
         let head = head::parse_request(&socket.input[..end]).map_err(head_error)?;
         socket.consume(end);
-        let reader = BodyReader::new(head.framing, self.limits.request_body).map_err(body_error)?;
+        let reader = BodyReader::new(head.framing, self.limits.request_body_bytes).map_err(body_error)?;
         let awaits_continue = head.expects_continue && !reader.is_complete() && socket.input.is_empty();
         socket.state.role = Role::Server(ServerState::Body { head, reader });
-        self.sockets.set_deadline(id, Some(self.limits.receive));
+        self.sockets.set_deadline(id, Some(self.limits.receive_timeout));
         if awaits_continue {
             self.write(id, |out| out.extend_from_slice(CONTINUE));
             self.sockets.flush_one(id);
@@ -361,7 +362,7 @@
         } else {
             ServerState::Lingering
         });
-        self.sockets.set_deadline(id, Some(self.limits.send));
+        self.sockets.set_deadline(id, Some(self.limits.send_timeout));
         self.drive_server(id);
     }
 }
--- a/crates/quartzdrift-http/tests/sockets.rs
+++ b/crates/quartzdrift-http/tests/sockets.rs
@@ -122,10 +122,10 @@
 fn short() -> Limits {
     let span = Duration::from_millis(60);
     Limits {
-        receive: span,
-        idle: span,
-        head: 256,
-        request_body: 64,
+        receive_timeout: span,
+        idle_timeout: span,
+        head_bytes: 256,
+        request_body_bytes: 64,
         ..Limits::default()
     }
 }
@@ -182,7 +182,7 @@
         (&[b'x'; 300], RequestError::HeadTooLarge),
     ] {
         let mut stage = Stage::new(Limits {
-            receive: Duration::from_secs(5),
+            receive_timeout: Duration::from_secs(5),
             ..short()
         });
         let mut client = stage.client(bytes);
@@ -336,7 +336,7 @@
         (b"HTTP/2 what\r\n\r\n", CallFailure::Malformed),
     ] {
         let mut stage = Stage::new(Limits {
-            response_body: 50,
+            response_body_bytes: 50,
             ..Limits::default()
         });
         let server = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/quartzdrift-lab/src/clients.rs
+++ b/crates/quartzdrift-lab/src/clients.rs
@@ -107,7 +107,7 @@
             http: Http::new(
                 handle,
                 Limits {
-                    keepalive: Duration::from_secs(5),
+                    keep_alive_timeout: Duration::from_secs(5),
                     ..Limits::default()
                 },
             ),
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -59,7 +59,7 @@
             http: Http::new(
                 handle,
                 Limits {
-                    idle: Duration::from_secs(300),
+                    idle_timeout: Duration::from_secs(300),
                     ..Limits::default()
                 },
             ),
--- a/crates/quartzdrift-lab/src/light.rs
+++ b/crates/quartzdrift-lab/src/light.rs
@@ -24,7 +24,7 @@
     /// Answers on all of `listeners`, each call after `delay`.
     pub fn new(handle: LoopHandle<'static, Light>, listeners: Vec<TcpListener>, delay: Duration) -> Light {
         let limits = Limits {
-            idle: Duration::from_secs(600),
+            idle_timeout: Duration::from_secs(600),
             connections: 100_000,
             ..Limits::default()
         };
--- a/crates/quartzdrift-lab/src/store.rs
+++ b/crates/quartzdrift-lab/src/store.rs
@@ -144,7 +144,7 @@
             http: Http::new(
                 handle,
                 Limits {
-                    idle: Duration::from_secs(300),
+                    idle_timeout: Duration::from_secs(300),
                     ..Limits::default()
                 },
             ),
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -134,7 +134,7 @@
 impl FakeWorker {
     pub fn new(handle: LoopHandle<'static, FakeWorker>, address: SocketAddr, config: Config) -> FakeWorker {
         let limits = Limits {
-            idle: Duration::from_secs(300),
+            idle_timeout: Duration::from_secs(300),
             ..Limits::default()
         };
         let cold_for = if config.warm {
--- a/crates/quartzdrift/src/settings/check/limits.rs
+++ b/crates/quartzdrift/src/settings/check/limits.rs
@@ -37,17 +37,17 @@
     let section = &raw.limits;
     let defaults = Limits::default();
     Limits {
-        head: section.head_bytes.unwrap_or(defaults.head),
-        request_body: section.payload_bytes.unwrap_or(defaults.request_body),
-        response_body: section.answer_bytes.unwrap_or(defaults.response_body),
+        head_bytes: section.head_bytes.unwrap_or(defaults.head_bytes),
+        request_body_bytes: section.payload_bytes.unwrap_or(defaults.request_body_bytes),
+        response_body_bytes: section.answer_bytes.unwrap_or(defaults.response_body_bytes),
         connections: section.connections.unwrap_or(defaults.connections),
         connections_per_server: section
             .connections_each_worker
             .unwrap_or(defaults.connections_per_server),
-        receive: duration_or(section.receive, defaults.receive),
-        idle: duration_or(section.idle, defaults.idle),
-        send: duration_or(section.send, defaults.send),
-        keepalive: raw.allowed.keepalive.0,
+        receive_timeout: duration_or(section.receive, defaults.receive_timeout),
+        idle_timeout: duration_or(section.idle, defaults.idle_timeout),
+        send_timeout: duration_or(section.send, defaults.send_timeout),
+        keep_alive_timeout: raw.allowed.keepalive.0,
     }
 }
 
