--- a/crates/quartzdrift-http/src/client.rs
+++ b/crates/quartzdrift-http/src/client.rs
@@ -74,14 +74,14 @@
         self.sockets.look(id);
         self.sockets
             .get(id)
-            .is_some_and(|socket| !socket.ended() && socket.input.is_empty())
+            .is_some_and(|socket| !socket.is_read_closed() && socket.input.is_empty())
     }
 
     fn start_call_on(&mut self, id: SocketId, call: CallId, request: OutgoingRequest) {
         let Some(socket) = self.sockets.get_mut(id) else {
             return;
         };
-        let position = socket.end_position();
+        let position = socket.write_position();
         let Role::Client(client) = &mut socket.state.role else {
             return;
         };
@@ -160,7 +160,7 @@
             return self.server_closed(id);
         }
         self.sockets.read(id);
-        if self.parse_response(id) && self.sockets.get(id).is_some_and(Socket::ended) {
+        if self.parse_response(id) && self.sockets.get(id).is_some_and(Socket::is_read_closed) {
             self.server_closed(id);
         }
     }
@@ -313,7 +313,7 @@
             return;
         };
         // A server that responded before it had read the whole request leaves bytes behind.
-        let has_leftovers = socket.unsent() > 0 || socket.ended() || !socket.input.is_empty();
+        let has_leftovers = socket.unsent_bytes() > 0 || socket.is_read_closed() || !socket.input.is_empty();
         let Role::Client(client) = &mut socket.state.role else {
             return;
         };
--- a/crates/quartzdrift-http/src/http.rs
+++ b/crates/quartzdrift-http/src/http.rs
@@ -72,7 +72,7 @@
     pub fn has_unsent_responses(&self) -> bool {
         self.sockets
             .iter()
-            .any(|(_, socket)| matches!(socket.state.role, Role::Server(_)) && socket.unsent() > 0)
+            .any(|(_, socket)| matches!(socket.state.role, Role::Server(_)) && socket.unsent_bytes() > 0)
     }
 
     /// Whether no byte of a call has been sent; then cancelling it proves that it was never executed.
--- a/crates/quartzdrift-http/src/server.rs
+++ b/crates/quartzdrift-http/src/server.rs
@@ -79,7 +79,7 @@
         let Role::Server(ServerState::Streaming(mode)) = socket.state.role else {
             return false;
         };
-        if socket.unsent() + bytes.len() > max_unsent {
+        if socket.unsent_bytes() + bytes.len() > max_unsent {
             return false;
         }
         self.write(exchange.socket, |out| {
@@ -203,7 +203,7 @@
             if matches!(state, ServerState::Lingering) {
                 socket.input.clear();
             }
-            if socket.ended() {
+            if socket.is_read_closed() {
                 // A client that has closed its sending side reads no response.
                 return self.client_lost(id);
             }
@@ -220,7 +220,7 @@
         let Some(socket) = self.sockets.get(id) else {
             return false;
         };
-        if socket.unsent() == 0 {
+        if socket.unsent_bytes() == 0 {
             return true;
         }
         self.sockets.flush_one(id);
@@ -231,12 +231,12 @@
             self.client_lost(id);
             return false;
         }
-        if socket.unsent() > 0 {
+        if socket.unsent_bytes() > 0 {
             return false;
         }
         match &socket.state.role {
             Role::Server(ServerState::Lingering) => {
-                socket.finish();
+                socket.shutdown_write();
                 self.sockets.set_deadline(id, Some(LINGER_TIME));
             }
             Role::Server(ServerState::Head { .. }) => {
@@ -326,8 +326,8 @@
         let received = Role::Server(ServerState::AwaitsResponse(mode));
         let role = std::mem::replace(&mut socket.state.role, received);
         let exchange = socket.state.exchange(id);
-        let client_address = socket.peer();
-        let local_address = socket.local();
+        let client_address = socket.peer_address();
+        let local_address = socket.local_address();
         socket.consume(used);
         if let Role::Server(ServerState::Body { head, reader }) = role {
             let body = reader.bytes;
--- a/crates/quartzdrift-http/src/socket.rs
+++ b/crates/quartzdrift-http/src/socket.rs
@@ -24,7 +24,7 @@
     pub(crate) is_queued: bool,
     /// Whether it is in the list of sockets to flush.
     pub(crate) is_dirty: bool,
-    has_ended: bool,
+    is_read_closed: bool,
     is_broken: bool,
     /// Bytes received and not yet consumed.
     pub input: Vec<u8>,
@@ -34,7 +34,7 @@
     /// Bytes that the system has taken since the connection began.
     sent: u64,
     /// Since when something waits that the system does not take.
-    stuck_since: Option<Instant>,
+    write_blocked_since: Option<Instant>,
     pub(crate) deadline: Option<Instant>,
     /// When the peer last sent something, or connected.
     pub(crate) last_received: Instant,
@@ -51,13 +51,13 @@
             is_readable: false,
             is_queued: false,
             is_dirty: false,
-            has_ended: false,
+            is_read_closed: false,
             is_broken: false,
             input: Vec::new(),
             output: Vec::new(),
             written: 0,
             sent: 0,
-            stuck_since: None,
+            write_blocked_since: None,
             deadline: None,
             last_received: Instant::now(),
             state,
@@ -65,8 +65,8 @@
     }
 
     /// The position of the next byte to be written, in all that the connection sends.
-    pub fn end_position(&self) -> u64 {
-        self.sent + self.unsent() as u64
+    pub fn write_position(&self) -> u64 {
+        self.sent + self.unsent_bytes() as u64
     }
 
     /// The position up to which the system has taken what was written.
@@ -75,24 +75,24 @@
     }
 
     /// Bytes that the system has not taken yet.
-    pub fn unsent(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
     /// Since when something waits for the peer without interruption; `None` where everything was sent, or nothing was tried
     /// yet.
-    pub fn stuck_since(&self) -> Option<Instant> {
-        self.stuck_since
+    pub fn write_blocked_since(&self) -> Option<Instant> {
+        self.write_blocked_since
     }
 
     /// Whether the peer has closed the connection, or it broke.
-    pub fn ended(&self) -> bool {
-        self.has_ended
+    pub fn is_read_closed(&self) -> bool {
+        self.is_read_closed
     }
 
     /// Whether the system may hold more that was not read yet.
-    pub fn may_have_more(&self) -> bool {
-        self.is_readable && !self.has_ended
+    pub fn may_have_unread(&self) -> bool {
+        self.is_readable && !self.is_read_closed
     }
 
     /// Whether nothing more can be sent; what the peer sent before may still be read.
@@ -101,7 +101,7 @@
     }
 
     /// Tells the peer that nothing more is sent.
-    pub fn finish(&self) {
+    pub fn shutdown_write(&self) {
         // The end of a broken connection is noticed by reading.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
@@ -111,8 +111,8 @@
     pub fn is_all_sent(&self) -> bool {
         let socket = SockRef::from(&*self.stream);
         // Where the system does not know the option, what it has taken counts as sent.
-        if self.unsent() > 0 || socket.set_tcp_notsent_lowat(1).is_err() {
-            return self.unsent() == 0;
+        if self.unsent_bytes() > 0 || socket.set_tcp_notsent_lowat(1).is_err() {
+            return self.unsent_bytes() == 0;
         }
         let no_wait = Timespec {
             tv_sec: 0,
@@ -123,17 +123,17 @@
     }
 
     /// The peer's address.
-    pub fn peer(&self) -> Option<SocketAddr> {
+    pub fn peer_address(&self) -> Option<SocketAddr> {
         self.stream.peer_addr().ok()
     }
 
     /// The address on this side.
-    pub fn local(&self) -> Option<SocketAddr> {
+    pub fn local_address(&self) -> Option<SocketAddr> {
         self.stream.local_addr().ok()
     }
 
     /// Removes what was written between two positions, unless some of it was sent already; returns whether it was removed.
-    pub fn recall(&mut self, from: u64, to: u64) -> bool {
+    pub fn remove_unsent(&mut self, from: u64, to: u64) -> bool {
         if from < self.sent {
             return false;
         }
@@ -156,11 +156,11 @@
     }
 
     /// Reads what is there, at most as much as `scratch` holds. The end of the connection is noticed with the last bytes.
-    pub(crate) fn read_share(&mut self, scratch: &mut [u8]) {
+    pub(crate) fn read_available(&mut self, scratch: &mut [u8]) {
         let mut capacity = scratch.len();
         while capacity > 0 {
             match (&*self.stream).read(&mut scratch[..capacity]) {
-                Ok(0) => self.has_ended = true,
+                Ok(0) => self.is_read_closed = true,
                 Ok(bytes) => {
                     self.last_received = Instant::now();
                     self.input.extend_from_slice(&scratch[..bytes]);
@@ -169,7 +169,7 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(_) => self.has_ended = true,
+                Err(_) => self.is_read_closed = true,
             }
             self.is_readable = false;
             return;
@@ -188,7 +188,7 @@
                     self.sent += bytes as u64;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.stuck_since.get_or_insert_with(Instant::now);
+                    self.write_blocked_since.get_or_insert_with(Instant::now);
                     return true;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -201,7 +201,7 @@
         self.output.clear();
         self.output.shrink_to(MAX_IDLE_BUFFER);
         self.written = 0;
-        self.stuck_since = None;
+        self.write_blocked_since = None;
         true
     }
 
--- a/crates/quartzdrift-http/src/sockets.rs
+++ b/crates/quartzdrift-http/src/sockets.rs
@@ -292,10 +292,10 @@
         let Some(socket) = find(&mut self.sockets, id) else {
             return;
         };
-        if socket.is_readable && !socket.ended() {
-            socket.read_share(&mut self.scratch);
+        if socket.is_readable && !socket.is_read_closed() {
+            socket.read_available(&mut self.scratch);
         }
-        if socket.is_readable && !socket.ended() {
+        if socket.is_readable && !socket.is_read_closed() {
             self.queue(id);
         }
     }
@@ -303,8 +303,8 @@
     /// Checks whether the peer of an idle socket has closed it or sent something, even if the loop has not reported it yet.
     pub fn look(&mut self, id: SocketId) {
         if let Some(socket) = find(&mut self.sockets, id) {
-            socket.read_share(&mut self.scratch);
-            if socket.ended() || !socket.input.is_empty() {
+            socket.read_available(&mut self.scratch);
+            if socket.is_read_closed() || !socket.input.is_empty() {
                 self.queue(id);
             }
         }
@@ -365,7 +365,7 @@
 
     /// Whether bytes wait to be sent on any socket.
     pub fn has_unsent(&self) -> bool {
-        self.sockets.iter().any(|(_, socket)| socket.unsent() > 0)
+        self.sockets.iter().any(|(_, socket)| socket.unsent_bytes() > 0)
     }
 
     /// Sets the deadline of a socket, from now; `None` removes it.
--- a/crates/quartzdrift-http/src/sockets/tests.rs
+++ b/crates/quartzdrift-http/src/sockets/tests.rs
@@ -27,6 +27,9 @@
     owner.sockets.flush();
     let socket = owner.sockets.get_mut(id).unwrap();
     assert!(socket.is_broken() && socket.sent_position() == from);
-    assert!(socket.recall(from, to), "none of it was sent, and none will be");
-    assert!(!socket.recall(0, 4), "this was sent");
+    assert!(
+        socket.remove_unsent(from, to),
+        "none of it was sent, and none will be"
+    );
+    assert!(!socket.remove_unsent(0, 4), "this was sent");
 }
--- a/crates/quartzdrift/src/platform/accept.rs
+++ b/crates/quartzdrift/src/platform/accept.rs
@@ -63,7 +63,7 @@
         let before = socket.input.len();
         self.sockets.look(id);
         let socket = self.sockets.get(id);
-        let has_arrived = socket.is_none_or(|socket| socket.ended() || socket.input.len() > before);
+        let has_arrived = socket.is_none_or(|socket| socket.is_read_closed() || socket.input.len() > before);
         if has_arrived {
             self.drive_client(id);
         }
--- a/crates/quartzdrift/src/platform/answers.rs
+++ b/crates/quartzdrift/src/platform/answers.rs
@@ -45,7 +45,7 @@
         let fields = &self.config.settings.report_fields;
         let received = ReceivedAnswers::read(&socket.input, connection, sent, fields);
         socket.consume(received.used);
-        let is_over = socket.ended() || received.unreadable.is_some();
+        let is_over = socket.is_read_closed() || received.unreadable.is_some();
         self.counts.unmatched += received.unmatched;
         for answered in received.answered {
             self.end_answered(id, answered, is_over);
--- a/crates/quartzdrift/src/platform/client_connection.rs
+++ b/crates/quartzdrift/src/platform/client_connection.rs
@@ -105,8 +105,8 @@
         let Some(socket) = self.sockets.get_mut(id) else {
             return;
         };
-        let ended = socket.ended();
-        let has_more = socket.may_have_more();
+        let ended = socket.is_read_closed();
+        let has_more = socket.may_have_unread();
         let Peer::Client(client) = &mut socket.state else {
             return;
         };
@@ -188,7 +188,7 @@
             return;
         };
         let has_input = !socket.input.is_empty();
-        let unread = socket.unsent();
+        let unread = socket.unsent_bytes();
         let Peer::Client(client) = &mut socket.state else {
             return;
         };
@@ -224,7 +224,7 @@
     /// Closes the connections whose last bytes have left.
     pub(super) fn close_flushed_clients(&mut self) {
         for id in std::mem::take(&mut self.closing) {
-            match self.sockets.get(id).map(|socket| socket.unsent()) {
+            match self.sockets.get(id).map(|socket| socket.unsent_bytes()) {
                 Some(0) => self.close_client(id),
                 Some(_) => self.closing.push(id),
                 None => {}
@@ -239,7 +239,7 @@
         if has_arrived && self.sockets.deadline(id).is_some() {
             return;
         }
-        let stuck = self.sockets.get(id).and_then(Socket::stuck_since);
+        let stuck = self.sockets.get(id).and_then(Socket::write_blocked_since);
         let Some(client) = client(&mut self.sockets, id) else {
             return;
         };
--- a/crates/quartzdrift/src/platform/commands.rs
+++ b/crates/quartzdrift/src/platform/commands.rs
@@ -111,7 +111,7 @@
 
     /// Writes a command, and notes where its frame lies among all that the connection sends.
     pub(super) fn write_command(&mut self, id: SocketId, command: &mut Command, now: Duration) {
-        let Some(from) = self.sockets.get(id).map(Socket::end_position) else {
+        let Some(from) = self.sockets.get(id).map(Socket::write_position) else {
             return;
         };
         let context = &command.context;
@@ -130,7 +130,7 @@
         );
         command.frame_span = self.sockets.get(id).map(|socket| FrameSpan {
             from,
-            to: socket.end_position(),
+            to: socket.write_position(),
         });
         if let Some(connection) = connection(&mut self.sockets, id) {
             connection.remember(command.context.id);
@@ -140,7 +140,10 @@
     /// Writes each command anew of which nothing has left, with the time that is left by now.
     pub(super) fn rewrite_unsent_commands(&mut self) {
         let now = self.now();
-        let unsent = self.sockets.iter().filter(|(_, socket)| socket.unsent() > 0);
+        let unsent = self
+            .sockets
+            .iter()
+            .filter(|(_, socket)| socket.unsent_bytes() > 0);
         let sockets: Vec<SocketId> = unsent.map(|(id, _)| id).collect();
         for id in sockets {
             for (request, attempt) in self.unsent_commands(id) {
@@ -195,7 +198,7 @@
         let is_removed = self
             .sockets
             .get_mut(id)
-            .is_some_and(|socket| socket.recall(span.from, span.to));
+            .is_some_and(|socket| socket.remove_unsent(span.from, span.to));
         if is_removed && let Some(carrier) = connection(&mut self.sockets, id) {
             carrier.close_gap(span);
         }
@@ -247,7 +250,7 @@
         };
         let alone = connection.commands.len() == 1;
         let span = connection.commands[at].frame_span;
-        if span.is_some_and(|span| !socket.recall(span.from, span.to)) {
+        if span.is_some_and(|span| !socket.remove_unsent(span.from, span.to)) {
             let in_part = span.is_some_and(|span| socket.sent_position() < span.to);
             if in_part && alone {
                 self.close_connection(id);
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -81,7 +81,7 @@
     fn is_closed_by_worker(&mut self, id: SocketId) -> bool {
         self.sockets.look(id);
         let socket = self.sockets.get(id);
-        socket.is_none_or(|socket| socket.ended() || !socket.input.is_empty())
+        socket.is_none_or(|socket| socket.is_read_closed() || !socket.input.is_empty())
     }
 
     fn connect(&mut self, worker: &Rc<str>) -> Result<SocketId, ConnectionLoss> {
--- a/crates/quartzdrift/src/platform/responses.rs
+++ b/crates/quartzdrift/src/platform/responses.rs
@@ -54,7 +54,10 @@
             fields: field.as_slice(),
             body,
         };
-        let has_unread = self.sockets.get(socket).is_some_and(|socket| socket.unsent() > 0);
+        let has_unread = self
+            .sockets
+            .get(socket)
+            .is_some_and(|socket| socket.unsent_bytes() > 0);
         let Some(client) = client(&mut self.sockets, socket) else {
             return;
         };
