--- a/crates/quartzdrift-http/src/client.rs
+++ b/crates/quartzdrift-http/src/client.rs
@@ -71,7 +71,7 @@
     /// Whether an idle connection can carry a call. One that the server has closed meanwhile still looks writable: what is
     /// sent on it is lost without proof.
     fn is_usable(&mut self, id: SocketId) -> bool {
-        self.sockets.look(id);
+        self.sockets.try_read(id);
         self.sockets
             .get(id)
             .is_some_and(|socket| !socket.is_read_closed() && socket.input.is_empty())
@@ -137,13 +137,13 @@
             return;
         };
         if matches!(client.state, ClientState::Connecting) {
-            match self.sockets.connected(id) {
+            match self.sockets.connect_result(id) {
                 Some(Ok(())) => self.connection_established(id),
                 Some(Err(_)) => return self.fail_call(id, CallFailure::Connect),
                 None => return,
             }
         }
-        self.sockets.flush_one(id);
+        self.sockets.flush_socket(id);
         let Some(socket) = self.sockets.get_mut(id) else {
             return;
         };
--- a/crates/quartzdrift-http/src/http.rs
+++ b/crates/quartzdrift-http/src/http.rs
@@ -63,7 +63,7 @@
     /// Accepts no more connections. Existing ones go on.
     pub fn stop_listening(&mut self) {
         // Connections that wait to be accepted would be reset with the listener.
-        self.sockets.look_for_connections();
+        self.sockets.mark_listeners_ready();
         self.accept();
         self.sockets.stop_listening();
     }
--- a/crates/quartzdrift-http/src/server.rs
+++ b/crates/quartzdrift-http/src/server.rs
@@ -4,7 +4,7 @@
 use crate::head::{self, Framing, HeadError, Headers, RequestHead};
 use crate::http::{HasHttp, Http};
 use crate::messages::{Exchange, HttpEvent, Request, RequestError, Response};
-use crate::socket::{READ_SIZE, Socket};
+use crate::socket::{MAX_READ_BYTES, Socket};
 use crate::sockets::SocketId;
 use std::time::Duration;
 
@@ -142,10 +142,10 @@
             if self.clients < self.limits.connections {
                 return;
             }
-            let Some(idle) = self.sockets.longest_silent(is_idle) else {
+            let Some(idle) = self.sockets.longest_idle(is_idle) else {
                 return;
             };
-            self.sockets.look(idle);
+            self.sockets.try_read(idle);
             let has_arrived = self
                 .sockets
                 .get(idle)
@@ -197,7 +197,7 @@
                 return;
             };
             let is_with_owner = matches!(state, ServerState::AwaitsResponse(_) | ServerState::Streaming(_));
-            if is_with_owner && socket.input.len() >= READ_SIZE {
+            if is_with_owner && socket.input.len() >= MAX_READ_BYTES {
                 return;
             }
             if matches!(state, ServerState::Lingering) {
@@ -223,7 +223,7 @@
         if socket.unsent_bytes() == 0 {
             return true;
         }
-        self.sockets.flush_one(id);
+        self.sockets.flush_socket(id);
         let Some(socket) = self.sockets.get(id) else {
             return false;
         };
@@ -305,7 +305,7 @@
         self.sockets.set_deadline(id, Some(self.limits.receive_timeout));
         if awaits_continue {
             self.write(id, |out| out.extend_from_slice(CONTINUE));
-            self.sockets.flush_one(id);
+            self.sockets.flush_socket(id);
         }
         Ok(Progress::Continue)
     }
--- a/crates/quartzdrift-http/src/socket.rs
+++ b/crates/quartzdrift-http/src/socket.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 /// Maximum bytes read from one socket at a time; then the others have their turn.
-pub(crate) const READ_SIZE: usize = 64 << 10;
+pub(crate) const MAX_READ_BYTES: usize = 64 << 10;
 /// An empty buffer is shrunk to this many bytes.
 const MAX_IDLE_BUFFER: usize = 4 << 10;
 
@@ -21,9 +21,9 @@
     /// Whether the loop has reported that there is something to read.
     pub(crate) is_readable: bool,
     /// Whether it is in the queue of ready sockets.
-    pub(crate) is_queued: bool,
+    pub(crate) is_ready_queued: bool,
     /// Whether it is in the list of sockets to flush.
-    pub(crate) is_dirty: bool,
+    pub(crate) is_flush_queued: bool,
     is_read_closed: bool,
     is_broken: bool,
     /// Bytes received and not yet consumed.
@@ -49,8 +49,8 @@
             token: None,
             serial,
             is_readable: false,
-            is_queued: false,
-            is_dirty: false,
+            is_ready_queued: false,
+            is_flush_queued: false,
             is_read_closed: false,
             is_broken: false,
             input: Vec::new(),
@@ -155,15 +155,15 @@
         }
     }
 
-    /// Reads what is there, at most as much as `scratch` holds. The end of the connection is noticed with the last bytes.
-    pub(crate) fn read_available(&mut self, scratch: &mut [u8]) {
-        let mut capacity = scratch.len();
+    /// Reads what is there, at most as much as `buffer` holds. The end of the connection is noticed with the last bytes.
+    pub(crate) fn read_available(&mut self, buffer: &mut [u8]) {
+        let mut capacity = buffer.len();
         while capacity > 0 {
-            match (&*self.stream).read(&mut scratch[..capacity]) {
+            match (&*self.stream).read(&mut buffer[..capacity]) {
                 Ok(0) => self.is_read_closed = true,
                 Ok(bytes) => {
                     self.last_received = Instant::now();
-                    self.input.extend_from_slice(&scratch[..bytes]);
+                    self.input.extend_from_slice(&buffer[..bytes]);
                     capacity -= bytes;
                     continue;
                 }
@@ -193,7 +193,7 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Ok(_) | Err(_) => {
-                    self.break_off();
+                    self.discard_output();
                     return true;
                 }
             }
@@ -206,7 +206,7 @@
     }
 
     /// Nothing more can be sent. What the peer sent before is still worth reading.
-    fn break_off(&mut self) {
+    fn discard_output(&mut self) {
         self.output.clear();
         self.written = 0;
         self.is_broken = true;
--- a/crates/quartzdrift-http/src/sockets.rs
+++ b/crates/quartzdrift-http/src/sockets.rs
@@ -4,7 +4,7 @@
 //! Nothing is processed inside the loop's callbacks: they only mark sockets as ready. After each turn of the loop the owner
 //! accepts connections ([`Sockets::accept`]), takes the ready sockets ([`Sockets::take_ready`]), closes what is overdue
 //! ([`Sockets::take_overdue`]) and flushes ([`Sockets::flush`]).
-use crate::socket::READ_SIZE;
+use crate::socket::MAX_READ_BYTES;
 pub use crate::socket::Socket;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
@@ -31,50 +31,50 @@
 }
 
 /// Finds the sockets in the state of the loop.
-type FindSockets<S, T> = fn(&mut S) -> &mut Sockets<S, T>;
+type SocketsAccessor<S, T> = fn(&mut S) -> &mut Sockets<S, T>;
 
 /// All sockets of one owner on one event loop, whose state is `S`. `T` is the owner's state of one socket.
 pub struct Sockets<S: 'static, T: 'static> {
     handle: LoopHandle<'static, S>,
-    find: FindSockets<S, T>,
+    find: SocketsAccessor<S, T>,
     sockets: Slab<Socket<T>>,
     listeners: Vec<(Rc<TcpListener>, RegistrationToken)>,
-    ready: VecDeque<SocketId>,
-    dirty: VecDeque<SocketId>,
+    ready_queue: VecDeque<SocketId>,
+    flush_queue: VecDeque<SocketId>,
     deadlines: BTreeSet<(Instant, SocketId)>,
     /// Whether connections may wait to be accepted.
-    is_acceptable: bool,
+    are_listeners_ready: bool,
     /// Whether the last look at the listeners left no connection waiting.
     accepted_all: bool,
     /// When a pause in accepting ends.
-    accept_again: Option<Instant>,
-    scratch: Vec<u8>,
+    resume_accept_at: Option<Instant>,
+    read_buffer: Vec<u8>,
     /// Sockets there have been so far.
-    opened: u64,
+    opened_count: u64,
 }
 
 impl<S: 'static, T: 'static> Sockets<S, T> {
     /// No sockets yet. `find` finds these sockets in the state of the loop.
-    pub fn new(handle: LoopHandle<'static, S>, find: FindSockets<S, T>) -> Sockets<S, T> {
+    pub fn new(handle: LoopHandle<'static, S>, find: SocketsAccessor<S, T>) -> Sockets<S, T> {
         Sockets {
             handle,
             find,
             sockets: Slab::new(),
             listeners: Vec::new(),
-            ready: VecDeque::new(),
-            dirty: VecDeque::new(),
+            ready_queue: VecDeque::new(),
+            flush_queue: VecDeque::new(),
             deadlines: BTreeSet::new(),
-            is_acceptable: false,
+            are_listeners_ready: false,
             accepted_all: true,
-            accept_again: None,
-            scratch: vec![0; READ_SIZE],
-            opened: 0,
+            resume_accept_at: None,
+            read_buffer: vec![0; MAX_READ_BYTES],
+            opened_count: 0,
         }
     }
 
     /// Sockets there have been so far.
-    pub fn opened(&self) -> u64 {
-        self.opened
+    pub fn opened_count(&self) -> u64 {
+        self.opened_count
     }
 
     /// The socket of an id, unless it is closed.
@@ -86,7 +86,7 @@
 
     /// The socket of an id, unless it is closed.
     pub fn get_mut(&mut self, id: SocketId) -> Option<&mut Socket<T>> {
-        find(&mut self.sockets, id)
+        find_socket(&mut self.sockets, id)
     }
 
     /// All open sockets.
@@ -107,7 +107,7 @@
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
         let find = self.find;
         let accept = move |_: Readiness, _: &mut _, state: &mut S| {
-            find(state).is_acceptable = true;
+            find(state).are_listeners_ready = true;
             Ok(PostAction::Continue)
         };
         let token = self
@@ -136,8 +136,8 @@
     }
 
     /// Lets the next [`Sockets::accept`] look for connections, whatever the loop has reported.
-    pub fn look_for_connections(&mut self) {
-        self.is_acceptable = true;
+    pub fn mark_listeners_ready(&mut self) {
+        self.are_listeners_ready = true;
     }
 
     /// Accepts the connections that wait, with `MAX_ACCEPTED_PER_TURN` tries. Of `limit` connections `open` are in use, and
@@ -150,7 +150,7 @@
         is_idle: impl Fn(&Socket<T>) -> bool,
     ) -> Vec<TcpStream> {
         let mut accepted = Vec::new();
-        if !std::mem::take(&mut self.is_acceptable) {
+        if !std::mem::take(&mut self.are_listeners_ready) {
             return accepted;
         }
         self.accepted_all = false;
@@ -162,18 +162,18 @@
                 tries += 1;
                 match self.listeners[at].0.accept() {
                     Ok((stream, _)) => accepted.push(stream),
-                    Err(e) => match AcceptError::of(&e) {
-                        AcceptError::NoneWaiting => {
+                    Err(e) => match AcceptError::classify(&e) {
+                        AcceptError::WouldBlock => {
                             drained += 1;
                             break;
                         }
-                        AcceptError::Newcomer => {}
-                        AcceptError::NoDescriptor => {
-                            self.make_room(&is_idle);
+                        AcceptError::ConnectionFailed => {}
+                        AcceptError::DescriptorLimit => {
+                            self.expire_longest_idle(&is_idle);
                             self.pause_accepting();
                             return accepted;
                         }
-                        AcceptError::System => {
+                        AcceptError::Other => {
                             self.pause_accepting();
                             return accepted;
                         }
@@ -189,8 +189,8 @@
     }
 
     /// Has the idle socket whose peer has been silent longest overdue at once.
-    fn make_room(&mut self, is_idle: impl Fn(&Socket<T>) -> bool) {
-        if let Some(id) = self.longest_silent(is_idle) {
+    fn expire_longest_idle(&mut self, is_idle: impl Fn(&Socket<T>) -> bool) {
+        if let Some(id) = self.longest_idle(is_idle) {
             self.set_deadline(id, Some(Duration::ZERO));
         }
     }
@@ -201,11 +201,11 @@
             // An error here means that the loop itself is broken; the next turn will show it.
             let _ = self.handle.disable(token);
         }
-        self.accept_again = Some(Instant::now() + ACCEPT_PAUSE);
+        self.resume_accept_at = Some(Instant::now() + ACCEPT_PAUSE);
     }
 
     /// Of the idle sockets, the one whose peer has sent nothing for longest.
-    pub fn longest_silent(&self, is_idle: impl Fn(&Socket<T>) -> bool) -> Option<SocketId> {
+    pub fn longest_idle(&self, is_idle: impl Fn(&Socket<T>) -> bool) -> Option<SocketId> {
         self.iter()
             .filter(|(_, socket)| is_idle(socket))
             .min_by_key(|(_, socket)| socket.last_received)
@@ -220,8 +220,8 @@
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
-        self.opened += 1;
-        let serial = self.opened;
+        self.opened_count += 1;
+        let serial = self.opened_count;
         let key = self.sockets.insert(Socket::new(stream.clone(), serial, state));
         let id = SocketId { key, serial };
         let find = self.find;
@@ -229,7 +229,7 @@
             let sockets = find(state);
             if let Some(socket) = sockets.get_mut(id) {
                 socket.is_readable |= ready.readable || ready.error;
-                sockets.queue(id);
+                sockets.queue_ready(id);
             }
             Ok(PostAction::Continue)
         };
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Starts to connect; once the socket is ready, [`Sockets::connected`] says whether the connection is established.
+    /// Starts to connect; once the socket is ready, [`Sockets::connect_result`] says whether the connection is established.
     ///
     /// # Errors
     /// The system refuses at once, or the event loop does not accept the stream.
@@ -256,7 +256,7 @@
     }
 
     /// Whether a connection is established: `None` while it is not yet, an error where it never will be.
-    pub fn connected(&self, id: SocketId) -> Option<io::Result<()>> {
+    pub fn connect_result(&self, id: SocketId) -> Option<io::Result<()>> {
         let socket = self.get(id)?;
         match socket.stream.take_error() {
             Ok(None) => socket.stream.peer_addr().is_ok().then_some(Ok(())),
@@ -264,19 +264,19 @@
         }
     }
 
-    fn queue(&mut self, id: SocketId) {
-        if let Some(socket) = find(&mut self.sockets, id).filter(|socket| !socket.is_queued) {
-            socket.is_queued = true;
-            self.ready.push_back(id);
+    fn queue_ready(&mut self, id: SocketId) {
+        if let Some(socket) = find_socket(&mut self.sockets, id).filter(|socket| !socket.is_ready_queued) {
+            socket.is_ready_queued = true;
+            self.ready_queue.push_back(id);
         }
     }
 
     /// The sockets on which something has happened since they were last taken, each once.
     pub fn take_ready(&mut self) -> VecDeque<SocketId> {
-        let ready = std::mem::take(&mut self.ready);
+        let ready = std::mem::take(&mut self.ready_queue);
         for id in &ready {
             if let Some(socket) = self.get_mut(*id) {
-                socket.is_queued = false;
+                socket.is_ready_queued = false;
             }
         }
         ready
@@ -284,28 +284,28 @@
 
     /// Whether a socket or a listener is ready.
     pub fn is_ready(&self) -> bool {
-        !self.ready.is_empty() || self.is_acceptable
+        !self.ready_queue.is_empty() || self.are_listeners_ready
     }
 
     /// Reads a bounded share into the socket's input; what is left keeps the socket ready.
     pub fn read(&mut self, id: SocketId) {
-        let Some(socket) = find(&mut self.sockets, id) else {
+        let Some(socket) = find_socket(&mut self.sockets, id) else {
             return;
         };
         if socket.is_readable && !socket.is_read_closed() {
-            socket.read_available(&mut self.scratch);
+            socket.read_available(&mut self.read_buffer);
         }
         if socket.is_readable && !socket.is_read_closed() {
-            self.queue(id);
+            self.queue_ready(id);
         }
     }
 
     /// Checks whether the peer of an idle socket has closed it or sent something, even if the loop has not reported it yet.
-    pub fn look(&mut self, id: SocketId) {
-        if let Some(socket) = find(&mut self.sockets, id) {
-            socket.read_available(&mut self.scratch);
+    pub fn try_read(&mut self, id: SocketId) {
+        if let Some(socket) = find_socket(&mut self.sockets, id) {
+            socket.read_available(&mut self.read_buffer);
             if socket.is_read_closed() || !socket.input.is_empty() {
-                self.queue(id);
+                self.queue_ready(id);
             }
         }
     }
@@ -318,34 +318,34 @@
 
     /// Has the next [`Sockets::flush`] send what was written on a socket.
     fn flush_later(&mut self, id: SocketId) {
-        if let Some(socket) = find(&mut self.sockets, id).filter(|socket| !socket.is_dirty) {
-            socket.is_dirty = true;
-            self.dirty.push_back(id);
+        if let Some(socket) = find_socket(&mut self.sockets, id).filter(|socket| !socket.is_flush_queued) {
+            socket.is_flush_queued = true;
+            self.flush_queue.push_back(id);
         }
     }
 
     /// Sends what was written on all sockets.
     pub fn flush(&mut self) {
         while let Some(id) = self.next_to_flush() {
-            self.flush_one(id);
+            self.flush_socket(id);
         }
     }
 
     /// The socket that was written to first of those that [`Sockets::flush`] would send on.
     pub fn next_to_flush(&self) -> Option<SocketId> {
-        self.dirty.front().copied()
+        self.flush_queue.front().copied()
     }
 
     /// Sends what was written on one socket.
-    pub fn flush_one(&mut self, id: SocketId) {
-        self.flush_one_by(id, None);
+    pub fn flush_socket(&mut self, id: SocketId) {
+        self.flush_socket_until(id, None);
     }
 
     /// Sends what was written on one socket, unless `limit` has passed; returns whether it was in time. What was not sent stays
     /// to be flushed.
-    pub fn flush_one_by(&mut self, id: SocketId, limit: Option<Instant>) -> bool {
-        let Some(socket) = find(&mut self.sockets, id) else {
-            self.dirty.retain(|other| *other != id);
+    pub fn flush_socket_until(&mut self, id: SocketId, limit: Option<Instant>) -> bool {
+        let Some(socket) = find_socket(&mut self.sockets, id) else {
+            self.flush_queue.retain(|other| *other != id);
             return true;
         };
         let was_readable = socket.is_readable;
@@ -354,11 +354,11 @@
             return false;
         }
         let is_newly_readable = socket.is_readable && !was_readable;
-        if std::mem::take(&mut socket.is_dirty) {
-            self.dirty.retain(|other| *other != id);
+        if std::mem::take(&mut socket.is_flush_queued) {
+            self.flush_queue.retain(|other| *other != id);
         }
         if is_newly_readable {
-            self.queue(id);
+            self.queue_ready(id);
         }
         true
     }
@@ -370,7 +370,7 @@
 
     /// Sets the deadline of a socket, from now; `None` removes it.
     pub fn set_deadline(&mut self, id: SocketId, after: Option<Duration>) {
-        let Some(socket) = find(&mut self.sockets, id) else {
+        let Some(socket) = find_socket(&mut self.sockets, id) else {
             return;
         };
         if let Some(at) = socket.deadline.take() {
@@ -390,12 +390,12 @@
 
     /// The sockets whose deadline has passed; they have none from now on.
     pub fn take_overdue(&mut self, now: Instant) -> Vec<SocketId> {
-        if self.accept_again.take_if(|at| *at <= now).is_some() {
+        if self.resume_accept_at.take_if(|at| *at <= now).is_some() {
             for (_, token) in &self.listeners {
                 // An error here means that the loop itself is broken; the next turn will show it.
                 let _ = self.handle.enable(token);
             }
-            self.is_acceptable = true;
+            self.are_listeners_ready = true;
         }
         let mut overdue = Vec::new();
         while let Some(&(at, id)) = self.deadlines.first().filter(|(at, _)| *at <= now) {
@@ -410,11 +410,11 @@
 
     /// When there is something to do without an event of the loop; now where a socket is still ready.
     pub fn next_due(&self) -> Option<Instant> {
-        if self.is_ready() || !self.dirty.is_empty() {
+        if self.is_ready() || !self.flush_queue.is_empty() {
             return Some(Instant::now());
         }
         let first = self.deadlines.first().map(|(at, _)| *at);
-        [first, self.accept_again].into_iter().flatten().min()
+        [first, self.resume_accept_at].into_iter().flatten().min()
     }
 
     /// Closes a socket and returns its state.
@@ -434,20 +434,20 @@
 /// What an error of accept(2) says.
 enum AcceptError {
     /// No connection waits.
-    NoneWaiting,
+    WouldBlock,
     /// The connection that was next has failed, or the call was interrupted: others may wait behind it.
-    Newcomer,
+    ConnectionFailed,
     /// The process has no descriptor left.
-    NoDescriptor,
+    DescriptorLimit,
     /// The system has no room for the moment, or something else is wrong with accepting.
-    System,
+    Other,
 }
 
 impl AcceptError {
-    fn of(error: &io::Error) -> AcceptError {
+    fn classify(error: &io::Error) -> AcceptError {
         match error.raw_os_error().unwrap_or_default() {
-            libc::EAGAIN => AcceptError::NoneWaiting,
-            libc::EMFILE => AcceptError::NoDescriptor,
+            libc::EAGAIN => AcceptError::WouldBlock,
+            libc::EMFILE => AcceptError::DescriptorLimit,
             // Linux passes pending network errors of the new connection on.
             libc::EINTR
             | libc::ECONNABORTED
@@ -461,13 +461,13 @@
             | libc::ENONET
             | libc::ETIMEDOUT
             | libc::ECONNRESET
-            | libc::EPERM => AcceptError::Newcomer,
-            _ => AcceptError::System,
+            | libc::EPERM => AcceptError::ConnectionFailed,
+            _ => AcceptError::Other,
         }
     }
 }
 
-fn find<T>(sockets: &mut Slab<Socket<T>>, id: SocketId) -> Option<&mut Socket<T>> {
+fn find_socket<T>(sockets: &mut Slab<Socket<T>>, id: SocketId) -> Option<&mut Socket<T>> {
     sockets
         .get_mut(id.key)
         .filter(|socket| socket.serial == id.serial)
--- a/crates/quartzdrift-http/src/sockets/tests.rs
+++ b/crates/quartzdrift-http/src/sockets/tests.rs
@@ -16,7 +16,7 @@
     let (peer, _) = listener.accept().unwrap();
     let id = owner.sockets.insert(stream, ()).unwrap();
     owner.sockets.output(id).unwrap().extend_from_slice(b"left");
-    owner.sockets.flush_one(id);
+    owner.sockets.flush_socket(id);
     let (from, to) = (4, 9);
     owner.sockets.output(id).unwrap().extend_from_slice(b"frame");
     // A reset, which the next write meets before the loop has reported it.
--- a/crates/quartzdrift-http/tests/sockets.rs
+++ b/crates/quartzdrift-http/tests/sockets.rs
@@ -406,7 +406,7 @@
         .unwrap();
     drop(taken);
     drop(server);
-    let kind = |raw: &Raw, id| match raw.0.connected(id) {
+    let kind = |raw: &Raw, id| match raw.0.connect_result(id) {
         Some(Err(e)) => Some(e.kind()),
         Some(Ok(())) | None => None,
     };
--- a/crates/quartzdrift/src/platform/accept.rs
+++ b/crates/quartzdrift/src/platform/accept.rs
@@ -44,7 +44,7 @@
             if self.clients < self.budget.clients {
                 return;
             }
-            let Some(silent) = self.sockets.longest_silent(is_silent) else {
+            let Some(silent) = self.sockets.longest_idle(is_silent) else {
                 return;
             };
             if !self.read_pending_input(silent) {
@@ -61,7 +61,7 @@
             return true;
         };
         let before = socket.input.len();
-        self.sockets.look(id);
+        self.sockets.try_read(id);
         let socket = self.sockets.get(id);
         let has_arrived = socket.is_none_or(|socket| socket.is_read_closed() || socket.input.len() > before);
         if has_arrived {
--- a/crates/quartzdrift/src/platform/client_connection.rs
+++ b/crates/quartzdrift/src/platform/client_connection.rs
@@ -99,7 +99,7 @@
 impl Node {
     /// Works a client's connection on which something has happened.
     pub(super) fn drive_client(&mut self, id: SocketId) {
-        self.sockets.flush_one(id);
+        self.sockets.flush_socket(id);
         self.sockets.read(id);
         let unseen_since = self.loop_delay.earliest_arrival();
         let Some(socket) = self.sockets.get_mut(id) else {
--- a/crates/quartzdrift/src/platform/closing.rs
+++ b/crates/quartzdrift/src/platform/closing.rs
@@ -36,7 +36,7 @@
     /// The listener is closed first: a client whose connection ends is refused here, and goes elsewhere. It is closed right
     /// after it was found without a waiting connection, since closing it resets those that wait.
     fn accept_last_clients(&mut self) {
-        self.sockets.look_for_connections();
+        self.sockets.mark_listeners_ready();
         self.accept();
         if self.sockets.accepted_all() {
             self.sockets.stop_listening();
@@ -46,7 +46,7 @@
     fn close_client_if_idle(&mut self, id: SocketId) {
         for _ in 0..MAX_LOOKS {
             let has_arrived = self.read_pending_input(id);
-            self.sockets.flush_one(id);
+            self.sockets.flush_socket(id);
             if !has_arrived {
                 if self.is_client_idle(id) {
                     self.close_client(id);
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -79,7 +79,7 @@
     /// Whether a worker has closed an idle connection, or sent something unasked. It still looks writable, but what is sent
     /// there would be in doubt.
     fn is_closed_by_worker(&mut self, id: SocketId) -> bool {
-        self.sockets.look(id);
+        self.sockets.try_read(id);
         let socket = self.sockets.get(id);
         socket.is_none_or(|socket| socket.is_read_closed() || !socket.input.is_empty())
     }
@@ -178,7 +178,7 @@
         let worker = self.workers.get(&connection.worker);
         let is_listed = worker.is_some_and(|worker| worker.connections.contains(&id));
         if !is_listed {
-            self.sockets.flush_one(id);
+            self.sockets.flush_socket(id);
             self.close_connection(id);
             return;
         }
@@ -264,7 +264,7 @@
             return;
         };
         if connection.phase == ConnectionPhase::Connecting {
-            match self.sockets.connected(id) {
+            match self.sockets.connect_result(id) {
                 Some(Ok(())) => self.connection_established(id),
                 Some(Err(error)) => return self.connection_lost(id, loss_while_connecting(&error)),
                 None => return,
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -260,7 +260,7 @@
     pub(super) fn flush_in_time(&mut self, id: SocketId) -> bool {
         self.recall_overdue(id, self.now());
         let limit = self.loop_delay.looked() + MAX_UNSEEN_TIME;
-        self.sockets.flush_one_by(id, Some(limit))
+        self.sockets.flush_socket_until(id, Some(limit))
     }
 
     /// Heeds what has happened since the turn began: clients that have left, deadlines that have passed, and the time that is
