--- a/crates/quartzdrift-http/src/client.rs
+++ b/crates/quartzdrift-http/src/client.rs
@@ -21,8 +21,8 @@
 impl<S: HasHttp> Http<S> {
     /// Sends a request over a pooled or a new connection. Its result is reported as an event, never earlier.
     pub fn call(&mut self, server: SocketAddr, request: OutgoingRequest) -> CallId {
-        self.last_call += 1;
-        let call = CallId(self.last_call);
+        self.last_call_number += 1;
+        let call = CallId(self.last_call_number);
         self.start_call(server, call, request);
         call
     }
@@ -43,7 +43,7 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn close_idle(&mut self, server: SocketAddr) {
+    pub fn close_idle_connections(&mut self, server: SocketAddr) {
         let pool = self.pools.get(&server);
         let idle = pool.map(|pool| pool.idle.clone()).unwrap_or_default();
         idle.into_iter().for_each(|id| self.close(id));
@@ -117,7 +117,7 @@
             let failure = CallFailure::Connect;
             return self.events.push_back(HttpEvent::CallFailed { call, failure });
         };
-        self.opened += 1;
+        self.opened_count += 1;
         self.pools.entry(server).or_default().open += 1;
         self.calls.insert(call, id);
         self.sockets.set_deadline(id, Some(timeout));
@@ -254,7 +254,7 @@
         let ClientState::Head { scanned } = &mut client.state else {
             return Ok(Progress::Wait);
         };
-        let end = head::head_end(&socket.input, scanned);
+        let end = head::find_head_end(&socket.input, scanned);
         if end.unwrap_or(socket.input.len()) > self.limits.head_bytes {
             return Err(CallFailure::TooLarge);
         }
--- a/crates/quartzdrift-http/src/head.rs
+++ b/crates/quartzdrift-http/src/head.rs
@@ -115,7 +115,7 @@
 
 /// The position after the empty line that ends a head. The search continues from `scanned`, so that a head received byte by
 /// byte is searched once.
-pub fn head_end(buffer: &[u8], scanned: &mut usize) -> Option<usize> {
+pub fn find_head_end(buffer: &[u8], scanned: &mut usize) -> Option<usize> {
     let from = scanned.saturating_sub(3);
     for (at, byte) in buffer.iter().enumerate().skip(from) {
         if *byte == b'\n' {
@@ -194,7 +194,7 @@
     }
 }
 
-/// Parses a request's complete head, which ends at [`head_end`].
+/// Parses a request's complete head, which ends at [`find_head_end`].
 ///
 /// # Errors
 /// [`HeadError`] says why it is none.
@@ -222,7 +222,7 @@
     })
 }
 
-/// Parses a response's complete head, which ends at [`head_end`].
+/// Parses a response's complete head, which ends at [`find_head_end`].
 ///
 /// # Errors
 /// [`HeadError`] says why it is none.
--- a/crates/quartzdrift-http/src/head/tests.rs
+++ b/crates/quartzdrift-http/src/head/tests.rs
@@ -29,7 +29,7 @@
 fn a_head_is_found_however_it_is_cut() {
     let whole = b"GET / HTTP/1.1\r\nhost: a\r\n\r\nrest";
     let mut scanned = 0;
-    let found = (0..=whole.len()).find_map(|end| head_end(&whole[..end], &mut scanned));
+    let found = (0..=whole.len()).find_map(|end| find_head_end(&whole[..end], &mut scanned));
     assert_eq!(found, Some(whole.len() - 4));
 }
 
--- a/crates/quartzdrift-http/src/http.rs
+++ b/crates/quartzdrift-http/src/http.rs
@@ -30,11 +30,11 @@
     pub(crate) calls: HashMap<CallId, SocketId>,
     pub(crate) events: VecDeque<HttpEvent>,
     /// Client connections that are open.
-    pub(crate) clients: usize,
+    pub(crate) client_count: usize,
     /// The last call's number.
-    pub(crate) last_call: u64,
+    pub(crate) last_call_number: u64,
     /// Connections opened to servers so far.
-    pub(crate) opened: u64,
+    pub(crate) opened_count: u64,
 }
 
 impl<S: HasHttp> Http<S> {
@@ -46,9 +46,9 @@
             pools: HashMap::new(),
             calls: HashMap::new(),
             events: VecDeque::new(),
-            clients: 0,
-            last_call: 0,
-            opened: 0,
+            client_count: 0,
+            last_call_number: 0,
+            opened_count: 0,
         }
     }
 
@@ -92,13 +92,13 @@
     }
 
     /// Client connections that are open.
-    pub fn clients(&self) -> usize {
-        self.clients
+    pub fn client_count(&self) -> usize {
+        self.client_count
     }
 
     /// Connections opened to servers so far.
-    pub fn opened(&self) -> u64 {
-        self.opened
+    pub fn opened_count(&self) -> u64 {
+        self.opened_count
     }
 
     /// The events in the order in which they were seen; to be taken after every turn of the loop.
@@ -112,13 +112,13 @@
         !self.events.is_empty() || self.sockets.is_ready()
     }
 
-    /// When [`Http::expire`] has something to do.
+    /// When [`Http::expire_connections`] has something to do.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.sockets.next_due()
     }
 
     /// Closes what is overdue, after everything that was received in time was processed.
-    pub fn expire(&mut self, now: Instant) {
+    pub fn expire_connections(&mut self, now: Instant) {
         self.process_ready();
         for id in self.sockets.take_overdue(now) {
             self.expire_socket(id);
@@ -134,7 +134,7 @@
             Role::Server(ServerState::Head { .. } | ServerState::Body { .. }) => {
                 self.reject_request(id, RequestError::Timeout);
             }
-            Role::Server(_) => self.client_lost(id),
+            Role::Server(_) => self.disconnect_client(id),
             Role::Client(client) => match client.state {
                 ClientState::Connecting => self.fail_call(id, CallFailure::Connect),
                 ClientState::Idle => self.close(id),
@@ -160,7 +160,7 @@
     pub(crate) fn close(&mut self, id: SocketId) {
         let connection = self.sockets.close(id);
         match connection.map(|connection| connection.role) {
-            Some(Role::Server(_)) => self.clients -= 1,
+            Some(Role::Server(_)) => self.client_count -= 1,
             Some(Role::Client(client)) => {
                 if let Some(call) = client.call {
                     self.calls.remove(&call);
--- a/crates/quartzdrift-http/src/lib.rs
+++ b/crates/quartzdrift-http/src/lib.rs
@@ -2,7 +2,7 @@
 //! make the process hold or wait for.
 //!
 //! Create one [`Http`] for an event loop and let the loop's state lend it ([`HasHttp`]). After each turn of the loop take the
-//! events ([`Http::take_events`]) and close what is overdue ([`Http::expire`]). There are no callbacks: all that peers do is
+//! events ([`Http::take_events`]) and close what is overdue ([`Http::expire_connections`]). There are no callbacks: all that peers do is
 //! reported as [`HttpEvent`]s in the order in which it was seen.
 //!
 //! Framing follows RFC 9112. [`head`] and [`body`] parse bytes and do no I/O. [`sockets`] has what the connections of every
--- a/crates/quartzdrift-http/src/server.rs
+++ b/crates/quartzdrift-http/src/server.rs
@@ -122,14 +122,14 @@
     /// each may have sent a request.
     pub(crate) fn accept(&mut self) {
         let limit = self.limits.connections;
-        for stream in self.sockets.accept(limit, self.clients, is_idle) {
-            self.make_room();
+        for stream in self.sockets.accept(limit, self.client_count, is_idle) {
+            self.close_idle_clients();
             let connection = Connection {
                 exchange_number: 0,
                 role: Role::Server(ServerState::Head { scanned: 0 }),
             };
             if let Ok(id) = self.sockets.insert(stream, connection) {
-                self.clients += 1;
+                self.client_count += 1;
                 self.sockets.set_deadline(id, Some(self.limits.idle_timeout));
             }
         }
@@ -137,9 +137,9 @@
 
     /// Makes room for one more client, where there is none: the one that has been idle longest is closed, unless something has
     /// arrived from it that the loop has not been told of yet.
-    fn make_room(&mut self) {
-        for _ in 0..=self.clients {
-            if self.clients < self.limits.connections {
+    fn close_idle_clients(&mut self) {
+        for _ in 0..=self.client_count {
+            if self.client_count < self.limits.connections {
                 return;
             }
             let Some(idle) = self.sockets.longest_idle(is_idle) else {
@@ -157,7 +157,7 @@
     }
 
     /// A client has left, or takes nothing of its response.
-    pub(crate) fn client_lost(&mut self, id: SocketId) {
+    pub(crate) fn disconnect_client(&mut self, id: SocketId) {
         let Some(socket) = self.sockets.get(id) else {
             return;
         };
@@ -205,7 +205,7 @@
             }
             if socket.is_read_closed() {
                 // A client that has closed its sending side reads no response.
-                return self.client_lost(id);
+                return self.disconnect_client(id);
             }
             if has_read {
                 return;
@@ -228,7 +228,7 @@
             return false;
         };
         if socket.is_broken() {
-            self.client_lost(id);
+            self.disconnect_client(id);
             return false;
         }
         if socket.unsent_bytes() > 0 {
@@ -286,7 +286,7 @@
             return Ok(Progress::Wait);
         }
         let is_first_part = *scanned == 0;
-        let end = head::head_end(&socket.input, scanned);
+        let end = head::find_head_end(&socket.input, scanned);
         if end.unwrap_or(socket.input.len()) > self.limits.head_bytes {
             return Err(RequestError::HeadTooLarge);
         }
--- a/crates/quartzdrift-http/tests/sockets.rs
+++ b/crates/quartzdrift-http/tests/sockets.rs
@@ -52,7 +52,7 @@
                 .map(|at| at.saturating_duration_since(Instant::now()));
             let wait = wait.unwrap_or(Duration::from_secs(1)).min(Duration::from_secs(1));
             self.event_loop.dispatch(wait, &mut self.state).unwrap();
-            self.state.0.expire(Instant::now());
+            self.state.0.expire_connections(Instant::now());
             events = self.state.0.take_events();
         }
         assert_eq!(events.len(), 1, "one at a time: {events:?}");
@@ -229,7 +229,7 @@
     drop(client);
     assert!(matches!(stage.next(), HttpEvent::ClientDisconnected { exchange: gone } if gone == exchange));
     stage.state.0.respond(exchange, &answer("late"));
-    assert_eq!(stage.state.0.clients(), 0);
+    assert_eq!(stage.state.0.client_count(), 0);
 }
 
 #[test]
@@ -242,7 +242,7 @@
     let _client = stage.client(b"GET /works HTTP/1.1\r\n\r\n");
     let (_, request) = stage.request();
     assert_eq!(request.head.target, "/works");
-    assert!(stage.state.0.clients() <= 30);
+    assert!(stage.state.0.client_count() <= 30);
     drop(idle);
 }
 
@@ -263,7 +263,7 @@
             .event_loop
             .dispatch(Duration::from_millis(20), &mut stage.state)
             .unwrap();
-        stage.state.0.expire(Instant::now());
+        stage.state.0.expire_connections(Instant::now());
         assert!(stage.state.0.take_events().is_empty());
     }
     stage.state.0.respond(open, &answer("first"));
@@ -319,7 +319,7 @@
         is_closed.recv().unwrap();
     }
     serving.join().unwrap();
-    assert_eq!(stage.state.0.opened(), 2);
+    assert_eq!(stage.state.0.opened_count(), 2);
 }
 
 #[test]
--- a/crates/quartzdrift-lab/src/actor.rs
+++ b/crates/quartzdrift-lab/src/actor.rs
@@ -63,7 +63,7 @@
         let waits = actor.http().has_events().then_some(Duration::ZERO);
         let wait = [due, sockets, waits].into_iter().flatten().min();
         event_loop.dispatch(wait, &mut actor).map_err(io::Error::other)?;
-        actor.http().expire(Instant::now());
+        actor.http().expire_connections(Instant::now());
         for event in actor.http().take_events() {
             actor.event(event);
         }
--- a/crates/quartzdrift/src/gateway/event_loop.rs
+++ b/crates/quartzdrift/src/gateway/event_loop.rs
@@ -24,7 +24,7 @@
 
     /// Handles the events that the last wait of the event loop brought, and everything that is due.
     pub fn turn(&mut self) {
-        self.http.expire(Instant::now());
+        self.http.expire_connections(Instant::now());
         for event in self.http.take_events() {
             self.handle_http(event);
         }
--- a/crates/quartzdrift/src/gateway/shutdown.rs
+++ b/crates/quartzdrift/src/gateway/shutdown.rs
@@ -34,7 +34,7 @@
             return true;
         }
         // Beside a successor at the same address, existing connections are served to their end here.
-        let serves_clients = self.settings.share_port && self.http.clients() > 0;
+        let serves_clients = self.settings.share_port && self.http.client_count() > 0;
         let has_due_invocations = self.next_attempt_due().is_some_and(|at| at <= now);
         let is_stored = self.store.as_ref().is_none_or(Store::idle);
         let has_open_requests = self.request_table.open_requests() > 0;
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -90,7 +90,7 @@
 
     pub(super) fn close_idle(&mut self, worker: &str) {
         if let Ok(address) = list::address(worker) {
-            self.http.close_idle(address);
+            self.http.close_idle_connections(address);
         }
     }
 
--- a/crates/quartzdrift/src/invoke.rs
+++ b/crates/quartzdrift/src/invoke.rs
@@ -119,7 +119,7 @@
 fn read_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Result<ResponseHead, InvokeError> {
     let mut scanned = 0;
     loop {
-        if let Some(end) = head::head_end(buffer, &mut scanned) {
+        if let Some(end) = head::find_head_end(buffer, &mut scanned) {
             let head = head::parse_response(&buffer[..end]).map_err(|_| InvokeError::MalformedHead)?;
             buffer.drain(..end);
             return Ok(head);
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -273,7 +273,7 @@
     }
 
     fn work_polls(&mut self) {
-        self.http.expire(Instant::now());
+        self.http.expire_connections(Instant::now());
         for event in self.http.take_events() {
             match event {
                 HttpEvent::Response { call, response } => self.poll_answered(call, &response),
