--- a/crates/quartzdrift-http/src/body.rs
+++ b/crates/quartzdrift-http/src/body.rs
@@ -1,64 +1,64 @@
-//! Bodies by length, in chunks, or up to the end of the connection, with a limit (RFC 9112 sections 6 and 7). No I/O.
+//! Incremental parsing of message bodies with a size limit, without I/O (RFC 9112 sections 6 and 7).
 use crate::head::Framing;
 
 #[cfg(test)]
 mod tests;
 
-/// Maximum bytes of one chunk's size line, and of all trailer fields.
+/// Maximum bytes of one chunk-size line, and of all trailer fields together.
 const MAX_LINE: usize = 1024;
-/// Maximum bytes that are allocated for a body on the word of its stated length.
+/// Maximum bytes allocated in advance for a `content-length`, which the peer may not actually send.
 const MAX_PREALLOCATED: usize = 64 << 10;
 
-/// Why bytes are no body.
+/// Reason for rejecting a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is over the limit.
+    /// The body exceeds the reader's limit.
     TooLarge,
-    /// Its chunks cannot be read.
+    /// The chunk framing is invalid.
     Malformed,
 }
 
-/// What is expected next.
+/// The element of the body that is expected next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// So many bytes of a body of known length.
+    /// Remaining bytes of a body of known length.
     Length(u64),
-    /// A chunk's size line.
+    /// The size line of a chunk.
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// Remaining bytes of a chunk.
     Chunk(u64),
     /// The line end after a chunk.
     ChunkEnd,
-    /// Trailer fields, of which so many bytes were received.
+    /// Trailer fields; holds the bytes of them received so far.
     Trailer(usize),
     /// Bytes up to the end of the connection.
     UntilClose,
-    /// Nothing.
+    /// Nothing: the body is complete.
     Complete,
 }
 
-/// What a step of reading consumed.
+/// Result of parsing one element.
 enum Step {
-    /// So many bytes; there may be more to read.
+    /// This many bytes were consumed; the next element may follow.
     Consumed(usize),
-    /// Nothing: the next element is not complete.
+    /// Nothing was consumed: the next element is not complete.
     Incomplete,
 }
 
-/// Reads a body as its bytes are received.
+/// Parses a body incrementally as its bytes arrive.
 #[derive(Debug)]
 pub struct BodyReader {
     state: State,
     limit: usize,
-    /// The body's bytes so far, or since they were last taken away.
+    /// Decoded bytes of the body; the owner may take them at any time.
     pub bytes: Vec<u8>,
 }
 
 impl BodyReader {
-    /// A body of which nothing was received.
+    /// Creates a reader for a body with this framing that holds at most `limit` decoded bytes at a time.
     ///
     /// # Errors
-    /// [`BodyError::TooLarge`] if its stated length is over the limit.
+    /// Returns [`BodyError::TooLarge`] if the stated length exceeds the limit.
     pub fn new(framing: Framing, limit: usize) -> Result<BodyReader, BodyError> {
         let state = match framing {
             Framing::None | Framing::Length(0) => State::Complete,
@@ -67,14 +67,14 @@
             Framing::Chunked => State::ChunkSize,
             Framing::UntilClose => State::UntilClose,
         };
-        let expected = match state {
+        let preallocated = match state {
             State::Length(length) => (length as usize).min(MAX_PREALLOCATED),
             _ => 0,
         };
         Ok(BodyReader {
             state,
             limit,
-            bytes: Vec::with_capacity(expected),
+            bytes: Vec::with_capacity(preallocated),
         })
     }
 
@@ -83,15 +83,16 @@
         self.state == State::Complete
     }
 
-    /// Whether the body is complete if the connection ends now.
+    /// Whether the body is complete if the connection closes now.
     pub fn is_complete_at_close(&self) -> bool {
         matches!(self.state, State::Complete | State::UntilClose)
     }
 
-    /// Reads what belongs to the body; returns how many bytes that was.
+    /// Parses input up to the end of the body. Returns the number of bytes consumed; the caller passes the
+    /// others again.
     ///
     /// # Errors
-    /// [`BodyError`] if the body is over the limit or cannot be read.
+    /// Returns [`BodyError`] if the body exceeds the limit or its chunk framing is invalid.
     pub fn feed(&mut self, input: &[u8]) -> Result<usize, BodyError> {
         let mut consumed = 0;
         while consumed < input.len() && !self.is_complete() {
@@ -103,7 +104,7 @@
         Ok(consumed)
     }
 
-    /// Reads the next element of the input, which is not empty.
+    /// Parses the next element of the input, which must not be empty.
     fn step(&mut self, input: &[u8]) -> Result<Step, BodyError> {
         match self.state {
             State::Complete => Ok(Step::Incomplete),
@@ -112,20 +113,20 @@
                 Ok(Step::Consumed(input.len()))
             }
             State::Length(left) => {
-                let (taken, left) = self.append_up_to(left, input)?;
+                let (appended, left) = self.append_up_to(left, input)?;
                 self.state = match left {
                     0 => State::Complete,
                     left => State::Length(left),
                 };
-                Ok(Step::Consumed(taken))
+                Ok(Step::Consumed(appended))
             }
             State::Chunk(left) => {
-                let (taken, left) = self.append_up_to(left, input)?;
+                let (appended, left) = self.append_up_to(left, input)?;
                 self.state = match left {
                     0 => State::ChunkEnd,
                     left => State::Chunk(left),
                 };
-                Ok(Step::Consumed(taken))
+                Ok(Step::Consumed(appended))
             }
             State::ChunkSize => self.read_chunk_size(input),
             State::ChunkEnd => self.read_chunk_end(input),
@@ -141,11 +142,11 @@
         Ok(())
     }
 
-    /// Appends at most `left` bytes; returns how many, and how many are left.
+    /// Appends at most `left` bytes of `input`. Returns the number appended and the number still left.
     fn append_up_to(&mut self, left: u64, input: &[u8]) -> Result<(usize, u64), BodyError> {
-        let taken = left.min(input.len() as u64);
-        self.append(&input[..taken as usize])?;
-        Ok((taken as usize, left - taken))
+        let length = left.min(input.len() as u64);
+        self.append(&input[..length as usize])?;
+        Ok((length as usize, left - length))
     }
 
     fn read_chunk_size(&mut self, input: &[u8]) -> Result<Step, BodyError> {
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Skips a trailer field; an empty line ends the body.
+    /// Skips one trailer field; an empty line ends the body.
     fn read_trailer(&mut self, received: usize, input: &[u8]) -> Result<Step, BodyError> {
         let Some(line_length) = input.iter().position(|&byte| byte == b'\n') else {
             return if received + input.len() <= MAX_LINE {
--- a/crates/quartzdrift-http/src/body/tests.rs
+++ b/crates/quartzdrift-http/src/body/tests.rs
@@ -1,38 +1,40 @@
 use super::*;
 
-fn read(input: &[u8], cut: usize) -> Result<(Vec<u8>, usize), BodyError> {
+/// Parses a chunked body that arrives in segments of `segment_size` bytes. Returns the decoded bytes and the
+/// number of input bytes consumed.
+fn read_in_segments(input: &[u8], segment_size: usize) -> Result<(Vec<u8>, usize), BodyError> {
     let mut reader = BodyReader::new(Framing::Chunked, 100)?;
-    let (mut held, mut used) = (Vec::new(), 0);
-    for part in input.chunks(cut.max(1)) {
-        held.extend_from_slice(part);
-        let taken = reader.feed(&held)?;
-        held.drain(..taken);
-        used += taken;
+    let (mut pending, mut total_consumed) = (Vec::new(), 0);
+    for segment in input.chunks(segment_size.max(1)) {
+        pending.extend_from_slice(segment);
+        let consumed = reader.feed(&pending)?;
+        pending.drain(..consumed);
+        total_consumed += consumed;
     }
     assert!(reader.is_complete());
-    Ok((reader.bytes, used))
+    Ok((reader.bytes, total_consumed))
 }
 
 proptest::proptest! {
     #[test]
-    fn chunks_are_read_alike_however_they_are_cut(cut in 1usize..30) {
+    fn chunked_body_is_parsed_the_same_for_any_segment_size(segment_size in 1usize..30) {
         let input = b"5\r\nhello\r\n7;x=y\r\n, world\r\n0\r\nx-t: 1\r\n\r\nnext";
-        let (bytes, used) = read(input, cut).unwrap();
+        let (bytes, consumed) = read_in_segments(input, segment_size).unwrap();
         proptest::prop_assert_eq!(&bytes[..], b"hello, world");
-        proptest::prop_assert_eq!(used, input.len() - 4);
+        proptest::prop_assert_eq!(consumed, input.len() - 4);
     }
 
     #[test]
-    fn any_bytes_end_or_fail(bytes: Vec<u8>) {
+    fn arbitrary_bytes_stay_within_the_limit_or_fail(bytes: Vec<u8>) {
         let mut reader = BodyReader::new(Framing::Chunked, 64).unwrap();
-        if let Ok(used) = reader.feed(&bytes) {
-            proptest::prop_assert!(used <= bytes.len() && reader.bytes.len() <= 64);
+        if let Ok(consumed) = reader.feed(&bytes) {
+            proptest::prop_assert!(consumed <= bytes.len() && reader.bytes.len() <= 64);
         }
     }
 }
 
 #[test]
-fn limits_hold() {
+fn bodies_and_size_lines_over_the_limit_are_rejected() {
     assert_eq!(
         BodyReader::new(Framing::Length(101), 100).unwrap_err(),
         BodyError::TooLarge
@@ -40,6 +42,6 @@
     let mut reader = BodyReader::new(Framing::Chunked, 4).unwrap();
     assert_eq!(reader.feed(b"5\r\nhello\r\n").unwrap_err(), BodyError::TooLarge);
     let mut reader = BodyReader::new(Framing::Chunked, 4).unwrap();
-    let line = [b'0'; MAX_LINE + 2];
-    assert_eq!(reader.feed(&line).unwrap_err(), BodyError::Malformed);
+    let size_line = [b'0'; MAX_LINE + 2];
+    assert_eq!(reader.feed(&size_line).unwrap_err(), BodyError::Malformed);
 }
--- a/crates/quartzdrift-http/src/client.rs
+++ b/crates/quartzdrift-http/src/client.rs
@@ -1,4 +1,4 @@
-//! The client's side: calls to servers over pooled connections.
+//! Client side: calls to servers over pooled connections.
 use crate::body::{BodyError, BodyReader};
 use crate::connection::{ClientConnection, ClientState, Connection, Role, without_framing};
 use crate::head::{self, Framing, ResponseHead};
@@ -8,18 +8,19 @@
 use crate::sockets::SocketId;
 use std::net::SocketAddr;
 
-/// How far the bytes received on a connection could be read.
+/// Result of parsing the received bytes of a response.
 enum Progress {
-    /// More of them may be readable now.
+    /// An element was parsed; the next one may have been received too.
     Continue,
-    /// Nothing more can be read for now.
+    /// More input is needed.
     Wait,
     /// The response is complete.
     Complete,
 }
 
 impl<S: HasHttp> Http<S> {
-    /// Sends a request over a pooled or a new connection. Its result is reported as an event, never earlier.
+    /// Sends a request over a pooled or a new connection. The result is always reported as an event, even if
+    /// the call fails at once.
     pub fn call(&mut self, server: SocketAddr, request: OutgoingRequest) -> CallId {
         self.last_call_number += 1;
         let call = CallId(self.last_call_number);
@@ -27,49 +28,53 @@
         call
     }
 
-    /// Gives a call up by closing its connection. Nothing more is reported of it.
+    /// Cancels a call by closing its connection. No further event reports the call; queued ones are removed.
     pub fn cancel(&mut self, call: CallId) {
         if let Some(&id) = self.calls.get(&call) {
             self.close(id);
         }
-        // It may have ended a moment ago, with the event still in the queue.
+        // The call may have ended already, with its event still in the queue.
         self.events.retain(|event| match event {
-            HttpEvent::Response { call: ended, .. }
-            | HttpEvent::ResponsePart { call: ended, .. }
-            | HttpEvent::ResponseEnd { call: ended }
-            | HttpEvent::CallFailed { call: ended, .. } => *ended != call,
+            HttpEvent::Response { call: event_call, .. }
+            | HttpEvent::ResponsePart { call: event_call, .. }
+            | HttpEvent::ResponseEnd { call: event_call }
+            | HttpEvent::CallFailed { call: event_call, .. } => *event_call != call,
             HttpEvent::Request { .. } | HttpEvent::ClientDisconnected { .. } => true,
         });
     }
 
-    /// Closes the idle connections to a server.
+    /// Closes the idle connections to a server. Connections with a call stay open.
     pub fn close_idle_connections(&mut self, server: SocketAddr) {
         let pool = self.pools.get(&server);
         let idle = pool.map(|pool| pool.idle.clone()).unwrap_or_default();
         idle.into_iter().for_each(|id| self.close(id));
     }
 
+    /// Starts a call on an idle connection, or on a new one if none is usable and the limit permits.
     fn start_call(&mut self, server: SocketAddr, call: CallId, request: OutgoingRequest) {
         while let Some(id) = self.take_idle(server) {
             if self.is_usable(id) {
-                return self.start_call_on(id, call, request);
+                return self.start_call_on_idle_connection(id, call, request);
             }
             self.close(id);
         }
-        let open = self.pools.get(&server).map_or(0, |pool| pool.open);
-        if open >= self.limits.connections_per_server {
+        let open_count = self.pools.get(&server).map_or(0, |pool| pool.open_count);
+        if open_count >= self.limits.connections_per_server {
             let failure = CallFailure::ConnectionLimit;
             return self.events.push_back(HttpEvent::CallFailed { call, failure });
         }
         self.start_call_on_new_connection(server, call, request);
     }
 
+    /// Removes the most recently used idle connection from the pool.
     fn take_idle(&mut self, server: SocketAddr) -> Option<SocketId> {
         self.pools.get_mut(&server)?.idle.pop()
     }
 
-    /// Whether an idle connection can carry a call. One that the server has closed meanwhile still looks writable: what is
-    /// sent on it is lost without proof.
+    /// Whether an idle connection can carry a call.
+    ///
+    /// A connection that the server has closed meanwhile still accepts writes. A request sent on it would be
+    /// lost, and the client could not prove that it was not executed. So the connection is read first.
     fn is_usable(&mut self, id: SocketId) -> bool {
         self.sockets.try_read(id);
         self.sockets
@@ -77,7 +82,8 @@
             .is_some_and(|socket| !socket.is_read_closed() && socket.input.is_empty())
     }
 
-    fn start_call_on(&mut self, id: SocketId, call: CallId, request: OutgoingRequest) {
+    /// Sends the request of a call on an idle connection.
+    fn start_call_on_idle_connection(&mut self, id: SocketId, call: CallId, request: OutgoingRequest) {
         let Some(socket) = self.sockets.get_mut(id) else {
             return;
         };
@@ -86,7 +92,7 @@
             return;
         };
         client.call = Some(call);
-        client.streams = request.streams_response;
+        client.streams_response = request.streams_response;
         client.request_position = position;
         client.state = ClientState::Head { scanned: 0 };
         let server = client.server;
@@ -99,13 +105,14 @@
         self.drive_client(id);
     }
 
+    /// Starts to connect to the server; the request is sent once the connection is established.
     fn start_call_on_new_connection(&mut self, server: SocketAddr, call: CallId, request: OutgoingRequest) {
         let timeout = request.connect_timeout;
         let client = ClientConnection {
             server,
             call: Some(call),
             state: ClientState::Connecting,
-            streams: request.streams_response,
+            streams_response: request.streams_response,
             request: Some(request),
             request_position: 0,
         };
@@ -118,12 +125,12 @@
             return self.events.push_back(HttpEvent::CallFailed { call, failure });
         };
         self.opened_count += 1;
-        self.pools.entry(server).or_default().open += 1;
+        self.pools.entry(server).or_default().open_count += 1;
         self.calls.insert(call, id);
         self.sockets.set_deadline(id, Some(timeout));
     }
 
-    /// Ends the call of a connection, and the connection.
+    /// Reports that the call of a connection has failed, and closes the connection.
     pub(crate) fn fail_call(&mut self, id: SocketId, failure: CallFailure) {
         if let Some(call) = self.client_connection(id).and_then(|client| client.call) {
             self.events.push_back(HttpEvent::CallFailed { call, failure });
@@ -131,14 +138,15 @@
         self.close(id);
     }
 
-    /// Sends, reads a bounded share, and parses what was received.
+    /// Advances a connection to a server: completes connecting, sends output, reads at most `MAX_READ_BYTES`
+    /// and parses.
     pub(crate) fn drive_client(&mut self, id: SocketId) {
         let Some(client) = self.client_connection(id) else {
             return;
         };
         if matches!(client.state, ClientState::Connecting) {
             match self.sockets.connect_result(id) {
-                Some(Ok(())) => self.connection_established(id),
+                Some(Ok(())) => self.write_pending_request(id),
                 Some(Err(_)) => return self.fail_call(id, CallFailure::Connect),
                 None => return,
             }
@@ -152,16 +160,16 @@
         let Role::Client(client) = &mut socket.state.role else {
             return;
         };
-        // From the first byte on the request may be executed.
+        // Once a byte is sent, the server may execute the request, so it must not be sent again.
         if sent > client.request_position {
             client.request = None;
         }
         if is_broken && client.request.is_some() {
-            return self.server_closed(id);
+            return self.handle_server_close(id);
         }
         self.sockets.read(id);
         if self.parse_response(id) && self.sockets.get(id).is_some_and(Socket::is_read_closed) {
-            self.server_closed(id);
+            self.handle_server_close(id);
         }
     }
 
@@ -172,8 +180,8 @@
         }
     }
 
-    /// Writes the call of a new connection.
-    fn connection_established(&mut self, id: SocketId) {
+    /// Writes the request of a call to its new connection.
+    fn write_pending_request(&mut self, id: SocketId) {
         self.sockets.set_deadline(id, None);
         let Some(client) = self.client_connection(id) else {
             return;
@@ -185,30 +193,31 @@
         }
     }
 
-    /// The server has closed the connection.
-    fn server_closed(&mut self, id: SocketId) {
+    /// Handles a connection that the server has closed: completes or fails its call, or repeats the call on
+    /// another connection if no byte of the request was sent.
+    fn handle_server_close(&mut self, id: SocketId) {
         let Some(client) = self.client_connection(id) else {
             return;
         };
         if client.request.is_some()
             && let (Some(request), Some(call)) = (client.request.take(), client.call.take())
         {
-            // An idle connection that had been closed: no byte was sent, so another one may be used. `close` must not take
-            // the call from the table.
+            // No byte of the request was sent, so the call moves to another connection. `start_call` enters
+            // it into `self.calls` again.
             let server = client.server;
             self.close(id);
             self.calls.remove(&call);
             return self.start_call(server, call, request);
         }
         match &client.state {
-            ClientState::Body { reader, .. } if reader.is_complete_at_close() => self.response_complete(id),
+            ClientState::Body { reader, .. } if reader.is_complete_at_close() => self.complete_response(id),
             ClientState::Idle => self.close(id),
             ClientState::Connecting => self.fail_call(id, CallFailure::Connect),
             ClientState::Head { .. } | ClientState::Body { .. } => self.fail_call(id, CallFailure::Reset),
         }
     }
 
-    /// Parses what was received; `false` once the connection is closed.
+    /// Parses the received bytes of a response. Returns `false` if the connection was closed.
     fn parse_response(&mut self, id: SocketId) -> bool {
         loop {
             let Some(client) = self.client_connection(id) else {
@@ -216,7 +225,7 @@
             };
             let progress = match &client.state {
                 ClientState::Connecting => Ok(Progress::Wait),
-                ClientState::Idle => return self.check_idle(id),
+                ClientState::Idle => return self.close_if_unexpected_input(id),
                 ClientState::Head { .. } => self.parse_response_head(id),
                 ClientState::Body { .. } => self.parse_response_body(id),
             };
@@ -224,7 +233,7 @@
                 Ok(Progress::Continue) => {}
                 Ok(Progress::Wait) => return true,
                 Ok(Progress::Complete) => {
-                    self.response_complete(id);
+                    self.complete_response(id);
                     return self.sockets.get(id).is_some();
                 }
                 Err(failure) => {
@@ -235,13 +244,14 @@
         }
     }
 
-    /// Closes an idle connection on which something was received: the next response could not be told from it.
-    fn check_idle(&mut self, id: SocketId) -> bool {
-        let is_silent = self.sockets.get(id).is_some_and(|socket| socket.input.is_empty());
-        if !is_silent {
+    /// Closes an idle connection that has received input, which would be parsed as the response to the next
+    /// call. Returns whether the connection is still open.
+    fn close_if_unexpected_input(&mut self, id: SocketId) -> bool {
+        let is_input_empty = self.sockets.get(id).is_some_and(|socket| socket.input.is_empty());
+        if !is_input_empty {
             self.close(id);
         }
-        is_silent
+        is_input_empty
     }
 
     fn parse_response_head(&mut self, id: SocketId) -> Result<Progress, CallFailure> {
@@ -269,7 +279,7 @@
         }
         let reader = BodyReader::new(head.framing, self.limits.response_body_bytes)
             .map_err(|_| CallFailure::TooLarge)?;
-        if let Some(call) = client.call.filter(|_| client.streams) {
+        if let Some(call) = client.call.filter(|_| client.streams_response) {
             let response = Response {
                 status: head.status,
                 headers: head.headers.clone(),
@@ -291,15 +301,15 @@
         let ClientState::Body { reader, .. } = &mut client.state else {
             return Ok(Progress::Wait);
         };
-        let used = reader.feed(&socket.input).map_err(body_failure)?;
-        if let Some(call) = client.call.filter(|_| client.streams)
+        let consumed = reader.feed(&socket.input).map_err(body_failure)?;
+        if let Some(call) = client.call.filter(|_| client.streams_response)
             && !reader.bytes.is_empty()
         {
             let bytes = std::mem::take(&mut reader.bytes);
             self.events.push_back(HttpEvent::ResponsePart { call, bytes });
         }
         let is_complete = reader.is_complete();
-        socket.consume(used);
+        socket.consume(consumed);
         if is_complete {
             Ok(Progress::Complete)
         } else {
@@ -307,13 +317,14 @@
         }
     }
 
-    /// Reports a complete response, and keeps the connection if it can carry another call.
-    fn response_complete(&mut self, id: SocketId) {
+    /// Reports a complete response and returns the connection to the pool if it can carry another call.
+    fn complete_response(&mut self, id: SocketId) {
         let Some(socket) = self.sockets.get_mut(id) else {
             return;
         };
-        // A server that responded before it had read the whole request leaves bytes behind.
-        let has_leftovers = socket.unsent_bytes() > 0 || socket.is_read_closed() || !socket.input.is_empty();
+        // If the server responded before it read the whole request, unsent bytes of the request remain.
+        let cannot_be_reused =
+            socket.unsent_bytes() > 0 || socket.is_read_closed() || !socket.input.is_empty();
         let Role::Client(client) = &mut socket.state.role else {
             return;
         };
@@ -322,7 +333,7 @@
         };
         self.calls.remove(&call);
         let server = client.server;
-        let streams = client.streams;
+        let streams_response = client.streams_response;
         let state = std::mem::replace(&mut client.state, ClientState::Idle);
         let ClientState::Body { head, reader } = state else {
             return self.close(id);
@@ -333,7 +344,7 @@
             keep_alive,
             ..
         } = head;
-        let event = if streams {
+        let event = if streams_response {
             HttpEvent::ResponseEnd { call }
         } else {
             let body = reader.bytes;
@@ -345,7 +356,7 @@
             HttpEvent::Response { call, response }
         };
         self.events.push_back(event);
-        if !keep_alive || has_leftovers {
+        if !keep_alive || cannot_be_reused {
             return self.close(id);
         }
         self.sockets
@@ -354,6 +365,7 @@
     }
 }
 
+/// Appends a request with its framing fields and `host`.
 fn write_request(out: &mut Vec<u8>, server: SocketAddr, request: &OutgoingRequest) {
     let mut headers = without_framing(&request.headers);
     if headers.get("host").is_none() {
--- a/crates/quartzdrift-http/src/connection.rs
+++ b/crates/quartzdrift-http/src/connection.rs
@@ -1,93 +1,97 @@
-//! The state of one connection, as a server or as a client. What is done with it is in `server.rs` and `client.rs`.
+//! HTTP state of one connection. `server.rs` and `client.rs` contain the transitions.
 use crate::body::BodyReader;
 use crate::head::{Headers, RequestHead, ResponseHead};
 use crate::messages::{CallId, OutgoingRequest};
 use std::net::SocketAddr;
 
-/// Headers that are set here and never passed on.
+/// Header fields of one connection or of its framing. They are generated for each message and not copied from
+/// the caller's headers.
 const FRAMING_HEADERS: [&str; 4] = ["content-length", "transfer-encoding", "connection", "keep-alive"];
 
-/// What HTTP knows of a socket.
+/// HTTP state attached to a socket.
 #[derive(Debug)]
 pub(crate) struct Connection {
-    /// Requests answered on it: guards against a second response to the same request.
+    /// Number of completed responses. An [`Exchange`](crate::Exchange) with a lower number is over and cannot
+    /// be answered again.
     pub(crate) exchange_number: u64,
     pub(crate) role: Role,
 }
 
-/// On which side of a connection the process is.
+/// Whether this process is the server or the client of a connection.
 #[derive(Debug)]
 pub(crate) enum Role {
     Server(ServerState),
     Client(ClientConnection),
 }
 
-/// How a response may be sent, by what its request said.
+/// Properties of a request that determine how its response is sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResponseMode {
     pub(crate) keep_alive: bool,
-    /// The response has no body: the method was HEAD.
+    /// The method is HEAD, so the response has no body.
     pub(crate) is_head: bool,
     pub(crate) is_http_1_0: bool,
 }
 
-/// How far a client's connection is.
+/// State of a connection from a client.
 #[derive(Debug)]
 pub(crate) enum ServerState {
-    /// Receives a head, of which these bytes were searched for its end.
+    /// Waiting for or receiving a request's head; `scanned` bytes were searched for its end.
     Head { scanned: usize },
-    /// Receives a body.
+    /// Receiving a request's body.
     Body { head: RequestHead, reader: BodyReader },
-    /// The owner has the request.
+    /// The request was reported; the owner has not responded yet.
     AwaitsResponse(ResponseMode),
-    /// A response of unknown length is being sent.
+    /// The owner is sending a response of unknown length.
     Streaming(ResponseMode),
-    /// The last response is written. What is still received is discarded, so that the response is not lost to a reset.
+    /// The last response is written. Further input is read and discarded: closing with unread input would
+    /// send a reset, and the client could lose the response.
     Lingering,
 }
 
-/// A connection to a server.
+/// State of a connection to a server.
 #[derive(Debug)]
 pub(crate) struct ClientConnection {
     pub(crate) server: SocketAddr,
     pub(crate) call: Option<CallId>,
     pub(crate) state: ClientState,
-    /// Kept until its first byte was sent, for another connection if this one turns out to be closed.
+    /// The request until its first byte is sent; if the connection turns out to be closed, it is sent on
+    /// another one.
     pub(crate) request: Option<OutgoingRequest>,
-    /// The position of the request's first byte in all that the socket sends.
+    /// Stream position of the request's first byte; see
+    /// [`Socket::write_position`](crate::sockets::Socket::write_position).
     pub(crate) request_position: u64,
-    pub(crate) streams: bool,
+    /// See [`OutgoingRequest::streams_response`].
+    pub(crate) streams_response: bool,
 }
 
-/// How far a connection to a server is.
+/// Progress of a connection to a server.
 #[derive(Debug)]
 pub(crate) enum ClientState {
+    /// The connection is not established yet.
     Connecting,
-    /// Receives a head, of which these bytes were searched for its end.
-    Head {
-        scanned: usize,
-    },
-    Body {
-        head: ResponseHead,
-        reader: BodyReader,
-    },
+    /// Waiting for or receiving a response's head; `scanned` bytes were searched for its end.
+    Head { scanned: usize },
+    /// Receiving a response's body.
+    Body { head: ResponseHead, reader: BodyReader },
+    /// In the pool, without a call.
     Idle,
 }
 
-/// Writes a chunk of a streamed response.
+/// Appends one chunk of a chunked body; an empty chunk ends the body.
 pub(crate) fn write_chunk(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend_from_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
     out.extend_from_slice(bytes);
     out.extend_from_slice(b"\r\n");
 }
 
-/// The headers without those that are set here.
+/// Copies the headers without [`FRAMING_HEADERS`].
 pub(crate) fn without_framing(headers: &Headers) -> Headers {
-    let mut others = Headers::new();
+    let mut copied = Headers::new();
     for (name, value) in headers.iter() {
         if !FRAMING_HEADERS.contains(&name) {
-            others.push(name, value);
+            copied.push(name, value);
         }
     }
-    others
+    copied
 }
--- a/crates/quartzdrift-http/src/head.rs
+++ b/crates/quartzdrift-http/src/head.rs
@@ -1,130 +1,134 @@
-//! Heads of requests and responses: parsing and writing, without I/O (RFC 9112 sections 2 to 6).
+//! Parsing and serialization of request and response heads, without I/O (RFC 9112 sections 2 to 6).
 //!
-//! Strict where framing is concerned: two lengths, a length beside chunks, or an unknown transfer coding are errors. Two
-//! readers that disagree on where a body ends can be made to mix clients' bytes (request smuggling).
+//! Framing is checked strictly: conflicting lengths, a `content-length` beside chunks, and unknown transfer
+//! codings are errors. If two servers on a request's path disagreed on where its body ends, an attacker could
+//! hide a second request in the body (request smuggling).
 
 #[cfg(test)]
 mod tests;
 
-/// Maximum header fields in one head; more are an error.
+/// Maximum header fields in one head.
 const MAX_FIELDS: usize = 64;
 
-/// Header fields in their order; names in lower case.
+/// Header fields in the order in which they were received or added; names are in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    /// No fields.
+    /// Creates an empty list of fields.
     pub fn new() -> Headers {
         Headers::default()
     }
 
-    /// The first value of a field. The name must be in lower case.
+    /// Returns the first value of a field. `name` must be in lower case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.get_all(name).next()
     }
 
-    /// All values of a field. The name must be in lower case.
+    /// Returns all values of a field. `name` must be in lower case.
     pub fn get_all(&self, name: &str) -> impl Iterator<Item = &str> {
         self.iter()
             .filter(move |(field, _)| *field == name)
             .map(|(_, value)| value)
     }
 
-    /// All fields, names and values.
+    /// Iterates over the names and values of all fields.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
-    /// Adds a field. Control characters in the value become spaces, so that no value can end its line.
+    /// Adds a field. Control characters except tab in the value become spaces, so that a value with a line
+    /// break cannot add another field.
     pub fn push(&mut self, name: &str, value: &str) {
         let replace_control = |c: char| if c.is_control() && c != '\t' { ' ' } else { c };
         let value = value.chars().map(replace_control).collect();
         self.0.push((name.to_ascii_lowercase(), value));
     }
 
-    /// These fields and one more; see [`Headers::push`].
+    /// Adds a field and returns the headers; see [`Headers::push`].
     pub fn with(mut self, name: &str, value: &str) -> Headers {
         self.push(name, value);
         self
     }
 }
 
-/// How the end of a body is recognised.
+/// Rule that determines where a message body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is no body.
+    /// The message has no body.
     None,
-    /// After this many bytes.
+    /// The body has this many bytes (`content-length`).
     Length(u64),
-    /// By the last chunk.
+    /// The body ends with an empty chunk (`transfer-encoding: chunked`).
     Chunked,
-    /// By the end of the connection.
+    /// The body ends when the connection closes.
     UntilClose,
 }
 
-/// A request's head.
+/// Head of a request: request line and header fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method.
+    /// HTTP method as received; methods are case-sensitive.
     pub method: String,
     /// The request target as received.
     pub target: String,
-    /// The header fields.
+    /// Header fields, including those of the framing.
     pub headers: Headers,
-    /// Whether the connection may carry another request.
+    /// Whether the client keeps the connection open for another request.
     pub keep_alive: bool,
     /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// How the body ends.
+    /// Framing of the request's body.
     pub framing: Framing,
-    /// HTTP/1.0: the response must not be chunked.
+    /// Whether the request is HTTP/1.0; its response must not be chunked.
     pub is_http_1_0: bool,
 }
 
-/// A response's head.
+/// Head of a response: status line and header fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status code.
+    /// HTTP status code.
     pub status: u16,
-    /// The header fields.
+    /// Header fields, including those of the framing.
     pub headers: Headers,
-    /// Whether the connection may carry another request.
+    /// Whether the connection can carry another request after the response.
     pub keep_alive: bool,
-    /// How the body ends.
+    /// Framing of the response's body.
     pub framing: Framing,
 }
 
 impl ResponseHead {
-    /// Whether the final response is still to come (1xx).
+    /// Whether this is an interim response (status 1xx), which precedes the final one.
     pub fn is_interim(&self) -> bool {
         (100..200).contains(&self.status)
     }
 }
 
-/// Why bytes are no head.
+/// Reason for rejecting a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadError {
-    /// Too many header fields.
+    /// The head has more than `MAX_FIELDS` header fields.
     TooLarge,
-    /// It is not HTTP/1.1, or its framing is ambiguous.
+    /// The bytes are not an HTTP/1.0 or HTTP/1.1 head, or the framing is ambiguous.
     Malformed,
-    /// A transfer coding other than chunked.
+    /// The message has a transfer coding other than chunked.
     UnsupportedTransferCoding,
 }
 
-/// The position after the empty line that ends a head. The search continues from `scanned`, so that a head received byte by
-/// byte is searched once.
+/// Returns the position after the empty line that ends a head, or `None` if the head is not complete.
+///
+/// `scanned` is the number of bytes searched by earlier calls for the same head, so that a head that arrives
+/// byte by byte is searched only once. It is updated if the head is not complete.
 pub fn find_head_end(buffer: &[u8], scanned: &mut usize) -> Option<usize> {
-    let from = scanned.saturating_sub(3);
-    for (at, byte) in buffer.iter().enumerate().skip(from) {
+    let start = scanned.saturating_sub(3);
+    for (index, byte) in buffer.iter().enumerate().skip(start) {
         if *byte == b'\n' {
-            let rest = &buffer[at + 1..];
+            let rest = &buffer[index + 1..];
             if rest.first() == Some(&b'\n') {
-                return Some(at + 2);
+                return Some(index + 2);
             }
             if rest.starts_with(b"\r\n") {
-                return Some(at + 3);
+                return Some(index + 3);
             }
         }
     }
@@ -134,14 +138,15 @@
 
 fn to_headers(parsed: &[httparse::Header]) -> Headers {
     let fields = parsed.iter().map(|field| {
-        // Bytes past ASCII are read as ISO 8859-1, as the first specification had it: no value is rejected for them.
+        // Non-ASCII bytes are decoded as ISO 8859-1, the charset of RFC 2616, so that every value can be
+        // decoded.
         let value = field.value.iter().map(|&byte| char::from(byte)).collect();
         (field.name.to_ascii_lowercase(), value)
     });
     Headers(fields.collect())
 }
 
-/// The elements of a field that is a list.
+/// Returns the comma-separated elements of all values of a field.
 fn list_elements<'a>(headers: &'a Headers, name: &str) -> impl Iterator<Item = &'a str> {
     headers
         .get_all(name)
@@ -149,7 +154,7 @@
         .map(str::trim)
 }
 
-/// The framing that the fields state; `None` where they state none.
+/// Returns the framing that the header fields specify, or `None` if they specify none.
 fn framing(headers: &Headers) -> Result<Option<Framing>, HeadError> {
     let length = content_length(headers)?;
     let mut codings = list_elements(headers, "transfer-encoding");
@@ -162,19 +167,21 @@
     }
 }
 
+/// Returns the body length that `content-length` specifies; repeated equal values are allowed.
 fn content_length(headers: &Headers) -> Result<Option<u64>, HeadError> {
-    let mut lengths = list_elements(headers, "content-length");
-    let Some(first) = lengths.next() else {
+    let mut values = list_elements(headers, "content-length");
+    let Some(first) = values.next() else {
         return Ok(None);
     };
     let is_number = !first.is_empty() && first.bytes().all(|byte| byte.is_ascii_digit());
-    if !is_number || lengths.any(|other| other != first) {
+    if !is_number || values.any(|other| other != first) {
         return Err(HeadError::Malformed);
     }
     let length = first.parse().map_err(|_| HeadError::Malformed)?;
     Ok(Some(length))
 }
 
+/// Returns whether the sender keeps the connection open, which is the default from HTTP/1.1 on.
 fn keep_alive(headers: &Headers, is_http_1_0: bool) -> bool {
     let has_option =
         |option: &str| list_elements(headers, "connection").any(|other| other.eq_ignore_ascii_case(option));
@@ -185,7 +192,7 @@
     }
 }
 
-/// Checks that a head was parsed to its end.
+/// Converts httparse's result to an error unless the whole head was parsed.
 fn check_complete(parsed: httparse::Result<usize>) -> Result<(), HeadError> {
     match parsed {
         Ok(httparse::Status::Complete(_)) => Ok(()),
@@ -194,10 +201,10 @@
     }
 }
 
-/// Parses a request's complete head, which ends at [`find_head_end`].
+/// Parses a complete request head, up to the position from [`find_head_end`].
 ///
 /// # Errors
-/// [`HeadError`] says why it is none.
+/// Returns [`HeadError`] if the head is not a valid request head.
 pub fn parse_request(bytes: &[u8]) -> Result<RequestHead, HeadError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
@@ -222,10 +229,10 @@
     })
 }
 
-/// Parses a response's complete head, which ends at [`find_head_end`].
+/// Parses a complete response head, up to the position from [`find_head_end`].
 ///
 /// # Errors
-/// [`HeadError`] says why it is none.
+/// Returns [`HeadError`] if the head is not a valid response head.
 pub fn parse_response(bytes: &[u8]) -> Result<ResponseHead, HeadError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Response::new(&mut fields);
@@ -246,7 +253,7 @@
     })
 }
 
-/// The reason phrase of a status that is sent here.
+/// Returns the reason phrase of a status code that this project sends, and `-` for other codes.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -273,27 +280,28 @@
     for (name, value) in headers.iter() {
         out.extend_from_slice(name.as_bytes());
         out.extend_from_slice(b": ");
-        // The inverse of reading: one byte for each character.
+        // Encoded as ISO 8859-1, as `to_headers` decodes it.
         out.extend(value.chars().map(|c| u8::try_from(u32::from(c)).unwrap_or(b'?')));
         out.extend_from_slice(b"\r\n");
     }
 }
 
-/// Writes a response's head.
+/// Appends a response head with the fields for its framing. Without `keep_alive` it has `connection: close`.
 pub fn write_response(out: &mut Vec<u8>, status: u16, headers: &Headers, framing: Framing, keep_alive: bool) {
     out.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)).as_bytes());
     write_fields(out, headers);
-    finish_head(out, framing, keep_alive);
+    write_framing(out, framing, keep_alive);
 }
 
-/// Writes a request's head.
+/// Appends a request head with the fields for its framing.
 pub fn write_request(out: &mut Vec<u8>, method: &str, target: &str, headers: &Headers, framing: Framing) {
     out.extend_from_slice(format!("{method} {target} HTTP/1.1\r\n").as_bytes());
     write_fields(out, headers);
-    finish_head(out, framing, true);
+    write_framing(out, framing, true);
 }
 
-fn finish_head(out: &mut Vec<u8>, framing: Framing, keep_alive: bool) {
+/// Appends the framing fields and the empty line that ends the head.
+fn write_framing(out: &mut Vec<u8>, framing: Framing, keep_alive: bool) {
     match framing {
         Framing::Length(length) => out.extend_from_slice(format!("content-length: {length}\r\n").as_bytes()),
         Framing::Chunked => out.extend_from_slice(b"transfer-encoding: chunked\r\n"),
--- a/crates/quartzdrift-http/src/head/tests.rs
+++ b/crates/quartzdrift-http/src/head/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 #[test]
-fn lengths_that_disagree_are_refused() {
-    let bad = [
+fn conflicting_or_invalid_lengths_are_rejected() {
+    let invalid_fields = [
         "content-length: 3\r\ncontent-length: 4",
         "content-length: 3\r\ntransfer-encoding: chunked",
         "content-length: +3",
         "content-length: 99999999999999999999",
     ];
-    for fields in bad {
+    for fields in invalid_fields {
         let head = format!("POST / HTTP/1.1\r\n{fields}\r\n\r\n");
         assert_eq!(
             parse_request(head.as_bytes()).unwrap_err(),
@@ -21,20 +21,20 @@
         parse_request(gzip).unwrap_err(),
         HeadError::UnsupportedTransferCoding
     );
-    let twice = b"POST / HTTP/1.1\r\ncontent-length: 3, 3\r\n\r\n";
-    assert_eq!(parse_request(twice).unwrap().framing, Framing::Length(3));
+    let repeated = b"POST / HTTP/1.1\r\ncontent-length: 3, 3\r\n\r\n";
+    assert_eq!(parse_request(repeated).unwrap().framing, Framing::Length(3));
 }
 
 #[test]
-fn a_head_is_found_however_it_is_cut() {
-    let whole = b"GET / HTTP/1.1\r\nhost: a\r\n\r\nrest";
+fn head_end_is_found_when_bytes_arrive_one_by_one() {
+    let received = b"GET / HTTP/1.1\r\nhost: a\r\n\r\nrest";
     let mut scanned = 0;
-    let found = (0..=whole.len()).find_map(|end| find_head_end(&whole[..end], &mut scanned));
-    assert_eq!(found, Some(whole.len() - 4));
+    let found = (0..=received.len()).find_map(|length| find_head_end(&received[..length], &mut scanned));
+    assert_eq!(found, Some(received.len() - 4));
 }
 
 #[test]
-fn values_cannot_end_their_line() {
+fn line_breaks_in_values_cannot_add_fields() {
     let mut out = Vec::new();
     let headers = Headers::new().with("X-A", "1\r\nx-b: 2");
     write_response(&mut out, 200, &headers, Framing::Length(0), true);
@@ -43,19 +43,23 @@
 
 proptest::proptest! {
     #[test]
-    fn any_bytes_are_read_without_panic(bytes: Vec<u8>) {
+    fn arbitrary_bytes_are_parsed_without_panic(bytes: Vec<u8>) {
         let _ = parse_request(&bytes);
         let _ = parse_response(&bytes);
     }
 
     #[test]
-    fn what_is_written_is_read_back(value in "[ -~]{0,40}", target in "/[a-z0-9/]{0,20}", n: u32) {
+    fn written_request_head_is_parsed_back(
+        value in "[ -~]{0,40}",
+        target in "/[a-z0-9/]{0,20}",
+        length: u32,
+    ) {
         let headers = Headers::new().with("x-a", value.trim());
         let mut out = Vec::new();
-        write_request(&mut out, "POST", &target, &headers, Framing::Length(n.into()));
+        write_request(&mut out, "POST", &target, &headers, Framing::Length(length.into()));
         let head = parse_request(&out).unwrap();
         proptest::prop_assert_eq!(head.headers.get("x-a"), Some(value.trim()));
         proptest::prop_assert_eq!(&head.target, &target);
-        proptest::prop_assert_eq!(head.framing, Framing::Length(n.into()));
+        proptest::prop_assert_eq!(head.framing, Framing::Length(length.into()));
     }
 }
--- a/crates/quartzdrift-http/src/http.rs
+++ b/crates/quartzdrift-http/src/http.rs
@@ -1,4 +1,4 @@
-//! All HTTP connections of one event loop.
+//! [`Http`]: the HTTP connections of one event loop, and their common operations.
 use crate::connection::{ClientState, Connection, Role, ServerState};
 use crate::limits::Limits;
 use crate::messages::{CallFailure, CallId, HttpEvent, RequestError};
@@ -9,36 +9,38 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Instant;
 
-/// The state of an event loop, which lends its [`Http`].
+/// Access to the [`Http`] in the state of an event loop.
 pub trait HasHttp: Sized + 'static {
-    /// The HTTP connections of the loop.
+    /// Returns the HTTP connections of the event loop.
     fn http(&mut self) -> &mut Http<Self>;
 }
 
-/// The connections to one server.
+/// Pooled connections to one server address.
 #[derive(Default)]
 pub(crate) struct ServerPool {
+    /// Connections without a call; the last one is used first.
     pub(crate) idle: Vec<SocketId>,
-    pub(crate) open: usize,
+    /// Number of open connections, with or without a call.
+    pub(crate) open_count: usize,
 }
 
-/// All HTTP connections of one event loop, whose state is `S`.
+/// The HTTP connections of one event loop whose state is `S`, to clients and to servers.
 pub struct Http<S: HasHttp> {
     pub(crate) limits: Limits,
     pub(crate) sockets: Sockets<S, Connection>,
     pub(crate) pools: HashMap<SocketAddr, ServerPool>,
     pub(crate) calls: HashMap<CallId, SocketId>,
     pub(crate) events: VecDeque<HttpEvent>,
-    /// Client connections that are open.
+    /// Number of open connections from clients.
     pub(crate) client_count: usize,
-    /// The last call's number.
+    /// Number of the latest call; the first call has number 1.
     pub(crate) last_call_number: u64,
-    /// Connections opened to servers so far.
+    /// Number of connections opened to servers since the start.
     pub(crate) opened_count: u64,
 }
 
 impl<S: HasHttp> Http<S> {
-    /// No connections yet, on the loop of this handle.
+    /// Creates an `Http` without connections on the event loop that `handle` belongs to.
     pub fn new(handle: LoopHandle<'static, S>, limits: Limits) -> Http<S> {
         Http {
             limits,
@@ -52,30 +54,30 @@
         }
     }
 
-    /// Accepts connections from `listener` from now on.
+    /// Starts to accept connections from `listener`.
     ///
     /// # Errors
-    /// The system or the event loop does not accept the listener.
+    /// Returns an error if the listener cannot be made non-blocking or registered with the event loop.
     pub fn listen(&mut self, listener: TcpListener) -> io::Result<()> {
         self.sockets.listen(listener)
     }
 
-    /// Accepts no more connections. Existing ones go on.
+    /// Stops accepting connections. Existing connections stay open.
     pub fn stop_listening(&mut self) {
-        // Connections that wait to be accepted would be reset with the listener.
+        // Closing a listener resets the connections in its accept queue, so they are accepted first.
         self.sockets.mark_listeners_ready();
         self.accept();
         self.sockets.stop_listening();
     }
 
-    /// Whether bytes wait to be sent to clients.
+    /// Whether unsent bytes wait on any client's connection.
     pub fn has_unsent_responses(&self) -> bool {
         self.sockets
             .iter()
             .any(|(_, socket)| matches!(socket.state.role, Role::Server(_)) && socket.unsent_bytes() > 0)
     }
 
-    /// Whether no byte of a call has been sent; then cancelling it proves that it was never executed.
+    /// Whether no byte of a call's request was sent. Such a call, if cancelled, is never executed.
     pub fn is_unsent(&self, call: CallId) -> bool {
         let socket = self.calls.get(&call).and_then(|&id| self.sockets.get(id));
         socket.is_some_and(
@@ -83,41 +85,44 @@
         )
     }
 
-    /// Closes every connection and accepts no more, as a process does that is killed.
+    /// Closes all connections and listeners and discards the events, as the death of the process would.
     pub fn close_all(&mut self) {
         self.stop_listening();
-        let all: Vec<SocketId> = self.sockets.iter().map(|(id, _)| id).collect();
-        all.into_iter().for_each(|id| self.close(id));
+        let ids: Vec<SocketId> = self.sockets.iter().map(|(id, _)| id).collect();
+        ids.into_iter().for_each(|id| self.close(id));
         self.events.clear();
     }
 
-    /// Client connections that are open.
+    /// Number of open connections from clients.
     pub fn client_count(&self) -> usize {
         self.client_count
     }
 
-    /// Connections opened to servers so far.
+    /// Number of connections opened to servers since the start.
     pub fn opened_count(&self) -> u64 {
         self.opened_count
     }
 
-    /// The events in the order in which they were seen; to be taken after every turn of the loop.
+    /// Processes ready connections and returns the events in the order in which they occurred. To be called
+    /// after each iteration of the event loop.
     pub fn take_events(&mut self) -> VecDeque<HttpEvent> {
         self.process_ready();
         std::mem::take(&mut self.events)
     }
 
-    /// Whether there are events to take.
+    /// Whether [`Http::take_events`] has work: events are queued or connections are ready.
     pub fn has_events(&self) -> bool {
         !self.events.is_empty() || self.sockets.is_ready()
     }
 
-    /// When [`Http::expire_connections`] has something to do.
+    /// Time at which [`Http::expire_connections`] must be called next: now if connections are ready, `None`
+    /// if no deadline is set.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.sockets.next_due()
     }
 
-    /// Closes what is overdue, after everything that was received in time was processed.
+    /// Handles connections whose deadline has passed: closes them, rejects the incomplete request or fails
+    /// the call. Input that has already arrived is processed first.
     pub fn expire_connections(&mut self, now: Instant) {
         self.process_ready();
         for id in self.sockets.take_overdue(now) {
@@ -138,13 +143,14 @@
             Role::Client(client) => match client.state {
                 ClientState::Connecting => self.fail_call(id, CallFailure::Connect),
                 ClientState::Idle => self.close(id),
-                // Calls are ended by their owner.
+                // The owner of a call cancels it when it takes too long.
                 ClientState::Head { .. } | ClientState::Body { .. } => {}
             },
         }
     }
 
-    /// Processes what the last turn of the loop brought.
+    /// Accepts connections, advances the connections that the event loop reported as ready, and sends their
+    /// output.
     fn process_ready(&mut self) {
         self.accept();
         for id in self.sockets.take_ready() {
@@ -157,6 +163,7 @@
         self.sockets.flush();
     }
 
+    /// Closes a connection and updates the counts, the pool and the table of calls.
     pub(crate) fn close(&mut self, id: SocketId) {
         let connection = self.sockets.close(id);
         match connection.map(|connection| connection.role) {
@@ -175,17 +182,17 @@
         let Some(pool) = self.pools.get_mut(&server) else {
             return;
         };
-        pool.open -= 1;
+        pool.open_count -= 1;
         pool.idle.retain(|&idle| idle != id);
-        if pool.open == 0 {
+        if pool.open_count == 0 {
             self.pools.remove(&server);
         }
     }
 
-    /// Writes after what waits to be sent on a socket.
-    pub(crate) fn write(&mut self, id: SocketId, write: impl FnOnce(&mut Vec<u8>)) {
+    /// Appends bytes to the output of a socket; they are sent with the next flush.
+    pub(crate) fn write(&mut self, id: SocketId, append: impl FnOnce(&mut Vec<u8>)) {
         if let Some(output) = self.sockets.output(id) {
-            write(output);
+            append(output);
         }
     }
 }
--- a/crates/quartzdrift-http/src/lib.rs
+++ b/crates/quartzdrift-http/src/lib.rs
@@ -1,12 +1,13 @@
-//! HTTP/1.1 on a calloop event loop: server connections, pooled client connections, and limits on everything that a peer can
-//! make the process hold or wait for.
+//! HTTP/1.1 on a calloop event loop: server connections, pooled client connections, and limits on the memory
+//! and the time that a peer can consume ([`Limits`]).
 //!
-//! Create one [`Http`] for an event loop and let the loop's state lend it ([`HasHttp`]). After each turn of the loop take the
-//! events ([`Http::take_events`]) and close what is overdue ([`Http::expire_connections`]). There are no callbacks: all that peers do is
-//! reported as [`HttpEvent`]s in the order in which it was seen.
+//! Create one [`Http`] per event loop and give the loop's state a [`HasHttp`] implementation. After each
+//! iteration of the loop, process the events ([`Http::take_events`]) and handle expired connections
+//! ([`Http::expire_connections`]). The API has no callbacks: requests, responses and disconnections are
+//! reported as [`HttpEvent`]s in the order in which they occur.
 //!
-//! Framing follows RFC 9112. [`head`] and [`body`] parse bytes and do no I/O. [`sockets`] has what the connections of every
-//! protocol share.
+//! Framing follows RFC 9112. [`head`] and [`body`] parse bytes and do no I/O. [`sockets`] manages TCP
+//! connections and is independent of HTTP; connections of other protocols use it too.
 pub mod body;
 mod client;
 mod connection;
--- a/crates/quartzdrift-http/src/limits.rs
+++ b/crates/quartzdrift-http/src/limits.rs
@@ -1,26 +1,28 @@
-//! Limits on what a peer may make the process hold or wait for.
+//! Limits on connections, message sizes and times.
 use std::time::Duration;
 
-/// What a peer may make the process hold or wait for.
+/// Limits on the memory and the time that a peer can consume.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Maximum bytes of the head of a request or response.
     pub head_bytes: usize,
     /// Maximum bytes of a request's body.
     pub request_body_bytes: usize,
-    /// Maximum bytes of a response's body, as a client.
+    /// Maximum bytes of the body of a response from a server.
     pub response_body_bytes: usize,
-    /// Maximum connections of clients.
+    /// Maximum open connections from clients.
     pub connections: usize,
-    /// Maximum connections to one server.
+    /// Maximum open connections to one server address.
     pub connections_per_server: usize,
-    /// From the first byte of a request to the end of its head, and from there to the end of its body.
+    /// Maximum time from the first byte of a request to the end of its head, and again from there to the end
+    /// of its body.
     pub receive_timeout: Duration,
-    /// Between two requests on a connection.
+    /// Maximum time that a client's connection stays open without a request.
     pub idle_timeout: Duration,
-    /// Without a byte of a response taken by the client.
+    /// Maximum time to send the bytes that wait for a client; then the connection is closed.
     pub send_timeout: Duration,
-    /// An idle connection to a server is closed after this time, which is less than servers allow.
+    /// Time after which an idle connection to a server is closed. It should be shorter than the servers' own
+    /// idle timeout, so that no request is sent on a connection that the server is closing.
     pub keep_alive_timeout: Duration,
 }
 
--- a/crates/quartzdrift-http/src/messages.rs
+++ b/crates/quartzdrift-http/src/messages.rs
@@ -1,132 +1,137 @@
-//! What goes into and comes out of [`Http`](crate::Http): requests, responses, calls, events and errors.
+//! Types that [`Http`](crate::Http) takes and returns: requests, responses, calls, events and errors.
 use crate::head::{Headers, RequestHead};
 use crate::sockets::SocketId;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A client's request that waits for its response.
+/// Identifies a client's request whose response is not complete yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Exchange {
     pub(crate) socket: SocketId,
-    /// The number of the exchange on its connection.
+    /// Ordinal of the request on its connection, from 0.
     pub(crate) number: u64,
 }
 
-/// A call to a server.
+/// Identifies a call, which is a request sent to a server; ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// A client's request.
+/// A complete request received from a client.
 #[derive(Debug)]
 pub struct Request {
-    /// Its head.
+    /// Method, target and header fields.
     pub head: RequestHead,
-    /// Its body.
+    /// The decoded body, without chunk framing; empty if the request has none.
     pub body: Vec<u8>,
-    /// The client's address.
+    /// Remote address of the connection; `None` if the system no longer knows it.
     pub client_address: Option<SocketAddr>,
-    /// The address at which the client connected.
+    /// Local address that the client connected to; `None` if the system no longer knows it.
     pub local_address: Option<SocketAddr>,
 }
 
-/// A response, to a client or from a server.
+/// A complete response, sent to a client or received from a server.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
-    /// The status code.
+    /// HTTP status code.
     pub status: u16,
-    /// The header fields.
+    /// Header fields. In a response that is sent, `content-length`, `transfer-encoding` and `keep-alive` are
+    /// ignored; `connection: close` closes the connection after the response.
     pub headers: Headers,
-    /// The body.
+    /// The decoded body, without chunk framing.
     pub body: Vec<u8>,
 }
 
-/// A request to a server.
+/// A request to send to a server.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest {
-    /// The method.
+    /// HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub target: String,
-    /// The header fields; framing and `host` are added.
+    /// Header fields. Framing fields are replaced; `host` is added if absent.
     pub headers: Headers,
-    /// The body.
+    /// The body; must be empty for GET, which is sent without `content-length`.
     pub body: Rc<[u8]>,
-    /// A connection that is not established within this time counts as refused.
+    /// Maximum time to establish a new connection; after it the call fails with [`CallFailure::Connect`].
     pub connect_timeout: Duration,
-    /// Whether the response's body is reported in parts ([`HttpEvent::ResponsePart`]) rather than with the response.
+    /// Whether the response's body is reported as it arrives ([`HttpEvent::ResponsePart`]) instead of with
+    /// the response.
     pub streams_response: bool,
 }
 
-/// What a peer did.
+/// An event on a connection to a client or to a server.
 #[derive(Debug)]
 pub enum HttpEvent {
-    /// A client has sent a request, or bytes that are none; either is to be answered.
+    /// A client has sent a request, valid or not. The owner must respond to both.
     Request {
-        /// To answer it with.
+        /// Identifies the request in [`Http::respond`](crate::Http::respond).
         exchange: Exchange,
-        /// The request, or why it is none.
+        /// The request, or the reason for rejecting it.
         request: Result<Request, RequestError>,
     },
-    /// The client left before it was answered, or before a streamed response ended.
+    /// The client disconnected before its response was complete, or it stopped reading the response.
     ClientDisconnected {
-        /// The exchange that is over.
+        /// The request that no longer needs a response.
         exchange: Exchange,
     },
-    /// The complete response to a call; the head alone where the call streams.
+    /// A server has responded to a call.
     Response {
-        /// The call.
+        /// The call that the server responded to.
         call: CallId,
-        /// The response.
+        /// The complete response; status and header fields only if the call streams its response.
         response: Response,
     },
-    /// A part of a streamed response's body.
+    /// Part of the body of a streamed response has arrived.
     ResponsePart {
-        /// The call.
+        /// The call that the server responds to.
         call: CallId,
-        /// The bytes.
+        /// Body bytes since the previous part.
         bytes: Vec<u8>,
     },
     /// A streamed response is complete.
     ResponseEnd {
-        /// The call.
+        /// The call that is complete.
         call: CallId,
     },
-    /// A call ended without a complete response.
+    /// A call failed before its response was complete.
     CallFailed {
-        /// The call.
+        /// The call that failed.
         call: CallId,
-        /// How it ended.
+        /// Reason for the failure.
         failure: CallFailure,
     },
 }
 
-/// Why bytes from a client are no request.
+/// Reason for rejecting a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The head is over the limit.
+    /// The head exceeds [`Limits::head_bytes`](crate::Limits::head_bytes) or has too many fields.
     HeadTooLarge,
-    /// The body is over the limit.
+    /// The body exceeds [`Limits::request_body_bytes`](crate::Limits::request_body_bytes).
     BodyTooLarge,
-    /// It is not HTTP/1.1.
+    /// The bytes are not HTTP/1.x, or their framing is ambiguous.
     Malformed,
-    /// A transfer coding other than chunked.
+    /// The request has a transfer coding other than chunked.
     UnsupportedTransferCoding,
-    /// It was not complete in time.
+    /// The request was not complete within [`Limits::receive_timeout`](crate::Limits::receive_timeout).
     Timeout,
 }
 
-/// How a call to a server ended without a response.
+/// Reason why a call to a server has no complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// No connection was established: nothing was sent.
+    /// No connection was established, so nothing was sent.
     Connect,
-    /// As many connections to this server as the limits allow are in use: nothing was sent.
+    /// All [`Limits::connections_per_server`](crate::Limits::connections_per_server) connections to the
+    /// server are in use; nothing was sent.
     ConnectionLimit,
-    /// The connection ended after some of the request may have been sent.
+    /// The connection closed after at least one byte of the request was sent, so the server may have executed
+    /// it.
     Reset,
-    /// The response cannot be read.
+    /// The response is not valid HTTP.
     Malformed,
-    /// The response is over the limit.
+    /// The response exceeds [`Limits::head_bytes`](crate::Limits::head_bytes) or
+    /// [`Limits::response_body_bytes`](crate::Limits::response_body_bytes).
     TooLarge,
 }
--- a/crates/quartzdrift-http/src/server.rs
+++ b/crates/quartzdrift-http/src/server.rs
@@ -1,4 +1,4 @@
-//! The server's side: receives clients' requests and sends them responses.
+//! Server side: receives requests from clients and sends responses.
 use crate::body::{BodyError, BodyReader};
 use crate::connection::{Connection, ResponseMode, Role, ServerState, without_framing, write_chunk};
 use crate::head::{self, Framing, HeadError, Headers, RequestHead};
@@ -8,23 +8,25 @@
 use crate::sockets::SocketId;
 use std::time::Duration;
 
-/// How long bytes after an early response are still read and discarded.
+/// Time for which input is read and discarded after the last response, so that the client receives the
+/// response before the connection closes.
 const LINGER_TIME: Duration = Duration::from_secs(1);
-/// The interim response to a client that waits before it sends a body.
+/// Interim response to a request with `expect: 100-continue`.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// The status of a response without a body.
+/// HTTP status of a response that has no body.
 const NO_CONTENT: u16 = 204;
 
-/// How far the bytes received on a connection could be read.
+/// Result of parsing the received bytes of a request.
 enum Progress {
-    /// More of them may be readable now.
+    /// An element was parsed; the next one may have been received too.
     Continue,
-    /// Nothing more can be read for now.
+    /// More input is needed, or the request is complete.
     Wait,
 }
 
 impl<S: HasHttp> Http<S> {
-    /// Sends the response to a request; nothing is sent to a client that has left.
+    /// Sends the response to a request. Does nothing if the client has disconnected or the request was
+    /// answered before.
     pub fn respond(&mut self, exchange: Exchange, response: &Response) {
         let Some(socket) = self.open_exchange(exchange) else {
             return;
@@ -32,7 +34,7 @@
         let Role::Server(ServerState::AwaitsResponse(mode)) = socket.state.role else {
             return;
         };
-        let keep_alive = mode.keep_alive && !asks_to_close(&response.headers);
+        let keep_alive = mode.keep_alive && !has_connection_close(&response.headers);
         let headers = without_framing(&response.headers);
         let has_body = response.status != NO_CONTENT;
         let framing = if has_body {
@@ -46,10 +48,11 @@
                 out.extend_from_slice(&response.body);
             }
         });
-        self.next_request(exchange.socket, keep_alive);
+        self.finish_exchange(exchange.socket, keep_alive);
     }
 
-    /// Begins a response of unknown length; its parts follow by [`Http::send_part`].
+    /// Sends the head of a response of unknown length. The body follows with [`Http::send_part`] and
+    /// [`Http::end_response`].
     pub fn begin_response(&mut self, exchange: Exchange, status: u16, headers: &Headers) {
         let Some(socket) = self.open_exchange(exchange) else {
             return;
@@ -71,7 +74,8 @@
         self.drive_server(exchange.socket);
     }
 
-    /// Sends a part of a begun response. `false` once the client has left or more than `max_unsent` bytes wait for it.
+    /// Sends part of the body after [`Http::begin_response`]. Returns `false` if the client has disconnected,
+    /// or if more than `max_unsent` bytes would wait to be sent; then the part is not sent.
     pub fn send_part(&mut self, exchange: Exchange, bytes: &[u8], max_unsent: usize) -> bool {
         let Some(socket) = self.open_exchange(exchange) else {
             return false;
@@ -97,7 +101,7 @@
         self.open_exchange(exchange).is_some()
     }
 
-    /// Ends a begun response.
+    /// Ends the body after [`Http::begin_response`].
     pub fn end_response(&mut self, exchange: Exchange) {
         let Some(socket) = self.open_exchange(exchange) else {
             return;
@@ -108,22 +112,23 @@
         if !mode.is_http_1_0 {
             self.write(exchange.socket, |out| write_chunk(out, b""));
         }
-        self.next_request(exchange.socket, mode.keep_alive && !mode.is_http_1_0);
+        self.finish_exchange(exchange.socket, mode.keep_alive && !mode.is_http_1_0);
     }
 
-    /// Closes a client's connection without a response.
+    /// Closes a client's connection without a response, or in the middle of one.
     pub fn abort(&mut self, exchange: Exchange) {
         if self.open_exchange(exchange).is_some() {
             self.close(exchange.socket);
         }
     }
 
-    /// Accepts the connections that wait, as far as there is room or an idle client that makes room; the others wait on, since
-    /// each may have sent a request.
+    /// Accepts waiting connections up to [`Limits::connections`](crate::Limits::connections), closing idle
+    /// clients if needed. Connections over the limit stay in the system's accept queue, since each may have
+    /// sent a request.
     pub(crate) fn accept(&mut self) {
         let limit = self.limits.connections;
         for stream in self.sockets.accept(limit, self.client_count, is_idle) {
-            self.close_idle_clients();
+            self.close_longest_idle_client();
             let connection = Connection {
                 exchange_number: 0,
                 role: Role::Server(ServerState::Head { scanned: 0 }),
@@ -135,9 +140,9 @@
         }
     }
 
-    /// Makes room for one more client, where there is none: the one that has been idle longest is closed, unless something has
-    /// arrived from it that the loop has not been told of yet.
-    fn close_idle_clients(&mut self) {
+    /// If the limit of connections is reached, closes the client that has been idle longest to accept another
+    /// one. A client whose input the event loop has not reported yet is kept.
+    fn close_longest_idle_client(&mut self) {
         for _ in 0..=self.client_count {
             if self.client_count < self.limits.connections {
                 return;
@@ -146,17 +151,18 @@
                 return;
             };
             self.sockets.try_read(idle);
-            let has_arrived = self
+            let has_input = self
                 .sockets
                 .get(idle)
                 .is_some_and(|socket| !socket.input.is_empty());
-            if !has_arrived {
+            if !has_input {
                 self.close(idle);
             }
         }
     }
 
-    /// A client has left, or takes nothing of its response.
+    /// Closes a connection whose client has disconnected or exceeded a timeout. Reports the disconnection if
+    /// a request on the connection has no complete response.
     pub(crate) fn disconnect_client(&mut self, id: SocketId) {
         let Some(socket) = self.sockets.get(id) else {
             return;
@@ -169,7 +175,8 @@
         self.close(id);
     }
 
-    /// Reports bytes that are no request. Where the next request begins is unknown: the connection ends with the response.
+    /// Reports an invalid request. The connection closes after the response, because the start of the next
+    /// request is unknown.
     pub(crate) fn reject_request(&mut self, id: SocketId, error: RequestError) {
         self.sockets.set_deadline(id, None);
         let Some(socket) = self.sockets.get_mut(id) else {
@@ -186,7 +193,8 @@
         self.events.push_back(HttpEvent::Request { exchange, request });
     }
 
-    /// Sends, reads a bounded share, and parses what was received; what is left keeps the socket ready.
+    /// Advances a client's connection: sends output, reads at most `MAX_READ_BYTES` and parses. If more input
+    /// waits, the socket stays in the ready queue.
     pub(crate) fn drive_server(&mut self, id: SocketId) {
         let mut has_read = false;
         while self.flush_server(id) && self.parse_request(id) {
@@ -196,15 +204,15 @@
             let Role::Server(state) = &socket.state.role else {
                 return;
             };
-            let is_with_owner = matches!(state, ServerState::AwaitsResponse(_) | ServerState::Streaming(_));
-            if is_with_owner && socket.input.len() >= MAX_READ_BYTES {
+            let is_request_open = matches!(state, ServerState::AwaitsResponse(_) | ServerState::Streaming(_));
+            if is_request_open && socket.input.len() >= MAX_READ_BYTES {
                 return;
             }
             if matches!(state, ServerState::Lingering) {
                 socket.input.clear();
             }
             if socket.is_read_closed() {
-                // A client that has closed its sending side reads no response.
+                // A client that has closed its sending side is treated as disconnected and gets no response.
                 return self.disconnect_client(id);
             }
             if has_read {
@@ -215,7 +223,8 @@
         }
     }
 
-    /// Sends what waits for a client; `false` where the system does not take all of it, or the client has left.
+    /// Sends the output that waits for a client and sets the deadline of the next step. Returns `false` if
+    /// output remains or the connection was closed.
     fn flush_server(&mut self, id: SocketId) -> bool {
         let Some(socket) = self.sockets.get(id) else {
             return false;
@@ -248,7 +257,7 @@
         true
     }
 
-    /// Parses what was received; `false` once the connection is closed.
+    /// Parses the received bytes of a request. Returns `false` if the connection is closed.
     fn parse_request(&mut self, id: SocketId) -> bool {
         loop {
             let Some(socket) = self.sockets.get_mut(id) else {
@@ -291,7 +300,7 @@
             return Err(RequestError::HeadTooLarge);
         }
         let Some(end) = end else {
-            // The time runs from the first byte, however slowly the others follow.
+            // The timeout runs from the first byte; later bytes do not extend it.
             if is_first_part {
                 self.sockets.set_deadline(id, Some(self.limits.receive_timeout));
             }
@@ -317,19 +326,19 @@
         let Role::Server(ServerState::Body { head, reader }) = &mut socket.state.role else {
             return Ok(Progress::Wait);
         };
-        let used = reader.feed(&socket.input).map_err(body_error)?;
+        let consumed = reader.feed(&socket.input).map_err(body_error)?;
         if !reader.is_complete() {
-            socket.consume(used);
+            socket.consume(consumed);
             return Ok(Progress::Wait);
         }
         let mode = response_mode(head);
-        let received = Role::Server(ServerState::AwaitsResponse(mode));
-        let role = std::mem::replace(&mut socket.state.role, received);
+        let awaits_response = Role::Server(ServerState::AwaitsResponse(mode));
+        let received = std::mem::replace(&mut socket.state.role, awaits_response);
         let exchange = socket.state.exchange(id);
         let client_address = socket.peer_address();
         let local_address = socket.local_address();
-        socket.consume(used);
-        if let Role::Server(ServerState::Body { head, reader }) = role {
+        socket.consume(consumed);
+        if let Role::Server(ServerState::Body { head, reader }) = received {
             let body = reader.bytes;
             let request = Ok(Request {
                 head,
@@ -343,19 +352,19 @@
         Ok(Progress::Wait)
     }
 
-    /// The socket of an exchange, unless the exchange is over.
+    /// Returns the socket of a request whose response is not complete.
     fn open_exchange(&mut self, exchange: Exchange) -> Option<&mut Socket<Connection>> {
         self.sockets
             .get_mut(exchange.socket)
             .filter(|socket| socket.state.exchange_number == exchange.number)
     }
 
-    /// A response is written: the connection goes on with its next request, or ends.
-    fn next_request(&mut self, id: SocketId, keep_alive: bool) {
+    /// Completes an exchange whose response is written: the connection receives its next request, or closes.
+    fn finish_exchange(&mut self, id: SocketId, keep_alive: bool) {
         let Some(socket) = self.sockets.get_mut(id) else {
             return;
         };
-        // A second response must not reach the connection's next request.
+        // A second response to the same exchange must not be sent as the response to the next request.
         socket.state.exchange_number += 1;
         socket.state.role = Role::Server(if keep_alive {
             ServerState::Head { scanned: 0 }
@@ -376,14 +385,14 @@
     }
 }
 
-/// Whether a connection is a client's without a request.
+/// Whether a connection is from a client and has received no part of a new request.
 fn is_idle(socket: &Socket<Connection>) -> bool {
     matches!(socket.state.role, Role::Server(ServerState::Head { .. })) && socket.input.is_empty()
 }
 
-fn asks_to_close(headers: &Headers) -> bool {
-    let connection = headers.get("connection");
-    connection.is_some_and(|value| value.eq_ignore_ascii_case("close"))
+fn has_connection_close(headers: &Headers) -> bool {
+    let options = headers.get("connection");
+    options.is_some_and(|value| value.eq_ignore_ascii_case("close"))
 }
 
 fn response_mode(head: &RequestHead) -> ResponseMode {
--- a/crates/quartzdrift-http/src/socket.rs
+++ b/crates/quartzdrift-http/src/socket.rs
@@ -1,4 +1,4 @@
-//! One TCP connection: its buffers, and how far it was read and sent.
+//! One TCP connection with its input and output buffers.
 use calloop::RegistrationToken;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use socket2::SockRef;
@@ -7,38 +7,38 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Maximum bytes read from one socket at a time; then the others have their turn.
+/// Maximum bytes read from one socket at a time, so that one busy peer does not delay the other sockets.
 pub(crate) const MAX_READ_BYTES: usize = 64 << 10;
-/// An empty buffer is shrunk to this many bytes.
-const MAX_IDLE_BUFFER: usize = 4 << 10;
+/// Maximum capacity, in bytes, that an empty buffer keeps.
+const MAX_EMPTY_CAPACITY: usize = 4 << 10;
 
-/// One connection, with its owner's state `T`.
+/// One TCP connection with the state `T` that its owner attaches to it.
 #[derive(Debug)]
 pub struct Socket<T> {
     pub(crate) stream: Rc<TcpStream>,
     pub(crate) token: Option<RegistrationToken>,
     pub(crate) serial: u64,
-    /// Whether the loop has reported that there is something to read.
+    /// Whether the system may have input to read: set by the event loop, cleared by a read that would block.
     pub(crate) is_readable: bool,
-    /// Whether it is in the queue of ready sockets.
+    /// Whether the socket is in the queue of ready sockets.
     pub(crate) is_ready_queued: bool,
-    /// Whether it is in the list of sockets to flush.
+    /// Whether the socket is in the queue of sockets to flush.
     pub(crate) is_flush_queued: bool,
     is_read_closed: bool,
     is_broken: bool,
     /// Bytes received and not yet consumed.
     pub input: Vec<u8>,
     pub(crate) output: Vec<u8>,
-    /// Bytes of `output` that the system has taken.
+    /// Bytes at the front of `output` that the system has accepted.
     written: usize,
-    /// Bytes that the system has taken since the connection began.
-    sent: u64,
-    /// Since when something waits that the system does not take.
+    /// Bytes that the system has accepted since the connection was opened.
+    sent_total: u64,
+    /// When a write first blocked since the output was last empty.
     write_blocked_since: Option<Instant>,
     pub(crate) deadline: Option<Instant>,
-    /// When the peer last sent something, or connected.
+    /// When bytes were last received, initially when the socket was created.
     pub(crate) last_received: Instant,
-    /// The owner's state.
+    /// State attached by the owner.
     pub state: T,
 }
 
@@ -56,7 +56,7 @@
             input: Vec::new(),
             output: Vec::new(),
             written: 0,
-            sent: 0,
+            sent_total: 0,
             write_blocked_since: None,
             deadline: None,
             last_received: Instant::now(),
@@ -64,53 +64,56 @@
         }
     }
 
-    /// The position of the next byte to be written, in all that the connection sends.
+    /// Stream position of the next byte to be written: all bytes written since the connection was opened,
+    /// sent or not.
     pub fn write_position(&self) -> u64 {
-        self.sent + self.unsent_bytes() as u64
+        self.sent_total + self.unsent_bytes() as u64
     }
 
-    /// The position up to which the system has taken what was written.
+    /// Stream position up to which the system has accepted the written bytes.
     pub fn sent_position(&self) -> u64 {
-        self.sent
+        self.sent_total
     }
 
-    /// Bytes that the system has not taken yet.
+    /// Written bytes that the system has not accepted yet.
     pub fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Since when something waits for the peer without interruption; `None` where everything was sent, or nothing was tried
-    /// yet.
+    /// When a write first blocked since the output was last empty; `None` if no write has blocked since then.
     pub fn write_blocked_since(&self) -> Option<Instant> {
         self.write_blocked_since
     }
 
-    /// Whether the peer has closed the connection, or it broke.
+    /// Whether no more input will arrive: the peer has closed its sending side, or a read failed.
     pub fn is_read_closed(&self) -> bool {
         self.is_read_closed
     }
 
-    /// Whether the system may hold more that was not read yet.
+    /// Whether the system may hold input that was not read yet.
     pub fn may_have_unread(&self) -> bool {
         self.is_readable && !self.is_read_closed
     }
 
-    /// Whether nothing more can be sent; what the peer sent before may still be read.
+    /// Whether a write failed. No more output can be sent, but input that the peer sent before can still be
+    /// read.
     pub fn is_broken(&self) -> bool {
         self.is_broken
     }
 
-    /// Tells the peer that nothing more is sent.
+    /// Closes the sending side of the connection; the receiving side stays open.
     pub fn shutdown_write(&self) {
-        // The end of a broken connection is noticed by reading.
+        // An error means that the connection is closed already; the next read reports that.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Whether all that was written has been sent to the peer, as far as the system can tell: nothing waits for room in the
-    /// peer's buffer. Closing a connection while the peer sends destroys what has not been sent.
+    /// Whether the system has transmitted all written bytes, so that none waits for space in the peer's
+    /// receive buffer.
+    ///
+    /// Closing a connection with unread input sends a reset, which discards bytes that were not transmitted.
     pub fn is_all_sent(&self) -> bool {
         let socket = SockRef::from(&*self.stream);
-        // Where the system does not know the option, what it has taken counts as sent.
+        // If the system lacks TCP_NOTSENT_LOWAT, bytes that it has accepted count as transmitted.
         if self.unsent_bytes() > 0 || socket.set_tcp_notsent_lowat(1).is_err() {
             return self.unsent_bytes() == 0;
         }
@@ -122,40 +125,42 @@
         poll(&mut polled, Some(&no_wait)).map_or(true, |ready| ready > 0)
     }
 
-    /// The peer's address.
+    /// Remote address, unless the connection is closed.
     pub fn peer_address(&self) -> Option<SocketAddr> {
         self.stream.peer_addr().ok()
     }
 
-    /// The address on this side.
+    /// Local address, unless the connection is closed.
     pub fn local_address(&self) -> Option<SocketAddr> {
         self.stream.local_addr().ok()
     }
 
-    /// Removes what was written between two positions, unless some of it was sent already; returns whether it was removed.
+    /// Removes the output between two stream positions, unless the system has accepted some of it. Returns
+    /// whether it was removed.
     pub fn remove_unsent(&mut self, from: u64, to: u64) -> bool {
-        if from < self.sent {
+        if from < self.sent_total {
             return false;
         }
         if self.is_broken {
-            // What waited was dropped when the connection broke; its owner may not have been notified yet.
+            // The failed write has discarded all unsent output, perhaps before the owner was notified.
             return true;
         }
-        let index = |position: u64| (position - self.sent) as usize + self.written;
+        let index = |position: u64| (position - self.sent_total) as usize + self.written;
         let range = index(from)..index(to);
         self.output.drain(range);
         true
     }
 
-    /// Drops bytes from the front of the input.
+    /// Removes bytes from the front of the input after the owner has processed them.
     pub fn consume(&mut self, bytes: usize) {
         self.input.drain(..bytes);
         if self.input.is_empty() {
-            self.input.shrink_to(MAX_IDLE_BUFFER);
+            self.input.shrink_to(MAX_EMPTY_CAPACITY);
         }
     }
 
-    /// Reads what is there, at most as much as `buffer` holds. The end of the connection is noticed with the last bytes.
+    /// Reads the available input, at most as many bytes as `buffer` holds. Also detects the end of the
+    /// stream.
     pub(crate) fn read_available(&mut self, buffer: &mut [u8]) {
         let mut capacity = buffer.len();
         while capacity > 0 {
@@ -176,16 +181,17 @@
         }
     }
 
-    /// Sends as much of the output as the system takes. Nothing more is sent after `limit`; returns whether that was in time.
-    pub(crate) fn flush(&mut self, limit: Option<Instant>) -> bool {
+    /// Sends output until the system accepts no more or `deadline` passes. Returns `false` if the deadline
+    /// passed with output left.
+    pub(crate) fn flush(&mut self, deadline: Option<Instant>) -> bool {
         while self.written < self.output.len() {
-            if limit.is_some_and(|limit| Instant::now() > limit) {
+            if deadline.is_some_and(|deadline| Instant::now() > deadline) {
                 return false;
             }
             match (&*self.stream).write(&self.output[self.written..]) {
                 Ok(bytes) if bytes > 0 => {
                     self.written += bytes;
-                    self.sent += bytes as u64;
+                    self.sent_total += bytes as u64;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     self.write_blocked_since.get_or_insert_with(Instant::now);
@@ -193,20 +199,21 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Ok(_) | Err(_) => {
-                    self.discard_output();
+                    self.fail_write();
                     return true;
                 }
             }
         }
         self.output.clear();
-        self.output.shrink_to(MAX_IDLE_BUFFER);
+        self.output.shrink_to(MAX_EMPTY_CAPACITY);
         self.written = 0;
         self.write_blocked_since = None;
         true
     }
 
-    /// Nothing more can be sent. What the peer sent before is still worth reading.
-    fn discard_output(&mut self) {
+    /// Discards the output after a failed write and marks the socket readable: the peer may have sent input
+    /// before.
+    fn fail_write(&mut self) {
         self.output.clear();
         self.written = 0;
         self.is_broken = true;
--- a/crates/quartzdrift-http/src/sockets.rs
+++ b/crates/quartzdrift-http/src/sockets.rs
@@ -1,9 +1,11 @@
-//! TCP connections on a calloop event loop: what the connections of every protocol share. Accepting, buffers, flushing,
-//! deadlines, and reading a bounded share of each connection in a turn.
+//! TCP connections on a calloop event loop, independent of the protocol: accepting, connecting, buffers,
+//! flushing and deadlines. Reads are bounded per socket and iteration, so that one busy peer does not starve
+//! the others.
 //!
-//! Nothing is processed inside the loop's callbacks: they only mark sockets as ready. After each turn of the loop the owner
-//! accepts connections ([`Sockets::accept`]), takes the ready sockets ([`Sockets::take_ready`]), closes what is overdue
-//! ([`Sockets::take_overdue`]) and flushes ([`Sockets::flush`]).
+//! The callbacks of the event loop only mark sockets as ready. After each iteration of the loop the owner
+//! accepts connections ([`Sockets::accept`]), processes the ready sockets ([`Sockets::take_ready`]), handles
+//! the sockets whose deadline has passed ([`Sockets::take_overdue`]) and sends the output
+//! ([`Sockets::flush`]).
 use crate::socket::MAX_READ_BYTES;
 pub use crate::socket::Socket;
 use calloop::generic::Generic;
@@ -18,47 +20,50 @@
 #[cfg(test)]
 mod tests;
 
-/// Maximum tries to accept a connection in one turn of the loop, so that a flood of them leaves time for the others.
-const MAX_ACCEPTED_PER_TURN: usize = 64;
-/// How long accepting pauses where it fails as a whole.
+/// Maximum calls of accept(2) in one iteration of the loop, so that a burst of connections does not delay the
+/// existing ones.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
+/// Pause after an error or a limit that prevents all listeners from accepting.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Identifies a socket; an id is never used twice.
+/// Identifies a socket. Ids are never reused, even if their slot in the slab is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SocketId {
     key: usize,
     serial: u64,
 }
 
-/// Finds the sockets in the state of the loop.
+/// Function that returns the [`Sockets`] in the state of the event loop; the loop's callbacks use it.
 type SocketsAccessor<S, T> = fn(&mut S) -> &mut Sockets<S, T>;
 
-/// All sockets of one owner on one event loop, whose state is `S`. `T` is the owner's state of one socket.
+/// The sockets and listeners of one owner on an event loop whose state is `S`. The owner attaches a `T` to
+/// each socket.
 pub struct Sockets<S: 'static, T: 'static> {
     handle: LoopHandle<'static, S>,
-    find: SocketsAccessor<S, T>,
+    accessor: SocketsAccessor<S, T>,
     sockets: Slab<Socket<T>>,
     listeners: Vec<(Rc<TcpListener>, RegistrationToken)>,
     ready_queue: VecDeque<SocketId>,
     flush_queue: VecDeque<SocketId>,
     deadlines: BTreeSet<(Instant, SocketId)>,
-    /// Whether connections may wait to be accepted.
+    /// Whether the next [`Sockets::accept`] calls accept(2): a listener was reported as readable, or a pause
+    /// has ended.
     are_listeners_ready: bool,
-    /// Whether the last look at the listeners left no connection waiting.
+    /// Whether the last [`Sockets::accept`] that called accept(2) emptied the queues of all listeners.
     accepted_all: bool,
-    /// When a pause in accepting ends.
+    /// End of a pause in accepting; `None` if accepting is not paused.
     resume_accept_at: Option<Instant>,
     read_buffer: Vec<u8>,
-    /// Sockets there have been so far.
+    /// Number of sockets created so far; the latest one's serial number.
     opened_count: u64,
 }
 
 impl<S: 'static, T: 'static> Sockets<S, T> {
-    /// No sockets yet. `find` finds these sockets in the state of the loop.
-    pub fn new(handle: LoopHandle<'static, S>, find: SocketsAccessor<S, T>) -> Sockets<S, T> {
+    /// Creates an empty set of sockets. `accessor` must return this set from the state of the event loop.
+    pub fn new(handle: LoopHandle<'static, S>, accessor: SocketsAccessor<S, T>) -> Sockets<S, T> {
         Sockets {
             handle,
-            find,
+            accessor,
             sockets: Slab::new(),
             listeners: Vec::new(),
             ready_queue: VecDeque::new(),
@@ -72,24 +77,24 @@
         }
     }
 
-    /// Sockets there have been so far.
+    /// Number of sockets created so far.
     pub fn opened_count(&self) -> u64 {
         self.opened_count
     }
 
-    /// The socket of an id, unless it is closed.
+    /// Returns a socket unless it is closed.
     pub fn get(&self, id: SocketId) -> Option<&Socket<T>> {
         self.sockets
             .get(id.key)
             .filter(|socket| socket.serial == id.serial)
     }
 
-    /// The socket of an id, unless it is closed.
+    /// Returns a socket mutably unless it is closed.
     pub fn get_mut(&mut self, id: SocketId) -> Option<&mut Socket<T>> {
         find_socket(&mut self.sockets, id)
     }
 
-    /// All open sockets.
+    /// Iterates over all open sockets.
     pub fn iter(&self) -> impl Iterator<Item = (SocketId, &Socket<T>)> {
         self.sockets.iter().map(|(key, socket)| {
             let serial = socket.serial;
@@ -97,56 +102,60 @@
         })
     }
 
-    /// Accepts connections from `listener` from now on.
+    /// Starts to accept connections from `listener`.
     ///
     /// # Errors
-    /// The system or the event loop does not accept the listener.
+    /// Returns an error if the listener cannot be made non-blocking or registered with the event loop.
     pub fn listen(&mut self, listener: TcpListener) -> io::Result<()> {
         listener.set_nonblocking(true)?;
         let listener = Rc::new(listener);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
-        let find = self.find;
-        let accept = move |_: Readiness, _: &mut _, state: &mut S| {
-            find(state).are_listeners_ready = true;
+        let accessor = self.accessor;
+        let on_readable = move |_: Readiness, _: &mut _, state: &mut S| {
+            accessor(state).are_listeners_ready = true;
             Ok(PostAction::Continue)
         };
         let token = self
             .handle
-            .insert_source(source, accept)
+            .insert_source(source, on_readable)
             .map_err(|e| io::Error::other(e.to_string()))?;
         self.listeners.push((listener, token));
         Ok(())
     }
 
-    /// Accepts no more connections; existing ones go on.
+    /// Closes the listeners. Existing connections stay open.
     pub fn stop_listening(&mut self) {
         for (_, token) in self.listeners.drain(..) {
             self.handle.remove(token);
         }
     }
 
-    /// Whether connections are accepted.
+    /// Whether there is a listener.
     pub fn is_listening(&self) -> bool {
         !self.listeners.is_empty()
     }
 
-    /// Whether no connection was left waiting when connections were last accepted.
+    /// Whether the last [`Sockets::accept`] that called accept(2) left no connection waiting.
     pub fn accepted_all(&self) -> bool {
         self.accepted_all
     }
 
-    /// Lets the next [`Sockets::accept`] look for connections, whatever the loop has reported.
+    /// Makes the next [`Sockets::accept`] call accept(2) even if the event loop has not reported a
+    /// connection.
     pub fn mark_listeners_ready(&mut self) {
         self.are_listeners_ready = true;
     }
 
-    /// Accepts the connections that wait, with `MAX_ACCEPTED_PER_TURN` tries. Of `limit` connections `open` are in use, and
-    /// idle sockets may make room; those that find no room wait on. Where the process has run out of descriptors, the idle
-    /// socket that has been silent longest is overdue at once.
+    /// Accepts waiting connections with at most `MAX_ACCEPTS_PER_ITERATION` calls of accept(2).
+    ///
+    /// `open_count` of at most `limit` connections are open. A connection beyond the limit is accepted only
+    /// if an idle socket can be closed for it, which is up to the caller; the others stay in the system's
+    /// accept queue. If the process has no file descriptors left, the deadline of the longest idle socket is
+    /// set to now.
     pub fn accept(
         &mut self,
         limit: usize,
-        open: usize,
+        open_count: usize,
         is_idle: impl Fn(&Socket<T>) -> bool,
     ) -> Vec<TcpStream> {
         let mut accepted = Vec::new();
@@ -154,17 +163,17 @@
             return accepted;
         }
         self.accepted_all = false;
-        let idle = self.iter().filter(|(_, socket)| is_idle(socket)).count();
-        let most = (limit + idle).saturating_sub(open);
-        let (mut tries, mut drained) = (0, 0);
-        for at in 0..self.listeners.len() {
-            while tries < MAX_ACCEPTED_PER_TURN && accepted.len() < most {
-                tries += 1;
-                match self.listeners[at].0.accept() {
+        let idle_count = self.iter().filter(|(_, socket)| is_idle(socket)).count();
+        let max_accepted = (limit + idle_count).saturating_sub(open_count);
+        let (mut accept_calls, mut drained_listeners) = (0, 0);
+        for index in 0..self.listeners.len() {
+            while accept_calls < MAX_ACCEPTS_PER_ITERATION && accepted.len() < max_accepted {
+                accept_calls += 1;
+                match self.listeners[index].0.accept() {
                     Ok((stream, _)) => accepted.push(stream),
                     Err(e) => match AcceptError::classify(&e) {
                         AcceptError::WouldBlock => {
-                            drained += 1;
+                            drained_listeners += 1;
                             break;
                         }
                         AcceptError::ConnectionFailed => {}
@@ -181,30 +190,31 @@
                 }
             }
         }
-        self.accepted_all = drained == self.listeners.len();
+        self.accepted_all = drained_listeners == self.listeners.len();
         if !self.accepted_all && accepted.is_empty() {
             self.pause_accepting();
         }
         accepted
     }
 
-    /// Has the idle socket whose peer has been silent longest overdue at once.
+    /// Sets the deadline of the longest idle socket to now, so that the owner closes it.
     fn expire_longest_idle(&mut self, is_idle: impl Fn(&Socket<T>) -> bool) {
         if let Some(id) = self.longest_idle(is_idle) {
             self.set_deadline(id, Some(Duration::ZERO));
         }
     }
 
-    /// Accepting fails as a whole: a level-triggered listener would make the loop spin.
+    /// Disables the listeners for a while. Waiting connections that cannot be accepted keep a level-triggered
+    /// listener ready, and the event loop would spin.
     fn pause_accepting(&mut self) {
         for (_, token) in &self.listeners {
-            // An error here means that the loop itself is broken; the next turn will show it.
+            // An error means that the event loop is broken; its next dispatch reports that.
             let _ = self.handle.disable(token);
         }
         self.resume_accept_at = Some(Instant::now() + ACCEPT_PAUSE);
     }
 
-    /// Of the idle sockets, the one whose peer has sent nothing for longest.
+    /// Returns the idle socket that has received no bytes for the longest time.
     pub fn longest_idle(&self, is_idle: impl Fn(&Socket<T>) -> bool) -> Option<SocketId> {
         self.iter()
             .filter(|(_, socket)| is_idle(socket))
@@ -212,10 +222,10 @@
             .map(|(id, _)| id)
     }
 
-    /// Adds a connected stream.
+    /// Adds a stream that is connected or connecting, and registers it with the event loop.
     ///
     /// # Errors
-    /// The system or the event loop does not accept the stream.
+    /// Returns an error if the stream's options cannot be set or the event loop does not accept it.
     pub fn insert(&mut self, stream: TcpStream, state: T) -> io::Result<SocketId> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
@@ -224,9 +234,9 @@
         let serial = self.opened_count;
         let key = self.sockets.insert(Socket::new(stream.clone(), serial, state));
         let id = SocketId { key, serial };
-        let find = self.find;
+        let accessor = self.accessor;
         let on_ready = move |ready: Readiness, _: &mut _, state: &mut S| {
-            let sockets = find(state);
+            let sockets = accessor(state);
             if let Some(socket) = sockets.get_mut(id) {
                 socket.is_readable |= ready.readable || ready.error;
                 sockets.queue_ready(id);
@@ -246,16 +256,18 @@
         }
     }
 
-    /// Starts to connect; once the socket is ready, [`Sockets::connect_result`] says whether the connection is established.
+    /// Starts to connect to an address. Once the socket is ready, [`Sockets::connect_result`] returns the
+    /// result.
     ///
     /// # Errors
-    /// The system refuses at once, or the event loop does not accept the stream.
-    pub fn connect(&mut self, to: SocketAddr, state: T) -> io::Result<SocketId> {
-        let stream = connect(to)?;
+    /// Returns an error if the system refuses at once or the event loop does not accept the stream.
+    pub fn connect(&mut self, address: SocketAddr, state: T) -> io::Result<SocketId> {
+        let stream = start_connect(address)?;
         self.insert(stream, state)
     }
 
-    /// Whether a connection is established: `None` while it is not yet, an error where it never will be.
+    /// Returns the result of [`Sockets::connect`]: `Some(Ok(()))` if the connection is established, an error
+    /// if connecting failed, and `None` while it is in progress or if the socket is closed.
     pub fn connect_result(&self, id: SocketId) -> Option<io::Result<()>> {
         let socket = self.get(id)?;
         match socket.stream.take_error() {
@@ -264,6 +276,7 @@
         }
     }
 
+    /// Adds a socket to the ready queue unless it is there already.
     fn queue_ready(&mut self, id: SocketId) {
         if let Some(socket) = find_socket(&mut self.sockets, id).filter(|socket| !socket.is_ready_queued) {
             socket.is_ready_queued = true;
@@ -271,7 +284,7 @@
         }
     }
 
-    /// The sockets on which something has happened since they were last taken, each once.
+    /// Takes the ready queue: the sockets with new readiness or unread input since the last call, each once.
     pub fn take_ready(&mut self) -> VecDeque<SocketId> {
         let ready = std::mem::take(&mut self.ready_queue);
         for id in &ready {
@@ -282,12 +295,13 @@
         ready
     }
 
-    /// Whether a socket or a listener is ready.
+    /// Whether a socket is in the ready queue or [`Sockets::accept`] would call accept(2).
     pub fn is_ready(&self) -> bool {
         !self.ready_queue.is_empty() || self.are_listeners_ready
     }
 
-    /// Reads a bounded share into the socket's input; what is left keeps the socket ready.
+    /// Reads at most `MAX_READ_BYTES` into the socket's input. If more input may wait, the socket stays in
+    /// the ready queue.
     pub fn read(&mut self, id: SocketId) {
         let Some(socket) = find_socket(&mut self.sockets, id) else {
             return;
@@ -300,7 +314,8 @@
         }
     }
 
-    /// Checks whether the peer of an idle socket has closed it or sent something, even if the loop has not reported it yet.
+    /// Reads from a socket even if the event loop has not reported it as readable. This detects that the peer
+    /// of an idle socket has sent something or closed the connection.
     pub fn try_read(&mut self, id: SocketId) {
         if let Some(socket) = find_socket(&mut self.sockets, id) {
             socket.read_available(&mut self.read_buffer);
@@ -310,47 +325,48 @@
         }
     }
 
-    /// The buffer of what is to be sent with the next [`Sockets::flush`].
+    /// Returns the output buffer, to append to; the next [`Sockets::flush`] sends it. `None` if the socket is
+    /// closed.
     pub fn output(&mut self, id: SocketId) -> Option<&mut Vec<u8>> {
-        self.flush_later(id);
+        self.queue_flush(id);
         self.get_mut(id).map(|socket| &mut socket.output)
     }
 
-    /// Has the next [`Sockets::flush`] send what was written on a socket.
-    fn flush_later(&mut self, id: SocketId) {
+    /// Adds a socket to the flush queue unless it is there already.
+    fn queue_flush(&mut self, id: SocketId) {
         if let Some(socket) = find_socket(&mut self.sockets, id).filter(|socket| !socket.is_flush_queued) {
             socket.is_flush_queued = true;
             self.flush_queue.push_back(id);
         }
     }
 
-    /// Sends what was written on all sockets.
+    /// Sends the output of all sockets in the flush queue, as far as the system accepts it.
     pub fn flush(&mut self) {
         while let Some(id) = self.next_to_flush() {
             self.flush_socket(id);
         }
     }
 
-    /// The socket that was written to first of those that [`Sockets::flush`] would send on.
+    /// Returns the first socket in the flush queue, whose output has waited longest for a flush.
     pub fn next_to_flush(&self) -> Option<SocketId> {
         self.flush_queue.front().copied()
     }
 
-    /// Sends what was written on one socket.
+    /// Sends the output of one socket as far as the system accepts it.
     pub fn flush_socket(&mut self, id: SocketId) {
         self.flush_socket_until(id, None);
     }
 
-    /// Sends what was written on one socket, unless `limit` has passed; returns whether it was in time. What was not sent stays
-    /// to be flushed.
-    pub fn flush_socket_until(&mut self, id: SocketId, limit: Option<Instant>) -> bool {
+    /// Sends the output of one socket until the system accepts no more or `deadline` passes. If the deadline
+    /// passes first, the socket stays in the flush queue and the result is `false`.
+    pub fn flush_socket_until(&mut self, id: SocketId, deadline: Option<Instant>) -> bool {
         let Some(socket) = find_socket(&mut self.sockets, id) else {
             self.flush_queue.retain(|other| *other != id);
             return true;
         };
         let was_readable = socket.is_readable;
-        if !socket.flush(limit) {
-            self.flush_later(id);
+        if !socket.flush(deadline) {
+            self.queue_flush(id);
             return false;
         }
         let is_newly_readable = socket.is_readable && !was_readable;
@@ -363,36 +379,37 @@
         true
     }
 
-    /// Whether bytes wait to be sent on any socket.
+    /// Whether any socket has unsent output.
     pub fn has_unsent(&self) -> bool {
         self.sockets.iter().any(|(_, socket)| socket.unsent_bytes() > 0)
     }
 
-    /// Sets the deadline of a socket, from now; `None` removes it.
+    /// Sets the deadline of a socket to `after` from now; `None` removes the deadline.
     pub fn set_deadline(&mut self, id: SocketId, after: Option<Duration>) {
         let Some(socket) = find_socket(&mut self.sockets, id) else {
             return;
         };
-        if let Some(at) = socket.deadline.take() {
-            self.deadlines.remove(&(at, id));
+        if let Some(previous) = socket.deadline.take() {
+            self.deadlines.remove(&(previous, id));
         }
         if let Some(after) = after {
-            let at = Instant::now() + after;
-            socket.deadline = Some(at);
-            self.deadlines.insert((at, id));
+            let deadline = Instant::now() + after;
+            socket.deadline = Some(deadline);
+            self.deadlines.insert((deadline, id));
         }
     }
 
-    /// The deadline of a socket.
+    /// Returns the deadline of a socket, if it has one.
     pub fn deadline(&self, id: SocketId) -> Option<Instant> {
         self.get(id).and_then(|socket| socket.deadline)
     }
 
-    /// The sockets whose deadline has passed; they have none from now on.
+    /// Takes the sockets whose deadline has passed and removes their deadlines. Also ends a pause in
+    /// accepting.
     pub fn take_overdue(&mut self, now: Instant) -> Vec<SocketId> {
         if self.resume_accept_at.take_if(|at| *at <= now).is_some() {
             for (_, token) in &self.listeners {
-                // An error here means that the loop itself is broken; the next turn will show it.
+                // An error means that the event loop is broken; its next dispatch reports that.
                 let _ = self.handle.enable(token);
             }
             self.are_listeners_ready = true;
@@ -408,16 +425,20 @@
         overdue
     }
 
-    /// When there is something to do without an event of the loop; now where a socket is still ready.
+    /// Returns when the owner must act even if the event loop reports nothing: now if a socket is ready or
+    /// has output to flush, else the next deadline or end of a pause in accepting.
     pub fn next_due(&self) -> Option<Instant> {
         if self.is_ready() || !self.flush_queue.is_empty() {
             return Some(Instant::now());
         }
-        let first = self.deadlines.first().map(|(at, _)| *at);
-        [first, self.resume_accept_at].into_iter().flatten().min()
+        let first_deadline = self.deadlines.first().map(|(at, _)| *at);
+        [first_deadline, self.resume_accept_at]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    /// Closes a socket and returns its state.
+    /// Closes a socket and returns the state attached to it; `None` if it was closed before.
     pub fn close(&mut self, id: SocketId) -> Option<T> {
         self.get(id)?;
         self.set_deadline(id, None);
@@ -425,21 +446,22 @@
         if let Some(token) = socket.token {
             self.handle.remove(token);
         }
-        // The socket closes with the last reference, which `remove` and the end of this function drop.
+        // The descriptor closes when the last `Rc` is dropped: the event loop's in `remove`, and this one on
+        // return.
         let _ = socket.stream.shutdown(Shutdown::Both);
         Some(socket.state)
     }
 }
 
-/// What an error of accept(2) says.
+/// Classes of accept(2) errors, by the way they are handled.
 enum AcceptError {
-    /// No connection waits.
+    /// No connection waits to be accepted.
     WouldBlock,
-    /// The connection that was next has failed, or the call was interrupted: others may wait behind it.
+    /// The connection failed before it was accepted, or the call was interrupted. Other connections may wait.
     ConnectionFailed,
-    /// The process has no descriptor left.
+    /// The process has reached its limit of file descriptors (EMFILE).
     DescriptorLimit,
-    /// The system has no room for the moment, or something else is wrong with accepting.
+    /// The system lacks resources, or another error prevents accepting.
     Other,
 }
 
@@ -448,7 +470,7 @@
         match error.raw_os_error().unwrap_or_default() {
             libc::EAGAIN => AcceptError::WouldBlock,
             libc::EMFILE => AcceptError::DescriptorLimit,
-            // Linux passes pending network errors of the new connection on.
+            // Linux returns pending network errors of the new connection from accept(2).
             libc::EINTR
             | libc::ECONNABORTED
             | libc::EPROTO
@@ -467,19 +489,21 @@
     }
 }
 
+/// Returns a socket unless it is closed. Unlike [`Sockets::get_mut`], borrows only the slab.
 fn find_socket<T>(sockets: &mut Slab<Socket<T>>, id: SocketId) -> Option<&mut Socket<T>> {
     sockets
         .get_mut(id.key)
         .filter(|socket| socket.serial == id.serial)
 }
 
-fn connect(to: SocketAddr) -> io::Result<TcpStream> {
+/// Starts a non-blocking connection attempt.
+fn start_connect(address: SocketAddr) -> io::Result<TcpStream> {
     use socket2::{Domain, Protocol, Type};
-    let socket = socket2::Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = socket2::Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
-    match socket.connect(&to.into()) {
+    match socket.connect(&address.into()) {
         Ok(()) => {}
-        // In progress: the socket becomes writable once the connection is established.
+        // The attempt is in progress; the socket becomes writable once the connection is established.
         Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) || e.kind() == io::ErrorKind::WouldBlock => {}
         Err(e) => return Err(e),
     }
--- a/crates/quartzdrift-http/src/sockets/tests.rs
+++ b/crates/quartzdrift-http/src/sockets/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn unsent_bytes_of_a_broken_socket_can_be_recalled_before_its_owner_is_notified() {
+fn unsent_bytes_of_a_broken_socket_can_be_removed_before_its_owner_is_notified() {
     let event_loop = EventLoop::<Owner>::try_new().unwrap();
     let mut owner = Owner {
         sockets: Sockets::new(event_loop.handle(), |owner| &mut owner.sockets),
@@ -19,7 +19,7 @@
     owner.sockets.flush_socket(id);
     let (from, to) = (4, 9);
     owner.sockets.output(id).unwrap().extend_from_slice(b"frame");
-    // A reset, which the next write meets before the loop has reported it.
+    // The peer resets the connection. The next write fails before the event loop has reported the reset.
     socket2::SockRef::from(&peer)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
@@ -29,7 +29,7 @@
     assert!(socket.is_broken() && socket.sent_position() == from);
     assert!(
         socket.remove_unsent(from, to),
-        "none of it was sent, and none will be"
+        "no byte of the frame was sent or will be sent"
     );
-    assert!(!socket.remove_unsent(0, 4), "this was sent");
+    assert!(!socket.remove_unsent(0, 4), "these bytes were sent");
 }
--- a/crates/quartzdrift-http/tests/sockets.rs
+++ b/crates/quartzdrift-http/tests/sockets.rs
@@ -1,5 +1,6 @@
-//! Server and client connections on loopback sockets, with peers that behave badly.
-#![allow(clippy::unwrap_used, reason = "a test may stop at what must not be")]
+//! Server and client connections on loopback sockets, including peers that send invalid data, stall or
+//! disconnect.
+#![allow(clippy::unwrap_used, reason = "tests panic on unexpected results")]
 
 use calloop::EventLoop;
 use quartzdrift_http::{
@@ -19,32 +20,33 @@
     }
 }
 
-struct Stage {
+/// An event loop with an [`Http`] that listens on a loopback address.
+struct Harness {
     event_loop: EventLoop<'static, State>,
     state: State,
-    at: SocketAddr,
+    address: SocketAddr,
 }
 
-impl Stage {
-    fn new(limits: Limits) -> Stage {
+impl Harness {
+    fn new(limits: Limits) -> Harness {
         let event_loop = EventLoop::try_new().unwrap();
         let mut state = State(Http::new(event_loop.handle(), limits));
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         state.0.listen(listener).unwrap();
-        Stage {
+        Harness {
             event_loop,
             state,
-            at,
+            address,
         }
     }
 
-    /// Turns the loop until something happens, and returns it.
-    fn next(&mut self) -> HttpEvent {
-        let until = Instant::now() + Duration::from_secs(20);
+    /// Runs the event loop until there is an event, which must be the only one.
+    fn next_event(&mut self) -> HttpEvent {
+        let deadline = Instant::now() + Duration::from_secs(20);
         let mut events = self.state.0.take_events();
         while events.is_empty() {
-            assert!(Instant::now() < until, "nothing happened");
+            assert!(Instant::now() < deadline, "no event within 20 s");
             let wait = self
                 .state
                 .0
@@ -55,38 +57,42 @@
             self.state.0.expire_connections(Instant::now());
             events = self.state.0.take_events();
         }
-        assert_eq!(events.len(), 1, "one at a time: {events:?}");
+        assert_eq!(events.len(), 1, "more than one event: {events:?}");
         events.pop_front().unwrap()
     }
 
-    fn request(&mut self) -> (Exchange, Request) {
-        match self.next() {
+    /// Waits for a valid request.
+    fn next_request(&mut self) -> (Exchange, Request) {
+        match self.next_event() {
             HttpEvent::Request {
                 exchange,
                 request: Ok(request),
             } => (exchange, request),
-            other => panic!("no request: {other:?}"),
+            other => panic!("expected a valid request: {other:?}"),
         }
     }
 
-    fn bad(&mut self) -> (Exchange, RequestError) {
-        match self.next() {
+    /// Waits for a rejected request.
+    fn next_rejection(&mut self) -> (Exchange, RequestError) {
+        match self.next_event() {
             HttpEvent::Request {
                 exchange,
-                request: Err(why),
-            } => (exchange, why),
-            other => panic!("no bad request: {other:?}"),
+                request: Err(error),
+            } => (exchange, error),
+            other => panic!("expected a rejected request: {other:?}"),
         }
     }
 
-    fn client(&self, bytes: &[u8]) -> TcpStream {
-        let mut stream = TcpStream::connect(self.at).unwrap();
+    /// Connects a client that sends `bytes`.
+    fn connect_client(&self, bytes: &[u8]) -> TcpStream {
+        let mut stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         stream.write_all(bytes).unwrap();
         stream
     }
 
-    fn call(&mut self, to: SocketAddr) -> CallId {
+    /// Sends a POST request with the body `payload` to a server.
+    fn call(&mut self, server: SocketAddr) -> CallId {
         let connect_timeout = Duration::from_secs(5);
         let (target, body) = ("/x".to_owned(), Rc::from(&b"payload"[..]));
         let request = OutgoingRequest {
@@ -97,11 +103,11 @@
             connect_timeout,
             streams_response: false,
         };
-        self.state.0.call(to, request)
+        self.state.0.call(server, request)
     }
 }
 
-fn answer(body: &str) -> Response {
+fn ok_response(body: &str) -> Response {
     Response {
         status: 200,
         headers: Headers::new(),
@@ -109,21 +115,22 @@
     }
 }
 
-fn read_some(stream: &mut TcpStream, until: &str) -> String {
-    let (mut seen, mut part) = (String::new(), [0; 4096]);
-    while !seen.contains(until) {
-        let n = stream.read(&mut part).unwrap();
-        assert!(n > 0, "ended after {seen:?}");
-        seen.push_str(&String::from_utf8_lossy(&part[..n]));
+/// Reads until the received text contains `end`, and returns the text.
+fn read_until(stream: &mut TcpStream, end: &str) -> String {
+    let (mut received, mut buffer) = (String::new(), [0; 4096]);
+    while !received.contains(end) {
+        let length = stream.read(&mut buffer).unwrap();
+        assert!(length > 0, "connection closed after {received:?}");
+        received.push_str(&String::from_utf8_lossy(&buffer[..length]));
     }
-    seen
+    received
 }
 
-fn short() -> Limits {
-    let span = Duration::from_millis(60);
+fn short_limits() -> Limits {
+    let timeout = Duration::from_millis(60);
     Limits {
-        receive_timeout: span,
-        idle_timeout: span,
+        receive_timeout: timeout,
+        idle_timeout: timeout,
         head_bytes: 256,
         request_body_bytes: 64,
         ..Limits::default()
@@ -131,44 +138,45 @@
 }
 
 #[test]
-fn pipelined_requests_are_answered_in_their_order_and_once() {
-    let mut stage = Stage::new(Limits::default());
-    let mut client = stage.client(b"POST /1 HTTP/1.1\r\ncontent-length: 2\r\n\r\nabGET /2 HTTP/1.1\r\n\r\n");
-    let (first, request) = stage.request();
+fn pipelined_requests_are_answered_in_order_and_only_once() {
+    let mut harness = Harness::new(Limits::default());
+    let mut client =
+        harness.connect_client(b"POST /1 HTTP/1.1\r\ncontent-length: 2\r\n\r\nabGET /2 HTTP/1.1\r\n\r\n");
+    let (first, request) = harness.next_request();
     assert_eq!(
         (request.head.target.as_str(), &request.body[..]),
         ("/1", &b"ab"[..])
     );
-    stage.state.0.respond(first, &answer("one"));
-    // A second answer to the first must not reach the second request.
-    stage.state.0.respond(first, &answer("again"));
-    let (second, request) = stage.request();
+    harness.state.0.respond(first, &ok_response("one"));
+    // A second response to the first request must not be sent as the response to the second one.
+    harness.state.0.respond(first, &ok_response("again"));
+    let (second, request) = harness.next_request();
     assert_eq!(request.head.target, "/2");
-    stage.state.0.respond(second, &answer("two"));
-    let seen = read_some(&mut client, "two");
-    assert!(seen.contains("one") && !seen.contains("again"));
+    harness.state.0.respond(second, &ok_response("two"));
+    let received = read_until(&mut client, "two");
+    assert!(received.contains("one") && !received.contains("again"));
 }
 
 #[test]
-fn half_a_head_and_then_nothing_is_answered_and_closed() {
-    let mut stage = Stage::new(short());
-    let mut client = stage.client(b"POST / HT");
-    let (exchange, why) = stage.bad();
-    assert_eq!(why, RequestError::Timeout);
-    stage.state.0.respond(
+fn incomplete_head_times_out_and_the_connection_closes_after_the_response() {
+    let mut harness = Harness::new(short_limits());
+    let mut client = harness.connect_client(b"POST / HT");
+    let (exchange, error) = harness.next_rejection();
+    assert_eq!(error, RequestError::Timeout);
+    harness.state.0.respond(
         exchange,
         &Response {
             status: 400,
             ..Response::default()
         },
     );
-    let mut seen = String::new();
-    client.read_to_string(&mut seen).unwrap();
-    assert!(seen.starts_with("HTTP/1.1 400"), "{seen}");
+    let mut received = String::new();
+    client.read_to_string(&mut received).unwrap();
+    assert!(received.starts_with("HTTP/1.1 400"), "{received}");
 }
 
 #[test]
-fn too_much_is_refused_before_it_is_held() {
+fn oversized_and_malformed_requests_are_rejected() {
     for (bytes, expected) in [
         (
             &b"POST / HTTP/1.1\r\ncontent-length: 65\r\n\r\n"[..],
@@ -181,131 +189,132 @@
         (b"nonsense\r\n\r\n", RequestError::Malformed),
         (&[b'x'; 300], RequestError::HeadTooLarge),
     ] {
-        let mut stage = Stage::new(Limits {
+        let mut harness = Harness::new(Limits {
             receive_timeout: Duration::from_secs(5),
-            ..short()
+            ..short_limits()
         });
-        let mut client = stage.client(bytes);
+        let mut client = harness.connect_client(bytes);
         if expected == RequestError::Malformed && bytes.ends_with(b"41\r\n") {
             client.write_all(&[b'x'; 65]).unwrap();
-            let (_, why) = stage.bad();
-            assert_eq!(why, RequestError::BodyTooLarge);
+            let (_, error) = harness.next_rejection();
+            assert_eq!(error, RequestError::BodyTooLarge);
             continue;
         }
-        let (exchange, why) = stage.bad();
-        assert_eq!(why, expected);
-        stage.state.0.respond(
+        let (exchange, error) = harness.next_rejection();
+        assert_eq!(error, expected);
+        harness.state.0.respond(
             exchange,
             &Response {
                 status: 413,
                 ..Response::default()
             },
         );
-        assert!(read_some(&mut client, "\r\n\r\n").contains("connection: close"));
+        assert!(read_until(&mut client, "\r\n\r\n").contains("connection: close"));
     }
 }
 
 #[test]
-fn expect_continue_is_answered_before_the_body_comes() {
-    let mut stage = Stage::new(Limits::default());
+fn interim_response_is_sent_before_the_body_arrives() {
+    let mut harness = Harness::new(Limits::default());
     let head = b"POST / HTTP/1.1\r\ncontent-length: 2\r\nexpect: 100-continue\r\n\r\n";
-    let mut client = stage.client(head);
+    let mut client = harness.connect_client(head);
     let writer = std::thread::spawn(move || {
-        let seen = read_some(&mut client, "\r\n\r\n");
-        assert!(seen.starts_with("HTTP/1.1 100"), "{seen}");
+        let received = read_until(&mut client, "\r\n\r\n");
+        assert!(received.starts_with("HTTP/1.1 100"), "{received}");
         client.write_all(b"ok").unwrap();
         client
     });
-    let (_, request) = stage.request();
+    let (_, request) = harness.next_request();
     assert_eq!(request.body, b"ok");
     writer.join().unwrap();
 }
 
 #[test]
-fn a_client_that_hangs_up_is_told_of_and_its_answer_goes_nowhere() {
-    let mut stage = Stage::new(Limits::default());
-    let client = stage.client(b"GET / HTTP/1.1\r\n\r\n");
-    let (exchange, _) = stage.request();
+fn client_disconnection_is_reported_and_a_late_response_is_dropped() {
+    let mut harness = Harness::new(Limits::default());
+    let client = harness.connect_client(b"GET / HTTP/1.1\r\n\r\n");
+    let (exchange, _) = harness.next_request();
     drop(client);
-    assert!(matches!(stage.next(), HttpEvent::ClientDisconnected { exchange: gone } if gone == exchange));
-    stage.state.0.respond(exchange, &answer("late"));
-    assert_eq!(stage.state.0.client_count(), 0);
+    let event = harness.next_event();
+    assert!(
+        matches!(event, HttpEvent::ClientDisconnected { exchange: disconnected } if disconnected == exchange)
+    );
+    harness.state.0.respond(exchange, &ok_response("late"));
+    assert_eq!(harness.state.0.client_count(), 0);
 }
 
 #[test]
-fn many_idle_connections_leave_room_for_one_that_works() {
-    let mut stage = Stage::new(Limits {
+fn idle_connections_are_closed_to_accept_an_active_client() {
+    let mut harness = Harness::new(Limits {
         connections: 30,
         ..Limits::default()
     });
-    let idle: Vec<TcpStream> = (0..100).map(|_| stage.client(b"")).collect();
-    let _client = stage.client(b"GET /works HTTP/1.1\r\n\r\n");
-    let (_, request) = stage.request();
+    let idle: Vec<TcpStream> = (0..100).map(|_| harness.connect_client(b"")).collect();
+    let _client = harness.connect_client(b"GET /works HTTP/1.1\r\n\r\n");
+    let (_, request) = harness.next_request();
     assert_eq!(request.head.target, "/works");
-    assert!(stage.state.0.client_count() <= 30);
+    assert!(harness.state.0.client_count() <= 30);
     drop(idle);
 }
 
 #[test]
-fn a_newcomer_waits_where_all_connections_have_requests_open() {
-    let mut stage = Stage::new(Limits {
+fn new_connection_waits_while_all_connections_have_open_requests() {
+    let mut harness = Harness::new(Limits {
         connections: 2,
         ..Limits::default()
     });
-    let _first = stage.client(b"GET /first HTTP/1.1\r\n\r\n");
-    let (open, _) = stage.request();
-    let _second = stage.client(b"GET /second HTTP/1.1\r\n\r\n");
-    stage.request();
-    let _third = stage.client(b"GET /third HTTP/1.1\r\n\r\n");
-    // The loop is told of the third one, for whom there is no room.
+    let _first = harness.connect_client(b"GET /first HTTP/1.1\r\n\r\n");
+    let (open, _) = harness.next_request();
+    let _second = harness.connect_client(b"GET /second HTTP/1.1\r\n\r\n");
+    harness.next_request();
+    let _third = harness.connect_client(b"GET /third HTTP/1.1\r\n\r\n");
+    // The event loop reports the third connection, which exceeds the limit of two.
     for _ in 0..3 {
-        stage
+        harness
             .event_loop
-            .dispatch(Duration::from_millis(20), &mut stage.state)
+            .dispatch(Duration::from_millis(20), &mut harness.state)
             .unwrap();
-        stage.state.0.expire_connections(Instant::now());
-        assert!(stage.state.0.take_events().is_empty());
+        harness.state.0.expire_connections(Instant::now());
+        assert!(harness.state.0.take_events().is_empty());
     }
-    stage.state.0.respond(open, &answer("first"));
-    let (_, request) = stage.request();
+    harness.state.0.respond(open, &ok_response("first"));
+    let (_, request) = harness.next_request();
     assert_eq!(request.head.target, "/third");
 }
 
 #[test]
-fn a_refused_connection_and_one_closed_after_the_request_are_told_apart() {
-    let mut stage = Stage::new(Limits::default());
-    let free = TcpListener::bind("127.0.0.1:0").unwrap();
-    let nobody = free.local_addr().unwrap();
-    drop(free);
-    let call = stage.call(nobody);
-    assert!(
-        matches!(stage.next(), HttpEvent::CallFailed { call: of, failure: CallFailure::Connect } if of == call)
-    );
+fn refused_connection_and_close_after_the_request_are_distinguished() {
+    let mut harness = Harness::new(Limits::default());
+    let unused = TcpListener::bind("127.0.0.1:0").unwrap();
+    let refusing = unused.local_addr().unwrap();
+    drop(unused);
+    let call = harness.call(refusing);
+    let event = harness.next_event();
+    assert!(matches!(event, HttpEvent::CallFailed { call: id, failure: CallFailure::Connect } if id == call));
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = server.local_addr().unwrap();
+    let address = server.local_addr().unwrap();
     let reader = std::thread::spawn(move || {
         let (mut stream, _) = server.accept().unwrap();
-        read_some(&mut stream, "payload");
+        read_until(&mut stream, "payload");
     });
-    let call = stage.call(at);
-    assert!(
-        matches!(stage.next(), HttpEvent::CallFailed { call: of, failure: CallFailure::Reset } if of == call)
-    );
+    let call = harness.call(address);
+    let event = harness.next_event();
+    assert!(matches!(event, HttpEvent::CallFailed { call: id, failure: CallFailure::Reset } if id == call));
     reader.join().unwrap();
-    // Nothing is left of either: taking them back is no mistake.
-    stage.state.0.cancel(call);
+    // Cancelling a call that has already failed has no effect.
+    harness.state.0.cancel(call);
 }
 
 #[test]
-fn an_idle_connection_that_the_server_closed_is_not_used_again() {
-    let mut stage = Stage::new(Limits::default());
+fn idle_connection_closed_by_the_server_is_not_reused() {
+    let mut harness = Harness::new(Limits::default());
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = server.local_addr().unwrap();
+    let address = server.local_addr().unwrap();
     let (closed, is_closed) = std::sync::mpsc::channel();
     let serving = std::thread::spawn(move || {
         for _ in 0..2 {
             let (mut stream, _) = server.accept().unwrap();
-            read_some(&mut stream, "payload");
+            read_until(&mut stream, "payload");
             stream
                 .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
                 .unwrap();
@@ -314,17 +323,18 @@
         }
     });
     for _ in 0..2 {
-        let call = stage.call(at);
-        assert!(matches!(stage.next(), HttpEvent::Response { call: of, .. } if of == call));
+        let call = harness.call(address);
+        let event = harness.next_event();
+        assert!(matches!(event, HttpEvent::Response { call: responded, .. } if responded == call));
         is_closed.recv().unwrap();
     }
     serving.join().unwrap();
-    assert_eq!(stage.state.0.opened_count(), 2);
+    assert_eq!(harness.state.0.opened_count(), 2);
 }
 
 #[test]
-fn an_answer_cut_short_or_past_the_limit_is_no_answer() {
-    for (said, expected) in [
+fn truncated_oversized_and_malformed_responses_fail_the_call() {
+    for (response, expected) in [
         (
             &b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"[..],
             CallFailure::Reset,
@@ -335,19 +345,19 @@
         ),
         (b"HTTP/2 what\r\n\r\n", CallFailure::Malformed),
     ] {
-        let mut stage = Stage::new(Limits {
+        let mut harness = Harness::new(Limits {
             response_body_bytes: 50,
             ..Limits::default()
         });
         let server = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = server.local_addr().unwrap();
+        let address = server.local_addr().unwrap();
         let serving = std::thread::spawn(move || {
             let (mut stream, _) = server.accept().unwrap();
-            read_some(&mut stream, "payload");
-            stream.write_all(said).unwrap();
+            read_until(&mut stream, "payload");
+            stream.write_all(response).unwrap();
         });
-        stage.call(at);
-        match stage.next() {
+        harness.call(address);
+        match harness.next_event() {
             HttpEvent::CallFailed { failure, .. } => assert_eq!(failure, expected),
             other => panic!("{other:?}"),
         }
@@ -356,64 +366,66 @@
 }
 
 #[test]
-fn what_has_not_left_can_be_taken_back_with_proof() {
-    let mut stage = Stage::new(Limits::default());
-    // A listener whose queue is never emptied: the connection comes about, the request may not yet have left.
+fn call_cancelled_before_any_byte_is_sent_never_reaches_the_server() {
+    let mut harness = Harness::new(Limits::default());
+    // The listener does not accept yet: the system establishes the connection, but the request is not sent
+    // before the event loop runs.
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
-    let call = stage.call(server.local_addr().unwrap());
-    assert!(stage.state.0.is_unsent(call));
-    stage.state.0.cancel(call);
-    assert!(!stage.state.0.is_unsent(call));
+    let call = harness.call(server.local_addr().unwrap());
+    assert!(harness.state.0.is_unsent(call));
+    harness.state.0.cancel(call);
+    assert!(!harness.state.0.is_unsent(call));
     let (mut stream, _) = server.accept().unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    // Nothing but the end comes.
-    stage
+    // The server receives no byte, only the end of the connection.
+    harness
         .event_loop
-        .dispatch(Duration::from_millis(20), &mut stage.state)
+        .dispatch(Duration::from_millis(20), &mut harness.state)
         .unwrap();
     assert_eq!(stream.read(&mut [0; 10]).unwrap_or(0), 0);
 }
 
 #[test]
-fn a_streamed_answer_passes_through_in_parts() {
-    let mut stage = Stage::new(Limits::default());
-    let mut client = stage.client(b"GET / HTTP/1.1\r\n\r\n");
-    let (exchange, _) = stage.request();
-    stage.state.0.begin_response(exchange, 200, &Headers::new());
-    assert!(stage.state.0.send_part(exchange, b"one", 1000));
-    assert!(read_some(&mut client, "one").contains("transfer-encoding: chunked"));
+fn streamed_response_is_sent_in_parts() {
+    let mut harness = Harness::new(Limits::default());
+    let mut client = harness.connect_client(b"GET / HTTP/1.1\r\n\r\n");
+    let (exchange, _) = harness.next_request();
+    harness.state.0.begin_response(exchange, 200, &Headers::new());
+    assert!(harness.state.0.send_part(exchange, b"one", 1000));
+    assert!(read_until(&mut client, "one").contains("transfer-encoding: chunked"));
     assert!(
-        !stage.state.0.send_part(exchange, &[0; 2000], 1000),
-        "over what may wait"
+        !harness.state.0.send_part(exchange, &[0; 2000], 1000),
+        "2000 bytes exceed the limit of 1000 unsent bytes"
     );
-    stage.state.0.end_response(exchange);
-    assert!(read_some(&mut client, "0\r\n\r\n").contains("0\r\n\r\n"));
+    harness.state.0.end_response(exchange);
+    assert!(read_until(&mut client, "0\r\n\r\n").contains("0\r\n\r\n"));
 }
 
-struct Raw(sockets::Sockets<Raw, ()>);
+/// Sockets without HTTP.
+struct RawSockets(sockets::Sockets<RawSockets, ()>);
 
 #[test]
-fn a_connection_that_is_reset_while_it_comes_up_is_told_from_a_refused_one() {
-    let event_loop = EventLoop::<Raw>::try_new().unwrap();
-    let mut raw = Raw(sockets::Sockets::new(event_loop.handle(), |raw| &mut raw.0));
+fn connection_reset_during_connect_is_distinguished_from_a_refused_one() {
+    let event_loop = EventLoop::<RawSockets>::try_new().unwrap();
+    let mut raw = RawSockets(sockets::Sockets::new(event_loop.handle(), |raw| &mut raw.0));
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = server.local_addr().unwrap();
-    let reset = raw.0.connect(at, ()).unwrap();
-    let (taken, _) = server.accept().unwrap();
-    // Closed without lingering: the other side is sent a reset.
-    socket2::SockRef::from(&taken)
+    let address = server.local_addr().unwrap();
+    let reset = raw.0.connect(address, ()).unwrap();
+    let (accepted, _) = server.accept().unwrap();
+    // A linger time of zero makes the close send a reset.
+    socket2::SockRef::from(&accepted)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
-    drop(taken);
+    drop(accepted);
     drop(server);
-    let kind = |raw: &Raw, id| match raw.0.connect_result(id) {
+    let error_kind = |raw: &RawSockets, id| match raw.0.connect_result(id) {
         Some(Err(e)) => Some(e.kind()),
         Some(Ok(())) | None => None,
     };
-    assert_eq!(kind(&raw, reset), Some(std::io::ErrorKind::ConnectionReset));
-    let refused = raw.0.connect(at, ()).map(|id| kind(&raw, id));
+    assert_eq!(error_kind(&raw, reset), Some(std::io::ErrorKind::ConnectionReset));
+    let refused = raw.0.connect(address, ()).map(|id| error_kind(&raw, id));
     match refused {
-        Ok(how) => assert_eq!(how, Some(std::io::ErrorKind::ConnectionRefused)),
+        Ok(kind) => assert_eq!(kind, Some(std::io::ErrorKind::ConnectionRefused)),
         Err(e) => assert_eq!(e.kind(), std::io::ErrorKind::ConnectionRefused),
     }
 }
