--- a/crates/quartzdrift-http/src/http.rs
+++ b/crates/quartzdrift-http/src/http.rs
@@ -85,7 +85,7 @@
         )
     }
 
-    /// Closes all connections and listeners and discards the events, as the death of the process would.
+    /// Closes all connections and listeners and discards the events, as if the process were killed.
     pub fn close_all(&mut self) {
         self.stop_listening();
         let ids: Vec<SocketId> = self.sockets.iter().map(|(id, _)| id).collect();
--- a/crates/quartzdrift-http/src/messages.rs
+++ b/crates/quartzdrift-http/src/messages.rs
@@ -63,7 +63,7 @@
 /// An event on a connection to a client or to a server.
 #[derive(Debug)]
 pub enum HttpEvent {
-    /// A client has sent a request, valid or not. The owner must respond to both.
+    /// A client has sent a request, valid or not. The owner must respond in either case.
     Request {
         /// Identifies the request in [`Http::respond`](crate::Http::respond).
         exchange: Exchange,
