--- a/crates/quartzdrift-lab/tests/platform.rs
+++ b/crates/quartzdrift-lab/tests/platform.rs
@@ -570,10 +570,10 @@
             assert!([200, 503].contains(&reply.status), "{reply:?}");
         }
     });
-    let at_rest = |node: &Node| matches!(node.held_counts(), [0, 1, 0..=2, 0, 0]);
+    let at_rest = |node: &Node| matches!(node.table_sizes(), [0, 1, 0..=2, 0, 0]);
     while !(replacing.is_finished() && asking.is_finished() && at_rest(&node)) {
         let wait = node.next_wait();
-        event_loop.dispatch(wait.planned, &mut node).unwrap();
+        event_loop.dispatch(wait.timeout, &mut node).unwrap();
         node.turn(wait);
     }
     replacing.join().unwrap();
--- a/crates/quartzdrift/src/loop_delay.rs
+++ b/crates/quartzdrift/src/loop_delay.rs
@@ -3,8 +3,8 @@
 //! What is read in a turn came after the loop had last looked at its sockets. Where the process had no processor meanwhile, or a
 //! turn took long, that is a while ago, and the peer's time has run since. The process may lose its processor while it waits,
 //! and also after the system has collected the events of a wait and before the process learns of them, so that neither end of
-//! a wait tells when the loop looked. A wait that ends in time tells of no delay; only what exceeds its planned length is
-//! counted. What remains unnoticed is at most two planned waits, of [`MAX_WAIT`] each.
+//! a wait tells when the loop looked. A wait that ends in time tells of no delay; only what exceeds its timeout length is
+//! counted. What remains unnoticed is at most two timeout waits, of [`MAX_WAIT`] each.
 use std::time::{Duration, Instant};
 
 /// Longest wait of an event loop that counts its delay. Two of them are two thirds of the slack that the platform's protocol
@@ -16,21 +16,21 @@
 pub struct Wait {
     began: Instant,
     /// How long it lasts at most.
-    pub planned: Duration,
+    pub timeout: Duration,
 }
 
 impl Wait {
-    /// A wait that begins now, and lasts no longer than `planned` and [`MAX_WAIT`].
-    pub(crate) fn begin(now: Instant, planned: Duration) -> Wait {
+    /// A wait that begins now, and lasts no longer than `timeout` and [`MAX_WAIT`].
+    pub(crate) fn begin(now: Instant, timeout: Duration) -> Wait {
         Wait {
             began: now,
-            planned: planned.min(MAX_WAIT),
+            timeout: timeout.min(MAX_WAIT),
         }
     }
 
     /// When the loop had looked at its sockets at the latest, as far as the wait's end shows it.
     fn looked(&self, ended: Instant) -> Instant {
-        ended.min(self.began + self.planned)
+        ended.min(self.began + self.timeout)
     }
 }
 
@@ -56,7 +56,7 @@
 
     /// A wait has ended.
     pub(crate) fn woke(&mut self, now: Instant, wait: Wait) {
-        self.earliest_arrival = now.min(self.looked + wait.planned);
+        self.earliest_arrival = now.min(self.looked + wait.timeout);
         self.looked = wait.looked(now);
     }
 
--- a/crates/quartzdrift/src/loop_delay/tests.rs
+++ b/crates/quartzdrift/src/loop_delay/tests.rs
@@ -2,13 +2,13 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A loop whose waits, each of a planned length, ended so long after they began, one right after the other.
+/// A loop whose waits, each of a timeout length, ended so long after they began, one right after the other.
 fn after(waits: &[(Duration, Duration)]) -> (LoopDelay, Instant, Instant) {
     let start = Instant::now();
     let mut delay = LoopDelay::start(start);
     let mut now = start;
-    for &(planned, lasted) in waits {
-        let wait = Wait::begin(now, planned);
+    for &(timeout, lasted) in waits {
+        let wait = Wait::begin(now, timeout);
         now += lasted;
         delay.woke(now, wait);
     }
@@ -61,7 +61,7 @@
     /// The platform's protocol allows a deadline that is passed on to exceed the client's by so much.
     const SLACK: Duration = Duration::from_millis(150);
     let begun = Instant::now();
-    let longest = Wait::begin(begun, Duration::from_secs(60)).planned;
+    let longest = Wait::begin(begun, Duration::from_secs(60)).timeout;
     assert!(longest * 2 < SLACK, "{longest:?}");
     let mut delay = LoopDelay::start(begun);
     for n in 1..=2 {
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -334,7 +334,7 @@
             return;
         }
         self.held_logged_at = now;
-        let [clients, workers, connections, attempts_on_sockets, open_ids] = self.held_counts();
+        let [clients, workers, connections, attempts_on_sockets, open_ids] = self.table_sizes();
         let (worker_names, function_names, scheduler_requests) = self.request_table.sizes();
         tracing::debug!(
             clients,
@@ -358,7 +358,7 @@
 
     /// What the tables hold: clients, workers, connections to them, attempts in flight, and requests open by their clients'
     /// ids.
-    pub fn held_counts(&self) -> [usize; 5] {
+    pub fn table_sizes(&self) -> [usize; 5] {
         [
             self.clients,
             self.workers.len(),
--- a/crates/quartzdrift/src/platform/run.rs
+++ b/crates/quartzdrift/src/platform/run.rs
@@ -69,7 +69,7 @@
     while !node.stopped() {
         let wait = node.next_wait();
         event_loop
-            .dispatch(wait.planned, &mut node)
+            .dispatch(wait.timeout, &mut node)
             .map_err(io::Error::other)?;
         node.turn(wait);
     }
