--- a/crates/quartzdrift/src/loop_delay.rs
+++ b/crates/quartzdrift/src/loop_delay.rs
@@ -1,78 +1,79 @@
-//! How long something may have waited unseen before the event loop reads it.
+//! Estimates how long received bytes may have waited before the event loop read them.
 //!
-//! What is read in a turn came after the loop had last looked at its sockets. Where the process had no processor meanwhile, or a
-//! turn took long, that is a while ago, and the peer's time has run since. The process may lose its processor while it waits,
-//! and also after the system has collected the events of a wait and before the process learns of them, so that neither end of
-//! a wait tells when the loop looked. A wait that ends in time tells of no delay; only what exceeds its timeout length is
-//! counted. What remains unnoticed is at most two timeout waits, of [`MAX_WAIT`] each.
+//! Bytes that the loop reads in a turn arrived after its previous check of the sockets. Where the process had no processor
+//! meanwhile, or a turn took long, that check is long ago, and the peer's timeout has been running since. The process may lose
+//! its processor while it waits for events, and also after the kernel has collected the events and before the process receives
+//! them, so neither the start nor the end of a wait shows when the sockets were checked. A wait that ends within its timeout
+//! counts as no delay; only the time beyond the timeout counts. The delay that goes undetected is at most two timeouts, of
+//! [`MAX_WAIT`] each.
 use std::time::{Duration, Instant};
 
-/// Longest wait of an event loop that counts its delay. Two of them are two thirds of the slack that the platform's protocol
+/// Longest timeout of a wait whose delay is estimated. Two such waits take two thirds of the slack that the platform's protocol
 /// allows for deadlines that are passed on.
 pub(crate) const MAX_WAIT: Duration = Duration::from_millis(50);
 
-/// A wait for events.
+/// One wait of the event loop for events.
 #[derive(Clone, Copy, Debug)]
-pub struct Wait {
-    began: Instant,
-    /// How long it lasts at most.
+pub struct EventWait {
+    started_at: Instant,
+    /// Longest time to wait if no event occurs.
     pub timeout: Duration,
 }
 
-impl Wait {
-    /// A wait that begins now, and lasts no longer than `timeout` and [`MAX_WAIT`].
-    pub(crate) fn begin(now: Instant, timeout: Duration) -> Wait {
-        Wait {
-            began: now,
+impl EventWait {
+    /// Starts a wait at `now`. Its timeout is `timeout`, but at most [`MAX_WAIT`].
+    pub(crate) fn begin(now: Instant, timeout: Duration) -> EventWait {
+        EventWait {
+            started_at: now,
             timeout: timeout.min(MAX_WAIT),
         }
     }
 
-    /// When the loop had looked at its sockets at the latest, as far as the wait's end shows it.
-    fn looked(&self, ended: Instant) -> Instant {
-        ended.min(self.began + self.timeout)
+    /// Latest time at which the loop is known to have checked its sockets, for a wait that ended at `ended_at`.
+    fn last_socket_check(&self, ended_at: Instant) -> Instant {
+        ended_at.min(self.started_at + self.timeout)
     }
 }
 
-/// The last moments in which an event loop looked at its sockets.
+/// Tracks when an event loop last checked its sockets.
 pub(crate) struct LoopDelay {
-    /// When what the last wait brought may have come.
+    /// Earliest time at which the bytes that are read after the last wait may have arrived.
     earliest_arrival: Instant,
-    /// When the loop looked in the last wait, as far as its end shows that.
-    looked: Instant,
-    /// When the loop last looked at its sockets within a turn.
-    looked_again: Instant,
+    /// The last socket check that the waits prove.
+    last_check_in_wait: Instant,
+    /// The last socket check that the loop made within a turn.
+    last_check_in_turn: Instant,
 }
 
 impl LoopDelay {
-    /// A loop that begins now.
+    /// The state of a loop that starts at `now`.
     pub(crate) fn start(now: Instant) -> LoopDelay {
         LoopDelay {
             earliest_arrival: now,
-            looked: now,
-            looked_again: now,
+            last_check_in_wait: now,
+            last_check_in_turn: now,
         }
     }
 
-    /// A wait has ended.
-    pub(crate) fn woke(&mut self, now: Instant, wait: Wait) {
-        self.earliest_arrival = now.min(self.looked + wait.timeout);
-        self.looked = wait.looked(now);
+    /// Records that `wait` ended at `now`.
+    pub(crate) fn wait_ended(&mut self, now: Instant, wait: EventWait) {
+        self.earliest_arrival = now.min(self.last_check_in_wait + wait.timeout);
+        self.last_check_in_wait = wait.last_socket_check(now);
     }
 
-    /// When what is read now for the first time may have come.
+    /// Earliest time at which bytes that are read for the first time now may have arrived.
     pub(crate) fn earliest_arrival(&self) -> Instant {
         self.earliest_arrival
     }
 
-    /// The loop has looked at its sockets once more, within a turn.
-    pub(crate) fn looked_again(&mut self, now: Instant) {
-        self.looked_again = now;
+    /// Records that the loop checked its sockets at `now`, within a turn.
+    pub(crate) fn sockets_checked(&mut self, now: Instant) {
+        self.last_check_in_turn = now;
     }
 
-    /// When the loop last looked at its sockets.
-    pub(crate) fn looked(&self) -> Instant {
-        self.looked.max(self.looked_again)
+    /// Time of the last socket check, in a wait or within a turn.
+    pub(crate) fn last_socket_check(&self) -> Instant {
+        self.last_check_in_wait.max(self.last_check_in_turn)
     }
 }
 
--- a/crates/quartzdrift/src/loop_delay/tests.rs
+++ b/crates/quartzdrift/src/loop_delay/tests.rs
@@ -2,42 +2,43 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A loop whose waits, each of a timeout length, ended so long after they began, one right after the other.
-fn after(waits: &[(Duration, Duration)]) -> (LoopDelay, Instant, Instant) {
+/// Runs consecutive waits, each given by its timeout and its actual duration; returns the delay, the start of the first wait
+/// and the end of the last one.
+fn run_waits(waits: &[(Duration, Duration)]) -> (LoopDelay, Instant, Instant) {
     let start = Instant::now();
     let mut delay = LoopDelay::start(start);
     let mut now = start;
-    for &(timeout, lasted) in waits {
-        let wait = Wait::begin(now, timeout);
-        now += lasted;
-        delay.woke(now, wait);
+    for &(timeout, duration) in waits {
+        let wait = EventWait::begin(now, timeout);
+        now += duration;
+        delay.wait_ended(now, wait);
     }
     (delay, start, now)
 }
 
 #[test]
-fn a_wait_that_ends_in_time_tells_of_no_delay() {
-    for lasted in [0, 10, 40] {
-        let (delay, _, now) = after(&[(40 * MS, lasted * MS)]);
+fn a_wait_that_ends_within_its_timeout_counts_as_no_delay() {
+    for duration in [0, 10, 40] {
+        let (delay, _, now) = run_waits(&[(40 * MS, duration * MS)]);
         assert_eq!(delay.earliest_arrival(), now);
     }
 }
 
 #[test]
-fn what_comes_in_a_wait_that_ends_late_may_have_come_long_before() {
-    let (delay, start, _) = after(&[(40 * MS, 400 * MS)]);
+fn bytes_read_after_a_late_wait_may_have_arrived_at_its_timeout() {
+    let (delay, start, _) = run_waits(&[(40 * MS, 400 * MS)]);
     assert_eq!(delay.earliest_arrival(), start + 40 * MS);
-    let (delay, start, _) = after(&[(Duration::from_secs(9), 400 * MS)]);
+    let (delay, start, _) = run_waits(&[(Duration::from_secs(9), 400 * MS)]);
     assert_eq!(delay.earliest_arrival(), start + MAX_WAIT);
 }
 
 #[test]
-fn what_comes_behind_a_wait_that_ended_late_may_have_come_in_it() {
-    let (delay, start, _) = after(&[(40 * MS, 400 * MS)]);
-    assert_eq!(delay.looked(), start + 40 * MS);
-    let (delay, start, _) = after(&[(40 * MS, 400 * MS), (Duration::ZERO, MS)]);
+fn bytes_read_in_the_wait_after_a_late_one_may_have_arrived_during_the_late_one() {
+    let (delay, start, _) = run_waits(&[(40 * MS, 400 * MS)]);
+    assert_eq!(delay.last_socket_check(), start + 40 * MS);
+    let (delay, start, _) = run_waits(&[(40 * MS, 400 * MS), (Duration::ZERO, MS)]);
     assert_eq!(delay.earliest_arrival(), start + 40 * MS);
-    let (delay, _, now) = after(&[
+    let (delay, _, now) = run_waits(&[
         (40 * MS, 400 * MS),
         (Duration::ZERO, MS),
         (Duration::ZERO, Duration::ZERO),
@@ -46,28 +47,28 @@
 }
 
 #[test]
-fn a_long_turn_delays_what_comes_in_it() {
-    let (mut delay, start, _) = after(&[(Duration::ZERO, Duration::ZERO)]);
+fn bytes_that_arrive_during_a_long_turn_count_from_the_check_before_it() {
+    let (mut delay, start, _) = run_waits(&[(Duration::ZERO, Duration::ZERO)]);
     let end = start + 300 * MS;
-    assert_eq!(delay.looked(), start);
-    delay.looked_again(start + 290 * MS);
-    assert_eq!(delay.looked(), start + 290 * MS);
-    delay.woke(end, Wait::begin(end, Duration::ZERO));
+    assert_eq!(delay.last_socket_check(), start);
+    delay.sockets_checked(start + 290 * MS);
+    assert_eq!(delay.last_socket_check(), start + 290 * MS);
+    delay.wait_ended(end, EventWait::begin(end, Duration::ZERO));
     assert_eq!(delay.earliest_arrival(), start);
 }
 
 #[test]
-fn what_two_of_the_longest_waits_hide_is_within_the_slack_for_deadlines() {
-    /// The platform's protocol allows a deadline that is passed on to exceed the client's by so much.
+fn the_undetected_delay_of_two_longest_waits_is_within_the_slack_for_deadlines() {
+    /// How much a deadline that is passed on may exceed the client's, by the platform's protocol.
     const SLACK: Duration = Duration::from_millis(150);
-    let begun = Instant::now();
-    let longest = Wait::begin(begun, Duration::from_secs(60)).timeout;
+    let start = Instant::now();
+    let longest = EventWait::begin(start, Duration::from_secs(60)).timeout;
     assert!(longest * 2 < SLACK, "{longest:?}");
-    let mut delay = LoopDelay::start(begun);
+    let mut delay = LoopDelay::start(start);
     for n in 1..=2 {
-        let wait = Wait::begin(begun + longest * (n - 1), Duration::from_secs(60));
-        delay.woke(begun + longest * n, wait);
+        let wait = EventWait::begin(start + longest * (n - 1), Duration::from_secs(60));
+        delay.wait_ended(start + longest * n, wait);
     }
-    // What came right behind the first look is read at the second one, and counts as no later than that.
-    assert!(begun + longest * 2 - delay.earliest_arrival() <= longest);
+    // Bytes that arrived right after the first check are read at the second one, and count as no later than the first wait's end.
+    assert!(start + longest * 2 - delay.earliest_arrival() <= longest);
 }
--- a/crates/quartzdrift/src/platform/accept.rs
+++ b/crates/quartzdrift/src/platform/accept.rs
@@ -1,61 +1,63 @@
-//! Accepts clients, and makes room for them among those that are silent.
-use super::client_connection::{Client, RECEIVE_TIMEOUT, is_silent};
+//! Accepts clients, and closes idle ones to make room for them.
+use super::client_connection::{Client, RECEIVE_TIMEOUT, is_evictable};
 use super::{Node, Peer};
 use quartzdrift_http::sockets::SocketId;
 use std::time::Duration;
 
-/// How long clients wait to be accepted, after a start, for the coordinator to be heard: it answers within milliseconds, and
-/// until then no request can be sent to a worker.
-const FIRST_ANSWER_WAIT: Duration = Duration::from_millis(250);
+/// After a start, clients are accepted once the coordinator has confirmed the list of workers, or after this time. The
+/// coordinator usually answers within milliseconds, and no request can be sent to a worker before.
+const COORDINATOR_WAIT: Duration = Duration::from_millis(250);
 
 impl Node {
-    /// Accepts the clients that wait, as far as there is room or a silent client that makes room; the others wait on, since
-    /// each may have sent a request.
-    pub(super) fn accept(&mut self) {
-        if self.accepts_from().is_some_and(|at| self.now() < at) {
+    /// Accepts waiting clients as long as there is room or an idle client can be closed to make room. The others stay in the
+    /// listener's queue instead of being refused, since each may have sent a request.
+    pub(super) fn accept_clients(&mut self) {
+        if self.accept_start().is_some_and(|at| self.now() < at) {
             let earliest_arrival = self.loop_delay.earliest_arrival();
             self.unaccepted_since.get_or_insert(earliest_arrival);
             return;
         }
-        let streams = self.sockets.accept(self.budget.clients, self.clients, is_silent);
+        let streams = self
+            .sockets
+            .accept(self.budget.clients, self.client_count, is_evictable);
         let earliest_arrival = self.loop_delay.earliest_arrival();
         let arrived = self.unaccepted_since.unwrap_or(earliest_arrival);
         self.unaccepted_since = (!self.sockets.accepted_all()).then_some(arrived);
         for stream in streams {
-            // A silent client may have sent something in this very moment: then there is one client too many for a while.
-            self.make_room();
+            // An idle client may have sent a request just now. It is kept then, and the limit is exceeded by one for a while.
+            self.make_room_for_client();
             if let Ok(id) = self.sockets.insert(stream, Peer::Client(Client::new(arrived))) {
-                self.clients += 1;
+                self.client_count += 1;
                 self.sockets.set_deadline(id, Some(RECEIVE_TIMEOUT));
             }
         }
     }
 
-    /// From when on clients are accepted though the coordinator was not heard; `None`: it was.
-    pub(super) fn accepts_from(&self) -> Option<Duration> {
-        let is_unheard = !self.coordinator.was_confirmed();
-        is_unheard.then(|| self.started_at + FIRST_ANSWER_WAIT)
+    /// Time from which clients are accepted although the coordinator has not confirmed the list of workers; `None` if it has.
+    pub(super) fn accept_start(&self) -> Option<Duration> {
+        let is_unconfirmed = !self.coordinator.was_confirmed();
+        is_unconfirmed.then(|| self.started_at + COORDINATOR_WAIT)
     }
 
-    /// Makes room for one more client, where there is none: the client that has been silent longest is closed, unless
-    /// something has arrived from it that the loop has not been told of yet.
-    fn make_room(&mut self) {
-        for _ in 0..=self.clients {
-            if self.clients < self.budget.clients {
+    /// If the client limit is reached, closes the evictable client that has sent nothing for longest, unless data from it has
+    /// arrived that the event loop has not reported yet.
+    fn make_room_for_client(&mut self) {
+        for _ in 0..=self.client_count {
+            if self.client_count < self.budget.clients {
                 return;
             }
-            let Some(silent) = self.sockets.longest_silent(is_silent) else {
+            let Some(evicted) = self.sockets.longest_silent(is_evictable) else {
                 return;
             };
-            if !self.read_pending_input(silent) {
+            if !self.read_pending_input(evicted) {
                 self.counts.dropped += 1;
-                self.close_client(silent);
+                self.close_client(evicted);
             }
         }
     }
 
-    /// Reads what has arrived from a client that the loop has not been told of yet, and works it. Returns whether there was
-    /// anything.
+    /// Reads and processes data from a client that the event loop has not reported yet. Returns whether there was any, or the
+    /// connection has ended.
     pub(super) fn read_pending_input(&mut self, id: SocketId) -> bool {
         let Some(socket) = self.sockets.get(id) else {
             return true;
@@ -70,8 +72,8 @@
         has_arrived
     }
 
-    /// All clients that are connected.
-    pub(super) fn client_ids(&self) -> Vec<SocketId> {
+    /// The sockets of all connected clients.
+    pub(super) fn client_sockets(&self) -> Vec<SocketId> {
         let clients = self.sockets.iter();
         clients
             .filter(|(_, socket)| matches!(socket.state, Peer::Client(_)))
@@ -79,9 +81,9 @@
             .collect()
     }
 
-    /// Reads what has come from any client, and works it.
+    /// Reads and processes unreported data from all clients.
     pub(super) fn read_all_clients(&mut self) {
-        for id in self.client_ids() {
+        for id in self.client_sockets() {
             self.read_pending_input(id);
         }
     }
--- a/crates/quartzdrift/src/platform/answers.rs
+++ b/crates/quartzdrift/src/platform/answers.rs
@@ -1,5 +1,5 @@
 //! Reads workers' answers, and ends the attempts that they are for.
-use super::connections::connection;
+use super::connections::find_worker_connection;
 use super::worker_connection::{Command, ConnectionPhase, WorkerConnection};
 use super::{Node, Peer};
 use quartzdrift_http::sockets::SocketId;
@@ -10,7 +10,7 @@
 use quartzdrift_scheduler::interface::{CacheResult, Outcome, ReportField, RequestId};
 
 /// An attempt that an answer has ended.
-struct Answered {
+struct AnsweredAttempt {
     command: Command,
     result: AttemptResult,
     /// The body for the client, where the request ran.
@@ -22,7 +22,7 @@
 struct ReceivedAnswers {
     /// Bytes that they took.
     used: usize,
-    answered: Vec<Answered>,
+    answered: Vec<AnsweredAttempt>,
     /// Answers that no command waits for: a second copy, one under an unknown id, or one to a command that was cancelled or
     /// has not left yet.
     unmatched: u64,
@@ -48,7 +48,7 @@
         let is_over = socket.ended() || received.unreadable.is_some();
         self.counts.unmatched += received.unmatched;
         for answered in received.answered {
-            self.end_answered(id, answered, is_over);
+            self.end_answered_attempt(id, answered, is_over);
         }
         if let Some(why) = received.unreadable {
             self.counts.unreadable += 1;
@@ -61,8 +61,8 @@
         }
     }
 
-    fn end_answered(&mut self, id: SocketId, answered: Answered, is_over: bool) {
-        let Answered {
+    fn end_answered_attempt(&mut self, id: SocketId, answered: AnsweredAttempt, is_over: bool) {
+        let AnsweredAttempt {
             command,
             result,
             body,
@@ -87,7 +87,7 @@
 impl Node {
     fn count_turned_away(&mut self, id: SocketId, request: RequestId, attempt: u32) {
         self.counts.turned_away += 1;
-        let Some(connection) = connection(&mut self.sockets, id) else {
+        let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
         };
         tracing::debug!(request, attempt, worker = %connection.worker, "attempt turned away");
@@ -133,11 +133,11 @@
             self.verified |= connection.phase == ConnectionPhase::Verifying;
             return;
         };
-        let Some(at) = connection.position_of_answered(answer.id, sent) else {
+        let Some(at) = connection.position_of_sent(answer.id, sent) else {
             self.unmatched += 1;
             return;
         };
-        self.answered.push(Answered {
+        self.answered.push(AnsweredAttempt {
             command: connection.commands.swap_remove(at),
             result: result(outcome, answer, report_fields),
             body: (answer.code == Code::Done).then(|| answer.body.to_vec()),
--- a/crates/quartzdrift/src/platform/client_connection.rs
+++ b/crates/quartzdrift/src/platform/client_connection.rs
@@ -44,7 +44,7 @@
     pub(super) requests: BTreeMap<u16, RequestId>,
     pub(super) deadline: DeadlineReason,
     /// The request whose rest is waited for.
-    awaited: Option<u64>,
+    partial_request: Option<u64>,
     /// When the first byte may have come that the system still holds; `None` where it was found to hold nothing.
     unread_since: Option<Instant>,
 }
@@ -57,14 +57,14 @@
             responder: Responder::new(LIMITS),
             requests: BTreeMap::new(),
             deadline: DeadlineReason::FirstRequest,
-            awaited: None,
+            partial_request: None,
             unread_since: Some(arrived),
         }
     }
 }
 
 /// The client on a socket, if it is one.
-pub(super) fn client(sockets: &mut Sockets<Node, Peer>, id: SocketId) -> Option<&mut Client> {
+pub(super) fn find_client(sockets: &mut Sockets<Node, Peer>, id: SocketId) -> Option<&mut Client> {
     match &mut sockets.get_mut(id)?.state {
         Peer::Client(client) => Some(client),
         Peer::WorkerConnection(_) => None,
@@ -72,7 +72,7 @@
 }
 
 /// Whether a socket is that of a client without an open request, which may make room for another.
-pub(super) fn is_silent(socket: &Socket<Peer>) -> bool {
+pub(super) fn is_evictable(socket: &Socket<Peer>) -> bool {
     match &socket.state {
         Peer::Client(client) => client.requests.is_empty() && client.deadline != DeadlineReason::Closing,
         Peer::WorkerConnection(_) => false,
@@ -80,14 +80,14 @@
 }
 
 /// What a connection waits for now, and for how long at most.
-fn deadline(
+fn client_deadline(
     responder: &Responder,
-    awaited: Option<u64>,
+    partial_request: Option<u64>,
     unread: usize,
 ) -> (DeadlineReason, Option<Duration>) {
     if !responder.is_closing() && !responder.has_received_request() {
         (DeadlineReason::FirstRequest, Some(RECEIVE_TIMEOUT))
-    } else if !responder.is_closing() && awaited.is_some() {
+    } else if !responder.is_closing() && partial_request.is_some() {
         (DeadlineReason::PartialRequest, Some(RECEIVE_TIMEOUT))
     } else if unread > 0 {
         (DeadlineReason::UnreadAnswers, Some(SEND_TIMEOUT))
@@ -101,7 +101,7 @@
     pub(super) fn drive_client(&mut self, id: SocketId) {
         self.sockets.flush_one(id);
         self.sockets.read(id);
-        let unseen_since = self.loop_delay.earliest_arrival();
+        let earliest_arrival = self.loop_delay.earliest_arrival();
         let Some(socket) = self.sockets.get_mut(id) else {
             return;
         };
@@ -110,7 +110,7 @@
         let Peer::Client(client) = &mut socket.state else {
             return;
         };
-        let arrived = client.unread_since.unwrap_or(unseen_since);
+        let arrived = client.unread_since.unwrap_or(earliest_arrival);
         client.unread_since = has_more.then_some(arrived);
         if client.deadline == DeadlineReason::Closing {
             let unread = socket.input.len();
@@ -137,7 +137,7 @@
                 // The connection was closed over an answer: nobody waits for what else came on it.
                 return;
             }
-            self.received(id, message, arrived);
+            self.handle_event(id, message, arrived);
         }
         match read {
             Err(error) => {
@@ -150,13 +150,13 @@
     }
 
     /// `arrived`: when the message may have come.
-    fn received(&mut self, id: SocketId, message: Event, arrived: Instant) {
+    fn handle_event(&mut self, id: SocketId, message: Event, arrived: Instant) {
         match message {
             Event::Request {
                 request_id,
                 params,
                 body,
-            } => self.request(id, request_id, &params, body, arrived),
+            } => self.handle_request(id, request_id, &params, body, arrived),
             Event::InvalidRequest {
                 request_id,
                 reason: InvalidRequest::Params,
@@ -166,7 +166,7 @@
                 reason: InvalidRequest::TooLarge,
             } => self.respond(id, request_id, 413, "too large", None),
             Event::Aborted { request_id } => {
-                let client = client(&mut self.sockets, id);
+                let client = find_client(&mut self.sockets, id);
                 if let Some(request) = client.and_then(|client| client.requests.remove(&request_id)) {
                     self.abandon_request(request);
                 }
@@ -202,52 +202,53 @@
         if unread > MAX_UNREAD_BYTES {
             return self.drop_client(id);
         }
-        let awaited = responder.oldest_partial_request(has_input);
-        let (reason, after) = deadline(responder, awaited, unread);
-        let is_other_request = reason == DeadlineReason::PartialRequest && client.awaited != awaited;
+        let partial_request = responder.oldest_partial_request(has_input);
+        let (reason, after) = client_deadline(responder, partial_request, unread);
+        let is_other_request =
+            reason == DeadlineReason::PartialRequest && client.partial_request != partial_request;
         if client.deadline != reason || is_other_request {
             client.deadline = reason;
-            client.awaited = awaited;
+            client.partial_request = partial_request;
             self.sockets.set_deadline(id, after);
         }
     }
 
     /// Closes a client's connection once what is written to it has left.
     pub(super) fn close_when_flushed(&mut self, id: SocketId) {
-        if let Some(client) = client(&mut self.sockets, id) {
+        if let Some(client) = find_client(&mut self.sockets, id) {
             client.deadline = DeadlineReason::Closing;
             self.sockets.set_deadline(id, Some(FLUSH_TIMEOUT));
-            self.closing.push(id);
+            self.flushing_clients.push(id);
         }
     }
 
     /// Closes the connections whose last bytes have left.
     pub(super) fn close_flushed_clients(&mut self) {
-        for id in std::mem::take(&mut self.closing) {
+        for id in std::mem::take(&mut self.flushing_clients) {
             match self.sockets.get(id).map(|socket| socket.unsent()) {
                 Some(0) => self.close_client(id),
-                Some(_) => self.closing.push(id),
+                Some(_) => self.flushing_clients.push(id),
                 None => {}
             }
         }
     }
 
     /// The deadline of a client's connection has passed.
-    pub(super) fn client_overdue(&mut self, id: SocketId) {
+    pub(super) fn client_timed_out(&mut self, id: SocketId) {
         // What has arrived in the meantime arrived in time.
         let has_arrived = self.read_pending_input(id);
         if has_arrived && self.sockets.deadline(id).is_some() {
             return;
         }
         let stuck = self.sockets.get(id).and_then(Socket::stuck_since);
-        let Some(client) = client(&mut self.sockets, id) else {
+        let Some(client) = find_client(&mut self.sockets, id) else {
             return;
         };
         match client.deadline {
             // Overdue without a deadline: there was no descriptor for a newcomer, and this client is to make room.
             DeadlineReason::None if !has_arrived && client.requests.is_empty() => self.drop_client(id),
             DeadlineReason::None => {}
-            DeadlineReason::UnreadAnswers => self.answers_overdue(id, stuck),
+            DeadlineReason::UnreadAnswers => self.unread_answers_timed_out(id, stuck),
             // Others are open on it: they are answered first.
             DeadlineReason::PartialRequest if !client.requests.is_empty() => {
                 client.responder.stop_accepting();
@@ -261,9 +262,9 @@
 
     /// The deadline was set before it was tried to send: since then all may have left, or have begun to wait later.
     /// `stuck`: since when the client takes nothing.
-    fn answers_overdue(&mut self, id: SocketId, stuck: Option<Instant>) {
+    fn unread_answers_timed_out(&mut self, id: SocketId, stuck: Option<Instant>) {
         let Some(since) = stuck else {
-            if let Some(client) = client(&mut self.sockets, id) {
+            if let Some(client) = find_client(&mut self.sockets, id) {
                 client.deadline = DeadlineReason::None;
             }
             return self.update_client_deadline(id);
@@ -288,7 +289,7 @@
         let Some(Peer::Client(client)) = self.sockets.close(id) else {
             return;
         };
-        self.clients -= 1;
+        self.client_count -= 1;
         client
             .requests
             .into_values()
--- a/crates/quartzdrift/src/platform/commands.rs
+++ b/crates/quartzdrift/src/platform/commands.rs
@@ -1,5 +1,5 @@
 //! Attempts as commands on connections: sent, recalled while they have not left, cancelled.
-use super::connections::connection;
+use super::connections::find_worker_connection;
 use super::worker_connection::{Command, ConnectionPhase, FrameSpan};
 use super::{Node, Peer};
 use quartzdrift_http::sockets::{Socket, SocketId, Sockets};
@@ -25,8 +25,8 @@
         return false;
     };
     connection
-        .position_of(request, attempt)
-        .is_some_and(|at| !connection.commands[at].has_left_in_part(socket.sent_position()))
+        .position_of_attempt(request, attempt)
+        .is_some_and(|at| !connection.commands[at].has_sent_bytes(socket.sent_position()))
 }
 
 impl Node {
@@ -39,11 +39,11 @@
         }
         self.counts.attempts += 1;
         tracing::trace!(request, attempt, %worker, function = %command.function, "attempt sent");
-        self.send(worker, command);
+        self.send_command(worker, command);
     }
 
     /// Recalls the commands of a connection of which nothing has left and that may not be sent any more.
-    pub(super) fn recall_overdue(&mut self, id: SocketId, now: Duration) {
+    pub(super) fn recall_overdue_commands(&mut self, id: SocketId, now: Duration) {
         let Some(socket) = self.sockets.get(id) else {
             return;
         };
@@ -51,7 +51,7 @@
             return;
         };
         let sent = socket.sent_position();
-        let is_late = |command: &&Command| command.is_overdue(now) && !command.has_left_in_part(sent);
+        let is_late = |command: &&Command| command.is_overdue(now) && !command.has_sent_bytes(sent);
         let late = connection.commands.iter().filter(is_late);
         let late: Vec<_> = late.map(|command| (command.request, command.attempt)).collect();
         if late.is_empty() {
@@ -70,8 +70,8 @@
 
     /// Puts a command on a connection to its worker. Where none is left, the request table is told that the attempt ended;
     /// whoever carries out its outputs goes on from there.
-    pub(super) fn send(&mut self, worker: &Rc<str>, mut command: Command) {
-        let id = match self.connection_for(worker, command.context.id) {
+    pub(super) fn send_command(&mut self, worker: &Rc<str>, mut command: Command) {
+        let id = match self.connection_for(worker, command.context.client_request_id) {
             Ok(id) => id,
             Err(loss) => {
                 let result = AttemptResult::silent(attempt_outcome::from_loss(loss));
@@ -86,7 +86,7 @@
         self.attempts.insert(command.request, command.attempt, id);
         let now = self.now();
         self.write_or_verify(id, &mut command, now);
-        if let Some(connection) = connection(&mut self.sockets, id) {
+        if let Some(connection) = find_worker_connection(&mut self.sockets, id) {
             connection.commands.push(command);
         }
     }
@@ -94,7 +94,7 @@
     /// Writes a command to a connection that is up. One that was idle for long is verified first; on one that is not up the
     /// command waits.
     fn write_or_verify(&mut self, id: SocketId, command: &mut Command, now: Duration) {
-        let Some(connection) = connection(&mut self.sockets, id) else {
+        let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
         };
         if connection.phase != ConnectionPhase::Up {
@@ -102,7 +102,7 @@
         }
         let idle = now.saturating_sub(connection.idle_since);
         if connection.commands.is_empty() && connection_choice::needs_verification(idle) {
-            self.verify_connection(id, command.context.id);
+            self.verify_connection(id, command.context.client_request_id);
         } else {
             self.write_command(id, command, now);
             self.sockets.set_deadline(id, None);
@@ -124,7 +124,7 @@
             output,
             frame::FROM_SCHEDULER,
             frame::EXECUTE,
-            context.id,
+            context.client_request_id,
             fields.as_bytes(),
             &context.body,
         );
@@ -132,8 +132,8 @@
             from,
             to: socket.end_position(),
         });
-        if let Some(connection) = connection(&mut self.sockets, id) {
-            connection.remember(command.context.id);
+        if let Some(connection) = find_worker_connection(&mut self.sockets, id) {
+            connection.remember_id(command.context.client_request_id);
         }
     }
 
@@ -171,17 +171,17 @@
     }
 
     fn rewrite_command(&mut self, id: SocketId, request: RequestId, attempt: u32, now: Duration) {
-        let Some(carrier) = connection(&mut self.sockets, id) else {
+        let Some(carrier) = find_worker_connection(&mut self.sockets, id) else {
             return;
         };
-        let Some(at) = carrier.position_of(request, attempt) else {
+        let Some(at) = carrier.position_of_attempt(request, attempt) else {
             return;
         };
         let mut command = carrier.commands.swap_remove(at);
         if self.remove_frame(id, &command) {
             self.write_command(id, &mut command, now);
         }
-        if let Some(carrier) = connection(&mut self.sockets, id) {
+        if let Some(carrier) = find_worker_connection(&mut self.sockets, id) {
             carrier.commands.push(command);
         }
     }
@@ -196,8 +196,8 @@
             .sockets
             .get_mut(id)
             .is_some_and(|socket| socket.recall(span.from, span.to));
-        if is_removed && let Some(carrier) = connection(&mut self.sockets, id) {
-            carrier.close_gap(span);
+        if is_removed && let Some(carrier) = find_worker_connection(&mut self.sockets, id) {
+            carrier.shift_frames_after(span);
         }
         is_removed
     }
@@ -210,10 +210,10 @@
         let Some(id) = self.attempts.remove(request, attempt) else {
             return;
         };
-        let Some(connection) = connection(&mut self.sockets, id) else {
+        let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
         };
-        let Some(at) = connection.position_of(request, attempt) else {
+        let Some(at) = connection.position_of_attempt(request, attempt) else {
             return;
         };
         let command = connection.commands.swap_remove(at);
@@ -222,7 +222,7 @@
                 output,
                 frame::FROM_SCHEDULER,
                 frame::GIVE_UP,
-                command.context.id,
+                command.context.client_request_id,
                 b"",
                 b"",
             );
@@ -242,7 +242,7 @@
         let Peer::WorkerConnection(connection) = &socket.state else {
             return false;
         };
-        let Some(at) = connection.position_of(request, attempt) else {
+        let Some(at) = connection.position_of_attempt(request, attempt) else {
             return false;
         };
         let alone = connection.commands.len() == 1;
@@ -259,7 +259,7 @@
         if let Peer::WorkerConnection(connection) = &mut socket.state {
             connection.commands.swap_remove(at);
             if let Some(removed) = removed {
-                connection.close_gap(removed);
+                connection.shift_frames_after(removed);
             }
         }
         self.attempts.remove(request, attempt);
@@ -277,7 +277,7 @@
 
 /// The fields of a command; its time is at least a millisecond.
 fn command_fields(class: &str, command: &Command, now: Duration) -> String {
-    let milliseconds = command.until.saturating_sub(now).as_millis().max(1);
+    let milliseconds = command.deadline.saturating_sub(now).as_millis().max(1);
     let key = command.context.idempotency_key.as_ref();
     let replay = key.map(|key| format!(",replay={key}")).unwrap_or_default();
     format!(
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -26,7 +26,10 @@
 const MAX_LOST_CONNECTIONS: u32 = 3;
 
 /// The worker's connection on a socket, if it is one.
-pub(super) fn connection(sockets: &mut Sockets<Node, Peer>, id: SocketId) -> Option<&mut WorkerConnection> {
+pub(super) fn find_worker_connection(
+    sockets: &mut Sockets<Node, Peer>,
+    id: SocketId,
+) -> Option<&mut WorkerConnection> {
     match &mut sockets.get_mut(id)?.state {
         Peer::WorkerConnection(connection) => Some(connection),
         Peer::Client(_) => None,
@@ -45,7 +48,8 @@
                 .iter()
                 .map(|socket| self.connection_state(*socket, id))
                 .collect();
-            let may_connect = || self.connections < self.budget.workers || self.close_longest_idle(worker);
+            let may_connect =
+                || self.worker_connection_count < self.budget.workers || self.close_longest_idle(worker);
             match connection_choice::choose(&states, streams, may_connect) {
                 ConnectionChoice::Use(at) => {
                     let idle = states[at].open == 0 && states[at].up;
@@ -65,7 +69,7 @@
     /// A connection as the choice sees it, for a command under this id; one that carried the id lately counts as full.
     fn connection_state(&self, socket: SocketId, id: u64) -> ConnectionState {
         match self.sockets.get(socket).map(|socket| &socket.state) {
-            Some(Peer::WorkerConnection(connection)) if !connection.carried_lately(id) => ConnectionState {
+            Some(Peer::WorkerConnection(connection)) if !connection.has_recent_id(id) => ConnectionState {
                 open: connection.commands.len(),
                 up: connection.phase == ConnectionPhase::Up,
             },
@@ -91,7 +95,7 @@
             .sockets
             .connect(known.address, peer)
             .map_err(|error| loss_of_connect_error(&error))?;
-        self.connections += 1;
+        self.worker_connection_count += 1;
         self.counts.connections += 1;
         self.sockets.set_deadline(id, Some(self.connect_timeout()));
         if let Some(known) = self.workers.get_mut(worker) {
@@ -110,7 +114,7 @@
 
     /// Asks a worker whether a connection still works. Until it answers nothing is written there that might run.
     pub(super) fn verify_connection(&mut self, id: SocketId, request_id: u64) {
-        let Some(connection) = connection(&mut self.sockets, id) else {
+        let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
         };
         connection.phase = ConnectionPhase::Verifying;
@@ -145,7 +149,9 @@
 
     /// Closes a connection that carries nothing.
     pub(super) fn close_if_idle(&mut self, id: SocketId) {
-        if connection(&mut self.sockets, id).is_some_and(|connection| connection.commands.is_empty()) {
+        if find_worker_connection(&mut self.sockets, id)
+            .is_some_and(|connection| connection.commands.is_empty())
+        {
             self.close_connection(id);
         }
     }
@@ -155,7 +161,7 @@
         let Some(Peer::WorkerConnection(connection)) = self.sockets.close(id) else {
             return Vec::new();
         };
-        self.connections -= 1;
+        self.worker_connection_count -= 1;
         if let Some(worker) = self.workers.get_mut(&connection.worker) {
             worker.connections.retain(|other| *other != id);
         }
@@ -168,7 +174,7 @@
     /// Keeps a connection that carries nothing for a while, unless its worker has gone.
     pub(super) fn mark_idle(&mut self, id: SocketId) {
         let now = self.now();
-        let Some(connection) = connection(&mut self.sockets, id) else {
+        let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
         };
         if !connection.is_idle() {
@@ -189,12 +195,12 @@
     }
 
     /// The deadline of a connection has passed.
-    pub(super) fn connection_overdue(&mut self, id: SocketId) {
+    pub(super) fn connection_timed_out(&mut self, id: SocketId) {
         if self.sockets.deadline(id).is_some() {
             // A command was put on it in the same turn, after it was found overdue.
             return;
         }
-        let Some(connection) = connection(&mut self.sockets, id) else {
+        let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
         };
         match connection.phase {
@@ -202,7 +208,7 @@
             ConnectionPhase::Verifying => {
                 // The worker's other idle connections are as silent; a new connection shows whether it is there.
                 let worker = connection.worker.clone();
-                self.close_idle(&worker);
+                self.close_idle_connections(&worker);
                 self.connection_lost(id, ConnectionLoss::NotSent);
             }
             ConnectionPhase::Connecting => self.connection_lost(id, ConnectionLoss::NotConnected),
@@ -228,7 +234,7 @@
         let commands = self.close_connection(id);
         self.counts.connections_lost += u64::from(!commands.is_empty());
         for mut command in commands {
-            let loss = if command.has_left_whole(sent) {
+            let loss = if command.is_fully_sent(sent) {
                 ConnectionLoss::Sent
             } else {
                 unsent
@@ -236,9 +242,9 @@
             command.lost_connections += 1;
             if may_resend && loss == ConnectionLoss::NotSent && self.is_worth_resending(&command) {
                 command.frame_span = None;
-                self.send(&worker, command);
+                self.send_command(&worker, command);
             } else {
-                self.end_lost(&worker, &command, loss);
+                self.end_lost_attempt(&worker, &command, loss);
             }
         }
         self.carry_out();
@@ -247,11 +253,11 @@
     fn is_worth_resending(&self, command: &Command) -> bool {
         command.lost_connections < MAX_LOST_CONNECTIONS
             && self.request_table.is_open(command.request)
-            && command.until > self.now()
+            && command.deadline > self.now()
             && !command.is_overdue(self.now())
     }
 
-    fn end_lost(&mut self, worker: &str, command: &Command, loss: ConnectionLoss) {
+    fn end_lost_attempt(&mut self, worker: &str, command: &Command, loss: ConnectionLoss) {
         tracing::debug!(request = command.request, %worker, ?loss, "connection lost under an attempt");
         let result = AttemptResult::silent(attempt_outcome::from_loss(loss));
         self.request_table
@@ -260,7 +266,7 @@
 
     /// Works a connection on which something has happened.
     pub(super) fn drive_connection(&mut self, id: SocketId) {
-        let Some(connection) = connection(&mut self.sockets, id) else {
+        let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
         };
         if connection.phase == ConnectionPhase::Connecting {
@@ -280,8 +286,8 @@
         self.sockets.set_deadline(id, None);
         let now = self.now();
         // What has waited for it may wait no longer: its worker may have been told to drain for longer than the grace.
-        self.recall_overdue(id, now);
-        let Some(established) = connection(&mut self.sockets, id) else {
+        self.recall_overdue_commands(id, now);
+        let Some(established) = find_worker_connection(&mut self.sockets, id) else {
             return;
         };
         established.phase = ConnectionPhase::Up;
@@ -289,7 +295,7 @@
         for command in &mut commands {
             self.write_command(id, command, now);
         }
-        if let Some(established) = connection(&mut self.sockets, id) {
+        if let Some(established) = find_worker_connection(&mut self.sockets, id) {
             established.commands = commands;
         }
         self.mark_idle(id);
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -1,4 +1,4 @@
-//! Follows the list of workers: one long poll to the coordinator is always out, and its answers change the list.
+//! Follows the list of workers with consecutive long polls of the coordinator, whose responses update the list.
 use super::Node;
 use quartzdrift_http::{CallId, Failure, Headers, Outgoing, Response};
 use quartzdrift_platform::coordinator::{
@@ -10,86 +10,88 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a poll may wait. An answer proves what the coordinator had when it was asked, so the list is known to be current
-/// up to two waits ago: that has to be well within the list's lease.
+/// How long the coordinator may hold a poll open. A response proves only that the list was current when the poll was sent, so
+/// the last proof may be two such times old; that has to be well within the list's lease.
 const POLL_WAIT: Duration = Duration::from_millis(500);
-/// Share of its wait before which an answer without an event comes too soon to be one: the coordinator has not waited for
-/// events, whatever it says.
-const MIN_WAITED_SHARE: f64 = 0.95;
-/// How much longer than its wait a poll may take before it counts as lost; doubled with each further one that is lost, up to
-/// [`MAX_POLL_GRACE`], as a coordinator that is crowded answers late.
+/// Fraction of [`POLL_WAIT`] after which a response without an event confirms the list. If it comes sooner, the coordinator
+/// has not waited for events.
+const MIN_WAIT_FRACTION: f64 = 0.95;
+/// Time beyond its wait after which a poll times out. It doubles with each consecutive timeout, up to [`MAX_POLL_GRACE`], since
+/// an overloaded coordinator responds late.
 const POLL_GRACE: Duration = Duration::from_millis(400);
-/// Longest such time. A call that a silent coordinator never answers delays the next one by it.
+/// Upper limit of the doubled [`POLL_GRACE`]. If the coordinator never responds, the next poll is delayed by this time.
 const MAX_POLL_GRACE: Duration = Duration::from_millis(1600);
-/// Age of the list from which on the coordinator was not heard lately: each of two polls has taken as long as it may.
-const MAX_HEARD_AGE: Duration = POLL_WAIT.saturating_add(POLL_GRACE).saturating_mul(2);
-/// Before the next poll after one that failed; doubled with each further failure, up to [`MAX_RETRY_DELAY`].
+/// If the list was last confirmed longer ago than this, the coordinator counts as out of reach: two polls in a row have taken
+/// their maximum time.
+const MAX_CONFIRMATION_AGE: Duration = POLL_WAIT.saturating_add(POLL_GRACE).saturating_mul(2);
+/// Delay before the next poll after one that failed. It doubles with each consecutive failure, up to [`MAX_RETRY_DELAY`].
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Longest wait before the next poll.
+/// Upper limit of the doubled [`RETRY_DELAY`].
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(320);
-/// Between two polls of a coordinator that answers at once with nothing new.
+/// Minimum interval between two polls of a coordinator that responds at once without new events.
 const MIN_EMPTY_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Between two log lines on a coordinator that stays out of reach.
+/// Interval between two log lines while the coordinator is out of reach.
 const OUTAGE_LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Most workers that such a line names.
+/// Maximum number of workers named in a log line.
 const MAX_WORKERS_LOGGED: usize = 16;
-/// Gaps in a row after which the whole list is asked for.
+/// Number of consecutive gaps in the event indexes after which the whole list is requested.
 const MAX_GAPS: u32 = 2;
 
-/// A poll that is out.
+/// A poll that waits for its response.
 struct Poll {
     call: CallId,
     sent_at: Duration,
-    /// Index of the event that it follows from.
-    asked: u64,
-    /// When it counts as lost.
+    /// Index of the event after which the poll requests events.
+    follow_from: u64,
+    /// When the poll times out.
     deadline: Duration,
 }
 
 impl Poll {
-    /// Whether an answer that came now shows that the list is current with its changes.
+    /// Whether a response that arrived at `now` shows that the list is current once its changes are applied.
     fn is_confirmed_by(&self, reading: &Reading, now: Duration) -> bool {
-        let waited = now.saturating_sub(self.sent_at) >= POLL_WAIT.mul_f64(MIN_WAITED_SHARE);
+        let waited = now.saturating_sub(self.sent_at) >= POLL_WAIT.mul_f64(MIN_WAIT_FRACTION);
         reading.is_current && (waited || !reading.is_empty)
     }
 }
 
-/// How the coordinator is followed.
+/// State of the polls of the coordinator.
 pub(super) struct Coordinator {
     address: SocketAddr,
     watch: EndpointWatch,
+    /// The current poll, if one waits for its response.
     poll: Option<Poll>,
-    /// When the next poll is sent, if none is out.
+    /// When the next poll is sent, if there is no current one.
     next_poll_at: Duration,
-    /// Polls in a row that failed.
+    /// Number of consecutive polls that failed.
     failures: u32,
-    /// Polls in a row that got no answer in time.
+    /// Number of consecutive polls that timed out.
     timeouts: u32,
-    /// Gaps in a row in the events' indexes.
+    /// Number of consecutive responses with a gap in the event indexes.
     gaps: u32,
-    /// The list is known to have been current then: when the last poll whose answer showed that was sent.
+    /// The last time at which the list is known to have been current: when the poll that confirmed it was sent.
     confirmed_at: Option<Duration>,
-    /// When the log last said that the coordinator is out of reach.
+    /// When an outage of the coordinator was last logged.
     outage_logged_at: Duration,
 }
 
-/// How a poll failed.
+/// Why a poll failed.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 enum PollFailure {
-    #[error("its answer cannot be used")]
+    #[error("unusable response")]
     Refused,
-    #[error("its answer does not show that the list is current")]
+    #[error("the response does not confirm that the list is current")]
     Unconfirmed,
-    #[error("status {0}")]
+    #[error("unexpected status {0}, expected 200")]
     Status(u16),
-    #[error("no connection, or it ended before the answer did: {0:?}")]
+    #[error("connection failed or ended before the response was complete: {0:?}")]
     Disconnected(Failure),
-    #[error("no answer in time")]
+    #[error("timed out without a response")]
     TimedOut,
 }
 
 impl Coordinator {
-    /// Follows the coordinator at this address from its first event on.
+    /// Follows the coordinator at `address`, starting with its first event.
     pub(super) fn new(address: SocketAddr) -> Coordinator {
         Coordinator {
             address,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// When the loop must wake for it.
+    /// When the loop must wake up to time out a poll or to send one.
     pub(super) fn next_deadline(&self) -> Duration {
         self.poll.as_ref().map_or(self.next_poll_at, |poll| poll.deadline)
     }
@@ -113,21 +115,21 @@
         self.poll.as_ref().is_some_and(|poll| poll.call == call)
     }
 
-    /// Index of the last event that was applied.
+    /// Index of the last applied event.
     pub(super) fn index(&self) -> u64 {
         self.watch.last()
     }
 
-    /// Whether the list was current at some time since the start.
+    /// Whether a poll has confirmed the list since the start.
     pub(super) fn was_confirmed(&self) -> bool {
         self.confirmed_at.is_some()
     }
 
-    /// The event to follow from. Where the coordinator was not heard lately it is the one before the last: the answer comes at
-    /// once then, and has to bring an event that is known.
-    fn next_asked(&self, now: Duration) -> u64 {
-        let is_heard = self.list_age(now).is_some_and(|age| age <= MAX_HEARD_AGE);
-        if self.failures > 0 || !is_heard {
+    /// Index of the event after which the next poll requests events. If the list was not confirmed recently, this is the event
+    /// before the last applied one: the coordinator then responds at once, and its response must contain the last one.
+    fn next_follow_index(&self, now: Duration) -> u64 {
+        let is_recently_confirmed = self.list_age(now).is_some_and(|age| age <= MAX_CONFIRMATION_AGE);
+        if self.failures > 0 || !is_recently_confirmed {
             self.watch.before_last()
         } else {
             self.watch.last()
@@ -140,8 +142,8 @@
             .min(MAX_POLL_GRACE)
     }
 
-    /// A poll that was sent at `sent_at` has shown that the list is current; `is_empty`: it brought no event.
-    fn confirmed(&mut self, now: Duration, sent_at: Duration, is_empty: bool) {
+    /// Records that a poll sent at `sent_at` confirmed the list. `is_empty` says that its response had no event.
+    fn record_confirmation(&mut self, now: Duration, sent_at: Duration, is_empty: bool) {
         let pause = if is_empty {
             MIN_EMPTY_POLL_INTERVAL
         } else {
@@ -155,13 +157,13 @@
         self.confirmed_at = Some(sent_at);
     }
 
-    /// How long ago the list was last known to be current.
+    /// Time since the list was last known to be current; `None` if it never was.
     fn list_age(&self, now: Duration) -> Option<Duration> {
         self.confirmed_at.map(|at| now.saturating_sub(at))
     }
 
-    /// A poll failed; returns how many had failed before it in a row.
-    fn failed(&mut self, now: Duration, why: PollFailure) -> u32 {
+    /// Records a failed poll, and returns the number of consecutive failures before it.
+    fn record_failure(&mut self, now: Duration, why: PollFailure) -> u32 {
         let before = self.failures;
         let delay = RETRY_DELAY.saturating_mul(2_u32.saturating_pow(before));
         self.poll = None;
@@ -178,8 +180,8 @@
         before
     }
 
-    /// An answer was refused; after several gaps in a row the whole list is asked for.
-    fn refused(&mut self, error: &WatchError) {
+    /// Records an unusable response. After [`MAX_GAPS`] consecutive gaps the next poll requests the whole list.
+    fn record_refusal(&mut self, error: &WatchError) {
         if let WatchError::Gap { .. } = error {
             self.gaps += 1;
         }
@@ -191,8 +193,8 @@
 }
 
 impl Node {
-    /// Sends a poll where none is out, and gives up one that is overdue.
-    pub(super) fn coordinator_due(&mut self, now: Duration) {
+    /// Times out the current poll if it is overdue, and sends the next one if it is due.
+    pub(super) fn maintain_poll(&mut self, now: Duration) {
         let overdue = self.coordinator.poll.take_if(|poll| poll.deadline <= now);
         if let Some(poll) = overdue {
             self.http.cancel(poll.call);
@@ -204,10 +206,14 @@
     }
 
     fn poll(&mut self) {
-        let asked = self.coordinator.next_asked(self.now());
+        let follow_from = self.coordinator.next_follow_index(self.now());
         let request = Outgoing {
             method: "GET",
-            target: format!("/v2/stream?follow={}&wait_ms={}", asked, POLL_WAIT.as_millis()),
+            target: format!(
+                "/v2/stream?follow={}&wait_ms={}",
+                follow_from,
+                POLL_WAIT.as_millis()
+            ),
             headers: Headers::new(),
             body: Rc::from([]),
             connect_timeout: POLL_GRACE,
@@ -215,20 +221,24 @@
         };
         let call = self.http.call(self.coordinator.address, request);
         let sent_at = self.now();
-        let asks_again = asked < self.coordinator.watch.last();
-        let wait = if asks_again { Duration::ZERO } else { POLL_WAIT };
+        let repeats_last_event = follow_from < self.coordinator.watch.last();
+        let wait = if repeats_last_event {
+            Duration::ZERO
+        } else {
+            POLL_WAIT
+        };
         let deadline = sent_at + wait + self.coordinator.poll_grace();
         self.coordinator.poll = Some(Poll {
             call,
             sent_at,
-            asked,
+            follow_from,
             deadline,
         });
     }
 
     fn poll_failed(&mut self, why: PollFailure) {
         let now = self.now();
-        let failures = self.coordinator.failed(now, why);
+        let failures = self.coordinator.record_failure(now, why);
         self.count_poll_failure(why);
         self.request_table
             .update_endpoints(now, EndpointListKind::Failed, Vec::new());
@@ -236,7 +246,7 @@
         tracing::debug!(
             %why,
             failures,
-            "a poll of the coordinator failed; the list stands"
+            "poll of the coordinator failed, the list of workers is unchanged"
         );
         let index = self.coordinator.watch.last();
         let age = self.coordinator.list_age(now);
@@ -246,7 +256,7 @@
                 %why,
                 index,
                 ?age,
-                "the coordinator cannot be followed; asking again"
+                "poll of the coordinator failed, retrying"
             );
         } else if now >= self.coordinator.outage_logged_at + OUTAGE_LOG_INTERVAL {
             self.coordinator.outage_logged_at = now;
@@ -274,7 +284,7 @@
         *count += 1;
     }
 
-    /// Workers that have turned attempts away since the coordinator was last heard, the most first, with how many.
+    /// Workers that rejected attempts since the list was last confirmed, with the number of rejections, the largest first.
     fn turned_away_by_worker(&self) -> Vec<(Rc<str>, u64)> {
         let turned_away = self.workers.iter().filter(|(_, worker)| worker.turned_away > 0);
         let mut counts: Vec<_> = turned_away
@@ -285,7 +295,7 @@
         counts
     }
 
-    /// The list is current as of when a poll was sent: the request table is told, and an outage that there was is over.
+    /// Confirms the list in the request table as of when the poll was sent, and logs the end of an outage.
     fn poll_succeeded(&mut self, sent_at: Duration, is_empty: bool) {
         let now = self.now();
         self.counts.polls.answered += 1;
@@ -298,18 +308,18 @@
                 failures,
                 ?age,
                 ?turned_away,
-                "the coordinator is followed again"
+                "the coordinator is reachable again"
             );
         }
         self.workers
             .values_mut()
             .for_each(|worker| worker.turned_away = 0);
-        self.coordinator.confirmed(now, sent_at, is_empty);
+        self.coordinator.record_confirmation(now, sent_at, is_empty);
         self.request_table.confirm_endpoints(now, sent_at);
         self.carry_out();
     }
 
-    /// A call over HTTP was answered; all of them are polls.
+    /// Handles the response to an HTTP call. Only polls make HTTP calls.
     pub(super) fn poll_answered(&mut self, call: CallId, answer: &Response) {
         let Some(poll) = self.coordinator.poll.take_if(|poll| poll.call == call) else {
             return;
@@ -318,11 +328,11 @@
             return self.poll_failed(PollFailure::Status(answer.status));
         }
         let settings = &self.config.settings;
-        let read = self
-            .coordinator
-            .watch
-            .read(&answer.body, poll.asked, &settings.zones, &settings.kinds);
-        match read {
+        let result =
+            self.coordinator
+                .watch
+                .read(&answer.body, poll.follow_from, &settings.zones, &settings.kinds);
+        match result {
             Ok(reading) => {
                 let is_confirmed = poll.is_confirmed_by(&reading, self.now());
                 self.apply_changes(reading.changes);
@@ -333,22 +343,25 @@
                 }
             }
             Err(error) => {
-                self.coordinator.refused(&error);
-                tracing::warn!(?error, "an update of the workers is refused; the list stands");
+                self.coordinator.record_refusal(&error);
+                tracing::warn!(
+                    ?error,
+                    "unusable response of the coordinator, the list of workers is unchanged"
+                );
                 self.poll_failed(PollFailure::Refused);
             }
         }
     }
 
-    /// A call over HTTP failed; all of them are polls.
-    pub(super) fn poll_error(&mut self, call: CallId, how: Failure) {
+    /// Handles the failure of an HTTP call. Only polls make HTTP calls.
+    pub(super) fn poll_error(&mut self, call: CallId, failure: Failure) {
         if self.coordinator.is_poll(call) {
-            self.poll_failed(PollFailure::Disconnected(how));
+            self.poll_failed(PollFailure::Disconnected(failure));
         }
     }
 
-    /// Applies the events that a configuration holds.
-    pub(super) fn apply_known(&mut self, known: WatchResponse) {
+    /// Applies the coordinator's events that a configuration contains.
+    pub(super) fn apply_configured_list(&mut self, known: WatchResponse) {
         let settings = &self.config.settings;
         let applied = self
             .coordinator
@@ -356,14 +369,14 @@
             .take(known, &settings.zones, &settings.kinds);
         match applied {
             Ok(changes) => self.apply_changes(changes),
-            Err(error) => tracing::warn!(?error, "the workers that a configuration holds are refused"),
+            Err(error) => tracing::warn!(?error, "cannot apply the list of workers in the configuration"),
         }
     }
 
-    /// Follows the coordinator of a new configuration from now on; the events' indexes go on.
+    /// Switches to the coordinator of a new configuration, which continues the sequence of event indexes.
     pub(super) fn switch_coordinator(&mut self, address: SocketAddr, known: WatchResponse) {
-        tracing::info!(%address, "a new configuration");
-        self.apply_known(known);
+        tracing::info!(%address, "configuration reloaded, switching to its coordinator");
+        self.apply_configured_list(known);
         if let Some(poll) = self.coordinator.poll.take() {
             self.http.cancel(poll.call);
         }
@@ -381,8 +394,8 @@
     fn apply_change(&mut self, change: EndpointChange) {
         let EndpointChange { all, mut workers } = change;
         if all {
-            keep_last_of_each(&mut workers);
-            self.remove_unnamed(&workers);
+            keep_last_entries(&mut workers);
+            self.remove_unlisted_workers(&workers);
         }
         let displaced = self.update_workers(&workers);
         let kind = if all {
@@ -392,40 +405,39 @@
         };
         let endpoints = workers.iter().map(|update| update.listed.as_endpoint()).collect();
         self.request_table.update_endpoints(self.now(), kind, endpoints);
-        // Also where the worker is up again by the end of the event: what waits is not for the one that is there now.
+        // Also if the worker is up again by the end of the event: the attempts were meant for the process before the restart.
         for (request, attempt) in displaced {
             self.recall_attempt(request, attempt);
         }
         self.carry_out();
     }
 
-    /// Removes the workers that a whole list does not name.
-    fn remove_unnamed(&mut self, listed: &[EndpointUpdate]) {
-        let named: HashSet<&str> = listed
+    /// Removes the workers that are missing from a whole list.
+    fn remove_unlisted_workers(&mut self, listed: &[EndpointUpdate]) {
+        let listed_uids: HashSet<&str> = listed
             .iter()
             .map(|update| update.listed.worker.as_str())
             .collect();
         let gone: Vec<Rc<str>> = self
             .workers
             .keys()
-            .filter(|uid| !named.contains(&***uid))
+            .filter(|uid| !listed_uids.contains(&***uid))
             .cloned()
             .collect();
         for uid in gone {
-            self.worker_gone(&uid);
+            self.remove_worker(&uid);
         }
     }
 
-    /// Enters the workers of an event into the table, and returns the attempts that must be placed anew where they have not
-    /// left.
+    /// Applies an event to the table of workers, and returns the attempts that must be recalled if they were not sent.
     fn update_workers(&mut self, workers: &[EndpointUpdate]) -> Vec<(RequestId, u32)> {
         let mut displaced = Vec::new();
         for EndpointUpdate { listed, address } in workers {
             match (listed.state, address) {
                 (EndpointState::Up | EndpointState::Draining, Some(address)) => {
-                    displaced.extend(self.worker_listed(&listed.worker, *address, listed.started));
+                    displaced.extend(self.add_or_replace_worker(&listed.worker, *address, listed.started));
                 }
-                (EndpointState::Gone, _) => displaced.extend(self.worker_gone(&listed.worker)),
+                (EndpointState::Gone, _) => displaced.extend(self.remove_worker(&listed.worker)),
                 (EndpointState::Up | EndpointState::Draining, None) => {}
             }
         }
@@ -433,9 +445,9 @@
     }
 }
 
-/// Of a worker that a whole list names twice, the last entry counts. The order is reversed.
-fn keep_last_of_each(workers: &mut Vec<EndpointUpdate>) {
-    let mut named = HashSet::new();
+/// Keeps only the last entry of each worker in a whole list, and reverses the order of the list.
+fn keep_last_entries(workers: &mut Vec<EndpointUpdate>) {
+    let mut seen_uids = HashSet::new();
     workers.reverse();
-    workers.retain(|update| named.insert(update.listed.worker.clone()));
+    workers.retain(|update| seen_uids.insert(update.listed.worker.clone()));
 }
--- a/crates/quartzdrift/src/platform/counts.rs
+++ b/crates/quartzdrift/src/platform/counts.rs
@@ -1,40 +1,41 @@
-//! Counts of what a scheduler did since its start.
+//! Counts of requests, attempts, polls and connections since the scheduler's start.
 use quartzdrift_scheduler::interface::{RejectReason, WorkerStanding};
 
-/// Polls of the coordinator, by how they ended.
+/// Polls of the coordinator, by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PollCounts {
-    /// Answered so that the list is known to be current.
+    /// Polls whose response showed that the list is current.
     pub answered: u64,
-    /// Answered with what can be read and does not show that: too soon, or without events that there are.
+    /// Polls with a readable response that did not show that the list is current: it came before the end of the poll's wait
+    /// without an event, or lacked events.
     pub unconfirmed: u64,
-    /// Answered with what cannot be used: unreadable, with a gap, or older than what was applied.
+    /// Polls with an unusable response: malformed, with a gap in the event indexes, or older than the applied events.
     pub refused: u64,
-    /// Answered with a status other than 200.
+    /// Polls whose response had a status other than 200.
     pub wrong_status: u64,
-    /// No connection, or it ended before the answer did.
+    /// Polls whose connection failed, or ended before the response was complete.
     pub disconnected: u64,
-    /// Given up without an answer.
+    /// Polls that were cancelled because no response came in time.
     pub timed_out: u64,
 }
 
-/// What the scheduler noticed while the endpoint list was out of date.
+/// Notices of the scheduler while the endpoint list was out of date.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NoticeCounts {
-    /// Times that the list went out of date.
+    /// Lapses of the endpoint list's lease.
     pub lease_lapses: u64,
-    /// Times that no worker was left that could be used.
+    /// Times that the last usable worker was lost.
     pub times_without_worker: u64,
-    /// Workers that were suspected of draining, each time.
+    /// Changes of a worker's standing to [`WorkerStanding::Suspected`].
     pub suspected: u64,
-    /// Workers that proved themselves, each time.
+    /// Changes of a worker's standing to [`WorkerStanding::Proven`].
     pub proven: u64,
-    /// Workers whose proof ran out, each time.
+    /// Changes of a worker's standing to [`WorkerStanding::Unproven`].
     pub unproven: u64,
 }
 
 impl NoticeCounts {
-    /// Counts a worker that has this standing from now on.
+    /// Counts a change of a worker's standing to `standing`.
     pub fn count_standing(&mut self, standing: WorkerStanding) {
         match standing {
             WorkerStanding::Listed => {}
@@ -69,7 +70,7 @@
 }
 
 impl RejectionCounts {
-    /// Counts a rejection.
+    /// Counts one rejection with `reason`.
     pub fn add(&mut self, reason: RejectReason) {
         let count = match reason {
             RejectReason::UnknownClass => &mut self.unknown_class,
@@ -86,43 +87,43 @@
     }
 }
 
-/// Counts since the start, for the last line of the log.
+/// Counts since the start, logged when the scheduler stops.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Whole requests that were read from clients, checks and invalid ones included.
+    /// Complete requests that were read from clients, including readiness checks and invalid requests.
     pub received: u64,
-    /// Bytes that were read from clients whose connections were about to be closed, and not looked at.
+    /// Bytes that were read from clients whose connections were about to be closed, and discarded.
     pub discarded_bytes: u64,
-    /// Requests that were admitted.
+    /// Admitted requests.
     pub taken: u64,
-    /// Requests that succeeded.
+    /// Admitted requests that succeeded.
     pub succeeded: u64,
-    /// Requests that were rejected: nothing ran, or running again is harmless.
+    /// Admitted requests that were rejected: they never ran, or may safely run again.
     pub rejected: u64,
-    /// The same, by reason.
+    /// Rejected requests by reason.
     pub rejections: RejectionCounts,
-    /// Requests that failed and may have run.
+    /// Admitted requests that failed and may have run.
     pub failed: u64,
-    /// Requests whose client left.
+    /// Admitted requests whose client disconnected or aborted them.
     pub cancelled: u64,
-    /// Requests that were refused for their fields.
+    /// Requests that were refused because of an invalid field or a request id in use.
     pub invalid: u64,
-    /// Client connections that were closed here: out of step, too slow, or to make room.
+    /// Client connections that were closed because of a protocol error, a timeout or the client limit.
     pub dropped: u64,
     /// Attempts that were started.
     pub attempts: u64,
-    /// Attempts that their workers turned away: they never ran.
+    /// Attempts that a worker rejected because it was at capacity; they never ran.
     pub turned_away: u64,
-    /// Polls of the coordinator.
+    /// Polls of the coordinator, by result.
     pub polls: PollCounts,
-    /// What was noticed while the endpoint list was out of date.
+    /// Notices of the scheduler while the endpoint list was out of date.
     pub notices: NoticeCounts,
     /// Connections to workers that were opened.
     pub connections: u64,
-    /// Connections to workers that were lost with something open on them.
+    /// Connections to workers that were lost with open commands.
     pub connections_lost: u64,
-    /// Answers of workers that could not be read.
+    /// Malformed answers of workers.
     pub unreadable: u64,
-    /// Answers of workers that no attempt waited for.
+    /// Answers of workers that matched no open attempt.
     pub unmatched: u64,
 }
--- a/crates/quartzdrift/src/platform/mod.rs
+++ b/crates/quartzdrift/src/platform/mod.rs
@@ -1,13 +1,14 @@
-//! A scheduler on the operators' platform: clients over FastCGI, workers over binary frames, and a coordinator whose events make
-//! up the list of workers. [`run`] starts one; [`Node`] is the state of its event loop.
+//! A scheduler on the operators' platform: clients over FastCGI, workers over binary frames, and a coordinator whose events
+//! make up the list of workers. [`run`] starts one; [`Node`] is the state of its event loop.
 //!
 //! * `node`: one turn of the loop, and the outputs of the request table.
-//! * `accept`, `client_connection`: clients, their deadlines and what they send.
-//! * `requests`, `responses`: requests are admitted, final answers go back.
+//! * `accept`, `client_connection`: accepting clients, reading their requests and keeping their deadlines.
+//! * `requests`, `responses`: admitting requests and sending final answers.
 //! * `workers`, `connections`, `worker_connection`: the table of workers and their connections.
-//! * `commands`, `answers`: attempts on connections, and their results.
-//! * `coordinator`: the list of workers.
-//! * `shutdown`, `closing`: the phases of a graceful shutdown, and how clients' connections end in it.
+//! * `commands`, `answers`: sending attempts over connections and reading their results.
+//! * `coordinator`: following the list of workers.
+//! * `shutdown`, `closing`: the phases of a graceful shutdown, and closing clients' connections during it.
+//! * `counts`, `notices`: counts for the log, and log lines on the endpoint list.
 mod accept;
 mod answers;
 mod client_connection;
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -1,15 +1,15 @@
-//! The state of the event loop. Events of the sockets go to the request table, and what it says is carried out.
+//! The state of the event loop: passes socket events to the request table, and carries out the table's outputs.
 use super::client_connection::Client;
 use super::coordinator::Coordinator;
 use super::counts::Counts;
-use super::notices::NoticeLimit;
-use super::shutdown::{Shutdown, Step};
+use super::notices::NoticeRateLimit;
+use super::shutdown::{Shutdown, ShutdownStep};
 use super::worker_connection::{Command, WorkerConnection};
 use super::workers::Worker;
 use super::{commands, run};
 use crate::attempts::{AttemptCarriers, CarryOut};
 use crate::clock::Clock;
-use crate::loop_delay::{LoopDelay, Wait};
+use crate::loop_delay::{EventWait, LoopDelay};
 use calloop::LoopHandle;
 use quartzdrift_http::sockets::{SocketId, Sockets};
 use quartzdrift_http::{HasHttp, Http, HttpEvent, Limits};
@@ -22,32 +22,33 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Between two debug lines on what the tables hold.
-const HELD_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two debug lines with the sizes of the tables.
+const TABLE_SIZES_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Whoever has not looked at its clients for longer does so before anything more is sent: one that has left meanwhile is owed
-/// that nothing is begun for it, and the time of the others has run on.
-const MAX_UNSEEN_TIME: Duration = Duration::from_millis(40);
+/// Longest time since the last socket check after which data is still sent. Past it, the loop first reads its clients: no
+/// attempt may start for a client that has disconnected since, and the remaining time of the others is shorter by now.
+const MAX_SOCKET_CHECK_AGE: Duration = Duration::from_millis(40);
 
-/// Who is at the other end of a socket.
+/// State of a socket, by the kind of its peer.
 pub(crate) enum Peer {
     /// A client over FastCGI.
     Client(Client),
-    /// A worker.
+    /// A worker over binary frames.
     WorkerConnection(WorkerConnection),
 }
 
-/// What is sent to workers for a request, and who waits for its answer; the payload of the request table.
+/// The data that is sent to workers for a request, and the client that waits for its answer. It is the payload of the request
+/// table.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// Id that the client gave.
-    pub(super) id: u64,
+    /// Id that the client chose for the request.
+    pub(super) client_request_id: u64,
     /// The client's connection, and the FastCGI request id on it.
     pub(super) client: SocketId,
     pub(super) request_id: u16,
     /// Index of the request class in the settings.
     pub(super) request_class: u32,
-    /// Key by which workers recognize a repeat.
+    /// Key by which workers recognize a repeat of the request.
     pub(super) idempotency_key: Option<String>,
     pub(super) body: Vec<u8>,
 }
@@ -55,36 +56,38 @@
 /// One scheduler on one event loop.
 pub struct Node {
     pub(super) config: Config,
-    /// Where a new configuration is read from.
-    path: PathBuf,
+    /// File from which [`Node::reload`] reads a new configuration.
+    config_path: PathBuf,
     pub(super) clock: Clock,
     pub(super) loop_delay: LoopDelay,
     pub(super) sockets: Sockets<Node, Peer>,
-    /// Calls to the coordinator.
+    /// HTTP calls, all of them to the coordinator.
     pub(super) http: Http<Node>,
     pub(super) request_table: RequestTable<Rc<RequestContext>>,
     pub(super) budget: Budget,
-    /// Connections of clients that are open.
-    pub(super) clients: usize,
-    /// When a connection may have come that was left waiting to be accepted.
+    /// Open connections of clients.
+    pub(super) client_count: usize,
+    /// Earliest time at which a connection that still waits to be accepted may have arrived.
     pub(super) unaccepted_since: Option<Instant>,
-    /// Clients whose connections are closed once their last bytes have left.
-    pub(super) closing: Vec<SocketId>,
-    /// Connections to workers that are open.
-    pub(super) connections: usize,
+    /// Clients whose connections are closed once their output is flushed.
+    pub(super) flushing_clients: Vec<SocketId>,
+    /// Open connections to workers.
+    pub(super) worker_connection_count: usize,
+    /// Listed workers by uid.
     pub(super) workers: HashMap<Rc<str>, Worker>,
     /// The connection of each attempt in flight.
     pub(super) attempts: AttemptCarriers<SocketId>,
-    /// Open requests by the id that their client gave.
-    pub(super) open: HashMap<u64, RequestId>,
-    /// The answer's body of the attempt that is being ended, and its request.
+    /// Open requests by the id that their client chose.
+    pub(super) open_by_client_id: HashMap<u64, RequestId>,
+    /// The request of the attempt that is being ended, and the body of the worker's answer.
     pub(super) pending_response: Option<(RequestId, Vec<u8>)>,
     pub(super) coordinator: Coordinator,
     pub(super) started_at: Duration,
-    pub(super) notices: NoticeLimit,
+    pub(super) notice_limit: NoticeRateLimit,
+    /// Present once a shutdown has started.
     pub(super) shutdown: Option<Shutdown>,
-    /// When what the tables hold was last logged.
-    held_logged_at: Duration,
+    /// When the sizes of the tables were last logged.
+    table_sizes_logged_at: Duration,
     /// Counts since the start.
     pub counts: Counts,
 }
@@ -115,8 +118,8 @@
                     request,
                     attempt,
                     function,
-                    // The process may have had no processor since the request table decided.
-                    until: self.request_table.now() + wait,
+                    // Counted from the table's time of the decision: the process may have had no processor since then.
+                    deadline: self.request_table.now() + wait,
                     context: payload,
                     send_by,
                     lost_connections: 0,
@@ -130,16 +133,16 @@
                 request,
                 payload,
                 answer,
-            } => self.final_answer(request, &payload, answer),
-            Output::CloseIdle { worker } => self.close_idle(&worker),
+            } => self.send_final_answer(request, &payload, answer),
+            Output::CloseIdle { worker } => self.close_idle_connections(&worker),
             Output::Notice(notice) => self.log_notice(notice),
             Output::Log { text } => tracing::info!(text, "decision"),
-            // The platform's list comes without being asked for, and its settings allow neither load commands nor health
-            // checks.
+            // The platform's settings allow neither load commands nor health checks.
             Output::CheckHealth { command, .. } | Output::Load { command, .. } => {
                 self.request_table
                     .command_ended(self.now(), command, Outcome::NeverSent, 0, Vec::new());
             }
+            // There are no commands to recall, abandon or unload, and no peers; a poll of the coordinator is always open.
             Output::RecallCommand { .. }
             | Output::AbandonCommand { .. }
             | Output::Unload { .. }
@@ -151,7 +154,7 @@
 }
 
 impl Node {
-    /// A scheduler with the list of workers that its configuration holds. `path`: where a new configuration is read from.
+    /// Creates a scheduler with the list of workers in its configuration. A new configuration is read from `path`.
     pub fn new(config: Config, path: PathBuf, handle: LoopHandle<'static, Node>) -> Node {
         let limits = Limits {
             connections: 0,
@@ -159,26 +162,26 @@
             ..Limits::default()
         };
         let mut node = Node {
-            path,
+            config_path: path,
             clock: Clock::start(),
             loop_delay: LoopDelay::start(Instant::now()),
             sockets: Sockets::new(handle.clone(), |node| &mut node.sockets),
             http: Http::new(handle, limits),
             request_table: RequestTable::new(&config.settings, config.seed),
             budget: Budget::of(config.sockets),
-            clients: 0,
+            client_count: 0,
             unaccepted_since: None,
-            closing: Vec::new(),
-            connections: 0,
+            flushing_clients: Vec::new(),
+            worker_connection_count: 0,
             workers: HashMap::new(),
             attempts: AttemptCarriers::default(),
-            open: HashMap::new(),
+            open_by_client_id: HashMap::new(),
             pending_response: None,
             coordinator: Coordinator::new(config.coordinator),
             started_at: Duration::ZERO,
-            notices: NoticeLimit::default(),
+            notice_limit: NoticeRateLimit::default(),
             shutdown: None,
-            held_logged_at: Duration::ZERO,
+            table_sizes_logged_at: Duration::ZERO,
             counts: Counts::default(),
             config,
         };
@@ -186,31 +189,31 @@
         let known = node.config.known.clone();
         node.request_table
             .update_endpoints(node.now(), EndpointListKind::Snapshot, Vec::new());
-        node.apply_known(known);
+        node.apply_configured_list(known);
         node.carry_out();
         node
     }
 
-    /// Time since 1970, steady.
+    /// Time since 1970, by a monotonic clock.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Accepts clients at a listener.
+    /// Accepts clients from a listener.
     ///
     /// # Errors
-    /// The listener cannot be watched.
+    /// The system or the event loop does not accept the listener.
     pub fn listen(&mut self, listener: std::net::TcpListener) -> std::io::Result<()> {
         self.sockets.listen(listener)
     }
 
-    /// The wait for events before the next [`Node::turn`]; it begins now.
-    pub fn next_wait(&self) -> Wait {
-        Wait::begin(Instant::now(), self.until_next())
+    /// Starts the wait for events before the next [`Node::turn`].
+    pub fn next_wait(&self) -> EventWait {
+        EventWait::begin(Instant::now(), self.poll_timeout())
     }
 
-    /// How long the loop may sleep.
-    fn until_next(&self) -> Duration {
+    /// Time until the next deadline, for which the loop may wait for events.
+    fn poll_timeout(&self) -> Duration {
         if self.http.has_events() {
             return Duration::ZERO;
         }
@@ -218,35 +221,36 @@
             .shutdown
             .as_ref()
             .and_then(|shutdown| shutdown.next_deadline(self.now()));
-        let own = [
+        let deadlines = [
             self.request_table.next_deadline(),
             Some(self.coordinator.next_deadline()),
-            self.accepts_from().filter(|at| *at > self.now()),
+            self.accept_start().filter(|at| *at > self.now()),
             shutdown,
         ];
         self.clock
-            .until(own, [self.sockets.next_due(), self.http.next_deadline()])
+            .until(deadlines, [self.sockets.next_due(), self.http.next_deadline()])
     }
 
-    /// Works what a wait of the loop brought, and all that is due.
-    pub fn turn(&mut self, wait: Wait) {
-        self.loop_delay.woke(Instant::now(), wait);
-        self.work_polls();
-        self.accept();
+    /// Processes the events of a wait, and every deadline that has passed.
+    pub fn turn(&mut self, wait: EventWait) {
+        self.loop_delay.wait_ended(Instant::now(), wait);
+        self.process_poll_results();
+        self.accept_clients();
         self.process_ready_sockets();
         self.process_overdue_sockets();
         let now = self.now();
-        // Before the request table's own deadlines: that of a request which came during the shutdown is the same moment, and
-        // what never left is rejected then.
-        self.end_for_shutdown(now);
-        self.work_request_deadlines(now);
-        self.coordinator_due(now);
-        self.log_held_state(now);
+        // Before the request table's own deadlines: a request that arrived during the shutdown has the same deadline, and
+        // should be rejected, not time out, if none of it was sent.
+        self.conclude_for_shutdown(now);
+        self.process_request_deadlines(now);
+        self.maintain_poll(now);
+        self.log_table_sizes(now);
         self.flush();
         self.close_flushed_clients();
     }
 
-    /// Sends what was written. A turn that has taken long catches up first: the process may have had no processor in it.
+    /// Sends all buffered output. If the last socket check is too long ago, since the turn was long or the process had no
+    /// processor, the loop catches up first.
     pub(super) fn flush(&mut self) {
         while let Some(id) = self.sockets.next_to_flush() {
             if !self.flush_in_time(id) {
@@ -255,30 +259,30 @@
         }
     }
 
-    /// Sends what was written on a socket, unless the loop has not looked at its sockets for long; returns whether it was in
-    /// time. What was not sent is sent with the next [`Node::flush`].
+    /// Sends the buffered output of a socket while the last socket check is recent; returns whether it was recent enough.
+    /// Output that was not sent remains for the next [`Node::flush`].
     pub(super) fn flush_in_time(&mut self, id: SocketId) -> bool {
-        self.recall_overdue(id, self.now());
-        let limit = self.loop_delay.looked() + MAX_UNSEEN_TIME;
+        self.recall_overdue_commands(id, self.now());
+        let limit = self.loop_delay.last_socket_check() + MAX_SOCKET_CHECK_AGE;
         self.sockets.flush_one_by(id, Some(limit))
     }
 
-    /// Heeds what has happened since the turn began: clients that have left, deadlines that have passed, and the time that is
-    /// left for what has not been sent yet.
+    /// Processes changes since the turn began: clients that have disconnected, deadlines that have passed, and the shorter
+    /// remaining time of commands that have not been sent yet.
     fn catch_up(&mut self) {
-        self.loop_delay.looked_again(Instant::now());
+        self.loop_delay.sockets_checked(Instant::now());
         self.read_all_clients();
-        self.work_request_deadlines(self.now());
+        self.process_request_deadlines(self.now());
         self.rewrite_unsent_commands();
     }
 
-    fn work_polls(&mut self) {
+    fn process_poll_results(&mut self) {
         self.http.expire(Instant::now());
         for event in self.http.take_events() {
             match event {
                 HttpEvent::Response { call, response } => self.poll_answered(call, &response),
                 HttpEvent::Failed { call, failure } => self.poll_error(call, failure),
-                // Nobody calls here over HTTP, and no answer is streamed.
+                // The scheduler serves no HTTP, and no response is streamed.
                 HttpEvent::Request { .. }
                 | HttpEvent::Gone { .. }
                 | HttpEvent::Part { .. }
@@ -287,7 +291,8 @@
         }
     }
 
-    /// Clients come first: for one that has left nothing is sent to a worker whose connection is ready in the same turn.
+    /// Processes clients before connections to workers: no command is sent for a client that has disconnected in the same
+    /// turn.
     fn process_ready_sockets(&mut self) {
         let ready = self.sockets.take_ready();
         let is_client = |id: &SocketId| {
@@ -306,14 +311,14 @@
     fn process_overdue_sockets(&mut self) {
         for id in self.sockets.take_overdue(Instant::now()) {
             match self.sockets.get(id).map(|socket| &socket.state) {
-                Some(Peer::Client(_)) => self.client_overdue(id),
-                Some(Peer::WorkerConnection(_)) => self.connection_overdue(id),
+                Some(Peer::Client(_)) => self.client_timed_out(id),
+                Some(Peer::WorkerConnection(_)) => self.connection_timed_out(id),
                 None => {}
             }
         }
     }
 
-    fn work_request_deadlines(&mut self, now: Duration) {
+    fn process_request_deadlines(&mut self, now: Duration) {
         let is_due = self.request_table.next_deadline().is_some_and(|at| at <= now);
         if !is_due {
             return;
@@ -327,13 +332,14 @@
         self.carry_out();
     }
 
-    /// Logs what the tables hold, at the debug level: the request table's view beside that of the sockets, which must agree.
-    fn log_held_state(&mut self, now: Duration) {
-        let is_due = now >= self.held_logged_at + HELD_LOG_INTERVAL;
+    /// Logs the sizes of the tables at the debug level: those of the request table beside those of the sockets, which must
+    /// agree.
+    fn log_table_sizes(&mut self, now: Duration) {
+        let is_due = now >= self.table_sizes_logged_at + TABLE_SIZES_LOG_INTERVAL;
         if !is_due || !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
-        self.held_logged_at = now;
+        self.table_sizes_logged_at = now;
         let [clients, workers, connections, attempts_on_sockets, open_ids] = self.table_sizes();
         let (worker_names, function_names, scheduler_requests) = self.request_table.sizes();
         tracing::debug!(
@@ -346,31 +352,30 @@
             open_ids,
             open_requests = self.request_table.open_requests(),
             scheduler_requests,
-            "held"
+            "table sizes"
         );
-        tracing::debug!(worker_names, function_names, "names held by the scheduler");
+        tracing::debug!(worker_names, function_names, "scheduler table sizes");
     }
 
-    /// Carries out what the request table says, until it says no more.
+    /// Carries out the outputs of the request table until none are left.
     pub(super) fn carry_out(&mut self) {
         self.carry_out_all();
     }
 
-    /// What the tables hold: clients, workers, connections to them, attempts in flight, and requests open by their clients'
-    /// ids.
+    /// Numbers of clients, workers, connections to workers, attempts in flight, and open client request ids.
     pub fn table_sizes(&self) -> [usize; 5] {
         [
-            self.clients,
+            self.client_count,
             self.workers.len(),
-            self.connections,
+            self.worker_connection_count,
             self.attempts.len(),
-            self.open.len(),
+            self.open_by_client_id.len(),
         ]
     }
 
-    /// Begins a graceful shutdown (SIGTERM): clients that still come are served, and the process ends once everything is
-    /// answered, before SIGKILL is due.
-    pub fn stop(&mut self) {
+    /// Starts a graceful shutdown (SIGTERM): new clients are still served for a while, and the process ends once every request
+    /// is answered, before SIGKILL is due.
+    pub fn start_shutdown(&mut self) {
         if self.shutdown.is_some() {
             return;
         }
@@ -385,22 +390,22 @@
         self.shutdown = Some(shutdown);
         tracing::info!(
             open = self.request_table.open_requests(),
-            "stopping: serving those that still come"
+            "shutdown started: new clients are served until the drain window ends"
         );
     }
 
-    /// Gives what is open its final answer once the shutdown leaves no more time for it.
-    fn end_for_shutdown(&mut self, now: Duration) {
-        let due = self
+    /// Gives every open request its final answer once the shutdown's answer deadline has passed.
+    fn conclude_for_shutdown(&mut self, now: Duration) {
+        let is_due = self
             .shutdown
             .as_ref()
             .is_some_and(|shutdown| now >= shutdown.answer_by());
-        if !due || self.request_table.open_requests() == 0 {
+        if !is_due || self.request_table.open_requests() == 0 {
             return;
         }
         tracing::info!(
             open = self.request_table.open_requests(),
-            "no more time to stop: what is open ends"
+            "shutdown: answer deadline reached, open requests are rejected or failed"
         );
         let (attempts, sockets) = (&self.attempts, &self.sockets);
         self.request_table.shut_down(now, |request, attempt| {
@@ -411,38 +416,38 @@
         self.carry_out();
     }
 
-    /// Whether a shutdown is complete; to be asked after every turn.
-    pub fn stopped(&mut self) -> bool {
+    /// Carries out the current step of a shutdown, and returns whether the shutdown is complete. Call it after every turn.
+    pub fn advance_shutdown(&mut self) -> bool {
         let now = self.now();
         let Some(shutdown) = &self.shutdown else {
             return false;
         };
         match shutdown.next_step(now) {
-            Step::Wait => false,
-            Step::CloseIdle => {
+            ShutdownStep::Wait => false,
+            ShutdownStep::CloseIdle => {
                 self.close_idle_clients();
-                self.clients == 0 && !self.sockets.is_listening()
+                self.client_count == 0 && !self.sockets.is_listening()
             }
-            Step::Exit => {
+            ShutdownStep::Exit => {
                 self.answer_last_requests();
                 true
             }
         }
     }
 
-    /// Takes up a new configuration (SIGHUP): its coordinator is followed from the next poll on; all else goes on as it was.
+    /// Reloads the configuration (SIGHUP). The next poll goes to its coordinator; all other settings stay unchanged.
     pub fn reload(&mut self) {
-        // Reading anything but a regular file could block for ever.
-        let file = std::fs::metadata(&self.path)
-            .map(|of| of.is_file())
+        // Reading anything but a regular file, such as a FIFO, could block the event loop for ever.
+        let is_regular_file = std::fs::metadata(&self.config_path)
+            .map(|metadata| metadata.is_file())
             .unwrap_or(true);
-        let read = match file {
-            true => run::load(&self.path),
-            false => Err("it is no regular file".to_owned()),
+        let loaded = match is_regular_file {
+            true => run::load(&self.config_path),
+            false => Err(format!("{} is not a regular file", self.config_path.display())),
         };
-        match read.and_then(|bytes| quartzdrift_platform::config::read(&bytes)) {
+        match loaded.and_then(|bytes| quartzdrift_platform::config::read(&bytes)) {
             Ok(config) => self.switch_coordinator(config.coordinator, config.known),
-            Err(why) => tracing::warn!(why, "the new configuration cannot be read; the old one stands"),
+            Err(why) => tracing::warn!(why, "cannot reload the configuration; the old one stands"),
         }
     }
 }
--- a/crates/quartzdrift/src/platform/notices.rs
+++ b/crates/quartzdrift/src/platform/notices.rs
@@ -1,29 +1,31 @@
-//! Logs what the scheduler notices of the endpoint list and of workers, a bounded number of lines a second.
+//! Logs the scheduler's notices on the endpoint list and on workers. Lines on workers are limited in number per second.
 use super::Node;
 use quartzdrift_scheduler::interface::{Notice, WorkerStanding};
 use std::time::Duration;
 
-/// Most lines on workers in a second; the lines on the list itself are rare.
-const MAX_LINES: u32 = 20;
-/// The span that they are counted in.
+/// Most lines on workers in each [`WINDOW`]. Lines on the list itself are rare and not limited.
+const MAX_LINES_PER_WINDOW: u32 = 20;
+/// Window of the rate limit.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Bounds the lines on workers.
+/// Rate limit of the log lines on workers.
 #[derive(Debug, Default)]
-pub(super) struct NoticeLimit {
-    window_began: Duration,
+pub(super) struct NoticeRateLimit {
+    window_start: Duration,
+    /// Lines written since `window_start`.
     lines: u32,
+    /// Lines suppressed since the last one that was written.
     suppressed: u64,
 }
 
-impl NoticeLimit {
-    /// Whether a line may be written; returns how many were not, since the last one that was.
-    fn permit(&mut self, now: Duration) -> Option<u64> {
-        if now >= self.window_began + WINDOW {
-            self.window_began = now;
+impl NoticeRateLimit {
+    /// Returns the number of lines suppressed since the last one that was written, or `None` if this line is to be suppressed.
+    fn allow_line(&mut self, now: Duration) -> Option<u64> {
+        if now >= self.window_start + WINDOW {
+            self.window_start = now;
             self.lines = 0;
         }
-        if self.lines >= MAX_LINES {
+        if self.lines >= MAX_LINES_PER_WINDOW {
             self.suppressed += 1;
             return None;
         }
@@ -33,10 +35,10 @@
 }
 
 impl Node {
-    /// Logs and counts what the scheduler has noticed.
+    /// Logs and counts a notice of the scheduler.
     pub(super) fn log_notice(&mut self, notice: Notice) {
         match notice {
-            Notice::LeaseLapsed { age } => self.log_lapse(age),
+            Notice::LeaseLapsed { age } => self.log_lease_lapse(age),
             Notice::LeaseRenewed { age } => {
                 let index = self.coordinator.index();
                 tracing::info!(index, ?age, "the endpoint list is current again");
@@ -46,41 +48,41 @@
         }
     }
 
-    fn log_lapse(&mut self, age: Option<Duration>) {
+    fn log_lease_lapse(&mut self, age: Option<Duration>) {
         self.counts.notices.lease_lapses += 1;
         let index = self.coordinator.index();
         tracing::warn!(
             index,
             ?age,
-            "the endpoint list is out of date: only workers that prove themselves are used"
+            "the endpoint list is out of date: only workers that recently accepted work are used"
         );
     }
 
     fn log_usable_workers(&mut self, listed: usize, usable: usize) {
         if usable > 0 {
-            return tracing::info!(listed, usable, "workers may be used again");
+            return tracing::info!(listed, usable, "workers are usable again");
         }
         self.counts.notices.times_without_worker += 1;
         tracing::warn!(
             listed,
-            "no worker is proven: requests are rejected until the coordinator is heard"
+            "no worker is proven: requests are rejected until the coordinator confirms the endpoint list"
         );
     }
 
     fn log_standing(&mut self, worker: &str, standing: WorkerStanding) {
         self.counts.notices.count_standing(standing);
-        if let Some(suppressed) = self.notices.permit(self.now()) {
-            tracing::info!(%worker, ?standing, why = reason(standing), suppressed, "worker");
+        if let Some(suppressed) = self.notice_limit.allow_line(self.now()) {
+            tracing::info!(%worker, ?standing, why = standing_reason(standing), suppressed, "worker standing changed");
         }
     }
 }
 
 /// Why a worker has its standing.
-fn reason(standing: WorkerStanding) -> &'static str {
+fn standing_reason(standing: WorkerStanding) -> &'static str {
     match standing {
-        WorkerStanding::Listed => "the list names it, and the grace runs",
-        WorkerStanding::Proven => "it took work within the grace",
-        WorkerStanding::Suspected => "it turned an attempt away",
-        WorkerStanding::Unproven => "it took nothing within the grace, and may drain",
+        WorkerStanding::Listed => "on the endpoint list, drain grace not over",
+        WorkerStanding::Proven => "accepted an attempt within the drain grace",
+        WorkerStanding::Suspected => "rejected an attempt",
+        WorkerStanding::Unproven => "accepted no attempt within the drain grace, may be draining",
     }
 }
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -1,6 +1,6 @@
-//! Admits clients' requests: their fields are checked, they are submitted to the request table, and abandoned where the client
-//! has left.
-use super::client_connection::client;
+//! Admits clients' requests: checks their fields, submits them to the request table, and abandons those whose client has
+//! disconnected.
+use super::client_connection::find_client;
 use super::{Node, RequestContext};
 use quartzdrift_fastcgi::Params;
 use quartzdrift_http::sockets::SocketId;
@@ -10,14 +10,19 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A scheduler that has not heard the coordinator since its start says for so long that it is not ready: it can send to no worker
-/// yet, and clients are served better by others. After that it says that it is, as a longer start would count as a failed one.
+/// Longest time after the start for which a scheduler reports that it is not ready because the coordinator has not confirmed
+/// the list of workers. Until then it can send to no worker, and other schedulers serve clients better. After that it reports
+/// that it is ready, since the platform counts a longer start as failed.
 const MAX_UNREADY_START: Duration = Duration::from_secs(5);
-/// Told to clients for whom there is no room at all.
+/// Retry delay that clients receive when the request table is full.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// A parameter that may be left out, but not be given as something that is no text, or twice.
-fn optional<'a>(params: &'a Params, name: &str, invalid: FieldError) -> Result<Option<&'a str>, FieldError> {
+/// Reads an optional parameter: `None` if it is missing, and an error if it is not text or given twice.
+fn optional_param<'a>(
+    params: &'a Params,
+    name: &str,
+    invalid: FieldError,
+) -> Result<Option<&'a str>, FieldError> {
     let is_given = params.iter().any(|(given, _)| given == name.as_bytes());
     if !is_given {
         return Ok(None);
@@ -25,24 +30,25 @@
     params.text(name).map(Some).ok_or(invalid)
 }
 
-fn fields(params: &Params, body: usize) -> Result<RequestFields<'_>, FieldError> {
+/// Collects the fields of a request from its parameters. `body` is the length of the body in bytes.
+fn collect_fields(params: &Params, body: usize) -> Result<RequestFields<'_>, FieldError> {
     Ok(RequestFields {
         path: params.text("SCRIPT_NAME"),
         id: params.text("HTTP_X_REQUEST_ID"),
         time: params.text("HTTP_X_TIMEOUT_MS"),
         function: params.text("HTTP_X_OBJECT"),
-        idempotency_key: optional(params, "HTTP_IDEMPOTENCY_KEY", FieldError::IdempotencyKey)?,
-        tenant: optional(params, "HTTP_X_TENANT", FieldError::Tenant)?,
-        resource_hints: optional(params, "HTTP_X_SPEC", FieldError::ResourceHints)?,
-        length: optional(params, "CONTENT_LENGTH", FieldError::Length)?,
+        idempotency_key: optional_param(params, "HTTP_IDEMPOTENCY_KEY", FieldError::IdempotencyKey)?,
+        tenant: optional_param(params, "HTTP_X_TENANT", FieldError::Tenant)?,
+        resource_hints: optional_param(params, "HTTP_X_SPEC", FieldError::ResourceHints)?,
+        length: optional_param(params, "CONTENT_LENGTH", FieldError::Length)?,
         body,
     })
 }
 
 impl Node {
-    /// Works a whole request of a client: a readiness check is answered, anything else is admitted or refused. `arrived`: when it
-    /// may have come; its time has run since.
-    pub(super) fn request(
+    /// Handles a complete request: answers a readiness check, and admits or refuses any other request. `arrived` is the
+    /// earliest time at which the request may have arrived, from which its deadline counts.
+    pub(super) fn handle_request(
         &mut self,
         client: SocketId,
         request_id: u16,
@@ -53,7 +59,7 @@
         if params.get("SCRIPT_NAME") == Some(b"/check") {
             return self.respond_to_check(client, request_id);
         }
-        let request = fields(params, body.len())
+        let request = collect_fields(params, body.len())
             .and_then(|fields| request_fields::read(&fields, &self.config.settings));
         match request {
             Ok(request) => self.admit(client, request_id, &request, body, arrived),
@@ -84,11 +90,11 @@
         body: Vec<u8>,
         arrived: Instant,
     ) {
-        if let Some(&other) = self.open.get(&request.id) {
+        if let Some(&other) = self.open_by_client_id.get(&request.id) {
             return self.reject_duplicate_id(socket, request_id, other);
         }
         let context = RequestContext {
-            id: request.id,
+            client_request_id: request.id,
             client: socket,
             request_id,
             request_class: request.request_class,
@@ -97,15 +103,15 @@
         };
         let now = self.now();
         let deadline = self.clock.at(arrived) + request.time_remaining;
-        let left = deadline.saturating_sub(now);
+        let time_remaining = deadline.saturating_sub(now);
         match self
             .request_table
-            .submit(now, new_request(request, left, context))
+            .submit(now, new_request(request, time_remaining, context))
         {
             Ok(submitted) => {
                 self.counts.taken += 1;
-                self.open.insert(request.id, submitted);
-                if let Some(client) = client(&mut self.sockets, socket) {
+                self.open_by_client_id.insert(request.id, submitted);
+                if let Some(client) = find_client(&mut self.sockets, socket) {
                     client.requests.insert(request_id, submitted);
                 }
                 self.carry_out();
@@ -114,12 +120,12 @@
         }
     }
 
-    /// Refuses a request under the id of an open one: workers would take the one for the other. Where both came over one
-    /// connection, neither can be trusted.
+    /// Refuses a request with the id of another open request, since workers could not tell the two apart. If both arrived on the
+    /// same connection, the open one is abandoned and answered with an error too.
     fn reject_duplicate_id(&mut self, id: SocketId, request_id: u16, other: RequestId) {
         self.counts.invalid += 1;
         self.respond(id, request_id, 409, "this id is open", None);
-        let Some(client) = client(&mut self.sockets, id) else {
+        let Some(client) = find_client(&mut self.sockets, id) else {
             return;
         };
         let first = client
@@ -134,8 +140,8 @@
         }
     }
 
-    /// Nobody waits for a request any more. Attempts that have not left are recalled whatever the settings say, so that
-    /// nothing of them reaches a worker from now on; those that are in flight are cancelled where the settings allow it.
+    /// Abandons a request for which no client waits any more. Unsent attempts are recalled regardless of the settings, so that
+    /// they never reach a worker; attempts in flight are cancelled if the settings allow it.
     pub(super) fn abandon_request(&mut self, request: RequestId) {
         let now = self.now();
         let may_cancel = self.config.settings.allowed.cancel;
@@ -157,14 +163,14 @@
 
 fn new_request(
     request: &PlatformRequest<'_>,
-    left: Duration,
+    time_remaining: Duration,
     context: RequestContext,
 ) -> NewRequest<Rc<RequestContext>> {
     NewRequest {
         request_class: request.request_class,
         tenant: request.tenant,
         function: request.function.into(),
-        left,
+        left: time_remaining,
         work_hint: request.work,
         memory_mb: request.memory_mb,
         concurrency_slots: request.concurrency_slots,
--- a/crates/quartzdrift/src/platform/responses.rs
+++ b/crates/quartzdrift/src/platform/responses.rs
@@ -1,5 +1,5 @@
-//! Answers to clients.
-use super::client_connection::client;
+//! Sends responses to clients.
+use super::client_connection::find_client;
 use super::{Node, RequestContext};
 use quartzdrift_fastcgi::{self as fastcgi, Response};
 use quartzdrift_http::sockets::SocketId;
@@ -7,11 +7,11 @@
 use quartzdrift_scheduler::interface::RequestId;
 use std::time::Duration;
 
-/// Room for the head of an answer, in bytes, beside its body.
+/// Buffer capacity for the head of a response, in bytes.
 const HEAD_CAPACITY: usize = 128;
 
-/// The reason phrase of a status.
-fn reason(status: u16) -> &'static str {
+/// The HTTP reason phrase of a status code.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -25,7 +25,7 @@
 }
 
 impl Node {
-    /// Answers a client with a text of the scheduler's own.
+    /// Sends a response whose body is a text of the scheduler.
     pub(super) fn respond(
         &mut self,
         socket: SocketId,
@@ -37,7 +37,7 @@
         self.respond_with_body(socket, request_id, status, text.as_bytes(), retry_after);
     }
 
-    /// Answers a client. `retry_after` is told in whole milliseconds, never less.
+    /// Sends a response. `retry_after` is rounded up to whole milliseconds.
     fn respond_with_body(
         &mut self,
         socket: SocketId,
@@ -46,44 +46,49 @@
         body: &[u8],
         retry_after: Option<Duration>,
     ) {
-        let milliseconds = retry_after.map(|span| span.as_nanos().div_ceil(1_000_000).to_string());
+        let milliseconds = retry_after.map(|delay| delay.as_nanos().div_ceil(1_000_000).to_string());
         let field = milliseconds.as_deref().map(|ms| ("Retry-After-Ms", ms));
         let response = Response {
             status,
-            reason: reason(status),
+            reason: reason_phrase(status),
             fields: field.as_slice(),
             body,
         };
-        let has_unread = self.sockets.get(socket).is_some_and(|socket| socket.unsent() > 0);
-        let Some(client) = client(&mut self.sockets, socket) else {
+        let has_unsent = self.sockets.get(socket).is_some_and(|socket| socket.unsent() > 0);
+        let Some(client) = find_client(&mut self.sockets, socket) else {
             return;
         };
         let mut output = Vec::with_capacity(body.len() + HEAD_CAPACITY);
-        let fate = client.responder.respond(request_id, &response, &mut output);
+        let connection_fate = client.responder.respond(request_id, &response, &mut output);
         self.write(socket, &output);
-        match fate {
+        match connection_fate {
             fastcgi::ConnectionFate::Close => self.close_when_flushed(socket),
-            // The loop may never be told of this client again: what it does not read sets its deadline.
-            fastcgi::ConnectionFate::KeepOpen | fastcgi::ConnectionFate::UnknownRequest if has_unread => {
+            // No further event may come from a client that does not read its answers, so its deadline is set here.
+            fastcgi::ConnectionFate::KeepOpen | fastcgi::ConnectionFate::UnknownRequest if has_unsent => {
                 self.update_client_deadline(socket);
             }
             fastcgi::ConnectionFate::KeepOpen | fastcgi::ConnectionFate::UnknownRequest => {}
         }
     }
 
-    /// Gives a request its final answer.
-    pub(super) fn final_answer(&mut self, request: RequestId, context: &RequestContext, answer: FinalAnswer) {
+    /// Sends a request's final answer to its client, unless the request was cancelled.
+    pub(super) fn send_final_answer(
+        &mut self,
+        request: RequestId,
+        context: &RequestContext,
+        answer: FinalAnswer,
+    ) {
         tracing::debug!(
             request,
-            id = format!("{:016x}", context.id),
+            id = format!("{:016x}", context.client_request_id),
             ?answer,
             "final answer"
         );
-        self.forget(request, context);
-        self.count(answer);
+        self.remove_open_request(request, context);
+        self.count_final_answer(answer);
         let body = self
             .pending_response
-            .take_if(|(of, _)| *of == request)
+            .take_if(|(pending, _)| *pending == request)
             .map(|(_, body)| body);
         let (socket, request_id) = (context.client, context.request_id);
         match answer {
@@ -95,26 +100,27 @@
                 self.respond(socket, request_id, 503, "come back", retry_after);
             }
             FinalAnswer::Failed { why } => {
-                let (status, text) = failure(why);
+                let (status, text) = failure_response(why);
                 self.respond(socket, request_id, status, text, None);
             }
             FinalAnswer::Cancelled => {}
         }
     }
 
-    /// Takes a request out of the tables by its id and by its client's connection.
-    fn forget(&mut self, request: RequestId, context: &RequestContext) {
-        if self.open.get(&context.id) == Some(&request) {
-            self.open.remove(&context.id);
+    /// Removes a request from the table of client request ids and from its client's connection.
+    fn remove_open_request(&mut self, request: RequestId, context: &RequestContext) {
+        if self.open_by_client_id.get(&context.client_request_id) == Some(&request) {
+            self.open_by_client_id.remove(&context.client_request_id);
         }
-        if let Some(client) = client(&mut self.sockets, context.client)
+        if let Some(client) = find_client(&mut self.sockets, context.client)
             && client.requests.get(&context.request_id) == Some(&request)
         {
             client.requests.remove(&context.request_id);
         }
     }
 
-    fn count(&mut self, answer: FinalAnswer) {
+    /// Counts a final answer by its kind.
+    fn count_final_answer(&mut self, answer: FinalAnswer) {
         if let FinalAnswer::Rejected { reason, .. } = answer {
             self.counts.rejections.add(reason);
         }
@@ -128,8 +134,8 @@
     }
 }
 
-/// Status and text of a failed request's answer.
-fn failure(why: FailureReason) -> (u16, &'static str) {
+/// Status and body of the response to a failed request.
+fn failure_response(why: FailureReason) -> (u16, &'static str) {
     match why {
         FailureReason::DeadlineExceeded => (504, "its time is up"),
         FailureReason::OutcomeUnknown | FailureReason::ShuttingDown => (500, "it may have run"),
--- a/crates/quartzdrift/src/platform/run.rs
+++ b/crates/quartzdrift/src/platform/run.rs
@@ -1,4 +1,4 @@
-//! Starts a scheduler by the platform's configuration and runs it until it is told to stop.
+//! Starts a scheduler with the platform's configuration and runs it until a signal stops it.
 use super::Node;
 use crate::{logs, serve};
 use calloop::EventLoop;
@@ -8,36 +8,41 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Names the configuration's file in the environment.
-const CONFIG: &str = "GW_CONFIG";
+/// Environment variable that holds the path of the configuration file.
+const CONFIG_VARIABLE: &str = "GW_CONFIG";
 
-/// Runs as the platform starts it, by its environment, and says on standard output where it listens. Signals come
-/// first: from the very first moment none of them ends the process.
+/// Runs a scheduler with the configuration that the environment names, and prints its listen address on standard output.
+/// Signals are blocked first, so that none of them ends the process while it starts.
 ///
 /// # Errors
-/// There is no configuration, it cannot be read, or the system does not grant what it asks for.
+/// The configuration is missing or invalid, or the system refuses a signal descriptor, the event loop or the listener.
 pub fn start() -> io::Result<()> {
     let signals =
         Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(io::Error::other)?;
     logs::start_from_environment();
-    let named = std::env::var_os(CONFIG).filter(|path| !path.is_empty());
-    let path = named.ok_or_else(|| io::Error::other(format!("{CONFIG} names no configuration")))?;
-    run(Path::new(&path), signals, |at| serve::announce(&[at]))
+    let path = std::env::var_os(CONFIG_VARIABLE).filter(|path| !path.is_empty());
+    let path = path.ok_or_else(|| {
+        io::Error::other(format!(
+            "environment variable {CONFIG_VARIABLE} is not set or empty"
+        ))
+    })?;
+    run(Path::new(&path), signals, |address| serve::announce(&[address]))
 }
 
-/// What the file at `path` holds.
+/// Loads the bytes of the configuration file at `path`.
 pub(super) fn load(path: &Path) -> Result<Vec<u8>, String> {
     std::fs::File::open(path)
         .map_err(|e| e.to_string())
         .and_then(quartzdrift_platform::config::load)
 }
 
-/// Serves by the configuration at `path`; `ready` is given the address that is listened at.
+/// Serves with the configuration at `path` until the shutdown is complete. Calls `ready` with the listen address.
 fn run(path: &Path, signals: Signals, ready: impl FnOnce(SocketAddr)) -> io::Result<()> {
-    let config_error = |message: &str| io::Error::other(format!("{}: {message}", path.display()));
+    let config_error =
+        |message: &str| io::Error::other(format!("cannot load configuration {}: {message}", path.display()));
     let config = load(path).and_then(|bytes| quartzdrift_platform::config::read(&bytes));
     let mut config = config.map_err(|e| config_error(&e))?;
-    // The system may grant fewer than the configuration tells, or than is taken where it tells none.
+    // The limit of the process may be below the configured number of sockets, or below the default number.
     let granted = getrlimit(Resource::Nofile)
         .current
         .map_or(usize::MAX, |most| most as usize);
@@ -45,18 +50,18 @@
         tracing::info!(
             configured = config.sockets,
             granted,
-            "fewer descriptors than the configuration allows"
+            "the descriptor limit of the process is below the configured number of sockets"
         );
         config.sockets = granted;
     }
     let mut event_loop = EventLoop::<Node>::try_new().map_err(io::Error::other)?;
     let handle = event_loop.handle();
-    let signal = |event: calloop::signals::Event, _: &mut (), node: &mut Node| match event.signal() {
+    let on_signal = |event: calloop::signals::Event, _: &mut (), node: &mut Node| match event.signal() {
         Signal::SIGHUP => node.reload(),
-        _ => node.stop(),
+        _ => node.start_shutdown(),
     };
     handle
-        .insert_source(signals, signal)
+        .insert_source(signals, on_signal)
         .map_err(|e| io::Error::other(e.to_string()))?;
     let (name, listen) = (config.name.clone(), config.listen);
     let mut node = Node::new(config, path.to_owned(), handle);
@@ -66,7 +71,7 @@
     node.listen(listener)?;
     tracing::info!(name, %listen, "listening");
     ready(listen);
-    while !node.stopped() {
+    while !node.advance_shutdown() {
         let wait = node.next_wait();
         event_loop
             .dispatch(wait.timeout, &mut node)
--- a/crates/quartzdrift/src/platform/shutdown.rs
+++ b/crates/quartzdrift/src/platform/shutdown.rs
@@ -1,56 +1,57 @@
-//! The phases of a graceful shutdown and their deadlines. No I/O: the event loop asks for the next step and carries it out.
+//! The phases of a graceful shutdown and their deadlines, without I/O: the event loop requests the next step and carries it out.
 //!
 //! ```text
 //! SIGTERM -> draining -> closing -> exit
 //! ```
 //!
-//! While draining, all clients are served. While closing, no connection is accepted any more, and each client's connection is
-//! closed at a moment when nothing is open on it: nothing is read that is not answered, and whatever a client sends into the
-//! close was never read, so that it can send it again elsewhere. The process exits once no client is left, and before SIGKILL
-//! is due whatever the phase.
+//! While draining, all clients are served. While closing, no connections are accepted, and each client's connection is closed
+//! when it is idle: every request that was read is answered, and a request that the client sends during the close is never
+//! read, so the client can safely send it to another scheduler. The process exits once no client is left, and in any phase
+//! before SIGKILL is due.
 use std::time::Duration;
 
-/// How long clients are served as ever after SIGTERM, where the kill deadline leaves so much.
+/// Length of the drain phase after SIGTERM, if the kill deadline allows it.
 const DRAIN_WINDOW: Duration = Duration::from_millis(1200);
-/// New connections come for up to 0.4 s after SIGTERM, and requests that find none open for 0.2 s more (the platform's
-/// protocol); the rest is room for a slow machine.
+/// Minimum length of the drain phase. Clients open new connections for up to 0.4 s after SIGTERM, and 0.2 s longer if they have
+/// none open (the platform's protocol); the remaining 0.05 s allow for a slow machine.
 const MIN_DRAIN_WINDOW: Duration = Duration::from_millis(650);
-/// SIGKILL may come this long after SIGTERM, past the longest timeout of a request class (the platform's protocol).
+/// SIGKILL may follow SIGTERM after this time plus the longest timeout of a request class (the platform's protocol).
 const KILL_DEADLINE: Duration = Duration::from_millis(700);
-/// A longer timeout of a request class counts as this much (the platform's protocol).
+/// Upper limit of a request class's timeout in the kill deadline (the platform's protocol).
 const MAX_TIMEOUT: Duration = Duration::from_secs(3);
-/// Kept before SIGKILL, for the last answers to leave and the process to end on a slow machine; less where the timeouts are so
-/// short that clients could not come until then.
+/// Time reserved before SIGKILL to send the last answers and to exit on a slow machine. It is shorter if the timeouts are so
+/// short that the full margin would cut into the minimum drain phase.
 const FLUSH_MARGIN: Duration = Duration::from_millis(200);
-/// How long connections are closed, each behind an answer of its own, before what is open is ended.
+/// Time before the answer deadline in which connections are closed as their last requests are answered.
 const CLOSING_SPAN: Duration = Duration::from_millis(100);
-/// Between two looks at connections that could not be closed yet.
+/// Interval between attempts to close the connections that were not idle.
 const CLOSE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the event loop is to do next.
+/// The next step of the event loop in a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Step {
-    /// Go on.
+pub(super) enum ShutdownStep {
+    /// Continue to serve clients.
     Wait,
-    /// Accept no more connections, and close those on which nothing is open.
+    /// Accept no more connections, and close the idle ones.
     CloseIdle,
-    /// Answer what has come, and end the process.
+    /// Answer the requests that have arrived, and end the process.
     Exit,
 }
 
-/// A shutdown that has begun.
+/// The deadlines of a shutdown that has started.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Shutdown {
-    /// Until then all clients are served as ever.
+    /// End of the drain phase, in which all clients are served.
     drain_until: Duration,
-    /// By then every request has its final answer.
+    /// Deadline for the final answers of all requests.
     answer_by: Duration,
-    /// Then the process ends, whatever is left.
+    /// Time at which the process exits, even if clients are still connected.
     exit_by: Duration,
 }
 
 impl Shutdown {
-    /// A shutdown that begins at `now`; `timeouts` are those of the request classes.
+    /// Plans a shutdown that starts at `now`. `timeouts` are the timeouts of the request classes; `None` counts as
+    /// [`MAX_TIMEOUT`].
     pub(super) fn new(now: Duration, timeouts: impl Iterator<Item = Option<Duration>>) -> Shutdown {
         let longest = timeouts
             .map(|timeout| timeout.unwrap_or(MAX_TIMEOUT))
@@ -66,23 +67,23 @@
         }
     }
 
-    /// When what is open must have its final answer.
+    /// Deadline for the final answers of all requests.
     pub(super) fn answer_by(&self) -> Duration {
         self.answer_by
     }
 
-    /// What to do now.
-    pub(super) fn next_step(&self, now: Duration) -> Step {
+    /// The step that is due at `now`.
+    pub(super) fn next_step(&self, now: Duration) -> ShutdownStep {
         if now >= self.exit_by {
-            Step::Exit
+            ShutdownStep::Exit
         } else if now >= self.drain_until {
-            Step::CloseIdle
+            ShutdownStep::CloseIdle
         } else {
-            Step::Wait
+            ShutdownStep::Wait
         }
     }
 
-    /// The next deadline for which the event loop must wake; none that has passed.
+    /// The first deadline after `now`, for which the event loop must wake up.
     pub(super) fn next_deadline(&self, now: Duration) -> Option<Duration> {
         let close_again = (now >= self.drain_until).then_some(now + CLOSE_INTERVAL);
         let deadlines = [
--- a/crates/quartzdrift/src/platform/shutdown/tests.rs
+++ b/crates/quartzdrift/src/platform/shutdown/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-fn shutdown(since: Duration, timeout: Duration) -> Shutdown {
-    Shutdown::new(since, [Some(timeout)].into_iter())
+fn shutdown(start: Duration, timeout: Duration) -> Shutdown {
+    Shutdown::new(start, [Some(timeout)].into_iter())
 }
 
 #[test]
-fn each_deadline_of_a_shutdown_wakes_the_loop_once() {
-    let since = Duration::from_secs(5);
+fn the_loop_wakes_for_each_deadline_of_a_shutdown() {
+    let start = Duration::from_secs(5);
     let ms = Duration::from_millis(1);
-    let shutdown = shutdown(since, Duration::from_secs(60));
-    let drained = since + DRAIN_WINDOW;
-    assert_eq!(shutdown.next_deadline(since), Some(drained));
+    let shutdown = shutdown(start, Duration::from_secs(60));
+    let drained = start + DRAIN_WINDOW;
+    assert_eq!(shutdown.next_deadline(start), Some(drained));
     assert_eq!(shutdown.next_deadline(drained - ms), Some(drained));
     assert_eq!(shutdown.next_deadline(drained), Some(drained + CLOSE_INTERVAL));
-    let last = shutdown.answer_by - ms;
-    assert_eq!(shutdown.next_deadline(last), Some(shutdown.answer_by));
+    let before_answer_by = shutdown.answer_by - ms;
+    assert_eq!(shutdown.next_deadline(before_answer_by), Some(shutdown.answer_by));
     assert_eq!(
         shutdown.next_deadline(shutdown.exit_by - ms),
         Some(shutdown.exit_by)
@@ -22,9 +22,9 @@
 }
 
 #[test]
-fn a_shutdown_is_over_before_sigkill_whatever_the_timeouts_are() {
-    let since = Duration::from_secs(5);
-    for (ms, kill) in [
+fn a_shutdown_ends_before_sigkill_with_any_request_class_timeout() {
+    let start = Duration::from_secs(5);
+    for (timeout_ms, kill_ms) in [
         (0, 700),
         (1, 701),
         (500, 1200),
@@ -32,21 +32,28 @@
         (3000, 3700),
         (60_000, 3700),
     ] {
-        let stop = shutdown(since, Duration::from_millis(ms));
-        assert!(stop.drain_until <= stop.answer_by && stop.answer_by < stop.exit_by);
-        assert!(stop.exit_by < since + Duration::from_millis(kill), "{ms}");
+        let shutdown = shutdown(start, Duration::from_millis(timeout_ms));
+        assert!(shutdown.drain_until <= shutdown.answer_by && shutdown.answer_by < shutdown.exit_by);
+        assert!(
+            shutdown.exit_by < start + Duration::from_millis(kill_ms),
+            "{timeout_ms}"
+        );
     }
 }
 
 #[test]
-fn clients_are_served_while_they_come_and_then_closed_until_the_exit() {
-    let since = Duration::from_secs(5);
+fn clients_are_served_while_new_ones_may_connect_and_then_closed_until_the_exit() {
+    let start = Duration::from_secs(5);
     for timeout in [0, 50, 300, 1500, 3000, 60_000].map(Duration::from_millis) {
-        let shutdown = shutdown(since, timeout);
-        let newcomers = since + Duration::from_millis(600);
-        assert_eq!(shutdown.next_step(newcomers), Step::Wait, "{timeout:?}");
-        assert_eq!(shutdown.next_step(shutdown.drain_until), Step::CloseIdle);
-        assert_eq!(shutdown.next_step(shutdown.answer_by), Step::CloseIdle);
-        assert_eq!(shutdown.next_step(shutdown.exit_by), Step::Exit);
+        let shutdown = shutdown(start, timeout);
+        let last_connection_at = start + Duration::from_millis(600);
+        assert_eq!(
+            shutdown.next_step(last_connection_at),
+            ShutdownStep::Wait,
+            "{timeout:?}"
+        );
+        assert_eq!(shutdown.next_step(shutdown.drain_until), ShutdownStep::CloseIdle);
+        assert_eq!(shutdown.next_step(shutdown.answer_by), ShutdownStep::CloseIdle);
+        assert_eq!(shutdown.next_step(shutdown.exit_by), ShutdownStep::Exit);
     }
 }
--- a/crates/quartzdrift/src/platform/worker_connection.rs
+++ b/crates/quartzdrift/src/platform/worker_connection.rs
@@ -27,7 +27,7 @@
     pub(super) attempt: u32,
     pub(super) function: Rc<str>,
     /// When its answer is no longer waited for.
-    pub(super) until: Duration,
+    pub(super) deadline: Duration,
     pub(super) context: Rc<RequestContext>,
     /// The last time at which its first byte may leave; `None`: any time.
     pub(super) send_by: Option<Duration>,
@@ -44,12 +44,12 @@
     }
 
     /// Whether its whole frame is among the first `sent` bytes of the connection.
-    pub(super) fn has_left_whole(&self, sent: u64) -> bool {
+    pub(super) fn is_fully_sent(&self, sent: u64) -> bool {
         self.frame_span.is_some_and(|span| span.to <= sent)
     }
 
     /// Whether a byte of its frame is among the first `sent` bytes of the connection.
-    pub(super) fn has_left_in_part(&self, sent: u64) -> bool {
+    pub(super) fn has_sent_bytes(&self, sent: u64) -> bool {
         self.frame_span.is_some_and(|span| span.from < sent)
     }
 }
@@ -95,32 +95,32 @@
     }
 
     /// The index of an attempt among the commands.
-    pub(super) fn position_of(&self, request: RequestId, attempt: u32) -> Option<usize> {
+    pub(super) fn position_of_attempt(&self, request: RequestId, attempt: u32) -> Option<usize> {
         self.commands
             .iter()
             .position(|command| (command.request, command.attempt) == (request, attempt))
     }
 
     /// The index of the command that an answer under this id is for, if one has left whole. `sent`: bytes that have left.
-    pub(super) fn position_of_answered(&self, id: u64, sent: u64) -> Option<usize> {
+    pub(super) fn position_of_sent(&self, id: u64, sent: u64) -> Option<usize> {
         self.commands
             .iter()
-            .position(|command| command.context.id == id && command.has_left_whole(sent))
+            .position(|command| command.context.client_request_id == id && command.is_fully_sent(sent))
     }
 
     /// Whether a command went out under this id lately.
-    pub(super) fn carried_lately(&self, id: u64) -> bool {
+    pub(super) fn has_recent_id(&self, id: u64) -> bool {
         self.recent_ids.contains(&id)
     }
 
     /// Remembers that a command goes out under this id.
-    pub(super) fn remember(&mut self, id: u64) {
+    pub(super) fn remember_id(&mut self, id: u64) {
         self.recent_ids.truncate(MAX_RECENT_IDS - 1);
         self.recent_ids.push_front(id);
     }
 
     /// Moves the frames behind a removed one to where they lie now.
-    pub(super) fn close_gap(&mut self, removed: FrameSpan) {
+    pub(super) fn shift_frames_after(&mut self, removed: FrameSpan) {
         let spans = self
             .commands
             .iter_mut()
--- a/crates/quartzdrift/src/platform/workers.rs
+++ b/crates/quartzdrift/src/platform/workers.rs
@@ -1,6 +1,6 @@
-//! The table of workers: where each is reached, and its connections.
+//! The table of workers: the address and the connections of each.
 use super::Node;
-use super::connections::connection;
+use super::connections::find_worker_connection;
 use quartzdrift_http::sockets::SocketId;
 use quartzdrift_scheduler::interface::RequestId;
 use std::net::SocketAddr;
@@ -9,26 +9,26 @@
 /// A worker that the coordinator lists.
 pub(super) struct Worker {
     pub(super) address: SocketAddr,
-    /// Its most recent start, as the coordinator states it.
+    /// Time of the worker's most recent start, since 1970, if the coordinator states it.
     started: Option<Duration>,
     pub(super) connections: Vec<SocketId>,
-    /// Attempts that it has turned away since the coordinator was last heard.
+    /// Attempts that the worker rejected since the coordinator last confirmed the list.
     pub(super) turned_away: u64,
 }
 
 impl Node {
-    /// Enters a worker that the coordinator lists. Where it has moved or was started again, returns what
-    /// [`Node::worker_gone`] does.
-    pub(super) fn worker_listed(
+    /// Adds a worker that the coordinator lists. If the worker has another address or start time than its current entry, the
+    /// entry is replaced, and the attempts on the connections of the old one are returned as by [`Node::remove_worker`].
+    pub(super) fn add_or_replace_worker(
         &mut self,
         uid: &str,
         address: SocketAddr,
         started: Option<Duration>,
     ) -> Vec<(RequestId, u32)> {
-        let is_other = |worker: &Worker| (worker.address, worker.started) != (address, started);
+        let is_changed = |worker: &Worker| (worker.address, worker.started) != (address, started);
         let mut displaced = Vec::new();
-        if self.workers.get(uid).is_some_and(is_other) {
-            displaced = self.worker_gone(uid);
+        if self.workers.get(uid).is_some_and(is_changed) {
+            displaced = self.remove_worker(uid);
         }
         self.workers.entry(uid.into()).or_insert(Worker {
             address,
@@ -39,16 +39,16 @@
         displaced
     }
 
-    /// Removes a worker, and returns the attempts on its connections. Those that have left go on to their end; the others
-    /// must be placed anew once the scheduler knows of the change.
-    pub(super) fn worker_gone(&mut self, uid: &str) -> Vec<(RequestId, u32)> {
+    /// Removes a worker, and returns the attempts on its connections. Attempts that were sent continue until they end; the
+    /// caller must recall the others after the scheduler has processed the change, so that they are scheduled again.
+    pub(super) fn remove_worker(&mut self, uid: &str) -> Vec<(RequestId, u32)> {
         let Some(worker) = self.workers.remove(uid) else {
             return Vec::new();
         };
         let mut displaced = Vec::new();
         for id in worker.connections {
             self.close_if_idle(id);
-            if let Some(connection) = connection(&mut self.sockets, id) {
+            if let Some(connection) = find_worker_connection(&mut self.sockets, id) {
                 let attempts = connection.commands.iter();
                 displaced.extend(attempts.map(|command| (command.request, command.attempt)));
             }
@@ -56,8 +56,8 @@
         displaced
     }
 
-    /// Closes the connections to a worker that carry nothing.
-    pub(super) fn close_idle(&mut self, worker: &str) {
+    /// Closes the connections to a worker that have no open command.
+    pub(super) fn close_idle_connections(&mut self, worker: &str) {
         let Some(worker) = self.workers.get(worker) else {
             return;
         };
