--- a/crates/quartzdrift/src/loop_delay/tests.rs
+++ b/crates/quartzdrift/src/loop_delay/tests.rs
@@ -2,8 +2,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Runs consecutive waits, each given by its timeout and its actual duration; returns the delay, the start of the first wait
-/// and the end of the last one.
+/// Runs consecutive waits, each given by its timeout and its actual duration; returns the delay, the start of
+/// the first wait and the end of the last one.
 fn run_waits(waits: &[(Duration, Duration)]) -> (LoopDelay, Instant, Instant) {
     let start = Instant::now();
     let mut delay = LoopDelay::start(start);
@@ -69,6 +69,7 @@
         let wait = EventWait::begin(start + longest * (n - 1), Duration::from_secs(60));
         delay.wait_ended(start + longest * n, wait);
     }
-    // Bytes that arrived right after the first check are read at the second one, and count as no later than the first wait's end.
+    // Bytes that arrived right after the first check are read at the second one, and count as no later than
+    // the first wait's end.
     assert!(start + longest * 2 - delay.earliest_arrival() <= longest);
 }
--- a/crates/quartzdrift/src/platform/accept.rs
+++ b/crates/quartzdrift/src/platform/accept.rs
@@ -4,13 +4,13 @@
 use quartzdrift_http::sockets::SocketId;
 use std::time::Duration;
 
-/// After a start, clients are accepted once the coordinator has confirmed the list of workers, or after this time. The
-/// coordinator usually answers within milliseconds, and no request can be sent to a worker before.
+/// After a start, clients are accepted once the coordinator has confirmed the list of workers, or after this
+/// time. The coordinator usually answers within milliseconds, and no request can be sent to a worker before.
 const COORDINATOR_WAIT: Duration = Duration::from_millis(250);
 
 impl Node {
-    /// Accepts waiting clients as long as there is room or an idle client can be closed to make room. The others stay in the
-    /// listener's queue instead of being refused, since each may have sent a request.
+    /// Accepts waiting clients as long as there is room or an idle client can be closed to make room. The
+    /// others stay in the listener's queue instead of being refused, since each may have sent a request.
     pub(super) fn accept_clients(&mut self) {
         if self.accept_start().is_some_and(|at| self.now() < at) {
             let earliest_arrival = self.loop_delay.earliest_arrival();
@@ -24,7 +24,8 @@
         let arrived = self.unaccepted_since.unwrap_or(earliest_arrival);
         self.unaccepted_since = (!self.sockets.accepted_all()).then_some(arrived);
         for stream in streams {
-            // An idle client may have sent a request just now. It is kept then, and the limit is exceeded by one for a while.
+            // An idle client may have sent a request just now. It is kept then, and the limit is exceeded by
+            // one for a while.
             self.make_room_for_client();
             if let Ok(id) = self.sockets.insert(stream, Peer::Client(Client::new(arrived))) {
                 self.client_count += 1;
@@ -33,14 +34,15 @@
         }
     }
 
-    /// Time from which clients are accepted although the coordinator has not confirmed the list of workers; `None` if it has.
+    /// Time from which clients are accepted although the coordinator has not confirmed the list of workers;
+    /// `None` if it has.
     pub(super) fn accept_start(&self) -> Option<Duration> {
         let is_unconfirmed = !self.coordinator.was_confirmed();
         is_unconfirmed.then(|| self.started_at + COORDINATOR_WAIT)
     }
 
-    /// If the client limit is reached, closes the evictable client that has sent nothing for longest, unless data from it has
-    /// arrived that the event loop has not reported yet.
+    /// If the client limit is reached, closes the evictable client that has sent nothing for longest, unless
+    /// data from it has arrived that the event loop has not reported yet.
     fn make_room_for_client(&mut self) {
         for _ in 0..=self.client_count {
             if self.client_count < self.budget.clients {
@@ -56,8 +58,8 @@
         }
     }
 
-    /// Reads and processes data from a client that the event loop has not reported yet. Returns whether there was any, or the
-    /// connection has ended.
+    /// Reads and processes data from a client that the event loop has not reported yet. Returns whether there
+    /// was any, or the connection has ended.
     pub(super) fn read_pending_input(&mut self, id: SocketId) -> bool {
         let Some(socket) = self.sockets.get(id) else {
             return true;
--- a/crates/quartzdrift/src/platform/answers.rs
+++ b/crates/quartzdrift/src/platform/answers.rs
@@ -1,4 +1,4 @@
-//! Reads workers' answers, and ends the attempts that they are for.
+//! Reads the answers of workers, and ends the attempts that they answer.
 use super::connections::find_worker_connection;
 use super::worker_connection::{Command, ConnectionPhase, WorkerConnection};
 use super::{Node, Peer};
@@ -9,31 +9,31 @@
 use quartzdrift_platform::report;
 use quartzdrift_scheduler::interface::{CacheResult, Outcome, ReportField, RequestId};
 
-/// An attempt that an answer has ended.
+/// An attempt that a worker has answered.
 struct AnsweredAttempt {
     command: Command,
     result: AttemptResult,
-    /// The body for the client, where the request ran.
+    /// Body of the client's response, if the request succeeded.
     body: Option<Vec<u8>>,
 }
 
-/// All whole answers that a connection has received.
+/// The complete answers in the input of a connection.
 #[derive(Default)]
 struct ReceivedAnswers {
-    /// Bytes that they took.
-    used: usize,
-    answered: Vec<AnsweredAttempt>,
-    /// Answers that no command waits for: a second copy, one under an unknown id, or one to a command that was cancelled or
-    /// has not left yet.
+    /// Number of input bytes in these answers.
+    consumed_bytes: usize,
+    attempts: Vec<AnsweredAttempt>,
+    /// Number of answers without a matching command: duplicates, unknown ids, and answers to commands that
+    /// were cancelled or are not fully sent yet.
     unmatched: u64,
-    /// The worker has said that the connection works, and was asked.
-    verified: bool,
-    /// Why what follows cannot be read.
+    /// The worker has answered the probe of a connection that is being verified.
+    is_verified: bool,
+    /// Error of the malformed data that follows the complete answers.
     unreadable: Option<Unreadable>,
 }
 
 impl Node {
-    /// Reads all answers that are whole, and ends their attempts.
+    /// Reads all complete answers on a connection, and ends their attempts.
     pub(super) fn read_answers(&mut self, id: SocketId) {
         let Some(socket) = self.sockets.get_mut(id) else {
             return;
@@ -44,24 +44,25 @@
         };
         let fields = &self.config.settings.report_fields;
         let received = ReceivedAnswers::read(&socket.input, connection, sent, fields);
-        socket.consume(received.used);
-        let is_over = socket.ended() || received.unreadable.is_some();
+        socket.consume(received.consumed_bytes);
+        let is_unusable = socket.ended() || received.unreadable.is_some();
         self.counts.unmatched += received.unmatched;
-        for answered in received.answered {
-            self.end_answered_attempt(id, answered, is_over);
+        for attempt in received.attempts {
+            self.end_answered_attempt(id, attempt, is_unusable);
         }
-        if let Some(why) = received.unreadable {
+        if let Some(error) = received.unreadable {
             self.counts.unreadable += 1;
-            tracing::debug!(?why, "an answer cannot be read");
+            tracing::debug!(why = ?error, "malformed answer of a worker, closing the connection");
         }
-        if is_over {
+        if is_unusable {
             self.connection_lost(id, ConnectionLoss::NotSent);
-        } else if received.verified {
+        } else if received.is_verified {
             self.connection_established(id);
         }
     }
 
-    fn end_answered_attempt(&mut self, id: SocketId, answered: AnsweredAttempt, is_over: bool) {
+    /// Ends an attempt with its answer. `is_unusable` says that the connection will be closed, not kept idle.
+    fn end_answered_attempt(&mut self, id: SocketId, answered: AnsweredAttempt, is_unusable: bool) {
         let AnsweredAttempt {
             command,
             result,
@@ -73,7 +74,7 @@
         if result.outcome == Outcome::AtCapacity {
             self.count_turned_away(id, request, attempt);
         }
-        if !is_over {
+        if !is_unusable {
             self.mark_idle(id);
         }
         self.pending_response = body.map(|body| (request, body));
@@ -85,12 +86,18 @@
 }
 
 impl Node {
+    /// Counts and logs an attempt that a worker rejected because it was at capacity.
     fn count_turned_away(&mut self, id: SocketId, request: RequestId, attempt: u32) {
         self.counts.turned_away += 1;
         let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
         };
-        tracing::debug!(request, attempt, worker = %connection.worker, "attempt turned away");
+        tracing::debug!(
+            request,
+            attempt,
+            worker = %connection.worker,
+            "attempt rejected: worker at capacity"
+        );
         if let Some(worker) = self.workers.get_mut(&connection.worker) {
             worker.turned_away += 1;
         }
@@ -98,8 +105,8 @@
 }
 
 impl ReceivedAnswers {
-    /// Reads `input` as far as it holds whole answers, and takes the commands that they are for off the connection. `sent`:
-    /// bytes that have left on it.
+    /// Reads the complete answers in `input`, and removes the answered commands from the connection. `sent`
+    /// is the number of bytes sent on the connection.
     fn read(
         input: &[u8],
         connection: &mut WorkerConnection,
@@ -108,21 +115,22 @@
     ) -> ReceivedAnswers {
         let mut received = ReceivedAnswers::default();
         loop {
-            match frame::read(&input[received.used..]) {
+            match frame::read(&input[received.consumed_bytes..]) {
                 Ok(Some(answer)) => {
-                    received.used += answer.length;
-                    received.take(&answer, connection, sent, report_fields);
+                    received.consumed_bytes += answer.length;
+                    received.add(&answer, connection, sent, report_fields);
                 }
                 Ok(None) => return received,
-                Err(why) => {
-                    received.unreadable = Some(why);
+                Err(error) => {
+                    received.unreadable = Some(error);
                     return received;
                 }
             }
         }
     }
 
-    fn take(
+    /// Adds an answer, and removes its command from the connection.
+    fn add(
         &mut self,
         answer: &Answer<'_>,
         connection: &mut WorkerConnection,
@@ -130,22 +138,23 @@
         report_fields: &[ReportField],
     ) {
         let Some(outcome) = attempt_outcome::from_answer(answer.code) else {
-            self.verified |= connection.phase == ConnectionPhase::Verifying;
+            self.is_verified |= connection.phase == ConnectionPhase::Verifying;
             return;
         };
-        let Some(at) = connection.position_of_sent(answer.id, sent) else {
+        let Some(index) = connection.position_of_sent(answer.id, sent) else {
             self.unmatched += 1;
             return;
         };
-        self.answered.push(AnsweredAttempt {
-            command: connection.commands.swap_remove(at),
-            result: result(outcome, answer, report_fields),
+        self.attempts.push(AnsweredAttempt {
+            command: connection.commands.swap_remove(index),
+            result: attempt_result(outcome, answer, report_fields),
             body: (answer.code == Code::Done).then(|| answer.body.to_vec()),
         });
     }
 }
 
-fn result(outcome: Outcome, answer: &Answer<'_>, report_fields: &[ReportField]) -> AttemptResult {
+/// The result of an attempt with this outcome, and with the load report in its answer.
+fn attempt_result(outcome: Outcome, answer: &Answer<'_>, report_fields: &[ReportField]) -> AttemptResult {
     AttemptResult {
         outcome,
         cache_result: CacheResult::Unknown,
--- a/crates/quartzdrift/src/platform/client_connection.rs
+++ b/crates/quartzdrift/src/platform/client_connection.rs
@@ -1,4 +1,5 @@
-//! A client's FastCGI connection: its requests are read, its deadlines kept, and it is closed once its last answer has left.
+//! Clients' FastCGI connections: reading requests, keeping deadlines, and closing a connection once its last
+//! answer is sent.
 use super::{Node, Peer};
 use quartzdrift_fastcgi::{self as fastcgi, Event, InvalidRequest, Responder};
 use quartzdrift_http::sockets::{Socket, SocketId, Sockets};
@@ -6,34 +7,36 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Bounds of the platform's protocol, and a bound on parameters that is far above what they need.
+/// Limits of the platform's protocol. The limit on parameters is far above the size that requests need.
 const LIMITS: fastcgi::Limits = fastcgi::Limits {
     params: 8 << 10,
     body: 16 << 10,
     open_requests: 32,
 };
-/// For a first request to arrive whole, and for each later one that has begun. Whoever cannot be served is owed an end within
-/// 3 s.
+/// Time for the first request to arrive completely after connecting, and for each later one after its first
+/// byte. The platform requires that clients who cannot be served are disconnected within 3 s.
 pub(super) const RECEIVE_TIMEOUT: Duration = Duration::from_secs(2);
-/// For a client to take the last bytes that are written before its connection is closed.
+/// Time for a client to read the last bytes before its connection is closed.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
-/// For a client to take the answers that wait for it; then its connection is closed, so that it notices.
+/// Time for a client to read the answers that wait for it. Then its connection is closed, so that it sees the
+/// failure.
 const SEND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes that may wait for a client: its 32 answers and some room. With more its connection is closed.
+/// Largest number of unsent bytes for a client: room for its 32 answers and more. Beyond it the connection is
+/// closed.
 const MAX_UNREAD_BYTES: usize = 1 << 20;
 
-/// What the deadline of a client's connection is for.
+/// The event that the deadline of a client's connection waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DeadlineReason {
-    /// The first whole request.
+    /// The first complete request arrives.
     FirstRequest,
-    /// The rest of a request.
+    /// The rest of a partial request arrives.
     PartialRequest,
-    /// The client takes what is written to it.
+    /// The client reads the answers that wait for it.
     UnreadAnswers,
     /// There is no deadline.
     None,
-    /// The last bytes leave, and the connection is closed.
+    /// The last bytes are sent, and the connection is closed.
     Closing,
 }
 
@@ -43,15 +46,16 @@
     /// Open requests by their FastCGI request id.
     pub(super) requests: BTreeMap<u16, RequestId>,
     pub(super) deadline: DeadlineReason,
-    /// The request whose rest is waited for.
+    /// The partial request that the deadline is for, by its ordinal on the connection.
     partial_request: Option<u64>,
-    /// When the first byte may have come that the system still holds; `None` where it was found to hold nothing.
+    /// Earliest time at which the first unread byte in the system's buffer may have arrived; `None` if the
+    /// buffer was empty.
     unread_since: Option<Instant>,
 }
 
 impl Client {
-    /// A client that was accepted, and may have connected and sent something at `arrived`; its first request is due within the
-    /// receive timeout.
+    /// The state of an accepted client, which may have connected and sent data as early as `arrived`. Its
+    /// first request is due within [`RECEIVE_TIMEOUT`].
     pub(super) fn new(arrived: Instant) -> Client {
         Client {
             responder: Responder::new(LIMITS),
@@ -63,7 +67,7 @@
     }
 }
 
-/// The client on a socket, if it is one.
+/// The state of the client on a socket; `None` if the socket is closed or belongs to a worker.
 pub(super) fn find_client(sockets: &mut Sockets<Node, Peer>, id: SocketId) -> Option<&mut Client> {
     match &mut sockets.get_mut(id)?.state {
         Peer::Client(client) => Some(client),
@@ -71,7 +75,8 @@
     }
 }
 
-/// Whether a socket is that of a client without an open request, which may make room for another.
+/// Whether a socket belongs to a client without an open request, which may be closed to make room for another
+/// client.
 pub(super) fn is_evictable(socket: &Socket<Peer>) -> bool {
     match &socket.state {
         Peer::Client(client) => client.requests.is_empty() && client.deadline != DeadlineReason::Closing,
@@ -79,7 +84,8 @@
     }
 }
 
-/// What a connection waits for now, and for how long at most.
+/// The event that a connection waits for now, and the longest time to wait. `unread` is the number of bytes
+/// that the client has not taken yet.
 fn client_deadline(
     responder: &Responder,
     partial_request: Option<u64>,
@@ -97,7 +103,7 @@
 }
 
 impl Node {
-    /// Works a client's connection on which something has happened.
+    /// Processes a client's connection whose socket is ready.
     pub(super) fn drive_client(&mut self, id: SocketId) {
         self.sockets.flush_one(id);
         self.sockets.read(id);
@@ -105,7 +111,7 @@
         let Some(socket) = self.sockets.get_mut(id) else {
             return;
         };
-        let ended = socket.ended();
+        let has_ended = socket.ended();
         let has_more = socket.may_have_more();
         let Peer::Client(client) = &mut socket.state else {
             return;
@@ -116,42 +122,44 @@
             let unread = socket.input.len();
             socket.consume(unread);
             self.counts.discarded_bytes += unread as u64;
-            if ended {
+            if has_ended {
                 self.close_client(id);
             }
             return;
         }
         let mut output = Vec::new();
-        let mut received = Vec::new();
-        let read = client.responder.read(&socket.input, &mut output, &mut received);
-        if let Ok(used) = read {
-            socket.consume(used);
+        let mut events = Vec::new();
+        let read = client.responder.read(&socket.input, &mut output, &mut events);
+        if let Ok(consumed_bytes) = read {
+            socket.consume(consumed_bytes);
         }
         if !output.is_empty() {
             self.write(id, &output);
         }
         let is_request = |event: &&Event| !matches!(event, Event::Aborted { .. });
-        self.counts.received += received.iter().filter(is_request).count() as u64;
-        for message in received {
+        self.counts.received += events.iter().filter(is_request).count() as u64;
+        for event in events {
             if self.sockets.get(id).is_none() {
-                // The connection was closed over an answer: nobody waits for what else came on it.
+                // The connection was closed after an answer, so the client does not wait for its other
+                // requests.
                 return;
             }
-            self.handle_event(id, message, arrived);
+            self.handle_event(id, event, arrived);
         }
         match read {
             Err(error) => {
                 tracing::debug!(%error, "client connection closed: protocol error");
                 self.drop_client(id);
             }
-            Ok(_) if ended => self.close_client(id),
+            Ok(_) if has_ended => self.close_client(id),
             Ok(_) => self.update_client_deadline(id),
         }
     }
 
-    /// `arrived`: when the message may have come.
-    fn handle_event(&mut self, id: SocketId, message: Event, arrived: Instant) {
-        match message {
+    /// Handles a FastCGI event of a client. `arrived` is the earliest time at which its bytes may have
+    /// arrived.
+    fn handle_event(&mut self, id: SocketId, event: Event, arrived: Instant) {
+        match event {
             Event::Request {
                 request_id,
                 params,
@@ -174,15 +182,15 @@
         }
     }
 
-    /// Writes bytes to a client; they leave with the loop's next flush.
+    /// Appends bytes to a client's output; the next flush of the loop sends them.
     pub(super) fn write(&mut self, id: SocketId, bytes: &[u8]) {
         if let Some(output) = self.sockets.output(id) {
             output.extend_from_slice(bytes);
         }
     }
 
-    /// Sets the deadline for what the connection waits for now. One that stands is not moved: bytes that drip in win no
-    /// time. Each request that is not whole yet has its own.
+    /// Updates the deadline of a client's connection. A deadline stays fixed while its reason does, so a
+    /// client that sends byte by byte gains no time. Each partial request has its own deadline.
     pub(super) fn update_client_deadline(&mut self, id: SocketId) {
         let Some(socket) = self.sockets.get_mut(id) else {
             return;
@@ -203,17 +211,17 @@
             return self.drop_client(id);
         }
         let partial_request = responder.oldest_partial_request(has_input);
-        let (reason, after) = client_deadline(responder, partial_request, unread);
+        let (reason, timeout) = client_deadline(responder, partial_request, unread);
         let is_other_request =
             reason == DeadlineReason::PartialRequest && client.partial_request != partial_request;
         if client.deadline != reason || is_other_request {
             client.deadline = reason;
             client.partial_request = partial_request;
-            self.sockets.set_deadline(id, after);
+            self.sockets.set_deadline(id, timeout);
         }
     }
 
-    /// Closes a client's connection once what is written to it has left.
+    /// Closes a client's connection once its output is sent.
     pub(super) fn close_when_flushed(&mut self, id: SocketId) {
         if let Some(client) = find_client(&mut self.sockets, id) {
             client.deadline = DeadlineReason::Closing;
@@ -222,7 +230,7 @@
         }
     }
 
-    /// Closes the connections whose last bytes have left.
+    /// Closes the connections in `flushing_clients` whose output is sent.
     pub(super) fn close_flushed_clients(&mut self) {
         for id in std::mem::take(&mut self.flushing_clients) {
             match self.sockets.get(id).map(|socket| socket.unsent()) {
@@ -233,23 +241,24 @@
         }
     }
 
-    /// The deadline of a client's connection has passed.
+    /// Handles the expired deadline of a client's connection.
     pub(super) fn client_timed_out(&mut self, id: SocketId) {
-        // What has arrived in the meantime arrived in time.
+        // Data that the loop has not read yet counts as in time.
         let has_arrived = self.read_pending_input(id);
         if has_arrived && self.sockets.deadline(id).is_some() {
             return;
         }
-        let stuck = self.sockets.get(id).and_then(Socket::stuck_since);
+        let stuck_since = self.sockets.get(id).and_then(Socket::stuck_since);
         let Some(client) = find_client(&mut self.sockets, id) else {
             return;
         };
         match client.deadline {
-            // Overdue without a deadline: there was no descriptor for a newcomer, and this client is to make room.
+            // The socket expired without a deadline: the process is out of descriptors, and this client makes
+            // room for another.
             DeadlineReason::None if !has_arrived && client.requests.is_empty() => self.drop_client(id),
             DeadlineReason::None => {}
-            DeadlineReason::UnreadAnswers => self.unread_answers_timed_out(id, stuck),
-            // Others are open on it: they are answered first.
+            DeadlineReason::UnreadAnswers => self.unread_answers_timed_out(id, stuck_since),
+            // The connection has other open requests, which are answered first.
             DeadlineReason::PartialRequest if !client.requests.is_empty() => {
                 client.responder.stop_accepting();
                 self.update_client_deadline(id);
@@ -260,31 +269,33 @@
         }
     }
 
-    /// The deadline was set before it was tried to send: since then all may have left, or have begun to wait later.
-    /// `stuck`: since when the client takes nothing.
-    fn unread_answers_timed_out(&mut self, id: SocketId, stuck: Option<Instant>) {
-        let Some(since) = stuck else {
+    /// Closes a client's connection if its answers were blocked for [`SEND_TIMEOUT`], or sets the remaining
+    /// time. The deadline was set before the answers were flushed: they may have been sent since, or may have
+    /// become blocked later. `stuck_since` is the time since which the client takes no data.
+    fn unread_answers_timed_out(&mut self, id: SocketId, stuck_since: Option<Instant>) {
+        let Some(since) = stuck_since else {
             if let Some(client) = find_client(&mut self.sockets, id) {
                 client.deadline = DeadlineReason::None;
             }
             return self.update_client_deadline(id);
         };
-        let waited = since.elapsed();
-        if waited < SEND_TIMEOUT {
+        let blocked_time = since.elapsed();
+        if blocked_time < SEND_TIMEOUT {
             self.sockets
-                .set_deadline(id, Some(SEND_TIMEOUT.saturating_sub(waited)));
+                .set_deadline(id, Some(SEND_TIMEOUT.saturating_sub(blocked_time)));
         } else {
             self.drop_client(id);
         }
     }
 
-    /// Closes the connection of a client that breaks the protocol, is too slow, or makes room, and counts it.
+    /// Closes and counts the connection of a client that violates the protocol, is too slow, or is evicted to
+    /// make room.
     fn drop_client(&mut self, id: SocketId) {
         self.counts.dropped += 1;
         self.close_client(id);
     }
 
-    /// Closes a client's connection; what is open on it is over.
+    /// Closes a client's connection, and abandons its open requests.
     pub(super) fn close_client(&mut self, id: SocketId) {
         let Some(Peer::Client(client)) = self.sockets.close(id) else {
             return;
--- a/crates/quartzdrift/src/platform/closing.rs
+++ b/crates/quartzdrift/src/platform/closing.rs
@@ -1,16 +1,18 @@
-//! The closing phase of a shutdown: stops accepting connections, and closes clients' connections when they are idle.
+//! The closing phase of a shutdown: stops accepting connections, and closes clients' connections when they
+//! are idle.
 //!
-//! A connection is closed only if a last read found no data, every request that was read is answered, and the answers have been
-//! sent. A request that a client sends while its connection is being closed is never read; the client's system reports a
-//! connection reset, so the client can safely send the request again.
+//! A connection is closed only if a last read found no data, every request that was read is answered, and the
+//! answers have been sent. A request that a client sends while its connection is being closed is never read;
+//! the client's system reports a connection reset, so the client can safely send the request again.
 use super::Node;
 use super::client_connection::find_client;
 use quartzdrift_http::sockets::SocketId;
 
-/// Rounds of answering requests that arrived last, before the process ends. The limit cuts off clients that keep sending.
+/// Rounds of answering requests that arrived last, before the process ends. The limit cuts off clients that
+/// keep sending.
 const MAX_LAST_ROUNDS: usize = 8;
-/// Consecutive reads of one connection: the second read confirms that nothing followed the requests of the first one, which
-/// are answered by then.
+/// Consecutive reads of one connection: the second read confirms that nothing followed the requests of the
+/// first one, which are answered by then.
 const MAX_READS_PER_CLIENT: usize = 2;
 
 impl Node {
@@ -25,8 +27,8 @@
         self.flush();
     }
 
-    /// Answers the requests that arrive until the process ends. Every earlier request is answered by then, and the request table
-    /// rejects new ones at once.
+    /// Answers the requests that arrive until the process ends. Every earlier request is answered by then,
+    /// and the request table rejects new ones at once.
     pub(super) fn answer_last_requests(&mut self) {
         for _ in 0..MAX_LAST_ROUNDS {
             self.close_idle_clients();
@@ -36,8 +38,9 @@
         }
     }
 
-    /// Closes the listener before any client's connection, so that a client that reconnects is refused and uses another
-    /// scheduler. Closing a listener resets its waiting connections, so it is closed right after none was found waiting.
+    /// Closes the listener before any client's connection, so that a client that reconnects is refused and
+    /// uses another scheduler. Closing a listener resets its waiting connections, so it is closed right after
+    /// none was found waiting.
     fn accept_last_clients(&mut self) {
         self.sockets.look_for_connections();
         self.accept_clients();
--- a/crates/quartzdrift/src/platform/commands.rs
+++ b/crates/quartzdrift/src/platform/commands.rs
@@ -1,4 +1,4 @@
-//! Attempts as commands on connections: sent, recalled while they have not left, cancelled.
+//! Sends attempts as commands on connections, recalls unsent ones and cancels sent ones.
 use super::connections::find_worker_connection;
 use super::worker_connection::{Command, ConnectionPhase, FrameSpan};
 use super::{Node, Peer};
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Whether nothing of an attempt has left on its connection.
+/// Whether no byte of an attempt has been sent on its connection.
 pub(super) fn is_unsent(
     sockets: &Sockets<Node, Peer>,
     id: SocketId,
@@ -26,7 +26,7 @@
     };
     connection
         .position_of_attempt(request, attempt)
-        .is_some_and(|at| !connection.commands[at].has_sent_bytes(socket.sent_position()))
+        .is_some_and(|index| !connection.commands[index].has_sent_bytes(socket.sent_position()))
 }
 
 impl Node {
@@ -34,7 +34,7 @@
     pub(super) fn start_attempt(&mut self, worker: &Rc<str>, command: Command) {
         let (request, attempt) = (command.request, command.attempt);
         if !self.request_table.is_open(request) {
-            // Its client has left in the same turn, after the request table said so.
+            // The client disconnected in the same turn, after the request table issued this output.
             return self.request_table.attempt_recalled(self.now(), request, attempt);
         }
         self.counts.attempts += 1;
@@ -42,7 +42,7 @@
         self.send_command(worker, command);
     }
 
-    /// Recalls the commands of a connection of which nothing has left and that may not be sent any more.
+    /// Recalls the unsent commands of a connection whose send deadline has passed.
     pub(super) fn recall_overdue_commands(&mut self, id: SocketId, now: Duration) {
         let Some(socket) = self.sockets.get(id) else {
             return;
@@ -58,18 +58,14 @@
             return;
         }
         for (request, attempt) in late {
-            tracing::debug!(
-                request,
-                attempt,
-                "attempt recalled: too late to be sent to its worker"
-            );
+            tracing::debug!(request, attempt, "attempt recalled: its send deadline has passed");
             self.recall_attempt(request, attempt);
         }
         self.carry_out();
     }
 
-    /// Puts a command on a connection to its worker. Where none is left, the request table is told that the attempt ended;
-    /// whoever carries out its outputs goes on from there.
+    /// Assigns a command to a connection to its worker. If there is no connection, reports the attempt to the
+    /// request table as ended; the caller must then carry out the table's outputs.
     pub(super) fn send_command(&mut self, worker: &Rc<str>, mut command: Command) {
         let id = match self.connection_for(worker, command.context.client_request_id) {
             Ok(id) => id,
@@ -91,8 +87,8 @@
         }
     }
 
-    /// Writes a command to a connection that is up. One that was idle for long is verified first; on one that is not up the
-    /// command waits.
+    /// Writes a command to a connection that is up, or first verifies the connection if it was idle for long.
+    /// On a connection that is not up, the command waits.
     fn write_or_verify(&mut self, id: SocketId, command: &mut Command, now: Duration) {
         let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
@@ -109,7 +105,8 @@
         }
     }
 
-    /// Writes a command, and notes where its frame lies among all that the connection sends.
+    /// Writes a command to the connection's output, and records the position of its frame in the connection's
+    /// byte stream.
     pub(super) fn write_command(&mut self, id: SocketId, command: &mut Command, now: Duration) {
         let Some(from) = self.sockets.get(id).map(Socket::end_position) else {
             return;
@@ -137,7 +134,7 @@
         }
     }
 
-    /// Writes each command anew of which nothing has left, with the time that is left by now.
+    /// Rewrites each unsent command with its current remaining time.
     pub(super) fn rewrite_unsent_commands(&mut self) {
         let now = self.now();
         let unsent = self.sockets.iter().filter(|(_, socket)| socket.unsent() > 0);
@@ -149,7 +146,8 @@
         }
     }
 
-    /// The attempts whose frames wait on a worker's connection and of which nothing has left, in the order of their frames.
+    /// The attempts whose frames are in a connection's output and completely unsent, in the order of the
+    /// frames.
     fn unsent_commands(&self, id: SocketId) -> Vec<(RequestId, u32)> {
         let Some(socket) = self.sockets.get(id).filter(|socket| !socket.is_broken()) else {
             return Vec::new();
@@ -170,24 +168,25 @@
             .collect()
     }
 
+    /// Replaces the unsent frame of a command by one with the current remaining time.
     fn rewrite_command(&mut self, id: SocketId, request: RequestId, attempt: u32, now: Duration) {
-        let Some(carrier) = find_worker_connection(&mut self.sockets, id) else {
+        let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
         };
-        let Some(at) = carrier.position_of_attempt(request, attempt) else {
+        let Some(index) = connection.position_of_attempt(request, attempt) else {
             return;
         };
-        let mut command = carrier.commands.swap_remove(at);
+        let mut command = connection.commands.swap_remove(index);
         if self.remove_frame(id, &command) {
             self.write_command(id, &mut command, now);
         }
-        if let Some(carrier) = find_worker_connection(&mut self.sockets, id) {
-            carrier.commands.push(command);
+        if let Some(connection) = find_worker_connection(&mut self.sockets, id) {
+            connection.commands.push(command);
         }
     }
 
-    /// Takes the frame of a command that is no longer among those of its connection out of what waits to be sent; returns
-    /// whether it was still there.
+    /// Removes the frame of a command from its connection's output; returns whether it was still unsent. The
+    /// caller has already removed the command from the connection.
     fn remove_frame(&mut self, id: SocketId, command: &Command) -> bool {
         let Some(span) = command.frame_span else {
             return false;
@@ -196,13 +195,13 @@
             .sockets
             .get_mut(id)
             .is_some_and(|socket| socket.recall(span.from, span.to));
-        if is_removed && let Some(carrier) = find_worker_connection(&mut self.sockets, id) {
-            carrier.shift_frames_after(span);
+        if is_removed && let Some(connection) = find_worker_connection(&mut self.sockets, id) {
+            connection.shift_frames_after(span);
         }
         is_removed
     }
 
-    /// Tells the worker that nobody waits for an attempt any more, or recalls it where it has not left.
+    /// Recalls an attempt if it was not sent; otherwise sends its worker a cancel command.
     pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: u32) {
         if self.recall_unsent(request, attempt) {
             return;
@@ -213,10 +212,10 @@
         let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
         };
-        let Some(at) = connection.position_of_attempt(request, attempt) else {
+        let Some(index) = connection.position_of_attempt(request, attempt) else {
             return;
         };
-        let command = connection.commands.swap_remove(at);
+        let command = connection.commands.swap_remove(index);
         if let Some(output) = self.sockets.output(id) {
             frame::write(
                 output,
@@ -230,8 +229,9 @@
         self.mark_idle(id);
     }
 
-    /// Takes an attempt off its connection if it cannot have reached its worker, and returns whether it did: nothing of it
-    /// has left, or a part of it, and its connection carries nothing else and is closed.
+    /// Removes an attempt from its connection if its worker cannot have read the whole command, and returns
+    /// whether it was removed. That holds if no byte of its frame was sent, or if only a part was sent and
+    /// the connection has no other command: the connection is closed then.
     pub(super) fn recall_unsent(&mut self, request: RequestId, attempt: u32) -> bool {
         let Some(id) = self.attempts.get(request, attempt) else {
             return false;
@@ -242,22 +242,22 @@
         let Peer::WorkerConnection(connection) = &socket.state else {
             return false;
         };
-        let Some(at) = connection.position_of_attempt(request, attempt) else {
+        let Some(index) = connection.position_of_attempt(request, attempt) else {
             return false;
         };
-        let alone = connection.commands.len() == 1;
-        let span = connection.commands[at].frame_span;
+        let is_only_command = connection.commands.len() == 1;
+        let span = connection.commands[index].frame_span;
         if span.is_some_and(|span| !socket.recall(span.from, span.to)) {
-            let in_part = span.is_some_and(|span| socket.sent_position() < span.to);
-            if in_part && alone {
+            let is_partly_sent = span.is_some_and(|span| socket.sent_position() < span.to);
+            if is_partly_sent && is_only_command {
                 self.close_connection(id);
             }
-            return in_part && alone;
+            return is_partly_sent && is_only_command;
         }
-        // On a socket that broke nothing moves up: all that waited was dropped.
+        // A broken socket has dropped its whole output, so no frame moves.
         let removed = span.filter(|_| !socket.is_broken());
         if let Peer::WorkerConnection(connection) = &mut socket.state {
-            connection.commands.swap_remove(at);
+            connection.commands.swap_remove(index);
             if let Some(removed) = removed {
                 connection.shift_frames_after(removed);
             }
@@ -267,7 +267,7 @@
         true
     }
 
-    /// Recalls an attempt if it has not left, and tells the request table.
+    /// Recalls an attempt if it was not sent, and reports that to the request table.
     pub(super) fn recall_attempt(&mut self, request: RequestId, attempt: u32) {
         if self.recall_unsent(request, attempt) {
             self.request_table.attempt_recalled(self.now(), request, attempt);
@@ -275,7 +275,7 @@
     }
 }
 
-/// The fields of a command; its time is at least a millisecond.
+/// The fields of a command frame. Its remaining time is at least one millisecond.
 fn command_fields(class: &str, command: &Command, now: Duration) -> String {
     let milliseconds = command.deadline.saturating_sub(now).as_millis().max(1);
     let key = command.context.idempotency_key.as_ref();
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -1,6 +1,6 @@
-//! Connections to workers: established, verified, kept while idle, lost. What the end of each proves of the attempts on it is
-//! the table in [`quartzdrift_platform::attempt_outcome`]; which connection carries an attempt is chosen in
-//! [`quartzdrift_platform::connection_choice`].
+//! Connections to workers: establishing, verifying, keeping while idle, and handling their loss. The table in
+//! [`quartzdrift_platform::attempt_outcome`] maps the end of a connection to the outcome of its attempts;
+//! [`quartzdrift_platform::connection_choice`] chooses the connection of an attempt.
 use super::worker_connection::{Command, ConnectionPhase, WorkerConnection};
 use super::{Node, Peer};
 use quartzdrift_http::sockets::{Socket, SocketId, Sockets};
@@ -13,19 +13,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Attempts that a connection carries where the settings state nothing.
+/// Default limit of concurrent attempts per connection.
 const DEFAULT_STREAMS: usize = 32;
-/// Time to establish a connection where the settings state nothing.
+/// Default timeout for establishing a connection.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time of a connection where the settings state nothing.
+/// Default idle time after which workers close a connection.
 const DEFAULT_KEEPALIVE: Duration = Duration::from_secs(10);
-/// Fraction of the workers' own idle time after which a connection is closed here, so that their close never crosses a
-/// command.
+/// Fraction of the workers' idle time after which this side closes an idle connection, so that a worker never
+/// closes one while a command is sent on it.
 const KEEPALIVE_FRACTION: f64 = 0.8;
-/// Connections that a command may be lost on without having left; then the worker counts as unreachable.
+/// Maximum number of connections that may be lost under an unsent command. After that its attempt ends, since
+/// the worker seems unreachable.
 const MAX_LOST_CONNECTIONS: u32 = 3;
 
-/// The worker's connection on a socket, if it is one.
+/// The state of the connection to a worker on a socket; `None` if the socket is closed or belongs to a
+/// client.
 pub(super) fn find_worker_connection(
     sockets: &mut Sockets<Node, Peer>,
     id: SocketId,
@@ -37,13 +39,16 @@
 }
 
 impl Node {
-    /// A connection to a worker for a command under this id, or what it proves that there is none.
+    /// Chooses or opens a connection to a worker for a command with this client request id.
+    ///
+    /// # Errors
+    /// The kind of loss as which an attempt without a connection counts.
     pub(super) fn connection_for(&mut self, worker: &Rc<str>, id: u64) -> Result<SocketId, ConnectionLoss> {
         let streams = self.config.settings.allowed.streams_per_connection;
         let streams = streams.map_or(DEFAULT_STREAMS, |streams| streams.max(1) as usize);
         loop {
-            let known = self.workers.get(worker).ok_or(ConnectionLoss::NotConnected)?;
-            let sockets = known.connections.clone();
+            let entry = self.workers.get(worker).ok_or(ConnectionLoss::NotConnected)?;
+            let sockets = entry.connections.clone();
             let states: Vec<ConnectionState> = sockets
                 .iter()
                 .map(|socket| self.connection_state(*socket, id))
@@ -51,14 +56,14 @@
             let may_connect =
                 || self.worker_connection_count < self.budget.workers || self.close_longest_idle(worker);
             match connection_choice::choose(&states, streams, may_connect) {
-                ConnectionChoice::Use(at) => {
-                    let idle = states[at].open == 0 && states[at].up;
-                    if idle && self.is_closed_by_worker(sockets[at]) {
+                ConnectionChoice::Use(index) => {
+                    let is_idle = states[index].open == 0 && states[index].up;
+                    if is_idle && self.is_closed_by_worker(sockets[index]) {
                         self.request_table.worker_disconnected(self.now(), worker);
-                        self.close_connection(sockets[at]);
+                        self.close_connection(sockets[index]);
                         continue;
                     }
-                    return Ok(sockets[at]);
+                    return Ok(sockets[index]);
                 }
                 ConnectionChoice::Connect => return self.connect(worker),
                 ConnectionChoice::Full => return Err(ConnectionLoss::NoConnectionLeft),
@@ -66,7 +71,8 @@
         }
     }
 
-    /// A connection as the choice sees it, for a command under this id; one that carried the id lately counts as full.
+    /// The state of a connection for the choice, for a command with this client request id. A connection that
+    /// recently carried a command with the same id counts as full.
     fn connection_state(&self, socket: SocketId, id: u64) -> ConnectionState {
         match self.sockets.get(socket).map(|socket| &socket.state) {
             Some(Peer::WorkerConnection(connection)) if !connection.has_recent_id(id) => ConnectionState {
@@ -80,8 +86,8 @@
         }
     }
 
-    /// Whether a worker has closed an idle connection, or sent something unasked. It still looks writable, but what is sent
-    /// there would be in doubt.
+    /// Whether a worker has closed an idle connection, or sent data on it unexpectedly. The socket is still
+    /// writable then, but the outcome of a command written to it would be unknown.
     fn is_closed_by_worker(&mut self, id: SocketId) -> bool {
         self.sockets.look(id);
         let socket = self.sockets.get(id);
@@ -89,22 +95,23 @@
     }
 
     fn connect(&mut self, worker: &Rc<str>) -> Result<SocketId, ConnectionLoss> {
-        let known = self.workers.get(worker).ok_or(ConnectionLoss::NotConnected)?;
+        let entry = self.workers.get(worker).ok_or(ConnectionLoss::NotConnected)?;
         let peer = Peer::WorkerConnection(WorkerConnection::new(worker.clone()));
         let id = self
             .sockets
-            .connect(known.address, peer)
+            .connect(entry.address, peer)
             .map_err(|error| loss_of_connect_error(&error))?;
         self.worker_connection_count += 1;
         self.counts.connections += 1;
         self.sockets.set_deadline(id, Some(self.connect_timeout()));
-        if let Some(known) = self.workers.get_mut(worker) {
-            known.connections.push(id);
+        if let Some(entry) = self.workers.get_mut(worker) {
+            entry.connections.push(id);
         }
         Ok(id)
     }
 
-    /// A connect timeout of zero counts as none: no connection is established in no time.
+    /// The connect timeout of the settings, or the default one. Zero counts as unset, since every connection
+    /// would time out.
     fn connect_timeout(&self) -> Duration {
         let configured = self.config.settings.allowed.connect_timeout;
         configured
@@ -112,7 +119,8 @@
             .unwrap_or(DEFAULT_CONNECT_TIMEOUT)
     }
 
-    /// Asks a worker whether a connection still works. Until it answers nothing is written there that might run.
+    /// Probes whether a connection to a worker still works. No command is written to it until the worker
+    /// answers.
     pub(super) fn verify_connection(&mut self, id: SocketId, request_id: u64) {
         let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
@@ -131,8 +139,8 @@
         self.sockets.set_deadline(id, Some(self.connect_timeout()));
     }
 
-    /// Makes room for a connection to `worker`, with all descriptors of the workers' side in use: closes the connection to
-    /// another worker that has been idle longest. Returns whether there was one.
+    /// Makes room for a connection to `worker` when the limit of connections to workers is reached: closes
+    /// the connection to another worker that has been idle longest. Returns whether there was one.
     fn close_longest_idle(&mut self, worker: &Rc<str>) -> bool {
         let idle_since = |(id, socket): (SocketId, &Socket<Peer>)| match &socket.state {
             Peer::WorkerConnection(connection) if connection.is_idle() && connection.worker != *worker => {
@@ -147,7 +155,7 @@
         true
     }
 
-    /// Closes a connection that carries nothing.
+    /// Closes a connection if it has no open command.
     pub(super) fn close_if_idle(&mut self, id: SocketId) {
         if find_worker_connection(&mut self.sockets, id)
             .is_some_and(|connection| connection.commands.is_empty())
@@ -156,7 +164,7 @@
         }
     }
 
-    /// Closes a connection, takes it out of all tables, and returns the commands that were on it.
+    /// Closes a connection, removes it from all tables, and returns its open commands.
     pub(super) fn close_connection(&mut self, id: SocketId) -> Vec<Command> {
         let Some(Peer::WorkerConnection(connection)) = self.sockets.close(id) else {
             return Vec::new();
@@ -171,7 +179,8 @@
         connection.commands
     }
 
-    /// Keeps a connection that carries nothing for a while, unless its worker has gone.
+    /// Starts the idle timeout of a connection without open commands, or closes it if its worker is no longer
+    /// listed.
     pub(super) fn mark_idle(&mut self, id: SocketId) {
         let now = self.now();
         let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
@@ -194,10 +203,10 @@
             .set_deadline(id, Some(keepalive.mul_f64(KEEPALIVE_FRACTION)));
     }
 
-    /// The deadline of a connection has passed.
+    /// Handles the expired deadline of a connection.
     pub(super) fn connection_timed_out(&mut self, id: SocketId) {
         if self.sockets.deadline(id).is_some() {
-            // A command was put on it in the same turn, after it was found overdue.
+            // A command in the same turn has set a new deadline since the expired ones were collected.
             return;
         }
         let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
@@ -206,7 +215,8 @@
         match connection.phase {
             ConnectionPhase::Up => self.close_if_idle(id),
             ConnectionPhase::Verifying => {
-                // The worker's other idle connections are as silent; a new connection shows whether it is there.
+                // The worker's other idle connections are probably dead too; a new connection shows whether
+                // it is reachable.
                 let worker = connection.worker.clone();
                 self.close_idle_connections(&worker);
                 self.connection_lost(id, ConnectionLoss::NotSent);
@@ -215,8 +225,8 @@
         }
     }
 
-    /// Ends a connection that is of no further use, and each attempt on it by what that proves. `unsent`: what it proves of
-    /// a command that has not left whole.
+    /// Closes a connection that can no longer be used, and ends each attempt on it or sends it again.
+    /// `unsent` is the kind of loss for commands that were not fully sent.
     pub(super) fn connection_lost(&mut self, id: SocketId, unsent: ConnectionLoss) {
         let Some(socket) = self.sockets.get(id) else {
             return;
@@ -226,9 +236,9 @@
         };
         let sent = socket.sent_position();
         let worker = connection.worker.clone();
-        // Nothing is sent again to a worker that drains, has gone or was started again since.
-        let known = self.workers.get(&worker);
-        let is_current = known.is_some_and(|known| known.connections.contains(&id));
+        // Commands are not sent again to a worker that is draining, was removed or has restarted since.
+        let entry = self.workers.get(&worker);
+        let is_current = entry.is_some_and(|entry| entry.connections.contains(&id));
         let may_resend = self.request_table.is_up(&worker) && is_current;
         self.request_table.worker_disconnected(self.now(), &worker);
         let commands = self.close_connection(id);
@@ -250,6 +260,7 @@
         self.carry_out();
     }
 
+    /// Whether an unsent command may be sent on another connection.
     fn is_worth_resending(&self, command: &Command) -> bool {
         command.lost_connections < MAX_LOST_CONNECTIONS
             && self.request_table.is_open(command.request)
@@ -257,14 +268,15 @@
             && !command.is_overdue(self.now())
     }
 
+    /// Reports the attempt of a command to the request table as ended by the loss of its connection.
     fn end_lost_attempt(&mut self, worker: &str, command: &Command, loss: ConnectionLoss) {
-        tracing::debug!(request = command.request, %worker, ?loss, "connection lost under an attempt");
+        tracing::debug!(request = command.request, %worker, ?loss, "attempt ended: connection lost");
         let result = AttemptResult::silent(attempt_outcome::from_loss(loss));
         self.request_table
             .attempt_ended(self.now(), command.request, command.attempt, result);
     }
 
-    /// Works a connection on which something has happened.
+    /// Processes a connection whose socket is ready.
     pub(super) fn drive_connection(&mut self, id: SocketId) {
         let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
@@ -281,11 +293,12 @@
         self.read_answers(id);
     }
 
-    /// A connection works: what has waited for it is written.
+    /// Marks a connection as up, and writes the commands that waited for it.
     pub(super) fn connection_established(&mut self, id: SocketId) {
         self.sockets.set_deadline(id, None);
         let now = self.now();
-        // What has waited for it may wait no longer: its worker may have been told to drain for longer than the grace.
+        // The send deadline of a waiting command may have passed: its worker may have been draining for
+        // longer than the grace.
         self.recall_overdue_commands(id, now);
         let Some(established) = find_worker_connection(&mut self.sockets, id) else {
             return;
@@ -302,7 +315,8 @@
     }
 }
 
-/// What it proves that a connection could not be established. A reset shows that something is there and took the connection.
+/// The kind of loss for an error while a connection was being established. A reset shows that a process
+/// accepted the connection, so the worker is not down.
 fn loss_while_connecting(error: &io::Error) -> ConnectionLoss {
     match error.kind() {
         io::ErrorKind::ConnectionReset => ConnectionLoss::NotSent,
@@ -310,8 +324,8 @@
     }
 }
 
-/// What it proves that a connection could not even be begun: the system may have no descriptor, port, buffer or route left, which
-/// says nothing of the worker.
+/// The kind of loss for an error at the start of a connection. The system may lack a descriptor, port, buffer
+/// or route, which does not show that the worker is down.
 fn loss_of_connect_error(error: &io::Error) -> ConnectionLoss {
     match Errno::from_io_error(error) {
         Some(
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -1,4 +1,5 @@
-//! Follows the list of workers with consecutive long polls of the coordinator, whose responses update the list.
+//! Follows the list of workers with consecutive long polls of the coordinator, whose responses update the
+//! list.
 use super::Node;
 use quartzdrift_http::{CallId, Failure, Headers, Outgoing, Response};
 use quartzdrift_platform::coordinator::{
@@ -10,21 +11,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the coordinator may hold a poll open. A response proves only that the list was current when the poll was sent, so
-/// the last proof may be two such times old; that has to be well within the list's lease.
+/// How long the coordinator may hold a poll open. A response proves only that the list was current when the
+/// poll was sent, so the last proof may be two such times old; that has to be well within the list's lease.
 const POLL_WAIT: Duration = Duration::from_millis(500);
-/// Fraction of [`POLL_WAIT`] after which a response without an event confirms the list. If it comes sooner, the coordinator
-/// has not waited for events.
+/// Fraction of [`POLL_WAIT`] after which a response without an event confirms the list. If it comes sooner,
+/// the coordinator has not waited for events.
 const MIN_WAIT_FRACTION: f64 = 0.95;
-/// Time beyond its wait after which a poll times out. It doubles with each consecutive timeout, up to [`MAX_POLL_GRACE`], since
-/// an overloaded coordinator responds late.
+/// Time beyond its wait after which a poll times out. It doubles with each consecutive timeout, up to
+/// [`MAX_POLL_GRACE`], since an overloaded coordinator responds late.
 const POLL_GRACE: Duration = Duration::from_millis(400);
-/// Upper limit of the doubled [`POLL_GRACE`]. If the coordinator never responds, the next poll is delayed by this time.
+/// Upper limit of the doubled [`POLL_GRACE`]. If the coordinator never responds, the next poll is delayed by
+/// this time.
 const MAX_POLL_GRACE: Duration = Duration::from_millis(1600);
-/// If the list was last confirmed longer ago than this, the coordinator counts as out of reach: two polls in a row have taken
-/// their maximum time.
+/// If the list was last confirmed longer ago than this, the coordinator counts as out of reach: two polls in
+/// a row have taken their maximum time.
 const MAX_CONFIRMATION_AGE: Duration = POLL_WAIT.saturating_add(POLL_GRACE).saturating_mul(2);
-/// Delay before the next poll after one that failed. It doubles with each consecutive failure, up to [`MAX_RETRY_DELAY`].
+/// Delay before the next poll after one that failed. It doubles with each consecutive failure, up to
+/// [`MAX_RETRY_DELAY`].
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Upper limit of the doubled [`RETRY_DELAY`].
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(320);
@@ -69,7 +72,8 @@
     timeouts: u32,
     /// Number of consecutive responses with a gap in the event indexes.
     gaps: u32,
-    /// The last time at which the list is known to have been current: when the poll that confirmed it was sent.
+    /// The last time at which the list is known to have been current: when the poll that confirmed it was
+    /// sent.
     confirmed_at: Option<Duration>,
     /// When an outage of the coordinator was last logged.
     outage_logged_at: Duration,
@@ -125,8 +129,9 @@
         self.confirmed_at.is_some()
     }
 
-    /// Index of the event after which the next poll requests events. If the list was not confirmed recently, this is the event
-    /// before the last applied one: the coordinator then responds at once, and its response must contain the last one.
+    /// Index of the event after which the next poll requests events. If the list was not confirmed recently,
+    /// this is the event before the last applied one: the coordinator then responds at once, and its response
+    /// must contain the last one.
     fn next_follow_index(&self, now: Duration) -> u64 {
         let is_recently_confirmed = self.list_age(now).is_some_and(|age| age <= MAX_CONFIRMATION_AGE);
         if self.failures > 0 || !is_recently_confirmed {
@@ -142,7 +147,8 @@
             .min(MAX_POLL_GRACE)
     }
 
-    /// Records that a poll sent at `sent_at` confirmed the list. `is_empty` says that its response had no event.
+    /// Records that a poll sent at `sent_at` confirmed the list. `is_empty` says that its response had no
+    /// event.
     fn record_confirmation(&mut self, now: Duration, sent_at: Duration, is_empty: bool) {
         let pause = if is_empty {
             MIN_EMPTY_POLL_INTERVAL
@@ -163,24 +169,25 @@
     }
 
     /// Records a failed poll, and returns the number of consecutive failures before it.
-    fn record_failure(&mut self, now: Duration, why: PollFailure) -> u32 {
+    fn record_failure(&mut self, now: Duration, failure: PollFailure) -> u32 {
         let before = self.failures;
         let delay = RETRY_DELAY.saturating_mul(2_u32.saturating_pow(before));
         self.poll = None;
-        let delay = match why {
+        let delay = match failure {
             PollFailure::Unconfirmed => delay.max(MIN_EMPTY_POLL_INTERVAL),
             _ => delay,
         };
         self.next_poll_at = now + delay.min(MAX_RETRY_DELAY);
         self.failures += 1;
-        self.timeouts = match why {
+        self.timeouts = match failure {
             PollFailure::TimedOut => self.timeouts + 1,
             _ => 0,
         };
         before
     }
 
-    /// Records an unusable response. After [`MAX_GAPS`] consecutive gaps the next poll requests the whole list.
+    /// Records an unusable response. After [`MAX_GAPS`] consecutive gaps the next poll requests the whole
+    /// list.
     fn record_refusal(&mut self, error: &WatchError) {
         if let WatchError::Gap { .. } = error {
             self.gaps += 1;
@@ -236,15 +243,15 @@
         });
     }
 
-    fn poll_failed(&mut self, why: PollFailure) {
+    fn poll_failed(&mut self, failure: PollFailure) {
         let now = self.now();
-        let failures = self.coordinator.record_failure(now, why);
-        self.count_poll_failure(why);
+        let failures = self.coordinator.record_failure(now, failure);
+        self.count_poll_failure(failure);
         self.request_table
             .update_endpoints(now, EndpointListKind::Failed, Vec::new());
         self.carry_out();
         tracing::debug!(
-            %why,
+            why = %failure,
             failures,
             "poll of the coordinator failed, the list of workers is unchanged"
         );
@@ -253,7 +260,7 @@
         if failures == 0 {
             self.coordinator.outage_logged_at = now;
             tracing::info!(
-                %why,
+                why = %failure,
                 index,
                 ?age,
                 "poll of the coordinator failed, retrying"
@@ -262,7 +269,7 @@
             self.coordinator.outage_logged_at = now;
             let turned_away = self.turned_away_by_worker();
             tracing::info!(
-                %why,
+                why = %failure,
                 index,
                 ?age,
                 failures,
@@ -272,9 +279,9 @@
         }
     }
 
-    fn count_poll_failure(&mut self, why: PollFailure) {
+    fn count_poll_failure(&mut self, failure: PollFailure) {
         let polls = &mut self.counts.polls;
-        let count = match why {
+        let count = match failure {
             PollFailure::Refused => &mut polls.refused,
             PollFailure::Unconfirmed => &mut polls.unconfirmed,
             PollFailure::Status(_) => &mut polls.wrong_status,
@@ -284,7 +291,8 @@
         *count += 1;
     }
 
-    /// Workers that rejected attempts since the list was last confirmed, with the number of rejections, the largest first.
+    /// Workers that rejected attempts since the list was last confirmed, with the number of rejections, the
+    /// largest first.
     fn turned_away_by_worker(&self) -> Vec<(Rc<str>, u64)> {
         let turned_away = self.workers.iter().filter(|(_, worker)| worker.turned_away > 0);
         let mut counts: Vec<_> = turned_away
@@ -405,7 +413,8 @@
         };
         let endpoints = workers.iter().map(|update| update.listed.as_endpoint()).collect();
         self.request_table.update_endpoints(self.now(), kind, endpoints);
-        // Also if the worker is up again by the end of the event: the attempts were meant for the process before the restart.
+        // Also if the worker is up again by the end of the event: the attempts were meant for the process
+        // before the restart.
         for (request, attempt) in displaced {
             self.recall_attempt(request, attempt);
         }
@@ -429,7 +438,8 @@
         }
     }
 
-    /// Applies an event to the table of workers, and returns the attempts that must be recalled if they were not sent.
+    /// Applies an event to the table of workers, and returns the attempts that must be recalled if they were
+    /// not sent.
     fn update_workers(&mut self, workers: &[EndpointUpdate]) -> Vec<(RequestId, u32)> {
         let mut displaced = Vec::new();
         for EndpointUpdate { listed, address } in workers {
--- a/crates/quartzdrift/src/platform/counts.rs
+++ b/crates/quartzdrift/src/platform/counts.rs
@@ -6,10 +6,11 @@
 pub struct PollCounts {
     /// Polls whose response showed that the list is current.
     pub answered: u64,
-    /// Polls with a readable response that did not show that the list is current: it came before the end of the poll's wait
-    /// without an event, or lacked events.
+    /// Polls with a readable response that did not show that the list is current: it came before the end of
+    /// the poll's wait without an event, or lacked events.
     pub unconfirmed: u64,
-    /// Polls with an unusable response: malformed, with a gap in the event indexes, or older than the applied events.
+    /// Polls with an unusable response: malformed, with a gap in the event indexes, or older than the applied
+    /// events.
     pub refused: u64,
     /// Polls whose response had a status other than 200.
     pub wrong_status: u64,
--- a/crates/quartzdrift/src/platform/mod.rs
+++ b/crates/quartzdrift/src/platform/mod.rs
@@ -1,5 +1,6 @@
-//! A scheduler on the operators' platform: clients over FastCGI, workers over binary frames, and a coordinator whose events
-//! make up the list of workers. [`run`] starts one; [`Node`] is the state of its event loop.
+//! A scheduler on the operators' platform: clients over FastCGI, workers over binary frames, and a
+//! coordinator whose events make up the list of workers. [`run`] starts one; [`Node`] is the state of its
+//! event loop.
 //!
 //! * `node`: one turn of the loop, and the outputs of the request table.
 //! * `accept`, `client_connection`: accepting clients, reading their requests and keeping their deadlines.
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -1,4 +1,5 @@
-//! The state of the event loop: passes socket events to the request table, and carries out the table's outputs.
+//! The state of the event loop: passes socket events to the request table, and carries out the table's
+//! outputs.
 use super::client_connection::Client;
 use super::coordinator::Coordinator;
 use super::counts::Counts;
@@ -25,8 +26,9 @@
 /// Interval between two debug lines with the sizes of the tables.
 const TABLE_SIZES_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest time since the last socket check after which data is still sent. Past it, the loop first reads its clients: no
-/// attempt may start for a client that has disconnected since, and the remaining time of the others is shorter by now.
+/// Longest time since the last socket check after which data is still sent. Past it, the loop first reads its
+/// clients: no attempt may start for a client that has disconnected since, and the remaining time of the
+/// others is shorter by now.
 const MAX_SOCKET_CHECK_AGE: Duration = Duration::from_millis(40);
 
 /// State of a socket, by the kind of its peer.
@@ -37,8 +39,8 @@
     WorkerConnection(WorkerConnection),
 }
 
-/// The data that is sent to workers for a request, and the client that waits for its answer. It is the payload of the request
-/// table.
+/// The data that is sent to workers for a request, and the client that waits for its answer. It is the
+/// payload of the request table.
 #[derive(Debug)]
 pub struct RequestContext {
     /// Id that the client chose for the request.
@@ -118,7 +120,8 @@
                     request,
                     attempt,
                     function,
-                    // Counted from the table's time of the decision: the process may have had no processor since then.
+                    // Counted from the table's time of the decision: the process may have had no processor
+                    // since then.
                     deadline: self.request_table.now() + wait,
                     context: payload,
                     send_by,
@@ -142,7 +145,8 @@
                 self.request_table
                     .command_ended(self.now(), command, Outcome::NeverSent, 0, Vec::new());
             }
-            // There are no commands to recall, abandon or unload, and no peers; a poll of the coordinator is always open.
+            // There are no commands to recall, abandon or unload, and no peers; a poll of the coordinator is
+            // always open.
             Output::RecallCommand { .. }
             | Output::AbandonCommand { .. }
             | Output::Unload { .. }
@@ -154,7 +158,8 @@
 }
 
 impl Node {
-    /// Creates a scheduler with the list of workers in its configuration. A new configuration is read from `path`.
+    /// Creates a scheduler with the list of workers in its configuration. A new configuration is read from
+    /// `path`.
     pub fn new(config: Config, path: PathBuf, handle: LoopHandle<'static, Node>) -> Node {
         let limits = Limits {
             connections: 0,
@@ -239,9 +244,9 @@
         self.process_ready_sockets();
         self.process_overdue_sockets();
         let now = self.now();
-        // Before the request table's own deadlines: a request that arrived during the shutdown has the same deadline, and
-        // should be rejected, not time out, if none of it was sent.
-        self.conclude_for_shutdown(now);
+        // Before the request table's own deadlines: a request that arrived during the shutdown has the same
+        // deadline, and should be rejected, not time out, if none of it was sent.
+        self.conclude_open_requests(now);
         self.process_request_deadlines(now);
         self.maintain_poll(now);
         self.log_table_sizes(now);
@@ -249,8 +254,8 @@
         self.close_flushed_clients();
     }
 
-    /// Sends all buffered output. If the last socket check is too long ago, since the turn was long or the process had no
-    /// processor, the loop catches up first.
+    /// Sends all buffered output. If the last socket check is too long ago, since the turn was long or the
+    /// process had no processor, the loop catches up first.
     pub(super) fn flush(&mut self) {
         while let Some(id) = self.sockets.next_to_flush() {
             if !self.flush_in_time(id) {
@@ -259,16 +264,16 @@
         }
     }
 
-    /// Sends the buffered output of a socket while the last socket check is recent; returns whether it was recent enough.
-    /// Output that was not sent remains for the next [`Node::flush`].
+    /// Sends the buffered output of a socket while the last socket check is recent; returns whether it was
+    /// recent enough. Output that was not sent remains for the next [`Node::flush`].
     pub(super) fn flush_in_time(&mut self, id: SocketId) -> bool {
         self.recall_overdue_commands(id, self.now());
         let limit = self.loop_delay.last_socket_check() + MAX_SOCKET_CHECK_AGE;
         self.sockets.flush_one_by(id, Some(limit))
     }
 
-    /// Processes changes since the turn began: clients that have disconnected, deadlines that have passed, and the shorter
-    /// remaining time of commands that have not been sent yet.
+    /// Processes changes since the turn began: clients that have disconnected, deadlines that have passed,
+    /// and the shorter remaining time of commands that have not been sent yet.
     fn catch_up(&mut self) {
         self.loop_delay.sockets_checked(Instant::now());
         self.read_all_clients();
@@ -291,8 +296,8 @@
         }
     }
 
-    /// Processes clients before connections to workers: no command is sent for a client that has disconnected in the same
-    /// turn.
+    /// Processes clients before connections to workers: no command is sent for a client that has disconnected
+    /// in the same turn.
     fn process_ready_sockets(&mut self) {
         let ready = self.sockets.take_ready();
         let is_client = |id: &SocketId| {
@@ -332,8 +337,8 @@
         self.carry_out();
     }
 
-    /// Logs the sizes of the tables at the debug level: those of the request table beside those of the sockets, which must
-    /// agree.
+    /// Logs the sizes of the tables at the debug level: those of the request table beside those of the
+    /// sockets, which must agree.
     fn log_table_sizes(&mut self, now: Duration) {
         let is_due = now >= self.table_sizes_logged_at + TABLE_SIZES_LOG_INTERVAL;
         if !is_due || !tracing::enabled!(tracing::Level::DEBUG) {
@@ -373,8 +378,8 @@
         ]
     }
 
-    /// Starts a graceful shutdown (SIGTERM): new clients are still served for a while, and the process ends once every request
-    /// is answered, before SIGKILL is due.
+    /// Starts a graceful shutdown (SIGTERM): new clients are still served for a while, and the process ends
+    /// once every request is answered, before SIGKILL is due.
     pub fn start_shutdown(&mut self) {
         if self.shutdown.is_some() {
             return;
@@ -395,7 +400,7 @@
     }
 
     /// Gives every open request its final answer once the shutdown's answer deadline has passed.
-    fn conclude_for_shutdown(&mut self, now: Duration) {
+    fn conclude_open_requests(&mut self, now: Duration) {
         let is_due = self
             .shutdown
             .as_ref()
@@ -416,7 +421,8 @@
         self.carry_out();
     }
 
-    /// Carries out the current step of a shutdown, and returns whether the shutdown is complete. Call it after every turn.
+    /// Carries out the current step of a shutdown, and returns whether the shutdown is complete. Call it
+    /// after every turn.
     pub fn advance_shutdown(&mut self) -> bool {
         let now = self.now();
         let Some(shutdown) = &self.shutdown else {
@@ -435,7 +441,8 @@
         }
     }
 
-    /// Reloads the configuration (SIGHUP). The next poll goes to its coordinator; all other settings stay unchanged.
+    /// Reloads the configuration (SIGHUP). The next poll goes to its coordinator; all other settings stay
+    /// unchanged.
     pub fn reload(&mut self) {
         // Reading anything but a regular file, such as a FIFO, could block the event loop for ever.
         let is_regular_file = std::fs::metadata(&self.config_path)
@@ -447,7 +454,7 @@
         };
         match loaded.and_then(|bytes| quartzdrift_platform::config::read(&bytes)) {
             Ok(config) => self.switch_coordinator(config.coordinator, config.known),
-            Err(why) => tracing::warn!(why, "cannot reload the configuration; the old one stands"),
+            Err(error) => tracing::warn!(why = error, "cannot reload the configuration; the old one stands"),
         }
     }
 }
--- a/crates/quartzdrift/src/platform/notices.rs
+++ b/crates/quartzdrift/src/platform/notices.rs
@@ -1,4 +1,5 @@
-//! Logs the scheduler's notices on the endpoint list and on workers. Lines on workers are limited in number per second.
+//! Logs the scheduler's notices on the endpoint list and on workers. Lines on workers are limited in number
+//! per second.
 use super::Node;
 use quartzdrift_scheduler::interface::{Notice, WorkerStanding};
 use std::time::Duration;
@@ -19,7 +20,8 @@
 }
 
 impl NoticeRateLimit {
-    /// Returns the number of lines suppressed since the last one that was written, or `None` if this line is to be suppressed.
+    /// Returns the number of lines suppressed since the last one that was written, or `None` if this line is
+    /// to be suppressed.
     fn allow_line(&mut self, now: Duration) -> Option<u64> {
         if now >= self.window_start + WINDOW {
             self.window_start = now;
@@ -72,7 +74,8 @@
     fn log_standing(&mut self, worker: &str, standing: WorkerStanding) {
         self.counts.notices.count_standing(standing);
         if let Some(suppressed) = self.notice_limit.allow_line(self.now()) {
-            tracing::info!(%worker, ?standing, why = standing_reason(standing), suppressed, "worker standing changed");
+            let why = standing_reason(standing);
+            tracing::info!(%worker, ?standing, why, suppressed, "worker standing changed");
         }
     }
 }
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -1,5 +1,5 @@
-//! Admits clients' requests: checks their fields, submits them to the request table, and abandons those whose client has
-//! disconnected.
+//! Admits clients' requests: checks their fields, submits them to the request table, and abandons those whose
+//! client has disconnected.
 use super::client_connection::find_client;
 use super::{Node, RequestContext};
 use quartzdrift_fastcgi::Params;
@@ -10,9 +10,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest time after the start for which a scheduler reports that it is not ready because the coordinator has not confirmed
-/// the list of workers. Until then it can send to no worker, and other schedulers serve clients better. After that it reports
-/// that it is ready, since the platform counts a longer start as failed.
+/// Longest time after the start for which a scheduler reports that it is not ready because the coordinator
+/// has not confirmed the list of workers. Until then it can send to no worker, and other schedulers serve
+/// clients better. After that it reports that it is ready, since the platform counts a longer start as
+/// failed.
 const MAX_UNREADY_START: Duration = Duration::from_secs(5);
 /// Retry delay that clients receive when the request table is full.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(200);
@@ -46,8 +47,8 @@
 }
 
 impl Node {
-    /// Handles a complete request: answers a readiness check, and admits or refuses any other request. `arrived` is the
-    /// earliest time at which the request may have arrived, from which its deadline counts.
+    /// Handles a complete request: answers a readiness check, and admits or refuses any other request.
+    /// `arrived` is the earliest time at which the request may have arrived, from which its deadline counts.
     pub(super) fn handle_request(
         &mut self,
         client: SocketId,
@@ -90,8 +91,8 @@
         body: Vec<u8>,
         arrived: Instant,
     ) {
-        if let Some(&other) = self.open_by_client_id.get(&request.id) {
-            return self.reject_duplicate_id(socket, request_id, other);
+        if let Some(&open_request) = self.open_by_client_id.get(&request.id) {
+            return self.reject_duplicate_id(socket, request_id, open_request);
         }
         let context = RequestContext {
             client_request_id: request.id,
@@ -120,28 +121,29 @@
         }
     }
 
-    /// Refuses a request with the id of another open request, since workers could not tell the two apart. If both arrived on the
-    /// same connection, the open one is abandoned and answered with an error too.
-    fn reject_duplicate_id(&mut self, id: SocketId, request_id: u16, other: RequestId) {
+    /// Refuses a request with the id of another open request, since workers could not tell the two apart. If
+    /// both arrived on the same connection, the open one is abandoned and answered with an error too.
+    fn reject_duplicate_id(&mut self, socket: SocketId, request_id: u16, open_request: RequestId) {
         self.counts.invalid += 1;
-        self.respond(id, request_id, 409, "this id is open", None);
-        let Some(client) = find_client(&mut self.sockets, id) else {
+        self.respond(socket, request_id, 409, "this id is open", None);
+        let Some(client) = find_client(&mut self.sockets, socket) else {
             return;
         };
-        let first = client
+        let open_request_id = client
             .requests
             .iter()
-            .find(|(_, request)| **request == other)
+            .find(|(_, request)| **request == open_request)
             .map(|(request_id, _)| *request_id);
-        if let Some(first) = first {
-            client.requests.remove(&first);
-            self.abandon_request(other);
-            self.respond(id, first, 409, "this id came twice", None);
+        if let Some(open_request_id) = open_request_id {
+            client.requests.remove(&open_request_id);
+            self.abandon_request(open_request);
+            self.respond(socket, open_request_id, 409, "this id came twice", None);
         }
     }
 
-    /// Abandons a request for which no client waits any more. Unsent attempts are recalled regardless of the settings, so that
-    /// they never reach a worker; attempts in flight are cancelled if the settings allow it.
+    /// Abandons a request for which no client waits any more. Unsent attempts are recalled regardless of the
+    /// settings, so that they never reach a worker; attempts in flight are cancelled if the settings allow
+    /// it.
     pub(super) fn abandon_request(&mut self, request: RequestId) {
         let now = self.now();
         let may_cancel = self.config.settings.allowed.cancel;
--- a/crates/quartzdrift/src/platform/responses.rs
+++ b/crates/quartzdrift/src/platform/responses.rs
@@ -63,7 +63,8 @@
         self.write(socket, &output);
         match connection_fate {
             fastcgi::ConnectionFate::Close => self.close_when_flushed(socket),
-            // No further event may come from a client that does not read its answers, so its deadline is set here.
+            // No further event may come from a client that does not read its answers, so its deadline is set
+            // here.
             fastcgi::ConnectionFate::KeepOpen | fastcgi::ConnectionFate::UnknownRequest if has_unsent => {
                 self.update_client_deadline(socket);
             }
--- a/crates/quartzdrift/src/platform/run.rs
+++ b/crates/quartzdrift/src/platform/run.rs
@@ -11,11 +11,12 @@
 /// Environment variable that holds the path of the configuration file.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
 
-/// Runs a scheduler with the configuration that the environment names, and prints its listen address on standard output.
-/// Signals are blocked first, so that none of them ends the process while it starts.
+/// Runs a scheduler with the configuration that the environment names, and prints its listen address on
+/// standard output. Signals are blocked first, so that none of them ends the process while it starts.
 ///
 /// # Errors
-/// The configuration is missing or invalid, or the system refuses a signal descriptor, the event loop or the listener.
+/// The configuration is missing or invalid, or the system refuses a signal descriptor, the event loop or the
+/// listener.
 pub fn start() -> io::Result<()> {
     let signals =
         Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(io::Error::other)?;
@@ -36,7 +37,8 @@
         .and_then(quartzdrift_platform::config::load)
 }
 
-/// Serves with the configuration at `path` until the shutdown is complete. Calls `ready` with the listen address.
+/// Serves with the configuration at `path` until the shutdown is complete. Calls `ready` with the listen
+/// address.
 fn run(path: &Path, signals: Signals, ready: impl FnOnce(SocketAddr)) -> io::Result<()> {
     let config_error =
         |message: &str| io::Error::other(format!("cannot load configuration {}: {message}", path.display()));
--- a/crates/quartzdrift/src/platform/shutdown.rs
+++ b/crates/quartzdrift/src/platform/shutdown.rs
@@ -1,26 +1,28 @@
-//! The phases of a graceful shutdown and their deadlines, without I/O: the event loop requests the next step and carries it out.
+//! The phases of a graceful shutdown and their deadlines, without I/O: the event loop requests the next step
+//! and carries it out.
 //!
 //! ```text
 //! SIGTERM -> draining -> closing -> exit
 //! ```
 //!
-//! While draining, all clients are served. While closing, no connections are accepted, and each client's connection is closed
-//! when it is idle: every request that was read is answered, and a request that the client sends during the close is never
-//! read, so the client can safely send it to another scheduler. The process exits once no client is left, and in any phase
-//! before SIGKILL is due.
+//! While draining, all clients are served. While closing, no connections are accepted, and each client's
+//! connection is closed when it is idle: every request that was read is answered, and a request that the
+//! client sends during the close is never read, so the client can safely send it to another scheduler. The
+//! process exits once no client is left, and in any phase before SIGKILL is due.
 use std::time::Duration;
 
 /// Length of the drain phase after SIGTERM, if the kill deadline allows it.
 const DRAIN_WINDOW: Duration = Duration::from_millis(1200);
-/// Minimum length of the drain phase. Clients open new connections for up to 0.4 s after SIGTERM, and 0.2 s longer if they have
-/// none open (the platform's protocol); the remaining 0.05 s allow for a slow machine.
+/// Minimum length of the drain phase. Clients open new connections for up to 0.4 s after SIGTERM, and 0.2 s
+/// longer if they have none open (the platform's protocol); the remaining 0.05 s allow for a slow machine.
 const MIN_DRAIN_WINDOW: Duration = Duration::from_millis(650);
-/// SIGKILL may follow SIGTERM after this time plus the longest timeout of a request class (the platform's protocol).
-const KILL_DEADLINE: Duration = Duration::from_millis(700);
+/// SIGKILL may follow SIGTERM after this time plus the longest timeout of a request class (the platform's
+/// protocol).
+const KILL_DELAY: Duration = Duration::from_millis(700);
 /// Upper limit of a request class's timeout in the kill deadline (the platform's protocol).
 const MAX_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time reserved before SIGKILL to send the last answers and to exit on a slow machine. It is shorter if the timeouts are so
-/// short that the full margin would cut into the minimum drain phase.
+/// Time reserved before SIGKILL to send the last answers and to exit on a slow machine. It is shorter if the
+/// timeouts are so short that the full margin would cut into the minimum drain phase.
 const FLUSH_MARGIN: Duration = Duration::from_millis(200);
 /// Time before the answer deadline in which connections are closed as their last requests are answered.
 const CLOSING_SPAN: Duration = Duration::from_millis(100);
@@ -50,14 +52,14 @@
 }
 
 impl Shutdown {
-    /// Plans a shutdown that starts at `now`. `timeouts` are the timeouts of the request classes; `None` counts as
-    /// [`MAX_TIMEOUT`].
+    /// Plans a shutdown that starts at `now`. `timeouts` are the timeouts of the request classes; `None`
+    /// counts as [`MAX_TIMEOUT`].
     pub(super) fn new(now: Duration, timeouts: impl Iterator<Item = Option<Duration>>) -> Shutdown {
         let longest = timeouts
             .map(|timeout| timeout.unwrap_or(MAX_TIMEOUT))
             .max()
             .unwrap_or(MAX_TIMEOUT);
-        let kill_after = longest.min(MAX_TIMEOUT) + KILL_DEADLINE;
+        let kill_after = longest.min(MAX_TIMEOUT) + KILL_DELAY;
         let answer_after = kill_after.saturating_sub(FLUSH_MARGIN).max(MIN_DRAIN_WINDOW);
         let closing_after = answer_after.saturating_sub(CLOSING_SPAN).max(MIN_DRAIN_WINDOW);
         Shutdown {
--- a/crates/quartzdrift/src/platform/worker_connection.rs
+++ b/crates/quartzdrift/src/platform/worker_connection.rs
@@ -1,17 +1,20 @@
-//! A connection to a worker, and the commands that are open on it. No I/O.
+//! The state of a connection to a worker and of its open commands, without I/O.
 use super::RequestContext;
 use quartzdrift_scheduler::interface::RequestId;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Ids that a connection remembers to have carried; a second answer comes milliseconds after the first.
+/// Number of recent client request ids that a connection remembers. A duplicate answer comes milliseconds
+/// after the first.
 const MAX_RECENT_IDS: usize = 32;
 
-/// Where a frame lies among all bytes that a connection sends: its first byte, and the one after its last.
+/// Position of a frame in the byte stream that a connection sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FrameSpan {
+    /// Position of the first byte.
     pub(super) from: u64,
+    /// Position after the last byte.
     pub(super) to: u64,
 }
 
@@ -21,45 +24,45 @@
     }
 }
 
-/// An attempt on a connection, with what is needed to send it again where it never left.
+/// An attempt on a connection, with the data to send it again on another one if it was not sent.
 pub(super) struct Command {
     pub(super) request: RequestId,
     pub(super) attempt: u32,
     pub(super) function: Rc<str>,
-    /// When its answer is no longer waited for.
+    /// Time until which the request table waits for the answer.
     pub(super) deadline: Duration,
     pub(super) context: Rc<RequestContext>,
-    /// The last time at which its first byte may leave; `None`: any time.
+    /// Time before which the first byte must be sent; `None` if there is no such limit.
     pub(super) send_by: Option<Duration>,
-    /// Connections that were lost under it.
+    /// Number of connections that were lost while they carried this command.
     pub(super) lost_connections: u32,
-    /// Where its frame lies in all that the connection sends; `None` while the connection is not up.
+    /// Position of the command's frame; `None` while the connection is not up.
     pub(super) frame_span: Option<FrameSpan>,
 }
 
 impl Command {
-    /// Whether it is too late for its first byte to leave.
+    /// Whether the time in which the first byte may be sent is over.
     pub(super) fn is_overdue(&self, now: Duration) -> bool {
         self.send_by.is_some_and(|send_by| now >= send_by)
     }
 
-    /// Whether its whole frame is among the first `sent` bytes of the connection.
+    /// Whether the whole frame is within the first `sent` bytes of the connection.
     pub(super) fn is_fully_sent(&self, sent: u64) -> bool {
         self.frame_span.is_some_and(|span| span.to <= sent)
     }
 
-    /// Whether a byte of its frame is among the first `sent` bytes of the connection.
+    /// Whether at least one byte of the frame is within the first `sent` bytes of the connection.
     pub(super) fn has_sent_bytes(&self, sent: u64) -> bool {
         self.frame_span.is_some_and(|span| span.from < sent)
     }
 }
 
-/// Whether commands are written to a connection at once, or wait.
+/// Phase of a connection. Commands wait until it is up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionPhase {
     /// The TCP connection is being established.
     Connecting,
-    /// It was idle, and the worker is asked whether it still works.
+    /// A probe was sent after an idle time, and the worker has not answered yet.
     Verifying,
     /// Commands are written at once.
     Up,
@@ -69,16 +72,17 @@
 pub(crate) struct WorkerConnection {
     pub(super) worker: Rc<str>,
     pub(super) phase: ConnectionPhase,
-    /// Since when nothing is open on it.
+    /// When the last open command ended.
     pub(super) idle_since: Duration,
+    /// Open commands.
     pub(super) commands: Vec<Command>,
-    /// Ids of the last commands. An answer that comes late or twice under one of them could not be told from that of the
-    /// next command under it.
+    /// Client request ids of the most recent commands. A late or duplicate answer to one of them could be
+    /// mistaken for the answer to a new command with the same id.
     recent_ids: VecDeque<u64>,
 }
 
 impl WorkerConnection {
-    /// A connection to `worker` that is being established.
+    /// The state of a new connection to `worker`, which is being established.
     pub(super) fn new(worker: Rc<str>) -> WorkerConnection {
         WorkerConnection {
             worker,
@@ -89,37 +93,38 @@
         }
     }
 
-    /// Whether it is up and carries nothing.
+    /// Whether the connection is up and has no open command.
     pub(super) fn is_idle(&self) -> bool {
         self.phase == ConnectionPhase::Up && self.commands.is_empty()
     }
 
-    /// The index of an attempt among the commands.
+    /// The index of an attempt's command in `commands`.
     pub(super) fn position_of_attempt(&self, request: RequestId, attempt: u32) -> Option<usize> {
         self.commands
             .iter()
             .position(|command| (command.request, command.attempt) == (request, attempt))
     }
 
-    /// The index of the command that an answer under this id is for, if one has left whole. `sent`: bytes that have left.
+    /// The index in `commands` of the fully sent command with this client request id, which an answer with
+    /// the id belongs to. `sent` is the number of bytes sent on the connection.
     pub(super) fn position_of_sent(&self, id: u64, sent: u64) -> Option<usize> {
         self.commands
             .iter()
             .position(|command| command.context.client_request_id == id && command.is_fully_sent(sent))
     }
 
-    /// Whether a command went out under this id lately.
+    /// Whether a recent command had this client request id.
     pub(super) fn has_recent_id(&self, id: u64) -> bool {
         self.recent_ids.contains(&id)
     }
 
-    /// Remembers that a command goes out under this id.
+    /// Remembers the client request id of a command that is written.
     pub(super) fn remember_id(&mut self, id: u64) {
         self.recent_ids.truncate(MAX_RECENT_IDS - 1);
         self.recent_ids.push_front(id);
     }
 
-    /// Moves the frames behind a removed one to where they lie now.
+    /// Updates the positions of the frames after one that was removed from the output.
     pub(super) fn shift_frames_after(&mut self, removed: FrameSpan) {
         let spans = self
             .commands
--- a/crates/quartzdrift/src/platform/workers.rs
+++ b/crates/quartzdrift/src/platform/workers.rs
@@ -17,8 +17,9 @@
 }
 
 impl Node {
-    /// Adds a worker that the coordinator lists. If the worker has another address or start time than its current entry, the
-    /// entry is replaced, and the attempts on the connections of the old one are returned as by [`Node::remove_worker`].
+    /// Adds a worker that the coordinator lists. If the worker has another address or start time than its
+    /// current entry, the entry is replaced, and the attempts on the connections of the old one are returned
+    /// as by [`Node::remove_worker`].
     pub(super) fn add_or_replace_worker(
         &mut self,
         uid: &str,
@@ -39,8 +40,9 @@
         displaced
     }
 
-    /// Removes a worker, and returns the attempts on its connections. Attempts that were sent continue until they end; the
-    /// caller must recall the others after the scheduler has processed the change, so that they are scheduled again.
+    /// Removes a worker, and returns the attempts on its connections. Attempts that were sent continue until
+    /// they end; the caller must recall the others after the scheduler has processed the change, so that they
+    /// are scheduled again.
     pub(super) fn remove_worker(&mut self, uid: &str) -> Vec<(RequestId, u32)> {
         let Some(worker) = self.workers.remove(uid) else {
             return Vec::new();
