--- a/crates/quartzdrift-lab/src/emulate/returning.rs
+++ b/crates/quartzdrift-lab/src/emulate/returning.rs
@@ -3,7 +3,8 @@
 use super::{START, Sim};
 use crate::script::Spoil;
 use quartzdrift_recovery::{
-    Checkpoint, ClockSample, DiskState, LoadResult, Output, Recovery, RestartKind, Settings, StartupEvidence,
+    Checkpoint, ClockSample, DiskState, LoadResult, Recovery, RecoveryOutput, RecoverySettings, RestartKind,
+    StartupEvidence,
 };
 use quartzdrift_scheduler::measure::Measurements;
 use std::time::Duration;
@@ -38,7 +39,7 @@
 impl Sim<'_> {
     /// All machines run on the same clock, and one that was killed has started anew.
     fn moment(&self, s: usize) -> ClockSample {
-        let boot = format!("{s}-{}", self.schedulers[s].returning.starts);
+        let boot_id = format!("{s}-{}", self.schedulers[s].returning.starts);
         let (by, ahead) = self.schedulers[s].returning.clock;
         let wall = if ahead {
             self.now + by
@@ -47,7 +48,7 @@
         };
         ClockSample {
             wall,
-            boot,
+            boot_id,
             since_boot: BOOT,
         }
     }
@@ -75,10 +76,10 @@
                 StartupEvidence::without_checkpoint(disk, Vec::new(), moment)
             }
         };
-        let settings = Settings {
+        let settings = RecoverySettings {
             name,
             has_fleet: self.variant.members && now > START,
-            ask_timeout: ASK,
+            classification_timeout: ASK,
             max_duration: LONGEST,
             idempotency_keys_on_disk: false,
             load_quota_window: Duration::from_secs_f64(self.variant.load_window_s.max(0.0)),
@@ -179,22 +180,22 @@
         let outputs = machine.take_outputs();
         for output in outputs {
             match (output, &mut scheduler.fleet) {
-                (Output::Send { to, bytes }, Some(fleet)) => {
+                (RecoveryOutput::Send { to, bytes }, Some(fleet)) => {
                     fleet
                         .members
                         .send_message(&to, quartzdrift_recovery::RECOVERY_TOPIC, bytes);
                 }
-                (Output::Classified(restart), _) => {
+                (RecoveryOutput::Classified(restart), _) => {
                     scheduler.returning.judged = Some((self.now - scheduler.returning.since, restart.kind));
                 }
-                (Output::RestoreMeasurements, _) => {
+                (RecoveryOutput::RestoreMeasurements, _) => {
                     if let (Some(before), Some(request_table)) =
                         (scheduler.returning.measured.take(), &mut scheduler.request_table)
                     {
                         request_table.restore_measurements(self.now, before);
                     }
                 }
-                (Output::Send { .. } | Output::PhaseEntered(_), _) => {}
+                (RecoveryOutput::Send { .. } | RecoveryOutput::PhaseEntered(_), _) => {}
             }
         }
     }
--- a/crates/quartzdrift-recovery/src/lib.rs
+++ b/crates/quartzdrift-recovery/src/lib.rs
@@ -32,13 +32,14 @@
 pub use admission_ramp::{CacheState, CacheUpdate, LoadResult, RampView};
 pub use checkpoint::{Checkpoint, CheckpointNumber};
 pub use classification::{RestartClassification, RestartKind};
-pub use clock::{Age, ClockSample};
+pub use clock::{ClockSample, ElapsedTime};
 pub use evidence::{DiskState, StartupEvidence};
 pub use messages::{MemberStatus, MessageError, RECOVERY_TOPIC, RecoveryMessage};
 pub use phase::RecoveryPhase;
-pub use recovery::{Output, Recovery};
+pub use recovery::{Recovery, RecoveryOutput};
 pub use restore_policy::{
-    RestoreDecision, RestoreRow, StateItem, repeats_are_detected, restore_decisions, waiting_may_have_run,
+    RestoreDecision, RestoreRow, StateItem, repeats_are_detected, restore_decisions,
+    waiting_requests_may_have_run,
 };
-pub use settings::Settings;
-pub use view::View;
+pub use settings::RecoverySettings;
+pub use view::RecoveryView;
