--- a/crates/quartzdrift-platform/src/attempt_outcome/tests.rs
+++ b/crates/quartzdrift-platform/src/attempt_outcome/tests.rs
@@ -1,21 +1,25 @@
 use super::*;
 
 #[test]
-fn only_what_cannot_have_run_is_told_as_such() {
-    let harmless = [
+fn outcomes_that_exclude_execution_are_given_only_to_unexecuted_attempts() {
+    let not_executed = [
         Outcome::CacheMiss,
         Outcome::AtCapacity,
         Outcome::NeverSent,
         Outcome::ConnectFailed,
     ];
-    for code in [Code::Miss, Code::Full, Code::Over] {
+    for code in [
+        AnswerCode::CacheMiss,
+        AnswerCode::AtCapacity,
+        AnswerCode::AlreadyConcluded,
+    ] {
         assert!(
-            from_answer(code).is_some_and(|outcome| harmless.contains(&outcome)),
+            from_answer(code).is_some_and(|outcome| not_executed.contains(&outcome)),
             "{code:?}"
         );
     }
-    assert_eq!(from_answer(Code::Error), Some(Outcome::Error));
-    assert_eq!(from_answer(Code::Alive), None);
+    assert_eq!(from_answer(AnswerCode::Error), Some(Outcome::Error));
+    assert_eq!(from_answer(AnswerCode::Alive), None);
     assert_eq!(
         (
             from_loss(ConnectionLoss::NotSent),
--- a/crates/quartzdrift-recovery/src/classification.rs
+++ b/crates/quartzdrift-recovery/src/classification.rs
@@ -1,5 +1,5 @@
 //! Kinds of restart, distinguished by what was found on disk and by what other members answer.
-use crate::clock::Age;
+use crate::clock::ElapsedTime;
 use crate::evidence::{DiskState, StartupEvidence};
 use crate::messages::MemberStatus;
 use serde::{Deserialize, Serialize};
@@ -171,7 +171,7 @@
 fn knows_later_checkpoint(evidence: &StartupEvidence, answers: &[MemberAnswer]) -> bool {
     let checkpoint = evidence.checkpoint.as_ref();
     let own_start = checkpoint.map_or(0, |own| own.starts);
-    let own_checkpoint = checkpoint.map_or(0, |own| own.checkpoints);
+    let own_checkpoint = checkpoint.map_or(0, |own| own.checkpoint_count);
     answers
         .iter()
         .any(|answer| answer.known_start == own_start && answer.known_checkpoint > own_checkpoint)
@@ -179,8 +179,10 @@
 
 /// How long we were down before this start.
 fn downtime(evidence: &StartupEvidence, disk: DiskState) -> Duration {
-    match evidence.age() {
-        Some(Age::Monotonic(age) | Age::WallClock(age)) if disk == DiskState::Intact => age + DOWNTIME_SLACK,
+    match evidence.checkpoint_age() {
+        Some(ElapsedTime::Monotonic(age) | ElapsedTime::WallClock(age)) if disk == DiskState::Intact => {
+            age + DOWNTIME_SLACK
+        }
         Some(_) | None => DEFAULT_DOWNTIME,
     }
 }
--- a/crates/quartzdrift-recovery/src/recovery.rs
+++ b/crates/quartzdrift-recovery/src/recovery.rs
@@ -12,15 +12,15 @@
 use crate::evidence::{DiskState, StartupEvidence};
 use crate::phase::RecoveryPhase;
 use crate::restore_policy::{self, RestoreRow};
-use crate::settings::Settings;
-use crate::view::View;
+use crate::settings::RecoverySettings;
+use crate::view::RecoveryView;
 use members::{AskedMember, CheckpointNotice, PresentStart};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// What the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Output {
+pub enum RecoveryOutput {
     /// A message is to be sent to a member, under [`RECOVERY_TOPIC`](crate::RECOVERY_TOPIC).
     Send {
         /// The member's name.
@@ -39,7 +39,7 @@
 /// The recovery of one scheduler.
 #[derive(Debug)]
 pub struct Recovery {
-    settings: Settings,
+    settings: RecoverySettings,
     evidence: StartupEvidence,
     started_at: Duration,
     /// The number of this start.
@@ -50,7 +50,7 @@
     /// When the phase may end, as far as it ends by time.
     phase_check_at: Duration,
     /// When the last mass failure ended.
-    restored_at: Option<Duration>,
+    mass_failure_ended_at: Option<Duration>,
     /// No prefetch before then: the last run may have spent the load quota.
     prefetch_from: Duration,
     /// When measurements from before a mass failure may be restored: what the last run spent of the slow-start budget is
@@ -60,15 +60,15 @@
     measurements_scheduled: bool,
     stopped_cleanly: bool,
     /// Checkpoints written by this start.
-    checkpoints: u64,
+    checkpoint_count: u64,
     /// The checkpoint that members are notified of next.
     notice: CheckpointNotice,
     /// The highest start that each member reported.
-    seen_starts: BTreeMap<String, u64>,
+    reported_starts: BTreeMap<String, u64>,
     /// The present start of each member that reported one to this start.
     present_starts: BTreeMap<String, PresentStart>,
     /// The latest checkpoint that each member reported; stored for them.
-    seen_checkpoints: BTreeMap<String, CheckpointNumber>,
+    reported_checkpoints: BTreeMap<String, CheckpointNumber>,
     /// Members that are asked: those known before the start and those met since.
     asked: BTreeMap<String, AskedMember>,
     /// Members met since the start.
@@ -76,12 +76,12 @@
     /// Limits loads of functions after a mass failure.
     ramp: Option<AdmissionRamp>,
     backlog: BacklogDrain,
-    outputs: Vec<Output>,
+    outputs: Vec<RecoveryOutput>,
 }
 
 impl Recovery {
-    /// The recovery of a scheduler that starts at `now`, by the steady clock ([`ClockSample::steady`]).
-    pub fn new(settings: Settings, evidence: StartupEvidence, now: Duration) -> Recovery {
+    /// The recovery of a scheduler that starts at `now`, by the steady clock ([`ClockSample::steady_time`]).
+    pub fn new(settings: RecoverySettings, evidence: StartupEvidence, now: Duration) -> Recovery {
         let checkpoint = evidence.checkpoint.clone().unwrap_or_default();
         let last_store_start = settings.store_start.unwrap_or(0);
         let mut recovery = Recovery {
@@ -97,15 +97,15 @@
             phase_since: now,
             phase_check_at: now,
             // In the future it cannot be: the clock was not known then.
-            restored_at: checkpoint.restored_at.map(|at| at.min(now)),
+            mass_failure_ended_at: checkpoint.mass_failure_ended_at.map(|at| at.min(now)),
             restore_measurements_at: None,
             measurements_scheduled: false,
             stopped_cleanly: false,
-            checkpoints: 0,
+            checkpoint_count: 0,
             notice: CheckpointNotice::new(now),
-            seen_starts: checkpoint.seen_starts,
+            reported_starts: checkpoint.reported_starts,
             present_starts: BTreeMap::new(),
-            seen_checkpoints: checkpoint.seen_checkpoints,
+            reported_checkpoints: checkpoint.reported_checkpoints,
             met: BTreeSet::new(),
             ramp: None,
             outputs: Vec::new(),
@@ -145,17 +145,17 @@
             stopped_cleanly: self.stopped_cleanly,
             classified: self.classification.is_some(),
             taken_at,
-            restored_at: self.restored_at,
-            seen_starts: self.seen_starts.clone(),
-            checkpoints: self.checkpoints,
-            seen_checkpoints: self.seen_checkpoints.clone(),
+            mass_failure_ended_at: self.mass_failure_ended_at,
+            reported_starts: self.reported_starts.clone(),
+            checkpoint_count: self.checkpoint_count,
+            reported_checkpoints: self.reported_checkpoints.clone(),
         }
     }
 
     /// What operators see.
-    pub fn view(&self, now: Duration) -> View {
+    pub fn view(&self, now: Duration) -> RecoveryView {
         let is_draining = self.phase == RecoveryPhase::Backlog;
-        View {
+        RecoveryView {
             starts: self.starts,
             phase: self.phase,
             phase_seconds: now.saturating_sub(self.phase_since).as_secs(),
@@ -184,7 +184,7 @@
     }
 
     /// Takes what is to be carried out.
-    pub fn take_outputs(&mut self) -> Vec<Output> {
+    pub fn take_outputs(&mut self) -> Vec<RecoveryOutput> {
         std::mem::take(&mut self.outputs)
     }
 
@@ -195,7 +195,7 @@
 }
 
 /// The last run may have gone on after its last checkpoint, but not into this one: its load quota's window is over by then.
-fn prefetch_from(settings: &Settings, evidence: &StartupEvidence, now: Duration) -> Duration {
+fn prefetch_from(settings: &RecoverySettings, evidence: &StartupEvidence, now: Duration) -> Duration {
     match evidence.disk {
         DiskState::Empty => now,
         _ => now + settings.load_quota_window,
--- a/crates/quartzdrift-recovery/src/recovery/admission.rs
+++ b/crates/quartzdrift-recovery/src/recovery/admission.rs
@@ -1,7 +1,7 @@
 //! What is admitted in the current phase, and what a restart allows to be repeated.
 use super::Recovery;
 use crate::admission_ramp::{Admission, LoadResult};
-use crate::clock::Age;
+use crate::clock::ElapsedTime;
 use crate::phase::RecoveryPhase;
 use crate::restore_policy;
 use std::time::Duration;
@@ -55,7 +55,7 @@
         if self.classification.is_none() {
             return Some(DEFAULT_RETRY_AFTER);
         }
-        let end = self.restored_at? + window;
+        let end = self.mass_failure_ended_at? + window;
         (now < end).then(|| end - now)
     }
 
@@ -68,11 +68,11 @@
     }
 
     /// Whether a request that the store shows as waiting may have executed all the same.
-    pub fn waiting_may_have_run(&self) -> bool {
+    pub fn waiting_requests_may_have_run(&self) -> bool {
         let store_start = self.settings.store_start;
-        self.classification
-            .as_ref()
-            .is_none_or(|classification| restore_policy::waiting_may_have_run(classification, store_start))
+        self.classification.as_ref().is_none_or(|classification| {
+            restore_policy::waiting_requests_may_have_run(classification, store_start)
+        })
     }
 
     /// Whether the stored measurements are still needed: they are to be restored, or it is not known yet whether they are.
@@ -82,11 +82,11 @@
 
     /// The part of the downtime that only the wall clock tells of: it may have been set ahead.
     pub fn unproven_downtime(&self) -> Duration {
-        match self.evidence.age() {
-            Some(age @ Age::WallClock(claimed)) => {
-                claimed.saturating_sub(age.lower_bound(&self.evidence.now))
+        match self.evidence.checkpoint_age() {
+            Some(age @ ElapsedTime::WallClock(claimed)) => {
+                claimed.saturating_sub(age.lower_bound(&self.evidence.clock_at_start))
             }
-            Some(Age::Monotonic(_) | Age::AtLeast(_)) | None => Duration::ZERO,
+            Some(ElapsedTime::Monotonic(_) | ElapsedTime::AtLeast(_)) | None => Duration::ZERO,
         }
     }
 
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -8,8 +8,8 @@
 use quartzdrift_async_queue::RestoreContext;
 use quartzdrift_lifecycle::FinalAnswer;
 use quartzdrift_recovery::{
-    Checkpoint, ClockSample, DiskState, LoadResult, Output, RECOVERY_TOPIC, Recovery, RecoveryPhase,
-    RestartClassification, RestartKind, Settings as RecoverySettings, StartupEvidence,
+    Checkpoint, ClockSample, DiskState, LoadResult, RECOVERY_TOPIC, Recovery, RecoveryOutput, RecoveryPhase,
+    RecoverySettings, RestartClassification, RestartKind, StartupEvidence,
 };
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, Idempotency};
 use quartzdrift_wal::{DirectoryStorage, InvocationRecord};
@@ -137,7 +137,7 @@
     RecoverySettings {
         name: scheduler_name(settings),
         has_fleet: settings.fleet.is_some(),
-        ask_timeout: settings.recovery.ask,
+        classification_timeout: settings.recovery.ask,
         max_duration: settings.recovery.longest,
         idempotency_keys_on_disk: settings.recovery.idempotency_keys_on_disk,
         load_quota_window: scheduler.copies.load_quota_window.unwrap_or_default(),
@@ -152,7 +152,7 @@
 fn log_evidence(evidence: &StartupEvidence) {
     let disk = evidence.disk;
     let was_clean = evidence.ended_cleanly();
-    let age = match evidence.age() {
+    let age = match evidence.checkpoint_age() {
         Some(age) => format!("Some({age})"),
         None => "None".to_owned(),
     };
@@ -281,13 +281,13 @@
         };
         for output in recovery.machine.take_outputs() {
             match output {
-                Output::Send { to, bytes } => self.send_to_member(&to, RECOVERY_TOPIC, bytes),
-                Output::Classified(classification) => self.restart_classified(&classification),
-                Output::PhaseEntered(phase) => {
+                RecoveryOutput::Send { to, bytes } => self.send_to_member(&to, RECOVERY_TOPIC, bytes),
+                RecoveryOutput::Classified(classification) => self.restart_classified(&classification),
+                RecoveryOutput::PhaseEntered(phase) => {
                     tracing::info!(stage = %phase, "service returns");
                     self.write_checkpoint();
                 }
-                Output::RestoreMeasurements => self.restore_measurements(),
+                RecoveryOutput::RestoreMeasurements => self.restore_measurements(),
             }
         }
         self.limit_asynchronous();
@@ -353,7 +353,7 @@
         let machine = &recovery.machine;
         let context = RestoreContext {
             keys_remembered: machine.repeats_are_detected(),
-            earlier_copy: machine.waiting_may_have_run(),
+            earlier_copy: machine.waiting_requests_may_have_run(),
         };
         let unproven_downtime = machine.unproven_downtime();
         self.restore(requests, context, unproven_downtime);
--- a/crates/quartzdrift/src/platform/answers.rs
+++ b/crates/quartzdrift/src/platform/answers.rs
@@ -5,7 +5,7 @@
 use quartzdrift_http::sockets::SocketId;
 use quartzdrift_lifecycle::AttemptResult;
 use quartzdrift_platform::attempt_outcome::{self, ConnectionLoss};
-use quartzdrift_platform::frame::{self, Answer, Code, Unreadable};
+use quartzdrift_platform::frame::{self, Answer, AnswerCode, FrameError};
 use quartzdrift_platform::report;
 use quartzdrift_scheduler::interface::{CacheResult, Outcome, ReportField, RequestId};
 
@@ -29,7 +29,7 @@
     /// The worker has answered the probe of a connection that is being verified.
     is_verified: bool,
     /// Error of the malformed data that follows the complete answers.
-    unreadable: Option<Unreadable>,
+    unreadable: Option<FrameError>,
 }
 
 impl Node {
@@ -117,7 +117,7 @@
         loop {
             match frame::read(&input[received.consumed_bytes..]) {
                 Ok(Some(answer)) => {
-                    received.consumed_bytes += answer.length;
+                    received.consumed_bytes += answer.frame_bytes;
                     received.add(&answer, connection, sent, report_fields);
                 }
                 Ok(None) => return received,
@@ -141,14 +141,14 @@
             self.is_verified |= connection.phase == ConnectionPhase::Verifying;
             return;
         };
-        let Some(index) = connection.position_of_sent(answer.id, sent) else {
+        let Some(index) = connection.position_of_sent(answer.request_id, sent) else {
             self.unmatched += 1;
             return;
         };
         self.attempts.push(AnsweredAttempt {
             command: connection.commands.swap_remove(index),
             result: attempt_result(outcome, answer, report_fields),
-            body: (answer.code == Code::Done).then(|| answer.body.to_vec()),
+            body: (answer.code == AnswerCode::Succeeded).then(|| answer.body.to_vec()),
         });
     }
 }
--- a/crates/quartzdrift/src/platform/commands.rs
+++ b/crates/quartzdrift/src/platform/commands.rs
@@ -220,7 +220,7 @@
             frame::write(
                 output,
                 frame::FROM_SCHEDULER,
-                frame::GIVE_UP,
+                frame::CANCEL,
                 command.context.client_request_id,
                 b"",
                 b"",
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -57,7 +57,7 @@
                 || self.worker_connection_count < self.budget.workers || self.close_longest_idle(worker);
             match connection_choice::choose(&states, streams, may_connect) {
                 ConnectionChoice::Use(index) => {
-                    let is_idle = states[index].open == 0 && states[index].up;
+                    let is_idle = states[index].open_attempts == 0 && states[index].is_up;
                     if is_idle && self.is_closed_by_worker(sockets[index]) {
                         self.request_table.worker_disconnected(self.now(), worker);
                         self.close_connection(sockets[index]);
@@ -76,12 +76,12 @@
     fn connection_state(&self, socket: SocketId, id: u64) -> ConnectionState {
         match self.sockets.get(socket).map(|socket| &socket.state) {
             Some(Peer::WorkerConnection(connection)) if !connection.has_recent_id(id) => ConnectionState {
-                open: connection.commands.len(),
-                up: connection.phase == ConnectionPhase::Up,
+                open_attempts: connection.commands.len(),
+                is_up: connection.phase == ConnectionPhase::Up,
             },
             Some(Peer::WorkerConnection(_) | Peer::Client(_)) | None => ConnectionState {
-                open: usize::MAX,
-                up: false,
+                open_attempts: usize::MAX,
+                is_up: false,
             },
         }
     }
@@ -127,14 +127,7 @@
         };
         connection.phase = ConnectionPhase::Verifying;
         if let Some(output) = self.sockets.output(id) {
-            frame::write(
-                output,
-                frame::FROM_SCHEDULER,
-                frame::ASK_ALIVE,
-                request_id,
-                b"",
-                b"",
-            );
+            frame::write(output, frame::FROM_SCHEDULER, frame::PING, request_id, b"", b"");
         }
         self.sockets.set_deadline(id, Some(self.connect_timeout()));
     }
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use quartzdrift_http::{CallId, Failure, Headers, Outgoing, Response};
 use quartzdrift_platform::coordinator::{
-    EndpointChange, EndpointUpdate, EndpointWatch, Reading, WatchError, WatchResponse,
+    AppliedResponse, EndpointChange, EndpointUpdate, EndpointWatch, WatchError, WatchResponse,
 };
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, RequestId};
 use std::collections::HashSet;
@@ -52,7 +52,7 @@
 
 impl Poll {
     /// Whether a response that arrived at `now` shows that the list is current once its changes are applied.
-    fn is_confirmed_by(&self, reading: &Reading, now: Duration) -> bool {
+    fn is_confirmed_by(&self, reading: &AppliedResponse, now: Duration) -> bool {
         let waited = now.saturating_sub(self.sent_at) >= POLL_WAIT.mul_f64(MIN_WAIT_FRACTION);
         reading.is_current && (waited || !reading.is_empty)
     }
@@ -121,7 +121,7 @@
 
     /// Index of the last applied event.
     pub(super) fn index(&self) -> u64 {
-        self.watch.last()
+        self.watch.last_index()
     }
 
     /// Whether a poll has confirmed the list since the start.
@@ -135,9 +135,9 @@
     fn next_follow_index(&self, now: Duration) -> u64 {
         let is_recently_confirmed = self.list_age(now).is_some_and(|age| age <= MAX_CONFIRMATION_AGE);
         if self.failures > 0 || !is_recently_confirmed {
-            self.watch.before_last()
+            self.watch.index_before_last()
         } else {
-            self.watch.last()
+            self.watch.last_index()
         }
     }
 
@@ -228,7 +228,7 @@
         };
         let call = self.http.call(self.coordinator.address, request);
         let sent_at = self.now();
-        let repeats_last_event = follow_from < self.coordinator.watch.last();
+        let repeats_last_event = follow_from < self.coordinator.watch.last_index();
         let wait = if repeats_last_event {
             Duration::ZERO
         } else {
@@ -255,7 +255,7 @@
             failures,
             "poll of the coordinator failed, the list of workers is unchanged"
         );
-        let index = self.coordinator.watch.last();
+        let index = self.coordinator.watch.last_index();
         let age = self.coordinator.list_age(now);
         if failures == 0 {
             self.coordinator.outage_logged_at = now;
@@ -308,7 +308,7 @@
         let now = self.now();
         self.counts.polls.answered += 1;
         if self.coordinator.failures > 0 {
-            let (index, failures) = (self.coordinator.watch.last(), self.coordinator.failures);
+            let (index, failures) = (self.coordinator.watch.last_index(), self.coordinator.failures);
             let age = self.coordinator.list_age(now);
             let turned_away = self.turned_away_by_worker();
             tracing::info!(
@@ -336,10 +336,12 @@
             return self.poll_failed(PollFailure::Status(answer.status));
         }
         let settings = &self.config.settings;
-        let result =
-            self.coordinator
-                .watch
-                .read(&answer.body, poll.follow_from, &settings.zones, &settings.kinds);
+        let result = self.coordinator.watch.apply_response(
+            &answer.body,
+            poll.follow_from,
+            &settings.zones,
+            &settings.kinds,
+        );
         match result {
             Ok(reading) => {
                 let is_confirmed = poll.is_confirmed_by(&reading, self.now());
@@ -374,7 +376,7 @@
         let applied = self
             .coordinator
             .watch
-            .take(known, &settings.zones, &settings.kinds);
+            .apply(known, &settings.zones, &settings.kinds);
         match applied {
             Ok(changes) => self.apply_changes(changes),
             Err(error) => tracing::warn!(?error, "cannot apply the list of workers in the configuration"),
@@ -400,18 +402,24 @@
     }
 
     fn apply_change(&mut self, change: EndpointChange) {
-        let EndpointChange { all, mut workers } = change;
-        if all {
+        let EndpointChange {
+            is_full_list,
+            mut workers,
+        } = change;
+        if is_full_list {
             keep_last_entries(&mut workers);
             self.remove_unlisted_workers(&workers);
         }
         let displaced = self.update_workers(&workers);
-        let kind = if all {
+        let kind = if is_full_list {
             EndpointListKind::Full
         } else {
             EndpointListKind::Changes
         };
-        let endpoints = workers.iter().map(|update| update.listed.as_endpoint()).collect();
+        let endpoints = workers
+            .iter()
+            .map(|update| update.endpoint.as_endpoint())
+            .collect();
         self.request_table.update_endpoints(self.now(), kind, endpoints);
         // Also if the worker is up again by the end of the event: the attempts were meant for the process
         // before the restart.
@@ -425,7 +433,7 @@
     fn remove_unlisted_workers(&mut self, listed: &[EndpointUpdate]) {
         let listed_uids: HashSet<&str> = listed
             .iter()
-            .map(|update| update.listed.worker.as_str())
+            .map(|update| update.endpoint.worker.as_str())
             .collect();
         let gone: Vec<Rc<str>> = self
             .workers
@@ -442,12 +450,16 @@
     /// not sent.
     fn update_workers(&mut self, workers: &[EndpointUpdate]) -> Vec<(RequestId, u32)> {
         let mut displaced = Vec::new();
-        for EndpointUpdate { listed, address } in workers {
-            match (listed.state, address) {
+        for EndpointUpdate { endpoint, address } in workers {
+            match (endpoint.state, address) {
                 (EndpointState::Up | EndpointState::Draining, Some(address)) => {
-                    displaced.extend(self.add_or_replace_worker(&listed.worker, *address, listed.started));
+                    displaced.extend(self.add_or_replace_worker(
+                        &endpoint.worker,
+                        *address,
+                        endpoint.started,
+                    ));
                 }
-                (EndpointState::Gone, _) => displaced.extend(self.remove_worker(&listed.worker)),
+                (EndpointState::Gone, _) => displaced.extend(self.remove_worker(&endpoint.worker)),
                 (EndpointState::Up | EndpointState::Draining, None) => {}
             }
         }
@@ -459,5 +471,5 @@
 fn keep_last_entries(workers: &mut Vec<EndpointUpdate>) {
     let mut seen_uids = HashSet::new();
     workers.reverse();
-    workers.retain(|update| seen_uids.insert(update.listed.worker.clone()));
+    workers.retain(|update| seen_uids.insert(update.endpoint.worker.clone()));
 }
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -15,7 +15,7 @@
 use quartzdrift_http::sockets::{SocketId, Sockets};
 use quartzdrift_http::{HasHttp, Http, HttpEvent, Limits};
 use quartzdrift_lifecycle::{Output, RequestTable};
-use quartzdrift_platform::budget::Budget;
+use quartzdrift_platform::budget::ConnectionBudget;
 use quartzdrift_platform::config::Config;
 use quartzdrift_scheduler::interface::{EndpointListKind, Outcome, RequestId};
 use std::collections::HashMap;
@@ -66,7 +66,7 @@
     /// HTTP calls, all of them to the coordinator.
     pub(super) http: Http<Node>,
     pub(super) request_table: RequestTable<Rc<RequestContext>>,
-    pub(super) budget: Budget,
+    pub(super) budget: ConnectionBudget,
     /// Open connections of clients.
     pub(super) client_count: usize,
     /// Earliest time at which a connection that still waits to be accepted may have arrived.
@@ -173,7 +173,7 @@
             sockets: Sockets::new(handle.clone(), |node| &mut node.sockets),
             http: Http::new(handle, limits),
             request_table: RequestTable::new(&config.settings, config.seed),
-            budget: Budget::of(config.sockets),
+            budget: ConnectionBudget::divide(config.max_descriptors),
             client_count: 0,
             unaccepted_since: None,
             flushing_clients: Vec::new(),
@@ -191,7 +191,7 @@
             config,
         };
         node.started_at = node.now();
-        let known = node.config.known.clone();
+        let known = node.config.known_events.clone();
         node.request_table
             .update_endpoints(node.now(), EndpointListKind::Snapshot, Vec::new());
         node.apply_configured_list(known);
@@ -452,8 +452,8 @@
             true => run::load(&self.config_path),
             false => Err(format!("{} is not a regular file", self.config_path.display())),
         };
-        match loaded.and_then(|bytes| quartzdrift_platform::config::read(&bytes)) {
-            Ok(config) => self.switch_coordinator(config.coordinator, config.known),
+        match loaded.and_then(|bytes| quartzdrift_platform::config::parse(&bytes)) {
+            Ok(config) => self.switch_coordinator(config.coordinator, config.known_events),
             Err(error) => tracing::warn!(why = error, "cannot reload the configuration; the old one stands"),
         }
     }
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -36,13 +36,13 @@
     Ok(RequestFields {
         path: params.text("SCRIPT_NAME"),
         id: params.text("HTTP_X_REQUEST_ID"),
-        time: params.text("HTTP_X_TIMEOUT_MS"),
+        timeout_ms: params.text("HTTP_X_TIMEOUT_MS"),
         function: params.text("HTTP_X_OBJECT"),
         idempotency_key: optional_param(params, "HTTP_IDEMPOTENCY_KEY", FieldError::IdempotencyKey)?,
         tenant: optional_param(params, "HTTP_X_TENANT", FieldError::Tenant)?,
         resource_hints: optional_param(params, "HTTP_X_SPEC", FieldError::ResourceHints)?,
-        length: optional_param(params, "CONTENT_LENGTH", FieldError::Length)?,
-        body,
+        content_length: optional_param(params, "CONTENT_LENGTH", FieldError::Length)?,
+        body_bytes: body,
     })
 }
 
@@ -173,10 +173,10 @@
         tenant: request.tenant,
         function: request.function.into(),
         left: time_remaining,
-        work_hint: request.work,
+        work_hint: request.work_hint,
         memory_mb: request.memory_mb,
         concurrency_slots: request.concurrency_slots,
-        load_hint: request.load,
+        load_hint: request.load_hint,
         is_retry: false,
         writes: false,
         payload: Rc::new(context),
--- a/crates/quartzdrift/src/platform/run.rs
+++ b/crates/quartzdrift/src/platform/run.rs
@@ -34,7 +34,7 @@
 pub(super) fn load(path: &Path) -> Result<Vec<u8>, String> {
     std::fs::File::open(path)
         .map_err(|e| e.to_string())
-        .and_then(quartzdrift_platform::config::load)
+        .and_then(quartzdrift_platform::config::read_bytes)
 }
 
 /// Serves with the configuration at `path` until the shutdown is complete. Calls `ready` with the listen
@@ -42,19 +42,19 @@
 fn run(path: &Path, signals: Signals, ready: impl FnOnce(SocketAddr)) -> io::Result<()> {
     let config_error =
         |message: &str| io::Error::other(format!("cannot load configuration {}: {message}", path.display()));
-    let config = load(path).and_then(|bytes| quartzdrift_platform::config::read(&bytes));
+    let config = load(path).and_then(|bytes| quartzdrift_platform::config::parse(&bytes));
     let mut config = config.map_err(|e| config_error(&e))?;
     // The limit of the process may be below the configured number of sockets, or below the default number.
     let granted = getrlimit(Resource::Nofile)
         .current
         .map_or(usize::MAX, |most| most as usize);
-    if granted < config.sockets {
+    if granted < config.max_descriptors {
         tracing::info!(
-            configured = config.sockets,
+            configured = config.max_descriptors,
             granted,
             "the descriptor limit of the process is below the configured number of sockets"
         );
-        config.sockets = granted;
+        config.max_descriptors = granted;
     }
     let mut event_loop = EventLoop::<Node>::try_new().map_err(io::Error::other)?;
     let handle = event_loop.handle();
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -5,7 +5,7 @@
 use quartzdrift_async_queue::{Destination, StoredInvocation};
 use quartzdrift_discovery::{KnownNames, list};
 use quartzdrift_forecast::Forecasts;
-use quartzdrift_recovery::{Checkpoint, RecoveryPhase, RestartKind, View};
+use quartzdrift_recovery::{Checkpoint, RecoveryPhase, RecoveryView, RestartKind};
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
 use quartzdrift_scheduler::measure::Measurements;
 use quartzdrift_wal::{DirectoryStorage, Inspection, InvocationRecord, Log, LogRecord, inspect};
@@ -183,16 +183,16 @@
             checkpoint.starts,
             checkpoint.stopped_cleanly,
             checkpoint.classified,
-            checkpoint.checkpoints
+            checkpoint.checkpoint_count
         ),
         ("a", 1, false, true, 4)
     );
     assert_eq!(
-        (checkpoint.taken_at.since_boot, checkpoint.seen_starts["b"]),
+        (checkpoint.taken_at.since_boot, checkpoint.reported_starts["b"]),
         (Duration::from_millis(831_480), 1)
     );
     is_written_again(snapshots::CHECKPOINT, &serde_json::to_vec(&checkpoint).unwrap());
-    let view: View = serde_json::from_slice(&last(snapshots::RECOVERY_VIEW)).unwrap();
+    let view: RecoveryView = serde_json::from_slice(&last(snapshots::RECOVERY_VIEW)).unwrap();
     assert_eq!(
         (
             view.phase,
