--- a/crates/quartzdrift-schedules/src/lib.rs
+++ b/crates/quartzdrift-schedules/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Schedules::new`] takes the schedules of the settings, and the time up to which an earlier process has triggered them or
 //! that of this start. [`Schedules::take_due`] returns what triggers now. A trigger becomes an ordinary invocation;
-//! [`Schedules::completed`] reports its end, for schedules that may not overlap.
+//! [`Schedules::record_completion`] reports its end, for schedules that may not overlap.
 //!
 //! A trigger *misfires* where it is taken later than [`MISFIRE_THRESHOLD`]: the process was busy, asleep or down, or the clock
 //! was set forward. In the hour that a time zone repeats in autumn a time of day occurs once; in the hour that it skips in
@@ -15,6 +15,6 @@
 mod schedules;
 mod trigger;
 
-pub use schedule::{MisfirePolicy, Schedule, ScheduleError, cron, zone};
+pub use schedule::{MisfirePolicy, Schedule, ScheduleError, parse_cron, parse_time_zone};
 pub use schedules::{MISFIRE_THRESHOLD, Schedules};
 pub use trigger::{DueTriggers, ScheduleWarning, Trigger};
--- a/crates/quartzdrift-schedules/src/schedule.rs
+++ b/crates/quartzdrift-schedules/src/schedule.rs
@@ -27,13 +27,13 @@
     /// The expression, of five fields, or six with seconds first.
     pub cron: Cron,
     /// The time zone of the expression.
-    pub zone: Tz,
+    pub time_zone: Tz,
     /// Each trigger is delayed by a random part of this.
     pub jitter: Duration,
     /// What to do about triggers that misfired.
     pub misfire_policy: MisfirePolicy,
     /// Whether it may trigger while an earlier invocation has not completed.
-    pub overlap: bool,
+    pub allow_overlap: bool,
 }
 
 /// Why a schedule's text cannot be read.
@@ -41,7 +41,7 @@
 pub enum ScheduleError {
     /// The text is not a cron expression.
     #[error("'{expression}' is no cron expression: {reason}")]
-    Cron {
+    InvalidCron {
         /// The text.
         expression: String,
         /// What the cron library says of it.
@@ -49,15 +49,15 @@
     },
     /// The text is not the name of a time zone.
     #[error("'{0}' is no time zone of the tz database, like Europe/Amsterdam")]
-    Zone(String),
+    UnknownTimeZone(String),
 }
 
 /// Parses a cron expression of five fields, or six with seconds first.
 ///
 /// # Errors
-/// [`ScheduleError::Cron`].
-pub fn cron(expression: &str) -> Result<Cron, ScheduleError> {
-    expression.parse().map_err(|reason| ScheduleError::Cron {
+/// [`ScheduleError::InvalidCron`].
+pub fn parse_cron(expression: &str) -> Result<Cron, ScheduleError> {
+    expression.parse().map_err(|reason| ScheduleError::InvalidCron {
         expression: expression.to_owned(),
         reason,
     })
@@ -66,9 +66,10 @@
 /// Parses the name of a time zone of the tz database, like `Europe/Amsterdam`.
 ///
 /// # Errors
-/// [`ScheduleError::Zone`].
-pub fn zone(name: &str) -> Result<Tz, ScheduleError> {
-    name.parse().map_err(|_| ScheduleError::Zone(name.to_owned()))
+/// [`ScheduleError::UnknownTimeZone`].
+pub fn parse_time_zone(name: &str) -> Result<Tz, ScheduleError> {
+    name.parse()
+        .map_err(|_| ScheduleError::UnknownTimeZone(name.to_owned()))
 }
 
 impl Schedule {
@@ -78,7 +79,7 @@
         let after = DateTime::<Utc>::from_timestamp(seconds, after.subsec_nanos())?;
         let next = self
             .cron
-            .find_next_occurrence(&after.with_timezone(&self.zone), false)
+            .find_next_occurrence(&after.with_timezone(&self.time_zone), false)
             .ok()?;
         let seconds = u64::try_from(next.with_timezone(&Utc).timestamp()).ok()?;
         Some(Duration::from_secs(seconds))
--- a/crates/quartzdrift-schedules/src/schedules.rs
+++ b/crates/quartzdrift-schedules/src/schedules.rs
@@ -74,7 +74,7 @@
     }
 
     /// An invocation that a schedule triggered has completed.
-    pub fn completed(&mut self, name: &str) {
+    pub fn record_completion(&mut self, name: &str) {
         let index = self.schedules.iter().position(|schedule| schedule.name == name);
         if let Some(running) = index.and_then(|index| self.running.get_mut(&index)) {
             *running = running.saturating_sub(1);
@@ -127,7 +127,7 @@
     fn trigger(&mut self, index: usize, scheduled_for: Duration, due: &mut DueTriggers) {
         let schedule = &self.schedules[index];
         let running = self.running.entry(index).or_default();
-        if *running > 0 && !schedule.overlap {
+        if *running > 0 && !schedule.allow_overlap {
             due.warnings.push(ScheduleWarning::Overlapped {
                 schedule: schedule.name.clone(),
                 scheduled_for,
--- a/crates/quartzdrift-schedules/src/schedules/tests.rs
+++ b/crates/quartzdrift-schedules/src/schedules/tests.rs
@@ -4,15 +4,15 @@
 use chrono::DateTime;
 use std::time::Duration;
 
-fn schedule(cron: &str, zone: &str, misfire_policy: MisfirePolicy, overlap: bool) -> Schedule {
+fn schedule(cron: &str, zone: &str, misfire_policy: MisfirePolicy, allow_overlap: bool) -> Schedule {
     Schedule {
         name: "t".into(),
         function: "f".into(),
-        cron: schedule::cron(cron).unwrap(),
-        zone: schedule::zone(zone).unwrap(),
+        cron: schedule::parse_cron(cron).unwrap(),
+        time_zone: schedule::parse_time_zone(zone).unwrap(),
         jitter: Duration::ZERO,
         misfire_policy,
-        overlap,
+        allow_overlap,
     }
 }
 
@@ -119,7 +119,7 @@
         schedules.take_due(second).warnings[..],
         [ScheduleWarning::Overlapped { .. }]
     ));
-    schedules.completed("t");
+    schedules.record_completion("t");
     let third = schedules.next_due().unwrap();
     assert_eq!(schedules.take_due(third).triggers.len(), 1);
 }
--- a/crates/quartzdrift/src/gateway/asynchronous.rs
+++ b/crates/quartzdrift/src/gateway/asynchronous.rs
@@ -153,7 +153,7 @@
             Some(NextStep::Retry { at }) => tracing::debug!(id = id.0, ?at, "deferred job waits again"),
             Some(NextStep::Completed(completed)) => {
                 if let Some(schedule) = &completed.invocation.schedule {
-                    self.schedules.completed(schedule);
+                    self.schedules.record_completion(schedule);
                 }
                 if completed.condition != Condition::Success {
                     let function = &completed.invocation.function;
--- a/crates/quartzdrift/src/gateway/schedules.rs
+++ b/crates/quartzdrift/src/gateway/schedules.rs
@@ -57,7 +57,7 @@
                 why = ?reason,
                 "a firing was lost: no room for deferred jobs"
             );
-            self.schedules.completed(&trigger.schedule);
+            self.schedules.record_completion(&trigger.schedule);
         }
     }
 }
--- a/crates/quartzdrift/src/settings/check/schedules.rs
+++ b/crates/quartzdrift/src/settings/check/schedules.rs
@@ -57,10 +57,10 @@
 
 /// Parses the cron expression and the time zone; both are reported where both are wrong.
 fn parse_schedule(timer: &Timer, position: Range<usize>, errors: &mut ErrorCollector) -> Option<Schedule> {
-    let cron = quartzdrift_schedules::cron(&timer.cron).map_err(|error| {
+    let cron = quartzdrift_schedules::parse_cron(&timer.cron).map_err(|error| {
         errors.add(position.clone(), error.to_string(), "write like \"*/5 * * * *\"");
     });
-    let zone = quartzdrift_schedules::zone(&timer.zone).map_err(|error| {
+    let zone = quartzdrift_schedules::parse_time_zone(&timer.zone).map_err(|error| {
         errors.add(
             position.clone(),
             error.to_string(),
@@ -71,10 +71,10 @@
         name: timer.name.clone(),
         function: timer.function.clone(),
         cron: cron.ok()?,
-        zone: zone.ok()?,
+        time_zone: zone.ok()?,
         jitter: timer.jitter.map_or(Duration::ZERO, |jitter| jitter.0),
         misfire_policy: misfire_policy(timer.missed),
-        overlap: timer.overlap,
+        allow_overlap: timer.overlap,
     })
 }
 
