--- a/crates/quartzdrift-forecast/src/forecasts/mod.rs
+++ b/crates/quartzdrift-forecast/src/forecasts/mod.rs
@@ -23,24 +23,24 @@
 
 /// Bounds and times of the forecasts.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct ForecastSettings {
     /// Maximum functions with a history.
-    pub functions: usize,
+    pub max_functions: usize,
     /// Least keep-alive of an idle copy.
-    pub keep: Duration,
+    pub keep_alive: Duration,
     /// Duration of a load where a function's is not known.
-    pub load: Duration,
+    pub default_load: Duration,
     /// Lengths of the seasons, like a day and a week.
     pub seasons: Vec<Duration>,
 }
 
-impl Default for Settings {
-    fn default() -> Settings {
+impl Default for ForecastSettings {
+    fn default() -> ForecastSettings {
         let day = Duration::from_secs(86_400);
-        Settings {
-            functions: 100_000,
-            keep: Duration::from_secs(8),
-            load: Duration::from_secs(1),
+        ForecastSettings {
+            max_functions: 100_000,
+            keep_alive: Duration::from_secs(8),
+            default_load: Duration::from_secs(1),
             seasons: vec![day, day * 7],
         }
     }
@@ -48,7 +48,7 @@
 
 /// A use that is expected.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Expected {
+pub struct ExpectedUse {
     /// The function's name.
     pub function: String,
     /// The span from now on in which the use is expected.
@@ -58,7 +58,7 @@
     /// Rate of use just after now, where the predictor has one.
     pub requests_per_second: Option<f64>,
     /// The predictor that spoke for the function.
-    pub by: Predictor,
+    pub predictor: Predictor,
 }
 
 /// What is recorded of one function.
@@ -81,42 +81,42 @@
 /// Scores of the forecasts against those of baselines, each gap scored before it was learnt. Means of ranked probability
 /// scores: 0 is best.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct ForecastScores {
     /// Gaps that were scored.
-    pub gaps: u64,
+    pub scored_gaps: u64,
     /// Score of the predictors that spoke for their functions.
     pub chosen: f64,
     /// Score of "as long as the last gap".
-    pub last: f64,
+    pub last_gap_baseline: f64,
     /// Score of "a use is always near".
-    pub always: f64,
+    pub always_near_baseline: f64,
 }
 
-impl Standing {
+impl ForecastScores {
     fn add(&mut self, score: GapScore) {
-        self.join(Standing {
-            gaps: 1,
+        self.merge(ForecastScores {
+            scored_gaps: 1,
             chosen: score.chosen,
-            last: score.last,
-            always: score.always,
+            last_gap_baseline: score.last,
+            always_near_baseline: score.always,
         });
     }
 
     /// Combines the means of both, weighted by their gaps.
-    pub fn join(&mut self, other: Standing) {
-        self.gaps += other.gaps;
-        let weight = other.gaps as f64 / self.gaps.max(1) as f64;
+    pub fn merge(&mut self, other: ForecastScores) {
+        self.scored_gaps += other.scored_gaps;
+        let weight = other.scored_gaps as f64 / self.scored_gaps.max(1) as f64;
         self.chosen += (other.chosen - self.chosen) * weight;
-        self.last += (other.last - self.last) * weight;
-        self.always += (other.always - self.always) * weight;
+        self.last_gap_baseline += (other.last_gap_baseline - self.last_gap_baseline) * weight;
+        self.always_near_baseline += (other.always_near_baseline - self.always_near_baseline) * weight;
     }
 }
 
 /// Histories and forecasts of all functions.
 pub struct Forecasts {
-    settings: Settings,
+    settings: ForecastSettings,
     /// Scores since the start; not part of a snapshot.
-    pub standing: Standing,
+    pub scores: ForecastScores,
     pub(crate) tracks: BTreeMap<String, Track>,
     /// When a forecast is made for which function.
     planned: BTreeSet<(Duration, String)>,
@@ -125,10 +125,10 @@
 
 impl Forecasts {
     /// Forecasts without any history.
-    pub fn new(settings: Settings) -> Forecasts {
+    pub fn new(settings: ForecastSettings) -> Forecasts {
         Forecasts {
             settings,
-            standing: Standing::default(),
+            scores: ForecastScores::default(),
             tracks: BTreeMap::new(),
             planned: BTreeSet::new(),
             order: UseOrder::default(),
@@ -146,7 +146,7 @@
     }
 
     /// Functions by the predictor that speaks for them, for reports.
-    pub fn chosen(&self) -> BTreeMap<Predictor, usize> {
+    pub fn functions_by_predictor(&self) -> BTreeMap<Predictor, usize> {
         let mut counts = BTreeMap::new();
         for (predictor, _) in self.tracks.values().filter_map(|track| track.history.best()) {
             *counts.entry(predictor).or_insert(0) += 1;
@@ -155,15 +155,15 @@
     }
 
     /// A request of the function came.
-    pub fn used(&mut self, now: Duration, function: &str) {
+    pub fn record_use(&mut self, now: Duration, function: &str) {
         self.unlist(function);
         let track = self.tracks.entry(function.to_owned()).or_default();
         if track.history.uses == SEASON_USES {
             track.history.seasons = self.settings.seasons.iter().copied().map(Season::new).collect();
         }
-        let short = self.settings.keep.mul_f64(SHORT_GAP);
+        let short = self.settings.keep_alive.mul_f64(SHORT_GAP);
         if let Some(score) = track.history.record_use(now, short) {
-            self.standing.add(score);
+            self.scores.add(score);
         }
         track.forecast_at = None;
         track.planned = 0;
@@ -172,21 +172,21 @@
     }
 
     /// A load of the function took this long.
-    pub fn load_took(&mut self, function: &str, duration: Duration) {
+    pub fn record_load_duration(&mut self, function: &str, duration: Duration) {
         if let Some(track) = self.tracks.get_mut(function) {
             track.load_us = duration.as_micros() as u64;
         }
     }
 
     /// The configured duration of a load of the function, which applies until one was measured.
-    pub fn load_hint(&mut self, function: &str, load: Duration) {
+    pub fn set_load_hint(&mut self, function: &str, load: Duration) {
         if let Some(track) = self.tracks.get_mut(function).filter(|track| track.load_us == 0) {
             track.load_us = load.as_micros() as u64;
         }
     }
 
     /// Makes no forecast for the function before this time, as earlier ones led to nothing.
-    pub fn quiet(&mut self, function: &str, until: Duration) {
+    pub fn start_quiet_period(&mut self, function: &str, until: Duration) {
         if let Some(track) = self.tracks.get_mut(function) {
             track.quiet_until = until;
         }
@@ -199,7 +199,7 @@
 
     /// Makes the forecasts that are due, and returns those that are probable enough. Each is returned once, until its
     /// function is used or its span is over.
-    pub fn due(&mut self, now: Duration) -> Vec<Expected> {
+    pub fn due(&mut self, now: Duration) -> Vec<ExpectedUse> {
         let mut expected = Vec::new();
         while let Some((at, function)) = self.planned.pop_first() {
             if at > now {
@@ -218,7 +218,12 @@
 }
 
 /// The forecast for a function, if it is probable enough.
-fn forecast(settings: &Settings, track: &Track, function: &str, now: Duration) -> Option<Expected> {
+fn forecast(
+    settings: &ForecastSettings,
+    track: &Track,
+    function: &str,
+    now: Duration,
+) -> Option<ExpectedUse> {
     let history = &track.history;
     let (predictor, _) = history.best()?;
     if track.quiet_until > now {
@@ -230,11 +235,11 @@
     if probability < MIN_PROBABILITY {
         return None;
     }
-    Some(Expected {
+    Some(ExpectedUse {
         function: function.to_owned(),
         within,
         probability,
         requests_per_second: history.rate(predictor, now),
-        by: predictor,
+        predictor,
     })
 }
--- a/crates/quartzdrift-forecast/src/forecasts/planning.rs
+++ b/crates/quartzdrift-forecast/src/forecasts/planning.rs
@@ -1,5 +1,5 @@
 //! When a forecast for a function is worthwhile: before a use may come, with time left to load the function or to renew a copy.
-use super::{Forecasts, MIN_PROBABILITY, Settings, Track};
+use super::{ForecastSettings, Forecasts, MIN_PROBABILITY, Track};
 use crate::history::History;
 use crate::predictor::Predictor;
 use std::time::Duration;
@@ -28,13 +28,13 @@
 }
 
 impl Timing {
-    pub(super) fn of(settings: &Settings, track: &Track) -> Timing {
+    pub(super) fn of(settings: &ForecastSettings, track: &Track) -> Timing {
         Timing {
-            keep_alive: settings.keep.as_secs_f64(),
+            keep_alive: settings.keep_alive.as_secs_f64(),
             load: if track.load_us > 0 {
                 track.load_us as f64 / 1e6
             } else {
-                settings.load.as_secs_f64()
+                settings.default_load.as_secs_f64()
             },
         }
     }
--- a/crates/quartzdrift-forecast/src/forecasts/retention.rs
+++ b/crates/quartzdrift-forecast/src/forecasts/retention.rs
@@ -51,8 +51,8 @@
             return;
         };
         self.order.insert(last_use(track, function), track.history.uses);
-        let max_met_once = ((self.settings.functions as f64 * NEW_SHARE) as usize).max(1);
-        while self.order.len() > self.settings.functions.max(1) {
+        let max_met_once = ((self.settings.max_functions as f64 * NEW_SHARE) as usize).max(1);
+        while self.order.len() > self.settings.max_functions.max(1) {
             if let Some((_, oldest)) = self.order.pop_oldest(max_met_once) {
                 self.forget(&oldest);
             }
--- a/crates/quartzdrift-forecast/src/forecasts/tests.rs
+++ b/crates/quartzdrift-forecast/src/forecasts/tests.rs
@@ -1,11 +1,11 @@
-use super::{Forecasts, Settings};
+use super::{ForecastSettings, Forecasts};
 use crate::predictor::Predictor;
 use std::time::Duration;
 
-fn forecasts(functions: usize) -> Forecasts {
-    Forecasts::new(Settings {
-        functions,
-        ..Settings::default()
+fn forecasts(max_functions: usize) -> Forecasts {
+    Forecasts::new(ForecastSettings {
+        max_functions,
+        ..ForecastSettings::default()
     })
 }
 
@@ -15,7 +15,7 @@
 fn a_regular_use_is_expected_in_time_to_load_and_not_permanently() {
     let mut all = forecasts(10);
     for n in 0..10u32 {
-        all.used(START + Duration::from_secs(60) * n, "t");
+        all.record_use(START + Duration::from_secs(60) * n, "t");
     }
     let last = START + Duration::from_secs(540);
     let mut expected = Vec::new();
@@ -29,23 +29,29 @@
         "{at:?}"
     );
     assert!(expected.iter().any(|(_, e)| e.probability > 0.8), "{expected:?}");
-    assert_eq!((first.function.as_str(), first.by), ("t", Predictor::Regular));
+    assert_eq!(
+        (first.function.as_str(), first.predictor),
+        ("t", Predictor::Regular)
+    );
     // For regular gaps "as long as the last gap" is nearly right, and "a use is always near" is not.
-    let standing = all.standing;
+    let scores = all.scores;
+    assert!(
+        scores.scored_gaps > 4 && scores.chosen < 0.1 * scores.always_near_baseline,
+        "{scores:?}"
+    );
     assert!(
-        standing.gaps > 4 && standing.chosen < 0.1 * standing.always,
-        "{standing:?}"
+        scores.last_gap_baseline < scores.always_near_baseline,
+        "{scores:?}"
     );
-    assert!(standing.last < standing.always, "{standing:?}");
 }
 
 #[test]
 fn a_scan_of_functions_used_once_displaces_none_that_is_in_use() {
     let mut all = forecasts(40);
     for n in 0..5 {
-        (0..20).for_each(|f| all.used(START + Duration::from_secs(n), &format!("f{f}")));
+        (0..20).for_each(|f| all.record_use(START + Duration::from_secs(n), &format!("f{f}")));
     }
-    (0..1000).for_each(|n| all.used(START + Duration::from_secs(10 + n), &format!("scan{n}")));
+    (0..1000).for_each(|n| all.record_use(START + Duration::from_secs(10 + n), &format!("scan{n}")));
     assert!((0..20).all(|f| all.tracks.contains_key(&format!("f{f}"))));
     assert!(all.len() <= 40 && all.planned.len() <= 40);
 }
@@ -54,9 +60,9 @@
 fn a_quiet_function_is_not_forecast() {
     let mut all = forecasts(10);
     for n in 0..10u32 {
-        all.used(START + Duration::from_secs(60) * n, "t");
+        all.record_use(START + Duration::from_secs(60) * n, "t");
     }
-    all.quiet("t", START + Duration::from_secs(3600));
+    all.start_quiet_period("t", START + Duration::from_secs(3600));
     while let Some(at) = all
         .next_due()
         .filter(|at| *at < START + Duration::from_secs(3000))
@@ -72,7 +78,7 @@
         let mut all = forecasts(8);
         for (ms, function) in uses {
             let now = START + Duration::from_millis(ms);
-            all.used(now, &format!("f{function}"));
+            all.record_use(now, &format!("f{function}"));
             let mut turns = 0;
             while let Some(at) = all.next_due().filter(|at| *at < now + Duration::from_secs(20)) {
                 for use_expected in all.due(at) {
--- a/crates/quartzdrift-forecast/src/ledger.rs
+++ b/crates/quartzdrift-forecast/src/prefetch_tracker.rs
@@ -18,9 +18,9 @@
 /// Maximum prefetches whose use is awaited.
 const MAX_PENDING: usize = 10_000;
 
-/// Sums over prefetches.
+/// PrefetchTotals over prefetches.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sums {
+pub struct PrefetchTotals {
     /// Load commands sent.
     pub commands: u64,
     /// Commands that fetched from the origin store; the others found the copy cached.
@@ -49,7 +49,7 @@
 /// The account of one function.
 #[derive(Clone, Debug, Default)]
 struct Account {
-    sums: Sums,
+    totals: PrefetchTotals,
     /// Recent prefetches that the share of unused ones rests on.
     recent: u32,
     recent_unused_share: f64,
@@ -85,44 +85,44 @@
 
 /// What became of all prefetches.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct PrefetchTracker {
     keep_alive: Duration,
-    total: Sums,
+    totals: PrefetchTotals,
     accounts: BTreeMap<String, Account>,
     pending: BTreeMap<String, Pending>,
     /// The pending prefetches by expiry, which the event loop asks for on every turn.
     expiries: BTreeSet<(Duration, String)>,
 }
 
-impl Ledger {
+impl PrefetchTracker {
     /// An empty ledger. A prefetch counts as unused after `keep_alive` without a use.
-    pub fn new(keep_alive: Duration) -> Ledger {
-        Ledger {
+    pub fn new(keep_alive: Duration) -> PrefetchTracker {
+        PrefetchTracker {
             keep_alive,
-            ..Ledger::default()
+            ..PrefetchTracker::default()
         }
     }
 
-    /// Sums over all functions.
-    pub fn sums(&self) -> Sums {
-        self.total
+    /// PrefetchTotals over all functions.
+    pub fn totals(&self) -> PrefetchTotals {
+        self.totals
     }
 
-    /// Sums by function; the least recently changed functions may be missing.
-    pub fn by_function(&self) -> impl Iterator<Item = (&str, Sums)> {
+    /// PrefetchTotals by function; the least recently changed functions may be missing.
+    pub fn totals_by_function(&self) -> impl Iterator<Item = (&str, PrefetchTotals)> {
         self.accounts
             .iter()
-            .map(|(function, account)| (function.as_str(), account.sums))
+            .map(|(function, account)| (function.as_str(), account.totals))
     }
 
-    /// When [`Ledger::due`] has the next prefetch to close.
+    /// When [`PrefetchTracker::due`] has the next prefetch to close.
     pub fn next_due(&self) -> Option<Duration> {
         self.expiries.first().map(|(expires_at, _)| *expires_at)
     }
 
     /// A load command was sent.
-    pub fn ordered(&mut self, now: Duration, function: &str, memory_mb: f64) {
-        self.add(function, now, |sums| sums.commands += 1);
+    pub fn record_load_command(&mut self, now: Duration, function: &str, memory_mb: f64) {
+        self.add(function, now, |totals| totals.commands += 1);
         if self.pending.len() >= MAX_PENDING || self.pending.contains_key(function) {
             return;
         }
@@ -139,14 +139,14 @@
     }
 
     /// A load command was answered. `fetched`: it took as long as a load, so that the copy had not been cached.
-    pub fn loaded(&mut self, now: Duration, function: &str, succeeded: bool, fetched: bool) {
+    pub fn record_load_end(&mut self, now: Duration, function: &str, succeeded: bool, fetched: bool) {
         if !succeeded {
-            self.add(function, now, |sums| sums.failed += 1);
+            self.add(function, now, |totals| totals.failed += 1);
             self.close(function);
             return;
         }
         if fetched {
-            self.add(function, now, |sums| sums.fetches += 1);
+            self.add(function, now, |totals| totals.fetches += 1);
         }
         let expires_at = now + self.keep_alive;
         if let Some(pending) = self.pending.get_mut(function) {
@@ -160,7 +160,7 @@
     }
 
     /// A request of the function came, which a prefetch may have been for.
-    pub fn used(&mut self, now: Duration, function: &str) {
+    pub fn record_use(&mut self, now: Duration, function: &str) {
         let Some(pending) = self.close(function) else {
             return;
         };
@@ -168,10 +168,10 @@
             .loaded_at
             .map_or(Duration::ZERO, |loaded_at| now.saturating_sub(loaded_at));
         let avoided_wait = pending.avoided_wait(now).as_secs_f64();
-        self.add(function, now, |sums| {
-            sums.used += 1;
-            sums.mb_seconds += pending.memory_mb * unused_for.as_secs_f64();
-            sums.avoided_wait_seconds += avoided_wait;
+        self.add(function, now, |totals| {
+            totals.used += 1;
+            totals.mb_seconds += pending.memory_mb * unused_for.as_secs_f64();
+            totals.avoided_wait_seconds += avoided_wait;
         });
         if let Some(account) = self.accounts.get_mut(function) {
             account.learn_used();
@@ -197,9 +197,9 @@
     fn expire(&mut self, now: Duration, function: String) -> Option<QuietPeriod> {
         let pending = self.close(&function)?;
         let held = pending.memory_mb * self.keep_alive.as_secs_f64();
-        self.add(&function, now, |sums| {
-            sums.unused += 1;
-            sums.mb_seconds += held;
+        self.add(&function, now, |totals| {
+            totals.unused += 1;
+            totals.mb_seconds += held;
         });
         let quiet_for = self.accounts.get_mut(&function)?.learn_unused()?;
         Some(QuietPeriod {
@@ -209,13 +209,13 @@
     }
 
     /// Changes the sums of a function, and the total.
-    fn add(&mut self, function: &str, now: Duration, change: impl Fn(&mut Sums)) {
-        change(&mut self.total);
+    fn add(&mut self, function: &str, now: Duration, change: impl Fn(&mut PrefetchTotals)) {
+        change(&mut self.totals);
         if !self.accounts.contains_key(function) && self.accounts.len() >= MAX_ACCOUNTS {
             self.drop_oldest_account();
         }
         let account = self.accounts.entry(function.to_owned()).or_default();
-        change(&mut account.sums);
+        change(&mut account.totals);
         account.changed_at = now;
     }
 
--- a/crates/quartzdrift-forecast/src/snapshot.rs
+++ b/crates/quartzdrift-forecast/src/snapshot.rs
@@ -5,7 +5,7 @@
 //! ```
 //!
 //! Numbers are little-endian, the checksum is CRC-32 (ISO-HDLC).
-use crate::forecasts::{Forecasts, Settings, Track};
+use crate::forecasts::{ForecastSettings, Forecasts, Track};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -30,16 +30,16 @@
 pub enum SnapshotError {
     /// The bytes are not a snapshot.
     #[error("it is no snapshot of forecasts")]
-    Foreign,
+    NotASnapshot,
     /// A release with this other format version wrote it.
     #[error("it is of version {0}, and {VERSION} is read here")]
-    Version(u32),
+    UnsupportedVersion(u32),
     /// The content is damaged.
     #[error("its checksum does not fit")]
     Corrupt,
     /// It is older than fourteen days.
     #[error("it is too old to say anything of today")]
-    Old,
+    TooOld,
     /// It is more than five minutes newer than now.
     #[error("it was written later than now")]
     FromTheFuture,
@@ -61,7 +61,11 @@
     ///
     /// # Errors
     /// The reason for which the snapshot cannot be used.
-    pub fn restore(settings: Settings, bytes: &[u8], now: Duration) -> Result<Forecasts, SnapshotError> {
+    pub fn restore(
+        settings: ForecastSettings,
+        bytes: &[u8],
+        now: Duration,
+    ) -> Result<Forecasts, SnapshotError> {
         let body = checked_body(bytes)?;
         let (written_at, tracks): (Duration, BTreeMap<String, Track>) =
             serde_json::from_slice(body).map_err(|_| SnapshotError::Corrupt)?;
@@ -69,7 +73,7 @@
             return Err(SnapshotError::FromTheFuture);
         }
         if written_at + MAX_AGE < now {
-            return Err(SnapshotError::Old);
+            return Err(SnapshotError::TooOld);
         }
         let mut forecasts = Forecasts::new(settings);
         let functions: Vec<String> = tracks.keys().cloned().collect();
@@ -85,13 +89,13 @@
 fn checked_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     let (header, body) = bytes
         .split_at_checked(HEADER_LENGTH)
-        .ok_or(SnapshotError::Foreign)?;
+        .ok_or(SnapshotError::NotASnapshot)?;
     if !header.starts_with(MAGIC) {
-        return Err(SnapshotError::Foreign);
+        return Err(SnapshotError::NotASnapshot);
     }
     let version = read_u32(header, VERSION_OFFSET);
     if version != VERSION {
-        return Err(SnapshotError::Version(version));
+        return Err(SnapshotError::UnsupportedVersion(version));
     }
     if crc32fast::hash(body) != read_u32(header, CHECKSUM_OFFSET) {
         return Err(SnapshotError::Corrupt);
--- a/crates/quartzdrift-lab/src/emulate/clients.rs
+++ b/crates/quartzdrift-lab/src/emulate/clients.rs
@@ -63,7 +63,7 @@
         let scheduler = &mut self.schedulers[s];
         scheduler.taken.push(self.now);
         if let Some(ahead) = &mut scheduler.ahead {
-            ahead.used(self.now, &arrival.function, Some(request_class.load));
+            ahead.record_use(self.now, &arrival.function, Some(request_class.load));
         }
         let new = NewRequest {
             request_class: arrival.request_class as u32,
--- a/crates/quartzdrift-lab/src/emulate/faults.rs
+++ b/crates/quartzdrift-lab/src/emulate/faults.rs
@@ -110,10 +110,10 @@
                 scheduler.request_table = None;
                 scheduler.incarnation += 1;
                 if let Some(ahead) = scheduler.ahead.take() {
-                    let sums = ahead.ledger.sums();
-                    self.sums.used += sums.used;
-                    self.sums.unused += sums.unused;
-                    self.standing.join(ahead.forecasts.standing);
+                    let totals = ahead.tracker.totals();
+                    self.sums.used += totals.used;
+                    self.sums.unused += totals.unused;
+                    self.standing.merge(ahead.forecasts.scores);
                 }
                 scheduler.orders.clear();
                 for (worker, call) in std::mem::take(&mut scheduler.sent).into_values() {
--- a/crates/quartzdrift-lab/src/emulate/mod.rs
+++ b/crates/quartzdrift-lab/src/emulate/mod.rs
@@ -17,7 +17,7 @@
 use crate::store;
 use crate::traffic::{self, Arrival};
 use crate::worker::Faults;
-use quartzdrift_forecast::{Ahead, Forecasts, Standing, Sums};
+use quartzdrift_forecast::{ForecastScores, Forecasts, PrefetchPlanner, PrefetchTotals};
 use quartzdrift_lifecycle::{AttemptResult, FinalAnswer, NewRequest, Output, RequestTable};
 use quartzdrift_scheduler::interface::{
     Allowed, CacheResult, CacheSettings, Endpoint, EndpointListKind, EndpointState, Idempotency, Outcome,
@@ -233,7 +233,7 @@
 
 struct SchedulerSim {
     request_table: Option<RequestTable<usize>>,
-    ahead: Option<Ahead>,
+    ahead: Option<PrefetchPlanner>,
     incarnation: u64,
     planned: Option<Duration>,
     sent: BTreeMap<(u64, u32), (usize, u64)>,
@@ -277,8 +277,8 @@
     waits: Vec<f64>,
     in_time: BTreeSet<usize>,
     idle: (f64, u64),
-    sums: Sums,
-    standing: Standing,
+    sums: PrefetchTotals,
+    standing: ForecastScores,
     deaths: fleet::Deaths,
     power: power::Power,
     /// The attempt whose end is being taken failed with its load.
@@ -398,8 +398,8 @@
         waits: Vec::new(),
         in_time: BTreeSet::new(),
         idle: (0.0, 0),
-        sums: Sums::default(),
-        standing: Standing::default(),
+        sums: PrefetchTotals::default(),
+        standing: ForecastScores::default(),
         deaths: fleet::Deaths::default(),
         power: power::Power::default(),
         load_failed: false,
@@ -475,16 +475,16 @@
             self.schedulers
                 .iter()
                 .filter_map(|s| s.ahead.as_ref())
-                .map(|a| a.ledger.sums()),
+                .map(|a| a.tracker.totals()),
         );
         let mut of = self.figures;
         of.orders_used = ledgers.iter().map(|sums| sums.used).sum();
         of.orders_unused = ledgers.iter().map(|sums| sums.unused).sum();
         let mut standing = self.standing;
         let all = self.schedulers.iter().filter_map(|s| s.ahead.as_ref());
-        all.for_each(|ahead| standing.join(ahead.forecasts.standing));
-        (of.gaps, of.score) = (standing.gaps, standing.chosen);
-        (of.score_last, of.score_always) = (standing.last, standing.always);
+        all.for_each(|ahead| standing.merge(ahead.forecasts.scores));
+        (of.gaps, of.score) = (standing.scored_gaps, standing.chosen);
+        (of.score_last, of.score_always) = (standing.last_gap_baseline, standing.always_near_baseline);
         of.fetches = self.store.served;
         of.in_time = self.in_time.len() as f64 / self.arrivals.len().max(1) as f64;
         self.waits.sort_by(f64::total_cmp);
--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -17,12 +17,12 @@
         );
         let ahead = (self.variant.forecasting == Forecasting::On).then(|| {
             let span = |s: &f64| Duration::from_secs_f64(*s);
-            let settings = quartzdrift_forecast::Settings {
-                keep: self.script.keep,
+            let settings = quartzdrift_forecast::ForecastSettings {
+                keep_alive: self.script.keep,
                 seasons: self.variant.seasons_s.iter().map(span).collect(),
-                ..quartzdrift_forecast::Settings::default()
+                ..quartzdrift_forecast::ForecastSettings::default()
             };
-            let mut ahead = Ahead::new(settings.clone());
+            let mut ahead = PrefetchPlanner::new(settings.clone());
             let saved = self.schedulers[s].saved.as_ref();
             if let Some(Ok(saved)) = saved.map(|(_, bytes)| Forecasts::restore(settings, bytes, self.now)) {
                 ahead.forecasts = saved;
@@ -130,7 +130,7 @@
         let Some(request_table) = &scheduler.request_table else {
             return;
         };
-        let ahead = scheduler.ahead.as_ref().and_then(Ahead::next_due);
+        let ahead = scheduler.ahead.as_ref().and_then(PrefetchPlanner::next_due);
         let returns = scheduler
             .returning
             .machine
@@ -198,7 +198,7 @@
                 scheduler.orders.insert(order, (now, function.clone()));
                 scheduler.given.push(now);
                 if let Some(ahead) = &mut scheduler.ahead {
-                    ahead.ordered(now, &function, memory);
+                    ahead.record_load_command(now, &function, memory);
                 }
                 if self.variant.load_window_s > 0.0 {
                     let since = now.saturating_sub(Duration::from_secs_f64(self.variant.load_window_s));
@@ -271,7 +271,7 @@
         if let Some((at, function)) = scheduler.orders.remove(&order)
             && let Some(ahead) = &mut scheduler.ahead
         {
-            ahead.loaded(now, &function, outcome == Outcome::Succeeded, now - at);
+            ahead.record_load_end(now, &function, outcome == Outcome::Succeeded, now - at);
         }
         if let Some(request_table) = &mut scheduler.request_table {
             request_table.command_ended(now, order, outcome, copies, Vec::new());
--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -428,14 +428,15 @@
     writeln!(out, "forecasting: microseconds for a job, memory of this process")?;
     for functions in [100u64, 10_000, 100_000] {
         let before = memory_of("self")?;
-        let mut ahead = quartzdrift_forecast::Ahead::new(quartzdrift_forecast::Settings::default());
+        let mut ahead =
+            quartzdrift_forecast::PrefetchPlanner::new(quartzdrift_forecast::ForecastSettings::default());
         let (mut now, requests) = (Duration::from_secs(1_000_000), 400_000u64.max(functions * 4));
         let (start, mut said) = (Instant::now(), 0);
         for n in 0..requests {
             now += Duration::from_micros(1300);
             // Each function in turn, a little out of step: every gap is near the same, as with timers.
             let function = format!("f{}", (n * 7919 + n / functions) % functions);
-            ahead.used(now, &function, None);
+            ahead.record_use(now, &function, None);
             if ahead.next_due().is_some_and(|at| at <= now) {
                 said += ahead.due(now).len();
             }
--- a/crates/quartzdrift/src/gateway/prefetch.rs
+++ b/crates/quartzdrift/src/gateway/prefetch.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use crate::settings::Function;
 use crate::snapshots;
-use quartzdrift_forecast::{Ahead, Expected, Forecasts};
+use quartzdrift_forecast::{ExpectedUse, Forecasts, PrefetchPlanner};
 use quartzdrift_scheduler::interface::{Outcome, UsageForecast};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 /// Forecasts, the ledger, and the load commands under way.
 pub(super) struct Prefetch {
-    ahead: Ahead,
+    ahead: PrefetchPlanner,
     /// By the number of the command.
     commands: HashMap<u64, SentCommand>,
     /// When the forecasts are saved next.
@@ -37,7 +37,7 @@
             return;
         };
         let now = self.now();
-        let mut ahead = Ahead::new(settings.settings.clone());
+        let mut ahead = PrefetchPlanner::new(settings.settings.clone());
         let otherwise = "the saved forecasts cannot be read; they begin anew";
         let snapshot =
             snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::FORECASTS, otherwise);
@@ -62,7 +62,7 @@
     pub(super) fn record_use(&mut self, name: &str, function: &Function, tenant: u32, left: Duration) {
         let now = self.now();
         if let Some(prefetch) = &mut self.prefetch {
-            prefetch.ahead.used(now, name, function.load);
+            prefetch.ahead.record_use(now, name, function.load);
         }
         if let Some(recorder) = &mut self.recorder {
             recorder.request(now, name, function.request_class, tenant, left);
@@ -78,7 +78,7 @@
             .and_then(|settings| settings.memory_mb)
             .unwrap_or(0.0);
         if let Some(prefetch) = &mut self.prefetch {
-            prefetch.ahead.ordered(now, function, memory_mb);
+            prefetch.ahead.record_load_command(now, function, memory_mb);
             let sent = SentCommand {
                 at: now,
                 function: function.to_owned(),
@@ -96,7 +96,9 @@
         {
             let succeeded = outcome == Outcome::Succeeded;
             let duration = now.saturating_sub(sent.at);
-            prefetch.ahead.loaded(now, &sent.function, succeeded, duration);
+            prefetch
+                .ahead
+                .record_load_end(now, &sent.function, succeeded, duration);
         }
     }
 
@@ -138,7 +140,7 @@
         }
     }
 
-    fn submit_forecast(&mut self, now: Duration, expected: &Expected) {
+    fn submit_forecast(&mut self, now: Duration, expected: &ExpectedUse) {
         let Some(function) = self.settings.function(&expected.function) else {
             return;
         };
@@ -157,22 +159,22 @@
     }
 }
 
-fn log_account(ahead: &Ahead) {
-    let sums = ahead.ledger.sums();
-    let standing = ahead.forecasts.standing;
+fn log_account(ahead: &PrefetchPlanner) {
+    let totals = ahead.tracker.totals();
+    let scores = ahead.forecasts.scores;
     tracing::info!(
         functions = ahead.forecasts.len(),
-        commands = sums.commands,
-        fetches = sums.fetches,
-        failed = sums.failed,
-        used = sums.used,
-        unused = sums.unused,
-        saved_seconds = sums.avoided_wait_seconds,
-        mb_seconds = sums.mb_seconds,
-        scored = standing.gaps,
-        score = standing.chosen,
-        score_as_last_time = standing.last,
-        score_always_near = standing.always,
+        commands = totals.commands,
+        fetches = totals.fetches,
+        failed = totals.failed,
+        used = totals.used,
+        unused = totals.unused,
+        saved_seconds = totals.avoided_wait_seconds,
+        mb_seconds = totals.mb_seconds,
+        scored = scores.scored_gaps,
+        score = scores.chosen,
+        score_as_last_time = scores.last_gap_baseline,
+        score_always_near = scores.always_near_baseline,
         "account of loads ahead"
     );
 }
--- a/crates/quartzdrift/src/settings/check/forecasts.rs
+++ b/crates/quartzdrift/src/settings/check/forecasts.rs
@@ -2,7 +2,7 @@
 use super::collector::ErrorCollector;
 use crate::settings::Forecasts;
 use crate::settings::raw::{self, File};
-use quartzdrift_forecast::Settings as ForecastSettings;
+use quartzdrift_forecast::ForecastSettings;
 use std::time::Duration;
 
 const MIN_INTERVAL: Duration = Duration::from_secs(1);
@@ -23,8 +23,8 @@
     }
     let defaults = ForecastSettings::default();
     let settings = ForecastSettings {
-        functions: section.functions,
-        keep: raw.copies.keep.map_or(defaults.keep, |keep| keep.0),
+        max_functions: section.functions,
+        keep_alive: raw.copies.keep.map_or(defaults.keep_alive, |keep| keep.0),
         seasons: section.seasons.iter().map(|season| season.0).collect(),
         ..defaults
     };
--- a/crates/quartzdrift/src/settings/types.rs
+++ b/crates/quartzdrift/src/settings/types.rs
@@ -145,7 +145,7 @@
 #[derive(Clone, Debug)]
 pub struct Forecasts {
     /// Settings of the forecasts.
-    pub settings: quartzdrift_forecast::Settings,
+    pub settings: quartzdrift_forecast::ForecastSettings,
     /// Interval of snapshots and of the summary in the log, a second or more.
     pub every: Duration,
 }
