--- a/crates/quartzdrift-lab/src/emulate/workers.rs
+++ b/crates/quartzdrift-lab/src/emulate/workers.rs
@@ -12,7 +12,7 @@
             incarnation,
             request,
             attempt,
-            ended: AttemptResult::silent(outcome),
+            ended: AttemptResult::without_response(outcome),
         };
         if !self.workers[w].up {
             return self.later(back(Outcome::ConnectFailed));
@@ -165,7 +165,7 @@
             Found::LoadFailed => CacheResult::LoadFailed,
         };
         let ended = match lost {
-            true => AttemptResult::silent(Outcome::Reset),
+            true => AttemptResult::without_response(Outcome::Reset),
             false => AttemptResult {
                 outcome,
                 cache_result: told,
@@ -248,7 +248,7 @@
                 incarnation,
                 request,
                 attempt,
-                ended: AttemptResult::silent(Outcome::Reset),
+                ended: AttemptResult::without_response(Outcome::Reset),
             });
         }
         for (scheduler, incarnation, order) in orders.into_values() {
--- a/crates/quartzdrift-lifecycle/src/attempt.rs
+++ b/crates/quartzdrift-lifecycle/src/attempt.rs
@@ -20,7 +20,7 @@
 
 impl AttemptResult {
     /// A result without an answer: the outcome is all that is known.
-    pub fn silent(outcome: Outcome) -> AttemptResult {
+    pub fn without_response(outcome: Outcome) -> AttemptResult {
         AttemptResult {
             outcome,
             cache_result: CacheResult::Unknown,
--- a/crates/quartzdrift-lifecycle/src/request_table/attempts.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/attempts.rs
@@ -18,7 +18,12 @@
 
     /// An attempt that [`Output::RecallAttempt`] named was recalled before sending.
     pub fn attempt_recalled(&mut self, now: Duration, request: RequestId, attempt: u32) {
-        self.attempt_ended(now, request, attempt, AttemptResult::silent(Outcome::NeverSent));
+        self.attempt_ended(
+            now,
+            request,
+            attempt,
+            AttemptResult::without_response(Outcome::NeverSent),
+        );
     }
 
     /// The answer has begun to reach the client: from now on neither the deadline nor an attempt timeout applies.
@@ -85,7 +90,7 @@
 
     fn refuse_attempt(&mut self, id: AttemptId, worker: Rc<str>) {
         self.attempts.insert(id, Attempt::never_sent(worker, self.now));
-        let result = AttemptResult::silent(Outcome::NeverSent);
+        let result = AttemptResult::without_response(Outcome::NeverSent);
         self.pending_ends.push_back(PendingEnd::Attempt(id, result));
     }
 
@@ -98,7 +103,7 @@
             return;
         }
         self.outputs.push(Output::CancelAttempt { request, attempt });
-        let result = AttemptResult::silent(Outcome::Cancelled);
+        let result = AttemptResult::without_response(Outcome::Cancelled);
         self.pending_ends.push_back(PendingEnd::Attempt(id, result));
     }
 
--- a/crates/quartzdrift-lifecycle/src/request_table/deadlines.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/deadlines.rs
@@ -60,7 +60,7 @@
         } else {
             Outcome::NeverSent
         };
-        self.end_attempt(id, AttemptResult::silent(outcome));
+        self.end_attempt(id, AttemptResult::without_response(outcome));
     }
 
     fn time_out_command(&mut self, command: u64) {
--- a/crates/quartzdrift-lifecycle/src/request_table/shutdown.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/shutdown.rs
@@ -63,7 +63,7 @@
     fn end_attempts(&mut self, request: RequestId, attempts: Vec<u32>, outcome: Outcome) {
         for attempt in attempts {
             let id = AttemptId { request, attempt };
-            self.end_attempt(id, AttemptResult::silent(outcome));
+            self.end_attempt(id, AttemptResult::without_response(outcome));
         }
     }
 }
--- a/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
@@ -155,8 +155,12 @@
 
     pub(crate) fn end_attempt(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
         self.in_flight.remove(&(request, attempt));
-        self.request_table
-            .attempt_ended(self.now, request, attempt, AttemptResult::silent(outcome));
+        self.request_table.attempt_ended(
+            self.now,
+            request,
+            attempt,
+            AttemptResult::without_response(outcome),
+        );
         self.record_outputs();
     }
 
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -229,7 +229,7 @@
         if let Some(attempt) = streaming {
             // Nobody reads the rest, and no deadline would end it.
             self.cancel_attempt(request, attempt);
-            let result = AttemptResult::silent(Outcome::Cancelled);
+            let result = AttemptResult::without_response(Outcome::Cancelled);
             self.request_table
                 .attempt_ended(self.now(), request, attempt, result);
             self.carry_out();
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -30,7 +30,7 @@
         }
         self.counts.attempts += 1;
         let Ok(address) = list::address(&worker) else {
-            let result = AttemptResult::silent(NOT_AN_ADDRESS);
+            let result = AttemptResult::without_response(NOT_AN_ADDRESS);
             return self
                 .request_table
                 .attempt_ended(self.now(), request, attempt, result);
--- a/crates/quartzdrift/src/platform/commands.rs
+++ b/crates/quartzdrift/src/platform/commands.rs
@@ -74,7 +74,7 @@
         let id = match self.connection_for(worker, command.context.id) {
             Ok(id) => id,
             Err(loss) => {
-                let result = AttemptResult::silent(attempt_outcome::from_loss(loss));
+                let result = AttemptResult::without_response(attempt_outcome::from_loss(loss));
                 return self.request_table.attempt_ended(
                     self.now(),
                     command.request,
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -253,7 +253,7 @@
 
     fn end_lost(&mut self, worker: &str, command: &Command, loss: ConnectionLoss) {
         tracing::debug!(request = command.request, %worker, ?loss, "connection lost under an attempt");
-        let result = AttemptResult::silent(attempt_outcome::from_loss(loss));
+        let result = AttemptResult::without_response(attempt_outcome::from_loss(loss));
         self.request_table
             .attempt_ended(self.now(), command.request, command.attempt, result);
     }
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -147,7 +147,7 @@
                 self.request_table.attempt_recalled(now, request, attempt);
             } else if may_cancel {
                 self.cancel_attempt(request, attempt);
-                let result = AttemptResult::silent(Outcome::Cancelled);
+                let result = AttemptResult::without_response(Outcome::Cancelled);
                 self.request_table.attempt_ended(now, request, attempt, result);
             }
         }
