--- a/crates/quartzdrift-lab/src/emulate/clients.rs
+++ b/crates/quartzdrift-lab/src/emulate/clients.rs
@@ -69,7 +69,7 @@
             request_class: arrival.request_class as u32,
             tenant: 0,
             function: Rc::from(arrival.function.as_str()),
-            left: request_class.limit,
+            time_left: request_class.limit,
             work_hint: None,
             memory_mb: Some(request_class.memory_mb),
             concurrency_slots: Some(request_class.slots as f64),
--- a/crates/quartzdrift-lifecycle/src/request.rs
+++ b/crates/quartzdrift-lifecycle/src/request.rs
@@ -21,7 +21,7 @@
     /// The function to run.
     pub function: Rc<str>,
     /// Time that remains until the client gives up.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Expected execution time, without queueing and loading.
     pub work_hint: Option<Duration>,
     /// Memory that a loaded copy of the function takes, in MB.
--- a/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
@@ -22,7 +22,7 @@
         }
         let request = self.next_id();
         let left = new
-            .left
+            .time_left
             .saturating_sub(self.limits.answer_slack)
             .min(until_shutdown.unwrap_or(Duration::MAX));
         let event = Event::Request(Request {
--- a/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
@@ -41,7 +41,7 @@
         request_class,
         tenant: 0,
         function: Rc::from("f"),
-        left: TIMEOUT,
+        time_left: TIMEOUT,
         work_hint: None,
         memory_mb: None,
         concurrency_slots: None,
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -265,7 +265,7 @@
     function: &Function,
     name: Rc<str>,
     tenant: u32,
-    left: Duration,
+    time_left: Duration,
     is_retry: bool,
     payload: Rc<RequestContext>,
 ) -> NewRequest<Rc<RequestContext>> {
@@ -273,7 +273,7 @@
         request_class: function.request_class,
         tenant,
         function: name,
-        left,
+        time_left,
         work_hint: function.work,
         memory_mb: function.memory_mb,
         concurrency_slots: function.concurrency_slots,
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -157,14 +157,14 @@
 
 fn new_request(
     request: &PlatformRequest<'_>,
-    left: Duration,
+    time_left: Duration,
     context: RequestContext,
 ) -> NewRequest<Rc<RequestContext>> {
     NewRequest {
         request_class: request.request_class,
         tenant: request.tenant,
         function: request.function.into(),
-        left,
+        time_left,
         work_hint: request.work,
         memory_mb: request.memory_mb,
         concurrency_slots: request.concurrency_slots,
