--- a/crates/quartzdrift-lab/src/emulate/clients.rs
+++ b/crates/quartzdrift-lab/src/emulate/clients.rs
@@ -128,7 +128,7 @@
             self.figures.no_answer += 1;
             if let Some((s, request)) = of.request {
                 if let Some(request_table) = &mut self.schedulers[s].request_table {
-                    request_table.client_gone(self.now, request);
+                    request_table.client_disconnected(self.now, request);
                 }
                 self.outputs(s);
             }
--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -52,7 +52,7 @@
         }
         let (now, scheduler) = (self.now, &mut self.schedulers[s]);
         if let Some(request_table) = &mut scheduler.request_table {
-            request_table.due(now, |_, _| true);
+            request_table.fire_timers(now, |_, _| true);
             let expected = scheduler
                 .ahead
                 .as_mut()
@@ -118,7 +118,7 @@
             let Some(request_table) = &mut self.schedulers[s].request_table else {
                 return;
             };
-            let outputs = request_table.outputs();
+            let outputs = request_table.take_outputs();
             if outputs.is_empty() {
                 break;
             }
--- a/crates/quartzdrift-lifecycle/src/lib.rs
+++ b/crates/quartzdrift-lifecycle/src/lib.rs
@@ -3,8 +3,8 @@
 //! Use [`RequestTable`] wherever requests are scheduled: the gateway's event loop, the platform's event loop and the
 //! simulator drive the same table. A frontend submits a [`NewRequest`] with [`RequestTable::submit`] and receives its
 //! [`FinalAnswer`] in [`Output::Respond`]; the event loop carries out the other [`Output`]s and reports how they ended.
-//! Pass each event with the time at which it happened, call [`RequestTable::due`] once [`RequestTable::next_deadline`]
-//! has come, and after each call carry out [`RequestTable::outputs`] in their order.
+//! Pass each event with the time at which it happened, call [`RequestTable::fire_timers`] once [`RequestTable::next_deadline`]
+//! has come, and after each call carry out [`RequestTable::take_outputs`] in their order.
 //!
 //! The table makes no scheduling decision: which worker gets an attempt, whether another attempt follows and when a
 //! request is given up is up to the scheduler. The table enforces, whatever the scheduler or a worker does:
--- a/crates/quartzdrift-lifecycle/src/output.rs
+++ b/crates/quartzdrift-lifecycle/src/output.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One thing to carry out. Outputs are to be carried out in the order in which [`RequestTable::outputs`] returns them.
+/// One thing to carry out. Outputs are to be carried out in the order in which [`RequestTable::take_outputs`] returns them.
 ///
-/// [`RequestTable::outputs`]: crate::RequestTable::outputs
+/// [`RequestTable::take_outputs`]: crate::RequestTable::take_outputs
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output<P> {
     /// Send an attempt to a worker, then report its end with [`RequestTable::attempt_ended`].
--- a/crates/quartzdrift-lifecycle/src/request_table/deadlines.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/deadlines.rs
@@ -20,7 +20,7 @@
     ///
     /// `has_left` says whether a byte of an attempt may have been sent. An attempt of which nothing was sent cannot have
     /// executed, and ends as never sent instead of timed out.
-    pub fn due(&mut self, now: Duration, has_left: impl Fn(RequestId, u32) -> bool) {
+    pub fn fire_timers(&mut self, now: Duration, has_left: impl Fn(RequestId, u32) -> bool) {
         self.advance(now);
         while let Some(expiry) = self.timers.pop(self.now) {
             match expiry {
--- a/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
@@ -53,7 +53,7 @@
     }
 
     /// The client left before its answer. Without effect on a request that has had its final answer.
-    pub fn client_gone(&mut self, now: Duration, request: RequestId) {
+    pub fn client_disconnected(&mut self, now: Duration, request: RequestId) {
         self.advance(now);
         if self.conclude(request, FinalAnswer::Cancelled) {
             self.feed(Event::RequestCancelled { request });
--- a/crates/quartzdrift-lifecycle/src/request_table/table.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/table.rs
@@ -61,7 +61,7 @@
     }
 
     /// Takes what is to be carried out, in this order.
-    pub fn outputs(&mut self) -> Vec<Output<P>> {
+    pub fn take_outputs(&mut self) -> Vec<Output<P>> {
         std::mem::take(&mut self.outputs)
     }
 
@@ -70,7 +70,7 @@
         self.now
     }
 
-    /// When [`RequestTable::due`] is to be called next.
+    /// When [`RequestTable::fire_timers`] is to be called next.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.timers.next_deadline()
     }
@@ -93,7 +93,7 @@
     }
 
     /// Entries that the scheduler holds: workers, functions and open requests.
-    pub fn sizes(&self) -> (usize, usize, usize) {
+    pub fn scheduler_table_sizes(&self) -> (usize, usize, usize) {
         let sizes = self.scheduler.table_sizes();
         (sizes.workers, sizes.functions, sizes.open_requests)
     }
--- a/crates/quartzdrift-lifecycle/tests/request_table/cases.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/cases.rs
@@ -57,7 +57,7 @@
 fn a_cancelled_non_idempotent_request_is_not_retried() {
     let mut harness = Harness::new(Idempotency::NonIdempotent, &["a", "b"]);
     let request = harness.request(0);
-    harness.request_table.client_gone(harness.now, request);
+    harness.request_table.client_disconnected(harness.now, request);
     harness.record_outputs();
     assert_eq!(harness.answer(request), FinalAnswer::Cancelled);
     harness.end_attempt(request, 0, Outcome::Reset);
@@ -77,7 +77,7 @@
 fn an_attempt_whose_client_left_ends_by_the_deadline() {
     let mut harness = Harness::new(Idempotency::NonIdempotent, &["a"]);
     let request = harness.request(0);
-    harness.request_table.client_gone(harness.now, request);
+    harness.request_table.client_disconnected(harness.now, request);
     harness.record_outputs();
     let later = harness.now + TIMEOUT;
     harness.advance_to(later);
--- a/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
@@ -106,7 +106,7 @@
     }
 
     pub(crate) fn record_outputs(&mut self) {
-        for output in self.request_table.outputs() {
+        for output in self.request_table.take_outputs() {
             match output {
                 Output::StartAttempt {
                     request,
@@ -147,7 +147,7 @@
         while let Some(due) = self.request_table.next_deadline().filter(|due| *due <= at) {
             self.now = self.now.max(due);
             let has_left = self.has_left;
-            self.request_table.due(self.now, |_, _| has_left);
+            self.request_table.fire_timers(self.now, |_, _| has_left);
             self.record_outputs();
         }
         self.now = at;
--- a/crates/quartzdrift-lifecycle/tests/request_table/random_events.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/random_events.rs
@@ -113,7 +113,7 @@
             return;
         };
         let now = self.harness.now;
-        self.harness.request_table.client_gone(now, request);
+        self.harness.request_table.client_disconnected(now, request);
         self.harness.record_outputs();
     }
 }
--- a/crates/quartzdrift/src/attempts.rs
+++ b/crates/quartzdrift/src/attempts.rs
@@ -72,7 +72,7 @@
     /// Carries out the outputs of the request table until there are none left.
     fn carry_out_all(&mut self) {
         loop {
-            let outputs = self.request_table().outputs();
+            let outputs = self.request_table().take_outputs();
             if outputs.is_empty() {
                 return;
             }
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -224,7 +224,7 @@
         let streaming = may_stream
             .then(|| self.calls.streaming_attempt(request))
             .flatten();
-        self.request_table.client_gone(self.now(), request);
+        self.request_table.client_disconnected(self.now(), request);
         self.carry_out();
         if let Some(attempt) = streaming {
             // Nobody reads the rest, and no deadline would end it.
--- a/crates/quartzdrift/src/gateway/event_loop.rs
+++ b/crates/quartzdrift/src/gateway/event_loop.rs
@@ -57,7 +57,7 @@
         }
         let attempts = self.calls.attempts();
         let http = &self.http;
-        self.request_table.due(now, |request, attempt| {
+        self.request_table.fire_timers(now, |request, attempt| {
             attempts.has_left(request, attempt, |call| http.is_unsent(call))
         });
         self.carry_out();
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -319,7 +319,7 @@
             return;
         }
         let (attempts, sockets) = (&self.attempts, &self.sockets);
-        self.request_table.due(now, |request, attempt| {
+        self.request_table.fire_timers(now, |request, attempt| {
             attempts.has_left(request, attempt, |id| {
                 commands::is_unsent(sockets, id, request, attempt)
             })
@@ -335,7 +335,7 @@
         }
         self.held_logged_at = now;
         let [clients, workers, connections, attempts_on_sockets, open_ids] = self.held_counts();
-        let (worker_names, function_names, scheduler_requests) = self.request_table.sizes();
+        let (worker_names, function_names, scheduler_requests) = self.request_table.scheduler_table_sizes();
         tracing::debug!(
             clients,
             workers,
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -140,7 +140,7 @@
         let now = self.now();
         let may_cancel = self.config.settings.allowed.cancel;
         let attempts: Vec<u32> = self.request_table.attempts_of(request).collect();
-        self.request_table.client_gone(now, request);
+        self.request_table.client_disconnected(now, request);
         self.carry_out();
         for attempt in attempts {
             if self.recall_unsent(request, attempt) {
