--- a/crates/quartzdrift-discovery/src/accepted.rs
+++ b/crates/quartzdrift-discovery/src/accepted.rs
@@ -24,7 +24,7 @@
     /// It is accepted: all workers that it does not name are gone.
     Full(Vec<DiscoveredEndpoint>),
     /// The workers that it names are accepted, and the others stay.
-    NamedOnly {
+    Partial {
         /// The workers that it names.
         workers: Vec<DiscoveredEndpoint>,
         /// Why the list is not accepted, for the log.
@@ -116,7 +116,7 @@
         };
         self.suspicion = Some(Suspicion { missing, times });
         self.apply_changes(&list.workers);
-        ListDecision::NamedOnly {
+        ListDecision::Partial {
             workers: list.workers,
             reason,
         }
--- a/crates/quartzdrift-discovery/src/accepted/tests.rs
+++ b/crates/quartzdrift-discovery/src/accepted/tests.rs
@@ -31,11 +31,11 @@
     let mut accepted = accepted(&["a", "b"]);
     assert!(matches!(
         accepted.accept_full(list(&[])),
-        ListDecision::NamedOnly { .. }
+        ListDecision::Partial { .. }
     ));
     assert!(matches!(
         accepted.accept_full(list(&[])),
-        ListDecision::NamedOnly { .. }
+        ListDecision::Partial { .. }
     ));
     assert!(accepted.contains("a"));
     assert!(matches!(accepted.accept_full(list(&[])), ListDecision::Full(_)));
@@ -56,7 +56,7 @@
         accepted.accept_full(list(&["a", "b", "c", "d"]));
         assert!(matches!(
             accepted.accept_full(list(partial)),
-            ListDecision::NamedOnly { .. }
+            ListDecision::Partial { .. }
         ));
     }
 }
@@ -66,7 +66,7 @@
     let mut accepted = accepted(&["a", "b", "c", "d"]);
     let mut partial = list(&["a"]);
     partial.workers[0].state = EndpointState::Draining;
-    let ListDecision::NamedOnly { workers, .. } = accepted.accept_full(partial) else {
+    let ListDecision::Partial { workers, .. } = accepted.accept_full(partial) else {
         panic!("the list was accepted")
     };
     assert_eq!(workers[0].state, EndpointState::Draining);
@@ -84,7 +84,7 @@
     };
     assert!(matches!(
         accepted.accept_full(unreadable),
-        ListDecision::NamedOnly { .. }
+        ListDecision::Partial { .. }
     ));
     assert!(accepted.contains("d"));
 }
--- a/crates/quartzdrift/src/gateway/discovery.rs
+++ b/crates/quartzdrift/src/gateway/discovery.rs
@@ -283,7 +283,7 @@
                 self.discovery.last_full = workers;
                 Acceptance::Accepted
             }
-            ListDecision::NamedOnly { workers, reason } => {
+            ListDecision::Partial { workers, reason } => {
                 tracing::warn!(why = reason.to_string(), "a list of workers is doubted");
                 self.update_endpoints(EndpointListKind::Changes, &workers);
                 self.discovery.last_full.clear();
