--- a/crates/quartzdrift-discovery/src/endpoint.rs
+++ b/crates/quartzdrift-discovery/src/endpoint.rs
@@ -52,7 +52,7 @@
 
 /// Names from the settings that labels may use. A label may give the index of a name instead.
 #[derive(Clone, Debug, Default)]
-pub struct KnownNames {
+pub struct ConfiguredNames {
     /// Zones, by index.
     pub zones: Vec<String>,
     /// Kinds of workers, by index.
--- a/crates/quartzdrift-discovery/src/lib.rs
+++ b/crates/quartzdrift-discovery/src/lib.rs
@@ -9,4 +9,4 @@
 pub mod stream;
 
 pub use accepted::{AcceptedEndpoints, ListDecision, SuspectList};
-pub use endpoint::{AddressError, DiscoveredEndpoint, KnownNames};
+pub use endpoint::{AddressError, ConfiguredNames, DiscoveredEndpoint};
--- a/crates/quartzdrift-discovery/src/list.rs
+++ b/crates/quartzdrift-discovery/src/list.rs
@@ -2,7 +2,7 @@
 //!
 //! Labels that are read: `state` (`up`, `draining` or `gone`; up by default), `zone` and `kind` (names from the settings),
 //! `cell` and `capacity` (numbers), `started` (seconds since 1970, with fractions). Others are ignored.
-use crate::endpoint::{AddressError, DiscoveredEndpoint, KnownNames, parse_address};
+use crate::endpoint::{AddressError, ConfiguredNames, DiscoveredEndpoint, parse_address};
 use quartzdrift_scheduler::interface::EndpointState;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -80,7 +80,7 @@
 ///
 /// # Errors
 /// Where the text as a whole is not a list, or exceeds a limit.
-pub fn read(text: &[u8], known: &KnownNames) -> Result<EndpointList, ListError> {
+pub fn read(text: &[u8], known: &ConfiguredNames) -> Result<EndpointList, ListError> {
     if text.len() > MAX_TEXT {
         return Err(ListError::TooLong);
     }
@@ -103,7 +103,7 @@
 }
 
 /// Writes workers as a list that [`read`] takes.
-pub fn write(workers: &[DiscoveredEndpoint], known: &KnownNames) -> Vec<u8> {
+pub fn write(workers: &[DiscoveredEndpoint], known: &ConfiguredNames) -> Vec<u8> {
     let groups: Vec<Group> = workers
         .iter()
         .map(|endpoint| Group {
@@ -117,7 +117,7 @@
 fn read_target(
     target: &str,
     labels: &BTreeMap<String, String>,
-    known: &KnownNames,
+    known: &ConfiguredNames,
 ) -> Result<DiscoveredEndpoint, EndpointError> {
     let address = parse_address(target)?;
     let labels = Labels { address, labels };
@@ -203,7 +203,7 @@
     ((index as usize) < names.len().max(1)).then_some(index)
 }
 
-fn write_labels(endpoint: &DiscoveredEndpoint, known: &KnownNames) -> BTreeMap<String, String> {
+fn write_labels(endpoint: &DiscoveredEndpoint, known: &ConfiguredNames) -> BTreeMap<String, String> {
     let state = match endpoint.state {
         EndpointState::Up => "up",
         EndpointState::Draining => "draining",
--- a/crates/quartzdrift-discovery/src/list/tests.rs
+++ b/crates/quartzdrift-discovery/src/list/tests.rs
@@ -1,10 +1,10 @@
 use super::{address, read, write};
-use crate::endpoint::KnownNames;
+use crate::endpoint::ConfiguredNames;
 use quartzdrift_scheduler::interface::EndpointState;
 use std::time::Duration;
 
-fn known() -> KnownNames {
-    KnownNames {
+fn known() -> ConfiguredNames {
+    ConfiguredNames {
         zones: vec!["east".into(), "west".into()],
         kinds: vec!["small".into()],
     }
@@ -38,7 +38,7 @@
 proptest::proptest! {
     #[test]
     fn any_text_is_read_or_rejected(text: String) {
-        let _ = read(text.as_bytes(), &KnownNames::default());
+        let _ = read(text.as_bytes(), &ConfiguredNames::default());
         let _ = address(&text);
     }
 }
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -3,7 +3,7 @@
 use crate::actor::Fake;
 use crate::record::{Recorder, Seen};
 use calloop::LoopHandle;
-use quartzdrift_discovery::{DiscoveredEndpoint, KnownNames, list, stream};
+use quartzdrift_discovery::{ConfiguredNames, DiscoveredEndpoint, list, stream};
 use quartzdrift_http::{Exchange, HasHttp, Headers, Http, HttpEvent, Limits, Response};
 use quartzdrift_scheduler::interface::EndpointState;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -130,7 +130,7 @@
             .iter()
             .map(|one| self.reached(gateway, one))
             .collect();
-        let text = list::write(&workers, &KnownNames::default());
+        let text = list::write(&workers, &ConfiguredNames::default());
         if !self.empty {
             let all: Vec<DiscoveredEndpoint> = self.told.values().cloned().collect();
             self.note(gateway, &all);
@@ -228,7 +228,7 @@
                 if self.stalled.contains(&gateway) {
                     continue;
                 }
-                let change = list::write(&[self.reached(gateway, &listed)], &KnownNames::default());
+                let change = list::write(&[self.reached(gateway, &listed)], &ConfiguredNames::default());
                 let change = stream::write("changes", &String::from_utf8_lossy(&change));
                 self.note(gateway, std::slice::from_ref(&listed));
                 self.http.send_part(exchange, &change, MAX_WAITING);
--- a/crates/quartzdrift/src/settings/check/whole_file.rs
+++ b/crates/quartzdrift/src/settings/check/whole_file.rs
@@ -7,7 +7,7 @@
 use crate::settings::raw::{Answer, File, LogForm};
 use crate::settings::{Fleet, Forecasts, Function, Log, Record, Settings, SettingsError};
 use quartzdrift_async_queue::{Destination, QueueSettings};
-use quartzdrift_discovery::KnownNames;
+use quartzdrift_discovery::ConfiguredNames;
 use quartzdrift_scheduler::interface::Settings as SchedulerSettings;
 use quartzdrift_schedules::Schedule;
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
     listen: Vec<SocketAddr>,
     functions: HashMap<String, Rc<Function>>,
     default_function: Option<Rc<Function>>,
-    known: KnownNames,
+    known: ConfiguredNames,
     workers: Vec<quartzdrift_discovery::DiscoveredEndpoint>,
     discovery: Option<crate::settings::Discovery>,
     timers: Vec<(Schedule, Rc<[u8]>)>,
@@ -52,7 +52,7 @@
     tenants::check(raw, errors);
     limits::check(raw, errors);
     let functions = functions::check(raw, &scheduler, errors);
-    let known = KnownNames {
+    let known = ConfiguredNames {
         zones: raw.scheduler.zones.clone(),
         kinds: raw.scheduler.kinds.clone(),
     };
--- a/crates/quartzdrift/src/settings/check/workers.rs
+++ b/crates/quartzdrift/src/settings/check/workers.rs
@@ -3,7 +3,7 @@
 use super::url::destination;
 use crate::settings::Discovery;
 use crate::settings::raw::{File, Worker};
-use quartzdrift_discovery::{DiscoveredEndpoint, KnownNames, list};
+use quartzdrift_discovery::{ConfiguredNames, DiscoveredEndpoint, list};
 use std::net::SocketAddr;
 use std::time::Duration;
 use toml::Spanned;
@@ -13,7 +13,7 @@
 /// The workers that the file names; one whose address cannot be read is left out.
 pub(super) fn endpoints(
     raw: &File,
-    known: &KnownNames,
+    known: &ConfiguredNames,
     errors: &mut ErrorCollector,
 ) -> Vec<DiscoveredEndpoint> {
     let mut endpoints: Vec<DiscoveredEndpoint> = Vec::new();
--- a/crates/quartzdrift/src/settings/types.rs
+++ b/crates/quartzdrift/src/settings/types.rs
@@ -1,7 +1,7 @@
 //! The checked settings, in the types that the gateway's parts take. They come from [`super::load`]; nothing
 //! in them contradicts.
 use quartzdrift_async_queue::{Destination, QueueSettings};
-use quartzdrift_discovery::{DiscoveredEndpoint, KnownNames};
+use quartzdrift_discovery::{ConfiguredNames, DiscoveredEndpoint};
 use quartzdrift_http::Limits;
 use quartzdrift_scheduler::interface::Settings as SchedulerSettings;
 use quartzdrift_schedules::Schedule;
@@ -90,7 +90,7 @@
     /// Workers that the file names.
     pub workers: Vec<DiscoveredEndpoint>,
     /// Names of zones and kinds, by which endpoint lists refer to them.
-    pub known: KnownNames,
+    pub known: ConfiguredNames,
     /// The endpoint list; `None`: only the workers above.
     pub discovery: Option<Discovery>,
     /// Settings of the asynchronous queue.
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a test may stop at what must not be")]
 use quartzdrift::{durable, snapshots};
 use quartzdrift_async_queue::{Destination, StoredInvocation};
-use quartzdrift_discovery::{KnownNames, list};
+use quartzdrift_discovery::{ConfiguredNames, list};
 use quartzdrift_forecast::Forecasts;
 use quartzdrift_recovery::{Checkpoint, RecoveryPhase, RestartKind, View};
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
@@ -143,7 +143,7 @@
 
 #[test]
 fn the_list_of_workers_is_read() {
-    let known = KnownNames {
+    let known = ConfiguredNames {
         zones: vec!["east".into(), "west".into()],
         kinds: vec!["large".into(), "small".into()],
     };
