--- a/crates/quartzdrift-discovery/src/stream.rs
+++ b/crates/quartzdrift-discovery/src/event_stream.rs
@@ -95,7 +95,7 @@
 }
 
 /// One event as it goes on the wire.
-pub fn write(name: &str, data: &str) -> Vec<u8> {
+pub fn write_event(name: &str, data: &str) -> Vec<u8> {
     let mut text = format!("event: {name}\n");
     for line in data.lines() {
         text.push_str("data: ");
--- a/crates/quartzdrift-discovery/src/stream/tests.rs
+++ b/crates/quartzdrift-discovery/src/event_stream/tests.rs
@@ -1,4 +1,4 @@
-use super::{EventReader, EventTooLarge, ServerSentEvent, write};
+use super::{EventReader, EventTooLarge, ServerSentEvent, write_event};
 
 proptest::proptest! {
     #[test]
@@ -15,7 +15,7 @@
 
     #[test]
     fn a_written_event_is_read(data in "[a-z\\[\\]{}\" ]{1,40}") {
-        let events = EventReader::default().feed(&write("changes", &data)).unwrap();
+        let events = EventReader::default().feed(&write_event("changes", &data)).unwrap();
         proptest::prop_assert_eq!(events, vec![ServerSentEvent { name: "changes".into(), data }]);
     }
 }
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -3,7 +3,7 @@
 use crate::actor::Fake;
 use crate::record::{Recorder, Seen};
 use calloop::LoopHandle;
-use quartzdrift_discovery::{ConfiguredNames, DiscoveredEndpoint, list, stream};
+use quartzdrift_discovery::{ConfiguredNames, DiscoveredEndpoint, event_stream, list};
 use quartzdrift_http::{Exchange, HasHttp, Headers, Http, HttpEvent, Limits, Response};
 use quartzdrift_scheduler::interface::EndpointState;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -141,7 +141,7 @@
                 200,
                 &Headers::new().with("content-type", "text/event-stream"),
             );
-            let full = stream::write("full", &String::from_utf8_lossy(&text));
+            let full = event_stream::write_event("full", &String::from_utf8_lossy(&text));
             if self.http.send_part(exchange, &full, MAX_WAITING) {
                 self.streams.push((exchange, gateway));
             }
@@ -229,7 +229,7 @@
                     continue;
                 }
                 let change = list::write(&[self.reached(gateway, &listed)], &ConfiguredNames::default());
-                let change = stream::write("changes", &String::from_utf8_lossy(&change));
+                let change = event_stream::write_event("changes", &String::from_utf8_lossy(&change));
                 self.note(gateway, std::slice::from_ref(&listed));
                 self.http.send_part(exchange, &change, MAX_WAITING);
             }
--- a/crates/quartzdrift/src/gateway/discovery.rs
+++ b/crates/quartzdrift/src/gateway/discovery.rs
@@ -1,8 +1,8 @@
 //! Where the endpoint list comes from: polled at intervals, and pushed over server-sent events.
 use super::{CallPurpose, Gateway};
 use crate::settings::Settings;
+use quartzdrift_discovery::event_stream::{EventReader, ServerSentEvent};
 use quartzdrift_discovery::list::ListError;
-use quartzdrift_discovery::stream::{EventReader, ServerSentEvent};
 use quartzdrift_discovery::{DiscoveredEndpoint, ListDecision, list};
 use quartzdrift_http::{CallId, Headers, Outgoing};
 use quartzdrift_scheduler::interface::{DiscoveryMode, EndpointListKind};
