--- a/crates/quartzdrift-discovery/src/endpoint.rs
+++ b/crates/quartzdrift-discovery/src/endpoint.rs
@@ -6,7 +6,7 @@
 /// One worker of a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// Its address, in the form of [`list::address`](crate::list::address).
+    /// Its address, in the form of [`list::parse_address`](crate::list::parse_address).
     pub worker: String,
     /// Whether it takes new requests.
     pub state: EndpointState,
--- a/crates/quartzdrift-discovery/src/event_stream.rs
+++ b/crates/quartzdrift-discovery/src/event_stream.rs
@@ -5,7 +5,7 @@
 mod tests;
 
 /// Maximum bytes of one event: a list of the greatest size.
-const MAX_EVENT: usize = crate::list::MAX_TEXT + 1024;
+const MAX_EVENT: usize = crate::list::MAX_LIST_BYTES + 1024;
 
 /// One event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/quartzdrift-discovery/src/list.rs
+++ b/crates/quartzdrift-discovery/src/list.rs
@@ -2,7 +2,7 @@
 //!
 //! Labels that are read: `state` (`up`, `draining` or `gone`; up by default), `zone` and `kind` (names from the settings),
 //! `cell` and `capacity` (numbers), `started` (seconds since 1970, with fractions). Others are ignored.
-use crate::endpoint::{AddressError, ConfiguredNames, DiscoveredEndpoint, parse_address};
+use crate::endpoint::{self, AddressError, ConfiguredNames, DiscoveredEndpoint};
 use quartzdrift_scheduler::interface::EndpointState;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
 /// Maximum workers of one list.
 pub const MAX_WORKERS: usize = 10_000;
 /// Maximum bytes of a list's text.
-pub const MAX_TEXT: usize = 4 << 20;
+pub const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Targets that share their labels.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,8 +37,8 @@
 /// Why a text is not a list at all.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// The text is longer than [`MAX_TEXT`].
-    #[error("the list is over {MAX_TEXT} bytes")]
+    /// The text is longer than [`MAX_LIST_BYTES`].
+    #[error("the list is over {MAX_LIST_BYTES} bytes")]
     TooLong,
     /// The text is not the JSON of a list.
     #[error("the list is not readable: {0}")]
@@ -72,8 +72,8 @@
 ///
 /// # Errors
 /// The text, where it is not an address and port in numbers.
-pub fn address(text: &str) -> Result<SocketAddr, AddressError> {
-    parse_address(text)
+pub fn parse_address(text: &str) -> Result<SocketAddr, AddressError> {
+    endpoint::parse_address(text)
 }
 
 /// Reads a list. Targets that cannot be read are reported in the result.
@@ -81,7 +81,7 @@
 /// # Errors
 /// Where the text as a whole is not a list, or exceeds a limit.
 pub fn read(text: &[u8], known: &ConfiguredNames) -> Result<EndpointList, ListError> {
-    if text.len() > MAX_TEXT {
+    if text.len() > MAX_LIST_BYTES {
         return Err(ListError::TooLong);
     }
     let groups: Vec<Group> = serde_json::from_slice(text)?;
--- a/crates/quartzdrift-discovery/src/list/tests.rs
+++ b/crates/quartzdrift-discovery/src/list/tests.rs
@@ -1,4 +1,4 @@
-use super::{address, read, write};
+use super::{parse_address, read, write};
 use crate::endpoint::ConfiguredNames;
 use quartzdrift_scheduler::interface::EndpointState;
 use std::time::Duration;
@@ -39,6 +39,6 @@
     #[test]
     fn any_text_is_read_or_rejected(text: String) {
         let _ = read(text.as_bytes(), &ConfiguredNames::default());
-        let _ = address(&text);
+        let _ = parse_address(&text);
     }
 }
--- a/crates/quartzdrift-lab/src/naive.rs
+++ b/crates/quartzdrift-lab/src/naive.rs
@@ -142,7 +142,7 @@
                 self.workers = list
                     .workers
                     .iter()
-                    .filter_map(|w| list::address(&w.worker).ok())
+                    .filter_map(|w| list::parse_address(&w.worker).ok())
                     .collect();
             }
             HttpEvent::Response { call, response } => self.ended(call, Some(response)),
--- a/crates/quartzdrift/src/commands/invoke.rs
+++ b/crates/quartzdrift/src/commands/invoke.rs
@@ -16,7 +16,7 @@
 
 /// Calls a function and prints the response.
 pub(crate) fn invoke(arguments: InvokeArguments) -> ExitCode {
-    let address = match list::address(&arguments.at) {
+    let address = match list::parse_address(&arguments.at) {
         Ok(address) => address,
         Err(error) => return fail(error),
     };
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -29,7 +29,7 @@
             return self.request_table.attempt_recalled(now, request, attempt);
         }
         self.counts.attempts += 1;
-        let Ok(address) = list::address(&worker) else {
+        let Ok(address) = list::parse_address(&worker) else {
             let result = AttemptResult::without_response(NOT_AN_ADDRESS);
             return self
                 .request_table
@@ -78,7 +78,7 @@
     }
 
     pub(super) fn unload(&mut self, worker: &str, function: &str) {
-        let Ok(address) = list::address(worker) else {
+        let Ok(address) = list::parse_address(worker) else {
             return;
         };
         let headers = Headers::new().with("content-type", "application/json");
@@ -89,13 +89,13 @@
     }
 
     pub(super) fn close_idle(&mut self, worker: &str) {
-        if let Ok(address) = list::address(worker) {
+        if let Ok(address) = list::parse_address(worker) {
             self.http.close_idle(address);
         }
     }
 
     fn send_command(&mut self, worker: &str, outgoing: Outgoing, command: u64, purpose: CallPurpose) {
-        let Ok(address) = list::address(worker) else {
+        let Ok(address) = list::parse_address(worker) else {
             return self
                 .request_table
                 .command_ended(self.now(), command, NOT_AN_ADDRESS, 0, Vec::new());
--- a/crates/quartzdrift/src/settings/check/fleet.rs
+++ b/crates/quartzdrift/src/settings/check/fleet.rs
@@ -80,7 +80,7 @@
 }
 
 fn parse_address(entry: &Spanned<String>, errors: &mut ErrorCollector) -> Option<SocketAddr> {
-    match list::address(entry.get_ref()) {
+    match list::parse_address(entry.get_ref()) {
         Ok(address) => Some(address),
         Err(error) => {
             errors.add(
--- a/crates/quartzdrift/src/settings/check/gateway.rs
+++ b/crates/quartzdrift/src/settings/check/gateway.rs
@@ -16,7 +16,7 @@
     }
     let mut addresses = Vec::new();
     for entry in &raw.gateway.listen {
-        match list::address(entry.get_ref()) {
+        match list::parse_address(entry.get_ref()) {
             Ok(address) => addresses.push(address),
             Err(error) => errors.add(
                 entry.span(),
--- a/crates/quartzdrift/src/settings/check/url.rs
+++ b/crates/quartzdrift/src/settings/check/url.rs
@@ -23,7 +23,7 @@
     let rest = url.strip_prefix("http://").ok_or(UrlError::Scheme)?;
     let path_start = rest.find('/').unwrap_or(rest.len());
     let (authority, path) = rest.split_at(path_start);
-    let address = list::address(authority)?;
+    let address = list::parse_address(authority)?;
     let target = if path.is_empty() { "/" } else { path };
     Ok((address, target.to_owned()))
 }
--- a/crates/quartzdrift/src/settings/check/workers.rs
+++ b/crates/quartzdrift/src/settings/check/workers.rs
@@ -119,7 +119,7 @@
 }
 
 fn parse_address(entry: &Spanned<Worker>, errors: &mut ErrorCollector) -> Option<SocketAddr> {
-    match list::address(&entry.get_ref().address) {
+    match list::parse_address(&entry.get_ref().address) {
         Ok(address) => Some(address),
         Err(error) => {
             errors.add(
