--- a/crates/quartzdrift-lifecycle/src/output.rs
+++ b/crates/quartzdrift-lifecycle/src/output.rs
@@ -22,7 +22,7 @@
         /// The function to run.
         function: Rc<str>,
         /// How long the table waits for its answer. The table keeps the timer; the value is for the worker.
-        wait: Duration,
+        timeout: Duration,
         /// The last time at which its first byte may leave, on the table's clock; `None`: any time. One of which nothing has left
         /// by then is to be reported with [`RequestTable::attempt_recalled`].
         ///
--- a/crates/quartzdrift-lifecycle/src/request_table/attempts.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/attempts.rs
@@ -81,7 +81,7 @@
             attempt,
             worker: worker.clone(),
             function: open.function.clone(),
-            wait: timeout.unwrap_or(left),
+            timeout: timeout.unwrap_or(left),
             send_by,
             payload: open.payload.clone(),
         });
--- a/crates/quartzdrift/src/gateway/outputs.rs
+++ b/crates/quartzdrift/src/gateway/outputs.rs
@@ -18,7 +18,7 @@
                 worker,
                 function,
                 payload,
-                wait: _,
+                timeout: _,
                 send_by,
             } => self.start_attempt(request, attempt, worker, function, payload, send_by),
             Output::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -107,7 +107,7 @@
                 attempt,
                 worker,
                 function,
-                wait,
+                timeout,
                 send_by,
                 payload,
             } => {
@@ -116,7 +116,7 @@
                     attempt,
                     function,
                     // The process may have had no processor since the request table decided.
-                    until: self.request_table.now() + wait,
+                    until: self.request_table.now() + timeout,
                     context: payload,
                     send_by,
                     lost_connections: 0,
