--- a/crates/quartzdrift-lifecycle/src/attempt.rs
+++ b/crates/quartzdrift-lifecycle/src/attempt.rs
@@ -1,25 +1,25 @@
-//! One attempt of a request on one worker, as a state machine. Its states are drawn in the crate's documentation.
+//! State machine of one attempt of a request on one worker. The crate's documentation has a diagram of the states.
 use crate::timers::TimerId;
 use quartzdrift_scheduler::interface::{CacheResult, Outcome, RequestId};
 use std::ops::RangeInclusive;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How an attempt ended, as observed on its connection.
+/// End of an attempt, as observed on its connection, with the data that the worker's response carried.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// What the end proves about the execution.
+    /// How the attempt ended, which tells whether it may have executed.
     pub outcome: Outcome,
-    /// What the answer says of the function's copy on the worker.
+    /// Cache status of the function on the worker, as stated in the response.
     pub cache_result: CacheResult,
-    /// Concurrent requests that the worker reports for the function.
+    /// Number of concurrent requests of the function on the worker, as stated in the response.
     pub concurrency: Option<u32>,
-    /// The load report, one value per metric in the order of the settings; `None` for a metric that is missing.
+    /// Load report: one value for each metric in the order of the settings, `None` for a missing metric.
     pub report: Vec<Option<f64>>,
 }
 
 impl AttemptResult {
-    /// A result without an answer: the outcome is all that is known.
+    /// Result of an attempt that ended without a response from the worker.
     pub fn without_response(outcome: Outcome) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -30,16 +30,16 @@
     }
 }
 
-/// Identifies one attempt. Attempts of one request are adjacent in this order.
+/// Identifies one attempt. The ordering keeps the attempts of one request adjacent, so that a range query finds them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) request: RequestId,
-    /// Counts the attempts of a request from 0.
+    /// Number of the attempt, counted from 0 for each request.
     pub(crate) attempt: u32,
 }
 
 impl AttemptId {
-    /// All attempts of a request.
+    /// Range of all possible attempts of a request.
     pub(crate) fn range_of(request: RequestId) -> RangeInclusive<AttemptId> {
         let first = AttemptId { request, attempt: 0 };
         let last = AttemptId {
@@ -52,13 +52,13 @@
 
 #[derive(Debug)]
 enum AttemptState {
-    /// Refused by the table; it ends as soon as the scheduler can be notified.
+    /// Refused by the table. The attempt ends once the scheduler has handled its current event.
     NeverSent,
-    /// Bounded by the deadline timer of its request.
+    /// Bounded by the deadline timer of the request.
     InFlight,
-    /// Bounded by a timer of its own.
+    /// Bounded by the attempt's own timer.
     Timed(TimerId),
-    /// Its answer reaches the client; not bounded.
+    /// The response is being streamed to the client; no timer bounds the attempt.
     Streaming,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Attempt {
-    /// An attempt that the table refuses to send.
+    /// Creates an attempt that the table refuses to send.
     pub(crate) fn never_sent(worker: Rc<str>, now: Duration) -> Attempt {
         Attempt {
             worker,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// An attempt that is sent now; `timer` is its own timeout, if that is earlier than the request's deadline.
+    /// Creates an attempt that is sent at `now`. `timer` is set if the attempt times out before the request's deadline.
     pub(crate) fn sent(worker: Rc<str>, now: Duration, timer: Option<TimerId>) -> Attempt {
         Attempt {
             worker,
@@ -89,17 +89,17 @@
         }
     }
 
-    /// Whether nothing would bound it once its request's deadline timer is gone.
+    /// Whether only the deadline timer of the request bounds the attempt.
     pub(crate) fn relies_on_deadline_timer(&self) -> bool {
         matches!(self.state, AttemptState::InFlight)
     }
 
-    /// Bounds it by a timer of its own.
+    /// Bounds the attempt by a timer of its own.
     pub(crate) fn set_timer(&mut self, timer: TimerId) {
         self.state = AttemptState::Timed(timer);
     }
 
-    /// Its own timer, if it has one.
+    /// The attempt's own timer, if it has one.
     pub(crate) fn timer(&self) -> Option<TimerId> {
         match self.state {
             AttemptState::Timed(timer) => Some(timer),
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Its answer begins to reach the client. Returns the timer that no longer applies.
+    /// Records that streaming of the response to the client has started. Returns the attempt's own timer, which the
+    /// caller has to cancel.
     pub(crate) fn start_streaming(&mut self) -> Option<TimerId> {
         let timer = self.timer();
         self.state = AttemptState::Streaming;
@@ -115,7 +116,7 @@
     }
 }
 
-/// Whether an attempt with this outcome may have executed, wholly or in part, without an answer that says so.
+/// Whether an attempt with this outcome may have executed, wholly or in part, without a successful response.
 pub(crate) fn may_have_executed(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => true,
--- a/crates/quartzdrift-lifecycle/src/command.rs
+++ b/crates/quartzdrift-lifecycle/src/command.rs
@@ -1,9 +1,9 @@
-//! Commands to workers beside attempts: health checks and load commands that wait for their end.
+//! Pending commands to workers: health checks and load commands whose end is still to be reported.
 use crate::timers::TimerId;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a pending command asks of its worker.
+/// Operation that a pending command requests from its worker.
 #[derive(Debug)]
 pub(crate) enum CommandKind {
     HealthCheck,
@@ -16,6 +16,6 @@
     pub(crate) kind: CommandKind,
     pub(crate) worker: Rc<str>,
     pub(crate) sent_at: Duration,
-    /// Abandons the command when it fires.
+    /// Timer that ends the command as timed out.
     pub(crate) timer: TimerId,
 }
--- a/crates/quartzdrift-lifecycle/src/lib.rs
+++ b/crates/quartzdrift-lifecycle/src/lib.rs
@@ -1,18 +1,24 @@
-//! The lifecycle of every open request, between the scheduler and the code that owns the sockets. No I/O, no clock.
+//! Request lifecycle: tracks every open request between the scheduler and the event loop that owns the sockets.
+//! The crate does no I/O and reads no clock.
 //!
-//! Use [`RequestTable`] wherever requests are scheduled: the gateway's event loop, the platform's event loop and the
-//! simulator drive the same table. A frontend submits a [`NewRequest`] with [`RequestTable::submit`] and receives its
-//! [`FinalAnswer`] in [`Output::Respond`]; the event loop carries out the other [`Output`]s and reports how they ended.
-//! Pass each event with the time at which it happened, call [`RequestTable::fire_timers`] once [`RequestTable::next_deadline`]
-//! has come, and after each call carry out [`RequestTable::take_outputs`] in their order.
+//! The gateway's event loop, the platform's event loop and the simulator all drive the same [`RequestTable`]. A frontend
+//! submits a [`NewRequest`] with [`RequestTable::submit`] and receives its [`FinalAnswer`] in [`Output::Respond`]. The
+//! event loop carries out the other [`Output`]s and reports the end of each attempt and command.
 //!
-//! The table makes no scheduling decision: which worker gets an attempt, whether another attempt follows and when a
-//! request is given up is up to the scheduler. The table enforces, whatever the scheduler or a worker does:
+//! An event loop has to:
 //!
-//! * a request gets one final answer, no later than its deadline less the answer slack, and nothing after it;
-//! * no request has two attempts in flight where the settings forbid hedging;
-//! * nothing is sent to a worker that is not on the endpoint list, and nothing still unsent goes out once its worker
-//!   drains.
+//! * pass each event together with the time at which it happened;
+//! * call [`RequestTable::fire_timers`] at the time that [`RequestTable::next_deadline`] returns;
+//! * after each call, carry out the outputs of [`RequestTable::take_outputs`] in order.
+//!
+//! The scheduler makes the scheduling decisions: which worker gets an attempt, whether a request is retried, and when a
+//! request is rejected or fails. The table enforces these guarantees regardless of the scheduler and the workers:
+//!
+//! * A request gets exactly one final answer, at the latest at its deadline less the answer slack. Nothing is sent to
+//!   the client after the final answer.
+//! * Where the settings forbid hedging, a request never has two attempts in flight.
+//! * A worker that is not on the endpoint list is sent nothing. Work that is still unsent when its worker starts to
+//!   drain is not sent.
 //!
 //! # States
 //!
@@ -36,19 +42,19 @@
 //!                                           └─ ended, cancelled or timed out ─────────────┘
 //! ```
 //!
-//! An attempt in flight without a timer of its own is bounded by its request's deadline timer; when the request
-//! concludes first, the attempt gets a timer at that deadline. A streaming attempt lasts as long as its client reads.
-mod answer;
+//! The deadline timer of the request also bounds an attempt that is in flight without a timer of its own. If the request
+//! is concluded first, the attempt gets its own timer at the same deadline. A streaming attempt has no time limit.
 mod attempt;
 mod command;
+mod final_answer;
 mod limits;
 mod output;
 mod request;
 mod request_table;
 mod timers;
 
-pub use answer::{FailureReason, FinalAnswer};
 pub use attempt::AttemptResult;
+pub use final_answer::{FailureReason, FinalAnswer};
 pub use output::Output;
 pub use request::NewRequest;
 pub use request_table::RequestTable;
--- a/crates/quartzdrift-lifecycle/src/limits.rs
+++ b/crates/quartzdrift-lifecycle/src/limits.rs
@@ -1,62 +1,62 @@
-//! What the request table takes from the scheduler's settings: the limits and rules that it enforces itself.
+//! Limits and rules that the request table enforces itself, taken from the scheduler's settings.
 use quartzdrift_scheduler::interface::{Idempotency, RequestClass, Settings};
 use std::time::Duration;
 
-/// Health checks and load commands pending at a time; further ones end at once as [`Outcome::AtCapacity`].
+/// Maximum number of pending health checks and load commands. A further command ends at once as [`Outcome::AtCapacity`].
 ///
 /// [`Outcome::AtCapacity`]: quartzdrift_scheduler::interface::Outcome::AtCapacity
 pub(crate) const MAX_COMMANDS: usize = 1024;
-/// Bytes of one of the scheduler's log lines; longer ones are cut.
+/// Maximum length in bytes of a log text from the scheduler; a longer text is cut.
 pub(crate) const MAX_LOG_BYTES: usize = 512;
 
-/// Timeout of a health check or load command where the settings have none.
+/// Timeout of a health check or load command if the settings have none.
 const DEFAULT_COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
-/// Requests open at a time where the settings have no limit.
-const DEFAULT_MAX_OPEN: usize = 20_000;
-/// Attempts of a request where the settings have no limit.
+/// Maximum number of open requests if the settings have no limit.
+const DEFAULT_MAX_OPEN_REQUESTS: usize = 20_000;
+/// Maximum number of attempts of one request if the settings have no limit.
 const DEFAULT_MAX_ATTEMPTS: u32 = 1;
 
-/// The limits and rules of one request table.
+/// Limits and rules of one request table.
 #[derive(Debug)]
 pub(crate) struct Limits {
-    /// Requests open at a time.
-    pub(crate) max_open: usize,
-    /// Attempts of one request.
+    /// Maximum number of open requests.
+    pub(crate) max_open_requests: usize,
+    /// Maximum number of attempts of one request.
     pub(crate) max_attempts: u32,
-    /// The final answer is due this long before the client gives up.
+    /// Time between the deadline for the final answer and the client's own timeout.
     pub(crate) answer_slack: Duration,
     /// Timeout of health checks and load commands.
     pub(crate) command_timeout: Duration,
     /// Whether a request may have several attempts in flight.
-    pub(crate) hedging: bool,
-    /// Whether closing an attempt's connection ends its execution.
-    pub(crate) cancel: bool,
-    /// By request class: whether its requests may run again whatever came of an attempt.
+    pub(crate) allows_hedging: bool,
+    /// Whether closing an attempt's connection stops its execution.
+    pub(crate) allows_cancellation: bool,
+    /// For each request class, whether its requests may execute several times.
     idempotent_classes: Vec<bool>,
 }
 
 impl Limits {
-    /// The limits that `settings` state, and the defaults elsewhere.
+    /// Reads the limits from `settings`, with defaults for those that are not configured.
     pub(crate) fn new(settings: &Settings) -> Limits {
         let is_idempotent = |class: &RequestClass| class.idempotency == Idempotency::Idempotent;
         Limits {
-            max_open: settings
+            max_open_requests: settings
                 .allowed
                 .max_open
-                .map_or(DEFAULT_MAX_OPEN, |limit| limit as usize),
+                .map_or(DEFAULT_MAX_OPEN_REQUESTS, |limit| limit as usize),
             max_attempts: settings.allowed.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS),
             answer_slack: settings.rules.answer_slack.unwrap_or_default(),
             command_timeout: settings
                 .copies
                 .load_command_timeout
                 .unwrap_or(DEFAULT_COMMAND_TIMEOUT),
-            hedging: settings.allowed.hedging,
-            cancel: settings.allowed.cancel,
+            allows_hedging: settings.allowed.hedging,
+            allows_cancellation: settings.allowed.cancel,
             idempotent_classes: settings.request_classes.iter().map(is_idempotent).collect(),
         }
     }
 
-    /// Whether requests of a class may run again whatever came of an attempt. Unknown classes may not.
+    /// Whether requests of a class may execute several times; `false` for an unknown class.
     pub(crate) fn is_idempotent(&self, request_class: u32) -> bool {
         self.idempotent_classes
             .get(request_class as usize)
--- a/crates/quartzdrift-lifecycle/src/output.rs
+++ b/crates/quartzdrift-lifecycle/src/output.rs
@@ -1,128 +1,132 @@
-//! What the request table asks of the code that owns the sockets.
-use crate::answer::FinalAnswer;
+//! Outputs: the work that the request table hands to the event loop that owns the sockets.
+use crate::final_answer::FinalAnswer;
 use quartzdrift_scheduler::interface::{Notice, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One thing to carry out. Outputs are to be carried out in the order in which [`RequestTable::take_outputs`] returns them.
+/// One operation for the event loop. Carry out outputs in the order in which [`RequestTable::take_outputs`] returns them.
+///
+/// `P` is the payload that the frontend submitted with the request.
 ///
 /// [`RequestTable::take_outputs`]: crate::RequestTable::take_outputs
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output<P> {
-    /// Send an attempt to a worker, then report its end with [`RequestTable::attempt_ended`].
+    /// Send an attempt to a worker, and report its end with [`RequestTable::attempt_ended`].
     ///
     /// [`RequestTable::attempt_ended`]: crate::RequestTable::attempt_ended
     StartAttempt {
-        /// The request.
+        /// Identifies the request.
         request: RequestId,
-        /// Counts the attempts of a request from 0.
+        /// Number of the attempt, counted from 0 for each request.
         attempt: u32,
-        /// The worker, by its name on the endpoint list.
+        /// Name of the worker on the endpoint list.
         worker: Rc<str>,
-        /// The function to run.
+        /// Name of the function to run.
         function: Rc<str>,
-        /// How long the table waits for its answer. The table keeps the timer; the value is for the worker.
+        /// Time after which the table gives up on the attempt. The table keeps the timer itself; the value is meant for
+        /// the worker.
         timeout: Duration,
-        /// The last time at which its first byte may leave, on the table's clock; `None`: any time. One of which nothing has left
-        /// by then is to be reported with [`RequestTable::attempt_recalled`].
+        /// Latest time, on the table's clock, at which the first byte may be sent; `None`: no limit. If no byte has been
+        /// sent by then, drop the attempt and call [`RequestTable::attempt_recalled`].
         ///
         /// [`RequestTable::attempt_recalled`]: crate::RequestTable::attempt_recalled
         send_by: Option<Duration>,
-        /// The frontend's payload.
+        /// Payload that the frontend submitted with the request.
         payload: P,
     },
-    /// Close the attempt's connection. Its end is not to be reported.
+    /// Close the attempt's connection. Do not report the attempt's end.
     CancelAttempt {
-        /// The request.
+        /// Identifies the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// If not a byte of the attempt has been sent, close its connection and call [`RequestTable::attempt_recalled`];
+    /// If no byte of the attempt has been sent, close its connection and call [`RequestTable::attempt_recalled`];
     /// otherwise do nothing.
     ///
     /// [`RequestTable::attempt_recalled`]: crate::RequestTable::attempt_recalled
     RecallAttempt {
-        /// The request.
+        /// Identifies the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Give the client the final answer.
+    /// Give the client the final answer of its request.
     Respond {
-        /// The request, no longer open.
+        /// Identifies the request, which is no longer open.
         request: RequestId,
-        /// The frontend's payload.
+        /// Payload that the frontend submitted with the request.
         payload: P,
-        /// The final answer.
+        /// The request's final answer.
         answer: FinalAnswer,
     },
-    /// Check a worker's health, then report the end with [`RequestTable::command_ended`].
+    /// Check a worker's health, and report the end of the check with [`RequestTable::command_ended`].
     ///
     /// [`RequestTable::command_ended`]: crate::RequestTable::command_ended
     CheckHealth {
         /// Identifies the command.
         command: u64,
-        /// The worker.
+        /// Name of the worker to check.
         worker: Rc<str>,
     },
-    /// Have a worker load copies of a function, then report the end with [`RequestTable::command_ended`].
+    /// Send a worker a load command, and report the end of the load with [`RequestTable::command_ended`].
     ///
     /// [`RequestTable::command_ended`]: crate::RequestTable::command_ended
     Load {
         /// Identifies the command.
         command: u64,
-        /// The worker.
+        /// Name of the worker that loads the function.
         worker: Rc<str>,
-        /// The function.
+        /// Name of the function to load.
         function: Rc<str>,
-        /// How many copies the worker should hold.
+        /// Number of copies that the worker should hold after the load.
         copies: u32,
     },
-    /// If not a byte of the load command has been sent, close its connection and report it with
-    /// [`RequestTable::command_ended`] as never sent; otherwise do nothing.
+    /// If no byte of the load command has been sent, close its connection and report [`Outcome::NeverSent`] with
+    /// [`RequestTable::command_ended`]; otherwise do nothing.
     ///
+    /// [`Outcome::NeverSent`]: quartzdrift_scheduler::interface::Outcome::NeverSent
     /// [`RequestTable::command_ended`]: crate::RequestTable::command_ended
     RecallCommand {
-        /// The command.
+        /// Identifies the load command.
         command: u64,
     },
-    /// Close the connection of a command that took too long. Its end is not to be reported.
+    /// Close the connection of a health check or load command that timed out. Do not report the command's end.
     AbandonCommand {
-        /// The command.
+        /// Identifies the command.
         command: u64,
     },
     /// Have a worker drop its copies of a function. No end is reported.
     Unload {
-        /// The worker.
+        /// Name of the worker that drops its copies.
         worker: Rc<str>,
-        /// The function.
+        /// Name of the function to unload.
         function: Rc<str>,
     },
     /// Close the idle connections to a worker.
     CloseIdle {
-        /// The worker.
+        /// Name of the worker.
         worker: Rc<str>,
     },
-    /// Send a message to one scheduler, or to all of them.
+    /// Send a message to one scheduler or to all other schedulers.
     SendToPeer {
-        /// The scheduler's number; `None` for all.
+        /// Number of the receiving scheduler; `None`: all other schedulers.
         to: Option<u32>,
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
-    /// Begin or stop following changes of the endpoint list.
+    /// Start or stop watching the endpoint list for changes.
     Watch {
-        /// Whether to follow them.
+        /// `true` starts the watch, `false` stops it.
         on: bool,
     },
-    /// Ask for the whole endpoint list.
+    /// Fetch the complete endpoint list.
     PollEndpoints,
-    /// Something to be logged and counted.
+    /// Log a state change of the scheduler and count it in the metrics.
     Notice(Notice),
     /// Write a line to the log.
     Log {
-        /// The line, at most 512 bytes where the scheduler wrote it.
+        /// Text of the line. A text from the scheduler is cut to 512 bytes.
         text: String,
     },
 }
--- a/crates/quartzdrift-lifecycle/src/request.rs
+++ b/crates/quartzdrift-lifecycle/src/request.rs
@@ -1,4 +1,4 @@
-//! A request, as a frontend submits it and as the table holds it while it is open.
+//! Requests: as submitted by a frontend, and as held by the table while they are open.
 use crate::attempt::{self, Attempt};
 use crate::timers::TimerId;
 use quartzdrift_scheduler::interface::Outcome;
@@ -7,9 +7,9 @@
 
 /// A request as a frontend submits it.
 ///
-/// The scheduler's own [`Request`] is the same request as an event: it borrows the function's name, has the id that
-/// the table assigned, and its remaining time is already less the answer slack. This type owns its parts and carries
-/// the frontend's payload, which the table hands back with each attempt and with the final answer but never reads.
+/// The table passes it on to the scheduler as a [`Request`] event, which borrows the function's name, carries the id
+/// that the table assigned, and has the answer slack subtracted from the time that is left. The table returns the payload
+/// with each attempt and with the final answer, and never reads it.
 ///
 /// [`Request`]: quartzdrift_scheduler::interface::Request
 #[derive(Clone, Debug)]
@@ -18,31 +18,31 @@
     pub request_class: u32,
     /// Index of the tenant in the settings.
     pub tenant: u32,
-    /// The function to run.
+    /// Name of the function to run.
     pub function: Rc<str>,
-    /// Time that remains until the client gives up.
+    /// Time left until the client gives up.
     pub time_left: Duration,
     /// Expected execution time, without queueing and loading.
     pub work_hint: Option<Duration>,
-    /// Memory that a loaded copy of the function takes, in MB.
+    /// Memory of a loaded copy of the function, in MB.
     pub memory_mb: Option<f64>,
-    /// Requests that a copy of the function serves at a time.
+    /// Number of requests that one copy of the function executes concurrently.
     pub concurrency_slots: Option<f64>,
     /// Expected time to load a copy of the function.
     pub load_hint: Option<Duration>,
-    /// Whether the client says that it sent this request before.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
     /// Whether the function changes state outside the worker.
     pub writes: bool,
-    /// The frontend's own data.
+    /// Data of the frontend, returned with each attempt and with the final answer.
     pub payload: P,
 }
 
 #[derive(Debug)]
 enum RequestState {
-    /// No byte of an answer has reached the client; the timer fires at the deadline.
+    /// No byte of a response has been sent to the client; the timer fires at the deadline.
     AwaitingAnswer { deadline_timer: TimerId },
-    /// The answer has begun to reach the client; no timer bounds it.
+    /// The response is being streamed to the client; no timer bounds the request.
     Streaming,
 }
 
@@ -52,16 +52,16 @@
     pub(crate) payload: P,
     pub(crate) function: Rc<str>,
     pub(crate) is_idempotent: bool,
-    /// When the final answer is due. While streaming it bounds only further attempts.
+    /// Time at which the final answer is due. Once streaming has started, the deadline limits only further attempts.
     pub(crate) deadline: Duration,
-    /// When the first attempt that may have executed was sent.
+    /// Time at which the first attempt that may have executed was sent.
     pub(crate) may_have_executed: Option<Duration>,
     attempts_started: u32,
     state: RequestState,
 }
 
 impl<P> OpenRequest<P> {
-    /// A request without attempts, whose deadline timer has been set.
+    /// Creates a request without attempts, whose deadline timer has been set.
     pub(crate) fn new(
         payload: P,
         function: Rc<str>,
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Whether its answer has begun to reach the client.
+    /// Whether the response is being streamed to the client.
     pub(crate) fn is_streaming(&self) -> bool {
         matches!(self.state, RequestState::Streaming)
     }
 
-    /// The timer at its deadline, unless its answer has begun.
+    /// The timer at the request's deadline; `None` once streaming has started.
     pub(crate) fn deadline_timer(&self) -> Option<TimerId> {
         match self.state {
             RequestState::AwaitingAnswer { deadline_timer } => Some(deadline_timer),
@@ -93,22 +93,23 @@
         }
     }
 
-    /// Its answer begins to reach the client. Returns the deadline timer, which no longer applies.
+    /// Records that streaming of the response to the client has started. Returns the deadline timer, which the caller
+    /// has to cancel.
     pub(crate) fn start_streaming(&mut self) -> Option<TimerId> {
         let timer = self.deadline_timer();
         self.state = RequestState::Streaming;
         timer
     }
 
-    /// The number of a new attempt, from 0.
+    /// Counts a new attempt and returns its number, from 0.
     pub(crate) fn next_attempt(&mut self) -> u32 {
         let attempt = self.attempts_started;
         self.attempts_started += 1;
         attempt
     }
 
-    /// Records what the end of one of its attempts proves about its execution.
-    pub(crate) fn attempt_ended(&mut self, attempt: &Attempt, outcome: Outcome) {
+    /// Updates `may_have_executed` for an attempt that ended with `outcome`.
+    pub(crate) fn record_attempt_end(&mut self, attempt: &Attempt, outcome: Outcome) {
         if !attempt::may_have_executed(outcome) {
             return;
         }
--- a/crates/quartzdrift-lifecycle/src/request_table/actions.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/actions.rs
@@ -1,14 +1,14 @@
-//! Applies what the scheduler decides.
-use super::deadlines::Expiry;
+//! Execution of the scheduler's actions.
+use super::deadlines::TimerEvent;
 use super::table::RequestTable;
-use crate::answer::{FailureReason, FinalAnswer};
+use crate::final_answer::{FailureReason, FinalAnswer};
 use crate::limits::MAX_LOG_BYTES;
 use crate::output::Output;
 use quartzdrift_scheduler::interface::{Action, RejectReason, RequestId};
 use std::time::Duration;
 
 impl<P: Clone> RequestTable<P> {
-    pub(super) fn apply(&mut self, action: Action) {
+    pub(super) fn apply_action(&mut self, action: Action) {
         match action {
             Action::StartAttempt {
                 request,
@@ -21,28 +21,28 @@
                 request,
                 retry_after,
                 reason,
-            } => self.reject(request, retry_after, reason),
-            Action::Fail { request } => self.fail(request),
+            } => self.reject_request(request, retry_after, reason),
+            Action::Fail { request } => self.fail_request(request),
             Action::SetTimer { delay, name } => self.set_scheduler_timer(delay, name),
-            Action::CheckHealth { worker } => self.check_health(worker),
+            Action::CheckHealth { worker } => self.start_health_check(worker),
             Action::Load {
                 worker,
                 function,
                 copies,
-            } => self.load(worker, function, copies),
+            } => self.start_load(worker, function, copies),
             Action::Unload { worker, function } => self.outputs.push(Output::Unload { worker, function }),
             Action::CloseIdle { worker } => self.outputs.push(Output::CloseIdle { worker }),
             Action::SendToPeer { to, bytes } => self.outputs.push(Output::SendToPeer { to, bytes }),
             Action::Watch { on } => self.outputs.push(Output::Watch { on }),
             Action::PollEndpoints => self.outputs.push(Output::PollEndpoints),
             Action::Notice(notice) => self.outputs.push(Output::Notice(notice)),
-            Action::Log { text } => self.log(text),
+            Action::Log { text } => self.log_scheduler_text(text),
         }
     }
 
-    fn reject(&mut self, request: RequestId, retry_after: Option<Duration>, reason: RejectReason) {
-        let open = self.requests.get(&request);
-        let may_have_executed = open.and_then(|open| open.may_have_executed);
+    fn reject_request(&mut self, request: RequestId, retry_after: Option<Duration>, reason: RejectReason) {
+        let open_request = self.requests.get(&request);
+        let may_have_executed = open_request.and_then(|open_request| open_request.may_have_executed);
         let answer = FinalAnswer::Rejected {
             retry_after,
             may_have_executed,
@@ -51,9 +51,9 @@
         self.conclude(request, answer);
     }
 
-    fn fail(&mut self, request: RequestId) {
-        let open = self.requests.get(&request);
-        let is_overdue = open.is_some_and(|open| open.deadline <= self.now);
+    fn fail_request(&mut self, request: RequestId) {
+        let open_request = self.requests.get(&request);
+        let is_overdue = open_request.is_some_and(|open_request| open_request.deadline <= self.now);
         let why = if is_overdue {
             FailureReason::DeadlineExceeded
         } else {
@@ -63,10 +63,11 @@
     }
 
     fn set_scheduler_timer(&mut self, delay: Duration, name: &'static str) {
-        self.timers.set(self.now + delay, Expiry::SchedulerTimer(name));
+        self.timers
+            .set(self.now + delay, TimerEvent::SchedulerTimer(name));
     }
 
-    fn log(&mut self, mut text: String) {
+    fn log_scheduler_text(&mut self, mut text: String) {
         text.truncate(text.floor_char_boundary(MAX_LOG_BYTES));
         self.outputs.push(Output::Log { text });
     }
--- a/crates/quartzdrift-lifecycle/src/request_table/attempts.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/attempts.rs
@@ -1,55 +1,52 @@
-//! Attempts, from the scheduler's decision to their end.
-use super::deadlines::Expiry;
+//! Start and end of attempts.
+use super::deadlines::TimerEvent;
 use super::table::{PendingEnd, RequestTable};
-use crate::answer::FinalAnswer;
 use crate::attempt::{Attempt, AttemptId, AttemptResult};
+use crate::final_answer::FinalAnswer;
 use crate::output::Output;
 use quartzdrift_scheduler::interface::{Event, Outcome, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
 
 impl<P: Clone> RequestTable<P> {
-    /// An attempt ended, as observed on its connection. Without effect if it has ended before.
+    /// Reports the end of an attempt, as observed on its connection. Has no effect if the attempt has already ended.
     pub fn attempt_ended(&mut self, now: Duration, request: RequestId, attempt: u32, result: AttemptResult) {
-        self.advance(now);
+        self.advance_clock(now);
         self.end_attempt(AttemptId { request, attempt }, result);
-        self.settle();
+        self.process_pending_ends();
     }
 
-    /// An attempt that [`Output::RecallAttempt`] named was recalled before sending.
+    /// Reports that an attempt was dropped before any byte of it was sent.
     pub fn attempt_recalled(&mut self, now: Duration, request: RequestId, attempt: u32) {
-        self.attempt_ended(
-            now,
-            request,
-            attempt,
-            AttemptResult::without_response(Outcome::NeverSent),
-        );
+        let result = AttemptResult::without_response(Outcome::NeverSent);
+        self.attempt_ended(now, request, attempt, result);
     }
 
-    /// The answer has begun to reach the client: from now on neither the deadline nor an attempt timeout applies.
+    /// Reports that streaming of the response to the client has started. From then on neither the request's deadline
+    /// nor an attempt timeout applies.
     pub fn streaming_started(&mut self, now: Duration, request: RequestId, attempt: u32) {
-        self.advance(now);
+        self.advance_clock(now);
         let Some(streaming) = self.attempts.get_mut(&AttemptId { request, attempt }) else {
             return;
         };
         let worker = streaming.worker.clone();
         let duration = self.now.saturating_sub(streaming.sent_at);
         let attempt_timer = streaming.start_streaming();
-        let open = self.requests.get_mut(&request);
-        let deadline_timer = open.and_then(|open| open.start_streaming());
+        let open_request = self.requests.get_mut(&request);
+        let deadline_timer = open_request.and_then(|open_request| open_request.start_streaming());
         for timer in attempt_timer.into_iter().chain(deadline_timer) {
             self.timers.cancel(timer);
         }
-        self.feed(Event::StreamingStarted {
+        self.notify_scheduler(Event::StreamingStarted {
             request,
             attempt,
             worker: &worker,
             duration,
         });
-        self.settle();
+        self.process_pending_ends();
     }
 
-    /// Sends an attempt, unless a limit forbids it: then the scheduler is notified that it was never sent.
+    /// Sends an attempt. If a limit forbids the attempt, it ends as never sent instead.
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
@@ -58,32 +55,35 @@
         send_by: Option<Duration>,
     ) {
         let has_attempts = self.attempts_of(request).next().is_some();
-        let Some(open) = self.requests.get_mut(&request) else {
+        let Some(open_request) = self.requests.get_mut(&request) else {
             self.outputs.push(Output::Log {
-                text: format!("an attempt of request {request} is not sent: the request is concluded"),
+                text: format!("attempt of request {request} not sent: the request has had its final answer"),
             });
             return;
         };
-        let attempt = open.next_attempt();
+        let attempt = open_request.next_attempt();
         let id = AttemptId { request, attempt };
-        let left = open.deadline.saturating_sub(self.now);
-        let is_refused = has_attempts && !self.limits.hedging
+        let time_left = open_request.deadline.saturating_sub(self.now);
+        let is_refused = has_attempts && !self.limits.allows_hedging
             || attempt >= self.limits.max_attempts
-            || left.is_zero()
+            || time_left.is_zero()
             || !self.workers.contains_key(&worker);
         if is_refused {
             return self.refuse_attempt(id, worker);
         }
-        let timeout = timeout.filter(|timeout| *timeout < left);
-        let timer = timeout.map(|timeout| self.timers.set(self.now + timeout, Expiry::AttemptTimeout(id)));
+        let timeout = timeout.filter(|timeout| *timeout < time_left);
+        let timer = timeout.map(|timeout| {
+            self.timers
+                .set(self.now + timeout, TimerEvent::AttemptTimeout(id))
+        });
         self.outputs.push(Output::StartAttempt {
             request,
             attempt,
             worker: worker.clone(),
-            function: open.function.clone(),
-            timeout: timeout.unwrap_or(left),
+            function: open_request.function.clone(),
+            timeout: timeout.unwrap_or(time_left),
             send_by,
-            payload: open.payload.clone(),
+            payload: open_request.payload.clone(),
         });
         self.attempts.insert(id, Attempt::sent(worker, self.now, timer));
     }
@@ -94,11 +94,11 @@
         self.pending_ends.push_back(PendingEnd::Attempt(id, result));
     }
 
-    /// Cancels an attempt, unless its request's answer has begun to reach the client.
+    /// Cancels an attempt. Has no effect once the request's response is being streamed to the client.
     pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: u32) {
         let id = AttemptId { request, attempt };
-        let open = self.requests.get(&request);
-        let is_streaming = open.is_some_and(|open| open.is_streaming());
+        let open_request = self.requests.get(&request);
+        let is_streaming = open_request.is_some_and(|open_request| open_request.is_streaming());
         if !self.attempts.contains_key(&id) || is_streaming {
             return;
         }
@@ -107,7 +107,7 @@
         self.pending_ends.push_back(PendingEnd::Attempt(id, result));
     }
 
-    /// Removes an attempt, concludes its request if the end is the request's answer, and notifies the scheduler.
+    /// Removes an attempt, concludes its request if the attempt has answered it, and notifies the scheduler.
     pub(super) fn end_attempt(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
@@ -116,15 +116,15 @@
             self.timers.cancel(timer);
         }
         let mut is_streaming = false;
-        if let Some(open) = self.requests.get_mut(&id.request) {
-            open.attempt_ended(&attempt, result.outcome);
-            is_streaming = open.is_streaming();
+        if let Some(open_request) = self.requests.get_mut(&id.request) {
+            open_request.record_attempt_end(&attempt, result.outcome);
+            is_streaming = open_request.is_streaming();
         }
-        // The client has the begun answer even where that breaks off.
+        // A response that breaks off during streaming is still the final answer: the client has received part of it.
         if result.outcome == Outcome::Succeeded || is_streaming {
             self.conclude(id.request, FinalAnswer::Succeeded);
         }
-        self.feed(Event::AttemptEnded {
+        self.notify_scheduler(Event::AttemptEnded {
             request: id.request,
             attempt: id.attempt,
             worker: &attempt.worker,
--- a/crates/quartzdrift-lifecycle/src/request_table/commands.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/commands.rs
@@ -1,5 +1,5 @@
-//! Health checks and load commands, from the scheduler's decision to their end.
-use super::deadlines::Expiry;
+//! Start and end of health checks and load commands.
+use super::deadlines::TimerEvent;
 use super::table::{PendingEnd, RequestTable};
 use crate::command::{CommandKind, PendingCommand};
 use crate::limits::MAX_COMMANDS;
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 impl<P: Clone> RequestTable<P> {
-    /// A health check or load command ended. Without effect if it has ended before.
+    /// Reports the end of a health check or load command. Has no effect if the command has already ended.
     ///
-    /// `copies` is how many copies of the function the worker now holds, for load commands; `report` is the load report
-    /// of a health check, one value per metric in the order of the settings.
+    /// `copies` applies to load commands: the number of copies of the function that the worker now holds. `report`
+    /// applies to health checks: the load report, with one value for each metric in the order of the settings.
     pub fn command_ended(
         &mut self,
         now: Duration,
@@ -21,18 +21,18 @@
         copies: u32,
         report: Vec<Option<f64>>,
     ) {
-        self.advance(now);
+        self.advance_clock(now);
         self.end_command(command, outcome, copies, report);
-        self.settle();
+        self.process_pending_ends();
     }
 
-    pub(super) fn check_health(&mut self, worker: Rc<str>) {
+    pub(super) fn start_health_check(&mut self, worker: Rc<str>) {
         if let Some(command) = self.start_command(worker.clone(), CommandKind::HealthCheck) {
             self.outputs.push(Output::CheckHealth { command, worker });
         }
     }
 
-    pub(super) fn load(&mut self, worker: Rc<str>, function: Rc<str>, copies: u32) {
+    pub(super) fn start_load(&mut self, worker: Rc<str>, function: Rc<str>, copies: u32) {
         let kind = CommandKind::Load {
             function: function.clone(),
         };
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Registers a command. `None` if it is not to be sent; the scheduler is then notified of its end.
+    /// Registers a command and returns its id, or `None` if the command must not be sent. In that case the scheduler is
+    /// notified of the command's end later.
     fn start_command(&mut self, worker: Rc<str>, kind: CommandKind) -> Option<u64> {
         let command = self.next_id();
         let refusal = if !self.workers.contains_key(&worker) {
@@ -61,7 +62,7 @@
             kind,
             worker,
             sent_at: self.now,
-            timer: self.timers.set(timeout_at, Expiry::CommandTimeout(command)),
+            timer: self.timers.set(timeout_at, TimerEvent::CommandTimeout(command)),
         };
         self.commands.insert(command, pending);
         let Some(outcome) = refusal else {
@@ -86,13 +87,13 @@
         let worker = &*pending.worker;
         let duration = self.now.saturating_sub(pending.sent_at);
         match &pending.kind {
-            CommandKind::HealthCheck => self.feed(Event::HealthChecked {
+            CommandKind::HealthCheck => self.notify_scheduler(Event::HealthChecked {
                 worker,
                 outcome,
                 duration,
                 report,
             }),
-            CommandKind::Load { function } => self.feed(Event::LoadEnded {
+            CommandKind::Load { function } => self.notify_scheduler(Event::LoadEnded {
                 worker,
                 function,
                 outcome,
--- a/crates/quartzdrift-lifecycle/src/request_table/conclusion.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/conclusion.rs
@@ -1,41 +1,41 @@
-//! The one final answer of a request.
-use super::deadlines::Expiry;
+//! The final answer of a request.
+use super::deadlines::TimerEvent;
 use super::table::RequestTable;
-use crate::answer::FinalAnswer;
 use crate::attempt::AttemptId;
+use crate::final_answer::FinalAnswer;
 use crate::output::Output;
 use quartzdrift_scheduler::interface::RequestId;
 use std::time::Duration;
 
 impl<P: Clone> RequestTable<P> {
-    /// Gives a request its final answer. `false` if it has had one.
+    /// Gives a request its final answer and removes the request. Returns `false` if it has already had one.
     ///
-    /// Its attempts in flight go on to their own end, by the request's deadline at the latest: the worker cannot be
-    /// notified that their answers no longer count.
+    /// The request's attempts stay in flight until they end, at the latest at the request's deadline: a worker cannot be
+    /// notified that its response is no longer needed.
     pub(super) fn conclude(&mut self, request: RequestId, answer: FinalAnswer) -> bool {
-        let Some(open) = self.requests.remove(&request) else {
+        let Some(open_request) = self.requests.remove(&request) else {
             return false;
         };
-        if let Some(timer) = open.deadline_timer() {
+        if let Some(timer) = open_request.deadline_timer() {
             self.timers.cancel(timer);
-            self.bound_attempts(request, open.deadline);
+            self.set_attempt_timers(request, open_request.deadline);
         }
         self.outputs.push(Output::Respond {
             request,
-            payload: open.payload,
+            payload: open_request.payload,
             answer,
         });
         true
     }
 
-    /// Sets a timer at `deadline` for each attempt that the request's deadline timer has bounded so far.
-    fn bound_attempts(&mut self, request: RequestId, deadline: Duration) {
+    /// Sets a timer at `deadline` for each attempt that only the request's deadline timer has bounded so far.
+    fn set_attempt_timers(&mut self, request: RequestId, deadline: Duration) {
         let unbounded = self
             .attempts
             .range_mut(AttemptId::range_of(request))
             .filter(|(_, attempt)| attempt.relies_on_deadline_timer());
         for (id, attempt) in unbounded {
-            let timer = self.timers.set(deadline, Expiry::AttemptTimeout(*id));
+            let timer = self.timers.set(deadline, TimerEvent::AttemptTimeout(*id));
             attempt.set_timer(timer);
         }
     }
--- a/crates/quartzdrift-lifecycle/src/request_table/deadlines.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/deadlines.rs
@@ -1,14 +1,14 @@
-//! Everything that timers end: requests at their deadline, attempts and commands at their timeout.
+//! Handling of expired timers: request deadlines, timeouts of attempts and commands, and the scheduler's own timers.
 use super::table::RequestTable;
-use crate::answer::{FailureReason, FinalAnswer};
 use crate::attempt::{AttemptId, AttemptResult};
+use crate::final_answer::{FailureReason, FinalAnswer};
 use crate::output::Output;
 use quartzdrift_scheduler::interface::{Event, Outcome, RequestId};
 use std::time::Duration;
 
-/// What happens when a timer fires.
+/// Event that a timer triggers when it fires.
 #[derive(Debug)]
-pub(super) enum Expiry {
+pub(super) enum TimerEvent {
     RequestDeadline(RequestId),
     AttemptTimeout(AttemptId),
     CommandTimeout(u64),
@@ -16,46 +16,46 @@
 }
 
 impl<P: Clone> RequestTable<P> {
-    /// Handles every timer that has fired by `now`.
+    /// Handles every timer that has expired by `now`.
     ///
-    /// `has_left` says whether a byte of an attempt may have been sent. An attempt of which nothing was sent cannot have
-    /// executed, and ends as never sent instead of timed out.
-    pub fn fire_timers(&mut self, now: Duration, has_left: impl Fn(RequestId, u32) -> bool) {
-        self.advance(now);
-        while let Some(expiry) = self.timers.pop(self.now) {
-            match expiry {
-                Expiry::RequestDeadline(request) => self.exceed_deadline(request, &has_left),
-                Expiry::AttemptTimeout(id) => self.time_out_attempt(id, &has_left),
-                Expiry::CommandTimeout(command) => self.time_out_command(command),
-                Expiry::SchedulerTimer(name) => self.feed(Event::Timer { name }),
+    /// `may_have_been_sent` tells whether a byte of an attempt may have been sent. An unsent attempt cannot have
+    /// executed, so it ends as never sent instead of timed out.
+    pub fn fire_timers(&mut self, now: Duration, may_have_been_sent: impl Fn(RequestId, u32) -> bool) {
+        self.advance_clock(now);
+        while let Some(event) = self.timers.pop(self.now) {
+            match event {
+                TimerEvent::RequestDeadline(request) => self.expire_request(request, &may_have_been_sent),
+                TimerEvent::AttemptTimeout(id) => self.time_out_attempt(id, &may_have_been_sent),
+                TimerEvent::CommandTimeout(command) => self.time_out_command(command),
+                TimerEvent::SchedulerTimer(name) => self.notify_scheduler(Event::Timer { name }),
             }
-            self.settle();
+            self.process_pending_ends();
         }
     }
 
-    /// Times out the attempts of a request, after which the scheduler decides on its final answer.
-    fn exceed_deadline(&mut self, request: RequestId, has_left: &impl Fn(RequestId, u32) -> bool) {
+    /// Times out the attempts of a request, whereupon the scheduler decides on the final answer.
+    fn expire_request(&mut self, request: RequestId, may_have_been_sent: &impl Fn(RequestId, u32) -> bool) {
         let attempts: Vec<u32> = self.attempts_of(request).collect();
         for attempt in attempts {
-            self.time_out_attempt(AttemptId { request, attempt }, has_left);
+            self.time_out_attempt(AttemptId { request, attempt }, may_have_been_sent);
         }
-        self.settle();
-        // The deadline holds even where the scheduler would rather wait on.
+        self.process_pending_ends();
+        // Concludes the request even if the scheduler has not decided on it, so that the deadline always holds.
         let answer = FinalAnswer::Failed {
             why: FailureReason::DeadlineExceeded,
         };
         if self.conclude(request, answer) {
-            self.feed(Event::RequestCancelled { request });
+            self.notify_scheduler(Event::RequestCancelled { request });
         }
     }
 
-    fn time_out_attempt(&mut self, id: AttemptId, has_left: &impl Fn(RequestId, u32) -> bool) {
+    fn time_out_attempt(&mut self, id: AttemptId, may_have_been_sent: &impl Fn(RequestId, u32) -> bool) {
         if !self.attempts.contains_key(&id) {
             return;
         }
         let AttemptId { request, attempt } = id;
         self.outputs.push(Output::CancelAttempt { request, attempt });
-        let outcome = if has_left(request, attempt) {
+        let outcome = if may_have_been_sent(request, attempt) {
             Outcome::TimedOut
         } else {
             Outcome::NeverSent
--- a/crates/quartzdrift-lifecycle/src/request_table/endpoints.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, and what becomes of unsent work to workers that are no longer up.
+//! Updates of the endpoint list, and the recall of unsent work to workers that are no longer up.
 use super::table::RequestTable;
 use crate::command::CommandKind;
 use crate::output::Output;
@@ -6,22 +6,22 @@
 use std::time::Duration;
 
 impl<P: Clone> RequestTable<P> {
-    /// An update of the endpoint list. Times in `entries` are on the same clock as `now`.
+    /// Applies an update of the endpoint list. Times in `entries` are on the same clock as `now`.
     ///
-    /// Attempts and load commands to workers that are not up are recalled: what has not been sent yet would be new work
-    /// to a worker that drains.
+    /// Recalls the attempts and load commands to workers that are not up: a draining worker must not be sent new work,
+    /// and work that is still unsent counts as new.
     pub fn update_endpoints(&mut self, now: Duration, kind: EndpointListKind, entries: Vec<Endpoint>) {
-        self.advance(now);
+        self.advance_clock(now);
         if matches!(kind, EndpointListKind::Full | EndpointListKind::Snapshot) {
             self.workers.clear();
         }
         for entry in &entries {
             self.update_endpoint(entry);
         }
-        self.feed(Event::EndpointList { form: kind, entries });
+        self.notify_scheduler(Event::EndpointList { form: kind, entries });
         self.recall_attempts();
         self.recall_load_commands();
-        self.settle();
+        self.process_pending_ends();
     }
 
     fn update_endpoint(&mut self, entry: &Endpoint) {
--- a/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
@@ -1,63 +1,63 @@
-//! Requests of frontends, and clients that leave.
-use super::deadlines::Expiry;
+//! Submission of requests by frontends, and clients that disconnect.
+use super::deadlines::TimerEvent;
 use super::table::RequestTable;
-use crate::answer::FinalAnswer;
+use crate::final_answer::FinalAnswer;
 use crate::request::{NewRequest, OpenRequest};
 use quartzdrift_scheduler::interface::{Event, Request, RequestId};
 use std::time::Duration;
 
 impl<P: Clone> RequestTable<P> {
-    /// Takes a request and has the scheduler decide on it.
+    /// Opens a request and has the scheduler decide on it.
     ///
     /// # Errors
     ///
-    /// Returns the payload where as many requests are open as the settings allow, or the shutdown deadline has passed.
-    /// Nothing has run, so a retry is harmless.
-    pub fn submit(&mut self, now: Duration, new: NewRequest<P>) -> Result<RequestId, P> {
-        self.advance(now);
+    /// Returns the payload if the maximum number of open requests is reached or the shutdown deadline has passed. The
+    /// request has not executed, so a retry is safe.
+    pub fn submit(&mut self, now: Duration, new_request: NewRequest<P>) -> Result<RequestId, P> {
+        self.advance_clock(now);
         let until_shutdown = self.shutdown_deadline.map(|at| at.saturating_sub(self.now));
-        let has_shut_down = until_shutdown.is_some_and(|left| left.is_zero());
-        if self.requests.len() >= self.limits.max_open || has_shut_down {
-            return Err(new.payload);
+        let has_shut_down = until_shutdown.is_some_and(|until_shutdown| until_shutdown.is_zero());
+        if self.requests.len() >= self.limits.max_open_requests || has_shut_down {
+            return Err(new_request.payload);
         }
         let request = self.next_id();
-        let left = new
+        let time_left = new_request
             .time_left
             .saturating_sub(self.limits.answer_slack)
             .min(until_shutdown.unwrap_or(Duration::MAX));
         let event = Event::Request(Request {
             request,
-            request_class: new.request_class,
-            tenant: new.tenant,
-            function: &new.function,
-            left,
-            work_hint: new.work_hint,
-            memory_mb: new.memory_mb,
-            concurrency_slots: new.concurrency_slots,
-            load_hint: new.load_hint,
-            is_retry: new.is_retry,
-            writes: new.writes,
+            request_class: new_request.request_class,
+            tenant: new_request.tenant,
+            function: &new_request.function,
+            left: time_left,
+            work_hint: new_request.work_hint,
+            memory_mb: new_request.memory_mb,
+            concurrency_slots: new_request.concurrency_slots,
+            load_hint: new_request.load_hint,
+            is_retry: new_request.is_retry,
+            writes: new_request.writes,
         });
-        let deadline = self.now + left;
-        let open = OpenRequest::new(
-            new.payload,
-            new.function.clone(),
-            self.limits.is_idempotent(new.request_class),
+        let deadline = self.now + time_left;
+        let open_request = OpenRequest::new(
+            new_request.payload,
+            new_request.function.clone(),
+            self.limits.is_idempotent(new_request.request_class),
             deadline,
-            self.timers.set(deadline, Expiry::RequestDeadline(request)),
+            self.timers.set(deadline, TimerEvent::RequestDeadline(request)),
         );
-        self.requests.insert(request, open);
-        self.feed(event);
-        self.settle();
+        self.requests.insert(request, open_request);
+        self.notify_scheduler(event);
+        self.process_pending_ends();
         Ok(request)
     }
 
-    /// The client left before its answer. Without effect on a request that has had its final answer.
+    /// Reports that the client of a request disconnected. Has no effect if the request has had its final answer.
     pub fn client_disconnected(&mut self, now: Duration, request: RequestId) {
-        self.advance(now);
+        self.advance_clock(now);
         if self.conclude(request, FinalAnswer::Cancelled) {
-            self.feed(Event::RequestCancelled { request });
-            self.settle();
+            self.notify_scheduler(Event::RequestCancelled { request });
+            self.process_pending_ends();
         }
     }
 }
--- a/crates/quartzdrift-lifecycle/src/request_table/mod.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/mod.rs
@@ -1,15 +1,15 @@
-//! The table of open requests, their attempts and the commands to workers.
+//! The table of open requests, their attempts, and the pending commands to workers.
 //!
-//! * `table`: the state, its queries, and the step from an event to the scheduler and back.
-//! * `frontends`: requests and clients that leave.
-//! * `endpoints`: the endpoint list, and what becomes of unsent work to workers that left it.
-//! * `scheduler_inputs`: what else the scheduler is notified of.
-//! * `actions`: what the scheduler decides.
-//! * `attempts`: attempts from their start to their end.
-//! * `commands`: health checks and load commands.
-//! * `deadlines`: everything that timers end.
-//! * `conclusion`: the one final answer of a request.
-//! * `shutdown`: the end of everything that is open.
+//! * `table`: state of the table, its queries, and the exchange of events and actions with the scheduler.
+//! * `frontends`: submission of requests, and clients that disconnect.
+//! * `endpoints`: updates of the endpoint list, and the recall of unsent work.
+//! * `scheduler_inputs`: further events that are passed through to the scheduler.
+//! * `actions`: execution of the scheduler's actions.
+//! * `attempts`: start and end of attempts.
+//! * `commands`: start and end of health checks and load commands.
+//! * `deadlines`: handling of expired timers.
+//! * `conclusion`: the final answer of a request.
+//! * `shutdown`: the drain deadline, and the end of everything that is open at it.
 mod actions;
 mod attempts;
 mod commands;
--- a/crates/quartzdrift-lifecycle/src/timers.rs
+++ b/crates/quartzdrift-lifecycle/src/timers.rs
@@ -1,18 +1,18 @@
-//! A queue of timers that can be cancelled, so that timers of what has ended cost nothing.
+//! A queue of cancellable timers. Cancelling removes the timer at once, so the queue holds no stale timers.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 #[cfg(test)]
 mod tests;
 
-/// Identifies one timer of a [`Timers`]; never used twice.
+/// Identifies a timer within one [`Timers`] queue. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId {
-    at: Duration,
+    fires_at: Duration,
     sequence: u64,
 }
 
-/// Timers in the order in which they fire. Setting, cancelling and popping take logarithmic time.
+/// Queue of timers, each with an event of type `T`. Setting, cancelling and popping a timer take logarithmic time.
 #[derive(Debug)]
 pub struct Timers<T> {
     pending: BTreeMap<TimerId, T>,
@@ -29,40 +29,44 @@
 }
 
 impl<T> Timers<T> {
-    /// When the next timer fires.
+    /// Time at which the next timer fires; `None` if no timer is set.
     pub fn next_deadline(&self) -> Option<Duration> {
-        self.pending.first_key_value().map(|(id, _)| id.at)
+        self.pending.first_key_value().map(|(id, _)| id.fires_at)
     }
 
-    /// How many timers are set.
+    /// Number of timers that are set.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether no timer is set.
+    /// Whether no timers are set.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Sets a timer that fires at `at` with `expiry`.
-    pub fn set(&mut self, at: Duration, expiry: T) -> TimerId {
+    /// Sets a timer that fires at `fires_at` and then yields `event`.
+    pub fn set(&mut self, fires_at: Duration, event: T) -> TimerId {
         self.last_sequence += 1;
         let id = TimerId {
-            at,
+            fires_at,
             sequence: self.last_sequence,
         };
-        self.pending.insert(id, expiry);
+        self.pending.insert(id, event);
         id
     }
 
-    /// Cancels a timer. `None` if it has fired or was cancelled before.
+    /// Cancels a timer and returns its event; `None` if the timer has fired or was already cancelled.
     pub fn cancel(&mut self, id: TimerId) -> Option<T> {
         self.pending.remove(&id)
     }
 
-    /// Removes the first timer that has fired by `now`. Timers of the same time fire in the order in which they were set.
+    /// Removes the earliest timer that fires at or before `now`, and returns its event. Timers with the same time fire
+    /// in the order in which they were set.
     pub fn pop(&mut self, now: Duration) -> Option<T> {
-        let first = self.pending.first_entry().filter(|first| first.key().at <= now)?;
+        let first = self
+            .pending
+            .first_entry()
+            .filter(|first| first.key().fires_at <= now)?;
         Some(first.remove())
     }
 }
--- a/crates/quartzdrift-lifecycle/src/timers/tests.rs
+++ b/crates/quartzdrift-lifecycle/src/timers/tests.rs
@@ -4,7 +4,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn timers_fire_in_order_of_time_then_of_setting() {
+fn timers_fire_by_time_and_then_in_the_order_in_which_they_were_set() {
     let mut timers = Timers::default();
     timers.set(3 * MS, "third");
     timers.set(2 * MS, "first");
