--- a/crates/quartzdrift-lifecycle/tests/request_table/cases.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/cases.rs
@@ -1,15 +1,15 @@
-//! One test for each guarantee.
+//! One test for each guarantee of the request table.
 use crate::harness::{Harness, MS, SLACK, TIMEOUT, new_request, settings};
 use quartzdrift_lifecycle::{FailureReason, FinalAnswer};
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, Idempotency, Outcome, RejectReason};
 
 #[test]
-fn a_silent_worker_fails_the_request_at_its_deadline() {
+fn a_request_whose_worker_does_not_respond_fails_at_its_deadline() {
     let mut harness = Harness::new(Idempotency::NonIdempotent, &["a", "b"]);
-    let (start, request) = (harness.now, harness.request(0));
+    let (start, request) = (harness.now, harness.submit(0));
     harness.advance_to(start + TIMEOUT);
     assert_eq!(
-        harness.answer(request),
+        harness.final_answer(request),
         FinalAnswer::Failed {
             why: FailureReason::DeadlineExceeded
         }
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn an_answer_after_the_deadline_changes_nothing() {
+fn a_response_after_the_deadline_has_no_effect() {
     let mut harness = Harness::new(Idempotency::NonIdempotent, &["a"]);
-    let (start, request) = (harness.now, harness.request(0));
+    let (start, request) = (harness.now, harness.submit(0));
     harness.advance_to(start + TIMEOUT);
     harness.end_attempt(request, 0, Outcome::Succeeded);
     harness.advance_to(start + TIMEOUT * 3);
     assert_eq!(
-        harness.answer(request),
+        harness.final_answer(request),
         FinalAnswer::Failed {
             why: FailureReason::DeadlineExceeded
         }
@@ -34,9 +34,9 @@
 }
 
 #[test]
-fn an_unsent_attempt_to_a_draining_worker_moves_to_another() {
+fn an_unsent_attempt_to_a_draining_worker_is_retried_on_another_worker() {
     let mut harness = Harness::new(Idempotency::NonIdempotent, &["a", "b"]);
-    let request = harness.request(0);
+    let request = harness.submit(0);
     let first = harness.sent[0].1.clone();
     harness.update_endpoints(
         EndpointListKind::Changes,
@@ -50,16 +50,16 @@
     assert_eq!(harness.sent.len(), 2);
     assert_ne!(harness.sent[1].1, first);
     harness.end_attempt(request, 1, Outcome::Succeeded);
-    assert_eq!(harness.answer(request), FinalAnswer::Succeeded);
+    assert_eq!(harness.final_answer(request), FinalAnswer::Succeeded);
 }
 
 #[test]
 fn a_cancelled_non_idempotent_request_is_not_retried() {
     let mut harness = Harness::new(Idempotency::NonIdempotent, &["a", "b"]);
-    let request = harness.request(0);
+    let request = harness.submit(0);
     harness.request_table.client_disconnected(harness.now, request);
     harness.record_outputs();
-    assert_eq!(harness.answer(request), FinalAnswer::Cancelled);
+    assert_eq!(harness.final_answer(request), FinalAnswer::Cancelled);
     harness.end_attempt(request, 0, Outcome::Reset);
     let later = harness.now + TIMEOUT * 2;
     harness.advance_to(later);
@@ -74,9 +74,9 @@
 }
 
 #[test]
-fn an_attempt_whose_client_left_ends_by_the_deadline() {
+fn an_attempt_whose_client_disconnected_ends_by_the_deadline() {
     let mut harness = Harness::new(Idempotency::NonIdempotent, &["a"]);
-    let request = harness.request(0);
+    let request = harness.submit(0);
     harness.request_table.client_disconnected(harness.now, request);
     harness.record_outputs();
     let later = harness.now + TIMEOUT;
@@ -94,9 +94,9 @@
 fn without_workers_requests_are_rejected_at_once() {
     let mut harness = Harness::new(Idempotency::NonIdempotent, &["a", "b"]);
     harness.update_endpoints(EndpointListKind::Full, &[], EndpointState::Up);
-    let request = harness.request(0);
+    let request = harness.submit(0);
     assert!(matches!(
-        harness.answer(request),
+        harness.final_answer(request),
         FinalAnswer::Rejected {
             may_have_executed: None,
             ..
@@ -105,25 +105,25 @@
 }
 
 #[test]
-fn a_rejection_says_since_when_the_request_may_have_executed() {
+fn a_rejection_states_when_the_first_attempt_that_may_have_executed_was_sent() {
     let mut harness = Harness::new(Idempotency::IdempotentWithKey, &["a"]);
-    let (start, request) = (harness.now, harness.request(0));
+    let (start, request) = (harness.now, harness.submit(0));
     harness.advance_to(start + 10 * MS);
     harness.end_attempt(request, 0, Outcome::Reset);
     assert!(
-        matches!(harness.answer(request), FinalAnswer::Rejected { may_have_executed: Some(at), .. } if at == start)
+        matches!(harness.final_answer(request), FinalAnswer::Rejected { may_have_executed: Some(at), .. } if at == start)
     );
 }
 
 #[test]
-fn a_streaming_answer_has_no_deadline_and_is_not_retried() {
+fn a_streaming_response_has_no_deadline_and_is_not_retried() {
     let mut harness = Harness::new(Idempotency::Idempotent, &["a", "b"]);
-    let (start, request) = (harness.now, harness.request(0));
+    let (start, request) = (harness.now, harness.submit(0));
     harness.request_table.streaming_started(start, request, 0);
     harness.advance_to(start + TIMEOUT * 5);
     assert!(harness.final_answers.is_empty());
     harness.end_attempt(request, 0, Outcome::Reset);
-    assert_eq!(harness.answer(request), FinalAnswer::Succeeded);
+    assert_eq!(harness.final_answer(request), FinalAnswer::Succeeded);
     assert_eq!(harness.sent.len(), 1);
 }
 
@@ -135,14 +135,14 @@
         Idempotency::Idempotent,
     ] {
         let mut harness = Harness {
-            has_left: false,
+            may_have_been_sent: false,
             ..Harness::new(idempotency, &["a"])
         };
-        let (start, request) = (harness.now, harness.request(0));
+        let (start, request) = (harness.now, harness.submit(0));
         harness.advance_to(start + TIMEOUT);
         assert!(
             matches!(
-                harness.answer(request),
+                harness.final_answer(request),
                 FinalAnswer::Rejected {
                     may_have_executed: None,
                     ..
@@ -160,11 +160,11 @@
 #[test]
 fn shutdown_answers_every_open_request() {
     let mut harness = Harness::new(Idempotency::NonIdempotent, &["a"]);
-    let request = harness.request(0);
+    let request = harness.submit(0);
     harness.request_table.shut_down(harness.now, |_, _| true);
     harness.record_outputs();
     assert_eq!(
-        harness.answer(request),
+        harness.final_answer(request),
         FinalAnswer::Failed {
             why: FailureReason::ShuttingDown
         }
@@ -175,9 +175,9 @@
 #[test]
 fn shutdown_answers_by_idempotency_and_starts_no_attempt() {
     use Idempotency::{Idempotent, IdempotentWithKey, NonIdempotent};
-    for (idempotency, cancel, has_left, is_rejected) in [
+    for (idempotency, cancel, may_have_been_sent, is_rejected) in [
         (Idempotent, true, true, true),
-        // It would run on while its client retries.
+        // The attempt cannot be cancelled, so it would still execute while the client retries.
         (Idempotent, false, true, false),
         (Idempotent, false, false, true),
         (IdempotentWithKey, true, true, false),
@@ -188,10 +188,12 @@
         let mut settings = settings(&[idempotency]);
         settings.allowed.cancel = cancel;
         let mut harness = Harness::with_settings(&settings, &["a", "b"]);
-        let request = harness.request(0);
-        harness.request_table.shut_down(harness.now, |_, _| has_left);
+        let request = harness.submit(0);
+        harness
+            .request_table
+            .shut_down(harness.now, |_, _| may_have_been_sent);
         harness.record_outputs();
-        let answer = harness.answer(request);
+        let answer = harness.final_answer(request);
         let rejected = matches!(
             answer,
             FinalAnswer::Rejected {
@@ -202,7 +204,7 @@
         );
         assert_eq!(
             rejected, is_rejected,
-            "{idempotency:?} {cancel} {has_left}: {answer:?}"
+            "{idempotency:?} {cancel} {may_have_been_sent}: {answer:?}"
         );
         assert!(
             rejected
@@ -211,11 +213,11 @@
                         why: FailureReason::ShuttingDown
                     }
         );
-        // No attempt of a rejected request stays in flight.
+        // A rejected request leaves no attempt in flight.
         assert_eq!(
             harness.in_flight.is_empty(),
             rejected,
-            "{idempotency:?} {cancel} {has_left}"
+            "{idempotency:?} {cancel} {may_have_been_sent}"
         );
         assert_eq!(
             (harness.sent.len(), harness.request_table.open_requests()),
@@ -228,12 +230,12 @@
 fn a_request_during_a_drain_has_the_shutdown_deadline() {
     let mut harness = Harness::new(Idempotency::NonIdempotent, &["a"]);
     let start = harness.now;
-    let ends = start + TIMEOUT / 4;
-    harness.request_table.set_shutdown_deadline(ends);
-    let request = harness.request(0);
-    harness.advance_to(ends - MS);
+    let shutdown_deadline = start + TIMEOUT / 4;
+    harness.request_table.set_shutdown_deadline(shutdown_deadline);
+    let request = harness.submit(0);
+    harness.advance_to(shutdown_deadline - MS);
     assert!(harness.final_answers.is_empty());
-    harness.advance_to(ends);
+    harness.advance_to(shutdown_deadline);
     assert_eq!(
         harness.final_answers[&request],
         [(
@@ -243,7 +245,7 @@
             }
         )]
     );
-    // Nothing of it was executed, so a retry is harmless.
+    // A request after the shutdown deadline is returned before it executes, so a retry is safe.
     assert_eq!(harness.request_table.submit(harness.now, new_request(0)), Err(7));
 }
 
@@ -252,7 +254,7 @@
     let mut settings = settings(&[Idempotency::Idempotent]);
     settings.allowed.max_open = Some(2);
     let mut harness = Harness::with_settings(&settings, &["a"]);
-    harness.request(0);
-    harness.request(0);
+    harness.submit(0);
+    harness.submit(0);
     assert_eq!(harness.request_table.submit(harness.now, new_request(0)), Err(7));
 }
--- a/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
@@ -1,4 +1,4 @@
-//! A request table without sockets: the outputs are recorded, and the test decides how attempts end.
+//! Harness that drives a request table without sockets: it records the outputs, and the test decides how attempts end.
 use quartzdrift_lifecycle::{AttemptResult, FinalAnswer, NewRequest, Output, RequestTable};
 use quartzdrift_scheduler::interface::{
     Allowed, Endpoint, EndpointListKind, EndpointState, Idempotency, Outcome, RequestClass, RequestId, Rules,
@@ -9,10 +9,12 @@
 use std::time::Duration;
 
 pub(crate) const MS: Duration = Duration::from_millis(1);
-/// The request classes' timeout.
+/// Timeout of all request classes, and of the client for each request.
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(1000);
+/// Answer slack in the settings.
 pub(crate) const SLACK: Duration = Duration::from_millis(50);
 
+/// Settings with one request class for each of `idempotency_kinds`.
 pub(crate) fn settings(idempotency_kinds: &[Idempotency]) -> Settings {
     let request_class = |idempotency: &Idempotency| RequestClass {
         idempotency: *idempotency,
@@ -52,19 +54,20 @@
     }
 }
 
-/// A request table whose outputs are recorded in place of being sent.
+/// A request table with a simulated clock and a record of its outputs.
 pub(crate) struct Harness {
     pub(crate) request_table: RequestTable<u32>,
     pub(crate) now: Duration,
-    /// Each final answer with its time.
+    /// Final answers of each request, each with the time of the answer.
     pub(crate) final_answers: BTreeMap<RequestId, Vec<(Duration, FinalAnswer)>>,
-    /// Attempts in flight, by their workers.
+    /// Workers of the attempts in flight, by request and attempt number.
     pub(crate) in_flight: BTreeMap<(RequestId, u32), String>,
+    /// Attempts that the table has recalled, in order.
     pub(crate) recalled: Vec<(RequestId, u32)>,
-    /// Every attempt so far, in order.
+    /// Request and worker of every attempt that was sent so far, in order.
     pub(crate) sent: Vec<(RequestId, String)>,
-    /// Whether bytes of the attempts in flight have been sent.
-    pub(crate) has_left: bool,
+    /// Reported to the table for every attempt: whether a byte of it may have been sent.
+    pub(crate) may_have_been_sent: bool,
 }
 
 impl Harness {
@@ -81,7 +84,7 @@
             in_flight: BTreeMap::new(),
             recalled: Vec::new(),
             sent: Vec::new(),
-            has_left: true,
+            may_have_been_sent: true,
         };
         harness.update_endpoints(EndpointListKind::Snapshot, workers, EndpointState::Up);
         harness
@@ -105,6 +108,7 @@
         self.record_outputs();
     }
 
+    /// Records the outputs of the table. Fails the test if a request has two attempts in flight.
     pub(crate) fn record_outputs(&mut self) {
         for output in self.request_table.take_outputs() {
             match output {
@@ -114,8 +118,8 @@
                     worker,
                     ..
                 } => {
-                    let other = self.in_flight.keys().any(|(other, _)| *other == request);
-                    assert!(!other, "request {request} has two attempts in flight");
+                    let has_attempt = self.in_flight.keys().any(|(other, _)| *other == request);
+                    assert!(!has_attempt, "request {request} has two attempts in flight");
                     self.sent.push((request, worker.to_string()));
                     self.in_flight.insert((request, attempt), worker.to_string());
                 }
@@ -133,7 +137,7 @@
         }
     }
 
-    pub(crate) fn request(&mut self, request_class: u32) -> RequestId {
+    pub(crate) fn submit(&mut self, request_class: u32) -> RequestId {
         let request = self
             .request_table
             .submit(self.now, new_request(request_class))
@@ -142,12 +146,17 @@
         request
     }
 
-    /// Moves the clock to `at`, handling every timer at its time.
+    /// Moves the clock to `at` and fires every timer at its own time on the way.
     pub(crate) fn advance_to(&mut self, at: Duration) {
-        while let Some(due) = self.request_table.next_deadline().filter(|due| *due <= at) {
-            self.now = self.now.max(due);
-            let has_left = self.has_left;
-            self.request_table.fire_timers(self.now, |_, _| has_left);
+        while let Some(deadline) = self
+            .request_table
+            .next_deadline()
+            .filter(|deadline| *deadline <= at)
+        {
+            self.now = self.now.max(deadline);
+            let may_have_been_sent = self.may_have_been_sent;
+            self.request_table
+                .fire_timers(self.now, |_, _| may_have_been_sent);
             self.record_outputs();
         }
         self.now = at;
@@ -164,9 +173,14 @@
         self.record_outputs();
     }
 
-    pub(crate) fn answer(&self, request: RequestId) -> FinalAnswer {
+    /// The only final answer of a request.
+    pub(crate) fn final_answer(&self, request: RequestId) -> FinalAnswer {
         let answers = &self.final_answers[&request];
-        assert_eq!(answers.len(), 1, "{answers:?}");
+        assert_eq!(
+            answers.len(),
+            1,
+            "final answers of request {request}: {answers:?}"
+        );
         answers[0].1
     }
 }
--- a/crates/quartzdrift-lifecycle/tests/request_table/main.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/main.rs
@@ -1,5 +1,5 @@
-//! Cases that are easy to get wrong in the request table, with the real scheduler and without sockets.
-#![allow(clippy::unwrap_used, reason = "a test may stop at what must not be")]
+//! Tests of the request table's guarantees with the real scheduler and without sockets.
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 mod cases;
 mod harness;
 mod random_events;
--- a/crates/quartzdrift-lifecycle/tests/request_table/random_events.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/random_events.rs
@@ -1,4 +1,4 @@
-//! The guarantees under random sequences of events.
+//! Property test of the request table's guarantees under random sequences of events.
 use crate::harness::{Harness, MS, SLACK, TIMEOUT, settings};
 use proptest::prelude::{Just, Strategy, any, prop_assert, prop_assert_eq, prop_oneof, proptest};
 use quartzdrift_lifecycle::FinalAnswer;
@@ -6,25 +6,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// All workers that a sequence may name; the first three are up from the start.
+/// Workers that occur in a sequence; the first three are up from the start.
 const WORKERS: [&str; 4] = ["a", "b", "c", "d"];
-/// Index of the non-idempotent class in the settings.
+/// Index of the non-idempotent request class in the settings.
 const NON_IDEMPOTENT_CLASS: u32 = 2;
 
-/// One event of a random sequence. An index counts modulo what there is to choose from.
+/// One event of a random sequence. An index into a collection is taken modulo the size of the collection.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A request of a class.
+    /// A client submits a request of a class.
     Submit(u32),
-    /// Milliseconds pass.
+    /// Time passes, in milliseconds.
     Wait(u64),
-    /// An attempt in flight ends.
+    /// An attempt in flight ends with an outcome.
     EndAttempt(usize, Outcome),
-    /// The client of a request leaves.
-    ClientGone(usize),
-    /// A worker changes its state.
+    /// The client of a request disconnects.
+    ClientDisconnected(usize),
+    /// A worker changes its state on the endpoint list.
     UpdateEndpoint(usize, EndpointState),
-    /// All workers but one leave the endpoint list.
+    /// A full endpoint list arrives that names only worker "a".
     ReplaceEndpoints,
 }
 
@@ -46,19 +46,19 @@
         4 => (0u32..3).prop_map(Step::Submit),
         4 => (1u64..700).prop_map(Step::Wait),
         4 => (any::<usize>(), outcome).prop_map(|(index, outcome)| Step::EndAttempt(index, outcome)),
-        1 => any::<usize>().prop_map(Step::ClientGone),
+        1 => any::<usize>().prop_map(Step::ClientDisconnected),
         1 => (0usize..4, state).prop_map(|(index, state)| Step::UpdateEndpoint(index, state)),
         1 => Just(Step::ReplaceEndpoints),
     ]
 }
 
-/// What a sequence of events has led to so far.
+/// State of a run of one sequence of events.
 struct Run {
     harness: Harness,
-    /// Each request's class and the time of its submission.
+    /// Request class and submission time of each request.
     submitted: BTreeMap<RequestId, (u32, Duration)>,
-    /// Requests of which an attempt may have executed.
-    in_doubt: BTreeSet<RequestId>,
+    /// Requests with an ended attempt that may have executed.
+    may_have_executed: BTreeSet<RequestId>,
 }
 
 impl Run {
@@ -68,11 +68,11 @@
             Step::Submit(request_class) => {
                 let at = harness.now;
                 self.submitted
-                    .insert(harness.request(request_class), (request_class, at));
+                    .insert(harness.submit(request_class), (request_class, at));
             }
             Step::Wait(ms) => self.wait(ms),
             Step::EndAttempt(index, outcome) => self.end_attempt(index, outcome),
-            Step::ClientGone(index) => self.client_gone(index),
+            Step::ClientDisconnected(index) => self.disconnect_client(index),
             Step::UpdateEndpoint(index, state) => {
                 harness.update_endpoints(EndpointListKind::Changes, &[WORKERS[index]], state);
             }
@@ -91,9 +91,9 @@
         let before = self.requests_in_flight();
         let at = self.harness.now + ms as u32 * MS;
         self.harness.advance_to(at);
-        // Timed out or cancelled: these may have executed.
-        let still = self.requests_in_flight();
-        self.in_doubt.extend(before.difference(&still));
+        // Attempts that ended while time passed were timed out or cancelled, so they may have executed.
+        let after = self.requests_in_flight();
+        self.may_have_executed.extend(before.difference(&after));
     }
 
     fn end_attempt(&mut self, index: usize, outcome: Outcome) {
@@ -102,12 +102,12 @@
             return;
         };
         if matches!(outcome, Outcome::Error | Outcome::Reset) {
-            self.in_doubt.insert(request);
+            self.may_have_executed.insert(request);
         }
         self.harness.end_attempt(request, attempt, outcome);
     }
 
-    fn client_gone(&mut self, index: usize) {
+    fn disconnect_client(&mut self, index: usize) {
         let requests: Vec<RequestId> = self.submitted.keys().copied().collect();
         let Some(&request) = requests.get(index % requests.len().max(1)) else {
             return;
@@ -119,23 +119,23 @@
 }
 
 proptest! {
-    /// Whatever workers, clients and endpoint lists do: each request gets one final answer by its deadline, never has two
-    /// attempts in flight (checked as they are sent), and is sent again, if non-idempotent, only after proof that it
-    /// never executed.
+    /// For any sequence of events, each request gets one final answer by its deadline and never has two attempts in
+    /// flight, which the harness checks when an attempt is sent. A non-idempotent request is retried only if its earlier
+    /// attempts cannot have executed.
     #[test]
     fn any_sequence_of_events_keeps_the_guarantees(steps in proptest::collection::vec(step(), 1..120)) {
         let idempotency_kinds = [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent];
         let mut run = Run {
             harness: Harness::with_settings(&settings(&idempotency_kinds), &WORKERS[..3]),
             submitted: BTreeMap::new(),
-            in_doubt: BTreeSet::new(),
+            may_have_executed: BTreeSet::new(),
         };
         let mut sent_before = 0;
         for step in steps {
             run.apply(step);
             for (request, _) in &run.harness.sent[sent_before..] {
                 let is_idempotent = run.submitted[request].0 != NON_IDEMPOTENT_CLASS;
-                prop_assert!(is_idempotent || !run.in_doubt.contains(request), "non-idempotent request {request} sent again");
+                prop_assert!(is_idempotent || !run.may_have_executed.contains(request), "non-idempotent request {request} was retried although it may have executed");
             }
             sent_before = run.harness.sent.len();
         }
@@ -147,7 +147,7 @@
             prop_assert!(answers[0].0 <= at + TIMEOUT - SLACK);
             let rejected = matches!(answers[0].1, FinalAnswer::Rejected { .. });
             let is_non_idempotent = request_class == NON_IDEMPOTENT_CLASS;
-            prop_assert!(!(is_non_idempotent && rejected && run.in_doubt.contains(&request)), "rejected in doubt");
+            prop_assert!(!(is_non_idempotent && rejected && run.may_have_executed.contains(&request)), "non-idempotent request {} was rejected although it may have executed", request);
         }
         let table = &run.harness.request_table;
         prop_assert_eq!((table.open_requests(), table.attempts_in_flight()), (0, 0));
