--- a/crates/quartzdrift-lifecycle/src/attempt.rs
+++ b/crates/quartzdrift-lifecycle/src/attempt.rs
@@ -1,4 +1,5 @@
-//! State machine of one attempt of a request on one worker. The crate's documentation has a diagram of the states.
+//! State machine of one attempt of a request on one worker. The crate's documentation has a diagram of the
+//! states.
 use crate::timers::TimerId;
 use quartzdrift_scheduler::interface::{CacheResult, Outcome, RequestId};
 use std::ops::RangeInclusive;
@@ -30,7 +31,8 @@
     }
 }
 
-/// Identifies one attempt. The ordering keeps the attempts of one request adjacent, so that a range query finds them.
+/// Identifies one attempt. The ordering keeps the attempts of one request adjacent, so that a range query
+/// finds them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) request: RequestId,
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Creates an attempt that is sent at `now`. `timer` is set if the attempt times out before the request's deadline.
+    /// Creates an attempt that is sent at `now`. `timer` is set if the attempt times out before the request's
+    /// deadline.
     pub(crate) fn sent(worker: Rc<str>, now: Duration, timer: Option<TimerId>) -> Attempt {
         Attempt {
             worker,
@@ -107,8 +110,8 @@
         }
     }
 
-    /// Records that streaming of the response to the client has started. Returns the attempt's own timer, which the
-    /// caller has to cancel.
+    /// Records that streaming of the response to the client has started. Returns the attempt's own timer,
+    /// which the caller has to cancel.
     pub(crate) fn start_streaming(&mut self) -> Option<TimerId> {
         let timer = self.timer();
         self.state = AttemptState::Streaming;
--- a/crates/quartzdrift-lifecycle/src/final_answer.rs
+++ b/crates/quartzdrift-lifecycle/src/final_answer.rs
@@ -22,9 +22,9 @@
     Rejected {
         /// Time for the client to wait before it retries; `None`: the frontend chooses it.
         retry_after: Option<Duration>,
-        /// Time, on the table's clock, at which the first attempt that may have executed was sent; `None`: no attempt
-        /// may have executed. The deduplication window of an idempotency key starts at this time, and the client may
-        /// retry only within the window.
+        /// Time, on the table's clock, at which the first attempt that may have executed was sent; `None`: no
+        /// attempt may have executed. The deduplication window of an idempotency key starts at this time, and
+        /// the client may retry only within the window.
         may_have_executed: Option<Duration>,
         /// Why the request was rejected.
         reason: RejectReason,
--- a/crates/quartzdrift-lifecycle/src/lib.rs
+++ b/crates/quartzdrift-lifecycle/src/lib.rs
@@ -1,9 +1,10 @@
-//! Request lifecycle: tracks every open request between the scheduler and the event loop that owns the sockets.
-//! The crate does no I/O and reads no clock.
+//! Request lifecycle: tracks every open request between the scheduler and the event loop that owns the
+//! sockets. The crate does no I/O and reads no clock.
 //!
-//! The gateway's event loop, the platform's event loop and the simulator all drive the same [`RequestTable`]. A frontend
-//! submits a [`NewRequest`] with [`RequestTable::submit`] and receives its [`FinalAnswer`] in [`Output::Respond`]. The
-//! event loop carries out the other [`Output`]s and reports the end of each attempt and command.
+//! The gateway's event loop, the platform's event loop and the simulator all drive the same [`RequestTable`].
+//! A frontend submits a [`NewRequest`] with [`RequestTable::submit`] and receives its [`FinalAnswer`] in
+//! [`Output::Respond`]. The event loop carries out the other [`Output`]s and reports the end of each attempt
+//! and command.
 //!
 //! An event loop has to:
 //!
@@ -11,14 +12,15 @@
 //! * call [`RequestTable::fire_timers`] at the time that [`RequestTable::next_deadline`] returns;
 //! * after each call, carry out the outputs of [`RequestTable::take_outputs`] in order.
 //!
-//! The scheduler makes the scheduling decisions: which worker gets an attempt, whether a request is retried, and when a
-//! request is rejected or fails. The table enforces these guarantees regardless of the scheduler and the workers:
+//! The scheduler makes the scheduling decisions: which worker gets an attempt, whether a request is retried,
+//! and when a request is rejected or fails. The table enforces these guarantees regardless of the scheduler
+//! and the workers:
 //!
-//! * A request gets exactly one final answer, at the latest at its deadline less the answer slack. Nothing is sent to
-//!   the client after the final answer.
+//! * A request gets exactly one final answer, at the latest the configured answer slack before the client
+//!   gives up. Nothing is sent to the client after the final answer.
 //! * Where the settings forbid hedging, a request never has two attempts in flight.
-//! * A worker that is not on the endpoint list is sent nothing. Work that is still unsent when its worker starts to
-//!   drain is not sent.
+//! * A worker that is not on the endpoint list is sent nothing. Work that is still unsent when its worker
+//!   starts to drain is not sent.
 //!
 //! # States
 //!
@@ -42,8 +44,9 @@
 //!                                           └─ ended, cancelled or timed out ─────────────┘
 //! ```
 //!
-//! The deadline timer of the request also bounds an attempt that is in flight without a timer of its own. If the request
-//! is concluded first, the attempt gets its own timer at the same deadline. A streaming attempt has no time limit.
+//! The deadline timer of the request also bounds an attempt that is in flight without a timer of its own. If
+//! the request is concluded first, the attempt gets its own timer at the same deadline. A streaming attempt
+//! has no time limit.
 mod attempt;
 mod command;
 mod final_answer;
--- a/crates/quartzdrift-lifecycle/src/limits.rs
+++ b/crates/quartzdrift-lifecycle/src/limits.rs
@@ -2,7 +2,8 @@
 use quartzdrift_scheduler::interface::{Idempotency, RequestClass, Settings};
 use std::time::Duration;
 
-/// Maximum number of pending health checks and load commands. A further command ends at once as [`Outcome::AtCapacity`].
+/// Maximum number of pending health checks and load commands. A further command ends at once as
+/// [`Outcome::AtCapacity`].
 ///
 /// [`Outcome::AtCapacity`]: quartzdrift_scheduler::interface::Outcome::AtCapacity
 pub(crate) const MAX_COMMANDS: usize = 1024;
--- a/crates/quartzdrift-lifecycle/src/output.rs
+++ b/crates/quartzdrift-lifecycle/src/output.rs
@@ -4,7 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One operation for the event loop. Carry out outputs in the order in which [`RequestTable::take_outputs`] returns them.
+/// One operation for the event loop. Carry out outputs in the order in which [`RequestTable::take_outputs`]
+/// returns them.
 ///
 /// `P` is the payload that the frontend submitted with the request.
 ///
@@ -23,11 +24,11 @@
         worker: Rc<str>,
         /// Name of the function to run.
         function: Rc<str>,
-        /// Time after which the table gives up on the attempt. The table keeps the timer itself; the value is meant for
-        /// the worker.
+        /// Time after which the table gives up on the attempt. The table keeps the timer itself; the value is
+        /// meant for the worker.
         timeout: Duration,
-        /// Latest time, on the table's clock, at which the first byte may be sent; `None`: no limit. If no byte has been
-        /// sent by then, drop the attempt and call [`RequestTable::attempt_recalled`].
+        /// Latest time, on the table's clock, at which the first byte may be sent; `None`: no limit. If no
+        /// byte has been sent by then, drop the attempt and call [`RequestTable::attempt_recalled`].
         ///
         /// [`RequestTable::attempt_recalled`]: crate::RequestTable::attempt_recalled
         send_by: Option<Duration>,
@@ -41,8 +42,8 @@
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// If no byte of the attempt has been sent, close its connection and call [`RequestTable::attempt_recalled`];
-    /// otherwise do nothing.
+    /// If no byte of the attempt has been sent, close its connection and call
+    /// [`RequestTable::attempt_recalled`]; otherwise do nothing.
     ///
     /// [`RequestTable::attempt_recalled`]: crate::RequestTable::attempt_recalled
     RecallAttempt {
@@ -82,8 +83,8 @@
         /// Number of copies that the worker should hold after the load.
         copies: u32,
     },
-    /// If no byte of the load command has been sent, close its connection and report [`Outcome::NeverSent`] with
-    /// [`RequestTable::command_ended`]; otherwise do nothing.
+    /// If no byte of the load command has been sent, close its connection and report [`Outcome::NeverSent`]
+    /// with [`RequestTable::command_ended`]; otherwise do nothing.
     ///
     /// [`Outcome::NeverSent`]: quartzdrift_scheduler::interface::Outcome::NeverSent
     /// [`RequestTable::command_ended`]: crate::RequestTable::command_ended
@@ -91,7 +92,8 @@
         /// Identifies the load command.
         command: u64,
     },
-    /// Close the connection of a health check or load command that timed out. Do not report the command's end.
+    /// Close the connection of a health check or load command that timed out. Do not report the command's
+    /// end.
     AbandonCommand {
         /// Identifies the command.
         command: u64,
--- a/crates/quartzdrift-lifecycle/src/request.rs
+++ b/crates/quartzdrift-lifecycle/src/request.rs
@@ -7,9 +7,9 @@
 
 /// A request as a frontend submits it.
 ///
-/// The table passes it on to the scheduler as a [`Request`] event, which borrows the function's name, carries the id
-/// that the table assigned, and has the answer slack subtracted from the time that is left. The table returns the payload
-/// with each attempt and with the final answer, and never reads it.
+/// The table passes it on to the scheduler as a [`Request`] event, which borrows the function's name, carries
+/// the id that the table assigned, and has the answer slack subtracted from the time that is left. The table
+/// returns the payload with each attempt and with the final answer, and never reads it.
 ///
 /// [`Request`]: quartzdrift_scheduler::interface::Request
 #[derive(Clone, Debug)]
@@ -52,7 +52,8 @@
     pub(crate) payload: P,
     pub(crate) function: Rc<str>,
     pub(crate) is_idempotent: bool,
-    /// Time at which the final answer is due. Once streaming has started, the deadline limits only further attempts.
+    /// Time at which the final answer is due. Once streaming has started, the deadline limits only further
+    /// attempts.
     pub(crate) deadline: Duration,
     /// Time at which the first attempt that may have executed was sent.
     pub(crate) may_have_executed: Option<Duration>,
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Records that streaming of the response to the client has started. Returns the deadline timer, which the caller
-    /// has to cancel.
+    /// Records that streaming of the response to the client has started. Returns the deadline timer, which
+    /// the caller has to cancel.
     pub(crate) fn start_streaming(&mut self) -> Option<TimerId> {
         let timer = self.deadline_timer();
         self.state = RequestState::Streaming;
--- a/crates/quartzdrift-lifecycle/src/request_table/attempts.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/attempts.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 impl<P: Clone> RequestTable<P> {
-    /// Reports the end of an attempt, as observed on its connection. Has no effect if the attempt has already ended.
+    /// Reports the end of an attempt, as observed on its connection. Has no effect if the attempt has already
+    /// ended.
     pub fn attempt_ended(&mut self, now: Duration, request: RequestId, attempt: u32, result: AttemptResult) {
         self.advance_clock(now);
         self.end_attempt(AttemptId { request, attempt }, result);
@@ -22,8 +23,8 @@
         self.attempt_ended(now, request, attempt, result);
     }
 
-    /// Reports that streaming of the response to the client has started. From then on neither the request's deadline
-    /// nor an attempt timeout applies.
+    /// Reports that streaming of the response to the client has started. From then on neither the request's
+    /// deadline nor an attempt timeout applies.
     pub fn streaming_started(&mut self, now: Duration, request: RequestId, attempt: u32) {
         self.advance_clock(now);
         let Some(streaming) = self.attempts.get_mut(&AttemptId { request, attempt }) else {
@@ -120,7 +121,8 @@
             open_request.record_attempt_end(&attempt, result.outcome);
             is_streaming = open_request.is_streaming();
         }
-        // A response that breaks off during streaming is still the final answer: the client has received part of it.
+        // A response that breaks off during streaming is still the final answer: the client has received part
+        // of it.
         if result.outcome == Outcome::Succeeded || is_streaming {
             self.conclude(id.request, FinalAnswer::Succeeded);
         }
--- a/crates/quartzdrift-lifecycle/src/request_table/commands.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/commands.rs
@@ -11,8 +11,9 @@
 impl<P: Clone> RequestTable<P> {
     /// Reports the end of a health check or load command. Has no effect if the command has already ended.
     ///
-    /// `copies` applies to load commands: the number of copies of the function that the worker now holds. `report`
-    /// applies to health checks: the load report, with one value for each metric in the order of the settings.
+    /// `copies` applies to load commands: the number of copies of the function that the worker now holds.
+    /// `report` applies to health checks: the load report, with one value for each metric in the order of the
+    /// settings.
     pub fn command_ended(
         &mut self,
         now: Duration,
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Registers a command and returns its id, or `None` if the command must not be sent. In that case the scheduler is
-    /// notified of the command's end later.
+    /// Registers a command and returns its id, or `None` if the command must not be sent. In that case the
+    /// scheduler is notified of the command's end later.
     fn start_command(&mut self, worker: Rc<str>, kind: CommandKind) -> Option<u64> {
         let command = self.next_id();
         let refusal = if !self.workers.contains_key(&worker) {
--- a/crates/quartzdrift-lifecycle/src/request_table/conclusion.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/conclusion.rs
@@ -10,8 +10,8 @@
 impl<P: Clone> RequestTable<P> {
     /// Gives a request its final answer and removes the request. Returns `false` if it has already had one.
     ///
-    /// The request's attempts stay in flight until they end, at the latest at the request's deadline: a worker cannot be
-    /// notified that its response is no longer needed.
+    /// The request's attempts stay in flight until they end, at the latest at the request's deadline: a
+    /// worker cannot be notified that its response is no longer needed.
     pub(super) fn conclude(&mut self, request: RequestId, answer: FinalAnswer) -> bool {
         let Some(open_request) = self.requests.remove(&request) else {
             return false;
--- a/crates/quartzdrift-lifecycle/src/request_table/deadlines.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/deadlines.rs
@@ -1,4 +1,5 @@
-//! Handling of expired timers: request deadlines, timeouts of attempts and commands, and the scheduler's own timers.
+//! Handling of expired timers: request deadlines, timeouts of attempts and commands, and the scheduler's own
+//! timers.
 use super::table::RequestTable;
 use crate::attempt::{AttemptId, AttemptResult};
 use crate::final_answer::{FailureReason, FinalAnswer};
@@ -18,8 +19,8 @@
 impl<P: Clone> RequestTable<P> {
     /// Handles every timer that has expired by `now`.
     ///
-    /// `may_have_been_sent` tells whether a byte of an attempt may have been sent. An unsent attempt cannot have
-    /// executed, so it ends as never sent instead of timed out.
+    /// `may_have_been_sent` tells whether a byte of an attempt may have been sent. An unsent attempt cannot
+    /// have executed, so it ends as never sent instead of timed out.
     pub fn fire_timers(&mut self, now: Duration, may_have_been_sent: impl Fn(RequestId, u32) -> bool) {
         self.advance_clock(now);
         while let Some(event) = self.timers.pop(self.now) {
@@ -40,7 +41,8 @@
             self.time_out_attempt(AttemptId { request, attempt }, may_have_been_sent);
         }
         self.process_pending_ends();
-        // Concludes the request even if the scheduler has not decided on it, so that the deadline always holds.
+        // Concludes the request even if the scheduler has not decided on it, so that the deadline always
+        // holds.
         let answer = FinalAnswer::Failed {
             why: FailureReason::DeadlineExceeded,
         };
--- a/crates/quartzdrift-lifecycle/src/request_table/endpoints.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/endpoints.rs
@@ -8,8 +8,8 @@
 impl<P: Clone> RequestTable<P> {
     /// Applies an update of the endpoint list. Times in `entries` are on the same clock as `now`.
     ///
-    /// Recalls the attempts and load commands to workers that are not up: a draining worker must not be sent new work,
-    /// and work that is still unsent counts as new.
+    /// Recalls the attempts and load commands to workers that are not up: a draining worker must not be sent
+    /// new work, and work that is still unsent counts as new.
     pub fn update_endpoints(&mut self, now: Duration, kind: EndpointListKind, entries: Vec<Endpoint>) {
         self.advance_clock(now);
         if matches!(kind, EndpointListKind::Full | EndpointListKind::Snapshot) {
--- a/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
@@ -11,8 +11,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the payload if the maximum number of open requests is reached or the shutdown deadline has passed. The
-    /// request has not executed, so a retry is safe.
+    /// Returns the payload if the maximum number of open requests is reached or the shutdown deadline has
+    /// passed. The request has not executed, so a retry is safe.
     pub fn submit(&mut self, now: Duration, new_request: NewRequest<P>) -> Result<RequestId, P> {
         self.advance_clock(now);
         let until_shutdown = self.shutdown_deadline.map(|at| at.saturating_sub(self.now));
@@ -52,7 +52,8 @@
         Ok(request)
     }
 
-    /// Reports that the client of a request disconnected. Has no effect if the request has had its final answer.
+    /// Reports that the client of a request disconnected. Has no effect if the request has had its final
+    /// answer.
     pub fn client_disconnected(&mut self, now: Duration, request: RequestId) {
         self.advance_clock(now);
         if self.conclude(request, FinalAnswer::Cancelled) {
--- a/crates/quartzdrift-lifecycle/src/request_table/scheduler_inputs.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/scheduler_inputs.rs
@@ -12,7 +12,8 @@
         self.process_pending_ends();
     }
 
-    /// Restores the measurements of an earlier process, for workers that can be assumed not to have changed since.
+    /// Restores the measurements of an earlier process, for workers that can be assumed not to have changed
+    /// since.
     pub fn restore_measurements(&mut self, now: Duration, measurements: Measurements) {
         self.advance_clock(now);
         self.notify_scheduler(Event::RestoredMeasurements(measurements));
@@ -26,7 +27,8 @@
         self.process_pending_ends();
     }
 
-    /// Reports that a worker closed an idle connection. Has no effect if the worker is not on the endpoint list.
+    /// Reports that a worker closed an idle connection. Has no effect if the worker is not on the endpoint
+    /// list.
     pub fn worker_disconnected(&mut self, now: Duration, worker: &str) {
         self.advance_clock(now);
         if self.workers.contains_key(worker) {
@@ -35,7 +37,8 @@
         }
     }
 
-    /// Sets the number of schedulers that share the workers, including this one. It replaces the number in the settings.
+    /// Sets the number of schedulers that share the workers, including this one. It replaces the number in
+    /// the settings.
     pub fn set_scheduler_count(&mut self, now: Duration, count: u32) {
         self.advance_clock(now);
         self.notify_scheduler(Event::SchedulerCount(count));
--- a/crates/quartzdrift-lifecycle/src/request_table/shutdown.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/shutdown.rs
@@ -7,17 +7,17 @@
 use std::time::Duration;
 
 impl<P: Clone> RequestTable<P> {
-    /// Starts the drain, which ends at `at` with a call of [`RequestTable::shut_down`]. The deadlines of requests that
-    /// are submitted from now on are no later than `at`.
+    /// Starts the drain, which ends at `at` with a call of [`RequestTable::shut_down`]. The deadlines of
+    /// requests that are submitted from now on are no later than `at`.
     pub fn set_shutdown_deadline(&mut self, at: Duration) {
         self.shutdown_deadline = Some(at);
     }
 
     /// Concludes all open requests at the end of the drain.
     ///
-    /// A request is rejected if it never executed, or if it is idempotent and its attempts can be cancelled; otherwise
-    /// it fails. `may_have_been_sent` tells whether a byte of an attempt may have been sent. Unsent attempts are
-    /// cancelled.
+    /// A request is rejected if it never executed, or if it is idempotent and its attempts can be cancelled;
+    /// otherwise it fails. `may_have_been_sent` tells whether a byte of an attempt may have been sent. Unsent
+    /// attempts are cancelled.
     pub fn shut_down(&mut self, now: Duration, may_have_been_sent: impl Fn(RequestId, u32) -> bool) {
         self.advance_clock(now);
         let open_requests: Vec<RequestId> = self.requests.keys().copied().collect();
--- a/crates/quartzdrift-lifecycle/src/request_table/table.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/table.rs
@@ -13,18 +13,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The end of an attempt or command that was caused by the scheduler's own action. The scheduler is notified of it after
-/// it has handled the current event.
+/// The end of an attempt or command that was caused by the scheduler's own action. The scheduler is notified
+/// of it after it has handled the current event.
 pub(super) enum PendingEnd {
     Attempt(AttemptId, AttemptResult),
     Command(u64, Outcome),
 }
 
-/// All open requests, their attempts and the pending commands, together with the scheduler that decides on them.
+/// All open requests, their attempts and the pending commands, together with the scheduler that decides on
+/// them.
 ///
-/// `P` is the payload that a frontend submits with a request. The table clones it for each attempt, so use a type that
-/// is cheap to clone. Times are durations since the start of the caller's clock. The table's clock never goes back: a
-/// time earlier than the latest one is replaced by the latest one.
+/// `P` is the payload that a frontend submits with a request. The table clones it for each attempt, so use a
+/// type that is cheap to clone. Times are durations since the start of the caller's clock. The table's clock
+/// never goes back: a time earlier than the latest one is replaced by the latest one.
 pub struct RequestTable<P> {
     pub(super) scheduler: Scheduler,
     pub(super) limits: Limits,
@@ -148,7 +149,8 @@
 
     /// Notifies the scheduler of pending ends until there are none left.
     ///
-    /// The loop terminates: each iteration uses up an attempt or a command, and the number of both is bounded.
+    /// The loop terminates: each iteration uses up an attempt or a command, and the number of both is
+    /// bounded.
     pub(super) fn process_pending_ends(&mut self) {
         while let Some(end) = self.pending_ends.pop_front() {
             match end {
--- a/crates/quartzdrift-lifecycle/src/timers.rs
+++ b/crates/quartzdrift-lifecycle/src/timers.rs
@@ -12,7 +12,8 @@
     sequence: u64,
 }
 
-/// Queue of timers, each with an event of type `T`. Setting, cancelling and popping a timer take logarithmic time.
+/// Queue of timers, each with an event of type `T`. Setting, cancelling and popping a timer take logarithmic
+/// time.
 #[derive(Debug)]
 pub struct Timers<T> {
     pending: BTreeMap<TimerId, T>,
@@ -60,8 +61,8 @@
         self.pending.remove(&id)
     }
 
-    /// Removes the earliest timer that fires at or before `now`, and returns its event. Timers with the same time fire
-    /// in the order in which they were set.
+    /// Removes the earliest timer that fires at or before `now`, and returns its event. Timers with the same
+    /// time fire in the order in which they were set.
     pub fn pop(&mut self, now: Duration) -> Option<T> {
         let first = self
             .pending
--- a/crates/quartzdrift-lifecycle/tests/request_table/cases.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/cases.rs
@@ -110,9 +110,10 @@
     let (start, request) = (harness.now, harness.submit(0));
     harness.advance_to(start + 10 * MS);
     harness.end_attempt(request, 0, Outcome::Reset);
-    assert!(
-        matches!(harness.final_answer(request), FinalAnswer::Rejected { may_have_executed: Some(at), .. } if at == start)
-    );
+    assert!(matches!(
+        harness.final_answer(request),
+        FinalAnswer::Rejected { may_have_executed: Some(at), .. } if at == start
+    ));
 }
 
 #[test]
--- a/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
@@ -1,4 +1,5 @@
-//! Harness that drives a request table without sockets: it records the outputs, and the test decides how attempts end.
+//! Harness that drives a request table without sockets: it records the outputs, and the test decides how
+//! attempts end.
 use quartzdrift_lifecycle::{AttemptResult, FinalAnswer, NewRequest, Output, RequestTable};
 use quartzdrift_scheduler::interface::{
     Allowed, Endpoint, EndpointListKind, EndpointState, Idempotency, Outcome, RequestClass, RequestId, Rules,
--- a/crates/quartzdrift-lifecycle/tests/request_table/random_events.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/random_events.rs
@@ -119,12 +119,16 @@
 }
 
 proptest! {
-    /// For any sequence of events, each request gets one final answer by its deadline and never has two attempts in
-    /// flight, which the harness checks when an attempt is sent. A non-idempotent request is retried only if its earlier
-    /// attempts cannot have executed.
+    /// For any sequence of events, each request gets one final answer by its deadline and never has two
+    /// attempts in flight, which the harness checks when an attempt is sent. A non-idempotent request is
+    /// retried only if its earlier attempts cannot have executed.
     #[test]
     fn any_sequence_of_events_keeps_the_guarantees(steps in proptest::collection::vec(step(), 1..120)) {
-        let idempotency_kinds = [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent];
+        let idempotency_kinds = [
+            Idempotency::Idempotent,
+            Idempotency::IdempotentWithKey,
+            Idempotency::NonIdempotent,
+        ];
         let mut run = Run {
             harness: Harness::with_settings(&settings(&idempotency_kinds), &WORKERS[..3]),
             submitted: BTreeMap::new(),
@@ -135,7 +139,10 @@
             run.apply(step);
             for (request, _) in &run.harness.sent[sent_before..] {
                 let is_idempotent = run.submitted[request].0 != NON_IDEMPOTENT_CLASS;
-                prop_assert!(is_idempotent || !run.may_have_executed.contains(request), "non-idempotent request {request} was retried although it may have executed");
+                prop_assert!(
+                    is_idempotent || !run.may_have_executed.contains(request),
+                    "non-idempotent request {request} was retried although it may have executed"
+                );
             }
             sent_before = run.harness.sent.len();
         }
@@ -143,11 +150,17 @@
         run.harness.advance_to(end);
         for (request, (request_class, at)) in run.submitted {
             let answers = run.harness.final_answers.get(&request).cloned().unwrap_or_default();
-            prop_assert_eq!(answers.len(), 1, "request {} of class {}: {:?}", request, request_class, answers);
+            prop_assert_eq!(
+                answers.len(), 1,
+                "final answers of request {} of class {}: {:?}", request, request_class, answers
+            );
             prop_assert!(answers[0].0 <= at + TIMEOUT - SLACK);
             let rejected = matches!(answers[0].1, FinalAnswer::Rejected { .. });
             let is_non_idempotent = request_class == NON_IDEMPOTENT_CLASS;
-            prop_assert!(!(is_non_idempotent && rejected && run.may_have_executed.contains(&request)), "non-idempotent request {} was rejected although it may have executed", request);
+            prop_assert!(
+                !(is_non_idempotent && rejected && run.may_have_executed.contains(&request)),
+                "non-idempotent request {} was rejected although it may have executed", request
+            );
         }
         let table = &run.harness.request_table;
         prop_assert_eq!((table.open_requests(), table.attempts_in_flight()), (0, 0));
