--- a/crates/quartzdrift-discovery/src/accepted.rs
+++ b/crates/quartzdrift-discovery/src/accepted.rs
@@ -1,8 +1,9 @@
-//! Which endpoints are accepted as existing.
+//! The set of accepted endpoints, and the checks that protect it against faulty endpoint lists.
 //!
-//! A list that names no worker, lacks most of those that are up, or has targets that cannot be read is more likely a fault of
-//! its source than of the fleet. The workers that such a list names are accepted at once, drains above all; those that it
-//! lacks stay until the same list has come several times.
+//! A full list that is empty, lacks most of the accepted workers, or has targets that cannot be parsed is
+//! more likely a fault of its source than a loss of workers. The entries of such a suspect list are accepted
+//! at once, so that drains take effect. The accepted workers that it lacks are kept until several consecutive
+//! lists lack the same workers.
 use crate::endpoint::DiscoveredEndpoint;
 use crate::list::EndpointList;
 use quartzdrift_scheduler::interface::EndpointState;
@@ -11,60 +12,61 @@
 #[cfg(test)]
 mod tests;
 
-/// Maximum share of the accepted workers that a list may lack without suspicion.
+/// Maximum share of the accepted workers that a list may lack without being suspect, from 0 to 1.
 const MAX_MISSING_SHARE: f64 = 0.5;
-/// Accepted workers below which a missing share means nothing.
+/// Minimum number of accepted workers for [`MAX_MISSING_SHARE`] to apply; with fewer, the share is not
+/// significant.
 const MIN_WORKERS_FOR_SHARE: usize = 3;
-/// Lists that must lack the same workers before those are taken to be gone.
-const CONFIRMATIONS: u32 = 3;
+/// Number of consecutive lists that must lack the same workers before these are removed.
+const LISTS_TO_CONFIRM_REMOVAL: u32 = 3;
 
-/// What follows from a full list.
+/// Decision on a full list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListDecision {
-    /// It is accepted: all workers that it does not name are gone.
+    /// The list is accepted: it replaces all accepted workers.
     Full(Vec<DiscoveredEndpoint>),
-    /// The workers that it names are accepted, and the others stay.
+    /// The list is suspect: its workers are accepted, and the workers that it lacks are kept.
     Partial {
-        /// The workers that it names.
+        /// Workers of the list.
         workers: Vec<DiscoveredEndpoint>,
-        /// Why the list is not accepted, for the log.
+        /// Why the list is suspect.
         reason: SuspectList,
     },
 }
 
-/// A list that is not accepted as complete.
+/// A full list that is not accepted as complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "the list lacks {missing} of {accepted} workers ({rejected} of its lines cannot be read); they stay until it has come \
-     {CONFIRMATIONS} times"
+    "endpoint list lacks {missing} of {accepted} accepted workers and {rejected} of its targets are invalid; \
+     the missing workers are kept until {LISTS_TO_CONFIRM_REMOVAL} consecutive lists lack them"
 )]
 pub struct SuspectList {
-    /// Accepted workers that the list lacks.
+    /// Number of accepted workers that the list lacks.
     pub missing: usize,
-    /// Accepted workers before the list came.
+    /// Number of accepted workers before the list arrived.
     pub accepted: usize,
-    /// Targets of the list that could not be read.
+    /// Number of targets in the list that could not be parsed.
     pub rejected: usize,
 }
 
-/// A suspect list that may be confirmed by the next ones.
+/// Removal of workers that awaits its confirmation by further lists.
 #[derive(Debug)]
-struct Suspicion {
+struct UnconfirmedRemoval {
     missing: Vec<String>,
-    /// Lists so far that lacked the same workers.
-    times: u32,
+    /// Number of consecutive lists so far that lacked the same workers.
+    list_count: u32,
 }
 
 /// The endpoints that are accepted as existing.
 #[derive(Debug, Default)]
 pub struct AcceptedEndpoints {
     by_worker: BTreeMap<String, DiscoveredEndpoint>,
-    suspicion: Option<Suspicion>,
+    unconfirmed_removal: Option<UnconfirmedRemoval>,
     from_unclean_stop: bool,
 }
 
 impl AcceptedEndpoints {
-    /// All accepted workers, by name.
+    /// All accepted endpoints, ordered by the workers' names.
     pub fn workers(&self) -> Vec<DiscoveredEndpoint> {
         self.by_worker.values().cloned().collect()
     }
@@ -74,13 +76,14 @@
         self.by_worker.contains_key(worker)
     }
 
-    /// Says whether the accepted workers were saved before an unplanned stop. Such workers give no ground for suspecting the
-    /// next full list: what it lacks may have stopped for the same cause.
+    /// Sets whether the accepted workers were saved by a process that stopped uncleanly. The next full list
+    /// is then not suspect for being empty or lacking most workers: the workers may have stopped for the same
+    /// cause as the process.
     pub fn set_from_unclean_stop(&mut self, from_unclean_stop: bool) {
         self.from_unclean_stop = from_unclean_stop;
     }
 
-    /// Applies changes, which name workers and are always accepted.
+    /// Applies changes of individual endpoints, which are always accepted.
     pub fn apply_changes(&mut self, workers: &[DiscoveredEndpoint]) {
         for endpoint in workers {
             match endpoint.state {
@@ -94,27 +97,27 @@
         }
     }
 
-    /// Takes a full list, and decides what of it is accepted.
+    /// Applies a full list, and decides whether the workers that it lacks are removed.
     pub fn accept_full(&mut self, list: EndpointList) -> ListDecision {
         let missing = self.missing_from(&list);
-        let suspect = self.is_suspect(&list, missing.len());
+        let is_suspect = self.is_suspect(&list, missing.len());
         self.from_unclean_stop = false;
-        if !suspect {
-            return self.replace(list.workers);
+        if !is_suspect {
+            return self.replace_all(list.workers);
         }
-        let times = match self.suspicion.take() {
-            Some(earlier) if earlier.missing == missing => earlier.times + 1,
+        let list_count = match self.unconfirmed_removal.take() {
+            Some(earlier) if earlier.missing == missing => earlier.list_count + 1,
             Some(_) | None => 1,
         };
-        if times >= CONFIRMATIONS {
-            return self.replace(list.workers);
+        if list_count >= LISTS_TO_CONFIRM_REMOVAL {
+            return self.replace_all(list.workers);
         }
         let reason = SuspectList {
             missing: missing.len(),
             accepted: self.by_worker.len(),
             rejected: list.rejected.len(),
         };
-        self.suspicion = Some(Suspicion { missing, times });
+        self.unconfirmed_removal = Some(UnconfirmedRemoval { missing, list_count });
         self.apply_changes(&list.workers);
         ListDecision::Partial {
             workers: list.workers,
@@ -123,14 +126,14 @@
     }
 
     fn missing_from(&self, list: &EndpointList) -> Vec<String> {
-        let named: BTreeSet<&str> = list
+        let listed: BTreeSet<&str> = list
             .workers
             .iter()
             .map(|endpoint| endpoint.worker.as_str())
             .collect();
         self.by_worker
             .keys()
-            .filter(|worker| !named.contains(worker.as_str()))
+            .filter(|worker| !listed.contains(worker.as_str()))
             .cloned()
             .collect()
     }
@@ -140,12 +143,12 @@
         let lacks_most =
             accepted >= MIN_WORKERS_FOR_SHARE && missing as f64 > MAX_MISSING_SHARE * accepted as f64;
         let is_empty = list.workers.is_empty() && accepted > 0;
-        let is_partly_unreadable = !list.rejected.is_empty() && missing > 0;
-        is_partly_unreadable || !self.from_unclean_stop && (lacks_most || is_empty)
+        let has_invalid_targets = !list.rejected.is_empty() && missing > 0;
+        has_invalid_targets || !self.from_unclean_stop && (lacks_most || is_empty)
     }
 
-    fn replace(&mut self, workers: Vec<DiscoveredEndpoint>) -> ListDecision {
-        self.suspicion = None;
+    fn replace_all(&mut self, workers: Vec<DiscoveredEndpoint>) -> ListDecision {
+        self.unconfirmed_removal = None;
         self.by_worker.clear();
         self.apply_changes(&workers);
         ListDecision::Full(workers)
--- a/crates/quartzdrift-discovery/src/accepted/tests.rs
+++ b/crates/quartzdrift-discovery/src/accepted/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_single_missing_worker_is_gone_at_once() {
+fn a_single_missing_worker_is_removed_at_once() {
     let mut accepted = accepted(&["a", "b", "c", "d"]);
     assert!(matches!(
         accepted.accept_full(list(&["a", "b", "c"])),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_empty_list_is_accepted_the_third_time() {
+fn the_third_consecutive_empty_list_is_accepted() {
     let mut accepted = accepted(&["a", "b"]);
     assert!(matches!(
         accepted.accept_full(list(&[])),
@@ -52,7 +52,7 @@
             ListDecision::Full(_)
         ));
         assert!(!accepted.contains("b"));
-        // The next list is suspect as usual.
+        // The exemption applies to one list only.
         accepted.accept_full(list(&["a", "b", "c", "d"]));
         assert!(matches!(
             accepted.accept_full(list(partial)),
@@ -62,12 +62,12 @@
 }
 
 #[test]
-fn a_partial_list_that_changes_is_counted_anew_and_its_drains_are_accepted() {
+fn a_different_partial_list_restarts_the_count_and_its_drains_are_accepted() {
     let mut accepted = accepted(&["a", "b", "c", "d"]);
     let mut partial = list(&["a"]);
     partial.workers[0].state = EndpointState::Draining;
     let ListDecision::Partial { workers, .. } = accepted.accept_full(partial) else {
-        panic!("the list was accepted")
+        panic!("the partial list was accepted as full")
     };
     assert_eq!(workers[0].state, EndpointState::Draining);
     accepted.accept_full(list(&["a"]));
@@ -76,14 +76,14 @@
 }
 
 #[test]
-fn missing_workers_stay_while_targets_cannot_be_read() {
+fn missing_workers_are_kept_while_targets_are_invalid() {
     let mut accepted = accepted(&["a", "b", "c", "d"]);
-    let unreadable = EndpointList {
+    let list_with_invalid_target = EndpointList {
         rejected: vec![EndpointError::Duplicate("x".into())],
         ..list(&["a", "b", "c"])
     };
     assert!(matches!(
-        accepted.accept_full(unreadable),
+        accepted.accept_full(list_with_invalid_target),
         ListDecision::Partial { .. }
     ));
     assert!(accepted.contains("d"));
--- a/crates/quartzdrift-discovery/src/endpoint.rs
+++ b/crates/quartzdrift-discovery/src/endpoint.rs
@@ -1,29 +1,30 @@
-//! A worker as a list describes it, with its address in the form that serves as the worker's name everywhere.
+//! Endpoints of discovered workers. A worker's address in canonical form also serves as its name.
 use quartzdrift_scheduler::interface::{Endpoint, EndpointState};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One worker of a list.
+/// One worker of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// Its address, in the form of [`list::parse_address`](crate::list::parse_address).
+    /// Address of the worker, as displayed by the result of
+    /// [`list::parse_address`](crate::list::parse_address).
     pub worker: String,
-    /// Whether it takes new requests.
+    /// Whether the worker takes new requests.
     pub state: EndpointState,
-    /// Index of its zone in the settings.
+    /// Index of the worker's zone in the settings.
     pub zone: u32,
-    /// Index of its kind in the settings.
+    /// Index of the worker's kind of machine in the settings.
     pub kind: u32,
-    /// Its cell; a request class may confine deduplication to one.
+    /// Number of the worker's cell. A request class may limit deduplication to one cell.
     pub cell: u32,
-    /// Requests that it runs at a time, as an estimate.
+    /// Estimated number of requests that the worker executes concurrently.
     pub capacity: Option<f64>,
-    /// Its most recent start, since 1970; `None`: long ago.
+    /// Time of the worker's latest start, since the Unix epoch; `None`: long ago or unknown.
     pub started: Option<Duration>,
 }
 
 impl DiscoveredEndpoint {
-    /// A worker that is up, in the first zone and of the first kind.
+    /// Creates an endpoint that is up, in the first zone and of the first kind.
     pub fn up(worker: &str) -> DiscoveredEndpoint {
         DiscoveredEndpoint {
             worker: worker.to_owned(),
@@ -36,7 +37,7 @@
         }
     }
 
-    /// As the scheduler takes it.
+    /// Borrows the endpoint in the form of the scheduler's endpoint list.
     pub fn as_endpoint(&self) -> Endpoint<'_> {
         Endpoint {
             worker: &self.worker,
@@ -50,24 +51,26 @@
     }
 }
 
-/// Names from the settings that labels may use. A label may give the index of a name instead.
+/// Names of zones and kinds in the settings, which labels refer to. A label may also give the index of a
+/// name.
 #[derive(Clone, Debug, Default)]
 pub struct ConfiguredNames {
-    /// Zones, by index.
+    /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// Kinds of workers, by index.
+    /// Names of the kinds of workers, by index.
     pub kinds: Vec<String>,
 }
 
-/// A text that is not an address and port in numbers.
+/// A text that is not a numeric address with a port.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{0}' is no address and port in numbers")]
+#[error("'{0}' is not an IP address with a port, such as 127.0.0.1:8080")]
 pub struct AddressError(String);
 
-/// Parses the address of a worker. Host names other than `localhost` are not taken, as a look-up would block.
+/// Parses the address of a worker. Rejects host names other than `localhost`, as resolving a name would
+/// block.
 ///
 /// # Errors
-/// The text, where it is not an address and port in numbers.
+/// Returns the text if it is not an IP address with a port.
 pub(crate) fn parse_address(text: &str) -> Result<SocketAddr, AddressError> {
     let text = text.trim().trim_start_matches("http://");
     let text = match text.strip_prefix("localhost:") {
--- a/crates/quartzdrift-discovery/src/event_stream.rs
+++ b/crates/quartzdrift-discovery/src/event_stream.rs
@@ -1,42 +1,43 @@
-//! Server-sent events, as published in the HTML standard (section 9.2): bytes in, events out. Use it for a list whose source
-//! pushes its changes.
+//! Server-sent events, as specified in section 9.2 of the HTML standard. A discovery source uses them to push
+//! changes of its endpoint list.
 
 #[cfg(test)]
 mod tests;
 
-/// Maximum bytes of one event: a list of the greatest size.
-const MAX_EVENT: usize = crate::list::MAX_LIST_BYTES + 1024;
+/// Maximum size of one event, in bytes: the largest endpoint list, plus room for the field names of the
+/// event.
+const MAX_EVENT_BYTES: usize = crate::list::MAX_LIST_BYTES + 1024;
 
 /// One event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSentEvent {
-    /// Its type; `message` where the source gave none.
+    /// Type of the event; `message` if the source gave none.
     pub name: String,
-    /// Its data, with lines joined by `\n`.
+    /// Data of the event, with lines joined by `\n`.
     pub data: String,
 }
 
-/// Assembles events from the bytes of a stream.
+/// Incremental parser of an event stream.
 #[derive(Debug, Default)]
 pub struct EventReader {
     line: Vec<u8>,
     name: String,
     data: String,
     has_data: bool,
-    /// Whether the last byte was a carriage return: a line feed after it ends no further line.
+    /// Whether the last byte was a carriage return. A line feed that follows belongs to the same line end.
     after_carriage_return: bool,
 }
 
-/// An event was larger than any list may be.
+/// An event exceeds the maximum size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event was too large")]
+#[error("server-sent event is larger than the limit of {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLarge;
 
 impl EventReader {
-    /// Takes bytes as they arrive and returns the events that they complete.
+    /// Parses the next bytes of the stream and returns the events that they complete.
     ///
     /// # Errors
-    /// Where an event exceeds the maximum; the stream cannot be read further then.
+    /// Returns an error if an event exceeds the maximum size. The stream cannot be parsed any further then.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<ServerSentEvent>, EventTooLarge> {
         let mut events = Vec::new();
         for &byte in bytes {
@@ -46,14 +47,14 @@
                 b'\n' | b'\r' => events.extend(self.end_line()),
                 byte => self.line.push(byte),
             }
-            if self.line.len() + self.data.len() > MAX_EVENT {
+            if self.line.len() + self.data.len() > MAX_EVENT_BYTES {
                 return Err(EventTooLarge);
             }
         }
         Ok(events)
     }
 
-    /// Interprets the line that is complete; an empty one completes an event.
+    /// Parses the line that has just ended. An empty line ends an event, which is returned.
     fn end_line(&mut self) -> Option<ServerSentEvent> {
         let bytes = std::mem::take(&mut self.line);
         let line = String::from_utf8_lossy(&bytes);
@@ -69,13 +70,14 @@
                 self.data.push('\n');
                 self.has_data = true;
             }
-            // Comments, ids and retry times are not needed: after a lost stream the whole list is read again.
+            // Comments, ids and retry times are ignored: after a stream is lost, the complete list is polled
+            // again.
             _ => {}
         }
         None
     }
 
-    /// The event whose fields were read; `None` where it has no data.
+    /// Returns the event that the parsed fields make up; `None` if it has no data.
     fn end_event(&mut self) -> Option<ServerSentEvent> {
         let name = std::mem::take(&mut self.name);
         let mut data = std::mem::take(&mut self.data);
@@ -94,7 +96,7 @@
     }
 }
 
-/// One event as it goes on the wire.
+/// Encodes one event for the stream.
 pub fn write_event(name: &str, data: &str) -> Vec<u8> {
     let mut text = format!("event: {name}\n");
     for line in data.lines() {
--- a/crates/quartzdrift-discovery/src/event_stream/tests.rs
+++ b/crates/quartzdrift-discovery/src/event_stream/tests.rs
@@ -2,7 +2,7 @@
 
 proptest::proptest! {
     #[test]
-    fn events_are_the_same_however_the_bytes_are_split(size in 1usize..20) {
+    fn events_do_not_depend_on_how_the_bytes_are_split(size in 1usize..20) {
         let mut reader = EventReader::default();
         let text = b": hello\r\nevent: full\r\ndata: [1,\r\ndata: 2]\r\n\r\ndata:x\n\nevent: none\n\n";
         let mut events = Vec::new();
@@ -14,14 +14,14 @@
     }
 
     #[test]
-    fn a_written_event_is_read(data in "[a-z\\[\\]{}\" ]{1,40}") {
+    fn a_written_event_is_parsed(data in "[a-z\\[\\]{}\" ]{1,40}") {
         let events = EventReader::default().feed(&write_event("changes", &data)).unwrap();
         proptest::prop_assert_eq!(events, vec![ServerSentEvent { name: "changes".into(), data }]);
     }
 }
 
 #[test]
-fn an_endless_line_is_an_error() {
+fn a_line_beyond_the_maximum_size_is_an_error() {
     let mut reader = EventReader::default();
     let part = vec![b'x'; 1 << 20];
     assert!((0..6).any(|_| reader.feed(&part) == Err(EventTooLarge)));
--- a/crates/quartzdrift-discovery/src/lib.rs
+++ b/crates/quartzdrift-discovery/src/lib.rs
@@ -1,8 +1,9 @@
-//! Discovery of workers: endpoint lists, and which of them are accepted. No I/O, no clock.
+//! Worker discovery: parses and writes endpoint lists, and decides which of them to accept. The crate does no
+//! I/O and reads no clock.
 //!
-//! * [`list`]: the published JSON of HTTP service discovery (targets and labels), read and written.
-//! * [`event_stream`]: server-sent events, by which changes of a list are pushed.
-//! * `accepted`: what to do with a list that is empty, or lacks most of the workers.
+//! * [`list`]: endpoint lists in the JSON format of HTTP service discovery (targets and labels).
+//! * [`event_stream`]: server-sent events, which push changes of an endpoint list.
+//! * `accepted`: checks of a list that is empty or lacks most of the accepted workers.
 mod accepted;
 mod endpoint;
 pub mod event_stream;
--- a/crates/quartzdrift-discovery/src/list.rs
+++ b/crates/quartzdrift-discovery/src/list.rs
@@ -1,7 +1,13 @@
-//! HTTP service discovery: a JSON array of groups, each with `targets` ("address:port") and `labels`, all text.
+//! Endpoint lists in the JSON format of HTTP service discovery: an array of groups, each with `targets`
+//! (`"address:port"`) and `labels` (names and values, both strings).
 //!
-//! Labels that are read: `state` (`up`, `draining` or `gone`; up by default), `zone` and `kind` (names from the settings),
-//! `cell` and `capacity` (numbers), `started` (seconds since 1970, with fractions). Others are ignored.
+//! Labels of an endpoint; other labels are ignored:
+//!
+//! * `state`: `up` (the default), `draining` or `gone`.
+//! * `zone`, `kind`: names from the settings, or their indexes.
+//! * `cell`: number of the cell.
+//! * `capacity`: number of requests that the worker executes concurrently.
+//! * `started`: start time of the worker, in seconds since the Unix epoch, with fractions.
 use crate::endpoint::{self, AddressError, ConfiguredNames, DiscoveredEndpoint};
 use quartzdrift_scheduler::interface::EndpointState;
 use serde::{Deserialize, Serialize};
@@ -12,9 +18,9 @@
 #[cfg(test)]
 mod tests;
 
-/// Maximum workers of one list.
+/// Maximum number of workers in a list.
 pub const MAX_WORKERS: usize = 10_000;
-/// Maximum bytes of a list's text.
+/// Maximum size of a list's JSON text, in bytes.
 pub const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Targets that share their labels.
@@ -25,26 +31,29 @@
     labels: BTreeMap<String, String>,
 }
 
-/// A list, and what of it could not be read.
+/// Result of parsing an endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointList {
-    /// Workers in the order of the list, each once.
+    /// Workers in the order of the list, without duplicates.
     pub workers: Vec<DiscoveredEndpoint>,
-    /// Targets that were left out.
+    /// Errors of the targets that were left out.
     pub rejected: Vec<EndpointError>,
 }
 
-/// Why a text is not a list at all.
+/// Why a text is rejected as a whole.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
     /// The text is longer than [`MAX_LIST_BYTES`].
-    #[error("the list is over {MAX_LIST_BYTES} bytes")]
-    TooLong,
-    /// The text is not the JSON of a list.
-    #[error("the list is not readable: {0}")]
+    #[error("endpoint list has {bytes} bytes, more than the limit of {MAX_LIST_BYTES}")]
+    TooLong {
+        /// Size of the text, in bytes.
+        bytes: usize,
+    },
+    /// The text is not an endpoint list in JSON.
+    #[error("endpoint list is not valid JSON of targets and labels: {0}")]
     Json(#[from] serde_json::Error),
-    /// There are more workers than [`MAX_WORKERS`].
-    #[error("the list names more than {MAX_WORKERS} workers")]
+    /// The list has more workers than [`MAX_WORKERS`].
+    #[error("endpoint list has more workers than the limit of {MAX_WORKERS}")]
     TooManyWorkers,
 }
 
@@ -54,42 +63,44 @@
     /// The target is not an address.
     #[error(transparent)]
     Address(#[from] AddressError),
-    /// A label is malformed, or names what the settings do not have.
-    #[error("{address}: label '{label}' is unreadable or names nothing in the settings")]
+    /// A label's value is malformed or missing from the settings.
+    #[error("target {address}: value '{value}' of label '{label}' is malformed or not in the settings")]
     Label {
-        /// The worker.
+        /// Address of the worker.
         address: SocketAddr,
-        /// The label's name.
+        /// Name of the label.
         label: String,
+        /// Value of the label.
+        value: String,
     },
-    /// The target has occurred before in the list.
-    #[error("{0}: named twice")]
+    /// The target occurs earlier in the list.
+    #[error("target '{0}' occurs more than once in the list")]
     Duplicate(String),
 }
 
-/// Parses the address of a worker. In the form that the result displays it is the worker's name everywhere. Host names other
-/// than `localhost` are not taken, as a look-up would block.
+/// Parses the address of a worker. The displayed result is the canonical form, which serves as the worker's
+/// name. Rejects host names other than `localhost`, as resolving a name would block.
 ///
 /// # Errors
-/// The text, where it is not an address and port in numbers.
+/// Returns the text if it is not an IP address with a port.
 pub fn parse_address(text: &str) -> Result<SocketAddr, AddressError> {
     endpoint::parse_address(text)
 }
 
-/// Reads a list. Targets that cannot be read are reported in the result.
+/// Parses an endpoint list. Targets that cannot be parsed are left out and reported in the result.
 ///
 /// # Errors
-/// Where the text as a whole is not a list, or exceeds a limit.
-pub fn read(text: &[u8], known: &ConfiguredNames) -> Result<EndpointList, ListError> {
+/// Returns an error if the text as a whole is not an endpoint list or exceeds a limit.
+pub fn read(text: &[u8], names: &ConfiguredNames) -> Result<EndpointList, ListError> {
     if text.len() > MAX_LIST_BYTES {
-        return Err(ListError::TooLong);
+        return Err(ListError::TooLong { bytes: text.len() });
     }
     let groups: Vec<Group> = serde_json::from_slice(text)?;
     let mut list = EndpointList::default();
     let mut seen = BTreeSet::new();
     for group in &groups {
         for target in &group.targets {
-            match read_target(target, &group.labels, known) {
+            match read_target(target, &group.labels, names) {
                 Ok(endpoint) if !seen.insert(endpoint.worker.clone()) => {
                     list.rejected.push(EndpointError::Duplicate(target.clone()));
                 }
@@ -102,13 +113,13 @@
     Ok(list)
 }
 
-/// Writes workers as a list that [`read`] takes.
-pub fn write(workers: &[DiscoveredEndpoint], known: &ConfiguredNames) -> Vec<u8> {
+/// Writes workers as an endpoint list that [`read`] can parse.
+pub fn write(workers: &[DiscoveredEndpoint], names: &ConfiguredNames) -> Vec<u8> {
     let groups: Vec<Group> = workers
         .iter()
         .map(|endpoint| Group {
             targets: vec![endpoint.worker.clone()],
-            labels: write_labels(endpoint, known),
+            labels: write_labels(endpoint, names),
         })
         .collect();
     serde_json::to_vec(&groups).unwrap_or_default()
@@ -117,7 +128,7 @@
 fn read_target(
     target: &str,
     labels: &BTreeMap<String, String>,
-    known: &ConfiguredNames,
+    names: &ConfiguredNames,
 ) -> Result<DiscoveredEndpoint, EndpointError> {
     let address = parse_address(target)?;
     let labels = Labels { address, labels };
@@ -126,35 +137,37 @@
     Ok(DiscoveredEndpoint {
         worker: address.to_string(),
         state,
-        zone: labels.index("zone", &known.zones)?,
-        kind: labels.index("kind", &known.kinds)?,
+        zone: labels.name_index("zone", &names.zones)?,
+        kind: labels.name_index("kind", &names.kinds)?,
         cell: labels.cell()?,
         capacity: labels.number("capacity")?,
         started: labels.start_time(started)?,
     })
 }
 
-/// The labels of one target.
+/// Labels of one target.
 struct Labels<'a> {
     address: SocketAddr,
     labels: &'a BTreeMap<String, String>,
 }
 
 impl Labels<'_> {
-    fn get(&self, name: &str) -> Option<&str> {
-        self.labels.get(name).map(String::as_str)
+    fn value(&self, label: &str) -> Option<&str> {
+        self.labels.get(label).map(String::as_str)
     }
 
-    fn error(&self, name: &str) -> EndpointError {
+    fn error(&self, label: &str) -> EndpointError {
         EndpointError::Label {
             address: self.address,
-            label: name.to_owned(),
+            label: label.to_owned(),
+            value: self.value(label).unwrap_or_default().to_owned(),
         }
     }
 
-    /// An unknown state is an error rather than the default: it might forbid what `up` allows.
+    /// Parses the state. An unknown state is an error: with the default, `up`, a worker that does not accept
+    /// requests could be sent some.
     fn state(&self) -> Result<EndpointState, EndpointError> {
-        match self.get("state") {
+        match self.value("state") {
             None | Some("up") => Ok(EndpointState::Up),
             Some("draining") => Ok(EndpointState::Draining),
             Some("gone") => Ok(EndpointState::Gone),
@@ -162,31 +175,31 @@
         }
     }
 
-    /// The index of a name, or the first one where the label is missing.
-    fn index(&self, label: &str, names: &[String]) -> Result<u32, EndpointError> {
-        match self.get(label) {
+    /// Index of the label's value in `names`; 0 if the label is missing.
+    fn name_index(&self, label: &str, names: &[String]) -> Result<u32, EndpointError> {
+        match self.value(label) {
             None => Ok(0),
             Some(value) => index_of(names, value).ok_or_else(|| self.error(label)),
         }
     }
 
     fn cell(&self) -> Result<u32, EndpointError> {
-        match self.get("cell") {
+        match self.value("cell") {
             None => Ok(0),
             Some(value) => value.parse().map_err(|_| self.error("cell")),
         }
     }
 
-    /// A finite number that is not negative.
+    /// Parses a label's value as a finite number of at least 0; `None` if the label is missing.
     fn number(&self, label: &str) -> Result<Option<f64>, EndpointError> {
-        match self.get(label).map(str::parse::<f64>) {
+        match self.value(label).map(str::parse::<f64>) {
             None => Ok(None),
             Some(Ok(number)) if number.is_finite() && number >= 0.0 => Ok(Some(number)),
             Some(_) => Err(self.error(label)),
         }
     }
 
-    /// Zero means that the start is unknown.
+    /// Converts the value of `started`. Zero stands for an unknown start time, hence `None`.
     fn start_time(&self, seconds: Option<f64>) -> Result<Option<Duration>, EndpointError> {
         let Some(seconds) = seconds else { return Ok(None) };
         let started = Duration::try_from_secs_f64(seconds).map_err(|_| self.error("started"))?;
@@ -194,7 +207,8 @@
     }
 }
 
-/// The index of a name, which may be given as a number. Without names there is one unnamed place.
+/// Index of a name in `names`. `value` is the name itself or its index. Without configured names, 0 is the
+/// only valid index.
 fn index_of(names: &[String], value: &str) -> Option<u32> {
     if let Some(index) = names.iter().position(|name| name == value) {
         return Some(index as u32);
@@ -203,7 +217,7 @@
     ((index as usize) < names.len().max(1)).then_some(index)
 }
 
-fn write_labels(endpoint: &DiscoveredEndpoint, known: &ConfiguredNames) -> BTreeMap<String, String> {
+fn write_labels(endpoint: &DiscoveredEndpoint, names: &ConfiguredNames) -> BTreeMap<String, String> {
     let state = match endpoint.state {
         EndpointState::Up => "up",
         EndpointState::Draining => "draining",
@@ -213,10 +227,10 @@
         ("state".to_owned(), state.to_owned()),
         ("cell".to_owned(), endpoint.cell.to_string()),
     ]);
-    if let Some(zone) = known.zones.get(endpoint.zone as usize) {
+    if let Some(zone) = names.zones.get(endpoint.zone as usize) {
         labels.insert("zone".to_owned(), zone.clone());
     }
-    if let Some(kind) = known.kinds.get(endpoint.kind as usize) {
+    if let Some(kind) = names.kinds.get(endpoint.kind as usize) {
         labels.insert("kind".to_owned(), kind.clone());
     }
     if let Some(capacity) = endpoint.capacity {
--- a/crates/quartzdrift-lifecycle/src/lib.rs
+++ b/crates/quartzdrift-lifecycle/src/lib.rs
@@ -16,11 +16,12 @@
 //! and when a request is rejected or fails. The table enforces these guarantees regardless of the scheduler
 //! and the workers:
 //!
-//! * A request gets exactly one final answer, at the latest the configured answer slack before the client
-//!   gives up. Nothing is sent to the client after the final answer.
+//! * A request gets exactly one final answer, and nothing is sent to the client after it. Unless the response
+//!   is streamed, the final answer comes at the latest the configured answer slack before the client gives
+//!   up.
 //! * Where the settings forbid hedging, a request never has two attempts in flight.
-//! * A worker that is not on the endpoint list is sent nothing. Work that is still unsent when its worker
-//!   starts to drain is not sent.
+//! * No attempt, health check or load command is sent to a worker that is not on the endpoint list. Attempts
+//!   and load commands that are still unsent when their worker starts to drain are recalled.
 //!
 //! # States
 //!
