--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -224,9 +224,9 @@
             | Output::AbandonCommand { .. }
             | Output::CheckHealth { .. }
             | Output::Unload { .. }
-            | Output::CloseIdle { .. }
+            | Output::CloseIdleConnections { .. }
             | Output::SendToPeer { .. }
-            | Output::Watch { .. }
+            | Output::WatchEndpoints { .. }
             | Output::PollEndpoints
             | Output::Notice(_)
             | Output::Log { .. } => {}
--- a/crates/quartzdrift-lifecycle/src/output.rs
+++ b/crates/quartzdrift-lifecycle/src/output.rs
@@ -106,7 +106,7 @@
         function: Rc<str>,
     },
     /// Close the idle connections to a worker.
-    CloseIdle {
+    CloseIdleConnections {
         /// Name of the worker.
         worker: Rc<str>,
     },
@@ -118,9 +118,9 @@
         bytes: Vec<u8>,
     },
     /// Start or stop watching the endpoint list for changes.
-    Watch {
+    WatchEndpoints {
         /// `true` starts the watch, `false` stops it.
-        on: bool,
+        enabled: bool,
     },
     /// Fetch the complete endpoint list.
     PollEndpoints,
--- a/crates/quartzdrift/src/gateway/outputs.rs
+++ b/crates/quartzdrift/src/gateway/outputs.rs
@@ -38,12 +38,12 @@
             Output::RecallCommand { command } => self.recall_command(command),
             Output::AbandonCommand { command } => self.abandon_command(command),
             Output::Unload { worker, function } => self.unload(&worker, &function),
-            Output::CloseIdle { worker } => self.close_idle(&worker),
+            Output::CloseIdleConnections { worker } => self.close_idle(&worker),
             Output::SendToPeer { to, bytes } => {
                 // The scheduler sends nothing to its peers today.
                 tracing::warn!(?to, bytes = bytes.len(), "a message to a peer is dropped");
             }
-            Output::Watch { on } => self.watch(on),
+            Output::WatchEndpoints { enabled } => self.watch(enabled),
             Output::PollEndpoints => self.poll_endpoints(),
             Output::Notice(notice) => tracing::info!(?notice, "endpoint list"),
             Output::Log { text } => tracing::info!(text, "scheduler"),
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -131,7 +131,7 @@
                 payload,
                 answer,
             } => self.final_answer(request, &payload, answer),
-            Output::CloseIdle { worker } => self.close_idle(&worker),
+            Output::CloseIdleConnections { worker } => self.close_idle(&worker),
             Output::Notice(notice) => self.log_notice(notice),
             Output::Log { text } => tracing::info!(text, "decision"),
             // The platform's list comes without being asked for, and its settings allow neither load commands nor health
@@ -144,7 +144,7 @@
             | Output::AbandonCommand { .. }
             | Output::Unload { .. }
             | Output::SendToPeer { .. }
-            | Output::Watch { .. }
+            | Output::WatchEndpoints { .. }
             | Output::PollEndpoints => {}
         }
     }
