--- a/crates/quartzdrift-lab/src/emulate/clients.rs
+++ b/crates/quartzdrift-lab/src/emulate/clients.rs
@@ -75,7 +75,7 @@
             concurrency_slots: Some(request_class.slots as f64),
             load_hint: Some(request_class.load),
             is_retry: turn > 1,
-            writes: false,
+            has_side_effects: false,
             payload: client,
         };
         if let Some(request_table) = &mut scheduler.request_table
--- a/crates/quartzdrift-lifecycle/src/request.rs
+++ b/crates/quartzdrift-lifecycle/src/request.rs
@@ -32,8 +32,8 @@
     pub load_hint: Option<Duration>,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// Whether the function changes state outside the worker.
-    pub writes: bool,
+    /// Whether the function has side effects outside the worker.
+    pub has_side_effects: bool,
     /// Data of the frontend, returned with each attempt and with the final answer.
     pub payload: P,
 }
--- a/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
@@ -36,7 +36,7 @@
             concurrency_slots: new_request.concurrency_slots,
             load_hint: new_request.load_hint,
             is_retry: new_request.is_retry,
-            writes: new_request.writes,
+            writes: new_request.has_side_effects,
         });
         let deadline = self.now + time_left;
         let open_request = OpenRequest::new(
--- a/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
@@ -50,7 +50,7 @@
         concurrency_slots: None,
         load_hint: None,
         is_retry: false,
-        writes: false,
+        has_side_effects: false,
         payload: 7,
     }
 }
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -279,7 +279,7 @@
         concurrency_slots: function.concurrency_slots,
         load_hint: function.load,
         is_retry,
-        writes: function.writes,
+        has_side_effects: function.writes,
         payload,
     }
 }
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -170,7 +170,7 @@
         concurrency_slots: request.concurrency_slots,
         load_hint: request.load,
         is_retry: false,
-        writes: false,
+        has_side_effects: false,
         payload: Rc::new(context),
     }
 }
