--- a/crates/quartzdrift-lab/src/emulate/clients.rs
+++ b/crates/quartzdrift-lab/src/emulate/clients.rs
@@ -51,7 +51,7 @@
                     let retry_after = Some(wait);
                     return self.answered(
                         client,
-                        FinalAnswer::Rejected {
+                        FinalResponse::Rejected {
                             retry_after,
                             may_have_executed: None,
                             reason: RejectReason::NoCapacity,
@@ -135,11 +135,11 @@
         }
     }
 
-    pub(super) fn answered(&mut self, client: usize, answer: FinalAnswer) {
+    pub(super) fn answered(&mut self, client: usize, answer: FinalResponse) {
         if !std::mem::take(&mut self.clients[client].open) {
             return;
         }
-        let finished = answer == FinalAnswer::Succeeded;
+        let finished = answer == FinalResponse::Succeeded;
         let (took, of) = (
             self.now - self.clients[client].first,
             self.clients[client].arrival,
@@ -149,7 +149,7 @@
         let of = &self.clients[client];
         let arrival = &self.arrivals[of.arrival];
         match answer {
-            FinalAnswer::Succeeded => {
+            FinalResponse::Succeeded => {
                 self.figures.finished += 1;
                 self.waits
                     .push((took.as_secs_f64() * 1000.0 - arrival.work_us as f64 / 1000.0).max(0.0));
@@ -157,15 +157,15 @@
                     self.in_time.insert(of.arrival);
                 }
             }
-            FinalAnswer::Rejected { retry_after, .. } => {
+            FinalResponse::Rejected { retry_after, .. } => {
                 self.figures.rejected += 1;
                 self.figures.power_rejected += u64::from(self.power.off.is_some());
                 let told = retry_after.unwrap_or(Duration::from_millis(100));
                 let wait = told.mul_f64(self.script.haste * self.chance.random_range(1.0..2.0));
                 self.again(client, wait);
             }
-            FinalAnswer::Failed { .. } => self.figures.killed += 1,
-            FinalAnswer::Cancelled => {}
+            FinalResponse::Failed { .. } => self.figures.killed += 1,
+            FinalResponse::Cancelled => {}
         }
     }
 }
--- a/crates/quartzdrift-lab/src/emulate/mod.rs
+++ b/crates/quartzdrift-lab/src/emulate/mod.rs
@@ -18,7 +18,7 @@
 use crate::traffic::{self, Arrival};
 use crate::worker::Faults;
 use quartzdrift_forecast::{Ahead, Forecasts, Standing, Sums};
-use quartzdrift_lifecycle::{AttemptResult, FinalAnswer, NewRequest, Output, RequestTable};
+use quartzdrift_lifecycle::{AttemptResult, FinalResponse, NewRequest, Output, RequestTable};
 use quartzdrift_scheduler::interface::{
     Allowed, CacheResult, CacheSettings, Endpoint, EndpointListKind, EndpointState, Idempotency, Outcome,
     Prices, ReportField, ReportSource, RequestClass, Rules, Settings, UsageForecast,
--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -180,7 +180,9 @@
                     self.later(Ev::Cancel { worker, call });
                 }
             }
-            Output::Respond { payload, answer, .. } => self.answered(payload, answer),
+            Output::Respond {
+                payload, response, ..
+            } => self.answered(payload, response),
             Output::Load {
                 command: order,
                 worker,
--- a/crates/quartzdrift-lifecycle/src/final_answer.rs
+++ b/crates/quartzdrift-lifecycle/src/final_response.rs
@@ -1,4 +1,4 @@
-//! Final answers of requests. Frontends translate them into responses to their clients.
+//! Final responses of requests. Frontends translate them into responses to their clients.
 use quartzdrift_scheduler::interface::RejectReason;
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
     ShuttingDown,
 }
 
-/// The one final answer of a request.
+/// The one final response of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FinalAnswer {
+pub enum FinalResponse {
     /// The client gets the response of the attempt that has just ended, or has already got it by streaming.
     Succeeded,
     /// The request did not execute, or is safe to execute again: the client may retry.
@@ -34,6 +34,6 @@
         /// Why the request failed.
         why: FailureReason,
     },
-    /// The client disconnected before the final answer, so no response is sent.
+    /// The client disconnected before the final response, so no response is sent.
     Cancelled,
 }
--- a/crates/quartzdrift-lifecycle/src/lib.rs
+++ b/crates/quartzdrift-lifecycle/src/lib.rs
@@ -2,7 +2,7 @@
 //! sockets. The crate does no I/O and reads no clock.
 //!
 //! The gateway's event loop, the platform's event loop and the simulator all drive the same [`RequestTable`].
-//! A frontend submits a [`NewRequest`] with [`RequestTable::submit`] and receives its [`FinalAnswer`] in
+//! A frontend submits a [`NewRequest`] with [`RequestTable::submit`] and receives its [`FinalResponse`] in
 //! [`Output::Respond`]. The event loop carries out the other [`Output`]s and reports the end of each attempt
 //! and command.
 //!
@@ -16,9 +16,9 @@
 //! and when a request is rejected or fails. The table enforces these guarantees regardless of the scheduler
 //! and the workers:
 //!
-//! * A request gets exactly one final answer, and nothing is sent to the client after it. Unless the response
-//!   is streamed, the final answer comes at the latest the configured answer slack before the client gives
-//!   up.
+//! * A request gets exactly one final response, and nothing is sent to the client after it. Unless the
+//!   response is streamed, the final response comes at the latest the configured response slack before the
+//!   client gives up.
 //! * Where the settings forbid hedging, a request never has two attempts in flight.
 //! * No attempt, health check or load command is sent to a worker that is not on the endpoint list. Attempts
 //!   and load commands that are still unsent when their worker starts to drain are recalled.
@@ -28,10 +28,10 @@
 //! A request:
 //!
 //! ```text
-//! submit ──► awaiting its answer ──streaming_started──► streaming
+//! submit ──► awaiting response ────streaming_started──► streaming
 //!            (deadline timer set)                       (no deadline timer)
 //!                     │                                      │
-//!                     └────────► final answer, removed ◄─────┘
+//!                     └───────► final response, removed ◄────┘
 //! ```
 //!
 //! An attempt, which may outlive its request:
@@ -50,7 +50,7 @@
 //! has no time limit.
 mod attempt;
 mod command;
-mod final_answer;
+mod final_response;
 mod limits;
 mod output;
 mod request;
@@ -58,7 +58,7 @@
 mod timers;
 
 pub use attempt::AttemptResult;
-pub use final_answer::{FailureReason, FinalAnswer};
+pub use final_response::{FailureReason, FinalResponse};
 pub use output::Output;
 pub use request::NewRequest;
 pub use request_table::RequestTable;
--- a/crates/quartzdrift-lifecycle/src/limits.rs
+++ b/crates/quartzdrift-lifecycle/src/limits.rs
@@ -24,8 +24,8 @@
     pub(crate) max_open_requests: usize,
     /// Maximum number of attempts of one request.
     pub(crate) max_attempts: u32,
-    /// Time between the deadline for the final answer and the client's own timeout.
-    pub(crate) answer_slack: Duration,
+    /// Time between the deadline for the final response and the client's own timeout.
+    pub(crate) response_slack: Duration,
     /// Timeout of health checks and load commands.
     pub(crate) command_timeout: Duration,
     /// Whether a request may have several attempts in flight.
@@ -46,7 +46,7 @@
                 .max_open
                 .map_or(DEFAULT_MAX_OPEN_REQUESTS, |limit| limit as usize),
             max_attempts: settings.allowed.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS),
-            answer_slack: settings.rules.answer_slack.unwrap_or_default(),
+            response_slack: settings.rules.answer_slack.unwrap_or_default(),
             command_timeout: settings
                 .copies
                 .load_command_timeout
--- a/crates/quartzdrift-lifecycle/src/output.rs
+++ b/crates/quartzdrift-lifecycle/src/output.rs
@@ -1,5 +1,5 @@
 //! Outputs: the work that the request table hands to the event loop that owns the sockets.
-use crate::final_answer::FinalAnswer;
+use crate::final_response::FinalResponse;
 use quartzdrift_scheduler::interface::{Notice, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
@@ -52,14 +52,14 @@
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Give the client the final answer of its request.
+    /// Give the client the final response of its request.
     Respond {
         /// Identifies the request, which is no longer open.
         request: RequestId,
         /// Payload that the frontend submitted with the request.
         payload: P,
-        /// The request's final answer.
-        answer: FinalAnswer,
+        /// The request's final response.
+        response: FinalResponse,
     },
     /// Check a worker's health, and report the end of the check with [`RequestTable::command_ended`].
     ///
--- a/crates/quartzdrift-lifecycle/src/request.rs
+++ b/crates/quartzdrift-lifecycle/src/request.rs
@@ -8,8 +8,8 @@
 /// A request as a frontend submits it.
 ///
 /// The table passes it on to the scheduler as a [`Request`] event, which borrows the function's name, carries
-/// the id that the table assigned, and has the answer slack subtracted from the time that is left. The table
-/// returns the payload with each attempt and with the final answer, and never reads it.
+/// the id that the table assigned, and has the response slack subtracted from the time that is left. The
+/// table returns the payload with each attempt and with the final response, and never reads it.
 ///
 /// [`Request`]: quartzdrift_scheduler::interface::Request
 #[derive(Clone, Debug)]
@@ -34,25 +34,25 @@
     pub is_retry: bool,
     /// Whether the function has side effects outside the worker.
     pub has_side_effects: bool,
-    /// Data of the frontend, returned with each attempt and with the final answer.
+    /// Data of the frontend, returned with each attempt and with the final response.
     pub payload: P,
 }
 
 #[derive(Debug)]
 enum RequestState {
     /// No byte of a response has been sent to the client; the timer fires at the deadline.
-    AwaitingAnswer { deadline_timer: TimerId },
+    AwaitingResponse { deadline_timer: TimerId },
     /// The response is being streamed to the client; no timer bounds the request.
     Streaming,
 }
 
-/// A request that has not had its final answer.
+/// A request that has not had its final response.
 #[derive(Debug)]
 pub(crate) struct OpenRequest<P> {
     pub(crate) payload: P,
     pub(crate) function: Rc<str>,
     pub(crate) is_idempotent: bool,
-    /// Time at which the final answer is due. Once streaming has started, the deadline limits only further
+    /// Time at which the final response is due. Once streaming has started, the deadline limits only further
     /// attempts.
     pub(crate) deadline: Duration,
     /// Time at which the first attempt that may have executed was sent.
@@ -77,7 +77,7 @@
             deadline,
             may_have_executed: None,
             attempts_started: 0,
-            state: RequestState::AwaitingAnswer { deadline_timer },
+            state: RequestState::AwaitingResponse { deadline_timer },
         }
     }
 
@@ -89,7 +89,7 @@
     /// The timer at the request's deadline; `None` once streaming has started.
     pub(crate) fn deadline_timer(&self) -> Option<TimerId> {
         match self.state {
-            RequestState::AwaitingAnswer { deadline_timer } => Some(deadline_timer),
+            RequestState::AwaitingResponse { deadline_timer } => Some(deadline_timer),
             RequestState::Streaming => None,
         }
     }
--- a/crates/quartzdrift-lifecycle/src/request_table/actions.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/actions.rs
@@ -1,7 +1,7 @@
 //! Execution of the scheduler's actions.
 use super::deadlines::TimerEvent;
 use super::table::RequestTable;
-use crate::final_answer::{FailureReason, FinalAnswer};
+use crate::final_response::{FailureReason, FinalResponse};
 use crate::limits::MAX_LOG_BYTES;
 use crate::output::Output;
 use quartzdrift_scheduler::interface::{Action, RejectReason, RequestId};
@@ -43,12 +43,12 @@
     fn reject_request(&mut self, request: RequestId, retry_after: Option<Duration>, reason: RejectReason) {
         let open_request = self.requests.get(&request);
         let may_have_executed = open_request.and_then(|open_request| open_request.may_have_executed);
-        let answer = FinalAnswer::Rejected {
+        let response = FinalResponse::Rejected {
             retry_after,
             may_have_executed,
             reason,
         };
-        self.conclude(request, answer);
+        self.conclude(request, response);
     }
 
     fn fail_request(&mut self, request: RequestId) {
@@ -59,7 +59,7 @@
         } else {
             FailureReason::OutcomeUnknown
         };
-        self.conclude(request, FinalAnswer::Failed { why });
+        self.conclude(request, FinalResponse::Failed { why });
     }
 
     fn set_scheduler_timer(&mut self, delay: Duration, name: &'static str) {
--- a/crates/quartzdrift-lifecycle/src/request_table/attempts.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/attempts.rs
@@ -2,7 +2,7 @@
 use super::deadlines::TimerEvent;
 use super::table::{PendingEnd, RequestTable};
 use crate::attempt::{Attempt, AttemptId, AttemptResult};
-use crate::final_answer::FinalAnswer;
+use crate::final_response::FinalResponse;
 use crate::output::Output;
 use quartzdrift_scheduler::interface::{Event, Outcome, RequestId};
 use std::rc::Rc;
@@ -58,7 +58,9 @@
         let has_attempts = self.attempts_of(request).next().is_some();
         let Some(open_request) = self.requests.get_mut(&request) else {
             self.outputs.push(Output::Log {
-                text: format!("attempt of request {request} not sent: the request has had its final answer"),
+                text: format!(
+                    "attempt of request {request} not sent: the request has had its final response"
+                ),
             });
             return;
         };
@@ -121,10 +123,10 @@
             open_request.record_attempt_end(&attempt, result.outcome);
             is_streaming = open_request.is_streaming();
         }
-        // A response that breaks off during streaming is still the final answer: the client has received part
-        // of it.
+        // A response that breaks off during streaming is still the final response: the client has received
+        // part of it.
         if result.outcome == Outcome::Succeeded || is_streaming {
-            self.conclude(id.request, FinalAnswer::Succeeded);
+            self.conclude(id.request, FinalResponse::Succeeded);
         }
         self.notify_scheduler(Event::AttemptEnded {
             request: id.request,
--- a/crates/quartzdrift-lifecycle/src/request_table/conclusion.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/conclusion.rs
@@ -1,18 +1,18 @@
-//! The final answer of a request.
+//! The final response of a request.
 use super::deadlines::TimerEvent;
 use super::table::RequestTable;
 use crate::attempt::AttemptId;
-use crate::final_answer::FinalAnswer;
+use crate::final_response::FinalResponse;
 use crate::output::Output;
 use quartzdrift_scheduler::interface::RequestId;
 use std::time::Duration;
 
 impl<P: Clone> RequestTable<P> {
-    /// Gives a request its final answer and removes the request. Returns `false` if it has already had one.
+    /// Gives a request its final response and removes the request. Returns `false` if it has already had one.
     ///
     /// The request's attempts stay in flight until they end, at the latest at the request's deadline: a
     /// worker cannot be notified that its response is no longer needed.
-    pub(super) fn conclude(&mut self, request: RequestId, answer: FinalAnswer) -> bool {
+    pub(super) fn conclude(&mut self, request: RequestId, response: FinalResponse) -> bool {
         let Some(open_request) = self.requests.remove(&request) else {
             return false;
         };
@@ -23,7 +23,7 @@
         self.outputs.push(Output::Respond {
             request,
             payload: open_request.payload,
-            answer,
+            response,
         });
         true
     }
--- a/crates/quartzdrift-lifecycle/src/request_table/deadlines.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/deadlines.rs
@@ -2,7 +2,7 @@
 //! timers.
 use super::table::RequestTable;
 use crate::attempt::{AttemptId, AttemptResult};
-use crate::final_answer::{FailureReason, FinalAnswer};
+use crate::final_response::{FailureReason, FinalResponse};
 use crate::output::Output;
 use quartzdrift_scheduler::interface::{Event, Outcome, RequestId};
 use std::time::Duration;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Times out the attempts of a request, whereupon the scheduler decides on the final answer.
+    /// Times out the attempts of a request, whereupon the scheduler decides on the final response.
     fn expire_request(&mut self, request: RequestId, may_have_been_sent: &impl Fn(RequestId, u32) -> bool) {
         let attempts: Vec<u32> = self.attempts_of(request).collect();
         for attempt in attempts {
@@ -43,10 +43,10 @@
         self.process_pending_ends();
         // Concludes the request even if the scheduler has not decided on it, so that the deadline always
         // holds.
-        let answer = FinalAnswer::Failed {
+        let response = FinalResponse::Failed {
             why: FailureReason::DeadlineExceeded,
         };
-        if self.conclude(request, answer) {
+        if self.conclude(request, response) {
             self.notify_scheduler(Event::RequestCancelled { request });
         }
     }
--- a/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
@@ -1,7 +1,7 @@
 //! Submission of requests by frontends, and clients that disconnect.
 use super::deadlines::TimerEvent;
 use super::table::RequestTable;
-use crate::final_answer::FinalAnswer;
+use crate::final_response::FinalResponse;
 use crate::request::{NewRequest, OpenRequest};
 use quartzdrift_scheduler::interface::{Event, Request, RequestId};
 use std::time::Duration;
@@ -23,7 +23,7 @@
         let request = self.next_id();
         let time_left = new_request
             .time_left
-            .saturating_sub(self.limits.answer_slack)
+            .saturating_sub(self.limits.response_slack)
             .min(until_shutdown.unwrap_or(Duration::MAX));
         let event = Event::Request(Request {
             request,
@@ -53,10 +53,10 @@
     }
 
     /// Reports that the client of a request disconnected. Has no effect if the request has had its final
-    /// answer.
+    /// response.
     pub fn client_disconnected(&mut self, now: Duration, request: RequestId) {
         self.advance_clock(now);
-        if self.conclude(request, FinalAnswer::Cancelled) {
+        if self.conclude(request, FinalResponse::Cancelled) {
             self.notify_scheduler(Event::RequestCancelled { request });
             self.process_pending_ends();
         }
--- a/crates/quartzdrift-lifecycle/src/request_table/mod.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/mod.rs
@@ -8,7 +8,7 @@
 //! * `attempts`: start and end of attempts.
 //! * `commands`: start and end of health checks and load commands.
 //! * `deadlines`: handling of expired timers.
-//! * `conclusion`: the final answer of a request.
+//! * `conclusion`: the final response of a request.
 //! * `shutdown`: the drain deadline, and the end of everything that is open at it.
 mod actions;
 mod attempts;
--- a/crates/quartzdrift-lifecycle/src/request_table/shutdown.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/shutdown.rs
@@ -1,7 +1,7 @@
 //! Shutdown: the deadline of the drain, and the end of all requests that are still open at it.
 use super::table::RequestTable;
 use crate::attempt::{AttemptId, AttemptResult};
-use crate::final_answer::{FailureReason, FinalAnswer};
+use crate::final_response::{FailureReason, FinalResponse};
 use crate::output::Output;
 use quartzdrift_scheduler::interface::{Outcome, RejectReason, RequestId};
 use std::time::Duration;
@@ -43,23 +43,23 @@
         let never_executed = sent.is_empty() && may_have_executed.is_none();
         let can_end_attempts = sent.is_empty() || self.limits.allows_cancellation;
         let is_rejected = never_executed || may_run_again && can_end_attempts;
-        let (cancelled, answer) = if is_rejected {
-            let answer = FinalAnswer::Rejected {
+        let (cancelled, response) = if is_rejected {
+            let response = FinalResponse::Rejected {
                 retry_after: None,
                 may_have_executed,
                 reason: RejectReason::ShuttingDown,
             };
-            (sent, answer)
+            (sent, response)
         } else {
-            let answer = FinalAnswer::Failed {
+            let response = FinalResponse::Failed {
                 why: FailureReason::ShuttingDown,
             };
-            (Vec::new(), answer)
+            (Vec::new(), response)
         };
         for &attempt in unsent.iter().chain(&cancelled) {
             self.outputs.push(Output::CancelAttempt { request, attempt });
         }
-        self.conclude(request, answer);
+        self.conclude(request, response);
         self.end_attempts(request, unsent, Outcome::NeverSent);
         self.end_attempts(request, cancelled, Outcome::Cancelled);
     }
--- a/crates/quartzdrift-lifecycle/src/request_table/table.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/table.rs
@@ -78,7 +78,7 @@
         self.timers.next_deadline()
     }
 
-    /// Number of requests that have not had their final answer.
+    /// Number of requests that have not had their final response.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
@@ -101,7 +101,7 @@
         (sizes.workers, sizes.functions, sizes.open_requests)
     }
 
-    /// Whether a request has not had its final answer.
+    /// Whether a request has not had its final response.
     pub fn is_open(&self, request: RequestId) -> bool {
         self.requests.contains_key(&request)
     }
--- a/crates/quartzdrift-lifecycle/tests/request_table/cases.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/cases.rs
@@ -1,6 +1,6 @@
 //! One test for each guarantee of the request table.
 use crate::harness::{Harness, MS, SLACK, TIMEOUT, new_request, settings};
-use quartzdrift_lifecycle::{FailureReason, FinalAnswer};
+use quartzdrift_lifecycle::{FailureReason, FinalResponse};
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, Idempotency, Outcome, RejectReason};
 
 #[test]
@@ -9,12 +9,12 @@
     let (start, request) = (harness.now, harness.submit(0));
     harness.advance_to(start + TIMEOUT);
     assert_eq!(
-        harness.final_answer(request),
-        FinalAnswer::Failed {
+        harness.final_response(request),
+        FinalResponse::Failed {
             why: FailureReason::DeadlineExceeded
         }
     );
-    assert_eq!(harness.final_answers[&request][0].0, start + TIMEOUT - SLACK);
+    assert_eq!(harness.final_responses[&request][0].0, start + TIMEOUT - SLACK);
     assert!(harness.in_flight.is_empty());
 }
 
@@ -26,8 +26,8 @@
     harness.end_attempt(request, 0, Outcome::Succeeded);
     harness.advance_to(start + TIMEOUT * 3);
     assert_eq!(
-        harness.final_answer(request),
-        FinalAnswer::Failed {
+        harness.final_response(request),
+        FinalResponse::Failed {
             why: FailureReason::DeadlineExceeded
         }
     );
@@ -50,7 +50,7 @@
     assert_eq!(harness.sent.len(), 2);
     assert_ne!(harness.sent[1].1, first);
     harness.end_attempt(request, 1, Outcome::Succeeded);
-    assert_eq!(harness.final_answer(request), FinalAnswer::Succeeded);
+    assert_eq!(harness.final_response(request), FinalResponse::Succeeded);
 }
 
 #[test]
@@ -59,7 +59,7 @@
     let request = harness.submit(0);
     harness.request_table.client_disconnected(harness.now, request);
     harness.record_outputs();
-    assert_eq!(harness.final_answer(request), FinalAnswer::Cancelled);
+    assert_eq!(harness.final_response(request), FinalResponse::Cancelled);
     harness.end_attempt(request, 0, Outcome::Reset);
     let later = harness.now + TIMEOUT * 2;
     harness.advance_to(later);
@@ -96,8 +96,8 @@
     harness.update_endpoints(EndpointListKind::Full, &[], EndpointState::Up);
     let request = harness.submit(0);
     assert!(matches!(
-        harness.final_answer(request),
-        FinalAnswer::Rejected {
+        harness.final_response(request),
+        FinalResponse::Rejected {
             may_have_executed: None,
             ..
         }
@@ -111,8 +111,8 @@
     harness.advance_to(start + 10 * MS);
     harness.end_attempt(request, 0, Outcome::Reset);
     assert!(matches!(
-        harness.final_answer(request),
-        FinalAnswer::Rejected { may_have_executed: Some(at), .. } if at == start
+        harness.final_response(request),
+        FinalResponse::Rejected { may_have_executed: Some(at), .. } if at == start
     ));
 }
 
@@ -122,9 +122,9 @@
     let (start, request) = (harness.now, harness.submit(0));
     harness.request_table.streaming_started(start, request, 0);
     harness.advance_to(start + TIMEOUT * 5);
-    assert!(harness.final_answers.is_empty());
+    assert!(harness.final_responses.is_empty());
     harness.end_attempt(request, 0, Outcome::Reset);
-    assert_eq!(harness.final_answer(request), FinalAnswer::Succeeded);
+    assert_eq!(harness.final_response(request), FinalResponse::Succeeded);
     assert_eq!(harness.sent.len(), 1);
 }
 
@@ -143,8 +143,8 @@
         harness.advance_to(start + TIMEOUT);
         assert!(
             matches!(
-                harness.final_answer(request),
-                FinalAnswer::Rejected {
+                harness.final_response(request),
+                FinalResponse::Rejected {
                     may_have_executed: None,
                     ..
                 }
@@ -165,8 +165,8 @@
     harness.request_table.shut_down(harness.now, |_, _| true);
     harness.record_outputs();
     assert_eq!(
-        harness.final_answer(request),
-        FinalAnswer::Failed {
+        harness.final_response(request),
+        FinalResponse::Failed {
             why: FailureReason::ShuttingDown
         }
     );
@@ -194,10 +194,10 @@
             .request_table
             .shut_down(harness.now, |_, _| may_have_been_sent);
         harness.record_outputs();
-        let answer = harness.final_answer(request);
+        let response = harness.final_response(request);
         let rejected = matches!(
-            answer,
-            FinalAnswer::Rejected {
+            response,
+            FinalResponse::Rejected {
                 retry_after: None,
                 may_have_executed: None,
                 reason: RejectReason::ShuttingDown,
@@ -205,12 +205,12 @@
         );
         assert_eq!(
             rejected, is_rejected,
-            "{idempotency:?} {cancel} {may_have_been_sent}: {answer:?}"
+            "{idempotency:?} {cancel} {may_have_been_sent}: {response:?}"
         );
         assert!(
             rejected
-                || answer
-                    == FinalAnswer::Failed {
+                || response
+                    == FinalResponse::Failed {
                         why: FailureReason::ShuttingDown
                     }
         );
@@ -235,13 +235,13 @@
     harness.request_table.set_shutdown_deadline(shutdown_deadline);
     let request = harness.submit(0);
     harness.advance_to(shutdown_deadline - MS);
-    assert!(harness.final_answers.is_empty());
+    assert!(harness.final_responses.is_empty());
     harness.advance_to(shutdown_deadline);
     assert_eq!(
-        harness.final_answers[&request],
+        harness.final_responses[&request],
         [(
             start + TIMEOUT / 4,
-            FinalAnswer::Failed {
+            FinalResponse::Failed {
                 why: FailureReason::DeadlineExceeded
             }
         )]
--- a/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
@@ -1,6 +1,6 @@
 //! Harness that drives a request table without sockets: it records the outputs, and the test decides how
 //! attempts end.
-use quartzdrift_lifecycle::{AttemptResult, FinalAnswer, NewRequest, Output, RequestTable};
+use quartzdrift_lifecycle::{AttemptResult, FinalResponse, NewRequest, Output, RequestTable};
 use quartzdrift_scheduler::interface::{
     Allowed, Endpoint, EndpointListKind, EndpointState, Idempotency, Outcome, RequestClass, RequestId, Rules,
     Settings,
@@ -12,7 +12,7 @@
 pub(crate) const MS: Duration = Duration::from_millis(1);
 /// Timeout of all request classes, and of the client for each request.
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(1000);
-/// Answer slack in the settings.
+/// Response slack in the settings.
 pub(crate) const SLACK: Duration = Duration::from_millis(50);
 
 /// Settings with one request class for each of `idempotency_kinds`.
@@ -59,8 +59,8 @@
 pub(crate) struct Harness {
     pub(crate) request_table: RequestTable<u32>,
     pub(crate) now: Duration,
-    /// Final answers of each request, each with the time of the answer.
-    pub(crate) final_answers: BTreeMap<RequestId, Vec<(Duration, FinalAnswer)>>,
+    /// Final responses of each request, each with the time of the response.
+    pub(crate) final_responses: BTreeMap<RequestId, Vec<(Duration, FinalResponse)>>,
     /// Workers of the attempts in flight, by request and attempt number.
     pub(crate) in_flight: BTreeMap<(RequestId, u32), String>,
     /// Attempts that the table has recalled, in order.
@@ -81,7 +81,7 @@
         let mut harness = Harness {
             request_table: RequestTable::new(settings, 5),
             now,
-            final_answers: BTreeMap::new(),
+            final_responses: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             recalled: Vec::new(),
             sent: Vec::new(),
@@ -128,11 +128,13 @@
                     drop(self.in_flight.remove(&(request, attempt)))
                 }
                 Output::RecallAttempt { request, attempt } => self.recalled.push((request, attempt)),
-                Output::Respond { request, answer, .. } => self
-                    .final_answers
+                Output::Respond {
+                    request, response, ..
+                } => self
+                    .final_responses
                     .entry(request)
                     .or_default()
-                    .push((self.now, answer)),
+                    .push((self.now, response)),
                 _ => {}
             }
         }
@@ -174,14 +176,14 @@
         self.record_outputs();
     }
 
-    /// The only final answer of a request.
-    pub(crate) fn final_answer(&self, request: RequestId) -> FinalAnswer {
-        let answers = &self.final_answers[&request];
+    /// The only final response of a request.
+    pub(crate) fn final_response(&self, request: RequestId) -> FinalResponse {
+        let responses = &self.final_responses[&request];
         assert_eq!(
-            answers.len(),
+            responses.len(),
             1,
-            "final answers of request {request}: {answers:?}"
+            "final responses of request {request}: {responses:?}"
         );
-        answers[0].1
+        responses[0].1
     }
 }
--- a/crates/quartzdrift-lifecycle/tests/request_table/random_events.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/random_events.rs
@@ -1,7 +1,7 @@
 //! Property test of the request table's guarantees under random sequences of events.
 use crate::harness::{Harness, MS, SLACK, TIMEOUT, settings};
 use proptest::prelude::{Just, Strategy, any, prop_assert, prop_assert_eq, prop_oneof, proptest};
-use quartzdrift_lifecycle::FinalAnswer;
+use quartzdrift_lifecycle::FinalResponse;
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, Idempotency, Outcome, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -119,7 +119,7 @@
 }
 
 proptest! {
-    /// For any sequence of events, each request gets one final answer by its deadline and never has two
+    /// For any sequence of events, each request gets one final response by its deadline and never has two
     /// attempts in flight, which the harness checks when an attempt is sent. A non-idempotent request is
     /// retried only if its earlier attempts cannot have executed.
     #[test]
@@ -149,13 +149,13 @@
         let end = run.harness.now + TIMEOUT * 2;
         run.harness.advance_to(end);
         for (request, (request_class, at)) in run.submitted {
-            let answers = run.harness.final_answers.get(&request).cloned().unwrap_or_default();
+            let responses = run.harness.final_responses.get(&request).cloned().unwrap_or_default();
             prop_assert_eq!(
-                answers.len(), 1,
-                "final answers of request {} of class {}: {:?}", request, request_class, answers
+                responses.len(), 1,
+                "final responses of request {} of class {}: {:?}", request, request_class, responses
             );
-            prop_assert!(answers[0].0 <= at + TIMEOUT - SLACK);
-            let rejected = matches!(answers[0].1, FinalAnswer::Rejected { .. });
+            prop_assert!(responses[0].0 <= at + TIMEOUT - SLACK);
+            let rejected = matches!(responses[0].1, FinalResponse::Rejected { .. });
             let is_non_idempotent = request_class == NON_IDEMPOTENT_CLASS;
             prop_assert!(
                 !(is_non_idempotent && rejected && run.may_have_executed.contains(&request)),
--- a/crates/quartzdrift/src/gateway/asynchronous.rs
+++ b/crates/quartzdrift/src/gateway/asynchronous.rs
@@ -7,7 +7,7 @@
     AttemptOutcome, Condition, Destination, DueAttempt, Invocation, InvocationId, NextStep, QueueFull,
 };
 use quartzdrift_http::Response;
-use quartzdrift_lifecycle::FinalAnswer;
+use quartzdrift_lifecycle::FinalResponse;
 use quartzdrift_scheduler::interface::{DeduplicationScope, Idempotency};
 use std::rc::Rc;
 use std::time::Duration;
@@ -120,16 +120,16 @@
     pub(super) fn attempt_answered(
         &mut self,
         id: InvocationId,
-        answer: FinalAnswer,
+        answer: FinalResponse,
         response: Option<Response>,
     ) {
         let outcome = match answer {
-            FinalAnswer::Succeeded => AttemptOutcome::Succeeded {
+            FinalResponse::Succeeded => AttemptOutcome::Succeeded {
                 function_error: response
                     .as_ref()
                     .is_some_and(|response| response.headers.get("x-amz-function-error").is_some()),
             },
-            FinalAnswer::Rejected {
+            FinalResponse::Rejected {
                 retry_after,
                 may_have_executed,
                 ..
@@ -137,7 +137,7 @@
                 retry_after,
                 may_have_executed,
             },
-            FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => AttemptOutcome::Failed,
+            FinalResponse::Failed { .. } | FinalResponse::Cancelled => AttemptOutcome::Failed,
         };
         self.invocation_attempt_ended(id, outcome, response);
     }
--- a/crates/quartzdrift/src/gateway/outputs.rs
+++ b/crates/quartzdrift/src/gateway/outputs.rs
@@ -1,7 +1,7 @@
 //! Carries out what the request table decides.
 use super::{Gateway, Origin, RequestContext};
 use crate::attempts::CarryOut;
-use quartzdrift_lifecycle::{FinalAnswer, Output, RequestTable};
+use quartzdrift_lifecycle::{FinalResponse, Output, RequestTable};
 use quartzdrift_scheduler::interface::{Outcome, RequestId};
 use std::rc::Rc;
 
@@ -26,8 +26,8 @@
             Output::Respond {
                 request,
                 payload,
-                answer,
-            } => self.final_answer(request, &payload, answer),
+                response,
+            } => self.final_answer(request, &payload, response),
             Output::CheckHealth { command, worker } => self.check_health(command, &worker),
             Output::Load {
                 command,
@@ -84,12 +84,12 @@
         }
     }
 
-    fn final_answer(&mut self, request: RequestId, context: &RequestContext, answer: FinalAnswer) {
+    fn final_answer(&mut self, request: RequestId, context: &RequestContext, answer: FinalResponse) {
         let count = match answer {
-            FinalAnswer::Succeeded => &mut self.counts.succeeded,
-            FinalAnswer::Rejected { .. } => &mut self.counts.rejected,
-            FinalAnswer::Failed { .. } => &mut self.counts.failed,
-            FinalAnswer::Cancelled => &mut self.counts.cancelled,
+            FinalResponse::Succeeded => &mut self.counts.succeeded,
+            FinalResponse::Rejected { .. } => &mut self.counts.rejected,
+            FinalResponse::Failed { .. } => &mut self.counts.failed,
+            FinalResponse::Cancelled => &mut self.counts.cancelled,
         };
         *count += 1;
         tracing::debug!(request, id = %context.id, ?answer, "final answer");
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -6,7 +6,7 @@
     self, CHECKPOINT, DAMAGED_CHECKPOINT, FORCE_FULL_SERVICE, MEASUREMENTS, RECOVERY_VIEW,
 };
 use quartzdrift_async_queue::RestoreContext;
-use quartzdrift_lifecycle::FinalAnswer;
+use quartzdrift_lifecycle::FinalResponse;
 use quartzdrift_recovery::{
     Checkpoint, ClockSample, DiskState, LoadResult, Output, RECOVERY_TOPIC, Recovery, RecoveryPhase,
     RestartClassification, RestartKind, Settings as RecoverySettings, StartupEvidence,
@@ -399,7 +399,7 @@
     }
 
     /// A request had its final answer.
-    pub(super) fn request_answered(&mut self, context: &RequestContext, answer: FinalAnswer) {
+    pub(super) fn request_answered(&mut self, context: &RequestContext, answer: FinalResponse) {
         let now = self.now();
         let load_failed = self.load_failed;
         let Some(recovery) = &mut self.recovery else {
@@ -411,13 +411,13 @@
         }
         let is_synchronous = matches!(context.origin, Origin::Client(_));
         let is_full = recovery.machine.phase() == RecoveryPhase::FullService;
-        if is_full || !is_synchronous || answer == FinalAnswer::Cancelled {
+        if is_full || !is_synchronous || answer == FinalResponse::Cancelled {
             return;
         }
         let class = &self.settings.scheduler.request_classes[context.request_class as usize];
         let objective = class.latency_objective.unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
         let is_in_time = now.saturating_sub(context.accepted_at) <= objective;
-        let on_time = answer == FinalAnswer::Succeeded && is_in_time;
+        let on_time = answer == FinalResponse::Succeeded && is_in_time;
         recovery.machine.request_answered(on_time);
     }
 
@@ -451,10 +451,10 @@
     Some(checkpoint.starts)
 }
 
-fn load_result(answer: FinalAnswer, load_failed: bool) -> LoadResult {
+fn load_result(answer: FinalResponse, load_failed: bool) -> LoadResult {
     match answer {
-        FinalAnswer::Succeeded => LoadResult::Cached,
-        FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => {
+        FinalResponse::Succeeded => LoadResult::Cached,
+        FinalResponse::Rejected { .. } | FinalResponse::Failed { .. } | FinalResponse::Cancelled => {
             if load_failed {
                 LoadResult::Rejected
             } else {
--- a/crates/quartzdrift/src/gateway/responses.rs
+++ b/crates/quartzdrift/src/gateway/responses.rs
@@ -2,7 +2,7 @@
 use super::{Gateway, RequestContext};
 use quartzdrift_http::{Exchange, Headers, Response};
 use quartzdrift_invoke::response::{self as api, ApiResponse, FailureKind};
-use quartzdrift_lifecycle::{FailureReason, FinalAnswer};
+use quartzdrift_lifecycle::{FailureReason, FinalResponse};
 use uuid::Uuid;
 
 /// Headers of a worker's response that are passed on to the client.
@@ -19,20 +19,20 @@
         &mut self,
         exchange: Exchange,
         context: &RequestContext,
-        answer: FinalAnswer,
+        answer: FinalResponse,
         response: Option<Response>,
     ) {
         self.exchanges.remove(&exchange);
         let response = match answer {
-            FinalAnswer::Succeeded => response.map(|response| worker_response(response, context.id)),
-            FinalAnswer::Rejected { retry_after, .. } => {
+            FinalResponse::Succeeded => response.map(|response| worker_response(response, context.id)),
+            FinalResponse::Rejected { retry_after, .. } => {
                 Some(to_http(api::rejected(retry_after), Some(context.id)))
             }
-            FinalAnswer::Failed { why } => {
+            FinalResponse::Failed { why } => {
                 let response = api::failed(failure_kind(why));
                 Some(to_http(response, Some(context.id)))
             }
-            FinalAnswer::Cancelled => None,
+            FinalResponse::Cancelled => None,
         };
         if let Some(response) = response {
             self.respond(exchange, response);
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -129,8 +129,8 @@
             Output::Respond {
                 request,
                 payload,
-                answer,
-            } => self.final_answer(request, &payload, answer),
+                response,
+            } => self.final_answer(request, &payload, response),
             Output::CloseIdleConnections { worker } => self.close_idle(&worker),
             Output::Notice(notice) => self.log_notice(notice),
             Output::Log { text } => tracing::info!(text, "decision"),
--- a/crates/quartzdrift/src/platform/responses.rs
+++ b/crates/quartzdrift/src/platform/responses.rs
@@ -3,7 +3,7 @@
 use super::{Node, RequestContext};
 use quartzdrift_fastcgi::{self as fastcgi, Response};
 use quartzdrift_http::sockets::SocketId;
-use quartzdrift_lifecycle::{FailureReason, FinalAnswer};
+use quartzdrift_lifecycle::{FailureReason, FinalResponse};
 use quartzdrift_scheduler::interface::RequestId;
 use std::time::Duration;
 
@@ -72,7 +72,12 @@
     }
 
     /// Gives a request its final answer.
-    pub(super) fn final_answer(&mut self, request: RequestId, context: &RequestContext, answer: FinalAnswer) {
+    pub(super) fn final_answer(
+        &mut self,
+        request: RequestId,
+        context: &RequestContext,
+        answer: FinalResponse,
+    ) {
         tracing::debug!(
             request,
             id = format!("{:016x}", context.id),
@@ -87,18 +92,18 @@
             .map(|(_, body)| body);
         let (socket, request_id) = (context.client, context.request_id);
         match answer {
-            FinalAnswer::Succeeded => match body {
+            FinalResponse::Succeeded => match body {
                 Some(body) => self.respond_with_body(socket, request_id, 200, &body, None),
                 None => self.respond(socket, request_id, 500, "no answer", None),
             },
-            FinalAnswer::Rejected { retry_after, .. } => {
+            FinalResponse::Rejected { retry_after, .. } => {
                 self.respond(socket, request_id, 503, "come back", retry_after);
             }
-            FinalAnswer::Failed { why } => {
+            FinalResponse::Failed { why } => {
                 let (status, text) = failure(why);
                 self.respond(socket, request_id, status, text, None);
             }
-            FinalAnswer::Cancelled => {}
+            FinalResponse::Cancelled => {}
         }
     }
 
@@ -114,15 +119,15 @@
         }
     }
 
-    fn count(&mut self, answer: FinalAnswer) {
-        if let FinalAnswer::Rejected { reason, .. } = answer {
+    fn count(&mut self, answer: FinalResponse) {
+        if let FinalResponse::Rejected { reason, .. } = answer {
             self.counts.rejections.add(reason);
         }
         let count = match answer {
-            FinalAnswer::Succeeded => &mut self.counts.succeeded,
-            FinalAnswer::Rejected { .. } => &mut self.counts.rejected,
-            FinalAnswer::Failed { .. } => &mut self.counts.failed,
-            FinalAnswer::Cancelled => &mut self.counts.cancelled,
+            FinalResponse::Succeeded => &mut self.counts.succeeded,
+            FinalResponse::Rejected { .. } => &mut self.counts.rejected,
+            FinalResponse::Failed { .. } => &mut self.counts.failed,
+            FinalResponse::Cancelled => &mut self.counts.cancelled,
         };
         *count += 1;
     }
