--- a/crates/quartzdrift-discovery/src/accepted.rs
+++ b/crates/quartzdrift-discovery/src/accepted.rs
@@ -57,7 +57,7 @@
     list_count: u32,
 }
 
-/// The endpoints that are accepted as existing.
+/// Set of the endpoints that are accepted as existing, updated from endpoint lists.
 #[derive(Debug, Default)]
 pub struct AcceptedEndpoints {
     by_worker: BTreeMap<String, DiscoveredEndpoint>,
--- a/crates/quartzdrift-lifecycle/src/request_table/attempts.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/attempts.rs
@@ -58,9 +58,7 @@
         let has_attempts = self.attempts_of(request).next().is_some();
         let Some(open_request) = self.requests.get_mut(&request) else {
             self.outputs.push(Output::Log {
-                text: format!(
-                    "attempt of request {request} not sent: the request has had its final response"
-                ),
+                text: format!("attempt of request {request} not sent: the request is no longer open"),
             });
             return;
         };
--- a/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
@@ -59,7 +59,7 @@
 pub(crate) struct Harness {
     pub(crate) request_table: RequestTable<u32>,
     pub(crate) now: Duration,
-    /// Final responses of each request, each with the time of the response.
+    /// Final responses of each request, each with the time at which it was given.
     pub(crate) final_responses: BTreeMap<RequestId, Vec<(Duration, FinalResponse)>>,
     /// Workers of the attempts in flight, by request and attempt number.
     pub(crate) in_flight: BTreeMap<(RequestId, u32), String>,
