--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -264,7 +264,7 @@
     /// Reports the attempt of a command to the request table as ended by the loss of its connection.
     fn end_lost_attempt(&mut self, worker: &str, command: &Command, loss: ConnectionLoss) {
         tracing::debug!(request = command.request, %worker, ?loss, "attempt ended: connection lost");
-        let result = AttemptResult::silent(attempt_outcome::from_loss(loss));
+        let result = AttemptResult::without_response(attempt_outcome::from_loss(loss));
         self.request_table
             .attempt_ended(self.now(), command.request, command.attempt, result);
     }
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -148,14 +148,14 @@
         let now = self.now();
         let may_cancel = self.config.settings.allowed.cancel;
         let attempts: Vec<u32> = self.request_table.attempts_of(request).collect();
-        self.request_table.client_gone(now, request);
+        self.request_table.client_disconnected(now, request);
         self.carry_out();
         for attempt in attempts {
             if self.recall_unsent(request, attempt) {
                 self.request_table.attempt_recalled(now, request, attempt);
             } else if may_cancel {
                 self.cancel_attempt(request, attempt);
-                let result = AttemptResult::silent(Outcome::Cancelled);
+                let result = AttemptResult::without_response(Outcome::Cancelled);
                 self.request_table.attempt_ended(now, request, attempt, result);
             }
         }
@@ -172,13 +172,13 @@
         request_class: request.request_class,
         tenant: request.tenant,
         function: request.function.into(),
-        left: time_remaining,
+        time_left: time_remaining,
         work_hint: request.work_hint,
         memory_mb: request.memory_mb,
         concurrency_slots: request.concurrency_slots,
         load_hint: request.load_hint,
         is_retry: false,
-        writes: false,
+        has_side_effects: false,
         payload: Rc::new(context),
     }
 }
