--- a/crates/quartzdrift-lab/src/emulate/fleet.rs
+++ b/crates/quartzdrift-lab/src/emulate/fleet.rs
@@ -74,7 +74,7 @@
         let (saved, before) = std::mem::take(&mut self.schedulers[s].met);
         let members = Membership::new(settings, incarnation, &saved, seed, self.now);
         let count = SchedulerCount::new(
-            self.settings.schedulers.unwrap_or(1),
+            self.settings.scheduler_count.unwrap_or(1),
             before,
             Duration::from_secs(3600),
         );
--- a/crates/quartzdrift-lab/src/emulate/mod.rs
+++ b/crates/quartzdrift-lab/src/emulate/mod.rs
@@ -20,8 +20,8 @@
 use quartzdrift_forecast::{Ahead, Forecasts, Standing, Sums};
 use quartzdrift_lifecycle::{AttemptResult, FinalAnswer, NewRequest, Output, RequestTable};
 use quartzdrift_scheduler::interface::{
-    Allowed, CacheResult, CacheSettings, Endpoint, EndpointListKind, EndpointState, Idempotency, Outcome,
-    Prices, ReportField, ReportSource, RequestClass, Rules, Settings, UsageForecast,
+    ActionLimits, CacheResult, CacheSettings, Endpoint, EndpointListKind, EndpointState, Idempotency,
+    Outcome, Prices, ReportField, ReportSource, RequestClass, Rules, Settings, UsageForecast,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -300,39 +300,39 @@
         idempotency: w.idempotency,
         timeout: Some(w.limit),
         latency_objective: Some(w.latency_objective),
-        window: (w.idempotency == Idempotency::IdempotentWithKey).then_some(w.window),
+        deduplication_window: (w.idempotency == Idempotency::IdempotentWithKey).then_some(w.window),
         ..RequestClass::default()
     };
     let cold = script.fall_multiple > 0.0;
     Settings {
-        me: Some(me as u32),
-        schedulers: Some(if variant.schedulers > 0 {
+        scheduler_number: Some(me as u32),
+        scheduler_count: Some(if variant.schedulers > 0 {
             variant.schedulers
         } else {
             script.gateways as u32
         }),
         request_classes: script.request_classes.iter().map(request_class).collect(),
-        allowed: Allowed {
+        limits: ActionLimits {
             cancel: true,
             retry_after: true,
             max_retry_after: Some(Duration::from_secs(10)),
             max_attempts: Some(3),
-            ..Allowed::default()
+            ..ActionLimits::default()
         },
         rules: Rules {
-            answer_slack: Some(Duration::from_millis(50)),
+            response_slack: Some(Duration::from_millis(50)),
             drain_grace: Some(Duration::from_millis(250)),
-            cold_from: cold.then_some(script.cold_from),
-            cold_for: cold.then_some(script.cold_for),
-            fall_multiple: cold.then_some(script.fall_multiple),
-            fall_window: cold.then_some(script.fall_window),
+            slow_start_min_capacity: cold.then_some(script.cold_from),
+            slow_start_duration: cold.then_some(script.cold_for),
+            overload_multiple: cold.then_some(script.fall_multiple),
+            overload_window: cold.then_some(script.fall_window),
             ..Rules::default()
         },
-        copies: CacheSettings {
+        cache: CacheSettings {
             load_commands: variant.forecasting != Forecasting::Off,
             reports_cache_status: true,
             reports_concurrency: true,
-            keep: Some(script.keep),
+            keep_alive: Some(script.keep),
             memory_mb_by_kind: vec![script.memory_mb],
             idle_memory_price: Some(variant.memory_price),
             load_quota_burst: (variant.load_window_s > 0.0).then_some(variant.load_quota_burst),
@@ -342,11 +342,11 @@
             ..CacheSettings::default()
         },
         prices: Prices {
-            origin: variant.fetch_price,
+            origin_fetch: variant.fetch_price,
             ..Prices::default()
         },
-        report_source: ReportSource::Answers,
-        report_fields: vec![ReportField::Held, ReportField::MemoryTaken],
+        report_source: ReportSource::Responses,
+        report_fields: vec![ReportField::InFlight, ReportField::UnreclaimableMemory],
         ..Settings::default()
     }
 }
--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -4,7 +4,7 @@
 impl Sim<'_> {
     pub(super) fn start_scheduler(&mut self, s: usize, seed: u64) {
         let mut settings = self.settings.clone();
-        settings.me = Some(s as u32);
+        settings.scheduler_number = Some(s as u32);
         let incarnation = self.schedulers[s].incarnation + 1;
         let mut request_table = RequestTable::new(
             &settings,
--- a/crates/quartzdrift-lab/src/naive.rs
+++ b/crates/quartzdrift-lab/src/naive.rs
@@ -80,7 +80,7 @@
 
     fn request(&mut self, exchange: Exchange, request: Request) {
         self.drawn += 1;
-        let me = self.settings.scheduler.me.unwrap_or(0);
+        let me = self.settings.scheduler.scheduler_number.unwrap_or(0);
         let mut headers = Headers::new()
             .with("x-amzn-requestid", &format!("naive-{me}-{}", self.drawn))
             .with("x-quartzdrift-scheduler", &me.to_string());
--- a/crates/quartzdrift-lifecycle/src/limits.rs
+++ b/crates/quartzdrift-lifecycle/src/limits.rs
@@ -41,17 +41,17 @@
         let is_idempotent = |class: &RequestClass| class.idempotency == Idempotency::Idempotent;
         Limits {
             max_open: settings
-                .allowed
-                .max_open
+                .limits
+                .max_open_requests
                 .map_or(DEFAULT_MAX_OPEN, |limit| limit as usize),
-            max_attempts: settings.allowed.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS),
-            answer_slack: settings.rules.answer_slack.unwrap_or_default(),
+            max_attempts: settings.limits.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS),
+            answer_slack: settings.rules.response_slack.unwrap_or_default(),
             command_timeout: settings
-                .copies
+                .cache
                 .load_command_timeout
                 .unwrap_or(DEFAULT_COMMAND_TIMEOUT),
-            hedging: settings.allowed.hedging,
-            cancel: settings.allowed.cancel,
+            hedging: settings.limits.hedging,
+            cancel: settings.limits.cancel,
             idempotent_classes: settings.request_classes.iter().map(is_idempotent).collect(),
         }
     }
--- a/crates/quartzdrift-lifecycle/tests/request_table/cases.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/cases.rs
@@ -186,7 +186,7 @@
         (NonIdempotent, false, false, true),
     ] {
         let mut settings = settings(&[idempotency]);
-        settings.allowed.cancel = cancel;
+        settings.limits.cancel = cancel;
         let mut harness = Harness::with_settings(&settings, &["a", "b"]);
         let request = harness.request(0);
         harness.request_table.shut_down(harness.now, |_, _| has_left);
@@ -250,7 +250,7 @@
 #[test]
 fn requests_beyond_the_open_limit_are_returned() {
     let mut settings = settings(&[Idempotency::Idempotent]);
-    settings.allowed.max_open = Some(2);
+    settings.limits.max_open_requests = Some(2);
     let mut harness = Harness::with_settings(&settings, &["a"]);
     harness.request(0);
     harness.request(0);
--- a/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
@@ -1,8 +1,8 @@
 //! A request table without sockets: the outputs are recorded, and the test decides how attempts end.
 use quartzdrift_lifecycle::{AttemptResult, FinalAnswer, NewRequest, Output, RequestTable};
 use quartzdrift_scheduler::interface::{
-    Allowed, Endpoint, EndpointListKind, EndpointState, Idempotency, Outcome, RequestClass, RequestId, Rules,
-    Settings,
+    ActionLimits, Endpoint, EndpointListKind, EndpointState, Idempotency, Outcome, RequestClass, RequestId,
+    Rules, Settings,
 };
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,18 +17,18 @@
     let request_class = |idempotency: &Idempotency| RequestClass {
         idempotency: *idempotency,
         timeout: Some(TIMEOUT),
-        window: Some(Duration::from_secs(5)),
+        deduplication_window: Some(Duration::from_secs(5)),
         ..RequestClass::default()
     };
     Settings {
         request_classes: idempotency_kinds.iter().map(request_class).collect(),
-        allowed: Allowed {
+        limits: ActionLimits {
             cancel: true,
             max_attempts: Some(3),
-            ..Allowed::default()
+            ..ActionLimits::default()
         },
         rules: Rules {
-            answer_slack: Some(SLACK),
+            response_slack: Some(SLACK),
             drain_grace: Some(250 * MS),
             ..Rules::default()
         },
--- a/crates/quartzdrift-platform/src/settings.rs
+++ b/crates/quartzdrift-platform/src/settings.rs
@@ -3,8 +3,9 @@
 //! A value that a rule rests on is refused when it cannot be read. A value that is missing or unknown counts as the one that
 //! binds most.
 use quartzdrift_scheduler::interface::{
-    Allowed, CacheSettings, CountedBy, DeduplicationScope, DiscoveryMode, Goal, Idempotency, OnMiss, Prices,
-    ReportField, ReportSource, RequestClass, Rules, Settings, Tenant, Weights,
+    ActionLimits, CacheMissPolicy, CacheSettings, CapacityHints, DeduplicationScope, DiscoveryMode,
+    GoalWeights, Idempotency, Prices, PriorityUnit, ReportField, ReportSource, RequestClass, Rules, Settings,
+    Tenant,
 };
 use serde_json::Value;
 use std::time::Duration;
@@ -120,22 +121,22 @@
             // Missing or unknown: the narrowest.
             _ => DeduplicationScope::Cell,
         },
-        window: span(from, "window-ns"),
-        streams: flag(from, "stream"),
+        deduplication_window: span(from, "window-ns"),
+        streams_responses: flag(from, "stream"),
     }
 }
 
 /// The field of a load report that has this name in the settings; [`ReportField::Unknown`] for any other.
 pub fn field(name: &str) -> ReportField {
     match name {
-        "rif" => ReportField::Held,
+        "rif" => ReportField::InFlight,
         "q" => ReportField::Queued,
-        "busy" => ReportField::Busy,
+        "busy" => ReportField::CoreUtilization,
         "lat_ms" => ReportField::LatencyMs,
         "rate" => ReportField::SucceededPerSecond,
         "fail_rate" => ReportField::ErrorsPerSecond,
-        "x0" => ReportField::MemoryTaken,
-        "x1" => ReportField::Loads,
+        "x0" => ReportField::UnreclaimableMemory,
+        "x1" => ReportField::LoadsInProgress,
         _ => ReportField::Unknown,
     }
 }
@@ -150,25 +151,25 @@
         return Err(fault);
     }
     Ok(Settings {
-        me: count(all, "me"),
-        schedulers: count(all, "replicas-of-me"),
+        scheduler_number: count(all, "me"),
+        scheduler_count: count(all, "replicas-of-me"),
         zone: count(all, "zone"),
         zones: names(all, "zones"),
-        kinds: names(all, "skus"),
+        machine_kinds: names(all, "skus"),
         tier: count(all, "tier"),
         tiers: names(all, "tiers"),
-        family: word(all, "workload").to_owned(),
-        resolution: span(all, "resolution-ns"),
-        discovery: discovery_mode(all),
-        weights: weights(all),
-        counted_by: counted_by(all),
+        workload: word(all, "workload").to_owned(),
+        clock_resolution: span(all, "resolution-ns"),
+        discovery_mode: discovery_mode(all),
+        capacity_hints: weights(all),
+        priority_unit: counted_by(all),
         over_quota_weight: number(all, "over-share-worth"),
         clients_mark_retries: flag(section(all, "clients"), "marks-retry"),
         request_classes: list(all, "classes").map(request_class).collect(),
         tenants: list(all, "tenants").map(tenant).collect(),
-        allowed: allowed(section(all, "allowed")),
+        limits: allowed(section(all, "allowed")),
         rules: rules(section(all, "safety")),
-        copies: cache_settings(section(all, "family-info")),
+        cache: cache_settings(section(all, "family-info")),
         report_source: report_source(section(all, "stats")),
         report_fields: report_fields(section(all, "stats")),
         prices: prices(section(all, "fees")),
@@ -189,19 +190,19 @@
     }
 }
 
-fn weights(all: &Value) -> Weights {
+fn weights(all: &Value) -> CapacityHints {
     match word(all, "weight-kind") {
-        "nominal" => Weights::Nominal,
-        "rough" => Weights::Rough,
-        "live" => Weights::Live,
-        _ => Weights::Silent,
+        "nominal" => CapacityHints::Nominal,
+        "rough" => CapacityHints::Approximate,
+        "live" => CapacityHints::Current,
+        _ => CapacityHints::Absent,
     }
 }
 
-fn counted_by(all: &Value) -> CountedBy {
+fn counted_by(all: &Value) -> PriorityUnit {
     match word(all, "worth-by") {
-        "work" => CountedBy::Work,
-        _ => CountedBy::Request,
+        "work" => PriorityUnit::Work,
+        _ => PriorityUnit::Request,
     }
 }
 
@@ -213,18 +214,18 @@
     }
 }
 
-fn allowed(from: &Value) -> Allowed {
-    Allowed {
+fn allowed(from: &Value) -> ActionLimits {
+    ActionLimits {
         cancel: flag(from, "cancel"),
-        probes: flag(from, "may-probe"),
-        peers: flag(from, "peers"),
+        health_checks: flag(from, "may-probe"),
+        peer_messages: flag(from, "peers"),
         hedging: flag(from, "second-copies"),
         retry_after: flag(from, "retry-after"),
         max_retry_after: span(from, "max-retry-after-ns"),
         max_attempts: count(from, "max-attempts"),
-        max_open: count(from, "max-open"),
+        max_open_requests: count(from, "max-open"),
         connect_timeout: span(from, "connect-timeout-ns"),
-        keepalive: span(from, "keepalive-ns"),
+        connection_keep_alive: span(from, "keepalive-ns"),
         cpu_us_per_second: number(from, "cpu-us-per-s"),
         cpu_us_per_request: number(from, "cpu-us-per-request"),
         streams_per_connection: count(from, "streams-per-conn"),
@@ -233,27 +234,27 @@
 
 fn rules(from: &Value) -> Rules {
     Rules {
-        answer_slack: span(from, "answer-slack-ns"),
-        ask_within: span(from, "ask-within-ns"),
-        cold_from: number(from, "cold-from"),
-        cold_for: span(from, "cold-ns"),
+        response_slack: span(from, "answer-slack-ns"),
+        endpoint_refresh_limit: span(from, "ask-within-ns"),
+        slow_start_min_capacity: number(from, "cold-from"),
+        slow_start_duration: span(from, "cold-ns"),
         drain_grace: span(from, "drain-grace-ns"),
         endpoint_lease: None,
-        fall_multiple: number(from, "fall-multiple"),
-        fall_window: span(from, "fall-ns"),
+        overload_multiple: number(from, "fall-multiple"),
+        overload_window: span(from, "fall-ns"),
     }
 }
 
 fn cache_settings(from: &Value) -> CacheSettings {
     CacheSettings {
         on_miss: match word(from, "on-miss") {
-            "miss" => OnMiss::Miss,
-            _ => OnMiss::Load,
+            "miss" => CacheMissPolicy::ReportMiss,
+            _ => CacheMissPolicy::Load,
         },
         load_commands: flag(from, "may-order"),
         reports_cache_status: flag(from, "tells-warm"),
         reports_concurrency: flag(from, "tells-crowd"),
-        keep: span(from, "stays-loaded-ns"),
+        keep_alive: span(from, "stays-loaded-ns"),
         memory_mb_by_kind: list(from, "memory-mb-by-kind")
             .filter_map(Value::as_f64)
             .collect(),
@@ -267,9 +268,9 @@
 
 fn report_source(from: &Value) -> ReportSource {
     match word(from, "source") {
-        "piggyback" => ReportSource::Answers,
-        "pull" => ReportSource::Probes,
-        _ => ReportSource::Silent,
+        "piggyback" => ReportSource::Responses,
+        "pull" => ReportSource::HealthChecks,
+        _ => ReportSource::Absent,
     }
 }
 
@@ -287,19 +288,19 @@
         cross_zone: price("cross-zone"),
         handshake: price("handshake"),
         late_failure: price("late-fail"),
-        moves: price("moves"),
-        origin: price("origin"),
-        peer: price("peer"),
-        probe: price("probe"),
-        discovery: price("registry-mode"),
-        waste: price("waste"),
+        function_move: price("moves"),
+        origin_fetch: price("origin"),
+        peer_message: price("peer"),
+        health_check: price("probe"),
+        endpoint_list_request: price("registry-mode"),
+        wasted_work: price("waste"),
     }
 }
 
-fn goal(from: &Value) -> Goal {
+fn goal(from: &Value) -> GoalWeights {
     let weight = |key: &str| number(from, key).unwrap_or(0.0);
-    Goal {
-        whole: weight("whole"),
+    GoalWeights {
+        all_requests: weight("whole"),
         worst_window: weight("worst-window"),
         worst_request_class: weight("worst-class"),
         worst_tenant: weight("worst-tenant"),
--- a/crates/quartzdrift-platform/src/settings/tests.rs
+++ b/crates/quartzdrift-platform/src/settings/tests.rs
@@ -59,16 +59,16 @@
             Idempotency::NonIdempotent
         );
         assert_eq!(
-            with("/registry-mode", word).unwrap().discovery,
+            with("/registry-mode", word).unwrap().discovery_mode,
             DiscoveryMode::Poll
         );
     }
     let most = |configured| {
         with("/allowed/max-attempts", configured)
             .unwrap()
-            .allowed
+            .limits
             .max_attempts
     };
     assert_eq!((most(None), most(Some(json!(1e12)))), (None, Some(u32::MAX)));
-    assert_eq!(class("window-ns", None).window, None);
+    assert_eq!(class("window-ns", None).deduplication_window, None);
 }
--- a/crates/quartzdrift-scheduler/src/interface/event.rs
+++ b/crates/quartzdrift-scheduler/src/interface/event.rs
@@ -35,11 +35,11 @@
 pub struct Endpoint<'a> {
     /// Name of the worker.
     pub worker: &'a str,
-    /// The worker's capacity, in the unit of [`Weights`](super::Weights), where the list tells it.
+    /// The worker's capacity, in the unit of [`CapacityHints`](super::CapacityHints), where the list tells it.
     pub capacity_hint: Option<f64>,
     /// Number of the worker's cell, a part of its zone.
     pub cell: u32,
-    /// Number of the worker's kind of machine, an index into [`Settings::kinds`](super::Settings::kinds).
+    /// Number of the worker's kind of machine, an index into [`Settings::machine_kinds`](super::Settings::machine_kinds).
     pub kind: u32,
     /// Number of the worker's zone, an index into [`Settings::zones`](super::Settings::zones).
     pub zone: u32,
--- a/crates/quartzdrift-scheduler/src/interface/mod.rs
+++ b/crates/quartzdrift-scheduler/src/interface/mod.rs
@@ -11,6 +11,7 @@
     CacheResult, Endpoint, EndpointListKind, EndpointState, Event, Outcome, Request, RequestId, UsageForecast,
 };
 pub use settings::{
-    Allowed, CacheSettings, CountedBy, DeduplicationScope, DiscoveryMode, Goal, Idempotency, OnMiss, Prices,
-    ReportField, ReportSource, RequestClass, Rules, Settings, Tenant, Weights,
+    ActionLimits, CacheMissPolicy, CacheSettings, CapacityHints, DeduplicationScope, DiscoveryMode,
+    GoalWeights, Idempotency, Prices, PriorityUnit, ReportField, ReportSource, RequestClass, Rules, Settings,
+    Tenant,
 };
--- a/crates/quartzdrift-scheduler/src/interface/settings.rs
+++ b/crates/quartzdrift-scheduler/src/interface/settings.rs
@@ -39,16 +39,16 @@
     pub latency_objective_stretch: Option<f64>,
     /// Time after which clients give up.
     pub timeout: Option<Duration>,
-    /// Weight of a request, or of a unit of work ([`CountedBy`]), in the goal.
+    /// Weight of a request, or of a unit of work ([`PriorityUnit`]), in the goal.
     pub priority_weight: Option<f64>,
     /// Share of that weight that a request has after its latency objective.
     pub late_weight: Option<f64>,
     /// Which workers drop the repeats of a request with an idempotency key.
     pub deduplication_scope: DeduplicationScope,
     /// Deduplication window: how long workers drop such repeats.
-    pub window: Option<Duration>,
+    pub deduplication_window: Option<Duration>,
     /// Answers are streamed.
-    pub streams: bool,
+    pub streams_responses: bool,
 }
 
 /// A tenant, on whose behalf requests are sent.
@@ -64,13 +64,13 @@
 
 /// What a scheduler is allowed to do, and how often.
 #[derive(Clone, Debug, Default)]
-pub struct Allowed {
+pub struct ActionLimits {
     /// To cancel attempts.
     pub cancel: bool,
     /// To check workers' health.
-    pub probes: bool,
+    pub health_checks: bool,
     /// To send messages to other schedulers.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// To send hedged requests.
     pub hedging: bool,
     /// To name a time when it rejects a request.
@@ -80,11 +80,11 @@
     /// Attempts of a request; `None`: one.
     pub max_attempts: Option<u32>,
     /// Most that may be open at a time; not used by the scheduler.
-    pub max_open: Option<u32>,
+    pub max_open_requests: Option<u32>,
     /// Time after which a connection counts as failed.
     pub connect_timeout: Option<Duration>,
     /// Time after which workers close an idle connection.
-    pub keepalive: Option<Duration>,
+    pub connection_keep_alive: Option<Duration>,
     /// Processor time of the scheduler, in microseconds a second.
     pub cpu_us_per_second: Option<f64>,
     /// Processor time of the scheduler, in microseconds a request.
@@ -97,39 +97,39 @@
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
     /// Time by which a final answer may miss its deadline.
-    pub answer_slack: Option<Duration>,
+    pub response_slack: Option<Duration>,
     /// Time after a failure in which the endpoint list is to be asked for again.
-    pub ask_within: Option<Duration>,
+    pub endpoint_refresh_limit: Option<Duration>,
     /// Share of its capacity that a worker has at its start, from 0 to 1.
-    pub cold_from: Option<f64>,
+    pub slow_start_min_capacity: Option<f64>,
     /// Time for which a worker is warming up after its start.
-    pub cold_for: Option<Duration>,
+    pub slow_start_duration: Option<Duration>,
     /// Time for which a draining worker goes on with its attempts.
     pub drain_grace: Option<Duration>,
     /// Time for which the endpoint list holds after the last sign that it was current: what discovery would have told
     /// counts as told then, and at once after that. `None`: the list holds without end.
     pub endpoint_lease: Option<Duration>,
     /// A worker fails if it is sent more than this many times what it can do, over the window that follows.
-    pub fall_multiple: Option<f64>,
+    pub overload_multiple: Option<f64>,
     /// The window in which work sent to a worker is compared with its capacity.
-    pub fall_window: Option<Duration>,
+    pub overload_window: Option<Duration>,
 }
 
 /// What a worker does with a request whose function it has no copy of.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum OnMiss {
+pub enum CacheMissPolicy {
     /// It loads the function, and executes the request then.
     #[default]
     Load,
     /// It answers that there is none.
-    Miss,
+    ReportMiss,
 }
 
 /// How workers cache functions, and the quota for load commands.
 #[derive(Clone, Debug, Default)]
 pub struct CacheSettings {
     /// What a worker does with a request whose function it has no copy of.
-    pub on_miss: OnMiss,
+    pub on_miss: CacheMissPolicy,
     /// Load commands may be given.
     pub load_commands: bool,
     /// Answers tell whether a copy was cached.
@@ -137,7 +137,7 @@
     /// Answers tell how many requests of the function the worker held.
     pub reports_concurrency: bool,
     /// Keep-alive: the least time for which an idle copy stays cached.
-    pub keep: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// Memory of a worker for copies, in MB, by kind of machine.
     pub memory_mb_by_kind: Vec<f64>,
     /// Price of holding all memory idle, in points of the result.
@@ -156,23 +156,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportSource {
     /// With answers.
-    Answers,
+    Responses,
     /// With answers to health checks.
-    Probes,
+    HealthChecks,
     /// There are none.
     #[default]
-    Silent,
+    Absent,
 }
 
 /// A value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
     /// Requests that the worker holds.
-    Held,
+    InFlight,
     /// Those of them that wait to be executed.
     Queued,
     /// Share of busy cores, from 0 to 1.
-    Busy,
+    CoreUtilization,
     /// Latency of requests, in milliseconds.
     LatencyMs,
     /// Requests that succeeded in a second.
@@ -180,9 +180,9 @@
     /// Requests that ended in error in a second.
     ErrorsPerSecond,
     /// Share of memory in use that cannot be freed, from 0 to 1.
-    MemoryTaken,
+    UnreclaimableMemory,
     /// Loads in progress.
-    Loads,
+    LoadsInProgress,
     /// A value that this version does not know.
     Unknown,
 }
@@ -199,21 +199,21 @@
 
 /// What the endpoint list tells of workers' capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Weights {
+pub enum CapacityHints {
     /// Nothing.
     #[default]
-    Silent,
+    Absent,
     /// That of the kind of machine.
     Nominal,
     /// An approximation.
-    Rough,
+    Approximate,
     /// The present one.
-    Live,
+    Current,
 }
 
 /// What priority weights are given for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum CountedBy {
+pub enum PriorityUnit {
     /// Each request.
     #[default]
     Request,
@@ -233,24 +233,24 @@
     /// A request that fails late.
     pub late_failure: f64,
     /// A function that moves to another worker.
-    pub moves: f64,
+    pub function_move: f64,
     /// A fetch from the origin store.
-    pub origin: f64,
+    pub origin_fetch: f64,
     /// A message to another scheduler.
-    pub peer: f64,
+    pub peer_message: f64,
     /// A health check.
-    pub probe: f64,
+    pub health_check: f64,
     /// A request for the endpoint list.
-    pub discovery: f64,
+    pub endpoint_list_request: f64,
     /// Work whose result nobody waits for.
-    pub waste: f64,
+    pub wasted_work: f64,
 }
 
-/// Weights of the parts of the goal.
+/// CapacityHints of the parts of the goal.
 #[derive(Clone, Debug, Default)]
-pub struct Goal {
+pub struct GoalWeights {
     /// All requests.
-    pub whole: f64,
+    pub all_requests: f64,
     /// The worst window of time.
     pub worst_window: f64,
     /// The worst request class.
@@ -263,29 +263,29 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of this scheduler.
-    pub me: Option<u32>,
+    pub scheduler_number: Option<u32>,
     /// Number of schedulers that share the workers, this one included; `None`: one.
-    pub schedulers: Option<u32>,
+    pub scheduler_count: Option<u32>,
     /// Number of this scheduler's zone, an index into `zones`.
     pub zone: Option<u32>,
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Names of the kinds of machine.
-    pub kinds: Vec<String>,
+    pub machine_kinds: Vec<String>,
     /// Number of this scheduler's tier, an index into `tiers`.
     pub tier: Option<u32>,
     /// Names of the tiers.
     pub tiers: Vec<String>,
     /// Name of the kind of work.
-    pub family: String,
+    pub workload: String,
     /// Resolution of the clock.
-    pub resolution: Option<Duration>,
+    pub clock_resolution: Option<Duration>,
     /// How changes of the endpoint list arrive.
-    pub discovery: DiscoveryMode,
+    pub discovery_mode: DiscoveryMode,
     /// What the endpoint list tells of workers' capacity.
-    pub weights: Weights,
+    pub capacity_hints: CapacityHints,
     /// What priority weights are given for.
-    pub counted_by: CountedBy,
+    pub priority_unit: PriorityUnit,
     /// Share of its weight that a request above its tenant's quota has.
     pub over_quota_weight: Option<f64>,
     /// Clients mark requests that they send again.
@@ -295,17 +295,17 @@
     /// The tenants; requests name them by index.
     pub tenants: Vec<Tenant>,
     /// What this scheduler is allowed to do.
-    pub allowed: Allowed,
+    pub limits: ActionLimits,
     /// Rules that it must follow.
     pub rules: Rules,
     /// How workers cache functions.
-    pub copies: CacheSettings,
+    pub cache: CacheSettings,
     /// How load reports come.
     pub report_source: ReportSource,
     /// The values of a load report, in their order.
     pub report_fields: Vec<ReportField>,
     /// Prices of the scheduler's actions.
     pub prices: Prices,
-    /// Weights of the parts of the goal.
-    pub goal: Goal,
+    /// CapacityHints of the parts of the goal.
+    pub goal: GoalWeights,
 }
--- a/crates/quartzdrift-scheduler/src/scheduler/settings.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/settings.rs
@@ -11,7 +11,7 @@
     /// A scheduler that knows no worker yet; the same settings, seed and events lead to the same actions.
     pub fn new(settings: &Settings, seed: u64) -> Scheduler {
         let durations = Histogram::new(FIRST_BIN, BIN_RATIO, BINS, MAX_SAMPLES);
-        let quota_window = settings.copies.load_quota_window.unwrap_or_default();
+        let quota_window = settings.cache.load_quota_window.unwrap_or_default();
         let class_state = |class| ClassState::new(class, DEFAULT_TIMEOUT, &durations);
         Scheduler {
             settings: derive(settings, seed),
@@ -32,18 +32,21 @@
 
 fn derive(settings: &Settings, seed: u64) -> DerivedSettings {
     let rules = &settings.rules;
-    let window = rules.fall_window.filter(|window| !window.is_zero()).unwrap_or(DEFAULT_SLOW_START_WINDOW);
-    let max_retry_after = settings.allowed.max_retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+    let window =
+        rules.overload_window.filter(|window| !window.is_zero()).unwrap_or(DEFAULT_SLOW_START_WINDOW);
+    let max_retry_after = settings.limits.max_retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
     let field = |wanted| settings.report_fields.iter().position(|&field| field == wanted);
     // Queued requests are the least that a worker holds.
-    let counted = field(ReportField::Held).or(field(ReportField::Queued));
+    let counted = field(ReportField::InFlight).or(field(ReportField::Queued));
     DerivedSettings {
-        keep_alive: settings.copies.keep.unwrap_or(DEFAULT_KEEP_ALIVE),
+        keep_alive: settings.cache.keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE),
         slow_start_half_window: (window / 2).max(Duration::from_micros(1)),
-        slow_start_budget: rules.fall_multiple.unwrap_or(1.0) * SLOW_START_SAFETY,
-        watch_retry_delay: rules.ask_within.map_or(WATCH_RETRY_DELAY, |time| WATCH_RETRY_DELAY.min(time)),
-        max_retry_after: settings.allowed.retry_after.then_some(max_retry_after),
-        load_field: counted.or(field(ReportField::Busy)),
+        slow_start_budget: rules.overload_multiple.unwrap_or(1.0) * SLOW_START_SAFETY,
+        watch_retry_delay: rules
+            .endpoint_refresh_limit
+            .map_or(WATCH_RETRY_DELAY, |time| WATCH_RETRY_DELAY.min(time)),
+        max_retry_after: settings.limits.retry_after.then_some(max_retry_after),
+        load_field: counted.or(field(ReportField::CoreUtilization)),
         reports_count_requests: counted.is_some(),
         tenants_share_workers: counted.is_some() && settings.tenants.len() > 1,
         ..DerivedSettings::copied(settings, seed)
--- a/crates/quartzdrift-scheduler/src/state/class.rs
+++ b/crates/quartzdrift-scheduler/src/state/class.rs
@@ -25,7 +25,7 @@
         ClassState {
             idempotency: class.idempotency,
             deduplication_scope: class.deduplication_scope,
-            deduplication_window: class.window.unwrap_or_default(),
+            deduplication_window: class.deduplication_window.unwrap_or_default(),
             priority_weight: class.priority_weight.unwrap_or(1.0),
             latency_objective: class.latency_objective.or(class.timeout).unwrap_or(timeout),
             default_timeout: class.latency_objective.unwrap_or_default().max(timeout),
--- a/crates/quartzdrift-scheduler/src/state/settings.rs
+++ b/crates/quartzdrift-scheduler/src/state/settings.rs
@@ -1,5 +1,5 @@
 //! The settings in the form that decisions use.
-use crate::interface::{CountedBy, DiscoveryMode, ReportField, Settings};
+use crate::interface::{DiscoveryMode, PriorityUnit, ReportField, Settings};
 use std::time::Duration;
 
 /// The settings in the form that decisions use; prices are in points of the result.
@@ -51,30 +51,30 @@
 impl DerivedSettings {
     /// The settings that are used as they are, absent rules as none; those that the scheduler tunes are left at zero.
     pub(crate) fn copied(settings: &Settings, seed: u64) -> DerivedSettings {
-        let copies = &settings.copies;
+        let copies = &settings.cache;
         let quota_window = copies.load_quota_window.filter(|window| !window.is_zero());
-        let is_memory = |field: &ReportField| *field == ReportField::MemoryTaken;
+        let is_memory = |field: &ReportField| *field == ReportField::UnreclaimableMemory;
         let mut derived = DerivedSettings {
             seed,
-            slow_start_min_capacity: settings.rules.cold_from.unwrap_or(0.0).clamp(0.0, 1.0),
-            max_attempts: settings.allowed.max_attempts.unwrap_or(1),
+            slow_start_min_capacity: settings.rules.slow_start_min_capacity.unwrap_or(0.0).clamp(0.0, 1.0),
+            max_attempts: settings.limits.max_attempts.unwrap_or(1),
             memory_field: settings.report_fields.iter().position(is_memory),
             load_quota_burst: quota_window.map_or(f64::INFINITY, |_| copies.load_quota_burst.unwrap_or(0.0)),
             load_quota_share: copies.load_quota_share.unwrap_or(0.0),
-            slow_start_duration: settings.rules.cold_for.unwrap_or_default(),
+            slow_start_duration: settings.rules.slow_start_duration.unwrap_or_default(),
             endpoint_lease: settings.rules.endpoint_lease,
             drain_grace: settings.rules.drain_grace.unwrap_or_default(),
-            can_cancel: settings.allowed.cancel,
-            must_watch: settings.discovery == DiscoveryMode::Poll,
+            can_cancel: settings.limits.cancel,
+            must_watch: settings.discovery_mode == DiscoveryMode::Poll,
             load_commands: copies.load_commands,
-            fetch_price: settings.prices.origin,
+            fetch_price: settings.prices.origin_fetch,
             memory_price: copies.idle_memory_price.unwrap_or(0.0),
             memory_mb_by_kind: copies.memory_mb_by_kind.clone(),
             reports_cache_status: copies.reports_cache_status,
-            counted_by_work: settings.counted_by == CountedBy::Work,
+            counted_by_work: settings.priority_unit == PriorityUnit::Work,
             ..DerivedSettings::default()
         };
-        derived.set_schedulers(settings.schedulers.unwrap_or(1));
+        derived.set_schedulers(settings.scheduler_count.unwrap_or(1));
         derived
     }
 
--- a/crates/quartzdrift-scheduler/tests/decisions.rs
+++ b/crates/quartzdrift-scheduler/tests/decisions.rs
@@ -6,9 +6,9 @@
 #![allow(clippy::unwrap_used, reason = "a test may stop at what must not be")]
 
 use quartzdrift_scheduler::interface::{
-    Action, Allowed, CacheResult, CacheSettings, CountedBy, DeduplicationScope, DiscoveryMode, Endpoint,
-    EndpointListKind, EndpointState, Event, Idempotency, Outcome, Prices, ReportField, ReportSource, Request,
-    RequestClass, RequestId, Rules, Settings, Tenant, UsageForecast,
+    Action, ActionLimits, CacheResult, CacheSettings, DeduplicationScope, DiscoveryMode, Endpoint,
+    EndpointListKind, EndpointState, Event, Idempotency, Outcome, Prices, PriorityUnit, ReportField,
+    ReportSource, Request, RequestClass, RequestId, Rules, Settings, Tenant, UsageForecast,
 };
 use quartzdrift_scheduler::scheduler::Scheduler;
 use std::collections::{BTreeMap, BTreeSet};
@@ -97,17 +97,17 @@
         ..Tenant::default()
     };
     Settings {
-        schedulers: Some(1 + (seed % 5) as u32),
-        discovery: if bit(seed, 1) { DiscoveryMode::Poll } else { DiscoveryMode::Push },
-        counted_by: if bit(seed, 2) { CountedBy::Work } else { CountedBy::Request },
+        scheduler_count: Some(1 + (seed % 5) as u32),
+        discovery_mode: if bit(seed, 1) { DiscoveryMode::Poll } else { DiscoveryMode::Push },
+        priority_unit: if bit(seed, 2) { PriorityUnit::Work } else { PriorityUnit::Request },
         request_classes: (0..3).map(|at| request_class(seed, at)).collect(),
         tenants: vec![tenant("a", 20.0), tenant("b", 10.0)],
-        allowed: allowed(seed),
+        limits: allowed(seed),
         rules: rules(seed),
-        copies: cache_settings(seed),
-        report_source: ReportSource::Answers,
+        cache: cache_settings(seed),
+        report_source: ReportSource::Responses,
         report_fields: report_fields(seed),
-        prices: Prices { origin: 0.02, ..Prices::default() },
+        prices: Prices { origin_fetch: 0.02, ..Prices::default() },
         ..Settings::default()
     }
 }
@@ -123,29 +123,29 @@
         timeout: Some(millis(3000)),
         priority_weight: Some(1.0 + at as f64),
         deduplication_scope: scopes[seed as usize % 3],
-        window: Some(millis(1500)),
+        deduplication_window: Some(millis(1500)),
         ..RequestClass::default()
     }
 }
 
-fn allowed(seed: u64) -> Allowed {
-    Allowed {
+fn allowed(seed: u64) -> ActionLimits {
+    ActionLimits {
         cancel: bit(seed, 0),
         retry_after: bit(seed, 3),
         max_retry_after: bit(seed, 2).then_some(millis(150)),
         max_attempts: Some(1 + (seed % 3) as u32),
-        ..Allowed::default()
+        ..ActionLimits::default()
     }
 }
 
 fn rules(seed: u64) -> Rules {
     Rules {
-        cold_from: Some(0.2),
-        cold_for: Some(millis(4000)),
-        fall_multiple: Some(2.0),
-        fall_window: bit(seed, 1).then_some(millis(1500)),
+        slow_start_min_capacity: Some(0.2),
+        slow_start_duration: Some(millis(4000)),
+        overload_multiple: Some(2.0),
+        overload_window: bit(seed, 1).then_some(millis(1500)),
         drain_grace: Some(millis(250)),
-        ask_within: bit(seed, 0).then_some(millis(400)),
+        endpoint_refresh_limit: bit(seed, 0).then_some(millis(400)),
         ..Rules::default()
     }
 }
@@ -155,7 +155,7 @@
         load_commands: bit(seed, 2) || bit(seed, 0),
         reports_cache_status: bit(seed, 1),
         reports_concurrency: bit(seed, 1),
-        keep: Some(millis(6000)),
+        keep_alive: Some(millis(6000)),
         memory_mb_by_kind: vec![4000.0, 16000.0],
         idle_memory_price: Some(0.01),
         load_quota_burst: Some(4.0),
@@ -167,9 +167,9 @@
 
 fn report_fields(seed: u64) -> Vec<ReportField> {
     match seed % 4 {
-        0 => vec![ReportField::Held, ReportField::MemoryTaken],
-        1 => vec![ReportField::Busy],
-        2 => vec![ReportField::Queued, ReportField::Loads],
+        0 => vec![ReportField::InFlight, ReportField::UnreclaimableMemory],
+        1 => vec![ReportField::CoreUtilization],
+        2 => vec![ReportField::Queued, ReportField::LoadsInProgress],
         _ => Vec::new(),
     }
 }
--- a/crates/quartzdrift-scheduler/tests/scenario_runner/expectations.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/expectations.rs
@@ -1,6 +1,6 @@
 //! Lines that expect an action, or a bound of what was done so far.
 use super::{Result, Runner, Words};
-use quartzdrift_scheduler::interface::{Action, Allowed, RequestId};
+use quartzdrift_scheduler::interface::{Action, ActionLimits, RequestId};
 use std::time::Duration;
 
 impl Runner {
@@ -82,7 +82,7 @@
     }
 
     fn expect_rejection(&mut self, wanted: RequestId) -> Result {
-        let Allowed { retry_after: allows_time, max_retry_after, .. } = self.settings.allowed;
+        let ActionLimits { retry_after: allows_time, max_retry_after, .. } = self.settings.limits;
         let is_within = |time: Duration| !time.is_zero() && max_retry_after.is_none_or(|max| time <= max);
         let fits = |time: Option<Duration>| match time {
             Some(time) => allows_time && is_within(time),
--- a/crates/quartzdrift-scheduler/tests/scenario_runner/settings.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/settings.rs
@@ -20,7 +20,7 @@
             "group" if value == "zone" => {
                 settings.request_classes[0].deduplication_scope = DeduplicationScope::Zone;
             }
-            "window" => settings.request_classes[0].window = Some(words.duration(2)?),
+            "window" => settings.request_classes[0].deduplication_window = Some(words.duration(2)?),
             "target" => settings.request_classes[0].latency_objective = Some(words.duration(2)?),
             "workloads" => {
                 let class = settings.request_classes[0].clone();
@@ -31,26 +31,26 @@
                 let tenant = Tenant { requests_per_second: Some(10.0), ..Tenant::default() };
                 settings.tenants.resize(words.number(2)?, tenant);
             }
-            "executions" => settings.allowed.max_attempts = Some(words.number(2)?),
-            "cancel" => settings.allowed.cancel = true,
+            "executions" => settings.limits.max_attempts = Some(words.number(2)?),
+            "cancel" => settings.limits.cancel = true,
             "retry-after" => {
-                settings.allowed.retry_after = true;
-                settings.allowed.max_retry_after = Some(words.duration(2)?);
+                settings.limits.retry_after = true;
+                settings.limits.max_retry_after = Some(words.duration(2)?);
             }
-            "schedulers" => settings.schedulers = Some(words.number(2)?),
-            "keep" => settings.copies.keep = Some(words.duration(2)?),
-            "told" => settings.copies.reports_cache_status = true,
-            "memory" => settings.copies.memory_mb_by_kind = vec![words.number(2)?],
+            "schedulers" => settings.scheduler_count = Some(words.number(2)?),
+            "keep" => settings.cache.keep_alive = Some(words.duration(2)?),
+            "told" => settings.cache.reports_cache_status = true,
+            "memory" => settings.cache.memory_mb_by_kind = vec![words.number(2)?],
             "orders" => set_load_commands(settings, words)?,
             "fall" => set_slow_start(&mut settings.rules, words)?,
             "lease" => {
                 settings.rules.endpoint_lease = Some(words.duration(2)?);
                 settings.rules.drain_grace = Some(words.duration(3)?);
             }
-            "ask-within" => settings.rules.ask_within = Some(words.duration(2)?),
-            "report" if value == "memory" => settings.report_fields = vec![ReportField::MemoryTaken],
-            "report" if value == "held" => settings.report_fields = vec![ReportField::Held],
-            "discovery" if value == "ask" => settings.discovery = DiscoveryMode::Poll,
+            "ask-within" => settings.rules.endpoint_refresh_limit = Some(words.duration(2)?),
+            "report" if value == "memory" => settings.report_fields = vec![ReportField::UnreclaimableMemory],
+            "report" if value == "held" => settings.report_fields = vec![ReportField::InFlight],
+            "discovery" if value == "ask" => settings.discovery_mode = DiscoveryMode::Poll,
             _ => return Err(format!("no setting: {:?}", words.from(1))),
         }
         Ok(())
@@ -75,23 +75,23 @@
 
 fn set_slow_start(rules: &mut Rules, words: &Words) -> Result {
     let is_set = |index: usize| words.get(index).is_some_and(|word| word != "-");
-    rules.cold_from = is_set(2).then(|| words.number(2)).transpose()?;
-    rules.cold_for = is_set(3).then(|| words.duration(3)).transpose()?;
-    rules.fall_multiple = is_set(4).then(|| words.number(4)).transpose()?;
-    rules.fall_window = is_set(5).then(|| words.duration(5)).transpose()?;
+    rules.slow_start_min_capacity = is_set(2).then(|| words.number(2)).transpose()?;
+    rules.slow_start_duration = is_set(3).then(|| words.duration(3)).transpose()?;
+    rules.overload_multiple = is_set(4).then(|| words.number(4)).transpose()?;
+    rules.overload_window = is_set(5).then(|| words.duration(5)).transpose()?;
     Ok(())
 }
 
 fn set_load_commands(settings: &mut Settings, words: &Words) -> Result {
-    settings.prices.origin = words.number_of("fetch")?.unwrap_or(0.0);
-    settings.copies = CacheSettings {
+    settings.prices.origin_fetch = words.number_of("fetch")?.unwrap_or(0.0);
+    settings.cache = CacheSettings {
         load_commands: true,
         load_quota_burst: words.number_of("free")?,
         load_quota_share: words.number_of("share")?,
         load_quota_window: words.duration_of("window")?,
         idle_memory_price: words.number_of("memory")?,
         memory_mb_by_kind: vec![1000.0],
-        ..settings.copies.clone()
+        ..settings.cache.clone()
     };
     Ok(())
 }
--- a/crates/quartzdrift/src/gateway/asynchronous.rs
+++ b/crates/quartzdrift/src/gateway/asynchronous.rs
@@ -30,7 +30,7 @@
         let request_class = &self.settings.scheduler.request_classes[function.request_class as usize];
         let idempotency = request_class.idempotency;
         let deduplicated_by_all = request_class.deduplication_scope == DeduplicationScope::All;
-        let deduplication_window = request_class.window.unwrap_or_default();
+        let deduplication_window = request_class.deduplication_window.unwrap_or_default();
         let on_success = or_default(&function.on_success, &self.settings.on_success);
         let on_failure = or_default(&function.on_failure, &self.settings.on_failure);
         // One key for all attempts: workers recognise a further one by it.
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -138,7 +138,7 @@
             client_context: invoke.call.client_context,
             idempotency_key: idempotency_key(invoke.call.idempotency_key, class, invoke.id),
             tenant: invoke.tenant.name,
-            streams: class.streams,
+            streams: class.streams_responses,
             request_class: invoke.function.request_class,
             accepted_at: self.now(),
             ramp_probe,
@@ -220,7 +220,7 @@
         };
         // Few request classes stream: only with one of those is every call looked at.
         let mut classes = self.settings.scheduler.request_classes.iter();
-        let may_stream = classes.any(|class| class.streams);
+        let may_stream = classes.any(|class| class.streams_responses);
         let streaming = may_stream
             .then(|| self.calls.streaming_attempt(request))
             .flatten();
--- a/crates/quartzdrift/src/gateway/discovery.rs
+++ b/crates/quartzdrift/src/gateway/discovery.rs
@@ -44,7 +44,8 @@
 impl Source {
     /// A source that is polled, and whose stream is opened, at once.
     pub(super) fn new(settings: &Settings) -> Source {
-        let watching = settings.discovery.is_some() && settings.scheduler.discovery == DiscoveryMode::Push;
+        let watching =
+            settings.discovery.is_some() && settings.scheduler.discovery_mode == DiscoveryMode::Push;
         let at_once = watching.then_some(Duration::ZERO);
         Source {
             watching,
@@ -174,7 +175,7 @@
             why = reason,
             "the list of workers cannot be had; the last one stands"
         );
-        if self.settings.scheduler.discovery == DiscoveryMode::Poll {
+        if self.settings.scheduler.discovery_mode == DiscoveryMode::Poll {
             self.discovery.watching = false;
             self.update_endpoints(EndpointListKind::Failed, &[]);
         }
@@ -204,7 +205,7 @@
     pub(super) fn endpoint_stream_lost(&mut self, reason: &str) {
         tracing::warn!(why = reason, "the stream of changes was lost");
         self.discovery.stream = None;
-        if self.settings.scheduler.discovery == DiscoveryMode::Poll {
+        if self.settings.scheduler.discovery_mode == DiscoveryMode::Poll {
             self.discovery.watching = false;
             return self.update_endpoints(EndpointListKind::Failed, &[]);
         }
--- a/crates/quartzdrift/src/gateway/fleet.rs
+++ b/crates/quartzdrift/src/gateway/fleet.rs
@@ -283,7 +283,7 @@
             known = known_addresses.len(),
             "member of a fleet"
         );
-        let minimum = self.settings.scheduler.schedulers.unwrap_or(1);
+        let minimum = self.settings.scheduler.scheduler_count.unwrap_or(1);
         let now = self.now();
         // A random instance is never used twice by a name; replayed datagrams of an earlier start are detected by it.
         let instance = rand::random();
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -140,8 +140,8 @@
         ask_timeout: settings.recovery.ask,
         max_duration: settings.recovery.longest,
         idempotency_keys_on_disk: settings.recovery.idempotency_keys_on_disk,
-        load_quota_window: scheduler.copies.load_quota_window.unwrap_or_default(),
-        slow_start_window: scheduler.rules.fall_window.unwrap_or_default(),
+        load_quota_window: scheduler.cache.load_quota_window.unwrap_or_default(),
+        slow_start_window: scheduler.rules.overload_window.unwrap_or_default(),
         max_async_in_flight: settings.asynchronous.max_concurrent_attempts,
         admission_ramp: settings.recovery.pace,
         store_start,
@@ -381,7 +381,7 @@
         let Some(recovery) = self.recovery.as_ref().filter(|_| may_repeat) else {
             return Ok(());
         };
-        let window = class.window.unwrap_or_default();
+        let window = class.deduplication_window.unwrap_or_default();
         match recovery.machine.repeat_retry_after(self.now(), window) {
             Some(retry_after) => Err(retry_after),
             None => Ok(()),
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -112,7 +112,7 @@
         mut headers: Headers,
         body: Rc<[u8]>,
     ) -> Outgoing {
-        if let Some(me) = self.settings.scheduler.me {
+        if let Some(me) = self.settings.scheduler.scheduler_number {
             headers.push("x-quartzdrift-scheduler", &me.to_string());
         }
         Outgoing {
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -36,7 +36,7 @@
 impl Node {
     /// A connection to a worker for a command under this id, or what it proves that there is none.
     pub(super) fn connection_for(&mut self, worker: &Rc<str>, id: u64) -> Result<SocketId, ConnectionLoss> {
-        let streams = self.config.settings.allowed.streams_per_connection;
+        let streams = self.config.settings.limits.streams_per_connection;
         let streams = streams.map_or(DEFAULT_STREAMS, |streams| streams.max(1) as usize);
         loop {
             let known = self.workers.get(worker).ok_or(ConnectionLoss::NotConnected)?;
@@ -102,7 +102,7 @@
 
     /// A connect timeout of zero counts as none: no connection is established in no time.
     fn connect_timeout(&self) -> Duration {
-        let configured = self.config.settings.allowed.connect_timeout;
+        let configured = self.config.settings.limits.connect_timeout;
         configured
             .filter(|timeout| !timeout.is_zero())
             .unwrap_or(DEFAULT_CONNECT_TIMEOUT)
@@ -182,7 +182,7 @@
             self.close_connection(id);
             return;
         }
-        let keepalive = self.config.settings.allowed.keepalive;
+        let keepalive = self.config.settings.limits.connection_keep_alive;
         let keepalive = keepalive.unwrap_or(DEFAULT_KEEPALIVE);
         self.sockets
             .set_deadline(id, Some(keepalive.mul_f64(KEEPALIVE_FRACTION)));
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -318,10 +318,10 @@
             return self.poll_failed(PollFailure::Status(answer.status));
         }
         let settings = &self.config.settings;
-        let read = self
-            .coordinator
-            .watch
-            .read(&answer.body, poll.asked, &settings.zones, &settings.kinds);
+        let read =
+            self.coordinator
+                .watch
+                .read(&answer.body, poll.asked, &settings.zones, &settings.machine_kinds);
         match read {
             Ok(reading) => {
                 let is_confirmed = poll.is_confirmed_by(&reading, self.now());
@@ -353,7 +353,7 @@
         let applied = self
             .coordinator
             .watch
-            .take(known, &settings.zones, &settings.kinds);
+            .take(known, &settings.zones, &settings.machine_kinds);
         match applied {
             Ok(changes) => self.apply_changes(changes),
             Err(error) => tracing::warn!(?error, "the workers that a configuration holds are refused"),
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -138,7 +138,7 @@
     /// nothing of them reaches a worker from now on; those that are in flight are cancelled where the settings allow it.
     pub(super) fn abandon_request(&mut self, request: RequestId) {
         let now = self.now();
-        let may_cancel = self.config.settings.allowed.cancel;
+        let may_cancel = self.config.settings.limits.cancel;
         let attempts: Vec<u32> = self.request_table.attempts_of(request).collect();
         self.request_table.client_gone(now, request);
         self.carry_out();
--- a/crates/quartzdrift/src/settings/check/functions.rs
+++ b/crates/quartzdrift/src/settings/check/functions.rs
@@ -65,7 +65,7 @@
 
 /// Memory of the largest kind of worker; not a number where no kind has a figure.
 fn max_memory_mb(scheduler: &SchedulerSettings) -> f64 {
-    let figures = scheduler.copies.memory_mb_by_kind.iter().copied();
+    let figures = scheduler.cache.memory_mb_by_kind.iter().copied();
     figures.fold(f64::NAN, f64::max)
 }
 
--- a/crates/quartzdrift/src/settings/check/rules.rs
+++ b/crates/quartzdrift/src/settings/check/rules.rs
@@ -131,7 +131,7 @@
 
 fn check_reports(raw: &File, errors: &mut ErrorCollector) {
     let reports = &raw.reports;
-    if matches!(reports.source, ReportSource::Silent) && !reports.fields.is_empty() {
+    if matches!(reports.source, ReportSource::Absent) && !reports.fields.is_empty() {
         errors.add_at_table(
             "reports",
             "fields of reports are told, but no source of them",
--- a/crates/quartzdrift/src/settings/raw/cache.rs
+++ b/crates/quartzdrift/src/settings/raw/cache.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct CacheSettings {
-    pub(crate) on_miss: OnMiss,
+    pub(crate) on_miss: CacheMissPolicy,
     #[serde(rename = "orders")]
     pub(crate) load_commands: bool,
     #[serde(rename = "tells_warm")]
@@ -30,8 +30,9 @@
 /// What a worker does with a call of a function that is not cached.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum OnMiss {
+pub(crate) enum CacheMissPolicy {
     #[default]
     Load,
-    Miss,
+    #[serde(rename = "miss")]
+    ReportMiss,
 }
--- a/crates/quartzdrift/src/settings/raw/mod.rs
+++ b/crates/quartzdrift/src/settings/raw/mod.rs
@@ -16,7 +16,7 @@
 mod workers;
 
 pub(crate) use asynchronous::{Answer, Asynchronous, Missed, Timer};
-pub(crate) use cache::{CacheSettings, OnMiss};
+pub(crate) use cache::{CacheMissPolicy, CacheSettings};
 pub(crate) use duration::HumanDuration;
 pub(crate) use file::File;
 pub(crate) use fleet::{Fleet, IdempotencyKeysIn};
@@ -25,5 +25,7 @@
 pub(crate) use gateway::LogForm;
 pub(crate) use reports::{ReportField, ReportSource};
 pub(crate) use request_classes::{DeduplicationScope, Idempotency, RequestClass, Tenant};
-pub(crate) use scheduler::{Allowed, CountedBy, DiscoveryMode, Goal, Prices, Rules, Scheduler, Weights};
+pub(crate) use scheduler::{
+    Allowed, CapacityHints, DiscoveryMode, Goal, Prices, PriorityUnit, Rules, Scheduler,
+};
 pub(crate) use workers::Worker;
--- a/crates/quartzdrift/src/settings/raw/reports.rs
+++ b/crates/quartzdrift/src/settings/raw/reports.rs
@@ -13,10 +13,13 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum ReportSource {
-    Answers,
-    Probes,
+    #[serde(rename = "answers")]
+    Responses,
+    #[serde(rename = "probes")]
+    HealthChecks,
     #[default]
-    Silent,
+    #[serde(rename = "silent")]
+    Absent,
 }
 
 /// A figure, and the metric of the worker's report that holds it.
@@ -31,13 +34,17 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum ReportField {
-    Held,
+    #[serde(rename = "held")]
+    InFlight,
     Queued,
-    Busy,
+    #[serde(rename = "busy")]
+    CoreUtilization,
     LatencyMs,
     #[serde(rename = "finished-per-second")]
     SucceededPerSecond,
     ErrorsPerSecond,
-    MemoryTaken,
-    Loads,
+    #[serde(rename = "memory-taken")]
+    UnreclaimableMemory,
+    #[serde(rename = "loads")]
+    LoadsInProgress,
 }
--- a/crates/quartzdrift/src/settings/raw/scheduler.rs
+++ b/crates/quartzdrift/src/settings/raw/scheduler.rs
@@ -19,8 +19,8 @@
     pub(crate) family: String,
     pub(crate) resolution: Option<HumanDuration>,
     pub(crate) discovery: DiscoveryMode,
-    pub(crate) weights: Weights,
-    pub(crate) counted_by: CountedBy,
+    pub(crate) weights: CapacityHints,
+    pub(crate) counted_by: PriorityUnit,
     #[serde(rename = "over_share_importance")]
     pub(crate) over_quota_weight: Option<f64>,
     pub(crate) clients_mark_retries: bool,
@@ -39,18 +39,21 @@
 /// How much the capacities of workers say.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum Weights {
+pub(crate) enum CapacityHints {
     #[default]
-    Silent,
+    #[serde(rename = "silent")]
+    Absent,
     Nominal,
-    Rough,
-    Live,
+    #[serde(rename = "rough")]
+    Approximate,
+    #[serde(rename = "live")]
+    Current,
 }
 
 /// What a tenant's share is counted in.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum CountedBy {
+pub(crate) enum PriorityUnit {
     #[default]
     #[serde(rename = "job")]
     Request,
@@ -58,7 +61,7 @@
 }
 
 /// The table `[allowed]`: what the scheduler may do, and to what extent.
-/// The fields are those of [`quartzdrift_scheduler::interface::Allowed`].
+/// The fields are those of [`quartzdrift_scheduler::interface::ActionLimits`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Allowed {
@@ -149,7 +152,7 @@
 }
 
 /// The table `[goal]`: weights of the parts of the objective.
-/// The fields are those of [`quartzdrift_scheduler::interface::Goal`].
+/// The fields are those of [`quartzdrift_scheduler::interface::GoalWeights`].
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Goal {
--- a/crates/quartzdrift/src/settings/raw/scheduler_settings.rs
+++ b/crates/quartzdrift/src/settings/raw/scheduler_settings.rs
@@ -1,8 +1,9 @@
 //! The scheduler's own settings, built from the file's tables. Use [`File::scheduler`] once the file is
 //! deserialized.
 use super::{
-    Allowed, CacheSettings, CountedBy, DeduplicationScope, DiscoveryMode, File, Goal, HumanDuration,
-    Idempotency, OnMiss, Prices, ReportField, ReportSource, RequestClass, Rules, Scheduler, Tenant, Weights,
+    Allowed, CacheMissPolicy, CacheSettings, CapacityHints, DeduplicationScope, DiscoveryMode, File, Goal,
+    HumanDuration, Idempotency, Prices, PriorityUnit, ReportField, ReportSource, RequestClass, Rules,
+    Scheduler, Tenant,
 };
 use quartzdrift_scheduler::interface as scheduler;
 use std::time::Duration;
@@ -13,29 +14,29 @@
     pub(crate) fn scheduler(&self) -> scheduler::Settings {
         let section = self.scheduler.clone();
         scheduler::Settings {
-            me: section.me,
-            schedulers: section.schedulers,
+            scheduler_number: section.me,
+            scheduler_count: section.schedulers,
             zone: own_zone(&section),
             zones: section.zones,
-            kinds: section.kinds,
+            machine_kinds: section.kinds,
             tier: section.tier,
             tiers: section.tiers,
-            family: section.family,
-            resolution: duration(section.resolution),
-            discovery: section.discovery.into(),
-            weights: section.weights.into(),
-            counted_by: section.counted_by.into(),
+            workload: section.family,
+            clock_resolution: duration(section.resolution),
+            discovery_mode: section.discovery.into(),
+            capacity_hints: section.weights.into(),
+            priority_unit: section.counted_by.into(),
             over_quota_weight: section.over_quota_weight,
             clients_mark_retries: section.clients_mark_retries,
             request_classes: spanned(&self.request_classes),
             tenants: spanned(&self.tenants),
-            allowed: (&self.allowed).into(),
+            limits: (&self.allowed).into(),
             rules: scheduler::Rules {
                 // Workers that the file names are what it says; a lease is for a list that somebody else keeps.
                 endpoint_lease: duration(self.rules.endpoint_lease.filter(|_| self.discovery.is_some())),
                 ..(&self.rules).into()
             },
-            copies: (&self.copies).into(),
+            cache: (&self.copies).into(),
             report_source: self.reports.source.into(),
             report_fields: self
                 .reports
@@ -78,8 +79,8 @@
                 .deduplication_scope
                 .unwrap_or(DeduplicationScope::All)
                 .into(),
-            window: duration(class.window),
-            streams: class.streams,
+            deduplication_window: duration(class.window),
+            streams_responses: class.streams,
         }
     }
 }
@@ -94,19 +95,19 @@
     }
 }
 
-impl From<&Allowed> for scheduler::Allowed {
+impl From<&Allowed> for scheduler::ActionLimits {
     fn from(allowed: &Allowed) -> Self {
-        scheduler::Allowed {
+        scheduler::ActionLimits {
             cancel: allowed.cancel,
-            probes: allowed.probes,
-            peers: allowed.peers,
+            health_checks: allowed.probes,
+            peer_messages: allowed.peers,
             hedging: allowed.hedging,
             retry_after: allowed.retry_after,
             max_retry_after: duration(allowed.max_retry_after),
             max_attempts: allowed.max_attempts,
-            max_open: allowed.max_open,
+            max_open_requests: allowed.max_open,
             connect_timeout: Some(allowed.connect_timeout.0),
-            keepalive: Some(allowed.keepalive.0),
+            connection_keep_alive: Some(allowed.keepalive.0),
             cpu_us_per_second: allowed.cpu_us_per_second,
             cpu_us_per_request: allowed.cpu_us_per_request,
             streams_per_connection: allowed.streams_per_connection,
@@ -117,14 +118,14 @@
 impl From<&Rules> for scheduler::Rules {
     fn from(rules: &Rules) -> Self {
         scheduler::Rules {
-            answer_slack: Some(rules.answer_slack.0),
-            ask_within: duration(rules.ask_within),
-            cold_from: rules.cold_from,
-            cold_for: duration(rules.cold_for),
+            response_slack: Some(rules.answer_slack.0),
+            endpoint_refresh_limit: duration(rules.ask_within),
+            slow_start_min_capacity: rules.cold_from,
+            slow_start_duration: duration(rules.cold_for),
             drain_grace: Some(rules.drain_grace.0),
             endpoint_lease: None,
-            fall_multiple: rules.fall_multiple,
-            fall_window: duration(rules.fall_window),
+            overload_multiple: rules.fall_multiple,
+            overload_window: duration(rules.fall_window),
         }
     }
 }
@@ -136,7 +137,7 @@
             load_commands: cache.load_commands,
             reports_cache_status: cache.reports_cache_status,
             reports_concurrency: cache.reports_concurrency,
-            keep: duration(cache.keep),
+            keep_alive: duration(cache.keep),
             memory_mb_by_kind: cache.memory_mb_by_kind.clone(),
             idle_memory_price: cache.idle_memory_price,
             load_quota_burst: cache.load_quota_burst,
@@ -154,20 +155,20 @@
             cross_zone: prices.cross_zone,
             handshake: prices.handshake,
             late_failure: prices.late_failure,
-            moves: prices.moves,
-            origin: prices.origin,
-            peer: prices.peer,
-            probe: prices.probe,
-            discovery: prices.discovery,
-            waste: prices.waste,
+            function_move: prices.moves,
+            origin_fetch: prices.origin,
+            peer_message: prices.peer,
+            health_check: prices.probe,
+            endpoint_list_request: prices.discovery,
+            wasted_work: prices.waste,
         }
     }
 }
 
-impl From<&Goal> for scheduler::Goal {
+impl From<&Goal> for scheduler::GoalWeights {
     fn from(goal: &Goal) -> Self {
-        scheduler::Goal {
-            whole: goal.whole,
+        scheduler::GoalWeights {
+            all_requests: goal.whole,
             worst_window: goal.worst_window,
             worst_request_class: goal.worst_request_class,
             worst_tenant: goal.worst_tenant,
@@ -192,9 +193,12 @@
     Idempotency { Idempotent, IdempotentWithKey, NonIdempotent }
     DeduplicationScope { All, Zone, Cell }
     DiscoveryMode { Push, Poll }
-    Weights { Silent, Nominal, Rough, Live }
-    CountedBy { Request, Work }
-    OnMiss { Load, Miss }
-    ReportSource { Answers, Probes, Silent }
-    ReportField { Held, Queued, Busy, LatencyMs, SucceededPerSecond, ErrorsPerSecond, MemoryTaken, Loads }
+    CapacityHints { Absent, Nominal, Approximate, Current }
+    PriorityUnit { Request, Work }
+    CacheMissPolicy { Load, ReportMiss }
+    ReportSource { Responses, HealthChecks, Absent }
+    ReportField {
+        InFlight, Queued, CoreUtilization, LatencyMs, SucceededPerSecond, ErrorsPerSecond, UnreclaimableMemory,
+        LoadsInProgress
+    }
 }
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -259,15 +259,15 @@
     );
     assert_eq!(
         (
-            settings.scheduler.allowed.max_attempts,
+            settings.scheduler.limits.max_attempts,
             settings.scheduler.report_fields.len()
         ),
         (Some(2), 8)
     );
     assert_eq!(
         (
-            settings.scheduler.copies.load_commands,
-            settings.scheduler.copies.load_quota_share
+            settings.scheduler.cache.load_commands,
+            settings.scheduler.cache.load_quota_share
         ),
         (true, Some(0.1))
     );
