--- a/crates/quartzdrift-adapter/src/action/mod.rs
+++ b/crates/quartzdrift-adapter/src/action/mod.rs
@@ -21,11 +21,11 @@
         Action::CancelAttempt { .. } => "abort_attempt",
         Action::SetTimer { .. } => "notify_me",
         Action::CheckHealth { .. } => "ping",
-        Action::CloseIdle { .. } => "shut_idle",
+        Action::CloseIdleConnections { .. } => "shut_idle",
         Action::SendToPeer { .. } => "share",
         Action::Load { .. } => "load",
         Action::Unload { .. } => "unload",
-        Action::Watch { .. } => "watch",
+        Action::WatchEndpoints { .. } => "watch",
         Action::PollEndpoints => "snapshot",
         Action::Notice(_) | Action::Log { .. } => "trace",
     }
@@ -53,7 +53,9 @@
         Action::Fail { request } => write!(out, "\ttid={request}"),
         Action::CancelAttempt { request, attempt } => write!(out, "\ttid={request}\tseq-no={attempt}"),
         Action::SetTimer { delay, name } => write!(out, "\tdelay-ns={}\tmark={name}", delay.as_nanos()),
-        Action::CheckHealth { worker } | Action::CloseIdle { worker } => write!(out, "\tworker={worker}"),
+        Action::CheckHealth { worker } | Action::CloseIdleConnections { worker } => {
+            write!(out, "\tworker={worker}")
+        }
         Action::SendToPeer { to, bytes } => {
             let to = to.map_or("all".to_owned(), |scheduler| scheduler.to_string());
             write!(out, "\tdst={to}\tbody={}", hex::encode(bytes))
@@ -66,7 +68,7 @@
             write!(out, "\tworker={worker}\timage={function}\tn-inst={copies}")
         }
         Action::Unload { worker, function } => write!(out, "\tworker={worker}\timage={function}"),
-        Action::Watch { on } => write!(out, "\tactive={}", u8::from(*on)),
+        Action::WatchEndpoints { enabled: on } => write!(out, "\tactive={}", u8::from(*on)),
         Action::PollEndpoints => Ok(()),
         Action::Notice(notice) => write!(out, "\ttext={notice:?}"),
         Action::Log { text } => write!(out, "\ttext={}", text.replace(['\n', '\r', '\t'], " ")),
--- a/crates/quartzdrift-adapter/src/action/tests.rs
+++ b/crates/quartzdrift-adapter/src/action/tests.rs
@@ -51,7 +51,7 @@
         worker: WORKER.into(),
     };
     assert_eq!(line(&check), "ping\ti=3\tworker=10.0.0.1:1\n");
-    let close = Action::CloseIdle {
+    let close = Action::CloseIdleConnections {
         worker: WORKER.into(),
     };
     assert_eq!(line(&close), "shut_idle\ti=3\tworker=10.0.0.1:1\n");
@@ -85,7 +85,10 @@
         bytes: vec![0, 10, 255],
     };
     assert_eq!(line(&to_one), "share\ti=3\tdst=2\tbody=000aff\n");
-    assert_eq!(line(&Action::Watch { on: true }), "watch\ti=3\tactive=1\n");
+    assert_eq!(
+        line(&Action::WatchEndpoints { enabled: true }),
+        "watch\ti=3\tactive=1\n"
+    );
     assert_eq!(line(&Action::PollEndpoints), "snapshot\ti=3\n");
     let log = Action::Log {
         text: "a\tb\nc\rd".to_owned(),
--- a/crates/quartzdrift-adapter/src/event.rs
+++ b/crates/quartzdrift-adapter/src/event.rs
@@ -22,7 +22,7 @@
 ) -> Result<Option<Event<'a>>, UnreadableField> {
     Ok(Some(match line.name {
         "targets" => Event::EndpointList {
-            form: endpoint_list_kind(line),
+            kind: endpoint_list_kind(line),
             entries,
         },
         "req" => Event::Request(request(line)?),
@@ -81,18 +81,18 @@
     let request_class = line.text("tier-class");
     let load_milliseconds = line.number("start-ms");
     Ok(Request {
-        request: line.required_integer("tid")?,
+        id: line.required_integer("tid")?,
         // A class that cannot be read is an unknown one: another's rule on retries would be followed for it.
         request_class: request_class.map_or(0, |text| text.parse().unwrap_or(u32::MAX)),
         tenant: line.integer("user-group").unwrap_or(0),
         function: line.text("image").unwrap_or(""),
-        left: line.duration("grace-ns").unwrap_or_default(),
+        time_left: line.duration("grace-ns").unwrap_or_default(),
         work_hint: line.duration("expected-ns"),
         memory_mb: line.number("size-mb"),
         concurrency_slots: line.number("lanes"),
         load_hint: load_milliseconds.and_then(|count| Duration::try_from_secs_f64(count / 1000.0).ok()),
         is_retry: line.flag("is-retry"),
-        writes: line.flag("mutates"),
+        has_side_effects: line.flag("mutates"),
     })
 }
 
--- a/crates/quartzdrift-adapter/src/line.rs
+++ b/crates/quartzdrift-adapter/src/line.rs
@@ -112,9 +112,9 @@
             worker: self.text("worker")?,
             capacity_hint: self.number("capacity-hint"),
             cell: self.integer("cell").unwrap_or(0),
-            kind: self.integer("generation-hw").unwrap_or(0),
+            machine_kind: self.integer("generation-hw").unwrap_or(0),
             zone: self.integer("az").unwrap_or(0),
-            started: self.duration("came-up-ns").filter(|at| !at.is_zero()),
+            started_at: self.duration("came-up-ns").filter(|at| !at.is_zero()),
             // A worker in an unknown state gets no requests.
             state: match self.text("health") {
                 Some("up") => EndpointState::Up,
--- a/crates/quartzdrift-discovery/src/endpoint.rs
+++ b/crates/quartzdrift-discovery/src/endpoint.rs
@@ -42,9 +42,9 @@
             worker: &self.worker,
             capacity_hint: self.capacity,
             cell: self.cell,
-            kind: self.kind,
+            machine_kind: self.kind,
             zone: self.zone,
-            started: self.started,
+            started_at: self.started,
             state: self.state,
         }
     }
--- a/crates/quartzdrift-lab/src/emulate/mod.rs
+++ b/crates/quartzdrift-lab/src/emulate/mod.rs
@@ -596,7 +596,7 @@
                     let entry = Endpoint {
                         worker: &worker,
                         state,
-                        started,
+                        started_at: started,
                         ..Endpoint::default()
                     };
                     request_table.update_endpoints(self.now, EndpointListKind::Changes, vec![entry]);
--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -292,7 +292,7 @@
     let entry = |(worker, &(state, started)): (&'a String, &(EndpointState, Option<Duration>))| Endpoint {
         worker,
         state,
-        started,
+        started_at: started,
         ..Endpoint::default()
     };
     there.map(entry).collect()
@@ -309,7 +309,7 @@
     UsageForecast {
         function,
         request_class: request_class as u32,
-        within,
+        horizon: within,
         probability,
         requests_per_second,
         memory_mb: Some(of.memory_mb),
--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -364,9 +364,9 @@
             let actions = scheduler.handle(
                 *now,
                 Event::Request(Request {
-                    request,
+                    id: request,
                     function,
-                    left,
+                    time_left: left,
                     ..Request::default()
                 }),
             );
@@ -405,7 +405,7 @@
             scheduler.handle(
                 now,
                 Event::EndpointList {
-                    form: EndpointListKind::Changes,
+                    kind: EndpointListKind::Changes,
                     entries,
                 },
             );
--- a/crates/quartzdrift-lifecycle/src/request_table/endpoints.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/endpoints.rs
@@ -18,7 +18,7 @@
         for entry in &entries {
             self.update_endpoint(entry);
         }
-        self.feed(Event::EndpointList { form: kind, entries });
+        self.feed(Event::EndpointList { kind, entries });
         self.recall_attempts();
         self.recall_load_commands();
         self.settle();
--- a/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
@@ -26,17 +26,17 @@
             .saturating_sub(self.limits.answer_slack)
             .min(until_shutdown.unwrap_or(Duration::MAX));
         let event = Event::Request(Request {
-            request,
+            id: request,
             request_class: new.request_class,
             tenant: new.tenant,
             function: &new.function,
-            left,
+            time_left: left,
             work_hint: new.work_hint,
             memory_mb: new.memory_mb,
             concurrency_slots: new.concurrency_slots,
             load_hint: new.load_hint,
             is_retry: new.is_retry,
-            writes: new.writes,
+            has_side_effects: new.writes,
         });
         let deadline = self.now + left;
         let open = OpenRequest::new(
--- a/crates/quartzdrift-scheduler/src/interface/action.rs
+++ b/crates/quartzdrift-scheduler/src/interface/action.rs
@@ -118,7 +118,7 @@
         worker: Rc<str>,
     },
     /// Close the idle connections to a worker.
-    CloseIdle {
+    CloseIdleConnections {
         /// Name of the worker.
         worker: Rc<str>,
     },
@@ -146,9 +146,9 @@
         function: Rc<str>,
     },
     /// Watch the endpoint list, or end the watch.
-    Watch {
+    WatchEndpoints {
         /// Whether changes of the list are wanted.
-        on: bool,
+        enabled: bool,
     },
     /// Fetch the endpoint list once.
     PollEndpoints,
--- a/crates/quartzdrift-scheduler/src/interface/event.rs
+++ b/crates/quartzdrift-scheduler/src/interface/event.rs
@@ -40,11 +40,11 @@
     /// Number of the worker's cell, a part of its zone.
     pub cell: u32,
     /// Number of the worker's kind of machine, an index into [`Settings::machine_kinds`](super::Settings::machine_kinds).
-    pub kind: u32,
+    pub machine_kind: u32,
     /// Number of the worker's zone, an index into [`Settings::zones`](super::Settings::zones).
     pub zone: u32,
     /// The most recent start of its process; `None`: long ago.
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
     /// Whether it takes requests.
     pub state: EndpointState,
 }
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Request<'a> {
     /// Number of the request.
-    pub request: RequestId,
+    pub id: RequestId,
     /// Index into [`Settings::request_classes`](super::Settings::request_classes); others are rejected.
     pub request_class: u32,
     /// Index into [`Settings::tenants`](super::Settings::tenants).
@@ -61,7 +61,7 @@
     /// Name of the function.
     pub function: &'a str,
     /// Time until the client gives up.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Expected time of execution.
     pub work_hint: Option<Duration>,
     /// Memory of a copy of the function, in MB.
@@ -73,7 +73,7 @@
     /// The client sends it again.
     pub is_retry: bool,
     /// Its execution has effects.
-    pub writes: bool,
+    pub has_side_effects: bool,
 }
 
 /// What a forecast expects of a function's use.
@@ -84,7 +84,7 @@
     /// Class of the requests, an index into [`Settings::request_classes`](super::Settings::request_classes).
     pub request_class: u32,
     /// The span from now on that the forecast is for.
-    pub within: Duration,
+    pub horizon: Duration,
     /// Probability of a use in that span, from 0 to 1.
     pub probability: f64,
     /// Requests of the function that are expected in a second, of all schedulers, where that is known.
@@ -142,7 +142,7 @@
     /// The endpoint list, or changes of it.
     EndpointList {
         /// What `entries` holds.
-        form: EndpointListKind,
+        kind: EndpointListKind,
         /// Workers; those that the list removed are [`EndpointState::Gone`].
         entries: Vec<Endpoint<'a>>,
     },
--- a/crates/quartzdrift-scheduler/src/lib.rs
+++ b/crates/quartzdrift-scheduler/src/lib.rs
@@ -13,8 +13,8 @@
 //! let mut scheduler = Scheduler::new(&settings, 7);
 //! let now = Duration::from_secs(1);
 //! let entries = vec![Endpoint { worker: "a:1", state: EndpointState::Up, ..Endpoint::default() }];
-//! scheduler.handle(now, Event::EndpointList { form: EndpointListKind::Snapshot, entries });
-//! let request = Request { request: 5, function: "f", left: Duration::from_secs(3), ..Request::default() };
+//! scheduler.handle(now, Event::EndpointList { kind: EndpointListKind::Snapshot, entries });
+//! let request = Request { id: 5, function: "f", time_left: Duration::from_secs(3), ..Request::default() };
 //! let actions = scheduler.handle(now, Event::Request(request));
 //! let sent = |action: &Action| {
 //!     matches!(action, Action::StartAttempt { request: 5, worker, .. } if &**worker == "a:1")
--- a/crates/quartzdrift-scheduler/src/scheduler/admission.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/admission.rs
@@ -11,7 +11,7 @@
         if request_class >= self.classes.len() {
             let retry_after = self.settings.max_retry_after.map(|max| max.min(DEFAULT_RETRY_AFTER));
             let reason = RejectReason::UnknownClass;
-            return self.actions.push(Action::Reject { request: request.request, retry_after, reason });
+            return self.actions.push(Action::Reject { request: request.id, retry_after, reason });
         }
         let function = self.function_names.index(request.function, self.now);
         self.record_demand(request, function);
@@ -20,11 +20,11 @@
             tenant: request.tenant,
             function,
             concurrency_slots: request.concurrency_slots.unwrap_or(1.0).clamp(1.0, MAX_SLOTS),
-            deadline: self.now + request.left,
+            deadline: self.now + request.time_left,
             ..OpenRequest::default()
         };
-        self.requests.insert(request.request, open_request);
-        self.mailbox.send_to_request_table(Message::PlaceRequest(request.request));
+        self.requests.insert(request.id, open_request);
+        self.mailbox.send_to_request_table(Message::PlaceRequest(request.id));
     }
 
     fn record_demand(&mut self, request: &Request, function: usize) {
@@ -79,7 +79,7 @@
         self.awaited_answers = self.listed_workers.len();
         for &worker in &self.listed_workers {
             // The mean capacity of larger workers would overload a small one that is warming up.
-            let kind = self.workers[worker].warming_since.map(|_| self.workers[worker].endpoint.kind);
+            let kind = self.workers[worker].warming_since.map(|_| self.workers[worker].endpoint.machine_kind);
             let worker_capacity = query.worker_capacity.min(self.worker_capacity(kind));
             self.mailbox.send_to_worker(worker, Message::Query(PlacementQuery { worker_capacity, ..query }));
         }
--- a/crates/quartzdrift-scheduler/src/scheduler/dispatch.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/dispatch.rs
@@ -29,7 +29,7 @@
 
     fn dispatch(&mut self, event: Event) {
         match event {
-            Event::EndpointList { form, entries } => self.update_endpoints(form, &entries),
+            Event::EndpointList { kind: form, entries } => self.update_endpoints(form, &entries),
             Event::EndpointsConfirmed { as_of } => self.confirm_endpoints(as_of),
             Event::WorkerDisconnected { worker } => {
                 let worker = self.worker_index(worker);
--- a/crates/quartzdrift-scheduler/src/scheduler/endpoint_list.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/endpoint_list.rs
@@ -23,13 +23,13 @@
             }
         }
         self.listed_is_stale = true;
-        for started in entries.iter().filter_map(|entry| entry.started) {
+        for started in entries.iter().filter_map(|entry| entry.started_at) {
             self.observe_start(started);
         }
         for entry in entries {
             let worker = self.worker_index(entry.worker);
             let endpoint = EndpointRecord { worker: "", ..*entry };
-            let age = entry.started.map_or(Duration::ZERO, |started| self.age(started));
+            let age = entry.started_at.map_or(Duration::ZERO, |started| self.age(started));
             self.mailbox.send_to_worker(worker, Message::EndpointUpdated { endpoint, age });
         }
     }
@@ -58,7 +58,7 @@
         self.check_lease();
         self.actions.push(Action::SetTimer { delay: TICK, name: "tick" });
         if self.watch_at.take_if(|at| *at <= self.now).is_some() {
-            self.actions.push(Action::Watch { on: true });
+            self.actions.push(Action::WatchEndpoints { enabled: true });
         }
     }
 }
@@ -69,7 +69,7 @@
         if endpoint.state == EndpointState::Gone && self.endpoint.state != EndpointState::Gone {
             self.gone_since = context.now;
         }
-        if endpoint.started > self.endpoint.started {
+        if endpoint.started_at > self.endpoint.started_at {
             // A new process is empty, and the old one's failures are not its own.
             self.warming_since = Some(context.now.saturating_sub(age));
             self.cache.clear();
--- a/crates/quartzdrift-scheduler/src/scheduler/estimate.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/estimate.rs
@@ -37,7 +37,7 @@
 
     /// Share of the listed workers' memory that a copy takes; zero where the worker's memory is not known.
     pub(super) fn memory_share(&self, worker: usize, copy_mb: f64) -> f64 {
-        let kind = |worker: usize| self.workers[worker].endpoint.kind as usize;
+        let kind = |worker: usize| self.workers[worker].endpoint.machine_kind as usize;
         let worker_mb = |worker: usize| self.settings.memory_mb_by_kind.get(kind(worker));
         let fleet_mb: f64 = self.listed_workers.iter().filter_map(|&worker| worker_mb(worker)).sum();
         worker_mb(worker).map_or(0.0, |_| copy_mb / fleet_mb)
@@ -72,7 +72,7 @@
 
     /// Speed of a worker's kind of machine against the mean of all, as far as it was measured.
     pub(super) fn relative_speed(&self, worker: usize) -> f64 {
-        self.speeds.get(self.workers[worker].endpoint.kind as usize, f64::from(MIN_SAMPLES), self.now)
+        self.speeds.get(self.workers[worker].endpoint.machine_kind as usize, f64::from(MIN_SAMPLES), self.now)
     }
 
     /// Work that each worker of a kind, or of all, surely does a second; less where all are filled at once.
--- a/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
@@ -54,7 +54,7 @@
     }
 
     fn record_success(&mut self, worker: usize, class: usize, tenant: u32, relative: Option<f64>) {
-        let kind = self.workers[worker].endpoint.kind;
+        let kind = self.workers[worker].endpoint.machine_kind;
         if let Some(relative_duration) = relative {
             self.speeds.add(kind as usize, relative_duration, self.now);
         }
--- a/crates/quartzdrift-scheduler/src/scheduler/prefetch.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/prefetch.rs
@@ -53,7 +53,7 @@
         let until = entry.until();
         let is_cached = entry.is_cached && until > self.now;
         let is_loading = !entry.is_cached && until > self.now;
-        let stays_cached = until >= self.now + forecast.within;
+        let stays_cached = until >= self.now + forecast.horizon;
         !stays_cached && !is_loading && self.pays_off(forecast, worker, is_cached)
     }
 
@@ -65,7 +65,7 @@
         let avoided = forecast.probability * relative_time.min(1.0);
         let share = forecast.memory_mb.map_or(0.0, |copy_mb| self.memory_share(worker, copy_mb));
         let rate = self.requested_work.per_second(self.now) * self.settings.schedulers;
-        let requests = rate * forecast.within.as_secs_f64();
+        let requests = rate * forecast.horizon.as_secs_f64();
         let memory = self.settings.memory_price * share * requests;
         if is_cached {
             return forecast.probability >= MIN_RENEWAL_PROBABILITY && avoided > memory;
--- a/crates/quartzdrift-scheduler/src/state/scheduler.rs
+++ b/crates/quartzdrift-scheduler/src/state/scheduler.rs
@@ -87,7 +87,7 @@
         let listed = self.workers.iter().filter(|worker| worker.endpoint.state != EndpointState::Gone);
         self.listed_workers = listed.map(|worker| worker.index).collect();
         let up = self.workers.iter().filter(|worker| worker.endpoint.state == EndpointState::Up);
-        self.measured.record_workers_up(up.map(|worker| worker.endpoint.kind));
+        self.measured.record_workers_up(up.map(|worker| worker.endpoint.machine_kind));
     }
 
     /// Reads a worker's load report: stores its use of memory and returns its load.
--- a/crates/quartzdrift-scheduler/tests/decisions.rs
+++ b/crates/quartzdrift-scheduler/tests/decisions.rs
@@ -185,11 +185,11 @@
         Action::CancelAttempt { request, attempt } => format!("cancel {request} {attempt}"),
         Action::SetTimer { delay, name } => format!("timer {delay:?} {name}"),
         Action::CheckHealth { worker } => format!("probe {worker}"),
-        Action::CloseIdle { worker } => format!("close {worker}"),
+        Action::CloseIdleConnections { worker } => format!("close {worker}"),
         Action::SendToPeer { to, bytes } => format!("tell {to:?} {bytes:?}"),
         Action::Load { worker, function, copies } => format!("load {worker} {function} {copies}"),
         Action::Unload { worker, function } => format!("unload {worker} {function}"),
-        Action::Watch { on } => format!("watch {on}"),
+        Action::WatchEndpoints { enabled: on } => format!("watch {on}"),
         Action::PollEndpoints => "list".to_owned(),
         Action::Notice(notice) => format!("notice {notice:?}"),
         Action::Log { text } => format!("log {text}"),
@@ -265,11 +265,11 @@
                 let (worker, function, sent) = (worker.to_string(), function.to_string(), self.now);
                 self.plan(duration, Upcoming::Loaded { worker, function, copies, sent });
             }
-            Action::Watch { .. } | Action::PollEndpoints => {
+            Action::WatchEndpoints { .. } | Action::PollEndpoints => {
                 self.plan(Duration::from_millis(30), Upcoming::List);
             }
             Action::CheckHealth { .. }
-            | Action::CloseIdle { .. }
+            | Action::CloseIdleConnections { .. }
             | Action::SendToPeer { .. }
             | Action::Unload { .. }
             | Action::Notice(_)
@@ -295,12 +295,20 @@
             }
             let (kind, zone, cell) = (at as u32 % 2, at as u32 % 3, at as u32 / 5);
             let started = self.started[at];
-            entries.push(Endpoint { worker, capacity_hint: None, cell, kind, zone, started, state });
+            entries.push(Endpoint {
+                worker,
+                capacity_hint: None,
+                cell,
+                machine_kind: kind,
+                zone,
+                started_at: started,
+                state,
+            });
         }
         if form == EndpointListKind::Failed {
             entries.clear();
         }
-        self.feed(Event::EndpointList { form, entries });
+        self.feed(Event::EndpointList { kind: form, entries });
     }
 
     fn arrival(&mut self) {
@@ -313,12 +321,12 @@
         let function = format!("f{}", self.random.below(4) * self.random.below(6));
         let left = self.random.millis(800, 3000);
         let arrived = Request {
-            request,
+            id: request,
             request_class: self.random.below(self.classes as u64 + u64::from(request.is_multiple_of(97)))
                 as u32,
             tenant: self.random.below(u64::from(self.tenants)) as u32,
             function: &function,
-            left,
+            time_left: left,
             memory_mb: (!request.is_multiple_of(3)).then_some(200.0),
             concurrency_slots: (!request.is_multiple_of(2)).then_some(1.0 + (request % 4) as f64),
             ..Request::default()
@@ -385,7 +393,7 @@
         let forecast = UsageForecast {
             function: &function,
             request_class: self.random.below(self.classes as u64) as u32,
-            within: self.random.millis(500, 9000),
+            horizon: self.random.millis(500, 9000),
             probability: self.random.below(100) as f64 / 100.0,
             requests_per_second: self.random.chance(50).then_some(3.0),
             memory_mb: Some(200.0),
--- a/crates/quartzdrift-scheduler/tests/scenario_runner/attempts.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/attempts.rs
@@ -16,9 +16,9 @@
     pub(crate) fn request(&mut self, request: RequestId, function: &str, words: &Words) -> Result {
         self.functions.insert(request, function.to_owned());
         self.event(Event::Request(Request {
-            request,
+            id: request,
             function,
-            left: words.duration_of("left")?.unwrap_or(Duration::from_secs(3)),
+            time_left: words.duration_of("left")?.unwrap_or(Duration::from_secs(3)),
             request_class: words.number_of("workload")?.unwrap_or(0),
             tenant: words.number_of("customer")?.unwrap_or(0),
             memory_mb: words.number_of("mb")?,
--- a/crates/quartzdrift-scheduler/tests/scenario_runner/expectations.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/expectations.rs
@@ -18,7 +18,7 @@
                 let is_cancelled = |action: &Action| matches!(action, Action::CancelAttempt { request, .. } if *request == wanted);
                 self.expect("cancel", is_cancelled)
             }
-            "watched" => self.expect("watch", |action| *action == Action::Watch { on: true }),
+            "watched" => self.expect("watch", |action| *action == Action::WatchEndpoints { enabled: true }),
             "ordered" => self.expect_load(words.get(1).unwrap_or("f")),
             "quiet" => self.expect_nothing(),
             "places-most" => {
--- a/crates/quartzdrift-scheduler/tests/scenario_runner/workers.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/workers.rs
@@ -20,9 +20,9 @@
         };
         let entries: Vec<Endpoint> =
             words.from(2).iter().map(|word| endpoint(word)).collect::<Result<_>>()?;
-        let kinds = entries.iter().map(|entry| (entry.worker.to_owned(), entry.kind.to_string()));
+        let kinds = entries.iter().map(|entry| (entry.worker.to_owned(), entry.machine_kind.to_string()));
         self.kinds.extend(kinds);
-        self.event(Event::EndpointList { form, entries })
+        self.event(Event::EndpointList { kind: form, entries })
     }
 
     /// Replaces one worker after another, with a request in between.
@@ -36,7 +36,7 @@
             let old = format!("r{}", index.wrapping_sub(up));
             let entry = |worker, state| Endpoint { worker, state, ..Endpoint::default() };
             let entries = vec![entry(&*new, EndpointState::Up), entry(&*old, EndpointState::Gone)];
-            self.event(Event::EndpointList { form: EndpointListKind::Changes, entries })?;
+            self.event(Event::EndpointList { kind: EndpointListKind::Changes, entries })?;
             let request = FIRST_REPLACE_REQUEST + index as RequestId;
             self.request(request, "f", &Words::of_line(""))?;
             self.end(request, &["finished"])?;
@@ -47,7 +47,7 @@
     pub(crate) fn forecast(&mut self, words: &Words) -> Result {
         self.event(Event::UsageForecast(UsageForecast {
             function: words.get(1).unwrap_or("f"),
-            within: words.duration_of("within")?.unwrap_or(Duration::from_secs(8)),
+            horizon: words.duration_of("within")?.unwrap_or(Duration::from_secs(8)),
             probability: words.number_of("sure")?.unwrap_or(1.0),
             memory_mb: words.number_of("mb")?,
             ..UsageForecast::default()
@@ -79,8 +79,8 @@
         match (sign, value) {
             (':', "draining") => endpoint.state = EndpointState::Draining,
             (':', "gone") => endpoint.state = EndpointState::Gone,
-            ('^', _) => endpoint.started = Some(duration(value)?),
-            ('*', _) => endpoint.kind = number(value)?,
+            ('^', _) => endpoint.started_at = Some(duration(value)?),
+            ('*', _) => endpoint.machine_kind = number(value)?,
             ('@', _) => endpoint.zone = number(value)?,
             _ => return Err(format!("no worker: {text}")),
         }
--- a/crates/quartzdrift/src/gateway/prefetch.rs
+++ b/crates/quartzdrift/src/gateway/prefetch.rs
@@ -145,7 +145,7 @@
         let forecast = UsageForecast {
             function: &expected.function,
             request_class: function.request_class,
-            within: expected.within,
+            horizon: expected.within,
             probability: expected.probability,
             requests_per_second: expected.requests_per_second,
             memory_mb: function.memory_mb,
