--- a/crates/quartzdrift-lifecycle/src/request_table/table.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/table.rs
@@ -123,7 +123,7 @@
 
     /// What the scheduler has measured of workers, to be restored after a restart.
     pub fn measurements(&self) -> &Measurements {
-        &self.scheduler.measured
+        &self.scheduler.measurements
     }
 
     /// Moves the clock on, never back.
--- a/crates/quartzdrift-scheduler/src/measure/measurements.rs
+++ b/crates/quartzdrift-scheduler/src/measure/measurements.rs
@@ -14,10 +14,10 @@
     pub peak_throughput: BTreeMap<Option<u32>, DecayingPeak>,
     /// The most workers that were up at a time.
     #[serde(rename = "most_up")]
-    pub max_up: BTreeMap<Option<u32>, usize>,
+    pub max_workers_up: BTreeMap<Option<u32>, usize>,
     /// Duration of the usual attempt, the mean over request classes.
     #[serde(rename = "usual")]
-    pub usual_duration: Option<Duration>,
+    pub mean_duration: Option<Duration>,
     /// They were measured before many workers were lost, and most have been warming up since.
     #[serde(rename = "lost")]
     pub predates_loss: bool,
@@ -45,7 +45,7 @@
             *up_by_kind.entry(Some(kind)).or_default() += 1;
         }
         for (kind, up) in up_by_kind {
-            let max_up = self.max_up.entry(kind).or_default();
+            let max_up = self.max_workers_up.entry(kind).or_default();
             *max_up = up.max(*max_up);
         }
     }
--- a/crates/quartzdrift-scheduler/src/scheduler/dispatch.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/dispatch.rs
@@ -55,7 +55,7 @@
             Event::RequestCancelled { request } => drop(self.requests.remove(&request)),
             Event::Timer { .. } => self.tick(),
             Event::UsageForecast(forecast) => self.prefetch(&forecast),
-            Event::RestoredMeasurements(restored) => self.measured = restored.of_earlier_start(),
+            Event::RestoredMeasurements(restored) => self.measurements = restored.of_earlier_start(),
             Event::SchedulerCount(count) => self.settings.set_schedulers(count),
             Event::LoadEnded { worker, function, outcome, duration, copies } => {
                 let worker = self.worker_index(worker);
--- a/crates/quartzdrift-scheduler/src/scheduler/estimate.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/estimate.rs
@@ -32,7 +32,7 @@
     pub(super) fn usual_seconds(&self) -> f64 {
         let means = self.classes.iter().filter_map(|class| class.cached_durations.mean());
         let (count, sum) = means.fold((0, Duration::ZERO), |(count, sum), mean| (count + 1, sum + mean));
-        sum.checked_div(count).or(self.measured.usual_duration).map_or(1.0, |usual| usual.as_secs_f64())
+        sum.checked_div(count).or(self.measurements.mean_duration).map_or(1.0, |usual| usual.as_secs_f64())
     }
 
     /// Share of the listed workers' memory that a copy takes; zero where the worker's memory is not known.
@@ -77,8 +77,8 @@
 
     /// Work that each worker of a kind, or of all, surely does a second; less where all are filled at once.
     pub(super) fn worker_capacity(&self, kind: Option<u32>) -> f64 {
-        let peak = self.measured.peak_throughput.get(&kind).map_or(0.0, |peak| peak.value(self.now));
-        let safety = if self.measured.predates_loss { SLOW_START_SAFETY } else { 1.0 };
-        safety * peak / self.measured.max_up.get(&kind).map_or(1.0, |&workers| workers as f64)
+        let peak = self.measurements.peak_throughput.get(&kind).map_or(0.0, |peak| peak.value(self.now));
+        let safety = if self.measurements.predates_loss { SLOW_START_SAFETY } else { 1.0 };
+        safety * peak / self.measurements.max_workers_up.get(&kind).map_or(1.0, |&workers| workers as f64)
     }
 }
--- a/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
@@ -61,8 +61,8 @@
         let weight = self.weight(class);
         self.succeeded_work.add(tenant as usize, weight, self.now);
         let no_peak = DecayingPeak::new(THROUGHPUT_HALF_LIFE, PEAK_HALF_LIFE);
-        self.measured.record_throughput(kind, weight, self.now, &no_peak);
-        self.measured.usual_duration = Some(Duration::from_secs_f64(self.usual_seconds()));
+        self.measurements.record_throughput(kind, weight, self.now, &no_peak);
+        self.measurements.mean_duration = Some(Duration::from_secs_f64(self.usual_seconds()));
     }
 }
 
--- a/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
@@ -33,8 +33,8 @@
         let Some(request) = self.requests.get(&id) else { return };
         let no_worker_is_usable = candidates.is_empty() && !self.lease_holds();
         let warming_up = candidates.iter().filter(|candidate| candidate.is_warming_up).count();
-        let fleet_is_warming = self.measured.predates_loss && warming_up * 2 > candidates.len();
-        self.measured.predates_loss = fleet_is_warming;
+        let fleet_is_warming = self.measurements.predates_loss && warming_up * 2 > candidates.len();
+        self.measurements.predates_loss = fleet_is_warming;
         candidates.retain(|candidate| fleet_is_warming || !candidate.slow_start_spent);
         let is_unsuspected = |candidate: &Candidate| !candidate.is_suspected;
         if candidates.iter().any(is_unsuspected) {
--- a/crates/quartzdrift-scheduler/src/state/scheduler.rs
+++ b/crates/quartzdrift-scheduler/src/state/scheduler.rs
@@ -32,7 +32,7 @@
     /// Speed of each kind of machine.
     pub(crate) speeds: RelativeSpeeds,
     /// What workers do, for a later start of this scheduler.
-    pub measured: Measurements,
+    pub measurements: Measurements,
     pub(crate) random_draws: u64,
     /// By index.
     pub(crate) workers: Vec<Worker>,
@@ -87,7 +87,7 @@
         let listed = self.workers.iter().filter(|worker| worker.endpoint.state != EndpointState::Gone);
         self.listed_workers = listed.map(|worker| worker.index).collect();
         let up = self.workers.iter().filter(|worker| worker.endpoint.state == EndpointState::Up);
-        self.measured.record_workers_up(up.map(|worker| worker.endpoint.machine_kind));
+        self.measurements.record_workers_up(up.map(|worker| worker.endpoint.machine_kind));
     }
 
     /// Reads a worker's load report: stores its use of memory and returns its load.
--- a/crates/quartzdrift-scheduler/tests/decisions.rs
+++ b/crates/quartzdrift-scheduler/tests/decisions.rs
@@ -407,7 +407,7 @@
                 self.feed(Event::SchedulerCount(schedulers));
             }
             1 => {
-                let before = self.scheduler.measured.clone();
+                let before = self.scheduler.measurements.clone();
                 self.feed(Event::RestoredMeasurements(before));
             }
             _ => {}
--- a/crates/quartzdrift-scheduler/tests/scenario_runner/runner.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/runner.rs
@@ -91,7 +91,7 @@
     }
 
     fn restart(&mut self, words: &Words) -> Result {
-        let measured = self.scheduler.take().map(|scheduler| scheduler.measured);
+        let measured = self.scheduler.take().map(|scheduler| scheduler.measurements);
         self.sends.clear();
         match measured {
             Some(measured) if words.get(1) == Some("knowing") => {
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -214,8 +214,8 @@
     assert_eq!(
         (
             measured.peak_throughput.len(),
-            measured.max_up[&None],
-            measured.usual_duration
+            measured.max_workers_up[&None],
+            measured.mean_duration
         ),
         (2, 2, Some(Duration::from_nanos(2_326_081)))
     );
