--- a/crates/quartzdrift-scheduler/src/measure/decay.rs
+++ b/crates/quartzdrift-scheduler/src/measure/decay.rs
@@ -10,20 +10,21 @@
 pub struct DecayingSum {
     #[serde(rename = "sum")]
     value: f64,
-    at: Duration,
+    #[serde(rename = "at")]
+    updated_at: Duration,
 }
 
 impl DecayingSum {
     /// The value at the time `now`.
     pub fn value(&self, now: Duration, half_life: Duration) -> f64 {
-        let age = now.saturating_sub(self.at).as_secs_f64();
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
         self.value * (-age / half_life.as_secs_f64()).exp2()
     }
 
     /// Adds to the value at the time `now`.
     pub fn add(&mut self, amount: f64, now: Duration, half_life: Duration) {
         let value = self.value(now, half_life) + amount;
-        *self = DecayingSum { value, at: now };
+        *self = DecayingSum { value, updated_at: now };
     }
 }
 
--- a/crates/quartzdrift-scheduler/src/measure/measurements.rs
+++ b/crates/quartzdrift-scheduler/src/measure/measurements.rs
@@ -25,7 +25,7 @@
 
 impl Measurements {
     /// The measurements of an earlier start: many workers may have been lost with it.
-    pub(crate) fn of_earlier_start(self) -> Measurements {
+    pub(crate) fn assume_worker_loss(self) -> Measurements {
         Measurements { predates_loss: true, ..self }
     }
 
--- a/crates/quartzdrift-scheduler/src/measure/mod.rs
+++ b/crates/quartzdrift-scheduler/src/measure/mod.rs
@@ -10,4 +10,4 @@
 pub(crate) use histogram::Histogram;
 pub use measurements::Measurements;
 pub(crate) use speed::RelativeSpeeds;
-pub(crate) use window::Window;
+pub(crate) use window::SlidingWindow;
--- a/crates/quartzdrift-scheduler/src/measure/speed.rs
+++ b/crates/quartzdrift-scheduler/src/measure/speed.rs
@@ -12,7 +12,7 @@
     /// Their durations, in units of the mean of their class.
     durations: DecayingSums,
     /// Speeds that were asked for, by kind, each with the time that it is for: a decision asks for each worker's.
-    known: RefCell<BTreeMap<usize, (Duration, f64)>>,
+    cached_speeds: RefCell<BTreeMap<usize, (Duration, f64)>>,
 }
 
 impl RelativeSpeeds {
@@ -20,7 +20,7 @@
         RelativeSpeeds {
             attempts: DecayingSums::new(half_life),
             durations: DecayingSums::new(half_life),
-            known: RefCell::default(),
+            cached_speeds: RefCell::default(),
         }
     }
 
@@ -28,17 +28,17 @@
     pub(crate) fn add(&mut self, kind: usize, relative_duration: f64, now: Duration) {
         self.attempts.add(kind, 1.0, now);
         self.durations.add(kind, relative_duration, now);
-        self.known.get_mut().clear();
+        self.cached_speeds.get_mut().clear();
     }
 
     /// Speed of a kind, as if `prior` attempts of mean duration had been seen before.
     pub(crate) fn get(&self, kind: usize, prior: f64, now: Duration) -> f64 {
-        let known = self.known.borrow().get(&kind).copied();
+        let known = self.cached_speeds.borrow().get(&kind).copied();
         if let Some((_, speed)) = known.filter(|(at, _)| *at == now) {
             return speed;
         }
         let speed = (self.attempts.get(kind, now) + prior) / (self.durations.get(kind, now) + prior);
-        self.known.borrow_mut().insert(kind, (now, speed));
+        self.cached_speeds.borrow_mut().insert(kind, (now, speed));
         speed
     }
 }
--- a/crates/quartzdrift-scheduler/src/messages.rs
+++ b/crates/quartzdrift-scheduler/src/messages.rs
@@ -21,9 +21,9 @@
         age: Duration,
     },
     /// To a worker: whether it takes a request, and how well.
-    Query(PlacementQuery),
+    PlacementQuery(PlacementQuery),
     /// To the request table: a worker's answer; `None` if it does not take the request.
-    QueryAnswered(Option<Candidate>),
+    PlacementReply(Option<Candidate>),
     /// To a worker: an attempt was sent to it.
     AttemptStarted(Attempt),
     /// To a worker: an attempt ended, perhaps because it rejects this tenant alone.
@@ -54,7 +54,7 @@
     /// Idempotent with attempts left: may be sent to a worker of doubtful health.
     pub(crate) may_retry: bool,
     /// Work of the request, in usual requests.
-    pub(crate) weight: f64,
+    pub(crate) relative_work: f64,
     /// Work that the worker surely does, in usual requests a second, as far as it is ours.
     pub(crate) worker_capacity: f64,
 }
@@ -94,9 +94,9 @@
     /// Our own attempts in flight there.
     pub(crate) local_load: usize,
     /// Those of them that do not wait for a load.
-    pub(crate) running: usize,
+    pub(crate) local_running: usize,
     /// Our own attempts that were given up and may still run.
-    pub(crate) abandoned: usize,
+    pub(crate) local_abandoned: usize,
     pub(crate) is_ejected: bool,
     /// It turned an attempt away while the endpoint list could not be confirmed.
     pub(crate) is_suspected: bool,
@@ -104,13 +104,13 @@
     pub(crate) tenant_rejected: bool,
     pub(crate) is_warming_up: bool,
     /// Its slow-start budget has no room for the request.
-    pub(crate) slow_start_spent: bool,
+    pub(crate) exceeds_slow_start_budget: bool,
 }
 
 /// A worker whose proof has to be renewed soon, or that has none.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Renewal {
-    pub(crate) last_sent: Option<Duration>,
+pub(crate) struct ProofRenewal {
+    pub(crate) last_sent_at: Option<Duration>,
 }
 
 /// An attempt in flight at a worker.
--- a/crates/quartzdrift-scheduler/src/names.rs
+++ b/crates/quartzdrift-scheduler/src/names.rs
@@ -8,19 +8,19 @@
 
 /// A table of names and their indexes.
 #[derive(Default)]
-pub(crate) struct Names {
+pub(crate) struct NameTable {
     indexes: BTreeMap<Rc<str>, usize>,
     /// By index.
-    entries: Vec<Entry>,
+    entries: Vec<NameEntry>,
     free: Vec<usize>,
 }
 
-struct Entry {
+struct NameEntry {
     name: Rc<str>,
     last_used: Duration,
 }
 
-impl Names {
+impl NameTable {
     /// Index of a name, which counts as used at the time `now`.
     pub(crate) fn index(&mut self, name: &str, now: Duration) -> usize {
         if let Some(&index) = self.indexes.get(name) {
@@ -28,7 +28,7 @@
             return index;
         }
         let name: Rc<str> = name.into();
-        let entry = Entry { name: name.clone(), last_used: now };
+        let entry = NameEntry { name: name.clone(), last_used: now };
         let index = self.free.pop().unwrap_or(self.entries.len());
         if index == self.entries.len() {
             self.entries.push(entry);
--- a/crates/quartzdrift-scheduler/src/scheduler/admission.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/admission.rs
@@ -1,12 +1,14 @@
 //! Arrival of a request, and whether it may be sent to a worker (again).
-use super::constants::{DEFAULT_RETRY_AFTER, MAX_AT_CAPACITY, MAX_SAMPLES, MAX_SLOTS, MIN_TIME_LEFT};
+use super::constants::{
+    DEFAULT_RETRY_AFTER, MAX_AT_CAPACITY_RESPONSES, MAX_CONCURRENCY_SLOTS, MAX_SAMPLES, MIN_TIME_LEFT,
+};
 use crate::interface::{Action, Idempotency, RejectReason, Request, RequestId};
 use crate::messages::{Message, PlacementQuery, Restriction};
 use crate::state::{OpenRequest, PendingQuery, Scheduler};
 
 impl Scheduler {
     /// Opens a request; one of an unknown class is rejected.
-    pub(super) fn admit(&mut self, request: &Request) {
+    pub(super) fn admit_request(&mut self, request: &Request) {
         let request_class = request.request_class as usize;
         if request_class >= self.classes.len() {
             let retry_after = self.settings.max_retry_after.map(|max| max.min(DEFAULT_RETRY_AFTER));
@@ -19,7 +21,7 @@
             request_class,
             tenant: request.tenant,
             function,
-            concurrency_slots: request.concurrency_slots.unwrap_or(1.0).clamp(1.0, MAX_SLOTS),
+            concurrency_slots: request.concurrency_slots.unwrap_or(1.0).clamp(1.0, MAX_CONCURRENCY_SLOTS),
             deadline: self.now + request.time_left,
             ..OpenRequest::default()
         };
@@ -29,42 +31,42 @@
 
     fn record_demand(&mut self, request: &Request, function: usize) {
         let request_class = request.request_class as usize;
-        let weight = self.weight(request_class);
-        self.quota_requests.add(self.now);
+        let weight = self.relative_work(request_class);
+        self.load_quota_requests.add(self.now);
         self.requested_work.add(function, weight, self.now);
         self.requested_priority.add(0, self.priority_per_work(request_class) * weight, self.now);
-        let change = request.memory_mb.map_or(0.0, |mb| mb - self.usual_memory_mb);
-        let is_known = self.usual_memory_mb > 0.0;
-        self.usual_memory_mb += if is_known { change / f64::from(MAX_SAMPLES) } else { change };
+        let change = request.memory_mb.map_or(0.0, |mb| mb - self.mean_memory_mb);
+        let is_known = self.mean_memory_mb > 0.0;
+        self.mean_memory_mb += if is_known { change / f64::from(MAX_SAMPLES) } else { change };
     }
 
     /// Looks for a worker for an open request, or answers it where it may not be sent.
-    pub(super) fn place(&mut self, id: RequestId) {
+    pub(super) fn place_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        let hindrance = self.hindrance(request);
+        let rejection_reason = self.rejection_reason(request);
         self.refresh_listed_workers();
-        match hindrance {
-            Some(reason) => self.conclude(id, reason),
-            None if self.listed_workers.is_empty() => self.conclude(id, RejectReason::NoWorkers),
+        match rejection_reason {
+            Some(reason) => self.conclude_request(id, reason),
+            None if self.listed_workers.is_empty() => self.conclude_request(id, RejectReason::NoWorkers),
             None => self.query_workers(id),
         }
     }
 
     /// Why a request may not be sent to any worker; `None`: it may.
-    fn hindrance(&self, request: &OpenRequest) -> Option<RejectReason> {
+    fn rejection_reason(&self, request: &OpenRequest) -> Option<RejectReason> {
         let class = &self.classes[request.request_class];
-        let is_safe = request.may_have_executed.is_none_or(|first| match class.idempotency {
+        let is_safe = request.first_uncertain_attempt.is_none_or(|first| match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotentWithKey => self.now < first.sent_at + class.deduplication_window,
             Idempotency::NonIdempotent => false,
         });
         if !is_safe {
             Some(RejectReason::NotRepeatable)
-        } else if request.attempts >= self.settings.max_attempts {
+        } else if request.attempt_count >= self.settings.max_attempts {
             Some(RejectReason::NoAttemptsLeft)
         } else if request.deadline < self.now + MIN_TIME_LEFT {
             Some(RejectReason::NoTimeLeft)
-        } else if request.at_capacity_answers >= MAX_AT_CAPACITY {
+        } else if request.at_capacity_responses >= MAX_AT_CAPACITY_RESPONSES {
             Some(RejectReason::FleetAtCapacity)
         } else {
             None
@@ -76,19 +78,21 @@
         let query = self.placement_query(request);
         self.candidates.clear();
         self.pending_query = Some(PendingQuery { request: id, query });
-        self.awaited_answers = self.listed_workers.len();
+        self.awaited_replies = self.listed_workers.len();
         for &worker in &self.listed_workers {
             // The mean capacity of larger workers would overload a small one that is warming up.
             let kind = self.workers[worker].warming_since.map(|_| self.workers[worker].endpoint.machine_kind);
             let worker_capacity = query.worker_capacity.min(self.worker_capacity(kind));
-            self.mailbox.send_to_worker(worker, Message::Query(PlacementQuery { worker_capacity, ..query }));
+            self.mailbox
+                .send_to_worker(worker, Message::PlacementQuery(PlacementQuery { worker_capacity, ..query }));
         }
     }
 
     fn placement_query(&self, request: &OpenRequest) -> PlacementQuery {
         let class = &self.classes[request.request_class];
         let has_key = class.idempotency == Idempotency::IdempotentWithKey;
-        let executor = request.may_have_executed.filter(|_| has_key).map(|first| &self.workers[first.worker]);
+        let executor =
+            request.first_uncertain_attempt.filter(|_| has_key).map(|first| &self.workers[first.worker]);
         let restriction = executor.map(|worker| Restriction::new(class.deduplication_scope, worker.endpoint));
         PlacementQuery {
             request_class: request.request_class,
@@ -97,7 +101,7 @@
             has_key,
             restriction,
             may_retry: self.may_retry(request, 1),
-            weight: self.weight(request.request_class),
+            relative_work: self.relative_work(request.request_class),
             worker_capacity: self.worker_capacity(None),
         }
     }
--- a/crates/quartzdrift-scheduler/src/scheduler/affinity.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/affinity.rs
@@ -1,5 +1,5 @@
 //! Cache affinity: the workers that all schedulers prefer for a function, so that they make few copies of it.
-use super::constants::{MAX_SLOTS, PREFERRED_PER_SHARE, PREFERRED_SLOT_USE};
+use super::constants::{MAX_CONCURRENCY_SLOTS, PREFERRED_PER_SHARE, PREFERRED_SLOT_USE};
 use crate::interface::UsageForecast;
 use crate::messages::{CacheStatus, Candidate, PlacementQuery};
 use crate::names::stable_hash;
@@ -9,13 +9,19 @@
 impl Scheduler {
     /// Ranks the function's preferred workers as warm, as each scheduler knows only the cache entries of its
     /// own traffic. The request itself does not count: alone it tells nothing of popularity.
-    pub(super) fn prefer(&self, request: &OpenRequest, query: &PlacementQuery, candidates: &mut [Candidate]) {
+    pub(super) fn mark_preferred(
+        &self,
+        request: &OpenRequest,
+        query: &PlacementQuery,
+        candidates: &mut [Candidate],
+    ) {
         let slots = request.concurrency_slots;
-        let preferred = self.preferred(request.function, slots, query.weight, candidates.len());
-        let preferred = preferred.max(self.min_preferred());
+        let preferred = self.preferred_count(request.function, slots, query.relative_work, candidates.len());
+        let preferred = preferred.max(self.min_preferred_count());
         let name = self.function_names.name(request.function);
-        let order =
-            |(at, c): (usize, &Candidate)| (c.tenant_rejected, Reverse(self.affinity(&name, c.worker)), at);
+        let order = |(at, c): (usize, &Candidate)| {
+            (c.tenant_rejected, Reverse(self.affinity_score(&name, c.worker)), at)
+        };
         let mut ranked: Vec<_> = candidates.iter().enumerate().map(order).collect();
         if preferred < ranked.len() {
             ranked.select_nth_unstable(preferred);
@@ -29,23 +35,23 @@
 
     /// How many of `workers` load a function ahead of need: those that its expected requests prefer.
     pub(super) fn prefetch_count(&self, forecast: &UsageForecast, function: usize, workers: usize) -> usize {
-        let slots = forecast.concurrency_slots.unwrap_or(1.0).clamp(1.0, MAX_SLOTS);
-        let needed = |rate: f64| rate * self.usual_seconds() / (PREFERRED_SLOT_USE * slots);
+        let slots = forecast.concurrency_slots.unwrap_or(1.0).clamp(1.0, MAX_CONCURRENCY_SLOTS);
+        let needed = |rate: f64| rate * self.mean_attempt_seconds() / (PREFERRED_SLOT_USE * slots);
         let expected = forecast.requests_per_second.map_or(0.0, needed) as usize;
-        self.preferred(function, slots, 0.0, workers).max(expected)
+        self.preferred_count(function, slots, 0.0, workers).max(expected)
     }
 
     /// How many of `workers` are preferred for a function, by its share of the work less the work `excluded`.
-    fn preferred(&self, function: usize, slots: f64, excluded: f64, workers: usize) -> usize {
+    fn preferred_count(&self, function: usize, slots: f64, excluded: f64, workers: usize) -> usize {
         let work = (self.requested_work.get(function, self.now) - excluded).max(0.0);
         let share = work / self.requested_work.total(self.now);
-        let rate = share * self.requested_work.per_second(self.now) * self.settings.schedulers;
-        let needed = rate * self.usual_seconds() / (PREFERRED_SLOT_USE * slots);
+        let rate = share * self.requested_work.per_second(self.now) * self.settings.scheduler_count;
+        let needed = rate * self.mean_attempt_seconds() / (PREFERRED_SLOT_USE * slots);
         1 + (share * PREFERRED_PER_SHARE * workers as f64).min(needed) as usize
     }
 
     /// A score on which all schedulers agree (weighted rendezvous hashing); the greatest is preferred first.
-    pub(super) fn affinity(&self, function: &str, worker: usize) -> u64 {
+    pub(super) fn affinity_score(&self, function: &str, worker: usize) -> u64 {
         let draw = stable_hash(function, self.workers[worker].name_hash) as f64 / u64::MAX as f64;
         (draw.powf(1.0 / self.relative_speed(worker)) * u64::MAX as f64) as u64
     }
--- a/crates/quartzdrift-scheduler/src/scheduler/attempt.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/attempt.rs
@@ -2,13 +2,13 @@
 use super::constants::{DEFAULT_RETRY_AFTER, MEDIAN, RETRY_AFTER_RATIO};
 use crate::interface::{Action, DeduplicationScope, Idempotency, RejectReason, RequestId};
 use crate::messages::{Attempt, Candidate, Message, PlacementQuery};
-use crate::state::{Context, OpenRequest, Scheduler, Worker};
+use crate::state::{DecisionContext, OpenRequest, Scheduler, Worker};
 
 impl Scheduler {
     /// Whether a request may be sent again after `more` more attempts.
     pub(super) fn may_retry(&self, request: &OpenRequest, more: u32) -> bool {
         let idempotency = self.classes[request.request_class].idempotency;
-        idempotency == Idempotency::Idempotent && request.attempts + more < self.settings.max_attempts
+        idempotency == Idempotency::Idempotent && request.attempt_count + more < self.settings.max_attempts
     }
 
     pub(super) fn start_attempt(&mut self, id: RequestId, query: PlacementQuery, candidate: Candidate) {
@@ -29,14 +29,14 @@
     /// Cancels an attempt at an unresponsive worker where the request may be sent again.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
         let Some(request) = self.requests.get(&id) else { return };
-        let is_current = request.current.is_some() && attempt + 1 == request.attempts;
+        let is_current = request.current_attempt.is_some() && attempt + 1 == request.attempt_count;
         if is_current && self.may_retry(request, 0) && self.settings.can_cancel {
             self.actions.push(Action::CancelAttempt { request: id, attempt });
         }
     }
 
     /// The final answer, at once: rejected for `reason` where the client may safely try again, failed elsewhere.
-    pub(super) fn conclude(&mut self, id: RequestId, reason: RejectReason) {
+    pub(super) fn conclude_request(&mut self, id: RequestId, reason: RejectReason) {
         let Some(request) = self.requests.remove(&id) else { return };
         let class = &self.classes[request.request_class];
         let is_safe = match class.idempotency {
@@ -44,10 +44,10 @@
             Idempotency::IdempotentWithKey => class.deduplication_scope == DeduplicationScope::All,
             Idempotency::NonIdempotent => false,
         };
-        if request.may_have_executed.is_some() && !is_safe {
+        if request.first_uncertain_attempt.is_some() && !is_safe {
             return self.actions.push(Action::Fail { request: id });
         }
-        let usual = class.duration(MEDIAN, false).unwrap_or(DEFAULT_RETRY_AFTER);
+        let usual = class.duration_quantile(MEDIAN, false).unwrap_or(DEFAULT_RETRY_AFTER);
         let wait = match reason {
             RejectReason::NoProvenWorker => DEFAULT_RETRY_AFTER,
             _ => usual.mul_f64(RETRY_AFTER_RATIO),
@@ -58,11 +58,11 @@
 }
 
 impl Worker {
-    pub(super) fn start_attempt(&mut self, attempt: Attempt, context: Context) {
+    pub(super) fn start_attempt(&mut self, attempt: Attempt, context: DecisionContext) {
         let entry = self.cache.entry(attempt.query.function).or_default();
-        entry.is_cached &= entry.until() > context.now;
+        entry.is_cached &= entry.expires_at() > context.now;
         entry.assumed_until = context.now + context.settings.keep_alive;
-        self.slow_start_use.work += attempt.query.weight;
+        self.slow_start_usage.work += attempt.query.relative_work;
         self.attempts.push(attempt);
     }
 }
--- a/crates/quartzdrift-scheduler/src/scheduler/candidate.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/candidate.rs
@@ -2,24 +2,28 @@
 use super::constants::MAX_REPORT_AGE;
 use crate::interface::EndpointState;
 use crate::messages::{CacheStatus, Candidate, PlacementQuery};
-use crate::state::{Context, Worker};
+use crate::state::{DecisionContext, Worker};
 
 impl Worker {
     /// `None`: the worker does not take the request.
-    pub(super) fn answer(&mut self, query: &PlacementQuery, context: Context) -> Option<Candidate> {
+    pub(super) fn evaluate_query(
+        &mut self,
+        query: &PlacementQuery,
+        context: DecisionContext,
+    ) -> Option<Candidate> {
         self.update_unresponsive_ejection(query);
         let is_outside = query.restriction.is_some_and(|restriction| !restriction.permits(&self.endpoint));
         // The list may be out of date: its word alone would send to workers that drain, for as long as it stays so.
-        if self.endpoint.state != EndpointState::Up || is_outside || !self.may_be_sent(context) {
+        if self.endpoint.state != EndpointState::Up || is_outside || !self.may_receive_work(context) {
             return None;
         }
         let now = context.now;
-        let slow_start_spent = !self.has_slow_start_budget(query, context);
+        let exceeds_slow_start_budget = !self.has_slow_start_budget(query, context);
         let entry = self.cache_entry(query.function);
         let statuses = [(entry.known_until, CacheStatus::Known), (entry.assumed_until, CacheStatus::Assumed)];
         let current = statuses.into_iter().find(|(until, _)| *until > now);
         let cache_status = current.map_or(CacheStatus::NotWarm, |(_, status)| status);
-        let remote_load = self.remote_load.filter(|load| now - load.at < MAX_REPORT_AGE);
+        let remote_load = self.remote_load.filter(|load| now - load.reported_at < MAX_REPORT_AGE);
         self.abandoned_until.retain(|&until| until > now);
         Some(Candidate {
             worker: self.index,
@@ -27,13 +31,13 @@
             is_cached: entry.is_cached && cache_status != CacheStatus::NotWarm,
             remote_load: remote_load.map(|load| load.value),
             local_load: self.attempts.len(),
-            running: self.attempts_at_cached_copies(),
-            abandoned: self.abandoned_until.len(),
+            local_running: self.attempts_at_cached_copies(),
+            local_abandoned: self.abandoned_until.len(),
             is_ejected: self.is_ejected(query, now),
             tenant_rejected: self.tenant_rejected_until.get(&query.tenant).is_some_and(|&until| until > now),
             is_suspected: self.is_suspected(context),
             is_warming_up: self.warming_since.is_some(),
-            slow_start_spent,
+            exceeds_slow_start_budget,
         })
     }
 }
--- a/crates/quartzdrift-scheduler/src/scheduler/dispatch.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Action, Event};
 use crate::mailbox::{Mailbox, Recipient};
 use crate::messages::{AttemptEnd, Candidate, Message, PrefetchEnd};
-use crate::state::{Context, Scheduler, Worker};
+use crate::state::{DecisionContext, Scheduler, Worker};
 use std::time::Duration;
 
 impl Scheduler {
@@ -19,7 +19,7 @@
             match recipient {
                 Recipient::RequestTable => self.receive(message),
                 Recipient::Worker(index) => {
-                    let context = Context { now: self.now, settings: &self.settings, lease };
+                    let context = DecisionContext { now: self.now, settings: &self.settings, lease };
                     self.workers[index].receive(message, context, &mut self.mailbox);
                 }
             }
@@ -35,7 +35,7 @@
                 let worker = self.worker_index(worker);
                 self.mailbox.send_to_worker(worker, Message::Disconnected);
             }
-            Event::Request(request) => self.admit(&request),
+            Event::Request(request) => self.admit_request(&request),
             Event::AttemptEnded {
                 request,
                 attempt,
@@ -48,14 +48,14 @@
                 report,
             } => {
                 let worker = self.worker_index(worker);
-                let load = self.read_report(worker, &report);
+                let load = self.apply_load_report(worker, &report);
                 let end = AttemptEnd { request, attempt, outcome, duration, cache_result, load };
                 self.end_attempt(worker, end, concluded);
             }
             Event::RequestCancelled { request } => drop(self.requests.remove(&request)),
-            Event::Timer { .. } => self.tick(),
+            Event::Timer { .. } => self.handle_tick(),
             Event::UsageForecast(forecast) => self.prefetch(&forecast),
-            Event::RestoredMeasurements(restored) => self.measurements = restored.of_earlier_start(),
+            Event::RestoredMeasurements(restored) => self.measurements = restored.assume_worker_loss(),
             Event::SchedulerCount(count) => self.settings.set_schedulers(count),
             Event::LoadEnded { worker, function, outcome, duration, copies } => {
                 let worker = self.worker_index(worker);
@@ -68,11 +68,11 @@
 
     fn receive(&mut self, message: Message) {
         match message {
-            Message::PlaceRequest(request) => self.place(request),
-            Message::QueryAnswered(candidate) => self.collect(candidate),
+            Message::PlaceRequest(request) => self.place_request(request),
+            Message::PlacementReply(candidate) => self.collect_reply(candidate),
             Message::WorkerUnresponsive { request, attempt } => self.cancel_attempt(request, attempt),
             Message::EndpointUpdated { .. }
-            | Message::Query(_)
+            | Message::PlacementQuery(_)
             | Message::AttemptStarted(_)
             | Message::AttemptEnded { .. }
             | Message::Disconnected
@@ -81,22 +81,22 @@
     }
 
     /// Chooses a worker once the last one has answered.
-    fn collect(&mut self, candidate: Option<Candidate>) {
+    fn collect_reply(&mut self, candidate: Option<Candidate>) {
         self.candidates.extend(candidate);
-        self.awaited_answers -= 1;
-        if let Some(pending) = self.pending_query.take_if(|_| self.awaited_answers == 0) {
+        self.awaited_replies -= 1;
+        if let Some(pending) = self.pending_query.take_if(|_| self.awaited_replies == 0) {
             self.choose_worker(pending.request, pending.query);
         }
     }
 }
 
 impl Worker {
-    fn receive(&mut self, message: Message, context: Context, mailbox: &mut Mailbox<Message>) {
+    fn receive(&mut self, message: Message, context: DecisionContext, mailbox: &mut Mailbox<Message>) {
         match message {
             Message::EndpointUpdated { endpoint, age } => self.update_endpoint(endpoint, age, context),
-            Message::Query(query) => {
-                let candidate = self.answer(&query, context);
-                mailbox.send_to_request_table(Message::QueryAnswered(candidate));
+            Message::PlacementQuery(query) => {
+                let candidate = self.evaluate_query(&query, context);
+                mailbox.send_to_request_table(Message::PlacementReply(candidate));
             }
             Message::AttemptStarted(attempt) => self.start_attempt(attempt, context),
             Message::AttemptEnded { end, tenant_rejected } => {
@@ -104,7 +104,7 @@
             }
             Message::Disconnected => self.record_disconnected(context),
             Message::Tick => self.check_responsiveness(context.now, mailbox),
-            Message::QueryAnswered(_) | Message::PlaceRequest(_) | Message::WorkerUnresponsive { .. } => {}
+            Message::PlacementReply(_) | Message::PlaceRequest(_) | Message::WorkerUnresponsive { .. } => {}
         }
     }
 }
--- a/crates/quartzdrift-scheduler/src/scheduler/endpoint_list.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/endpoint_list.rs
@@ -1,19 +1,19 @@
 //! The endpoint list: what a change of it means for a worker, and when to watch it; the periodic timer.
-use super::constants::TICK;
+use super::constants::TICK_INTERVAL;
 use crate::interface::{Action, Endpoint, EndpointListKind, EndpointState};
 use crate::messages::{EndpointRecord, Message};
-use crate::state::{Context, Scheduler, Worker};
+use crate::state::{DecisionContext, Scheduler, Worker};
 use std::time::Duration;
 
 impl Scheduler {
     pub(super) fn update_endpoints(&mut self, form: EndpointListKind, entries: &[Endpoint]) {
         if form == EndpointListKind::Snapshot {
-            self.actions.push(Action::SetTimer { delay: TICK, name: "tick" });
-            self.watch_at = self.settings.must_watch.then_some(self.now);
+            self.actions.push(Action::SetTimer { delay: TICK_INTERVAL, name: "tick" });
+            self.watch_due_at = self.settings.must_watch_endpoints.then_some(self.now);
         }
-        self.lease.is_failing |= form == EndpointListKind::Failed;
-        if form == EndpointListKind::Failed && self.settings.must_watch {
-            self.watch_at = Some(self.now + self.settings.watch_retry_delay);
+        self.lease.fetch_failed |= form == EndpointListKind::Failed;
+        if form == EndpointListKind::Failed && self.settings.must_watch_endpoints {
+            self.watch_due_at = Some(self.now + self.settings.watch_retry_delay);
         }
         if matches!(form, EndpointListKind::Full | EndpointListKind::Snapshot) {
             for worker in &self.workers {
@@ -22,7 +22,7 @@
                 self.mailbox.send_to_worker(worker.index, message);
             }
         }
-        self.listed_is_stale = true;
+        self.listed_workers_stale = true;
         for started in entries.iter().filter_map(|entry| entry.started_at) {
             self.observe_start(started);
         }
@@ -50,14 +50,14 @@
         (latest + self.now).saturating_sub(learned + started)
     }
 
-    pub(super) fn tick(&mut self) {
+    pub(super) fn handle_tick(&mut self) {
         // Only attempts that wait tell of a worker that answers nothing.
         for worker in self.workers.iter().filter(|worker| !worker.attempts.is_empty()) {
             self.mailbox.send_to_worker(worker.index, Message::Tick);
         }
         self.check_lease();
-        self.actions.push(Action::SetTimer { delay: TICK, name: "tick" });
-        if self.watch_at.take_if(|at| *at <= self.now).is_some() {
+        self.actions.push(Action::SetTimer { delay: TICK_INTERVAL, name: "tick" });
+        if self.watch_due_at.take_if(|at| *at <= self.now).is_some() {
             self.actions.push(Action::WatchEndpoints { enabled: true });
         }
     }
@@ -65,7 +65,12 @@
 
 impl Worker {
     /// `age`: since the start that the list names, at least.
-    pub(super) fn update_endpoint(&mut self, endpoint: EndpointRecord, age: Duration, context: Context) {
+    pub(super) fn update_endpoint(
+        &mut self,
+        endpoint: EndpointRecord,
+        age: Duration,
+        context: DecisionContext,
+    ) {
         if endpoint.state == EndpointState::Gone && self.endpoint.state != EndpointState::Gone {
             self.gone_since = context.now;
         }
--- a/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
@@ -1,16 +1,18 @@
 //! What the end of an attempt proves: of its request, of its class, and of its worker.
-use super::constants::{AT_CAPACITY_PAUSE, MAX_AT_CAPACITY, MIN_BOUND, PEAK_HALF_LIFE, THROUGHPUT_HALF_LIFE};
+use super::constants::{
+    AT_CAPACITY_PAUSE, MAX_AT_CAPACITY_RESPONSES, MIN_OVERLOAD_BOUND, PEAK_HALF_LIFE, THROUGHPUT_HALF_LIFE,
+};
 use crate::interface::{CacheResult, Outcome};
 use crate::measure::DecayingPeak;
 use crate::messages::{AttemptEnd, CacheStatus, Message};
-use crate::state::{CacheEntry, Context, RemoteLoad, Scheduler, UncertainAttempt, Worker};
+use crate::state::{CacheEntry, DecisionContext, RemoteLoad, Scheduler, UncertainAttempt, Worker};
 use std::time::Duration;
 
 impl Scheduler {
     /// Records the end of an attempt, and places its request anew unless that is concluded.
     pub(super) fn end_attempt(&mut self, worker: usize, end: AttemptEnd, concluded: bool) {
         // A worker with few requests is not full: it rejects this tenant alone.
-        let has_room = end.load.is_some_and(|load| load < MIN_BOUND);
+        let has_room = end.load.is_some_and(|load| load < MIN_OVERLOAD_BOUND);
         let tenant_rejected = self.settings.tenants_share_workers && has_room;
         self.record_outcome(worker, &end, tenant_rejected);
         // A success concludes its request, said or not: a retry would repeat its effect.
@@ -24,9 +26,9 @@
     }
 
     fn record_outcome(&mut self, worker: usize, end: &AttemptEnd, tenant_rejected: bool) {
-        let is_doubted = self.lease_view().is_doubted;
+        let is_unconfirmed = self.lease_view().is_unconfirmed;
         let Some(request) = self.requests.get_mut(&end.request) else { return };
-        let current = request.take_current(self.now);
+        let current = request.take_current_attempt(self.now);
         match end.outcome {
             Outcome::Succeeded => {
                 let (request_class, tenant) = (request.request_class, request.tenant);
@@ -40,14 +42,14 @@
             }
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
                 let attempt = UncertainAttempt { worker, sent_at: current.sent_at };
-                request.may_have_executed.get_or_insert(attempt);
+                request.first_uncertain_attempt.get_or_insert(attempt);
             }
             // A worker that drains turns away whatever comes, which tells nothing of the others.
-            Outcome::AtCapacity if is_doubted => {}
-            Outcome::AtCapacity => request.at_capacity_answers += u32::from(!tenant_rejected),
+            Outcome::AtCapacity if is_unconfirmed => {}
+            Outcome::AtCapacity => request.at_capacity_responses += u32::from(!tenant_rejected),
             // The load would fail at every worker.
             Outcome::CacheMiss if end.cache_result == CacheResult::LoadFailed => {
-                request.at_capacity_answers = MAX_AT_CAPACITY;
+                request.at_capacity_responses = MAX_AT_CAPACITY_RESPONSES;
             }
             Outcome::ConnectFailed | Outcome::NeverSent | Outcome::CacheMiss => {}
         }
@@ -56,31 +58,31 @@
     fn record_success(&mut self, worker: usize, class: usize, tenant: u32, relative: Option<f64>) {
         let kind = self.workers[worker].endpoint.machine_kind;
         if let Some(relative_duration) = relative {
-            self.speeds.add(kind as usize, relative_duration, self.now);
+            self.relative_speeds.add(kind as usize, relative_duration, self.now);
         }
-        let weight = self.weight(class);
+        let weight = self.relative_work(class);
         self.succeeded_work.add(tenant as usize, weight, self.now);
         let no_peak = DecayingPeak::new(THROUGHPUT_HALF_LIFE, PEAK_HALF_LIFE);
         self.measurements.record_throughput(kind, weight, self.now, &no_peak);
-        self.measurements.mean_duration = Some(Duration::from_secs_f64(self.usual_seconds()));
+        self.measurements.mean_duration = Some(Duration::from_secs_f64(self.mean_attempt_seconds()));
     }
 }
 
 impl Worker {
-    pub(super) fn end_attempt(&mut self, end: &AttemptEnd, tenant_rejected: bool, context: Context) {
-        let Context { now, settings, .. } = context;
+    pub(super) fn end_attempt(&mut self, end: &AttemptEnd, tenant_rejected: bool, context: DecisionContext) {
+        let DecisionContext { now, settings, .. } = context;
         let local_load = self.attempts.len() as f64;
         let Some(attempt) = self.remove_attempt(end.request, end.attempt) else { return };
         if let Some(load) = end.load {
             let value = if settings.reports_count_requests { (load - local_load).max(0.0) } else { load };
-            self.remote_load = Some(RemoteLoad { value, at: now });
+            self.remote_load = Some(RemoteLoad { value, reported_at: now });
         }
         if matches!(end.outcome, Outcome::Succeeded | Outcome::Error | Outcome::Reset | Outcome::AtCapacity) {
-            self.last_answer = now;
+            self.last_response_at = now;
         }
         match end.outcome {
-            Outcome::Succeeded if !attempt.query.has_key => self.record_taken(attempt.sent_at, context),
-            Outcome::AtCapacity => self.record_turned_away(context),
+            Outcome::Succeeded if !attempt.query.has_key => self.record_accepted(attempt.sent_at, context),
+            Outcome::AtCapacity => self.record_rejected(context),
             Outcome::Reset | Outcome::ConnectFailed => self.record_disconnected(context),
             _ => {}
         }
--- a/crates/quartzdrift-scheduler/src/scheduler/outlier.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/outlier.rs
@@ -1,6 +1,8 @@
 //! Outlier ejection: workers that fail fast, refuse or answer nothing look idle and would attract requests.
 use super::constants::{ERROR_RATE_ATTEMPTS, FIRST_EJECTION, MAX_EJECTION_DOUBLINGS, MAX_ERROR_RATE};
-use super::constants::{MAX_UNRESPONSIVE, MISSED_REQUESTS, TIMEOUT_RATIO, UNRESPONSIVE_TIMEOUTS};
+use super::constants::{
+    MAX_UNRESPONSIVE_EJECTION, MISSED_REQUESTS_PER_EJECTION, TIMEOUT_RATIO, UNRESPONSIVE_TIMEOUTS,
+};
 use crate::mailbox::Mailbox;
 use crate::messages::{Attempt, Message, PlacementQuery};
 use crate::state::{Health, Worker};
@@ -41,13 +43,14 @@
 
     /// Sets how long to eject the worker if it is unresponsive: a health check costs a request all its time.
     pub(super) fn update_unresponsive_ejection(&mut self, query: &PlacementQuery) {
-        let seconds = (MISSED_REQUESTS / query.worker_capacity).min(MAX_UNRESPONSIVE.as_secs_f64());
+        let seconds = (MISSED_REQUESTS_PER_EJECTION / query.worker_capacity)
+            .min(MAX_UNRESPONSIVE_EJECTION.as_secs_f64());
         self.unresponsive_ejection = Duration::from_secs_f64(seconds);
     }
 
     /// Ejects a worker that answers nothing. With several functions overdue it is not one long load.
     pub(super) fn check_responsiveness(&mut self, now: Duration, mailbox: &mut Mailbox<Message>) {
-        let waited = |attempt: &Attempt| now.saturating_sub(attempt.sent_at.max(self.last_answer));
+        let waited = |attempt: &Attempt| now.saturating_sub(attempt.sent_at.max(self.last_response_at));
         let mut overdue = self.attempts.iter().filter(|attempt| waited(attempt) > attempt.timeout);
         let Some(first) = overdue.next() else { return };
         let is_one_function = overdue.all(|attempt| attempt.query.function == first.query.function);
@@ -64,7 +67,7 @@
     /// Finds unresponsive workers that get few requests. A client's short timeout proves nothing.
     pub(super) fn record_timeout(&mut self, attempt: &Attempt, now: Duration) {
         let waited_enough = (now - attempt.sent_at).mul_f64(TIMEOUT_RATIO) > attempt.timeout;
-        if self.last_answer < attempt.sent_at && waited_enough {
+        if self.last_response_at < attempt.sent_at && waited_enough {
             let health = self.health.entry(attempt.query.request_class).or_default();
             health.eject(now, self.unresponsive_ejection);
         }
--- a/crates/quartzdrift-scheduler/src/scheduler/prefetch.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/prefetch.rs
@@ -1,5 +1,7 @@
 //! Prefetch: load commands ahead of the requests that a forecast expects, within the load quota.
-use super::constants::{DEFAULT_TIMEOUT, FLEET_BOUND, MAX_MEMORY_SHARE, MEDIAN, MIN_LOAD_PROBABILITY};
+use super::constants::{
+    DEFAULT_ATTEMPT_TIMEOUT, FLEET_OVERLOAD_BOUND, MAX_UNRECLAIMABLE_SHARE, MEDIAN, MIN_LOAD_PROBABILITY,
+};
 use super::constants::{MIN_RENEWAL_PROBABILITY, MIN_SAMPLES, PREFETCH_PAUSE, SLOW_LOAD_RATIO};
 use crate::interface::{Action, EndpointState, Outcome, UsageForecast};
 use crate::messages::PrefetchEnd;
@@ -11,24 +13,24 @@
     pub(super) fn prefetch(&mut self, forecast: &UsageForecast) {
         let request_class = forecast.request_class as usize;
         let is_paused = self.now < self.prefetch_paused_until;
-        if !self.settings.load_commands || request_class >= self.classes.len() || is_paused {
+        if !self.settings.allows_load_commands || request_class >= self.classes.len() || is_paused {
             return;
         }
         let function = self.function_names.index(forecast.function, self.now);
-        let fits = |worker: &&Worker| self.takes_prefetch(worker, request_class);
+        let fits = |worker: &&Worker| self.accepts_prefetch(worker, request_class);
         let mut workers: Vec<usize> = self.workers.iter().filter(fits).map(|worker| worker.index).collect();
         let local_load: usize = workers.iter().map(|&worker| self.workers[worker].attempts.len()).sum();
-        let requests = local_load as f64 * self.settings.schedulers;
-        if requests > FLEET_BOUND * self.worker_size() * workers.len() as f64 {
+        let requests = local_load as f64 * self.settings.scheduler_count;
+        if requests > FLEET_OVERLOAD_BOUND * self.worker_size() * workers.len() as f64 {
             return;
         }
-        workers.sort_by_cached_key(|&worker| Reverse(self.affinity(forecast.function, worker)));
+        workers.sort_by_cached_key(|&worker| Reverse(self.affinity_score(forecast.function, worker)));
         let preferred = self.prefetch_count(forecast, function, workers.len());
         for worker in workers.into_iter().take(preferred) {
             if !self.needs_load(forecast, function, worker) {
                 continue;
             }
-            if !self.take_load_quota() {
+            if !self.consume_load_quota() {
                 return;
             }
             let entry = self.workers[worker].cache.entry(function).or_default();
@@ -39,48 +41,49 @@
         }
     }
 
-    fn takes_prefetch(&self, worker: &Worker, request_class: usize) -> bool {
+    fn accepts_prefetch(&self, worker: &Worker, request_class: usize) -> bool {
         let is_up = worker.endpoint.state == EndpointState::Up && worker.warming_since.is_none();
         let is_healthy = worker.health.get(&request_class).is_none_or(|health| health.ejections == 0);
         let context = self.context();
-        let is_sure = worker.may_be_sent(context) && !worker.is_suspected(context);
+        let is_sure = worker.may_receive_work(context) && !worker.is_suspected(context);
         is_up && is_healthy && is_sure && worker.at_capacity_until <= self.now
     }
 
     /// Not where the function stays cached for that long anyway, or is being loaded.
     fn needs_load(&self, forecast: &UsageForecast, function: usize, worker: usize) -> bool {
         let entry = self.workers[worker].cache_entry(function);
-        let until = entry.until();
+        let until = entry.expires_at();
         let is_cached = entry.is_cached && until > self.now;
         let is_loading = !entry.is_cached && until > self.now;
         let stays_cached = until >= self.now + forecast.horizon;
-        !stays_cached && !is_loading && self.pays_off(forecast, worker, is_cached)
+        !stays_cached && !is_loading && self.is_worth_loading(forecast, worker, is_cached)
     }
 
     /// Compares the waiting that a load saves with its fetch and the memory it takes, all in requests.
-    fn pays_off(&self, forecast: &UsageForecast, worker: usize, is_cached: bool) -> bool {
+    fn is_worth_loading(&self, forecast: &UsageForecast, worker: usize, is_cached: bool) -> bool {
         let class = &self.classes[forecast.request_class as usize];
-        let load_time = class.duration(MEDIAN, true).or(forecast.load_hint).unwrap_or(DEFAULT_TIMEOUT);
+        let load_time =
+            class.duration_quantile(MEDIAN, true).or(forecast.load_hint).unwrap_or(DEFAULT_ATTEMPT_TIMEOUT);
         let relative_time = load_time.as_secs_f64() / class.latency_objective.as_secs_f64();
         let avoided = forecast.probability * relative_time.min(1.0);
         let share = forecast.memory_mb.map_or(0.0, |copy_mb| self.memory_share(worker, copy_mb));
-        let rate = self.requested_work.per_second(self.now) * self.settings.schedulers;
+        let rate = self.requested_work.per_second(self.now) * self.settings.scheduler_count;
         let requests = rate * forecast.horizon.as_secs_f64();
-        let memory = self.settings.memory_price * share * requests;
+        let memory = self.settings.idle_memory_price * share * requests;
         if is_cached {
             return forecast.probability >= MIN_RENEWAL_PROBABILITY && avoided > memory;
         }
-        let evicts = self.workers[worker].memory_share > MAX_MEMORY_SHARE;
-        let is_paid_for = avoided > memory + self.settings.fetch_price;
+        let evicts = self.workers[worker].unreclaimable_share > MAX_UNRECLAIMABLE_SHARE;
+        let is_paid_for = avoided > memory + self.settings.origin_fetch_price;
         !evicts && is_paid_for && forecast.probability >= MIN_LOAD_PROBABILITY
     }
 
-    fn take_load_quota(&mut self) -> bool {
-        let requests = self.quota_requests.count(self.now) as f64;
+    fn consume_load_quota(&mut self) -> bool {
+        let requests = self.load_quota_requests.count(self.now) as f64;
         let quota = self.settings.load_quota_burst + self.settings.load_quota_share * requests;
-        let is_spent = self.quota_loads.count(self.now) as f64 + 1.0 > quota;
+        let is_spent = self.load_quota_commands.count(self.now) as f64 + 1.0 > quota;
         if !is_spent {
-            self.quota_loads.add(self.now);
+            self.load_quota_commands.add(self.now);
         }
         !is_spent
     }
--- a/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
@@ -1,6 +1,8 @@
 //! Choice of a worker among the candidates: the ordinary path, and its exceptions (docs/design.md).
 use super::constants::MIN_LOCAL_REQUESTS;
-use super::constants::{BOUND_RATIO, BUSY_FLEET, FLEET_BOUND, MAX_EJECTED_SHARE, MIN_BOUND};
+use super::constants::{
+    BUSY_FLEET_UTILIZATION, FLEET_OVERLOAD_BOUND, MAX_EJECTED_SHARE, MIN_OVERLOAD_BOUND, OVERLOAD_BOUND_RATIO,
+};
 use crate::interface::{RejectReason, RequestId};
 use crate::messages::{CacheStatus, Candidate, PlacementQuery};
 use crate::names::hash;
@@ -9,18 +11,18 @@
 /// Estimates a candidate's requests from its report and our own attempts.
 struct LoadEstimate {
     /// Remote load of a candidate without a report.
-    unreported: f64,
+    remote_if_unreported: f64,
     /// Ratio of remote load to reported load; `None`: no load is reported.
-    report_ratio: Option<f64>,
+    remote_per_reported: Option<f64>,
     /// Our own attempts at all candidates, and those of them that do not wait for a load.
-    local: usize,
-    running: usize,
+    local_load: usize,
+    local_running: usize,
 }
 
 impl LoadEstimate {
     fn requests(&self, candidate: &Candidate) -> f64 {
-        let reported = candidate.remote_load.zip(self.report_ratio);
-        let remote = reported.map_or(self.unreported, |(load, ratio)| load * ratio);
+        let reported = candidate.remote_load.zip(self.remote_per_reported);
+        let remote = reported.map_or(self.remote_if_unreported, |(load, ratio)| load * ratio);
         remote + candidate.local_load as f64
     }
 }
@@ -35,7 +37,7 @@
         let warming_up = candidates.iter().filter(|candidate| candidate.is_warming_up).count();
         let fleet_is_warming = self.measurements.predates_loss && warming_up * 2 > candidates.len();
         self.measurements.predates_loss = fleet_is_warming;
-        candidates.retain(|candidate| fleet_is_warming || !candidate.slow_start_spent);
+        candidates.retain(|candidate| fleet_is_warming || !candidate.exceeds_slow_start_budget);
         let is_unsuspected = |candidate: &Candidate| !candidate.is_suspected;
         if candidates.iter().any(is_unsuspected) {
             candidates.retain(is_unsuspected);
@@ -44,21 +46,22 @@
         let ejected = candidates.iter().filter(|candidate| candidate.is_ejected).count();
         let skips_ejected = ejected as f64 <= MAX_EJECTED_SHARE * candidates.len() as f64;
         candidates.retain(|candidate| !skips_ejected || !candidate.is_ejected);
-        candidates.retain(|candidate| !request.tried.contains(&candidate.worker));
+        candidates.retain(|candidate| !request.tried_workers.contains(&candidate.worker));
         let load = self.estimate_load(&mut candidates);
         let requests = candidates.iter().map(|candidate| load.requests(candidate));
         let mean = requests.sum::<f64>() / candidates.len() as f64;
-        let bound = (mean * BOUND_RATIO).max(MIN_BOUND * self.worker_size());
-        let mostly_loading = load.local >= MIN_LOCAL_REQUESTS && load.running * 2 < load.local;
+        let bound = (mean * OVERLOAD_BOUND_RATIO).max(MIN_OVERLOAD_BOUND * self.worker_size());
+        let mostly_loading =
+            load.local_load >= MIN_LOCAL_REQUESTS && load.local_running * 2 < load.local_load;
         let waits_for_loads = fleet_is_warming || mostly_loading;
         candidates.retain(|candidate| waits_for_loads || load.requests(candidate) < bound);
-        self.prefer(request, &query, &mut candidates);
-        let fleet_bound = FLEET_BOUND * self.worker_size() * self.claim(&query);
-        let fleet_is_full = self.running_mean(mean, &load) > fleet_bound;
+        self.mark_preferred(request, &query, &mut candidates);
+        let fleet_bound = FLEET_OVERLOAD_BOUND * self.worker_size() * self.fleet_bound_factor(&query);
+        let fleet_is_full = self.mean_running(mean, &load) > fleet_bound;
         if waits_for_loads || fleet_is_full {
             // Where all are busy, warming up or loading, one more load makes a load storm worse.
             let bound = if fleet_is_full { bound.min(fleet_bound) } else { bound };
-            candidates.retain(|c| c.cache_status != CacheStatus::NotWarm && !c.slow_start_spent);
+            candidates.retain(|c| c.cache_status != CacheStatus::NotWarm && !c.exceeds_slow_start_budget);
             candidates.retain(|candidate| load.requests(candidate) < bound);
         }
         let renewed = self.renewed_candidate(&candidates);
@@ -66,8 +69,8 @@
         self.random_draws += 1;
         match best {
             Some(candidate) => self.start_attempt(id, query, candidate),
-            None if no_worker_is_usable => self.conclude(id, RejectReason::NoProvenWorker),
-            None => self.conclude(id, RejectReason::NoCapacity),
+            None if no_worker_is_usable => self.conclude_request(id, RejectReason::NoProvenWorker),
+            None => self.conclude_request(id, RejectReason::NoCapacity),
         }
     }
 
@@ -92,23 +95,29 @@
         let reported: f64 = candidates.iter().filter_map(|candidate| candidate.remote_load).sum();
         let average = reported / reports.max(1) as f64;
         // Lost answers raise our own count: where cores are reported idle, nothing abandoned still runs.
-        if reports == 0 || average >= BUSY_FLEET {
-            candidates.iter_mut().for_each(|candidate| candidate.local_load += candidate.abandoned);
+        if reports == 0 || average >= BUSY_FLEET_UTILIZATION {
+            candidates.iter_mut().for_each(|candidate| candidate.local_load += candidate.local_abandoned);
         }
         let local: usize = candidates.iter().map(|candidate| candidate.local_load).sum();
-        let running = candidates.iter().map(|candidate| candidate.running).sum();
+        let running = candidates.iter().map(|candidate| candidate.local_running).sum();
         // Where no report counts requests, other schedulers are taken to send as we do, less the part of it
         // that is chance, and spread over the workers as their reports say.
         let expected = local as f64 - (local as f64).sqrt();
-        let alike = (self.settings.schedulers - 1.0) * expected / candidates.len() as f64;
+        let alike = (self.settings.scheduler_count - 1.0) * expected / candidates.len() as f64;
         let is_counted = self.settings.reports_count_requests && reports > 0;
-        let (unreported, ratio) = if is_counted { (average, 1.0) } else { (alike, alike / average) };
-        LoadEstimate { unreported, report_ratio: (average > 0.0).then_some(ratio), local, running }
+        let (remote_if_unreported, ratio) =
+            if is_counted { (average, 1.0) } else { (alike, alike / average) };
+        LoadEstimate {
+            remote_if_unreported,
+            remote_per_reported: (average > 0.0).then_some(ratio),
+            local_load: local,
+            local_running: running,
+        }
     }
 
     /// Counted requests that wait for loads use no core: our own tell how many of the mean do.
-    fn running_mean(&self, mean: f64, load: &LoadEstimate) -> f64 {
+    fn mean_running(&self, mean: f64, load: &LoadEstimate) -> f64 {
         let counts = self.settings.reports_count_requests;
-        if counts { mean * load.running as f64 / load.local.max(1) as f64 } else { mean }
+        if counts { mean * load.local_running as f64 / load.local_load.max(1) as f64 } else { mean }
     }
 }
--- a/crates/quartzdrift-scheduler/src/scheduler/settings.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/settings.rs
@@ -1,36 +1,40 @@
 //! Makes a scheduler: what the settings leave open gets its default here.
-use super::constants::{BIN_RATIO, BINS, DEFAULT_KEEP_ALIVE, DEFAULT_RETRY_AFTER, DEFAULT_SLOW_START_WINDOW};
-use super::constants::{DEFAULT_TIMEOUT, FIRST_BIN, MAX_SAMPLES, POPULARITY_HALF_LIFE, SLOW_START_SAFETY};
+use super::constants::{
+    BIN_COUNT, BIN_EDGE_RATIO, DEFAULT_KEEP_ALIVE, DEFAULT_RETRY_AFTER, DEFAULT_SLOW_START_WINDOW,
+};
+use super::constants::{
+    DEFAULT_ATTEMPT_TIMEOUT, FIRST_BIN_EDGE, MAX_SAMPLES, POPULARITY_HALF_LIFE, SLOW_START_SAFETY,
+};
 use super::constants::{THROUGHPUT_HALF_LIFE, WATCH_RETRY_DELAY};
 use crate::interface::{ReportField, Settings, Tenant};
-use crate::measure::{DecayingSums, Histogram, RelativeSpeeds, Window};
+use crate::measure::{DecayingSums, Histogram, RelativeSpeeds, SlidingWindow};
 use crate::state::{ClassState, DerivedSettings, Scheduler};
 use std::time::Duration;
 
 impl Scheduler {
     /// A scheduler that knows no worker yet; the same settings, seed and events lead to the same actions.
     pub fn new(settings: &Settings, seed: u64) -> Scheduler {
-        let durations = Histogram::new(FIRST_BIN, BIN_RATIO, BINS, MAX_SAMPLES);
+        let durations = Histogram::new(FIRST_BIN_EDGE, BIN_EDGE_RATIO, BIN_COUNT, MAX_SAMPLES);
         let quota_window = settings.cache.load_quota_window.unwrap_or_default();
-        let class_state = |class| ClassState::new(class, DEFAULT_TIMEOUT, &durations);
+        let class_state = |class| ClassState::new(class, DEFAULT_ATTEMPT_TIMEOUT, &durations);
         Scheduler {
-            settings: derive(settings, seed),
+            settings: derive_settings(settings, seed),
             classes: settings.request_classes.iter().map(class_state).collect(),
             tenant_shares: tenant_shares(&settings.tenants),
             succeeded_work: DecayingSums::new(THROUGHPUT_HALF_LIFE),
             requested_work: DecayingSums::new(POPULARITY_HALF_LIFE),
             requested_priority: DecayingSums::new(POPULARITY_HALF_LIFE),
-            speeds: RelativeSpeeds::new(POPULARITY_HALF_LIFE),
+            relative_speeds: RelativeSpeeds::new(POPULARITY_HALF_LIFE),
             // A request at the very start of the window is out of it, a load command is not.
-            quota_requests: Window::new(quota_window.saturating_sub(Duration::from_nanos(1))),
-            quota_loads: Window::new(quota_window),
+            load_quota_requests: SlidingWindow::new(quota_window.saturating_sub(Duration::from_nanos(1))),
+            load_quota_commands: SlidingWindow::new(quota_window),
             prefetch_durations: durations,
             ..Scheduler::default()
         }
     }
 }
 
-fn derive(settings: &Settings, seed: u64) -> DerivedSettings {
+fn derive_settings(settings: &Settings, seed: u64) -> DerivedSettings {
     let rules = &settings.rules;
     let window =
         rules.overload_window.filter(|window| !window.is_zero()).unwrap_or(DEFAULT_SLOW_START_WINDOW);
@@ -46,10 +50,10 @@
             .endpoint_refresh_limit
             .map_or(WATCH_RETRY_DELAY, |time| WATCH_RETRY_DELAY.min(time)),
         max_retry_after: settings.limits.retry_after.then_some(max_retry_after),
-        load_field: counted.or(field(ReportField::CoreUtilization)),
+        load_field_index: counted.or(field(ReportField::CoreUtilization)),
         reports_count_requests: counted.is_some(),
         tenants_share_workers: counted.is_some() && settings.tenants.len() > 1,
-        ..DerivedSettings::copied(settings, seed)
+        ..DerivedSettings::from_configured(settings, seed)
     }
 }
 
--- a/crates/quartzdrift-scheduler/src/scheduler/slow_start.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/slow_start.rs
@@ -1,12 +1,12 @@
 //! Slow start: a worker that has just started gets no more than its growing capacity.
 use crate::messages::PlacementQuery;
 use crate::names::hash;
-use crate::state::{Context, Worker};
+use crate::state::{DecisionContext, Worker};
 
 impl Worker {
     /// Whether a request fits our share of what the worker can take in this half window. A rest of less than
     /// a request is rounded at random for each half window: one request of each scheduler would be many.
-    pub(super) fn has_slow_start_budget(&mut self, query: &PlacementQuery, context: Context) -> bool {
+    pub(super) fn has_slow_start_budget(&mut self, query: &PlacementQuery, context: DecisionContext) -> bool {
         let Some(since) = self.warming_since.max(self.possible_start(context)) else { return true };
         let settings = context.settings;
         let age = context.now.saturating_sub(since);
@@ -15,18 +15,18 @@
             return true;
         }
         let half_window = self.half_window(context);
-        self.slow_start_use.enter(half_window);
+        self.slow_start_usage.enter(half_window);
         let warmed = age.as_secs_f64() / settings.slow_start_duration.as_secs_f64();
         let min_capacity = settings.slow_start_min_capacity;
         let capacity = min_capacity + (1.0 - min_capacity) * warmed;
         let seconds = settings.slow_start_half_window.as_secs_f64();
         let budget = settings.slow_start_budget * capacity * query.worker_capacity * seconds;
         let draw = hash(&(settings.seed, self.index, half_window)) as f64 / u64::MAX as f64;
-        self.slow_start_use.work + query.weight * (1.0 - draw) <= budget
+        self.slow_start_usage.work + query.relative_work * (1.0 - draw) <= budget
     }
 
     /// Number of the current half window; half windows begin at a time of each scheduler's own.
-    fn half_window(&self, context: Context) -> u64 {
+    fn half_window(&self, context: DecisionContext) -> u64 {
         let length = context.settings.slow_start_half_window.as_micros() as u64;
         let phase = hash(&(context.settings.seed, self.index)) % length;
         (context.now.as_micros() as u64 + phase) / length
--- a/crates/quartzdrift-scheduler/src/state/lease.rs
+++ b/crates/quartzdrift-scheduler/src/state/lease.rs
@@ -7,11 +7,11 @@
     /// As of when the list was last known to be current; `None`: not since the start.
     pub(crate) confirmed_at: Option<Duration>,
     /// The last attempt to fetch the list failed.
-    pub(crate) is_failing: bool,
+    pub(crate) fetch_failed: bool,
     /// It had lapsed when that was last looked at.
     pub(crate) has_lapsed: bool,
     /// No worker could be used when that was last looked at.
-    pub(crate) has_no_worker: bool,
+    pub(crate) has_no_usable_worker: bool,
 }
 
 /// The part of the lease that a worker's decisions rest on.
@@ -21,7 +21,7 @@
     /// Until when the list's word for a worker holds; `None`: without end.
     pub(crate) holds_until: Option<Duration>,
     /// A confirmation is overdue.
-    pub(crate) is_doubted: bool,
+    pub(crate) is_unconfirmed: bool,
 }
 
 impl LeaseView {
@@ -33,9 +33,9 @@
 
 /// A run of commands that a worker took, with less than the drain grace between them.
 #[derive(Clone, Copy)]
-pub(crate) struct Proof {
+pub(crate) struct ActivityProof {
     /// When the first of them was sent.
-    pub(crate) first: Duration,
+    pub(crate) first_sent_at: Duration,
     /// When the last of them was sent.
-    pub(crate) last: Duration,
+    pub(crate) last_sent_at: Duration,
 }
--- a/crates/quartzdrift-scheduler/src/state/mod.rs
+++ b/crates/quartzdrift-scheduler/src/state/mod.rs
@@ -7,8 +7,8 @@
 mod worker;
 
 pub(crate) use class::ClassState;
-pub(crate) use lease::{EndpointLease, LeaseView, Proof};
+pub(crate) use lease::{ActivityProof, EndpointLease, LeaseView};
 pub(crate) use request::{OpenRequest, PendingQuery, UncertainAttempt};
 pub use scheduler::{Scheduler, TableSizes};
 pub(crate) use settings::DerivedSettings;
-pub(crate) use worker::{CacheEntry, Context, Health, RemoteLoad, Worker};
+pub(crate) use worker::{CacheEntry, DecisionContext, Health, RemoteLoad, Worker};
--- a/crates/quartzdrift-scheduler/src/state/request.rs
+++ b/crates/quartzdrift-scheduler/src/state/request.rs
@@ -13,29 +13,29 @@
     pub(crate) concurrency_slots: f64,
     pub(crate) deadline: Duration,
     /// Attempts started so far.
-    pub(crate) attempts: u32,
+    pub(crate) attempt_count: u32,
     /// The first attempt that may have executed.
-    pub(crate) may_have_executed: Option<UncertainAttempt>,
+    pub(crate) first_uncertain_attempt: Option<UncertainAttempt>,
     /// The attempt in flight.
-    pub(crate) current: Option<CurrentAttempt>,
+    pub(crate) current_attempt: Option<CurrentAttempt>,
     /// Workers that had the request.
-    pub(crate) tried: Vec<usize>,
-    pub(crate) at_capacity_answers: u32,
+    pub(crate) tried_workers: Vec<usize>,
+    pub(crate) at_capacity_responses: u32,
 }
 
 impl OpenRequest {
     /// Adds the attempt that is sent now; returns its number, counted from 0.
     pub(crate) fn add_attempt(&mut self, worker: usize, cache_status: CacheStatus, now: Duration) -> u32 {
-        self.current = Some(CurrentAttempt { cache_status, sent_at: now });
-        self.tried.push(worker);
-        self.attempts += 1;
-        self.attempts - 1
+        self.current_attempt = Some(CurrentAttempt { cache_status, sent_at: now });
+        self.tried_workers.push(worker);
+        self.attempt_count += 1;
+        self.attempt_count - 1
     }
 
     /// Ends the attempt in flight; one that is unknown counts as sent now.
-    pub(crate) fn take_current(&mut self, now: Duration) -> CurrentAttempt {
+    pub(crate) fn take_current_attempt(&mut self, now: Duration) -> CurrentAttempt {
         let unknown = CurrentAttempt { cache_status: CacheStatus::NotWarm, sent_at: now };
-        self.current.take().unwrap_or(unknown)
+        self.current_attempt.take().unwrap_or(unknown)
     }
 }
 
--- a/crates/quartzdrift-scheduler/src/state/scheduler.rs
+++ b/crates/quartzdrift-scheduler/src/state/scheduler.rs
@@ -2,9 +2,9 @@
 use super::{ClassState, DerivedSettings, EndpointLease, OpenRequest, PendingQuery, Worker};
 use crate::interface::{Action, EndpointState, RequestId};
 use crate::mailbox::Mailbox;
-use crate::measure::{DecayingSums, Histogram, Measurements, RelativeSpeeds, Window};
+use crate::measure::{DecayingSums, Histogram, Measurements, RelativeSpeeds, SlidingWindow};
 use crate::messages::{Candidate, Message};
-use crate::names::{Names, stable_hash};
+use crate::names::{NameTable, stable_hash};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     pub(crate) requests: BTreeMap<RequestId, OpenRequest>,
     pub(crate) pending_query: Option<PendingQuery>,
     /// Workers that have still to answer the pending query.
-    pub(crate) awaited_answers: usize,
+    pub(crate) awaited_replies: usize,
     pub(crate) candidates: Vec<Candidate>,
     /// Work that succeeded, by tenant.
     pub(crate) succeeded_work: DecayingSums,
@@ -28,9 +28,9 @@
     /// Priority weight that was requested, in all.
     pub(crate) requested_priority: DecayingSums,
     /// Memory of the usual copy, in MB.
-    pub(crate) usual_memory_mb: f64,
+    pub(crate) mean_memory_mb: f64,
     /// Speed of each kind of machine.
-    pub(crate) speeds: RelativeSpeeds,
+    pub(crate) relative_speeds: RelativeSpeeds,
     /// What workers do, for a later start of this scheduler.
     pub measurements: Measurements,
     pub(crate) random_draws: u64,
@@ -38,22 +38,22 @@
     pub(crate) workers: Vec<Worker>,
     /// Indexes of the workers that the endpoint list names.
     pub(crate) listed_workers: Vec<usize>,
-    pub(crate) listed_is_stale: bool,
-    pub(crate) worker_names: Names,
-    pub(crate) function_names: Names,
+    pub(crate) listed_workers_stale: bool,
+    pub(crate) worker_names: NameTable,
+    pub(crate) function_names: NameTable,
     pub(crate) mailbox: Mailbox<Message>,
     pub(crate) now: Duration,
-    pub(crate) last_sweep: Duration,
+    pub(crate) last_sweep_at: Duration,
     /// Requests and load commands in the load quota's window.
-    pub(crate) quota_requests: Window,
-    pub(crate) quota_loads: Window,
+    pub(crate) load_quota_requests: SlidingWindow,
+    pub(crate) load_quota_commands: SlidingWindow,
     pub(crate) prefetch_paused_until: Duration,
     pub(crate) prefetch_durations: Histogram,
     /// The start of a process by which the endpoint list's clock is known best, and when it was told.
     pub(crate) latest_start: Option<(Duration, Duration)>,
     pub(crate) lease: EndpointLease,
     /// When to watch the endpoint list.
-    pub(crate) watch_at: Option<Duration>,
+    pub(crate) watch_due_at: Option<Duration>,
     /// Actions of the event at hand.
     pub(crate) actions: Vec<Action>,
 }
@@ -81,7 +81,7 @@
 
     /// Rebuilds the list of workers that the endpoint list names, if that changed.
     pub(crate) fn refresh_listed_workers(&mut self) {
-        if !std::mem::take(&mut self.listed_is_stale) {
+        if !std::mem::take(&mut self.listed_workers_stale) {
             return;
         }
         let listed = self.workers.iter().filter(|worker| worker.endpoint.state != EndpointState::Gone);
@@ -91,10 +91,11 @@
     }
 
     /// Reads a worker's load report: stores its use of memory and returns its load.
-    pub(crate) fn read_report(&mut self, worker: usize, report: &[Option<f64>]) -> Option<f64> {
+    pub(crate) fn apply_load_report(&mut self, worker: usize, report: &[Option<f64>]) -> Option<f64> {
         let value = |field: Option<usize>| field.and_then(|at| report.get(at).copied().flatten());
-        self.workers[worker].memory_share = value(self.settings.memory_field).unwrap_or_default();
-        value(self.settings.load_field)
+        self.workers[worker].unreclaimable_share =
+            value(self.settings.memory_field_index).unwrap_or_default();
+        value(self.settings.load_field_index)
     }
 
     /// Functions that an open request or an attempt names: an attempt may outlive its request.
@@ -108,7 +109,7 @@
     /// Workers that an open request was sent to, or that have an attempt in flight.
     pub(crate) fn workers_in_use(&self) -> BTreeSet<usize> {
         let busy = self.workers.iter().filter(|worker| !worker.attempts.is_empty());
-        let tried = self.requests.values().flat_map(|request| &request.tried);
+        let tried = self.requests.values().flat_map(|request| &request.tried_workers);
         busy.map(|worker| worker.index).chain(tried.copied()).collect()
     }
 
--- a/crates/quartzdrift-scheduler/src/state/worker.rs
+++ b/crates/quartzdrift-scheduler/src/state/worker.rs
@@ -1,5 +1,5 @@
 //! State of a worker, as this scheduler knows it.
-use super::{DerivedSettings, LeaseView, Proof};
+use super::{ActivityProof, DerivedSettings, LeaseView};
 use crate::interface::{RequestId, WorkerStanding};
 use crate::messages::{Attempt, EndpointRecord};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 
 impl CacheEntry {
     /// End of the entry's last status.
-    pub(crate) fn until(&self) -> Duration {
+    pub(crate) fn expires_at(&self) -> Duration {
         self.known_until.max(self.assumed_until)
     }
 }
@@ -35,30 +35,30 @@
 #[derive(Clone, Copy)]
 pub(crate) struct RemoteLoad {
     pub(crate) value: f64,
-    pub(crate) at: Duration,
+    pub(crate) reported_at: Duration,
 }
 
 /// Use of the slow-start budget.
 #[derive(Default)]
-pub(crate) struct SlowStartUse {
+pub(crate) struct SlowStartUsage {
     /// Number of the half window.
     half_window: u64,
     /// Work sent in it.
     pub(crate) work: f64,
 }
 
-impl SlowStartUse {
+impl SlowStartUsage {
     /// Begins a half window, unless it is the current one.
     pub(crate) fn enter(&mut self, half_window: u64) {
         if half_window != self.half_window {
-            *self = SlowStartUse { half_window, work: 0.0 };
+            *self = SlowStartUsage { half_window, work: 0.0 };
         }
     }
 }
 
 /// What a worker's decisions rest on besides its state.
 #[derive(Clone, Copy)]
-pub(crate) struct Context<'a> {
+pub(crate) struct DecisionContext<'a> {
     pub(crate) now: Duration,
     pub(crate) settings: &'a DerivedSettings,
     pub(crate) lease: LeaseView,
@@ -80,18 +80,18 @@
     pub(crate) abandoned_until: Vec<Duration>,
     pub(crate) remote_load: Option<RemoteLoad>,
     /// Share of its memory that cannot be freed, as last reported.
-    pub(crate) memory_share: f64,
-    pub(crate) last_answer: Duration,
+    pub(crate) unreclaimable_share: f64,
+    pub(crate) last_response_at: Duration,
     /// Start of the process, while it is warming up.
     pub(crate) warming_since: Option<Duration>,
-    pub(crate) slow_start_use: SlowStartUse,
+    pub(crate) slow_start_usage: SlowStartUsage,
     pub(crate) at_capacity_until: Duration,
     /// Commands that it took lately.
-    pub(crate) proof: Option<Proof>,
+    pub(crate) proof: Option<ActivityProof>,
     /// When it turned an attempt away while the endpoint list could not be confirmed.
     pub(crate) suspected_at: Option<Duration>,
     /// The standing that was noticed last.
-    pub(crate) noticed_standing: WorkerStanding,
+    pub(crate) reported_standing: WorkerStanding,
     /// Least ejection time after it was unresponsive.
     pub(crate) unresponsive_ejection: Duration,
     /// Tenants that it alone rejected, each until when it is used last.
