--- a/crates/quartzdrift-scheduler/src/interface/action.rs
+++ b/crates/quartzdrift-scheduler/src/interface/action.rs
@@ -1,75 +1,77 @@
-//! Actions: what the scheduler wants done, in the order in which it returns them.
+//! Actions that the scheduler requests from its host, which carries them out in the order of the returned
+//! list.
 use super::RequestId;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Why a request is rejected, for logs and metrics.
+/// Reason for the rejection of a request, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its class is not configured.
+    /// The request names a class that is not configured.
     UnknownClass,
-    /// The endpoint list names no worker.
+    /// The endpoint list is empty.
     NoWorkers,
-    /// Workers are listed, and none of them may be sent it or has room for it.
+    /// Workers are listed, but none of them is eligible for the request and has free capacity.
     NoCapacity,
-    /// Several workers have answered that they are at capacity.
+    /// Several workers responded to the request that they are at capacity.
     FleetAtCapacity,
-    /// It has had all its attempts.
+    /// The request has used up its attempts.
     NoAttemptsLeft,
-    /// The endpoint list is out of date, and no worker has proven lately that it takes work.
+    /// The lease of the endpoint list has lapsed, and no worker has accepted a command recently enough.
     NoProvenWorker,
-    /// Its deadline is too near for an attempt.
+    /// The time until the deadline is too short for an attempt.
     NoTimeLeft,
-    /// An attempt may have executed, and a further one would not be recognized as its repeat.
+    /// An earlier attempt may have executed, and a retry could execute the request a second time.
     NotRepeatable,
-    /// The process shuts down. The request lifecycle gives this reason, the scheduler never does.
+    /// The process is shutting down. Only the request lifecycle uses this reason, never the scheduler.
     ShuttingDown,
 }
 
-/// What a worker may be taken to do where the endpoint list is out of date.
+/// Eligibility of a worker for new work while the endpoint list cannot be confirmed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerStanding {
-    /// It is sent work by the list's word.
+    /// The endpoint list names the worker as up, and that entry still counts: it receives work.
     #[default]
     Listed,
-    /// It is sent work as it took some lately.
+    /// The lease has lapsed, but the worker accepted a command recently: it receives work.
     Proven,
-    /// It turned an attempt away, and is used only where no other is left.
+    /// The worker rejected an attempt for lack of capacity: it receives work only without another candidate.
     Suspected,
-    /// It may have been draining for longer than the grace, and is sent nothing.
+    /// The worker may have been draining for longer than the drain grace: it receives no work.
     Unproven,
 }
 
-/// A change of what the scheduler goes by, for logs and metrics.
+/// A change in the scheduler's knowledge of the endpoint list or of a worker, for logs and metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// The endpoint list no longer holds by itself.
+    /// The lease of the endpoint list has lapsed: an entry alone no longer makes a worker eligible.
     LeaseLapsed {
-        /// Time since it was last known to be current; `None`: it was not since the start.
+        /// Time since the list was last confirmed; `None`: never since the scheduler's start.
         age: Option<Duration>,
     },
-    /// The list is current again.
+    /// The endpoint list has been confirmed after its lease had lapsed.
     LeaseRenewed {
-        /// How old it had become; `None`: it had not been current since the start.
+        /// Age of the list before this confirmation; `None`: the first one since the scheduler's start.
         age: Option<Duration>,
     },
-    /// While the list does not hold, a worker's standing has changed.
+    /// The standing of a worker has changed while the endpoint list cannot be confirmed.
     WorkerStanding {
         /// Name of the worker.
         worker: Rc<str>,
-        /// Its standing from now on.
+        /// The worker's new standing.
         standing: WorkerStanding,
     },
-    /// While the list does not hold, the last worker that may be sent work is lost, or there is one again.
+    /// While the endpoint list cannot be confirmed, the number of usable workers fell to zero or rose from
+    /// it.
     UsableWorkers {
-        /// Workers that the list names as up.
+        /// Number of workers that the endpoint list names as up.
         listed: usize,
-        /// Those of them that may be sent work.
+        /// Number of listed workers that may receive work.
         usable: usize,
     },
 }
 
-/// Something that the scheduler wants done.
+/// An action for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a request to a worker. Attempts of a request are numbered from 0 in the order of these actions.
@@ -78,41 +80,41 @@
         request: RequestId,
         /// Name of the worker.
         worker: Rc<str>,
-        /// Time after which the attempt is to end as timed out; `None`: it is not limited.
+        /// Time after which the attempt ends as timed out; `None`: no limit.
         timeout: Option<Duration>,
-        /// The last time at which its first byte may leave; `None`: any time. An attempt that has not left by then is to
-        /// end as never sent.
+        /// Latest time at which the first byte may be sent; `None`: no limit. An attempt that has not been
+        /// sent by then ends as [`Outcome::NeverSent`](super::Outcome::NeverSent).
         send_by: Option<Duration>,
     },
-    /// Final answer: the request was not executed, or may safely be sent again by its client.
+    /// Send the final response: the request was not executed, or the client may safely retry it.
     Reject {
-        /// The request that is answered.
+        /// The rejected request.
         request: RequestId,
-        /// Time after which the client may try again, where the settings allow to name one.
+        /// Time after which the client may retry; `None`: the settings do not allow one to be sent.
         retry_after: Option<Duration>,
-        /// Why it is rejected.
+        /// Reason for the rejection.
         reason: RejectReason,
     },
-    /// Final answer: the request may have been executed, and must not be sent again.
+    /// Send the final response: the request may have been executed, and the client must not retry it.
     Fail {
-        /// The request that is answered.
+        /// The failed request.
         request: RequestId,
     },
-    /// Cancel an attempt in flight; its end is still to be reported.
+    /// Cancel an attempt in flight. The host still reports the attempt's end.
     CancelAttempt {
-        /// The attempt's request.
+        /// Request of the attempt.
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Pass an event [`Timer`](super::Event::Timer) once.
+    /// Set a timer that delivers one event [`Timer`](super::Event::Timer).
     SetTimer {
-        /// Time from now to the event.
+        /// Time from now until the event.
         delay: Duration,
-        /// Name that the event is to carry.
+        /// Name that the event carries.
         name: &'static str,
     },
-    /// Check a worker's health.
+    /// Send a health check to a worker.
     CheckHealth {
         /// Name of the worker.
         worker: Rc<str>,
@@ -122,41 +124,41 @@
         /// Name of the worker.
         worker: Rc<str>,
     },
-    /// Send a message to other schedulers.
+    /// Send a message to one other scheduler or to all.
     SendToPeer {
-        /// Number of the scheduler; `None`: all of them.
+        /// Number of the receiving scheduler; `None`: all other schedulers.
         to: Option<u32>,
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
-    /// Load a function at a worker ahead of need.
+    /// Send a load command for a function that is expected to be requested.
     Load {
         /// Name of the worker.
         worker: Rc<str>,
         /// Name of the function.
         function: Rc<str>,
-        /// Number of copies to load.
+        /// Number of copies to load into the worker's cache.
         copies: u32,
     },
-    /// Evict a function's copies at a worker.
+    /// Evict all copies of a function from a worker's cache.
     Unload {
         /// Name of the worker.
         worker: Rc<str>,
         /// Name of the function.
         function: Rc<str>,
     },
-    /// Watch the endpoint list, or end the watch.
+    /// Start or end the watch on the endpoint list.
     WatchEndpoints {
-        /// Whether changes of the list are wanted.
+        /// True: start the watch. False: end it.
         enabled: bool,
     },
-    /// Fetch the endpoint list once.
+    /// Fetch the whole endpoint list once.
     PollEndpoints,
-    /// Something to be logged and counted.
+    /// Log and count a change in the scheduler's knowledge.
     Notice(Notice),
     /// Write a line to the log.
     Log {
-        /// The line.
+        /// Text of the line.
         text: String,
     },
 }
--- a/crates/quartzdrift-scheduler/src/interface/event.rs
+++ b/crates/quartzdrift-scheduler/src/interface/event.rs
@@ -1,32 +1,32 @@
-//! Events: what happened, to be passed to the scheduler in the order in which it happened.
+//! Events that the host passes to the scheduler, in the order in which they occurred.
 use crate::measure::Measurements;
 use std::time::Duration;
 
-/// Number of a request, given by the caller; unique among the open requests.
+/// Number of a request. The host assigns it, unique among the open requests.
 pub type RequestId = u64;
 
-/// Whether a worker takes requests.
+/// State of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The worker accepts requests.
     Up,
-    /// It ends its attempts and takes no further ones.
+    /// The worker finishes its attempts and accepts no new ones.
     Draining,
-    /// The endpoint list does not name it (any more).
+    /// The endpoint list does not name the worker, or has removed it.
     #[default]
     Gone,
 }
 
-/// What an endpoint list holds, and where it is from.
+/// Content and origin of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// The workers that changed.
+    /// The workers whose entries changed.
     Changes,
     /// All workers.
     Full,
-    /// All workers as persisted by an earlier start; the first list of a scheduler.
+    /// All workers as persisted by an earlier run of the process; always the first list of a scheduler.
     Snapshot,
-    /// None: the list could not be fetched.
+    /// No workers: the fetch of the list failed.
     Failed,
 }
 
@@ -35,188 +35,190 @@
 pub struct Endpoint<'a> {
     /// Name of the worker.
     pub worker: &'a str,
-    /// The worker's capacity, in the unit of [`CapacityHints`](super::CapacityHints), where the list tells it.
+    /// Capacity of the worker as [`CapacityHints`](super::CapacityHints) describes it; `None`: not listed.
     pub capacity_hint: Option<f64>,
-    /// Number of the worker's cell, a part of its zone.
+    /// Number of the worker's cell, which is a part of its zone.
     pub cell: u32,
-    /// Number of the worker's kind of machine, an index into [`Settings::machine_kinds`](super::Settings::machine_kinds).
+    /// Index of the worker's kind of machine in [`Settings::machine_kinds`](super::Settings::machine_kinds).
     pub machine_kind: u32,
-    /// Number of the worker's zone, an index into [`Settings::zones`](super::Settings::zones).
+    /// Index of the worker's zone in [`Settings::zones`](super::Settings::zones).
     pub zone: u32,
-    /// The most recent start of its process; `None`: long ago.
+    /// Time of the latest start of the worker's process, by the clock of the endpoint list; `None`: long ago.
     pub started_at: Option<Duration>,
-    /// Whether it takes requests.
+    /// State of the worker.
     pub state: EndpointState,
 }
 
-/// A request that arrived.
+/// A request from a client.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Request<'a> {
-    /// Number of the request.
+    /// Number of the request, unique among the open requests.
     pub id: RequestId,
-    /// Index into [`Settings::request_classes`](super::Settings::request_classes); others are rejected.
+    /// Index into [`Settings::request_classes`](super::Settings::request_classes). The scheduler rejects a
+    /// request with an index past the last class.
     pub request_class: u32,
     /// Index into [`Settings::tenants`](super::Settings::tenants).
     pub tenant: u32,
     /// Name of the function.
     pub function: &'a str,
-    /// Time until the client gives up.
+    /// Time until the request's deadline, when the client stops waiting.
     pub time_left: Duration,
-    /// Expected time of execution.
+    /// Expected execution time.
     pub work_hint: Option<Duration>,
-    /// Memory of a copy of the function, in MB.
+    /// Memory of a cached copy of the function, in MB.
     pub memory_mb: Option<f64>,
-    /// Requests that a copy of the function executes at a time.
+    /// Number of requests that one copy of the function executes concurrently.
     pub concurrency_slots: Option<f64>,
-    /// Expected time of a load of the function.
+    /// Expected duration of a load of the function.
     pub load_hint: Option<Duration>,
-    /// The client sends it again.
+    /// The client marked the request as a retry.
     pub is_retry: bool,
-    /// Its execution has effects.
+    /// The execution of the request has side effects.
     pub has_side_effects: bool,
 }
 
-/// What a forecast expects of a function's use.
+/// Forecast of the requests for a function.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UsageForecast<'a> {
     /// Name of the function.
     pub function: &'a str,
-    /// Class of the requests, an index into [`Settings::request_classes`](super::Settings::request_classes).
+    /// Class of the requests: index into [`Settings::request_classes`](super::Settings::request_classes).
     pub request_class: u32,
-    /// The span from now on that the forecast is for.
+    /// Period that the forecast covers, starting now.
     pub horizon: Duration,
-    /// Probability of a use in that span, from 0 to 1.
+    /// Probability of at least one request within the horizon, from 0 to 1.
     pub probability: f64,
-    /// Requests of the function that are expected in a second, of all schedulers, where that is known.
+    /// Expected requests for the function per second, summed over all schedulers; `None`: unknown.
     pub requests_per_second: Option<f64>,
-    /// Memory of a copy of the function, in MB.
+    /// Memory of a cached copy of the function, in MB.
     pub memory_mb: Option<f64>,
-    /// Requests that a copy of the function executes at a time.
+    /// Number of requests that one copy of the function executes concurrently.
     pub concurrency_slots: Option<f64>,
-    /// Expected time of a load of the function.
+    /// Expected duration of a load of the function.
     pub load_hint: Option<Duration>,
 }
 
-/// How an attempt, a health check or a load command ended.
+/// Outcome of a command to a worker: an attempt, a health check or a load command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was executed.
+    /// The command was executed.
     Succeeded,
-    /// The worker answered with an error; it may have been executed.
+    /// The worker responded with an error; the command may have been executed.
     Error,
-    /// The worker refused it, as it holds too many requests.
+    /// The worker rejected the command because it holds too many requests.
     AtCapacity,
-    /// No answer came in time; it may have been executed.
+    /// No response arrived in time; the command may have been executed.
     TimedOut,
-    /// No connection could be made.
+    /// No connection to the worker could be opened; the command was not executed.
     ConnectFailed,
-    /// The connection was lost; it may have been executed.
+    /// The connection was lost; the command may have been executed.
     Reset,
-    /// It was cancelled; it may have been executed.
+    /// The host cancelled the command; it may have been executed.
     Cancelled,
-    /// It was recalled before it was sent.
+    /// The command was withdrawn before it was sent.
     NeverSent,
-    /// The worker holds no copy of the function and did not load one.
+    /// The worker has no cached copy of the function and did not load one.
     CacheMiss,
 }
 
-/// What an answer tells of the function's copy.
+/// Cache status of the function as the response to an attempt reported it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CacheResult {
-    /// Nothing.
+    /// The response did not report a cache status.
     #[default]
     Unknown,
-    /// A copy was loaded before.
+    /// A cached copy executed the request.
     Warm,
     /// The attempt started a load.
     StartedLoad,
-    /// The attempt waited for a load that another had started.
+    /// The attempt waited for a load that another attempt had started.
     AwaitedLoad,
-    /// The load failed.
+    /// The load of the function failed.
     LoadFailed,
 }
 
-/// Something that happened.
+/// An input of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// The endpoint list, or changes of it.
+    /// The host received an endpoint list, or failed to fetch one.
     EndpointList {
-        /// What `entries` holds.
+        /// Content of `entries`.
         kind: EndpointListKind,
-        /// Workers; those that the list removed are [`EndpointState::Gone`].
+        /// Entries of the workers; a removed worker has the state [`EndpointState::Gone`].
         entries: Vec<Endpoint<'a>>,
     },
-    /// The endpoint list was current, as far as it was passed on until now.
+    /// Discovery confirmed that the endpoint list, with all entries passed so far, was current.
     EndpointsConfirmed {
-        /// The latest time of which that is certain: not that of the answer, but that of the question.
+        /// Latest time at which the list is certain to have been current: the time at which the host sent its
+        /// request to discovery, not the time of the response.
         as_of: Duration,
     },
-    /// A worker has ended a connection that carried nothing.
+    /// A worker closed an idle connection.
     WorkerDisconnected {
         /// Name of the worker.
         worker: &'a str,
     },
-    /// A request arrived.
+    /// A request arrived from a client.
     Request(Request<'a>),
     /// An attempt ended.
     AttemptEnded {
-        /// The attempt's request.
+        /// Request of the attempt.
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
         /// Name of the worker.
         worker: &'a str,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// Time since it was started.
+        /// Time from the attempt's start to its end.
         duration: Duration,
-        /// The request needs no final answer from the scheduler any more.
+        /// The request needs no final response any more: the scheduler closes it without a further attempt.
         concluded: bool,
-        /// What the answer tells of the function's copy.
+        /// Cache status that the response reported.
         cache_result: CacheResult,
-        /// Requests of the function that the worker held, where the answer tells.
+        /// Number of the function's requests that the worker held; `None`: not reported.
         concurrency: Option<u32>,
-        /// The worker's load report: a value for each of
-        /// [`Settings::report_fields`](super::Settings::report_fields), or empty.
+        /// Load report of the worker: one value for each of
+        /// [`Settings::report_fields`](super::Settings::report_fields), or empty if there was none.
         report: Vec<Option<f64>>,
     },
-    /// A streamed answer has begun; the client owns that attempt now.
+    /// A worker started to stream a response, which the host passes on to the client.
     StreamingStarted {
-        /// The attempt's request.
+        /// Request of the attempt.
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
         /// Name of the worker.
         worker: &'a str,
-        /// Time since the attempt was started.
+        /// Time from the attempt's start to the first byte of the response.
         duration: Duration,
     },
-    /// The client left, or the final answer is overdue.
+    /// The client disconnected, or the deadline for the final response has passed.
     RequestCancelled {
-        /// The request.
+        /// The cancelled request.
         request: RequestId,
     },
-    /// A timer that [`SetTimer`](super::Action::SetTimer) set is due.
+    /// A timer expired that [`SetTimer`](super::Action::SetTimer) had set.
     Timer {
-        /// Name that it was set with.
+        /// Name of the timer.
         name: &'a str,
     },
     /// A health check ended.
     HealthChecked {
         /// Name of the worker.
         worker: &'a str,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: Outcome,
-        /// Time since it was started.
+        /// Time from the health check's start to its end.
         duration: Duration,
-        /// The worker's load report, as in [`AttemptEnded`](Event::AttemptEnded).
+        /// Load report of the worker, as in [`AttemptEnded`](Event::AttemptEnded).
         report: Vec<Option<f64>>,
     },
-    /// A message of another scheduler.
+    /// A message arrived from another scheduler.
     PeerMessage {
-        /// Number of that scheduler.
+        /// Number of the sending scheduler.
         from: u32,
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
     /// A load command ended.
@@ -225,17 +227,17 @@
         worker: &'a str,
         /// Name of the function.
         function: &'a str,
-        /// How it ended.
+        /// Outcome of the load command.
         outcome: Outcome,
-        /// Time since it was given.
+        /// Time from the load command to its end.
         duration: Duration,
-        /// Number of copies that were loaded.
+        /// Number of copies that the worker loaded.
         copies: u32,
     },
-    /// How many schedulers there are from now on, in place of the settings' number.
+    /// The number of schedulers that share the workers has changed, this one included.
     SchedulerCount(u32),
-    /// A function is likely to be used; nothing is loaded ahead of need without such an event.
+    /// A forecast of a function's requests. The scheduler prefetches functions only on this event.
     UsageForecast(UsageForecast<'a>),
-    /// What an earlier start of this scheduler had measured, by a clock that goes on in ours.
+    /// Measurements of an earlier run of this scheduler, with times on the same clock as this run's.
     RestoredMeasurements(Measurements),
 }
--- a/crates/quartzdrift-scheduler/src/interface/mod.rs
+++ b/crates/quartzdrift-scheduler/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! What goes into the scheduler and what comes out of it: events, actions and settings. Types only.
+//! Types of the scheduler's interface: events, actions and settings.
 //!
-//! Times are spans since the clock's zero, which is the same for all events of a scheduler. A setting that is not
-//! configured is `None`.
+//! A time is a `Duration` since the zero of a monotonic clock, which is the same for all events of a
+//! scheduler. A setting that is not configured is `None`.
 mod action;
 mod event;
 mod settings;
--- a/crates/quartzdrift-scheduler/src/interface/settings.rs
+++ b/crates/quartzdrift-scheduler/src/interface/settings.rs
@@ -1,311 +1,313 @@
-//! Settings of a scheduler: the rules of the deployment that it is part of. The scheduler does not use all of them;
-//! docs/move.md lists those that it leaves out.
+//! Settings of a scheduler, which describe its deployment. The scheduler does not use all of them;
+//! docs/move.md lists the unused ones.
 use std::time::Duration;
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// The request may be executed any number of times.
     #[default]
     Idempotent,
-    /// Any number of times within the deduplication window, as workers drop its repeats.
+    /// The request may be sent again within the deduplication window, because workers drop duplicates.
     IdempotentWithKey,
-    /// Once at most.
+    /// The request may be executed at most once.
     NonIdempotent,
 }
 
-/// Which workers drop the repeats of a request with an idempotency key.
+/// Set of workers that drop a duplicate of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All workers.
     #[default]
     All,
-    /// Those of the zone where it was first executed.
+    /// The workers of the zone where the request was first executed.
     Zone,
-    /// Those of the cell where it was first executed.
+    /// The workers of the cell where the request was first executed.
     Cell,
 }
 
-/// A class of requests that share their rules.
+/// Settings of a request class.
 #[derive(Clone, Debug, Default)]
 pub struct RequestClass {
     /// Name of the class.
     pub name: String,
     /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
-    /// Time in which requests should start to be executed.
+    /// Time from arrival within which the execution of a request should start.
     pub latency_objective: Option<Duration>,
-    /// The latency objective grows by this many times the request's own work.
+    /// The latency objective of a request grows by its own execution time multiplied by this factor.
     pub latency_objective_stretch: Option<f64>,
-    /// Time after which clients give up.
+    /// Time from arrival after which clients stop waiting.
     pub timeout: Option<Duration>,
-    /// Weight of a request, or of a unit of work ([`PriorityUnit`]), in the goal.
+    /// Weight of a request or of a unit of work in the goal; [`PriorityUnit`] says which of the two.
     pub priority_weight: Option<f64>,
-    /// Share of that weight that a request has after its latency objective.
+    /// Share of the priority weight that remains once a request has missed its latency objective.
     pub late_weight: Option<f64>,
-    /// Which workers drop the repeats of a request with an idempotency key.
+    /// Set of workers that drop a duplicate of a request with an idempotency key.
     pub deduplication_scope: DeduplicationScope,
-    /// Deduplication window: how long workers drop such repeats.
+    /// Time after the first attempt during which workers drop duplicates.
     pub deduplication_window: Option<Duration>,
-    /// Answers are streamed.
+    /// Workers stream the responses.
     pub streams_responses: bool,
 }
 
-/// A tenant, on whose behalf requests are sent.
+/// Settings of a tenant.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
     /// Name of the tenant.
     pub name: String,
-    /// Share of the requests that are expected of it, from 0 to 1.
+    /// Expected share of the tenant in all requests, from 0 to 1.
     pub share: Option<f64>,
-    /// Quota, in requests a second.
+    /// Quota of the tenant, in requests per second.
     pub requests_per_second: Option<f64>,
 }
 
-/// What a scheduler is allowed to do, and how often.
+/// Actions that a scheduler may take, and the limits on them.
 #[derive(Clone, Debug, Default)]
 pub struct ActionLimits {
-    /// To cancel attempts.
+    /// The scheduler may cancel attempts.
     pub cancel: bool,
-    /// To check workers' health.
+    /// The scheduler may send health checks to workers.
     pub health_checks: bool,
-    /// To send messages to other schedulers.
+    /// The scheduler may send messages to other schedulers.
     pub peer_messages: bool,
-    /// To send hedged requests.
+    /// The scheduler may send hedged requests.
     pub hedging: bool,
-    /// To name a time when it rejects a request.
+    /// A rejection may tell the client when to retry.
     pub retry_after: bool,
-    /// The longest such time.
+    /// Longest time after which a rejection may ask the client to retry.
     pub max_retry_after: Option<Duration>,
-    /// Attempts of a request; `None`: one.
+    /// Maximum number of attempts of a request; `None`: one.
     pub max_attempts: Option<u32>,
-    /// Most that may be open at a time; not used by the scheduler.
+    /// Maximum number of open requests. The request lifecycle enforces it, not the scheduler.
     pub max_open_requests: Option<u32>,
-    /// Time after which a connection counts as failed.
+    /// Time after which an attempt to open a connection counts as failed.
     pub connect_timeout: Option<Duration>,
-    /// Time after which workers close an idle connection.
+    /// Idle time after which workers close a connection.
     pub connection_keep_alive: Option<Duration>,
-    /// Processor time of the scheduler, in microseconds a second.
+    /// Limit on the processor time of the scheduler, in microseconds per second.
     pub cpu_us_per_second: Option<f64>,
-    /// Processor time of the scheduler, in microseconds a request.
+    /// Limit on the processor time of the scheduler, in microseconds per request.
     pub cpu_us_per_request: Option<f64>,
-    /// Attempts that a connection carries at a time.
+    /// Maximum number of concurrent attempts on one connection.
     pub streams_per_connection: Option<u32>,
 }
 
 /// Rules that every scheduler must follow.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// Time by which a final answer may miss its deadline.
+    /// Time after a request's deadline by which its final response must be sent.
     pub response_slack: Option<Duration>,
-    /// Time after a failure in which the endpoint list is to be asked for again.
+    /// Longest delay between a failed fetch of the endpoint list and the next fetch.
     pub endpoint_refresh_limit: Option<Duration>,
-    /// Share of its capacity that a worker has at its start, from 0 to 1.
+    /// Share of its full capacity that a worker has when its process starts, from 0 to 1.
     pub slow_start_min_capacity: Option<f64>,
-    /// Time for which a worker is warming up after its start.
+    /// Time after the start of its process during which a worker is warming up.
     pub slow_start_duration: Option<Duration>,
-    /// Time for which a draining worker goes on with its attempts.
+    /// Time during which a draining worker still finishes the attempts it holds.
     pub drain_grace: Option<Duration>,
-    /// Time for which the endpoint list holds after the last sign that it was current: what discovery would have told
-    /// counts as told then, and at once after that. `None`: the list holds without end.
+    /// Lease of the endpoint list: time after its last confirmation during which its entries count. Once the
+    /// lease has lapsed, any change that discovery failed to report is taken to have happened at its end or
+    /// later. `None`: the entries count without a limit in time.
     pub endpoint_lease: Option<Duration>,
-    /// A worker fails if it is sent more than this many times what it can do, over the window that follows.
+    /// Ratio of the work sent to a worker to its capacity, both over the overload window, above which the
+    /// worker fails.
     pub overload_multiple: Option<f64>,
-    /// The window in which work sent to a worker is compared with its capacity.
+    /// Time window over which the work sent to a worker is compared with its capacity.
     pub overload_window: Option<Duration>,
 }
 
-/// What a worker does with a request whose function it has no copy of.
+/// Behavior of a worker on a request whose function is not in its cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CacheMissPolicy {
-    /// It loads the function, and executes the request then.
+    /// The worker loads the function and then executes the request.
     #[default]
     Load,
-    /// It answers that there is none.
+    /// The worker responds that it has no cached copy.
     ReportMiss,
 }
 
 /// How workers cache functions, and the quota for load commands.
 #[derive(Clone, Debug, Default)]
 pub struct CacheSettings {
-    /// What a worker does with a request whose function it has no copy of.
+    /// Behavior of a worker on a request whose function is not in its cache.
     pub on_miss: CacheMissPolicy,
-    /// Load commands may be given.
+    /// The scheduler may send load commands.
     pub load_commands: bool,
-    /// Answers tell whether a copy was cached.
+    /// Responses report whether the function was cached.
     pub reports_cache_status: bool,
-    /// Answers tell how many requests of the function the worker held.
+    /// Responses report how many requests of the function the worker held.
     pub reports_concurrency: bool,
-    /// Keep-alive: the least time for which an idle copy stays cached.
+    /// Shortest time for which an idle copy of a function stays cached.
     pub keep_alive: Option<Duration>,
-    /// Memory of a worker for copies, in MB, by kind of machine.
+    /// Memory of a worker for cached copies, in MB, by index of its kind of machine.
     pub memory_mb_by_kind: Vec<f64>,
-    /// Price of holding all memory idle, in points of the result.
+    /// Price of filling all workers' memory with idle copies, in points of the [goal](GoalWeights).
     pub idle_memory_price: Option<f64>,
-    /// Load quota: load commands in a window, whatever the requests.
+    /// Load quota: load commands per window that are allowed independently of the number of requests.
     pub load_quota_burst: Option<f64>,
-    /// Load quota: further load commands for each request in the window.
+    /// Load quota: additional load commands per request in the window.
     pub load_quota_share: Option<f64>,
-    /// Window of the load quota; `None`: load commands are not limited.
+    /// Time window of the load quota; `None`: no quota.
     pub load_quota_window: Option<Duration>,
     /// Time after which a load command counts as failed.
     pub load_command_timeout: Option<Duration>,
 }
 
-/// How load reports come.
+/// Source of the workers' load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With answers.
+    /// Workers attach a load report to each response.
     Responses,
-    /// With answers to health checks.
+    /// Workers attach a load report to each response to a health check.
     HealthChecks,
-    /// There are none.
+    /// Workers send no load reports.
     #[default]
     Absent,
 }
 
-/// A value of a load report.
+/// A value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests that the worker holds.
+    /// Number of requests that the worker holds, both executing and queued.
     InFlight,
-    /// Those of them that wait to be executed.
+    /// Number of requests that wait at the worker for their execution.
     Queued,
-    /// Share of busy cores, from 0 to 1.
+    /// Share of the worker's cores that are busy, from 0 to 1.
     CoreUtilization,
-    /// Latency of requests, in milliseconds.
+    /// Latency of the worker's requests, in milliseconds.
     LatencyMs,
-    /// Requests that succeeded in a second.
+    /// Number of requests that succeed per second.
     SucceededPerSecond,
-    /// Requests that ended in error in a second.
+    /// Number of requests that fail per second.
     ErrorsPerSecond,
-    /// Share of memory in use that cannot be freed, from 0 to 1.
+    /// Share of the worker's memory that is in use and cannot be reclaimed, from 0 to 1.
     UnreclaimableMemory,
-    /// Loads in progress.
+    /// Number of function loads in progress.
     LoadsInProgress,
     /// A value that this version does not know.
     Unknown,
 }
 
-/// How changes of the endpoint list arrive.
+/// Way in which changes of the endpoint list reach the scheduler.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// They are sent to every scheduler.
+    /// Discovery sends the changes to every scheduler.
     #[default]
     Push,
-    /// They are sent to those that watch the list.
+    /// Discovery sends the changes only to schedulers that watch the list.
     Poll,
 }
 
-/// What the endpoint list tells of workers' capacity.
+/// Kind of capacity information in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CapacityHints {
-    /// Nothing.
+    /// The list contains no capacities.
     #[default]
     Absent,
-    /// That of the kind of machine.
+    /// Nominal capacity of the worker's kind of machine.
     Nominal,
-    /// An approximation.
+    /// Approximate capacity of the worker.
     Approximate,
-    /// The present one.
+    /// Current capacity of the worker.
     Current,
 }
 
-/// What priority weights are given for.
+/// Unit that a priority weight applies to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PriorityUnit {
-    /// Each request.
+    /// The weight applies to each request.
     #[default]
     Request,
-    /// Each unit of work.
+    /// The weight applies to each unit of work.
     Work,
 }
 
-/// Points taken off the result, each for one unit of what it names.
+/// Points that each action or event subtracts from the [goal](GoalWeights).
 #[derive(Clone, Debug, Default)]
 pub struct Prices {
-    /// An open connection.
+    /// Price of an open connection.
     pub connection: f64,
-    /// An attempt in another zone.
+    /// Price of an attempt at a worker in another zone.
     pub cross_zone: f64,
-    /// A connection that is made.
+    /// Price of opening a connection.
     pub handshake: f64,
-    /// A request that fails late.
+    /// Price of a request that fails late.
     pub late_failure: f64,
-    /// A function that moves to another worker.
+    /// Price of a function's move to another worker.
     pub function_move: f64,
-    /// A fetch from the origin store.
+    /// Price of a fetch from the origin store.
     pub origin_fetch: f64,
-    /// A message to another scheduler.
+    /// Price of a message to another scheduler.
     pub peer_message: f64,
-    /// A health check.
+    /// Price of a health check.
     pub health_check: f64,
-    /// A request for the endpoint list.
+    /// Price of a request for the endpoint list.
     pub endpoint_list_request: f64,
-    /// Work whose result nobody waits for.
+    /// Price of work whose result no client waits for.
     pub wasted_work: f64,
 }
 
-/// CapacityHints of the parts of the goal.
+/// Weights of the parts of the goal, which rates a deployment's results in points.
 #[derive(Clone, Debug, Default)]
 pub struct GoalWeights {
-    /// All requests.
+    /// Weight of the result over all requests.
     pub all_requests: f64,
-    /// The worst window of time.
+    /// Weight of the result in the worst window of time.
     pub worst_window: f64,
-    /// The worst request class.
+    /// Weight of the result of the worst request class.
     pub worst_request_class: f64,
-    /// The worst tenant.
+    /// Weight of the result of the worst tenant.
     pub worst_tenant: f64,
 }
 
-/// The settings of a scheduler.
+/// All settings of a scheduler.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of this scheduler.
     pub scheduler_number: Option<u32>,
-    /// Number of schedulers that share the workers, this one included; `None`: one.
+    /// Number of schedulers that share the workers, including this one; `None`: one.
     pub scheduler_count: Option<u32>,
-    /// Number of this scheduler's zone, an index into `zones`.
+    /// Index of this scheduler's zone in `zones`.
     pub zone: Option<u32>,
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Names of the kinds of machine.
     pub machine_kinds: Vec<String>,
-    /// Number of this scheduler's tier, an index into `tiers`.
+    /// Index of this scheduler's tier in `tiers`.
     pub tier: Option<u32>,
     /// Names of the tiers.
     pub tiers: Vec<String>,
-    /// Name of the kind of work.
+    /// Name of the workload.
     pub workload: String,
-    /// Resolution of the clock.
+    /// Resolution of the clock that the times of events are measured with.
     pub clock_resolution: Option<Duration>,
-    /// How changes of the endpoint list arrive.
+    /// Way in which changes of the endpoint list reach the scheduler.
     pub discovery_mode: DiscoveryMode,
-    /// What the endpoint list tells of workers' capacity.
+    /// Kind of capacity information in the endpoint list.
     pub capacity_hints: CapacityHints,
-    /// What priority weights are given for.
+    /// Unit that a priority weight applies to.
     pub priority_unit: PriorityUnit,
-    /// Share of its weight that a request above its tenant's quota has.
+    /// Share of the priority weight that a request above its tenant's quota keeps.
     pub over_quota_weight: Option<f64>,
-    /// Clients mark requests that they send again.
+    /// Clients mark the requests that are retries.
     pub clients_mark_retries: bool,
-    /// The request classes; requests name them by index.
+    /// Request classes; a request names its class by index.
     pub request_classes: Vec<RequestClass>,
-    /// The tenants; requests name them by index.
+    /// Tenants; a request names its tenant by index.
     pub tenants: Vec<Tenant>,
-    /// What this scheduler is allowed to do.
+    /// Actions that this scheduler may take, and the limits on them.
     pub limits: ActionLimits,
-    /// Rules that it must follow.
+    /// Rules that every scheduler must follow.
     pub rules: Rules,
-    /// How workers cache functions.
+    /// Function caches of the workers, and the quota for load commands.
     pub cache: CacheSettings,
-    /// How load reports come.
+    /// Source of the workers' load reports.
     pub report_source: ReportSource,
-    /// The values of a load report, in their order.
+    /// Values of a load report, in their order.
     pub report_fields: Vec<ReportField>,
-    /// Prices of the scheduler's actions.
+    /// Prices of actions and events.
     pub prices: Prices,
-    /// CapacityHints of the parts of the goal.
+    /// Weights of the parts of the goal, which the deployment is rated by.
     pub goal: GoalWeights,
 }
--- a/crates/quartzdrift-scheduler/src/lib.rs
+++ b/crates/quartzdrift-scheduler/src/lib.rs
@@ -1,6 +1,6 @@
-//! Decides for a router of functions that workers load on demand: which worker runs a request, and what becomes of
-//! a request that no worker can take. Use [`scheduler::Scheduler`] for the decisions, with the events, actions and
-//! settings of [`interface`]; it reads no clock and does no I/O.
+//! Decides for a router of functions that workers load on demand: which worker runs a request, and what
+//! becomes of a request that no worker can take. Use [`scheduler::Scheduler`] for the decisions, with the
+//! events, actions and settings of [`interface`]; it reads no clock and does no I/O.
 //!
 //! ```
 //! use quartzdrift_scheduler::interface::{Action, Endpoint, EndpointListKind, EndpointState, Event};
--- a/crates/quartzdrift-scheduler/src/measure/mod.rs
+++ b/crates/quartzdrift-scheduler/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Measurements that forget: histograms, decaying sums and windows. How coarse and how fast is for the scheduler to
-//! say.
+//! Measurements that forget: histograms, decaying sums and windows. How coarse and how fast is for the
+//! scheduler to say.
 mod decay;
 mod histogram;
 mod measurements;
--- a/crates/quartzdrift-scheduler/src/measure/speed.rs
+++ b/crates/quartzdrift-scheduler/src/measure/speed.rs
@@ -11,7 +11,8 @@
     attempts: DecayingSums,
     /// Their durations, in units of the mean of their class.
     durations: DecayingSums,
-    /// Speeds that were asked for, by kind, each with the time that it is for: a decision asks for each worker's.
+    /// Speeds that were asked for, by kind, each with the time that it is for: a decision asks for each
+    /// worker's.
     cached_speeds: RefCell<BTreeMap<usize, (Duration, f64)>>,
 }
 
--- a/crates/quartzdrift-scheduler/src/scheduler/attempt.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/attempt.rs
@@ -35,7 +35,8 @@
         }
     }
 
-    /// The final answer, at once: rejected for `reason` where the client may safely try again, failed elsewhere.
+    /// The final answer, at once: rejected for `reason` where the client may safely try again, failed
+    /// elsewhere.
     pub(super) fn conclude_request(&mut self, id: RequestId, reason: RejectReason) {
         let Some(request) = self.requests.remove(&id) else { return };
         let class = &self.classes[request.request_class];
--- a/crates/quartzdrift-scheduler/src/scheduler/candidate.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/candidate.rs
@@ -13,7 +13,8 @@
     ) -> Option<Candidate> {
         self.update_unresponsive_ejection(query);
         let is_outside = query.restriction.is_some_and(|restriction| !restriction.permits(&self.endpoint));
-        // The list may be out of date: its word alone would send to workers that drain, for as long as it stays so.
+        // The list may be out of date: its word alone would send to workers that drain, for as long as it
+        // stays so.
         if self.endpoint.state != EndpointState::Up || is_outside || !self.may_receive_work(context) {
             return None;
         }
--- a/crates/quartzdrift-scheduler/src/scheduler/endpoint_lease.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/endpoint_lease.rs
@@ -1,9 +1,10 @@
 //! The endpoint list as a lease: how long its word for a worker holds once discovery falls silent, and what a
 //! worker's own answers prove after that.
 //!
-//! Nobody tells us when discovery falls silent: that may be right behind the last sign that the list was current.
-//! What it would have told counts as told when the lease ends, and at once after that. From then on a worker may be
-//! draining since the last command that it is known to have taken, and gets nothing once the grace has passed.
+//! Nobody tells us when discovery falls silent: that may be right behind the last sign that the list was
+//! current. What it would have told counts as told when the lease ends, and at once after that. From then on
+//! a worker may be draining since the last command that it is known to have taken, and gets nothing once the
+//! grace has passed.
 use super::constants::{CONFIRMATION_OVERDUE_SHARE, MIN_PREFERRED_UNCONFIRMED, PROOF_RENEWAL_SHARE};
 use crate::interface::{Action, EndpointState, Notice, WorkerStanding};
 use crate::messages::{CacheStatus, Candidate, ProofRenewal};
@@ -11,8 +12,8 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// The list is known to have been current at `as_of`: whatever it said before that holds, and settles what was
-    /// proven or suspected until then.
+    /// The list is known to have been current at `as_of`: whatever it said before that holds, and settles
+    /// what was proven or suspected until then.
     pub(super) fn confirm_endpoints(&mut self, as_of: Duration) {
         let age = self.lease_age();
         self.lease.confirmed_at = self.lease.confirmed_at.max(Some(as_of));
@@ -49,9 +50,10 @@
         }
     }
 
-    /// The candidate whose proof is renewed by this request: of those that are taken to have the function cached, and
-    /// so answer soon, the one that was sent nothing for longest. Without it all requests would go to the few workers
-    /// that rank first, and no other could be used once the list's word ends, nor ever after.
+    /// The candidate whose proof is renewed by this request: of those that are taken to have the function
+    /// cached, and so answer soon, the one that was sent nothing for longest. Without it all requests would
+    /// go to the few workers that rank first, and no other could be used once the list's word ends, nor ever
+    /// after.
     pub(super) fn renewed_candidate(&self, candidates: &[Candidate]) -> Option<Candidate> {
         let context = self.context();
         if !context.lease.is_unconfirmed {
@@ -65,8 +67,9 @@
         due.min_by_key(|(renewal, _)| *renewal).map(|(_, candidate)| *candidate)
     }
 
-    /// How many workers are preferred for a function at least. While the list is doubted, there are several whose
-    /// proofs its requests renew, the same ones for all schedulers, so that the fleet makes few copies for it.
+    /// How many workers are preferred for a function at least. While the list is doubted, there are several
+    /// whose proofs its requests renew, the same ones for all schedulers, so that the fleet makes few copies
+    /// for it.
     pub(super) fn min_preferred_count(&self) -> usize {
         if self.lease_view().is_unconfirmed { MIN_PREFERRED_UNCONFIRMED } else { 0 }
     }
@@ -135,8 +138,8 @@
         self.proof.filter(|proof| Some(proof.last_sent_at) > context.lease.confirmed_at)
     }
 
-    /// It has turned an attempt away while the list could not be confirmed, and nothing has settled that since: a
-    /// worker that drains answers at once, looks idle, and would draw more than its share.
+    /// It has turned an attempt away while the list could not be confirmed, and nothing has settled that
+    /// since: a worker that drains answers at once, looks idle, and would draw more than its share.
     pub(super) fn is_suspected(&self, context: DecisionContext) -> bool {
         context.lease.is_unconfirmed
             && self.suspected_at.is_some_and(|at| Some(at) > context.lease.confirmed_at)
@@ -169,8 +172,8 @@
         }
     }
 
-    /// When the worker may have been started, for all that the list can tell: a start counts as told when the lease
-    /// ends, and a worker that was at work by then and went on is the same process.
+    /// When the worker may have been started, for all that the list can tell: a start counts as told when the
+    /// lease ends, and a worker that was at work by then and went on is the same process.
     pub(super) fn possible_start(&self, context: DecisionContext) -> Option<Duration> {
         let told = context.lease.holds_until.filter(|_| context.lease.has_lapsed(context.now))?;
         let was_at_work = self.proof(context).is_some_and(|proof| proof.first_sent_at <= told);
--- a/crates/quartzdrift-scheduler/src/scheduler/endpoint_list.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/endpoint_list.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Starts are told on the list's clock, of which ours may be off by any span. That clock shows at least the
-    /// newest start when we are told of it, and runs on as ours does.
+    /// Starts are told on the list's clock, of which ours may be off by any span. That clock shows at least
+    /// the newest start when we are told of it, and runs on as ours does.
     fn observe_start(&mut self, started: Duration) {
         let is_newest =
             self.latest_start.is_none_or(|(latest, learned)| started + learned > latest + self.now);
--- a/crates/quartzdrift-scheduler/src/state/class.rs
+++ b/crates/quartzdrift-scheduler/src/state/class.rs
@@ -10,7 +10,8 @@
     pub(crate) deduplication_window: Duration,
     pub(crate) priority_weight: f64,
     pub(crate) latency_objective: Duration,
-    /// Attempt timeout before anything was measured: with less than the work takes it would never be measured.
+    /// Attempt timeout before anything was measured: with less than the work takes it would never be
+    /// measured.
     pub(crate) default_timeout: Duration,
     /// Durations of attempts that found a cached copy.
     pub(crate) cached_durations: Histogram,
@@ -19,8 +20,8 @@
 }
 
 impl ClassState {
-    /// A class with its settings; `timeout` is that of an attempt before anything was measured, unless the latency
-    /// objective is longer, and `durations` is empty.
+    /// A class with its settings; `timeout` is that of an attempt before anything was measured, unless the
+    /// latency objective is longer, and `durations` is empty.
     pub(crate) fn new(class: &RequestClass, timeout: Duration, durations: &Histogram) -> ClassState {
         ClassState {
             idempotency: class.idempotency,
@@ -34,7 +35,8 @@
         }
     }
 
-    /// Records an attempt that succeeded. Returns its duration in units of the mean, if it found a cached copy.
+    /// Records an attempt that succeeded. Returns its duration in units of the mean, if it found a cached
+    /// copy.
     pub(crate) fn record_duration(&mut self, duration: Duration, was_cached: bool) -> Option<f64> {
         if !was_cached {
             self.load_durations.add(duration);
--- a/crates/quartzdrift-scheduler/src/state/settings.rs
+++ b/crates/quartzdrift-scheduler/src/state/settings.rs
@@ -49,7 +49,8 @@
 }
 
 impl DerivedSettings {
-    /// The settings that are used as they are, absent rules as none; those that the scheduler tunes are left at zero.
+    /// The settings that are used as they are, absent rules as none; those that the scheduler tunes are left
+    /// at zero.
     pub(crate) fn from_configured(settings: &Settings, seed: u64) -> DerivedSettings {
         let copies = &settings.cache;
         let quota_window = copies.load_quota_window.filter(|window| !window.is_zero());
