--- a/crates/quartzdrift-scheduler/src/mailbox.rs
+++ b/crates/quartzdrift-scheduler/src/mailbox.rs
@@ -1,11 +1,12 @@
 //! The mailbox through which the request table and the workers exchange messages.
 use std::collections::VecDeque;
 
-/// Whom a message is for.
+/// Receiver of a message.
 #[derive(Clone, Copy)]
 pub(crate) enum Recipient {
+    /// The request table.
     RequestTable,
-    /// A worker, by its index.
+    /// The worker with this index.
     Worker(usize),
 }
 
--- a/crates/quartzdrift-scheduler/src/measure/histogram.rs
+++ b/crates/quartzdrift-scheduler/src/measure/histogram.rs
@@ -1,10 +1,13 @@
-//! A histogram of durations in coarse bins.
+//! Histogram of durations with exponentially growing bins.
 use std::time::Duration;
 
-/// A histogram whose bins grow by a constant ratio from the first one's edge; counts are halved at a limit.
+/// Histogram of durations. The upper edge of each bin is a constant multiple of the previous one. At
+/// `max_count` samples all counts are halved, so that recent samples weigh more.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Histogram {
+    /// Upper edge of the first bin.
     first_edge: Duration,
+    /// Ratio of a bin's upper edge to that of the previous bin.
     ratio: f64,
     max_count: u32,
     bins: Vec<u32>,
@@ -44,7 +47,7 @@
         self.sum.checked_div(self.count)
     }
 
-    /// Upper edge of the bin that holds this share of the counts.
+    /// Returns the upper edge of the bin that contains the quantile `share`, from 0 to 1.
     pub(crate) fn quantile(&self, share: f64) -> Duration {
         let mut remaining = share * f64::from(self.count);
         let bin = self.bins.iter().position(|&count| {
--- a/crates/quartzdrift-scheduler/src/measure/measurements.rs
+++ b/crates/quartzdrift-scheduler/src/measure/measurements.rs
@@ -1,35 +1,39 @@
-//! The measurements that outlive a start of the scheduler.
+//! Measurements that are persisted across runs of the scheduler.
 //!
-//! They are stored: the order of their fields stays, and renamed fields are stored under their old names.
+//! The serialized type keeps its field order, and a renamed field keeps its stored name through a serde
+//! attribute.
 use super::DecayingPeak;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What workers do, by kind of machine (`None`: of all). Times are those of the clock that measured.
+/// Measured throughput, worker counts and attempt duration. Maps are keyed by kind of machine; the key `None`
+/// stands for all kinds. Times are on the clock of the scheduler that measured them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Measurements {
-    /// The most work that succeeded in a second, in usual requests.
+    /// Highest rate of successful work, in mean requests per second.
     #[serde(rename = "peaks")]
     pub peak_throughput: BTreeMap<Option<u32>, DecayingPeak>,
-    /// The most workers that were up at a time.
+    /// Maximum number of workers that were up at the same time.
     #[serde(rename = "most_up")]
     pub max_workers_up: BTreeMap<Option<u32>, usize>,
-    /// Duration of the usual attempt, the mean over request classes.
+    /// Mean duration of an attempt whose function was cached, averaged over the request classes.
     #[serde(rename = "usual")]
     pub mean_duration: Option<Duration>,
-    /// They were measured before many workers were lost, and most have been warming up since.
+    /// The values were measured before a possible loss of many workers, and most workers may still be warming
+    /// up.
     #[serde(rename = "lost")]
     pub predates_loss: bool,
 }
 
 impl Measurements {
-    /// The measurements of an earlier start: many workers may have been lost with it.
+    /// Marks the measurements as those of an earlier run, at whose end many workers may have been lost.
     pub(crate) fn assume_worker_loss(self) -> Measurements {
         Measurements { predates_loss: true, ..self }
     }
 
-    /// Adds work that succeeded now at a worker of this kind; a kind that is new begins with `no_peak`.
+    /// Adds work that a worker of this kind of machine has completed. A new kind starts with a clone of
+    /// `no_peak`.
     pub(crate) fn record_throughput(&mut self, kind: u32, work: f64, now: Duration, no_peak: &DecayingPeak) {
         for kind in [None, Some(kind)] {
             let peak = self.peak_throughput.entry(kind).or_insert_with(|| no_peak.clone());
@@ -37,7 +41,8 @@
         }
     }
 
-    /// Raises the most workers up to those that are up now, given by the kind of each.
+    /// Updates the maximum number of workers up. `kinds` holds the kind of machine of each worker that is up
+    /// now.
     pub(crate) fn record_workers_up(&mut self, kinds: impl Iterator<Item = u32>) {
         let mut up_by_kind: BTreeMap<Option<u32>, usize> = BTreeMap::new();
         for kind in kinds {
--- a/crates/quartzdrift-scheduler/src/measure/mod.rs
+++ b/crates/quartzdrift-scheduler/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Measurements that forget: histograms, decaying sums and windows. How coarse and how fast is for the
-//! scheduler to say.
+//! Statistics of recent events: histograms, decaying sums and sliding windows. The scheduler's constants set
+//! their resolution and half-lives.
 mod decay;
 mod histogram;
 mod measurements;
--- a/crates/quartzdrift-scheduler/src/measure/speed.rs
+++ b/crates/quartzdrift-scheduler/src/measure/speed.rs
@@ -1,18 +1,18 @@
-//! How fast kinds of machine are against each other.
+//! Relative speeds of the kinds of machine.
 use super::DecayingSums;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Speed of each kind of machine against the mean of all.
+/// Speed of each kind of machine relative to the mean of all kinds.
 #[derive(Default)]
 pub(crate) struct RelativeSpeeds {
-    /// Attempts that found a cached copy.
+    /// Number of attempts whose function was cached, by kind of machine.
     attempts: DecayingSums,
-    /// Their durations, in units of the mean of their class.
+    /// Sum of those attempts' durations, each relative to the mean of its request class.
     durations: DecayingSums,
-    /// Speeds that were asked for, by kind, each with the time that it is for: a decision asks for each
-    /// worker's.
+    /// Computed speeds by kind, each with the time it is valid for. A placement reads the speed once per
+    /// worker.
     cached_speeds: RefCell<BTreeMap<usize, (Duration, f64)>>,
 }
 
@@ -25,17 +25,18 @@
         }
     }
 
-    /// Adds an attempt and its duration, in units of the mean of its class.
+    /// Adds an attempt with its duration, relative to the mean of its request class.
     pub(crate) fn add(&mut self, kind: usize, relative_duration: f64, now: Duration) {
         self.attempts.add(kind, 1.0, now);
         self.durations.add(kind, relative_duration, now);
         self.cached_speeds.get_mut().clear();
     }
 
-    /// Speed of a kind, as if `prior` attempts of mean duration had been seen before.
+    /// Returns the speed of a kind. `prior` attempts of mean duration are added to its samples, which keeps
+    /// the speed of a kind with few samples close to 1.
     pub(crate) fn get(&self, kind: usize, prior: f64, now: Duration) -> f64 {
-        let known = self.cached_speeds.borrow().get(&kind).copied();
-        if let Some((_, speed)) = known.filter(|(at, _)| *at == now) {
+        let cached = self.cached_speeds.borrow().get(&kind).copied();
+        if let Some((_, speed)) = cached.filter(|(valid_at, _)| *valid_at == now) {
             return speed;
         }
         let speed = (self.attempts.get(kind, now) + prior) / (self.durations.get(kind, now) + prior);
--- a/crates/quartzdrift-scheduler/src/measure/window.rs
+++ b/crates/quartzdrift-scheduler/src/measure/window.rs
@@ -1,8 +1,8 @@
-//! An exact count over a sliding window.
+//! Exact count of events within a sliding window.
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Counts exactly what came within the last span, both ends included; a span of zero counts nothing.
+/// Counts the events of the last `span`, both ends included. A span of zero counts no events.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SlidingWindow {
     span: Duration,
--- a/crates/quartzdrift-scheduler/src/messages.rs
+++ b/crates/quartzdrift-scheduler/src/messages.rs
@@ -1,69 +1,73 @@
-//! What the request table and the workers send each other. Types only.
+//! Types of the messages between the request table and the workers.
 use crate::interface::{CacheResult, DeduplicationScope, Endpoint, Outcome, RequestId};
 use std::time::Duration;
 
-/// Cache status of a worker for a function, the better first.
+/// Cache status of a function at a worker, in order of preference.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum CacheStatus {
-    /// An answer told of the cached copy.
+    /// A recent response or load command showed that the function is cached.
     Known,
-    /// A request was sent there lately.
+    /// The worker received a request or load command for the function within the keep-alive.
     Assumed,
+    /// Neither is the case: the worker probably has to load the function.
     NotWarm,
 }
 
 /// A message to the request table or to a worker.
 pub(crate) enum Message {
-    /// To a worker: its entry in the endpoint list changed.
+    /// To a worker: its entry in the endpoint list was updated.
     EndpointUpdated {
         endpoint: EndpointRecord,
-        /// Since the start of its process, at least.
+        /// Lower bound of the time since the start of the worker's process.
         age: Duration,
     },
-    /// To a worker: whether it takes a request, and how well.
+    /// To a worker: asks whether the worker accepts a request.
     PlacementQuery(PlacementQuery),
-    /// To the request table: a worker's answer; `None` if it does not take the request.
+    /// To the request table: reply of a worker to a placement query; `None`: the worker does not accept the
+    /// request.
     PlacementReply(Option<Candidate>),
     /// To a worker: an attempt was sent to it.
     AttemptStarted(Attempt),
-    /// To a worker: an attempt ended, perhaps because it rejects this tenant alone.
+    /// To a worker: an attempt ended. `tenant_rejected`: a rejection of the attempt concerns only its tenant.
     AttemptEnded { end: AttemptEnd, tenant_rejected: bool },
-    /// To the request table: look for a worker for this request.
+    /// To the request table: choose a worker for this request.
     PlaceRequest(RequestId),
-    /// To a worker: a connection to it has ended.
+    /// To a worker: a connection to the worker was closed.
     Disconnected,
-    /// To a worker: some time has passed.
+    /// To a worker: check its responsiveness. Sent periodically.
     Tick,
-    /// To the request table: this attempt is in flight at a worker that answers nothing.
+    /// To the request table: this attempt is in flight at an unresponsive worker.
     WorkerUnresponsive { request: RequestId, attempt: u32 },
 }
 
-/// A worker's entry in the endpoint list; its name is stored in the table of names.
+/// A worker's entry in the endpoint list, without its name, which is stored in the name table.
 pub(crate) type EndpointRecord = Endpoint<'static>;
 
-/// Asks a worker whether it takes a request.
+/// The properties of a request by which a worker decides whether to accept it.
 #[derive(Clone, Copy)]
 pub(crate) struct PlacementQuery {
     pub(crate) request_class: usize,
     pub(crate) tenant: u32,
     pub(crate) function: usize,
-    /// It carries an idempotency key: a success may be that of an earlier request.
+    /// The request carries an idempotency key, so a success may be the stored response of an earlier attempt.
     pub(crate) has_key: bool,
-    /// Set once an attempt may have executed.
+    /// Workers that the request is confined to, once an attempt may have executed; `None`: no restriction.
     pub(crate) restriction: Option<Restriction>,
-    /// Idempotent with attempts left: may be sent to a worker of doubtful health.
+    /// The request is idempotent and has attempts left, so it may serve as a health check of an ejected
+    /// worker.
     pub(crate) may_retry: bool,
-    /// Work of the request, in usual requests.
+    /// Work of the request, in units of the mean request.
     pub(crate) relative_work: f64,
-    /// Work that the worker surely does, in usual requests a second, as far as it is ours.
+    /// Throughput that the worker has proven to sustain, in mean requests per second. Only work that this
+    /// scheduler sent is counted.
     pub(crate) worker_capacity: f64,
 }
 
-/// Confines a request to the workers that drop its repeats.
+/// Confines a request to the workers that drop a duplicate of it.
 #[derive(Clone, Copy)]
 pub(crate) struct Restriction {
     scope: DeduplicationScope,
-    /// The worker that may have executed the request.
+    /// Entry of the worker that may have executed the request.
     endpoint: EndpointRecord,
 }
 
@@ -82,34 +86,36 @@
     }
 }
 
-/// A worker that takes a request, and the facts that it is ranked by.
+/// A worker that accepts a request, with the values that its rank depends on.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate {
     pub(crate) worker: usize,
     pub(crate) cache_status: CacheStatus,
-    /// An answer came since the function was first sent there.
+    /// An attempt or load command of the function has succeeded at the worker, so its load is complete.
     pub(crate) is_cached: bool,
-    /// Load by other schedulers, as last reported.
+    /// Load by other schedulers according to the last load report; `None`: no recent report.
     pub(crate) remote_load: Option<f64>,
-    /// Our own attempts in flight there.
+    /// Number of this scheduler's attempts in flight at the worker.
     pub(crate) local_load: usize,
-    /// Those of them that do not wait for a load.
+    /// Number of those attempts whose function is cached, so that they do not wait for a load.
     pub(crate) local_running: usize,
-    /// Our own attempts that were given up and may still run.
+    /// Number of this scheduler's cancelled or timed-out attempts that the worker may still execute.
     pub(crate) local_abandoned: usize,
     pub(crate) is_ejected: bool,
-    /// It turned an attempt away while the endpoint list could not be confirmed.
+    /// The worker rejected an attempt while the endpoint list could not be confirmed.
     pub(crate) is_suspected: bool,
-    /// It rejected this tenant alone of late.
+    /// The worker recently rejected this tenant while it had capacity for others.
     pub(crate) tenant_rejected: bool,
     pub(crate) is_warming_up: bool,
-    /// Its slow-start budget has no room for the request.
+    /// The request does not fit the worker's slow-start budget.
     pub(crate) exceeds_slow_start_budget: bool,
 }
 
-/// A worker whose proof has to be renewed soon, or that has none.
+/// A due renewal of a worker's proof. Orders the workers by the time of the last command, none at all first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ProofRenewal {
+    /// Time at which the last command was sent that is in flight or that the worker accepted since the
+    /// endpoint list's last confirmation; `None`: no such command.
     pub(crate) last_sent_at: Option<Duration>,
 }
 
@@ -117,24 +123,24 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
     pub(crate) request: RequestId,
-    /// Counts the request's attempts from 0.
+    /// Number of the attempt within its request, from 0.
     pub(crate) number: u32,
     pub(crate) query: PlacementQuery,
     pub(crate) timeout: Duration,
     pub(crate) sent_at: Duration,
 }
 
-/// How a load command ended.
+/// End of a load command.
 pub(crate) struct PrefetchEnd {
     pub(crate) worker: usize,
     pub(crate) function: usize,
     pub(crate) outcome: Outcome,
     pub(crate) duration: Duration,
-    /// Copies that were loaded.
+    /// Number of copies that the worker loaded.
     pub(crate) copies: u32,
 }
 
-/// How an attempt ended.
+/// End of an attempt.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptEnd {
     pub(crate) request: RequestId,
@@ -142,6 +148,6 @@
     pub(crate) outcome: Outcome,
     pub(crate) duration: Duration,
     pub(crate) cache_result: CacheResult,
-    /// Load that the worker reported: requests, or its share of busy cores.
+    /// Load that the worker reported: its number of requests, or else its share of busy cores.
     pub(crate) load: Option<f64>,
 }
--- a/crates/quartzdrift-scheduler/src/names.rs
+++ b/crates/quartzdrift-scheduler/src/names.rs
@@ -1,18 +1,19 @@
-//! Names of workers and functions, and hashes.
+//! Name tables for workers and functions, and hash functions.
 //!
-//! Inside the scheduler each name is a small index; the index of a name that is forgotten is used again.
+//! Inside the scheduler a small index stands for each name. The index of a removed name is reused.
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A table of names and their indexes.
+/// Maps names to indexes and back.
 #[derive(Default)]
 pub(crate) struct NameTable {
     indexes: BTreeMap<Rc<str>, usize>,
-    /// By index.
+    /// Entries by index.
     entries: Vec<NameEntry>,
-    free: Vec<usize>,
+    /// Indexes of removed names.
+    free_indexes: Vec<usize>,
 }
 
 struct NameEntry {
@@ -21,7 +22,7 @@
 }
 
 impl NameTable {
-    /// Index of a name, which counts as used at the time `now`.
+    /// Returns the index of a name, adding the name if it is new, and marks it as used at the time `now`.
     pub(crate) fn index(&mut self, name: &str, now: Duration) -> usize {
         if let Some(&index) = self.indexes.get(name) {
             self.entries[index].last_used = now;
@@ -29,7 +30,7 @@
         }
         let name: Rc<str> = name.into();
         let entry = NameEntry { name: name.clone(), last_used: now };
-        let index = self.free.pop().unwrap_or(self.entries.len());
+        let index = self.free_indexes.pop().unwrap_or(self.entries.len());
         if index == self.entries.len() {
             self.entries.push(entry);
         } else {
@@ -47,32 +48,32 @@
         self.entries[index].name.clone()
     }
 
-    /// Forgets the names last used before `oldest`, except those in use.
-    pub(crate) fn forget_before(&mut self, oldest: Duration, in_use: &BTreeSet<usize>) {
+    /// Removes the names that were last used before `oldest`, except those in use.
+    pub(crate) fn remove_unused_since(&mut self, oldest: Duration, in_use: &BTreeSet<usize>) {
         let last_used: Vec<Duration> = self.entries.iter().map(|entry| entry.last_used).collect();
-        self.forget(|index| last_used[index] < oldest && !in_use.contains(&index));
+        self.remove_if(|index| last_used[index] < oldest && !in_use.contains(&index));
     }
 
-    /// Forgets the names for whose index `forgets` is true; the index is free for another name.
-    pub(crate) fn forget(&mut self, mut forgets: impl FnMut(usize) -> bool) {
-        let free = &mut self.free;
+    /// Removes the names whose index satisfies the predicate, and frees their indexes for other names.
+    pub(crate) fn remove_if(&mut self, mut is_removable: impl FnMut(usize) -> bool) {
+        let free_indexes = &mut self.free_indexes;
         self.indexes.retain(|_, &mut index| {
-            let forgotten = forgets(index);
-            if forgotten {
-                free.push(index);
+            let removed = is_removable(index);
+            if removed {
+                free_indexes.push(index);
             }
-            !forgotten
+            !removed
         });
     }
 }
 
-/// A hash of a text on which every release and every other program agrees: XXH3 with 64 bits and a seed, as
-/// published by its author. Preferred workers rest on it.
+/// Hashes a text with seeded 64-bit XXH3, which gives the same value in every release and in other programs.
+/// The choice of preferred workers depends on it.
 pub(crate) fn stable_hash(text: &str, seed: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(text.as_bytes(), seed)
 }
 
-/// A hash on which all instances of one build agree, for draws at random.
+/// Hashes a value for pseudo-random draws. Only instances of the same build agree on the result.
 pub(crate) fn hash(value: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
--- a/crates/quartzdrift-scheduler/src/scheduler/candidate.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/candidate.rs
@@ -32,7 +32,7 @@
             is_cached: entry.is_cached && cache_status != CacheStatus::NotWarm,
             remote_load: remote_load.map(|load| load.value),
             local_load: self.attempts.len(),
-            local_running: self.attempts_at_cached_copies(),
+            local_running: self.running_attempts(),
             local_abandoned: self.abandoned_until.len(),
             is_ejected: self.is_ejected(query, now),
             tenant_rejected: self.tenant_rejected_until.get(&query.tenant).is_some_and(|&until| until > now),
--- a/crates/quartzdrift-scheduler/src/state/class.rs
+++ b/crates/quartzdrift-scheduler/src/state/class.rs
@@ -1,27 +1,27 @@
-//! State of a request class, and tenants' shares.
+//! State of a request class.
 use crate::interface::{DeduplicationScope, Idempotency, RequestClass};
 use crate::measure::Histogram;
 use std::time::Duration;
 
-/// A request class: its settings, and the durations of its attempts.
+/// Settings of a request class, and the measured durations of its attempts.
 pub(crate) struct ClassState {
     pub(crate) idempotency: Idempotency,
     pub(crate) deduplication_scope: DeduplicationScope,
     pub(crate) deduplication_window: Duration,
     pub(crate) priority_weight: f64,
     pub(crate) latency_objective: Duration,
-    /// Attempt timeout before anything was measured: with less than the work takes it would never be
-    /// measured.
+    /// Attempt timeout until enough durations are measured. It must exceed the execution time: otherwise
+    /// every attempt would time out and no duration would ever be measured.
     pub(crate) default_timeout: Duration,
-    /// Durations of attempts that found a cached copy.
+    /// Durations of attempts whose function was cached.
     pub(crate) cached_durations: Histogram,
-    /// Durations of attempts that had to load.
+    /// Durations of attempts that waited for a load.
     pub(crate) load_durations: Histogram,
 }
 
 impl ClassState {
-    /// A class with its settings; `timeout` is that of an attempt before anything was measured, unless the
-    /// latency objective is longer, and `durations` is empty.
+    /// Creates the state of a class. `timeout` is the attempt timeout until enough durations are measured,
+    /// unless the latency objective is longer. `durations` is an empty histogram.
     pub(crate) fn new(class: &RequestClass, timeout: Duration, durations: &Histogram) -> ClassState {
         ClassState {
             idempotency: class.idempotency,
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Records an attempt that succeeded. Returns its duration in units of the mean, if it found a cached
-    /// copy.
+    /// Records the duration of a successful attempt. If the function was cached, returns the duration
+    /// relative to the class's mean.
     pub(crate) fn record_duration(&mut self, duration: Duration, was_cached: bool) -> Option<f64> {
         if !was_cached {
             self.load_durations.add(duration);
--- a/crates/quartzdrift-scheduler/src/state/lease.rs
+++ b/crates/quartzdrift-scheduler/src/state/lease.rs
@@ -1,41 +1,43 @@
-//! State of the endpoint list's lease, and of what workers have proven themselves.
+//! State of the endpoint list's lease, and of the workers' proofs that they accept commands.
 use std::time::Duration;
 
-/// What is known of the endpoint list's age.
+/// Confirmation state of the endpoint list.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct EndpointLease {
-    /// As of when the list was last known to be current; `None`: not since the start.
+    /// Latest time at which the list is known to have been current; `None`: not confirmed since the start.
     pub(crate) confirmed_at: Option<Duration>,
     /// The last attempt to fetch the list failed.
     pub(crate) fetch_failed: bool,
-    /// It had lapsed when that was last looked at.
+    /// The lease had lapsed at the last check.
     pub(crate) has_lapsed: bool,
-    /// No worker could be used when that was last looked at.
+    /// No worker was usable at the last check.
     pub(crate) has_no_usable_worker: bool,
 }
 
-/// The part of the lease that a worker's decisions rest on.
+/// The lease as the decisions on a single worker use it.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LeaseView {
+    /// Latest time at which the list is known to have been current; `None`: not confirmed since the start.
     pub(crate) confirmed_at: Option<Duration>,
-    /// Until when the list's word for a worker holds; `None`: without end.
+    /// End of the lease; `None`: the lease does not end.
     pub(crate) holds_until: Option<Duration>,
-    /// A confirmation is overdue.
+    /// The last fetch of the list failed, or the next confirmation is overdue.
     pub(crate) is_unconfirmed: bool,
 }
 
 impl LeaseView {
-    /// Whether the list's word no longer holds.
+    /// Whether the lease has ended, so that an entry alone no longer makes a worker eligible.
     pub(crate) fn has_lapsed(&self, now: Duration) -> bool {
         self.holds_until.is_some_and(|until| now > until)
     }
 }
 
-/// A run of commands that a worker took, with less than the drain grace between them.
+/// A sequence of commands that a worker accepted, with gaps no longer than the drain grace: during the
+/// sequence it was the same process, and it was not draining when the last command was sent.
 #[derive(Clone, Copy)]
 pub(crate) struct ActivityProof {
-    /// When the first of them was sent.
+    /// Time at which the first command of the sequence was sent.
     pub(crate) first_sent_at: Duration,
-    /// When the last of them was sent.
+    /// Time at which the last command of the sequence was sent.
     pub(crate) last_sent_at: Duration,
 }
--- a/crates/quartzdrift-scheduler/src/state/mod.rs
+++ b/crates/quartzdrift-scheduler/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! State that the decisions read and write. Types only; they decide nothing by themselves.
+//! State that the scheduling decisions read and write. The decisions themselves are in [`crate::scheduler`].
 mod class;
 mod lease;
 mod request;
--- a/crates/quartzdrift-scheduler/src/state/scheduler.rs
+++ b/crates/quartzdrift-scheduler/src/state/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler's state, and its tables of names.
+//! State of the scheduler.
 use super::{ClassState, DerivedSettings, EndpointLease, OpenRequest, PendingQuery, Worker};
 use crate::interface::{Action, EndpointState, RequestId};
 use crate::mailbox::Mailbox;
@@ -8,69 +8,73 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// One instance of the router's decisions: a state machine without clock or I/O. Its methods are those of the
-/// modules of [`crate::scheduler`].
+/// A scheduler: a deterministic state machine without a clock or I/O. Its methods are in the modules of
+/// [`crate::scheduler`].
 #[derive(Default)]
 pub struct Scheduler {
     pub(crate) settings: DerivedSettings,
     pub(crate) classes: Vec<ClassState>,
-    /// Each tenant's share of all quotas.
+    /// Share of each tenant's quota in the sum of all quotas, by tenant.
     pub(crate) tenant_shares: Vec<f64>,
     pub(crate) requests: BTreeMap<RequestId, OpenRequest>,
     pub(crate) pending_query: Option<PendingQuery>,
-    /// Workers that have still to answer the pending query.
+    /// Number of workers that have not yet replied to the pending query.
     pub(crate) awaited_replies: usize,
     pub(crate) candidates: Vec<Candidate>,
-    /// Work that succeeded, by tenant.
+    /// Work of successful attempts by tenant, in units of the mean request.
     pub(crate) succeeded_work: DecayingSums,
-    /// Work that was requested, by function.
+    /// Work of arrived requests by function, in units of the mean request.
     pub(crate) requested_work: DecayingSums,
-    /// Priority weight that was requested, in all.
+    /// Priority weight of arrived requests, in total.
     pub(crate) requested_priority: DecayingSums,
-    /// Memory of the usual copy, in MB.
+    /// Mean memory of a cached copy, in MB.
     pub(crate) mean_memory_mb: f64,
-    /// Speed of each kind of machine.
+    /// Speed of each kind of machine relative to the mean.
     pub(crate) relative_speeds: RelativeSpeeds,
-    /// What workers do, for a later start of this scheduler.
+    /// Measurements that a later run of this scheduler can be started with.
     pub measurements: Measurements,
+    /// Number of pseudo-random draws so far.
     pub(crate) random_draws: u64,
-    /// By index.
+    /// State of each worker, by index.
     pub(crate) workers: Vec<Worker>,
     /// Indexes of the workers that the endpoint list names.
     pub(crate) listed_workers: Vec<usize>,
+    /// The endpoint list has changed since `listed_workers` was built.
     pub(crate) listed_workers_stale: bool,
     pub(crate) worker_names: NameTable,
     pub(crate) function_names: NameTable,
     pub(crate) mailbox: Mailbox<Message>,
     pub(crate) now: Duration,
     pub(crate) last_sweep_at: Duration,
-    /// Requests and load commands in the load quota's window.
+    /// Requests within the load quota's window.
     pub(crate) load_quota_requests: SlidingWindow,
+    /// Load commands within the load quota's window.
     pub(crate) load_quota_commands: SlidingWindow,
     pub(crate) prefetch_paused_until: Duration,
     pub(crate) prefetch_durations: Histogram,
-    /// The start of a process by which the endpoint list's clock is known best, and when it was told.
+    /// The worker start that gives the best lower bound of the endpoint list's clock, and the time at which
+    /// this scheduler received it.
     pub(crate) latest_start: Option<(Duration, Duration)>,
     pub(crate) lease: EndpointLease,
-    /// When to watch the endpoint list.
+    /// Time at which to start the next watch on the endpoint list; `None`: none is due.
     pub(crate) watch_due_at: Option<Duration>,
-    /// Actions of the event at hand.
+    /// Actions that the current event has led to so far.
     pub(crate) actions: Vec<Action>,
 }
 
-/// How many of each the scheduler holds: its memory grows with them.
+/// Sizes of the tables that the scheduler's memory grows with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Workers whose names are retained.
+    /// Number of workers in the name table.
     pub workers: usize,
-    /// Functions whose names are retained.
+    /// Number of functions in the name table.
     pub functions: usize,
-    /// Requests without a final answer.
+    /// Number of requests without a final response.
     pub open_requests: usize,
 }
 
 impl Scheduler {
-    /// How many workers, functions and open requests the scheduler holds.
+    /// Returns the current number of workers, functions and open requests.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             workers: self.worker_names.len(),
@@ -79,7 +83,7 @@
         }
     }
 
-    /// Rebuilds the list of workers that the endpoint list names, if that changed.
+    /// Rebuilds `listed_workers` if the endpoint list has changed.
     pub(crate) fn refresh_listed_workers(&mut self) {
         if !std::mem::take(&mut self.listed_workers_stale) {
             return;
@@ -90,7 +94,7 @@
         self.measurements.record_workers_up(up.map(|worker| worker.endpoint.machine_kind));
     }
 
-    /// Reads a worker's load report: stores its use of memory and returns its load.
+    /// Stores the memory use in a worker's load report, and returns the load in it.
     pub(crate) fn apply_load_report(&mut self, worker: usize, report: &[Option<f64>]) -> Option<f64> {
         let value = |field: Option<usize>| field.and_then(|at| report.get(at).copied().flatten());
         self.workers[worker].unreclaimable_share =
@@ -98,7 +102,8 @@
         value(self.settings.load_field_index)
     }
 
-    /// Functions that an open request or an attempt names: an attempt may outlive its request.
+    /// Returns the functions of all open requests and of all attempts in flight. An attempt may outlive its
+    /// request.
     pub(crate) fn functions_in_use(&self) -> BTreeSet<usize> {
         let attempts = self.workers.iter().flat_map(|worker| &worker.attempts);
         let attempted = attempts.map(|attempt| attempt.query.function);
@@ -106,14 +111,14 @@
         requested.chain(attempted).collect()
     }
 
-    /// Workers that an open request was sent to, or that have an attempt in flight.
+    /// Returns the workers that an open request was sent to, and those with an attempt in flight.
     pub(crate) fn workers_in_use(&self) -> BTreeSet<usize> {
         let busy = self.workers.iter().filter(|worker| !worker.attempts.is_empty());
         let tried = self.requests.values().flat_map(|request| &request.tried_workers);
         busy.map(|worker| worker.index).chain(tried.copied()).collect()
     }
 
-    /// Index of a worker; a new name gets a free one.
+    /// Returns the index of a worker, assigning a free index to a new name.
     pub(crate) fn worker_index(&mut self, name: &str) -> usize {
         let index = self.worker_names.index(name, self.now);
         while self.workers.len() <= index {
--- a/crates/quartzdrift-scheduler/src/state/settings.rs
+++ b/crates/quartzdrift-scheduler/src/state/settings.rs
@@ -1,56 +1,59 @@
-//! The settings in the form that decisions use.
+//! Settings in the form that the scheduling decisions use.
 use crate::interface::{DiscoveryMode, PriorityUnit, ReportField, Settings};
 use std::time::Duration;
 
-/// The settings in the form that decisions use; prices are in points of the result.
+/// Settings in the form that the scheduling decisions use. Prices are in points of the goal.
 #[derive(Default)]
 pub(crate) struct DerivedSettings {
     pub(crate) seed: u64,
     pub(crate) keep_alive: Duration,
-    /// Least share of its capacity that a worker has after its start.
+    /// Share of its full capacity that a worker has when its process starts, from 0 to 1.
     pub(crate) slow_start_min_capacity: f64,
     pub(crate) slow_start_duration: Duration,
-    /// How long the endpoint list holds once discovery is silent; `None`: without end.
+    /// Lease of the endpoint list after its last confirmation; `None`: no end.
     pub(crate) endpoint_lease: Option<Duration>,
-    /// How long a draining worker may still be sent something.
+    /// Time during which a draining worker may still receive commands.
     pub(crate) drain_grace: Duration,
-    /// Half the window of the slow-start rule, never zero.
+    /// Half of the overload window, in which the slow-start budget is counted; never zero.
     pub(crate) slow_start_half_window: Duration,
-    /// Work that a worker may be sent in a window, in multiples of what it can do in it.
+    /// Work that a worker may receive in a window, as a multiple of its capacity in the same window.
     pub(crate) slow_start_budget: f64,
     pub(crate) max_attempts: u32,
     pub(crate) can_cancel: bool,
-    /// The endpoint list is sent only to those that watch it.
+    /// Discovery sends changes of the endpoint list only to schedulers that watch it.
     pub(crate) must_watch_endpoints: bool,
     pub(crate) watch_retry_delay: Duration,
+    /// Number of schedulers that share the workers, including this one.
     pub(crate) scheduler_count: f64,
-    /// `None`: rejections name no time.
+    /// Longest retry time that a rejection may carry; `None`: rejections carry no retry time.
     pub(crate) max_retry_after: Option<Duration>,
-    /// Positions in a load report.
+    /// Position of the load in a load report; `None`: not reported.
     pub(crate) load_field_index: Option<usize>,
+    /// Position of the unreclaimable memory in a load report; `None`: not reported.
     pub(crate) memory_field_index: Option<usize>,
     pub(crate) allows_load_commands: bool,
-    /// Load commands in a window of the load quota.
+    /// Load commands per window of the load quota that are allowed independently of the number of requests.
     pub(crate) load_quota_burst: f64,
-    /// Further load commands for each request in the window.
+    /// Additional load commands per request in the window of the load quota.
     pub(crate) load_quota_share: f64,
     /// Price of a fetch from the origin store.
     pub(crate) origin_fetch_price: f64,
-    /// Price of holding all memory idle.
+    /// Price of filling all workers' memory with idle copies.
     pub(crate) idle_memory_price: f64,
     pub(crate) memory_mb_by_kind: Vec<f64>,
-    /// Reports count requests; otherwise they tell how busy a worker is.
+    /// Load reports contain a number of requests; otherwise they contain the share of busy cores, if
+    /// anything.
     pub(crate) reports_count_requests: bool,
     pub(crate) reports_cache_status: bool,
-    /// Priority weights are for each unit of work, not for each request.
+    /// Priority weights apply to each unit of work instead of each request.
     pub(crate) priority_counts_work: bool,
-    /// Reports count requests, and several tenants share the workers.
+    /// Several tenants share the workers, and load reports contain a number of requests.
     pub(crate) tenants_share_workers: bool,
 }
 
 impl DerivedSettings {
-    /// The settings that are used as they are, absent rules as none; those that the scheduler tunes are left
-    /// at zero.
+    /// Copies the settings that need no tuning, with the neutral value for those that are not configured.
+    /// Fields with a tuned default are left at zero for [`Scheduler::new`](super::Scheduler::new) to set.
     pub(crate) fn from_configured(settings: &Settings, seed: u64) -> DerivedSettings {
         let copies = &settings.cache;
         let quota_window = copies.load_quota_window.filter(|window| !window.is_zero());
@@ -79,7 +82,7 @@
         derived
     }
 
-    /// Sets how many schedulers share the workers; this one is among them.
+    /// Sets the number of schedulers that share the workers, including this one.
     pub(crate) fn set_schedulers(&mut self, count: u32) {
         self.scheduler_count = f64::from(count.max(1));
     }
