--- a/crates/quartzdrift-scheduler/src/lib.rs
+++ b/crates/quartzdrift-scheduler/src/lib.rs
@@ -1,6 +1,8 @@
-//! Decides for a router of functions that workers load on demand: which worker runs a request, and what
-//! becomes of a request that no worker can take. Use [`scheduler::Scheduler`] for the decisions, with the
-//! events, actions and settings of [`interface`]; it reads no clock and does no I/O.
+//! Scheduling decisions for a router of function requests, whose functions the workers load on demand: which
+//! worker executes a request, and which final response a request gets that no worker accepts.
+//!
+//! [`scheduler::Scheduler`] makes the decisions. Its events, actions and settings are in [`interface`]. It
+//! reads no clock and performs no I/O.
 //!
 //! ```
 //! use quartzdrift_scheduler::interface::{Action, Endpoint, EndpointListKind, EndpointState, Event};
--- a/crates/quartzdrift-scheduler/src/scheduler/admission.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/admission.rs
@@ -1,4 +1,4 @@
-//! Arrival of a request, and whether it may be sent to a worker (again).
+//! Admission of a new request, and the checks before each of its attempts.
 use super::constants::{
     DEFAULT_RETRY_AFTER, MAX_AT_CAPACITY_RESPONSES, MAX_CONCURRENCY_SLOTS, MAX_SAMPLES, MIN_TIME_LEFT,
 };
@@ -7,7 +7,7 @@
 use crate::state::{OpenRequest, PendingQuery, Scheduler};
 
 impl Scheduler {
-    /// Opens a request; one of an unknown class is rejected.
+    /// Opens a new request, or rejects it if its class is unknown.
     pub(super) fn admit_request(&mut self, request: &Request) {
         let request_class = request.request_class as usize;
         if request_class >= self.classes.len() {
@@ -29,18 +29,19 @@
         self.mailbox.send_to_request_table(Message::PlaceRequest(request.id));
     }
 
+    /// Adds a request to the measurements of demand by function and class, and to the mean memory of a copy.
     fn record_demand(&mut self, request: &Request, function: usize) {
         let request_class = request.request_class as usize;
-        let weight = self.relative_work(request_class);
+        let relative_work = self.relative_work(request_class);
         self.load_quota_requests.add(self.now);
-        self.requested_work.add(function, weight, self.now);
-        self.requested_priority.add(0, self.priority_per_work(request_class) * weight, self.now);
+        self.requested_work.add(function, relative_work, self.now);
+        self.requested_priority.add(0, self.priority_per_work(request_class) * relative_work, self.now);
         let change = request.memory_mb.map_or(0.0, |mb| mb - self.mean_memory_mb);
-        let is_known = self.mean_memory_mb > 0.0;
-        self.mean_memory_mb += if is_known { change / f64::from(MAX_SAMPLES) } else { change };
+        let has_mean = self.mean_memory_mb > 0.0;
+        self.mean_memory_mb += if has_mean { change / f64::from(MAX_SAMPLES) } else { change };
     }
 
-    /// Looks for a worker for an open request, or answers it where it may not be sent.
+    /// Sends placement queries for an open request, or sends its final response if no worker may receive it.
     pub(super) fn place_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let rejection_reason = self.rejection_reason(request);
@@ -52,15 +53,15 @@
         }
     }
 
-    /// Why a request may not be sent to any worker; `None`: it may.
+    /// Returns the reason for which no worker may receive the request; `None`: there is no such reason.
     fn rejection_reason(&self, request: &OpenRequest) -> Option<RejectReason> {
         let class = &self.classes[request.request_class];
-        let is_safe = request.first_uncertain_attempt.is_none_or(|first| match class.idempotency {
+        let may_repeat = request.first_uncertain_attempt.is_none_or(|first| match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotentWithKey => self.now < first.sent_at + class.deduplication_window,
             Idempotency::NonIdempotent => false,
         });
-        if !is_safe {
+        if !may_repeat {
             Some(RejectReason::NotRepeatable)
         } else if request.attempt_count >= self.settings.max_attempts {
             Some(RejectReason::NoAttemptsLeft)
@@ -73,6 +74,7 @@
         }
     }
 
+    /// Sends a placement query for a request to every listed worker.
     fn query_workers(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let query = self.placement_query(request);
@@ -80,7 +82,8 @@
         self.pending_query = Some(PendingQuery { request: id, query });
         self.awaited_replies = self.listed_workers.len();
         for &worker in &self.listed_workers {
-            // The mean capacity of larger workers would overload a small one that is warming up.
+            // The mean capacity of a fleet with larger workers would overload a small worker that is warming
+            // up.
             let kind = self.workers[worker].warming_since.map(|_| self.workers[worker].endpoint.machine_kind);
             let worker_capacity = query.worker_capacity.min(self.worker_capacity(kind));
             self.mailbox
--- a/crates/quartzdrift-scheduler/src/scheduler/affinity.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/affinity.rs
@@ -1,4 +1,5 @@
-//! Cache affinity: the workers that all schedulers prefer for a function, so that they make few copies of it.
+//! Cache affinity: all schedulers prefer the same workers for a function, so that few copies of it are
+//! loaded.
 use super::constants::{MAX_CONCURRENCY_SLOTS, PREFERRED_PER_SHARE, PREFERRED_SLOT_USE};
 use crate::interface::UsageForecast;
 use crate::messages::{CacheStatus, Candidate, PlacementQuery};
@@ -7,8 +8,9 @@
 use std::cmp::Reverse;
 
 impl Scheduler {
-    /// Ranks the function's preferred workers as warm, as each scheduler knows only the cache entries of its
-    /// own traffic. The request itself does not count: alone it tells nothing of popularity.
+    /// Sets the cache status of the function's preferred workers to warm, because each scheduler knows only
+    /// the cache entries of its own traffic. The request itself does not count towards the function's
+    /// popularity: a single request is no evidence of it.
     pub(super) fn mark_preferred(
         &self,
         request: &OpenRequest,
@@ -19,8 +21,9 @@
         let preferred = self.preferred_count(request.function, slots, query.relative_work, candidates.len());
         let preferred = preferred.max(self.min_preferred_count());
         let name = self.function_names.name(request.function);
-        let order = |(at, c): (usize, &Candidate)| {
-            (c.tenant_rejected, Reverse(self.affinity_score(&name, c.worker)), at)
+        let order = |(position, candidate): (usize, &Candidate)| {
+            let score = self.affinity_score(&name, candidate.worker);
+            (candidate.tenant_rejected, Reverse(score), position)
         };
         let mut ranked: Vec<_> = candidates.iter().enumerate().map(order).collect();
         if preferred < ranked.len() {
@@ -28,12 +31,12 @@
         }
         let status =
             if self.settings.reports_cache_status { CacheStatus::Known } else { CacheStatus::Assumed };
-        for (.., at) in ranked.into_iter().take(preferred) {
-            candidates[at].cache_status = status;
+        for (.., position) in ranked.into_iter().take(preferred) {
+            candidates[position].cache_status = status;
         }
     }
 
-    /// How many of `workers` load a function ahead of need: those that its expected requests prefer.
+    /// Returns how many of `workers` prefetch a function: as many as its expected requests need.
     pub(super) fn prefetch_count(&self, forecast: &UsageForecast, function: usize, workers: usize) -> usize {
         let slots = forecast.concurrency_slots.unwrap_or(1.0).clamp(1.0, MAX_CONCURRENCY_SLOTS);
         let needed = |rate: f64| rate * self.mean_attempt_seconds() / (PREFERRED_SLOT_USE * slots);
@@ -41,7 +44,8 @@
         self.preferred_count(function, slots, 0.0, workers).max(expected)
     }
 
-    /// How many of `workers` are preferred for a function, by its share of the work less the work `excluded`.
+    /// Returns how many of `workers` are preferred for a function, by the function's share of the requested
+    /// work. The amount `excluded` is subtracted from the function's work.
     fn preferred_count(&self, function: usize, slots: f64, excluded: f64, workers: usize) -> usize {
         let work = (self.requested_work.get(function, self.now) - excluded).max(0.0);
         let share = work / self.requested_work.total(self.now);
@@ -50,7 +54,8 @@
         1 + (share * PREFERRED_PER_SHARE * workers as f64).min(needed) as usize
     }
 
-    /// A score on which all schedulers agree (weighted rendezvous hashing); the greatest is preferred first.
+    /// Returns the score of a worker for a function by weighted rendezvous hashing. All schedulers compute
+    /// equal scores as far as they measure equal speeds; the highest score is preferred.
     pub(super) fn affinity_score(&self, function: &str, worker: usize) -> u64 {
         let draw = stable_hash(function, self.workers[worker].name_hash) as f64 / u64::MAX as f64;
         (draw.powf(1.0 / self.relative_speed(worker)) * u64::MAX as f64) as u64
--- a/crates/quartzdrift-scheduler/src/scheduler/attempt.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/attempt.rs
@@ -1,20 +1,21 @@
-//! Attempts and final answers: starting, retrying and cancelling an attempt; rejecting or failing a request.
+//! Starting and cancelling attempts, and the final response that rejects or fails a request.
 use super::constants::{DEFAULT_RETRY_AFTER, MEDIAN, RETRY_AFTER_RATIO};
 use crate::interface::{Action, DeduplicationScope, Idempotency, RejectReason, RequestId};
 use crate::messages::{Attempt, Candidate, Message, PlacementQuery};
 use crate::state::{DecisionContext, OpenRequest, Scheduler, Worker};
 
 impl Scheduler {
-    /// Whether a request may be sent again after `more` more attempts.
+    /// Whether a request may be retried after `more` additional attempts.
     pub(super) fn may_retry(&self, request: &OpenRequest, more: u32) -> bool {
         let idempotency = self.classes[request.request_class].idempotency;
         idempotency == Idempotency::Idempotent && request.attempt_count + more < self.settings.max_attempts
     }
 
+    /// Starts an attempt of a request at a candidate.
     pub(super) fn start_attempt(&mut self, id: RequestId, query: PlacementQuery, candidate: Candidate) {
         let Some(request) = self.requests.get(&id) else { return };
         let timeout = self.classes[request.request_class].attempt_timeout(!candidate.is_cached);
-        // Where attempts cannot be cancelled, their time is limited from the start.
+        // An attempt that cannot be cancelled later needs its timeout from the start.
         let is_limited = self.may_retry(request, 1) && !self.settings.can_cancel;
         let Some(request) = self.requests.get_mut(&id) else { return };
         let number = request.add_attempt(candidate.worker, candidate.cache_status, self.now);
@@ -26,7 +27,7 @@
         self.actions.push(Action::StartAttempt { request: id, worker, timeout, send_by });
     }
 
-    /// Cancels an attempt at an unresponsive worker where the request may be sent again.
+    /// Cancels an attempt at an unresponsive worker if its request may be retried.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
         let Some(request) = self.requests.get(&id) else { return };
         let is_current = request.current_attempt.is_some() && attempt + 1 == request.attempt_count;
@@ -35,23 +36,23 @@
         }
     }
 
-    /// The final answer, at once: rejected for `reason` where the client may safely try again, failed
-    /// elsewhere.
+    /// Sends the final response of a request: rejects it for `reason` if the client may safely retry, and
+    /// fails it otherwise.
     pub(super) fn conclude_request(&mut self, id: RequestId, reason: RejectReason) {
         let Some(request) = self.requests.remove(&id) else { return };
         let class = &self.classes[request.request_class];
-        let is_safe = match class.idempotency {
+        let may_client_retry = match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotentWithKey => class.deduplication_scope == DeduplicationScope::All,
             Idempotency::NonIdempotent => false,
         };
-        if request.first_uncertain_attempt.is_some() && !is_safe {
+        if request.first_uncertain_attempt.is_some() && !may_client_retry {
             return self.actions.push(Action::Fail { request: id });
         }
-        let usual = class.duration_quantile(MEDIAN, false).unwrap_or(DEFAULT_RETRY_AFTER);
+        let typical_duration = class.duration_quantile(MEDIAN, false).unwrap_or(DEFAULT_RETRY_AFTER);
         let wait = match reason {
             RejectReason::NoProvenWorker => DEFAULT_RETRY_AFTER,
-            _ => usual.mul_f64(RETRY_AFTER_RATIO),
+            _ => typical_duration.mul_f64(RETRY_AFTER_RATIO),
         };
         let retry_after = self.settings.max_retry_after.map(|max| wait.min(max));
         self.actions.push(Action::Reject { request: id, retry_after, reason });
@@ -59,6 +60,7 @@
 }
 
 impl Worker {
+    /// Records an attempt that is sent to this worker.
     pub(super) fn start_attempt(&mut self, attempt: Attempt, context: DecisionContext) {
         let entry = self.cache.entry(attempt.query.function).or_default();
         entry.is_cached &= entry.expires_at() > context.now;
--- a/crates/quartzdrift-scheduler/src/scheduler/candidate.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/candidate.rs
@@ -1,29 +1,29 @@
-//! A worker's answer to a placement query: the facts that the request table ranks it by.
+//! A worker's reply to a placement query, with the values that the request table ranks the worker by.
 use super::constants::MAX_REPORT_AGE;
 use crate::interface::EndpointState;
 use crate::messages::{CacheStatus, Candidate, PlacementQuery};
 use crate::state::{DecisionContext, Worker};
 
 impl Worker {
-    /// `None`: the worker does not take the request.
+    /// Returns the worker as a candidate for the request; `None`: the worker does not accept the request.
     pub(super) fn evaluate_query(
         &mut self,
         query: &PlacementQuery,
         context: DecisionContext,
     ) -> Option<Candidate> {
         self.update_unresponsive_ejection(query);
-        let is_outside = query.restriction.is_some_and(|restriction| !restriction.permits(&self.endpoint));
-        // The list may be out of date: its word alone would send to workers that drain, for as long as it
-        // stays so.
-        if self.endpoint.state != EndpointState::Up || is_outside || !self.may_receive_work(context) {
+        let is_excluded = query.restriction.is_some_and(|restriction| !restriction.permits(&self.endpoint));
+        // The endpoint list may be out of date: by its entries alone, draining workers would receive requests
+        // for as long as no update arrives.
+        if self.endpoint.state != EndpointState::Up || is_excluded || !self.may_receive_work(context) {
             return None;
         }
         let now = context.now;
         let exceeds_slow_start_budget = !self.has_slow_start_budget(query, context);
         let entry = self.cache_entry(query.function);
         let statuses = [(entry.known_until, CacheStatus::Known), (entry.assumed_until, CacheStatus::Assumed)];
-        let current = statuses.into_iter().find(|(until, _)| *until > now);
-        let cache_status = current.map_or(CacheStatus::NotWarm, |(_, status)| status);
+        let valid_status = statuses.into_iter().find(|(until, _)| *until > now);
+        let cache_status = valid_status.map_or(CacheStatus::NotWarm, |(_, status)| status);
         let remote_load = self.remote_load.filter(|load| now - load.reported_at < MAX_REPORT_AGE);
         self.abandoned_until.retain(|&until| until > now);
         Some(Candidate {
--- a/crates/quartzdrift-scheduler/src/scheduler/dispatch.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/dispatch.rs
@@ -1,7 +1,7 @@
-//! The entry: an event goes in, the actions that follow from it come out.
+//! Entry point of the scheduler: accepts an event and returns the resulting actions.
 //!
-//! Each event and each message is passed to the module that decides on it; nothing is decided here. Messages
-//! are worked in the order in which they were sent, all of them before the next event is taken.
+//! Routes each event and each message to the module that decides on it. Messages are processed in the order
+//! in which they were sent, and all of them before `handle` returns.
 use crate::interface::{Action, Event};
 use crate::mailbox::{Mailbox, Recipient};
 use crate::messages::{AttemptEnd, Candidate, Message, PrefetchEnd};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// Takes one event at the time `now` and returns the actions to carry out, in order.
+    /// Processes one event at the time `now`. Returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.now = self.now.max(now);
         self.sweep_if_due();
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Chooses a worker once the last one has answered.
+    /// Adds a worker's reply to the pending query, and chooses a worker after the last reply.
     fn collect_reply(&mut self, candidate: Option<Candidate>) {
         self.candidates.extend(candidate);
         self.awaited_replies -= 1;
--- a/crates/quartzdrift-scheduler/src/scheduler/endpoint_lease.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/endpoint_lease.rs
@@ -1,10 +1,10 @@
-//! The endpoint list as a lease: how long its word for a worker holds once discovery falls silent, and what a
-//! worker's own answers prove after that.
+//! The lease of the endpoint list, and the eligibility of workers after it has lapsed.
 //!
-//! Nobody tells us when discovery falls silent: that may be right behind the last sign that the list was
-//! current. What it would have told counts as told when the lease ends, and at once after that. From then on
-//! a worker may be draining since the last command that it is known to have taken, and gets nothing once the
-//! grace has passed.
+//! An outage of discovery is not announced: it may begin right after the last confirmation of the endpoint
+//! list. Until the lease ends, the entries of the list count. After that, a worker may have been draining
+//! since the last command that it is known to have accepted, or since the end of the lease, whichever is
+//! later. It receives no more work once the drain grace has passed since then. A command that a worker
+//! accepts proves that it was not draining when the command was sent, and so keeps the worker eligible.
 use super::constants::{CONFIRMATION_OVERDUE_SHARE, MIN_PREFERRED_UNCONFIRMED, PROOF_RENEWAL_SHARE};
 use crate::interface::{Action, EndpointState, Notice, WorkerStanding};
 use crate::messages::{CacheStatus, Candidate, ProofRenewal};
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// The list is known to have been current at `as_of`: whatever it said before that holds, and settles
-    /// what was proven or suspected until then.
+    /// Records that the endpoint list was current at the time `as_of`. Its entries replace all proofs and
+    /// suspicions up to that time.
     pub(super) fn confirm_endpoints(&mut self, as_of: Duration) {
         let age = self.lease_age();
         self.lease.confirmed_at = self.lease.confirmed_at.max(Some(as_of));
@@ -27,33 +27,35 @@
         }
     }
 
-    /// How long ago the list was last known to be current.
+    /// Returns the time since the last confirmation of the endpoint list; `None`: not confirmed since the
+    /// start.
     fn lease_age(&self) -> Option<Duration> {
         self.lease.confirmed_at.map(|at| self.now.saturating_sub(at))
     }
 
-    /// What the decisions on a worker rest on besides its state.
+    /// Returns the scheduler-wide inputs of a worker's decisions.
     pub(super) fn context(&self) -> DecisionContext<'_> {
         DecisionContext { now: self.now, settings: &self.settings, lease: self.lease_view() }
     }
 
+    /// Returns the lease as the decisions on a single worker use it.
     pub(super) fn lease_view(&self) -> LeaseView {
         let confirmed_at = self.lease.confirmed_at;
         let Some(lease) = self.settings.endpoint_lease else {
             return LeaseView { confirmed_at, ..LeaseView::default() };
         };
-        let overdue = confirmed_at.unwrap_or_default() + lease.mul_f64(CONFIRMATION_OVERDUE_SHARE);
+        let overdue_at = confirmed_at.unwrap_or_default() + lease.mul_f64(CONFIRMATION_OVERDUE_SHARE);
         LeaseView {
             confirmed_at,
             holds_until: Some(confirmed_at.map_or(Duration::ZERO, |at| at + lease)),
-            is_unconfirmed: self.lease.fetch_failed || self.now > overdue,
+            is_unconfirmed: self.lease.fetch_failed || self.now > overdue_at,
         }
     }
 
-    /// The candidate whose proof is renewed by this request: of those that are taken to have the function
-    /// cached, and so answer soon, the one that was sent nothing for longest. Without it all requests would
-    /// go to the few workers that rank first, and no other could be used once the list's word ends, nor ever
-    /// after.
+    /// Returns the candidate whose proof this request renews while the endpoint list is unconfirmed: among
+    /// the candidates that probably have the function cached, and so respond soon, the one without a command
+    /// for the longest time. Without such renewals all requests would go to the few workers that rank first,
+    /// and the others would become ineligible at the end of the lease and remain so.
     pub(super) fn renewed_candidate(&self, candidates: &[Candidate]) -> Option<Candidate> {
         let context = self.context();
         if !context.lease.is_unconfirmed {
@@ -67,19 +69,20 @@
         due.min_by_key(|(renewal, _)| *renewal).map(|(_, candidate)| *candidate)
     }
 
-    /// How many workers are preferred for a function at least. While the list is doubted, there are several
-    /// whose proofs its requests renew, the same ones for all schedulers, so that the fleet makes few copies
-    /// for it.
+    /// Returns the minimum number of preferred workers of a function. While the endpoint list is unconfirmed,
+    /// the function's requests renew the proofs of several workers. These are the same workers for all
+    /// schedulers, so that few copies are loaded.
     pub(super) fn min_preferred_count(&self) -> usize {
         if self.lease_view().is_unconfirmed { MIN_PREFERRED_UNCONFIRMED } else { 0 }
     }
 
-    /// Whether the list's word for its workers still holds.
+    /// Whether the lease of the endpoint list has not lapsed.
     pub(super) fn lease_holds(&self) -> bool {
         !self.lease_view().has_lapsed(self.now)
     }
 
-    /// Notices that the lease has lapsed, and what that means for each worker.
+    /// Emits notices when the lease has lapsed, when a worker's standing has changed, and when the last
+    /// usable worker is lost or a worker is usable again.
     pub(super) fn check_lease(&mut self) {
         let lease = self.lease_view();
         if !lease.is_unconfirmed {
@@ -108,78 +111,83 @@
 }
 
 impl Worker {
-    /// A renewal of the worker's proof, if one is due.
+    /// Returns the renewal of the worker's proof; `None`: none is due.
     fn due_renewal(&self, context: DecisionContext) -> Option<ProofRenewal> {
         let proven = self.proof(context).map(|proof| proof.last_sent_at);
         let in_flight = self.attempts.iter().map(|attempt| attempt.sent_at).max();
-        let last_sent = proven.max(in_flight);
-        let age = last_sent.map(|at| context.now.saturating_sub(at));
+        let last_sent_at = proven.max(in_flight);
+        let age = last_sent_at.map(|at| context.now.saturating_sub(at));
         let is_due = age.is_none_or(|age| age >= context.settings.drain_grace.mul_f64(PROOF_RENEWAL_SHARE));
-        is_due.then_some(ProofRenewal { last_sent_at: last_sent })
+        is_due.then_some(ProofRenewal { last_sent_at })
     }
 
-    /// The last time at which something new may be sent to the worker; `None`: any time.
+    /// Returns the end of the time in which the worker may receive new work; `None`: no end.
     pub(super) fn usable_until(&self, context: DecisionContext) -> Option<Duration> {
-        let told = context.lease.holds_until?;
+        let lease_end = context.lease.holds_until?;
         let proven = self.proof(context).map_or(Duration::ZERO, |proof| proof.last_sent_at);
-        let known = told.max(proven);
-        Some(if known.is_zero() { known } else { known + context.settings.drain_grace })
+        let known_up_at = lease_end.max(proven);
+        Some(if known_up_at.is_zero() { known_up_at } else { known_up_at + context.settings.drain_grace })
     }
 
-    /// Whether something new may be sent to the worker now, as far as the list's age tells.
+    /// Whether the worker may receive new work now, by the age of the endpoint list and by the worker's
+    /// proof.
     pub(super) fn may_receive_work(&self, context: DecisionContext) -> bool {
-        // While the list's word holds, the worker's own proofs need not be looked at.
-        let holds = context.lease.holds_until.is_none_or(|until| context.now < until);
-        holds || self.usable_until(context).is_none_or(|until| context.now < until)
+        // Within the lease the worker's proof makes no difference.
+        let is_within_lease = context.lease.holds_until.is_none_or(|until| context.now < until);
+        is_within_lease || self.usable_until(context).is_none_or(|until| context.now < until)
     }
 
-    /// What the worker has proven since the list was last known to be current.
+    /// Returns the worker's proof if it is later than the last confirmation of the endpoint list.
     fn proof(&self, context: DecisionContext) -> Option<ActivityProof> {
         self.proof.filter(|proof| Some(proof.last_sent_at) > context.lease.confirmed_at)
     }
 
-    /// It has turned an attempt away while the list could not be confirmed, and nothing has settled that
-    /// since: a worker that drains answers at once, looks idle, and would draw more than its share.
+    /// Whether the worker rejected an attempt while the endpoint list was unconfirmed, with neither a
+    /// confirmation nor an accepted command since. It may be draining: such a worker rejects at once, appears
+    /// idle, and would attract more than its share of requests.
     pub(super) fn is_suspected(&self, context: DecisionContext) -> bool {
         context.lease.is_unconfirmed
             && self.suspected_at.is_some_and(|at| Some(at) > context.lease.confirmed_at)
     }
 
-    /// It took a command that was sent at `sent_at`, so it did not drain then.
+    /// Records that the worker accepted a command sent at `sent_at`, which proves that it was not draining
+    /// then.
     pub(super) fn record_accepted(&mut self, sent_at: Duration, context: DecisionContext) {
         let is_continued =
             |proof: &ActivityProof| sent_at <= proof.last_sent_at + context.settings.drain_grace;
-        let first = self
+        let first_sent_at = self
             .proof(context)
             .filter(is_continued)
             .map_or(sent_at, |proof| proof.first_sent_at.min(sent_at));
-        let last = self.proof.map_or(sent_at, |proof| proof.last_sent_at.max(sent_at));
-        self.proof = Some(ActivityProof { first_sent_at: first, last_sent_at: last });
+        let last_sent_at = self.proof.map_or(sent_at, |proof| proof.last_sent_at.max(sent_at));
+        self.proof = Some(ActivityProof { first_sent_at, last_sent_at });
         self.suspected_at = self.suspected_at.filter(|at| sent_at <= *at);
     }
 
-    /// It turned an attempt away.
+    /// Records that the worker rejected an attempt.
     pub(super) fn record_rejected(&mut self, context: DecisionContext) {
         if context.lease.is_unconfirmed {
             self.suspected_at = Some(context.now);
         }
     }
 
-    /// Its connections ended: another process may be there by now.
+    /// Records that a connection to the worker was lost: a new process may have replaced it.
     pub(super) fn record_disconnected(&mut self, context: DecisionContext) {
         if context.lease.is_unconfirmed {
             self.proof = None;
         }
     }
 
-    /// When the worker may have been started, for all that the list can tell: a start counts as told when the
-    /// lease ends, and a worker that was at work by then and went on is the same process.
+    /// Returns the time at which the worker's process is assumed to have restarted without an update of the
+    /// endpoint list; `None`: no restart is assumed. Once the lease has lapsed, that time is the end of the
+    /// lease, unless the worker's proof began before: then the process is still the same.
     pub(super) fn possible_start(&self, context: DecisionContext) -> Option<Duration> {
-        let told = context.lease.holds_until.filter(|_| context.lease.has_lapsed(context.now))?;
-        let was_at_work = self.proof(context).is_some_and(|proof| proof.first_sent_at <= told);
-        (!was_at_work).then_some(told)
+        let lease_end = context.lease.holds_until.filter(|_| context.lease.has_lapsed(context.now))?;
+        let spans_lease_end = self.proof(context).is_some_and(|proof| proof.first_sent_at <= lease_end);
+        (!spans_lease_end).then_some(lease_end)
     }
 
+    /// Returns the worker's standing for notices.
     fn standing(&self, context: DecisionContext) -> WorkerStanding {
         if !self.may_receive_work(context) {
             WorkerStanding::Unproven
--- a/crates/quartzdrift-scheduler/src/scheduler/endpoint_list.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: what a change of it means for a worker, and when to watch it; the periodic timer.
+//! Updates of the endpoint list, the watch on it, and the periodic timer.
 use super::constants::TICK_INTERVAL;
 use crate::interface::{Action, Endpoint, EndpointListKind, EndpointState};
 use crate::messages::{EndpointRecord, Message};
@@ -6,16 +6,18 @@
 use std::time::Duration;
 
 impl Scheduler {
-    pub(super) fn update_endpoints(&mut self, form: EndpointListKind, entries: &[Endpoint]) {
-        if form == EndpointListKind::Snapshot {
+    /// Processes an endpoint list: updates the listed workers, and marks the workers that a full list omits
+    /// as gone.
+    pub(super) fn update_endpoints(&mut self, kind: EndpointListKind, entries: &[Endpoint]) {
+        if kind == EndpointListKind::Snapshot {
             self.actions.push(Action::SetTimer { delay: TICK_INTERVAL, name: "tick" });
             self.watch_due_at = self.settings.must_watch_endpoints.then_some(self.now);
         }
-        self.lease.fetch_failed |= form == EndpointListKind::Failed;
-        if form == EndpointListKind::Failed && self.settings.must_watch_endpoints {
+        self.lease.fetch_failed |= kind == EndpointListKind::Failed;
+        if kind == EndpointListKind::Failed && self.settings.must_watch_endpoints {
             self.watch_due_at = Some(self.now + self.settings.watch_retry_delay);
         }
-        if matches!(form, EndpointListKind::Full | EndpointListKind::Snapshot) {
+        if matches!(kind, EndpointListKind::Full | EndpointListKind::Snapshot) {
             for worker in &self.workers {
                 let gone = EndpointRecord { state: EndpointState::Gone, ..worker.endpoint };
                 let message = Message::EndpointUpdated { endpoint: gone, age: Duration::ZERO };
@@ -23,35 +25,39 @@
             }
         }
         self.listed_workers_stale = true;
-        for started in entries.iter().filter_map(|entry| entry.started_at) {
-            self.observe_start(started);
+        for started_at in entries.iter().filter_map(|entry| entry.started_at) {
+            self.observe_start(started_at);
         }
         for entry in entries {
             let worker = self.worker_index(entry.worker);
             let endpoint = EndpointRecord { worker: "", ..*entry };
-            let age = entry.started_at.map_or(Duration::ZERO, |started| self.age(started));
+            let age = entry.started_at.map_or(Duration::ZERO, |started_at| self.min_age(started_at));
             self.mailbox.send_to_worker(worker, Message::EndpointUpdated { endpoint, age });
         }
     }
 
-    /// Starts are told on the list's clock, of which ours may be off by any span. That clock shows at least
-    /// the newest start when we are told of it, and runs on as ours does.
-    fn observe_start(&mut self, started: Duration) {
-        let is_newest =
-            self.latest_start.is_none_or(|(latest, learned)| started + learned > latest + self.now);
+    /// Uses a worker's start time to estimate the clock of the endpoint list, which may differ from this
+    /// scheduler's clock by any offset. When a start time is received, the list's clock shows at least that
+    /// time. From then on both clocks are taken to run at the same rate.
+    fn observe_start(&mut self, started_at: Duration) {
+        let is_newest = self
+            .latest_start
+            .is_none_or(|(latest, received_at)| started_at + received_at > latest + self.now);
         if is_newest {
-            self.latest_start = Some((started, self.now));
+            self.latest_start = Some((started_at, self.now));
         }
     }
 
-    /// How long ago a process was started, at least.
-    fn age(&self, started: Duration) -> Duration {
-        let (latest, learned) = self.latest_start.unwrap_or((started, self.now));
-        (latest + self.now).saturating_sub(learned + started)
+    /// Returns a lower bound of the time since a process started.
+    fn min_age(&self, started_at: Duration) -> Duration {
+        let (latest, received_at) = self.latest_start.unwrap_or((started_at, self.now));
+        (latest + self.now).saturating_sub(received_at + started_at)
     }
 
+    /// Performs the periodic checks of responsiveness, of the lease and of the watch, and sets the next
+    /// timer.
     pub(super) fn handle_tick(&mut self) {
-        // Only attempts that wait tell of a worker that answers nothing.
+        // A worker is found unresponsive only by the attempts that wait for it.
         for worker in self.workers.iter().filter(|worker| !worker.attempts.is_empty()) {
             self.mailbox.send_to_worker(worker.index, Message::Tick);
         }
@@ -64,7 +70,7 @@
 }
 
 impl Worker {
-    /// `age`: since the start that the list names, at least.
+    /// Replaces the worker's entry. `age` is a lower bound of the time since the start time in the entry.
     pub(super) fn update_endpoint(
         &mut self,
         endpoint: EndpointRecord,
@@ -75,7 +81,7 @@
             self.gone_since = context.now;
         }
         if endpoint.started_at > self.endpoint.started_at {
-            // A new process is empty, and the old one's failures are not its own.
+            // A new process has an empty cache, and the failures of the old process do not concern it.
             self.warming_since = Some(context.now.saturating_sub(age));
             self.cache.clear();
             self.health.clear();
--- a/crates/quartzdrift-scheduler/src/scheduler/mod.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/mod.rs
@@ -1,12 +1,12 @@
-//! Every decision of the router. Make a [`Scheduler`] from the settings and a seed, pass each event to
-//! [`Scheduler::handle`] in the order in which it arrived, and carry out the returned actions in theirs.
+//! The scheduling decisions. Create a [`Scheduler`] from the settings and a seed, pass the events to
+//! [`Scheduler::handle`] in order of arrival, and carry out the returned actions in their order.
 //!
-//! The scheduler is a request table, which owns the open requests, and one actor for each worker; they
-//! exchange messages through a mailbox. A request is a placement query to every listed worker: of the
-//! candidates that answer, those past the overload bound are skipped and the rest ranked by cache status,
-//! then by fewest estimated requests. The modules below follow a request from its arrival to its final
-//! answer; the background work comes last. All but two decide: `dispatch` passes events and messages on, and
-//! `housekeeping` bounds memory.
+//! The scheduler consists of a request table, which owns the open requests, and one actor per worker. They
+//! exchange messages through a mailbox. To place a request, the request table sends a placement query to
+//! every listed worker. It skips the candidates above the overload bound and ranks the others by cache
+//! status, then by the number of estimated requests, fewest first. The modules below are in the order in
+//! which a request passes them, with background work last. Two of them make no decisions: `dispatch` routes
+//! events and messages, and `housekeeping` bounds memory.
 
 mod constants;
 mod settings;
--- a/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt proves: of its request, of its class, and of its worker.
+//! End of an attempt: updates the state of its request, its request class and its worker.
 use super::constants::{
     AT_CAPACITY_PAUSE, MAX_AT_CAPACITY_RESPONSES, MIN_OVERLOAD_BOUND, PEAK_HALF_LIFE, THROUGHPUT_HALF_LIFE,
 };
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// Records the end of an attempt, and places its request anew unless that is concluded.
+    /// Records the end of an attempt, and places its request again unless the request is concluded.
     pub(super) fn end_attempt(&mut self, worker: usize, end: AttemptEnd, concluded: bool) {
-        // A worker with few requests is not full: it rejects this tenant alone.
+        // A worker with few requests has free capacity: its rejection concerns only this tenant.
         let has_room = end.load.is_some_and(|load| load < MIN_OVERLOAD_BOUND);
         let tenant_rejected = self.settings.tenants_share_workers && has_room;
         self.record_outcome(worker, &end, tenant_rejected);
-        // A success concludes its request, said or not: a retry would repeat its effect.
+        // A success concludes the request even without the flag: a retry would repeat its side effects.
         if concluded || end.outcome == Outcome::Succeeded {
             self.requests.remove(&end.request);
         }
@@ -25,29 +25,30 @@
         }
     }
 
+    /// Updates the request of an attempt, and the measurements of its class, by the attempt's outcome.
     fn record_outcome(&mut self, worker: usize, end: &AttemptEnd, tenant_rejected: bool) {
         let is_unconfirmed = self.lease_view().is_unconfirmed;
         let Some(request) = self.requests.get_mut(&end.request) else { return };
-        let current = request.take_current_attempt(self.now);
+        let ended_attempt = request.take_current_attempt(self.now);
         match end.outcome {
             Outcome::Succeeded => {
                 let (request_class, tenant) = (request.request_class, request.tenant);
                 let was_cached = match end.cache_result {
                     CacheResult::Warm => true,
                     CacheResult::StartedLoad | CacheResult::AwaitedLoad | CacheResult::LoadFailed => false,
-                    CacheResult::Unknown => current.cache_status != CacheStatus::NotWarm,
+                    CacheResult::Unknown => ended_attempt.cache_status != CacheStatus::NotWarm,
                 };
                 let relative = self.classes[request_class].record_duration(end.duration, was_cached);
                 self.record_success(worker, request_class, tenant, relative);
             }
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
-                let attempt = UncertainAttempt { worker, sent_at: current.sent_at };
+                let attempt = UncertainAttempt { worker, sent_at: ended_attempt.sent_at };
                 request.first_uncertain_attempt.get_or_insert(attempt);
             }
-            // A worker that drains turns away whatever comes, which tells nothing of the others.
+            // A draining worker rejects every attempt, which is no evidence about the other workers.
             Outcome::AtCapacity if is_unconfirmed => {}
             Outcome::AtCapacity => request.at_capacity_responses += u32::from(!tenant_rejected),
-            // The load would fail at every worker.
+            // The load would fail at every worker, so the request must not be placed again.
             Outcome::CacheMiss if end.cache_result == CacheResult::LoadFailed => {
                 request.at_capacity_responses = MAX_AT_CAPACITY_RESPONSES;
             }
@@ -55,20 +56,23 @@
         }
     }
 
+    /// Adds a successful attempt to the measurements. `relative` is its duration relative to the class's
+    /// mean, if the function was cached.
     fn record_success(&mut self, worker: usize, class: usize, tenant: u32, relative: Option<f64>) {
         let kind = self.workers[worker].endpoint.machine_kind;
         if let Some(relative_duration) = relative {
             self.relative_speeds.add(kind as usize, relative_duration, self.now);
         }
-        let weight = self.relative_work(class);
-        self.succeeded_work.add(tenant as usize, weight, self.now);
+        let relative_work = self.relative_work(class);
+        self.succeeded_work.add(tenant as usize, relative_work, self.now);
         let no_peak = DecayingPeak::new(THROUGHPUT_HALF_LIFE, PEAK_HALF_LIFE);
-        self.measurements.record_throughput(kind, weight, self.now, &no_peak);
+        self.measurements.record_throughput(kind, relative_work, self.now, &no_peak);
         self.measurements.mean_duration = Some(Duration::from_secs_f64(self.mean_attempt_seconds()));
     }
 }
 
 impl Worker {
+    /// Removes an attempt that has ended, and updates the worker's cache entries, health, load and proof.
     pub(super) fn end_attempt(&mut self, end: &AttemptEnd, tenant_rejected: bool, context: DecisionContext) {
         let DecisionContext { now, settings, .. } = context;
         let local_load = self.attempts.len() as f64;
@@ -96,13 +100,15 @@
                 entry.known_until = if settings.reports_cache_status { until } else { entry.known_until };
                 health.record_success();
             }
-            // One connection reset is no sign of a restart, which resets all and then refuses new ones.
+            // A single connection reset is not taken for a restart, which resets all connections and then
+            // refuses new ones.
             Outcome::Error | Outcome::Reset => health.record_error(now),
             Outcome::AtCapacity if tenant_rejected => {
                 self.tenant_rejected_until.insert(attempt.query.tenant, until);
             }
             Outcome::AtCapacity => self.at_capacity_until = now + AT_CAPACITY_PAUSE,
-            // The process is down: it comes back empty and warming up, before the list names the new start.
+            // The process is down. Its successor starts warming up with an empty cache, possibly before the
+            // endpoint list contains the new start time.
             Outcome::ConnectFailed => {
                 self.cache.clear();
                 self.warming_since = Some(now);
@@ -112,7 +118,8 @@
             Outcome::TimedOut => self.record_timeout(&attempt, now),
             Outcome::Cancelled | Outcome::NeverSent => {}
         }
-        // Where no report counts requests, an attempt that may still run stays in the estimate.
+        // Without request counts in the load reports, an attempt that may still run stays in the load
+        // estimate.
         let is_abandoned = matches!(end.outcome, Outcome::Cancelled | Outcome::TimedOut);
         if is_abandoned && !settings.reports_count_requests {
             self.abandoned_until.push(now + attempt.timeout);
--- a/crates/quartzdrift-scheduler/src/scheduler/outlier.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/outlier.rs
@@ -1,4 +1,5 @@
-//! Outlier ejection: workers that fail fast, refuse or answer nothing look idle and would attract requests.
+//! Outlier ejection. A worker that fails fast, rejects attempts or is unresponsive appears idle, and would
+//! attract requests.
 use super::constants::{ERROR_RATE_ATTEMPTS, FIRST_EJECTION, MAX_EJECTION_DOUBLINGS, MAX_ERROR_RATE};
 use super::constants::{
     MAX_UNRESPONSIVE_EJECTION, MISSED_REQUESTS_PER_EJECTION, TIMEOUT_RATIO, UNRESPONSIVE_TIMEOUTS,
@@ -9,10 +10,11 @@
 use std::time::Duration;
 
 impl Health {
-    pub(super) fn eject(&mut self, now: Duration, min_time: Duration) {
+    /// Ejects the worker unless it is ejected already. The duration doubles with each consecutive ejection.
+    pub(super) fn eject(&mut self, now: Duration, min_duration: Duration) {
         if now >= self.ejected_until {
-            let time = FIRST_EJECTION * (1 << self.ejections.min(MAX_EJECTION_DOUBLINGS));
-            self.ejected_until = now + time.max(min_time);
+            let duration = FIRST_EJECTION * (1 << self.ejections.min(MAX_EJECTION_DOUBLINGS));
+            self.ejected_until = now + duration.max(min_duration);
             self.ejections += 1;
         }
     }
@@ -33,22 +35,27 @@
 }
 
 impl Worker {
-    /// After its ejection time, a single request that may be retried checks the worker's health.
+    /// Whether the worker is ejected for the request. Once the ejection time is over, a single request that
+    /// may be retried is let through as a health check.
     pub(super) fn is_ejected(&mut self, query: &PlacementQuery, now: Duration) -> bool {
         let health = self.health.entry(query.request_class).or_default();
-        let is_tried = self.attempts.iter().any(|attempt| attempt.query.request_class == query.request_class);
+        let has_attempt =
+            self.attempts.iter().any(|attempt| attempt.query.request_class == query.request_class);
         let is_paused = now < health.ejected_until || now < self.at_capacity_until;
-        is_paused || health.ejections > 0 && (is_tried || !query.may_retry)
+        is_paused || health.ejections > 0 && (has_attempt || !query.may_retry)
     }
 
-    /// Sets how long to eject the worker if it is unresponsive: a health check costs a request all its time.
+    /// Sets the minimum ejection time for unresponsiveness. A request that serves as the health check of an
+    /// unresponsive worker spends its whole attempt timeout there, so checks must be rare relative to the
+    /// requests.
     pub(super) fn update_unresponsive_ejection(&mut self, query: &PlacementQuery) {
         let seconds = (MISSED_REQUESTS_PER_EJECTION / query.worker_capacity)
             .min(MAX_UNRESPONSIVE_EJECTION.as_secs_f64());
         self.unresponsive_ejection = Duration::from_secs_f64(seconds);
     }
 
-    /// Ejects a worker that answers nothing. With several functions overdue it is not one long load.
+    /// Ejects the worker if it is unresponsive. Overdue attempts of several functions rule out a single long
+    /// load as the cause.
     pub(super) fn check_responsiveness(&mut self, now: Duration, mailbox: &mut Mailbox<Message>) {
         let waited = |attempt: &Attempt| now.saturating_sub(attempt.sent_at.max(self.last_response_at));
         let mut overdue = self.attempts.iter().filter(|attempt| waited(attempt) > attempt.timeout);
@@ -64,7 +71,8 @@
         }
     }
 
-    /// Finds unresponsive workers that get few requests. A client's short timeout proves nothing.
+    /// Ejects a worker that has not responded since a timed-out attempt was sent, which detects unresponsive
+    /// workers with few requests. An attempt that a client's short timeout ended is no evidence.
     pub(super) fn record_timeout(&mut self, attempt: &Attempt, now: Duration) {
         let waited_enough = (now - attempt.sent_at).mul_f64(TIMEOUT_RATIO) > attempt.timeout;
         if self.last_response_at < attempt.sent_at && waited_enough {
--- a/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
@@ -1,4 +1,4 @@
-//! Choice of a worker among the candidates: the ordinary path, and its exceptions (docs/design.md).
+//! Choice of a worker among the candidates: the normal rule and its exceptions (docs/design.md).
 use super::constants::MIN_LOCAL_REQUESTS;
 use super::constants::{
     BUSY_FLEET_UTILIZATION, FLEET_OVERLOAD_BOUND, MAX_EJECTED_SHARE, MIN_OVERLOAD_BOUND, OVERLOAD_BOUND_RATIO,
@@ -8,18 +8,20 @@
 use crate::names::hash;
 use crate::state::Scheduler;
 
-/// Estimates a candidate's requests from its report and our own attempts.
+/// Estimates the requests at a candidate from its load report and from this scheduler's own attempts.
 struct LoadEstimate {
-    /// Remote load of a candidate without a report.
+    /// Requests of other schedulers at a candidate without a load report.
     remote_if_unreported: f64,
-    /// Ratio of remote load to reported load; `None`: no load is reported.
+    /// Ratio of the requests of other schedulers to the reported load; `None`: no candidate reported a load.
     remote_per_reported: Option<f64>,
-    /// Our own attempts at all candidates, and those of them that do not wait for a load.
+    /// Number of this scheduler's attempts at all candidates.
     local_load: usize,
+    /// Number of those attempts that do not wait for a load.
     local_running: usize,
 }
 
 impl LoadEstimate {
+    /// Returns the estimated number of requests at a candidate.
     fn requests(&self, candidate: &Candidate) -> f64 {
         let reported = candidate.remote_load.zip(self.remote_per_reported);
         let remote = reported.map_or(self.remote_if_unreported, |(load, ratio)| load * ratio);
@@ -28,8 +30,8 @@
 }
 
 impl Scheduler {
-    /// The ordinary path: of the candidates below the overload bound the one with the best cache status, then
-    /// with the fewest estimated requests, gets the attempt. With none left the request is answered.
+    /// Starts an attempt at one of the candidates below the overload bound: the one with the best cache
+    /// status, then with the fewest estimated requests. Without a candidate, rejects or fails the request.
     pub(super) fn choose_worker(&mut self, id: RequestId, query: PlacementQuery) {
         let mut candidates = std::mem::take(&mut self.candidates);
         let Some(request) = self.requests.get(&id) else { return };
@@ -42,7 +44,8 @@
         if candidates.iter().any(is_unsuspected) {
             candidates.retain(is_unsuspected);
         }
-        // With many ejected the fault is not their own, and none is skipped.
+        // If many workers are ejected at once, the cause is not in the workers, and the ejections are
+        // ignored.
         let ejected = candidates.iter().filter(|candidate| candidate.is_ejected).count();
         let skips_ejected = ejected as f64 <= MAX_EJECTED_SHARE * candidates.len() as f64;
         candidates.retain(|candidate| !skips_ejected || !candidate.is_ejected);
@@ -59,9 +62,11 @@
         let fleet_bound = FLEET_OVERLOAD_BOUND * self.worker_size() * self.fleet_bound_factor(&query);
         let fleet_is_full = self.mean_running(mean, &load) > fleet_bound;
         if waits_for_loads || fleet_is_full {
-            // Where all are busy, warming up or loading, one more load makes a load storm worse.
+            // If all workers are busy, warming up or loading, another load would make a load storm worse.
             let bound = if fleet_is_full { bound.min(fleet_bound) } else { bound };
-            candidates.retain(|c| c.cache_status != CacheStatus::NotWarm && !c.exceeds_slow_start_budget);
+            candidates.retain(|candidate| {
+                candidate.cache_status != CacheStatus::NotWarm && !candidate.exceeds_slow_start_budget
+            });
             candidates.retain(|candidate| load.requests(candidate) < bound);
         }
         let renewed = self.renewed_candidate(&candidates);
@@ -74,14 +79,15 @@
         }
     }
 
-    /// By cache status, fewest estimated requests, and at random; those that reject the tenant come last.
+    /// Returns the candidate with the best cache status, then with the fewest estimated requests relative to
+    /// its speed. Ties are broken at random. Workers that recently rejected the tenant come last.
     fn best_candidate(&self, candidates: &[Candidate], load: &LoadEstimate) -> Option<Candidate> {
         let ranked = candidates.iter().map(|candidate| {
             let status = (candidate.tenant_rejected, candidate.cache_status);
             let requests = (load.requests(candidate) + 1.0) / self.relative_speed(candidate.worker);
             (status, requests, candidate)
         });
-        // Only ties need the draw.
+        // Drawn only on a tie.
         let draw = |candidate: &Candidate| hash(&(self.settings.seed, self.random_draws, candidate.worker));
         let best = ranked.min_by(|a, b| {
             let by_rank = a.0.cmp(&b.0).then(a.1.total_cmp(&b.1));
@@ -90,23 +96,25 @@
         best.map(|(.., candidate)| *candidate)
     }
 
+    /// Builds the load estimate. Where attempts of unknown end may still run, adds them to the local load.
     fn estimate_load(&self, candidates: &mut [Candidate]) -> LoadEstimate {
         let reports = candidates.iter().filter(|candidate| candidate.remote_load.is_some()).count();
         let reported: f64 = candidates.iter().filter_map(|candidate| candidate.remote_load).sum();
         let average = reported / reports.max(1) as f64;
-        // Lost answers raise our own count: where cores are reported idle, nothing abandoned still runs.
+        // A lost response leaves an abandoned attempt in the count although it has ended. If the reports show
+        // idle cores, abandoned attempts are taken to have ended.
         if reports == 0 || average >= BUSY_FLEET_UTILIZATION {
             candidates.iter_mut().for_each(|candidate| candidate.local_load += candidate.local_abandoned);
         }
         let local: usize = candidates.iter().map(|candidate| candidate.local_load).sum();
         let running = candidates.iter().map(|candidate| candidate.local_running).sum();
-        // Where no report counts requests, other schedulers are taken to send as we do, less the part of it
-        // that is chance, and spread over the workers as their reports say.
-        let expected = local as f64 - (local as f64).sqrt();
-        let alike = (self.settings.scheduler_count - 1.0) * expected / candidates.len() as f64;
+        // Without request counts in the reports, each other scheduler is assumed to have as many requests in
+        // flight as this one, less one standard deviation, in proportion to the reported loads.
+        let per_scheduler = local as f64 - (local as f64).sqrt();
+        let assumed = (self.settings.scheduler_count - 1.0) * per_scheduler / candidates.len() as f64;
         let is_counted = self.settings.reports_count_requests && reports > 0;
         let (remote_if_unreported, ratio) =
-            if is_counted { (average, 1.0) } else { (alike, alike / average) };
+            if is_counted { (average, 1.0) } else { (assumed, assumed / average) };
         LoadEstimate {
             remote_if_unreported,
             remote_per_reported: (average > 0.0).then_some(ratio),
@@ -115,7 +123,9 @@
         }
     }
 
-    /// Counted requests that wait for loads use no core: our own tell how many of the mean do.
+    /// Returns the mean number of requests per worker that occupy a core. Reported counts include requests
+    /// that wait for a load, so the mean is scaled by the share of this scheduler's attempts that do not
+    /// wait.
     fn mean_running(&self, mean: f64, load: &LoadEstimate) -> f64 {
         let counts = self.settings.reports_count_requests;
         if counts { mean * load.local_running as f64 / load.local_load.max(1) as f64 } else { mean }
--- a/crates/quartzdrift-scheduler/src/scheduler/settings.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/settings.rs
@@ -1,4 +1,4 @@
-//! Makes a scheduler: what the settings leave open gets its default here.
+//! Creates a scheduler, with default values for the settings that are not configured.
 use super::constants::{
     BIN_COUNT, BIN_EDGE_RATIO, DEFAULT_KEEP_ALIVE, DEFAULT_RETRY_AFTER, DEFAULT_SLOW_START_WINDOW,
 };
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// A scheduler that knows no worker yet; the same settings, seed and events lead to the same actions.
+    /// Creates a scheduler without workers. Equal settings, seeds and events lead to equal actions.
     pub fn new(settings: &Settings, seed: u64) -> Scheduler {
         let durations = Histogram::new(FIRST_BIN_EDGE, BIN_EDGE_RATIO, BIN_COUNT, MAX_SAMPLES);
         let quota_window = settings.cache.load_quota_window.unwrap_or_default();
@@ -25,7 +25,8 @@
             requested_work: DecayingSums::new(POPULARITY_HALF_LIFE),
             requested_priority: DecayingSums::new(POPULARITY_HALF_LIFE),
             relative_speeds: RelativeSpeeds::new(POPULARITY_HALF_LIFE),
-            // A request at the very start of the window is out of it, a load command is not.
+            // The quota excludes a request at the exact start of the window, but includes a load command
+            // there.
             load_quota_requests: SlidingWindow::new(quota_window.saturating_sub(Duration::from_nanos(1))),
             load_quota_commands: SlidingWindow::new(quota_window),
             prefetch_durations: durations,
@@ -40,8 +41,8 @@
         rules.overload_window.filter(|window| !window.is_zero()).unwrap_or(DEFAULT_SLOW_START_WINDOW);
     let max_retry_after = settings.limits.max_retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
     let field = |wanted| settings.report_fields.iter().position(|&field| field == wanted);
-    // Queued requests are the least that a worker holds.
-    let counted = field(ReportField::InFlight).or(field(ReportField::Queued));
+    // The number of queued requests is a lower bound of the requests that a worker holds.
+    let request_count = field(ReportField::InFlight).or(field(ReportField::Queued));
     DerivedSettings {
         keep_alive: settings.cache.keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE),
         slow_start_half_window: (window / 2).max(Duration::from_micros(1)),
@@ -50,14 +51,14 @@
             .endpoint_refresh_limit
             .map_or(WATCH_RETRY_DELAY, |time| WATCH_RETRY_DELAY.min(time)),
         max_retry_after: settings.limits.retry_after.then_some(max_retry_after),
-        load_field_index: counted.or(field(ReportField::CoreUtilization)),
-        reports_count_requests: counted.is_some(),
-        tenants_share_workers: counted.is_some() && settings.tenants.len() > 1,
+        load_field_index: request_count.or(field(ReportField::CoreUtilization)),
+        reports_count_requests: request_count.is_some(),
+        tenants_share_workers: request_count.is_some() && settings.tenants.len() > 1,
         ..DerivedSettings::from_configured(settings, seed)
     }
 }
 
-/// Each tenant's share of all quotas; not a number where there are none.
+/// Returns each tenant's share in the sum of all quotas; NaN if no tenant has a quota.
 fn tenant_shares(tenants: &[Tenant]) -> Vec<f64> {
     let quota = |tenant: &Tenant| tenant.requests_per_second.unwrap_or(0.0).max(0.0);
     let total: f64 = tenants.iter().map(quota).sum();
--- a/crates/quartzdrift-scheduler/src/scheduler/slow_start.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/slow_start.rs
@@ -1,11 +1,12 @@
-//! Slow start: a worker that has just started gets no more than its growing capacity.
+//! Slow start: limits the work that is sent to a recently started worker to its growing capacity.
 use crate::messages::PlacementQuery;
 use crate::names::hash;
 use crate::state::{DecisionContext, Worker};
 
 impl Worker {
-    /// Whether a request fits our share of what the worker can take in this half window. A rest of less than
-    /// a request is rounded at random for each half window: one request of each scheduler would be many.
+    /// Whether a request fits this scheduler's share of the worker's budget in the current half window. A
+    /// remainder of less than one request is rounded up or down at random in each half window: if every
+    /// scheduler rounded up, the worker would receive many requests too many.
     pub(super) fn has_slow_start_budget(&mut self, query: &PlacementQuery, context: DecisionContext) -> bool {
         let Some(since) = self.warming_since.max(self.possible_start(context)) else { return true };
         let settings = context.settings;
@@ -16,16 +17,17 @@
         }
         let half_window = self.half_window(context);
         self.slow_start_usage.enter(half_window);
-        let warmed = age.as_secs_f64() / settings.slow_start_duration.as_secs_f64();
+        let warmed_share = age.as_secs_f64() / settings.slow_start_duration.as_secs_f64();
         let min_capacity = settings.slow_start_min_capacity;
-        let capacity = min_capacity + (1.0 - min_capacity) * warmed;
+        let capacity = min_capacity + (1.0 - min_capacity) * warmed_share;
         let seconds = settings.slow_start_half_window.as_secs_f64();
         let budget = settings.slow_start_budget * capacity * query.worker_capacity * seconds;
         let draw = hash(&(settings.seed, self.index, half_window)) as f64 / u64::MAX as f64;
         self.slow_start_usage.work + query.relative_work * (1.0 - draw) <= budget
     }
 
-    /// Number of the current half window; half windows begin at a time of each scheduler's own.
+    /// Returns the sequence number of the current half window. Each scheduler's half windows have a phase of
+    /// their own, drawn from its seed.
     fn half_window(&self, context: DecisionContext) -> u64 {
         let length = context.settings.slow_start_half_window.as_micros() as u64;
         let phase = hash(&(context.settings.seed, self.index)) % length;
