--- a/crates/quartzdrift-scheduler/src/interface/action.rs
+++ b/crates/quartzdrift-scheduler/src/interface/action.rs
@@ -13,7 +13,8 @@
     NoWorkers,
     /// Workers are listed, but none of them is eligible for the request and has free capacity.
     NoCapacity,
-    /// Several workers responded to the request that they are at capacity.
+    /// Several workers responded to the request that they are at capacity, or its function could not be
+    /// loaded.
     FleetAtCapacity,
     /// The request has used up its attempts.
     NoAttemptsLeft,
@@ -30,14 +31,16 @@
 /// Eligibility of a worker for new work while the endpoint list cannot be confirmed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerStanding {
-    /// The endpoint list names the worker as up, and that entry still counts: it receives work.
+    /// The worker receives work because the endpoint list names it as up, within the lease and the drain
+    /// grace.
     #[default]
     Listed,
-    /// The lease has lapsed, but the worker accepted a command recently: it receives work.
+    /// The worker receives work because it accepted a command recently, although the lease has lapsed.
     Proven,
-    /// The worker rejected an attempt for lack of capacity: it receives work only without another candidate.
+    /// The worker rejected an attempt for lack of capacity. It receives work only if there is no other
+    /// candidate.
     Suspected,
-    /// The worker may have been draining for longer than the drain grace: it receives no work.
+    /// The worker receives no work because it may have been draining for longer than the drain grace.
     Unproven,
 }
 
--- a/crates/quartzdrift-scheduler/src/measure/speed.rs
+++ b/crates/quartzdrift-scheduler/src/measure/speed.rs
@@ -9,7 +9,8 @@
 pub(crate) struct RelativeSpeeds {
     /// Number of attempts whose function was cached, by kind of machine.
     attempts: DecayingSums,
-    /// Sum of those attempts' durations, each relative to the mean of its request class.
+    /// Sum of the durations of attempts whose function was cached, by kind of machine. Each duration is
+    /// relative to the mean of its request class.
     durations: DecayingSums,
     /// Computed speeds by kind, each with the time it is valid for. A placement reads the speed once per
     /// worker.
--- a/crates/quartzdrift-scheduler/src/messages.rs
+++ b/crates/quartzdrift-scheduler/src/messages.rs
@@ -9,7 +9,7 @@
     Known,
     /// The worker received a request or load command for the function within the keep-alive.
     Assumed,
-    /// Neither is the case: the worker probably has to load the function.
+    /// The worker probably has to load the function before it can execute a request.
     NotWarm,
 }
 
@@ -19,14 +19,14 @@
     EndpointUpdated {
         endpoint: EndpointRecord,
         /// Lower bound of the time since the start of the worker's process.
-        age: Duration,
+        min_age: Duration,
     },
     /// To a worker: asks whether the worker accepts a request.
     PlacementQuery(PlacementQuery),
     /// To the request table: reply of a worker to a placement query; `None`: the worker does not accept the
     /// request.
     PlacementReply(Option<Candidate>),
-    /// To a worker: an attempt was sent to it.
+    /// To a worker: an attempt was sent to the worker.
     AttemptStarted(Attempt),
     /// To a worker: an attempt ended. `tenant_rejected`: a rejection of the attempt concerns only its tenant.
     AttemptEnded { end: AttemptEnd, tenant_rejected: bool },
@@ -97,7 +97,7 @@
     pub(crate) remote_load: Option<f64>,
     /// Number of this scheduler's attempts in flight at the worker.
     pub(crate) local_load: usize,
-    /// Number of those attempts whose function is cached, so that they do not wait for a load.
+    /// Number of this scheduler's attempts in flight at the worker that do not wait for a load.
     pub(crate) local_running: usize,
     /// Number of this scheduler's cancelled or timed-out attempts that the worker may still execute.
     pub(crate) local_abandoned: usize,
@@ -111,7 +111,8 @@
     pub(crate) exceeds_slow_start_budget: bool,
 }
 
-/// A due renewal of a worker's proof. Orders the workers by the time of the last command, none at all first.
+/// A due renewal of a worker's proof. The order is by the time of the last command, a worker without one
+/// first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ProofRenewal {
     /// Time at which the last command was sent that is in flight or that the worker accepted since the
--- a/crates/quartzdrift-scheduler/src/names.rs
+++ b/crates/quartzdrift-scheduler/src/names.rs
@@ -18,18 +18,18 @@
 
 struct NameEntry {
     name: Rc<str>,
-    last_used: Duration,
+    last_used_at: Duration,
 }
 
 impl NameTable {
     /// Returns the index of a name, adding the name if it is new, and marks it as used at the time `now`.
     pub(crate) fn index(&mut self, name: &str, now: Duration) -> usize {
         if let Some(&index) = self.indexes.get(name) {
-            self.entries[index].last_used = now;
+            self.entries[index].last_used_at = now;
             return index;
         }
         let name: Rc<str> = name.into();
-        let entry = NameEntry { name: name.clone(), last_used: now };
+        let entry = NameEntry { name: name.clone(), last_used_at: now };
         let index = self.free_indexes.pop().unwrap_or(self.entries.len());
         if index == self.entries.len() {
             self.entries.push(entry);
@@ -50,8 +50,8 @@
 
     /// Removes the names that were last used before `oldest`, except those in use.
     pub(crate) fn remove_unused_since(&mut self, oldest: Duration, in_use: &BTreeSet<usize>) {
-        let last_used: Vec<Duration> = self.entries.iter().map(|entry| entry.last_used).collect();
-        self.remove_if(|index| last_used[index] < oldest && !in_use.contains(&index));
+        let last_used_at: Vec<Duration> = self.entries.iter().map(|entry| entry.last_used_at).collect();
+        self.remove_if(|index| last_used_at[index] < oldest && !in_use.contains(&index));
     }
 
     /// Removes the names whose index satisfies the predicate, and frees their indexes for other names.
--- a/crates/quartzdrift-scheduler/src/scheduler/dispatch.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/dispatch.rs
@@ -27,9 +27,10 @@
         std::mem::take(&mut self.actions)
     }
 
+    /// Passes an event to the method that processes it.
     fn dispatch(&mut self, event: Event) {
         match event {
-            Event::EndpointList { kind: form, entries } => self.update_endpoints(form, &entries),
+            Event::EndpointList { kind, entries } => self.update_endpoints(kind, &entries),
             Event::EndpointsConfirmed { as_of } => self.confirm_endpoints(as_of),
             Event::WorkerDisconnected { worker } => {
                 let worker = self.worker_index(worker);
@@ -93,7 +94,9 @@
 impl Worker {
     fn receive(&mut self, message: Message, context: DecisionContext, mailbox: &mut Mailbox<Message>) {
         match message {
-            Message::EndpointUpdated { endpoint, age } => self.update_endpoint(endpoint, age, context),
+            Message::EndpointUpdated { endpoint, min_age } => {
+                self.update_endpoint(endpoint, min_age, context);
+            }
             Message::PlacementQuery(query) => {
                 let candidate = self.evaluate_query(&query, context);
                 mailbox.send_to_request_table(Message::PlacementReply(candidate));
--- a/crates/quartzdrift-scheduler/src/scheduler/endpoint_list.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/endpoint_list.rs
@@ -20,7 +20,7 @@
         if matches!(kind, EndpointListKind::Full | EndpointListKind::Snapshot) {
             for worker in &self.workers {
                 let gone = EndpointRecord { state: EndpointState::Gone, ..worker.endpoint };
-                let message = Message::EndpointUpdated { endpoint: gone, age: Duration::ZERO };
+                let message = Message::EndpointUpdated { endpoint: gone, min_age: Duration::ZERO };
                 self.mailbox.send_to_worker(worker.index, message);
             }
         }
@@ -31,8 +31,8 @@
         for entry in entries {
             let worker = self.worker_index(entry.worker);
             let endpoint = EndpointRecord { worker: "", ..*entry };
-            let age = entry.started_at.map_or(Duration::ZERO, |started_at| self.min_age(started_at));
-            self.mailbox.send_to_worker(worker, Message::EndpointUpdated { endpoint, age });
+            let min_age = entry.started_at.map_or(Duration::ZERO, |started_at| self.min_age(started_at));
+            self.mailbox.send_to_worker(worker, Message::EndpointUpdated { endpoint, min_age });
         }
     }
 
@@ -57,7 +57,7 @@
     /// Performs the periodic checks of responsiveness, of the lease and of the watch, and sets the next
     /// timer.
     pub(super) fn handle_tick(&mut self) {
-        // A worker is found unresponsive only by the attempts that wait for it.
+        // Only attempts in flight can show that a worker is unresponsive.
         for worker in self.workers.iter().filter(|worker| !worker.attempts.is_empty()) {
             self.mailbox.send_to_worker(worker.index, Message::Tick);
         }
@@ -70,11 +70,11 @@
 }
 
 impl Worker {
-    /// Replaces the worker's entry. `age` is a lower bound of the time since the start time in the entry.
+    /// Replaces the worker's entry. `min_age` is a lower bound of the time since the start time in the entry.
     pub(super) fn update_endpoint(
         &mut self,
         endpoint: EndpointRecord,
-        age: Duration,
+        min_age: Duration,
         context: DecisionContext,
     ) {
         if endpoint.state == EndpointState::Gone && self.endpoint.state != EndpointState::Gone {
@@ -82,7 +82,7 @@
         }
         if endpoint.started_at > self.endpoint.started_at {
             // A new process has an empty cache, and the failures of the old process do not concern it.
-            self.warming_since = Some(context.now.saturating_sub(age));
+            self.warming_since = Some(context.now.saturating_sub(min_age));
             self.cache.clear();
             self.health.clear();
         }
--- a/crates/quartzdrift-scheduler/src/scheduler/estimate.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/estimate.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 impl ClassState {
-    /// Returns the quantile `share` of the attempt durations, with (`loading`) or without a load. `None`: too
-    /// few samples.
+    /// Returns the quantile `share` of the durations of attempts that waited for a load (`loading`), or of
+    /// the others; `None`: too few samples.
     pub(super) fn duration_quantile(&self, share: f64, loading: bool) -> Option<Duration> {
         let durations = if loading { &self.load_durations } else { &self.cached_durations };
         (durations.count() >= MIN_SAMPLES).then(|| durations.quantile(share))
@@ -42,7 +42,8 @@
         sum.checked_div(count).or(self.measurements.mean_duration).map_or(1.0, |mean| mean.as_secs_f64())
     }
 
-    /// Returns the share of the fleet's memory that a copy occupies; zero if the worker's memory is unknown.
+    /// Returns the share of all listed workers' memory that a copy occupies; zero if the worker's memory is
+    /// unknown.
     pub(super) fn memory_share(&self, worker: usize, copy_mb: f64) -> f64 {
         let kind = |worker: usize| self.workers[worker].endpoint.machine_kind as usize;
         let worker_mb = |worker: usize| self.settings.memory_mb_by_kind.get(kind(worker));
--- a/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/outcome.rs
@@ -38,8 +38,8 @@
                     CacheResult::StartedLoad | CacheResult::AwaitedLoad | CacheResult::LoadFailed => false,
                     CacheResult::Unknown => ended_attempt.cache_status != CacheStatus::NotWarm,
                 };
-                let relative = self.classes[request_class].record_duration(end.duration, was_cached);
-                self.record_success(worker, request_class, tenant, relative);
+                let relative_duration = self.classes[request_class].record_duration(end.duration, was_cached);
+                self.record_success(worker, request_class, tenant, relative_duration);
             }
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
                 let attempt = UncertainAttempt { worker, sent_at: ended_attempt.sent_at };
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Adds a successful attempt to the measurements. `relative` is its duration relative to the class's
-    /// mean, if the function was cached.
-    fn record_success(&mut self, worker: usize, class: usize, tenant: u32, relative: Option<f64>) {
+    /// Adds a successful attempt to the measurements. `relative_duration` is relative to the class's mean;
+    /// `None`: the attempt waited for a load.
+    fn record_success(&mut self, worker: usize, class: usize, tenant: u32, relative_duration: Option<f64>) {
         let kind = self.workers[worker].endpoint.machine_kind;
-        if let Some(relative_duration) = relative {
-            self.relative_speeds.add(kind as usize, relative_duration, self.now);
+        if let Some(duration) = relative_duration {
+            self.relative_speeds.add(kind as usize, duration, self.now);
         }
         let relative_work = self.relative_work(class);
         self.succeeded_work.add(tenant as usize, relative_work, self.now);
@@ -118,8 +118,7 @@
             Outcome::TimedOut => self.record_timeout(&attempt, now),
             Outcome::Cancelled | Outcome::NeverSent => {}
         }
-        // Without request counts in the load reports, an attempt that may still run stays in the load
-        // estimate.
+        // Without request counts in the load reports, the load estimate includes attempts that may still run.
         let is_abandoned = matches!(end.outcome, Outcome::Cancelled | Outcome::TimedOut);
         if is_abandoned && !settings.reports_count_requests {
             self.abandoned_until.push(now + attempt.timeout);
--- a/crates/quartzdrift-scheduler/src/scheduler/outlier.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/outlier.rs
@@ -19,6 +19,7 @@
         }
     }
 
+    /// Lowers the error rate. Ends the sequence of ejections once the error rate is low enough.
     pub(super) fn record_success(&mut self) {
         self.error_rate *= 1.0 - 1.0 / ERROR_RATE_ATTEMPTS;
         if self.error_rate < MAX_ERROR_RATE {
@@ -26,6 +27,8 @@
         }
     }
 
+    /// Raises the error rate. Ejects the worker if the rate is too high, or if the worker has not recovered
+    /// since its last ejection.
     pub(super) fn record_error(&mut self, now: Duration) {
         self.error_rate += (1.0 - self.error_rate) / ERROR_RATE_ATTEMPTS;
         if self.error_rate > MAX_ERROR_RATE || self.ejections > 0 {
@@ -57,8 +60,8 @@
     /// Ejects the worker if it is unresponsive. Overdue attempts of several functions rule out a single long
     /// load as the cause.
     pub(super) fn check_responsiveness(&mut self, now: Duration, mailbox: &mut Mailbox<Message>) {
-        let waited = |attempt: &Attempt| now.saturating_sub(attempt.sent_at.max(self.last_response_at));
-        let mut overdue = self.attempts.iter().filter(|attempt| waited(attempt) > attempt.timeout);
+        let waiting_time = |attempt: &Attempt| now.saturating_sub(attempt.sent_at.max(self.last_response_at));
+        let mut overdue = self.attempts.iter().filter(|attempt| waiting_time(attempt) > attempt.timeout);
         let Some(first) = overdue.next() else { return };
         let is_one_function = overdue.all(|attempt| attempt.query.function == first.query.function);
         if is_one_function && now - first.sent_at <= first.timeout * UNRESPONSIVE_TIMEOUTS {
--- a/crates/quartzdrift-scheduler/src/scheduler/prefetch.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/prefetch.rs
@@ -43,13 +43,14 @@
         }
     }
 
-    /// Whether a worker is up, healthy, confirmed and warmed up, so that it may receive a load command.
+    /// Whether a worker may receive a load command: it is up, warmed up, healthy, eligible and not at
+    /// capacity.
     fn accepts_prefetch(&self, worker: &Worker, request_class: usize) -> bool {
         let is_up = worker.endpoint.state == EndpointState::Up && worker.warming_since.is_none();
         let is_healthy = worker.health.get(&request_class).is_none_or(|health| health.ejections == 0);
         let context = self.context();
-        let is_confirmed = worker.may_receive_work(context) && !worker.is_suspected(context);
-        is_up && is_healthy && is_confirmed && worker.at_capacity_until <= self.now
+        let is_eligible = worker.may_receive_work(context) && !worker.is_suspected(context);
+        is_up && is_healthy && is_eligible && worker.at_capacity_until <= self.now
     }
 
     /// Whether a worker should load the function. It should not if the function is being loaded there, or
--- a/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
@@ -16,7 +16,7 @@
     remote_per_reported: Option<f64>,
     /// Number of this scheduler's attempts at all candidates.
     local_load: usize,
-    /// Number of those attempts that do not wait for a load.
+    /// Number of this scheduler's attempts at all candidates that do not wait for a load.
     local_running: usize,
 }
 
@@ -44,8 +44,7 @@
         if candidates.iter().any(is_unsuspected) {
             candidates.retain(is_unsuspected);
         }
-        // If many workers are ejected at once, the cause is not in the workers, and the ejections are
-        // ignored.
+        // If many workers are ejected at once, they are not the cause of the failures: ignores the ejections.
         let ejected = candidates.iter().filter(|candidate| candidate.is_ejected).count();
         let skips_ejected = ejected as f64 <= MAX_EJECTED_SHARE * candidates.len() as f64;
         candidates.retain(|candidate| !skips_ejected || !candidate.is_ejected);
@@ -56,12 +55,12 @@
         let bound = (mean * OVERLOAD_BOUND_RATIO).max(MIN_OVERLOAD_BOUND * self.worker_size());
         let mostly_loading =
             load.local_load >= MIN_LOCAL_REQUESTS && load.local_running * 2 < load.local_load;
-        let waits_for_loads = fleet_is_warming || mostly_loading;
-        candidates.retain(|candidate| waits_for_loads || load.requests(candidate) < bound);
+        let fleet_is_loading = fleet_is_warming || mostly_loading;
+        candidates.retain(|candidate| fleet_is_loading || load.requests(candidate) < bound);
         self.mark_preferred(request, &query, &mut candidates);
         let fleet_bound = FLEET_OVERLOAD_BOUND * self.worker_size() * self.fleet_bound_factor(&query);
         let fleet_is_full = self.mean_running(mean, &load) > fleet_bound;
-        if waits_for_loads || fleet_is_full {
+        if fleet_is_loading || fleet_is_full {
             // If all workers are busy, warming up or loading, another load would make a load storm worse.
             let bound = if fleet_is_full { bound.min(fleet_bound) } else { bound };
             candidates.retain(|candidate| {
@@ -89,9 +88,9 @@
         });
         // Drawn only on a tie.
         let draw = |candidate: &Candidate| hash(&(self.settings.seed, self.random_draws, candidate.worker));
-        let best = ranked.min_by(|a, b| {
-            let by_rank = a.0.cmp(&b.0).then(a.1.total_cmp(&b.1));
-            by_rank.then_with(|| draw(a.2).cmp(&draw(b.2)))
+        let best = ranked.min_by(|(status, requests, candidate), (other_status, other_requests, other)| {
+            let by_rank = status.cmp(other_status).then(requests.total_cmp(other_requests));
+            by_rank.then_with(|| draw(candidate).cmp(&draw(other)))
         });
         best.map(|(.., candidate)| *candidate)
     }
--- a/crates/quartzdrift-scheduler/src/scheduler/slow_start.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/slow_start.rs
@@ -26,8 +26,8 @@
         self.slow_start_usage.work + query.relative_work * (1.0 - draw) <= budget
     }
 
-    /// Returns the sequence number of the current half window. Each scheduler's half windows have a phase of
-    /// their own, drawn from its seed.
+    /// Returns the sequence number of the current half window. The phase of the half windows is drawn from
+    /// the scheduler's seed, so it differs between schedulers.
     fn half_window(&self, context: DecisionContext) -> u64 {
         let length = context.settings.slow_start_half_window.as_micros() as u64;
         let phase = hash(&(context.settings.seed, self.index)) % length;
--- a/crates/quartzdrift-scheduler/src/state/worker.rs
+++ b/crates/quartzdrift-scheduler/src/state/worker.rs
@@ -66,7 +66,7 @@
     pub(crate) lease: LeaseView,
 }
 
-/// State of a worker, as this scheduler knows it.
+/// State of a worker as seen by this scheduler.
 #[derive(Default)]
 pub(crate) struct Worker {
     pub(crate) index: usize,
