--- a/crates/quartzdrift-scheduler/src/mailbox.rs
+++ b/crates/quartzdrift-scheduler/src/mailbox.rs
@@ -1,4 +1,4 @@
-//! The mailbox through which the request table and the workers exchange messages.
+//! Mailbox for the messages between the request table and the workers.
 use std::collections::VecDeque;
 
 /// Receiver of a message.
--- a/crates/quartzdrift-scheduler/src/messages.rs
+++ b/crates/quartzdrift-scheduler/src/messages.rs
@@ -43,7 +43,7 @@
 /// A worker's entry in the endpoint list, without its name, which is stored in the name table.
 pub(crate) type EndpointRecord = Endpoint<'static>;
 
-/// The properties of a request by which a worker decides whether to accept it.
+/// Properties of a request that a worker's decision to accept the request depends on.
 #[derive(Clone, Copy)]
 pub(crate) struct PlacementQuery {
     pub(crate) request_class: usize,
--- a/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
@@ -100,8 +100,8 @@
         let reports = candidates.iter().filter(|candidate| candidate.remote_load.is_some()).count();
         let reported: f64 = candidates.iter().filter_map(|candidate| candidate.remote_load).sum();
         let average = reported / reports.max(1) as f64;
-        // A lost response leaves an abandoned attempt in the count although it has ended. If the reports show
-        // idle cores, abandoned attempts are taken to have ended.
+        // After a lost response, an attempt that has ended still counts as abandoned. If the reports show
+        // idle cores, all abandoned attempts are taken to have ended.
         if reports == 0 || average >= BUSY_FLEET_UTILIZATION {
             candidates.iter_mut().for_each(|candidate| candidate.local_load += candidate.local_abandoned);
         }
--- a/crates/quartzdrift-scheduler/src/state/lease.rs
+++ b/crates/quartzdrift-scheduler/src/state/lease.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// A sequence of commands that a worker accepted, with gaps no longer than the drain grace: during the
-/// sequence it was the same process, and it was not draining when the last command was sent.
+/// A sequence of commands that a worker accepted, with gaps no longer than the drain grace. The worker's
+/// process did not change during the sequence, and was not draining when the last command was sent.
 #[derive(Clone, Copy)]
 pub(crate) struct ActivityProof {
     /// Time at which the first command of the sequence was sent.
