--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -4,7 +4,7 @@
 impl Sim<'_> {
     pub(super) fn start_scheduler(&mut self, s: usize, seed: u64) {
         let mut settings = self.settings.clone();
-        settings.me = Some(s as u32);
+        settings.scheduler_number = Some(s as u32);
         let incarnation = self.schedulers[s].incarnation + 1;
         let mut request_table = RequestTable::new(
             &settings,
@@ -294,7 +294,7 @@
     let entry = |(worker, &(state, started)): (&'a String, &(EndpointState, Option<Duration>))| Endpoint {
         worker,
         state,
-        started,
+        started_at: started,
         ..Endpoint::default()
     };
     there.map(entry).collect()
@@ -311,7 +311,7 @@
     UsageForecast {
         function,
         request_class: request_class as u32,
-        within,
+        horizon: within,
         probability,
         requests_per_second,
         memory_mb: Some(of.memory_mb),
--- a/crates/quartzdrift-lifecycle/src/request_table/actions.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/actions.rs
@@ -31,9 +31,13 @@
                 copies,
             } => self.start_load(worker, function, copies),
             Action::Unload { worker, function } => self.outputs.push(Output::Unload { worker, function }),
-            Action::CloseIdle { worker } => self.outputs.push(Output::CloseIdleConnections { worker }),
+            Action::CloseIdleConnections { worker } => {
+                self.outputs.push(Output::CloseIdleConnections { worker })
+            }
             Action::SendToPeer { to, bytes } => self.outputs.push(Output::SendToPeer { to, bytes }),
-            Action::Watch { on } => self.outputs.push(Output::WatchEndpoints { enabled: on }),
+            Action::WatchEndpoints { enabled: on } => {
+                self.outputs.push(Output::WatchEndpoints { enabled: on })
+            }
             Action::PollEndpoints => self.outputs.push(Output::PollEndpoints),
             Action::Notice(notice) => self.outputs.push(Output::Notice(notice)),
             Action::Log { text } => self.log_scheduler_text(text),
--- a/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/frontends.rs
@@ -26,17 +26,17 @@
             .saturating_sub(self.limits.response_slack)
             .min(until_shutdown.unwrap_or(Duration::MAX));
         let event = Event::Request(Request {
-            request,
+            id: request,
             request_class: new_request.request_class,
             tenant: new_request.tenant,
             function: &new_request.function,
-            left: time_left,
+            time_left,
             work_hint: new_request.work_hint,
             memory_mb: new_request.memory_mb,
             concurrency_slots: new_request.concurrency_slots,
             load_hint: new_request.load_hint,
             is_retry: new_request.is_retry,
-            writes: new_request.has_side_effects,
+            has_side_effects: new_request.has_side_effects,
         });
         let deadline = self.now + time_left;
         let open_request = OpenRequest::new(
--- a/crates/quartzdrift-lifecycle/src/request_table/table.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/table.rs
@@ -126,7 +126,7 @@
 
     /// The scheduler's measurements of workers, to be saved and restored after a restart.
     pub fn measurements(&self) -> &Measurements {
-        &self.scheduler.measured
+        &self.scheduler.measurements
     }
 
     /// Sets the table's clock to `now`, unless that is earlier than the clock's current time.
--- a/crates/quartzdrift-lifecycle/tests/request_table/cases.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/cases.rs
@@ -187,7 +187,7 @@
         (NonIdempotent, false, false, true),
     ] {
         let mut settings = settings(&[idempotency]);
-        settings.allowed.cancel = cancel;
+        settings.limits.cancel = cancel;
         let mut harness = Harness::with_settings(&settings, &["a", "b"]);
         let request = harness.submit(0);
         harness
@@ -253,7 +253,7 @@
 #[test]
 fn requests_beyond_the_open_limit_are_returned() {
     let mut settings = settings(&[Idempotency::Idempotent]);
-    settings.allowed.max_open = Some(2);
+    settings.limits.max_open_requests = Some(2);
     let mut harness = Harness::with_settings(&settings, &["a"]);
     harness.submit(0);
     harness.submit(0);
--- a/crates/quartzdrift-scheduler/tests/decisions.rs
+++ b/crates/quartzdrift-scheduler/tests/decisions.rs
@@ -6,9 +6,9 @@
 #![allow(clippy::unwrap_used, reason = "a test may stop at what must not be")]
 
 use quartzdrift_scheduler::interface::{
-    Action, Allowed, CacheResult, CacheSettings, CountedBy, DeduplicationScope, DiscoveryMode, Endpoint,
-    EndpointListKind, EndpointState, Event, Idempotency, Outcome, Prices, ReportField, ReportSource, Request,
-    RequestClass, RequestId, Rules, Settings, Tenant, UsageForecast,
+    Action, ActionLimits, CacheResult, CacheSettings, DeduplicationScope, DiscoveryMode, Endpoint,
+    EndpointListKind, EndpointState, Event, Idempotency, Outcome, Prices, PriorityUnit, ReportField,
+    ReportSource, Request, RequestClass, RequestId, Rules, Settings, Tenant, UsageForecast,
 };
 use quartzdrift_scheduler::scheduler::Scheduler;
 use std::collections::{BTreeMap, BTreeSet};
@@ -97,17 +97,17 @@
         ..Tenant::default()
     };
     Settings {
-        schedulers: Some(1 + (seed % 5) as u32),
-        discovery: if bit(seed, 1) { DiscoveryMode::Poll } else { DiscoveryMode::Push },
-        counted_by: if bit(seed, 2) { CountedBy::Work } else { CountedBy::Request },
+        scheduler_count: Some(1 + (seed % 5) as u32),
+        discovery_mode: if bit(seed, 1) { DiscoveryMode::Poll } else { DiscoveryMode::Push },
+        priority_unit: if bit(seed, 2) { PriorityUnit::Work } else { PriorityUnit::Request },
         request_classes: (0..3).map(|at| request_class(seed, at)).collect(),
         tenants: vec![tenant("a", 20.0), tenant("b", 10.0)],
-        allowed: allowed(seed),
+        limits: allowed(seed),
         rules: rules(seed),
-        copies: cache_settings(seed),
-        report_source: ReportSource::Answers,
+        cache: cache_settings(seed),
+        report_source: ReportSource::Responses,
         report_fields: report_fields(seed),
-        prices: Prices { origin: 0.02, ..Prices::default() },
+        prices: Prices { origin_fetch: 0.02, ..Prices::default() },
         ..Settings::default()
     }
 }
@@ -123,29 +123,29 @@
         timeout: Some(millis(3000)),
         priority_weight: Some(1.0 + at as f64),
         deduplication_scope: scopes[seed as usize % 3],
-        window: Some(millis(1500)),
+        deduplication_window: Some(millis(1500)),
         ..RequestClass::default()
     }
 }
 
-fn allowed(seed: u64) -> Allowed {
-    Allowed {
+fn allowed(seed: u64) -> ActionLimits {
+    ActionLimits {
         cancel: bit(seed, 0),
         retry_after: bit(seed, 3),
         max_retry_after: bit(seed, 2).then_some(millis(150)),
         max_attempts: Some(1 + (seed % 3) as u32),
-        ..Allowed::default()
+        ..ActionLimits::default()
     }
 }
 
 fn rules(seed: u64) -> Rules {
     Rules {
-        cold_from: Some(0.2),
-        cold_for: Some(millis(4000)),
-        fall_multiple: Some(2.0),
-        fall_window: bit(seed, 1).then_some(millis(1500)),
+        slow_start_min_capacity: Some(0.2),
+        slow_start_duration: Some(millis(4000)),
+        overload_multiple: Some(2.0),
+        overload_window: bit(seed, 1).then_some(millis(1500)),
         drain_grace: Some(millis(250)),
-        ask_within: bit(seed, 0).then_some(millis(400)),
+        endpoint_refresh_limit: bit(seed, 0).then_some(millis(400)),
         ..Rules::default()
     }
 }
@@ -155,7 +155,7 @@
         load_commands: bit(seed, 2) || bit(seed, 0),
         reports_cache_status: bit(seed, 1),
         reports_concurrency: bit(seed, 1),
-        keep: Some(millis(6000)),
+        keep_alive: Some(millis(6000)),
         memory_mb_by_kind: vec![4000.0, 16000.0],
         idle_memory_price: Some(0.01),
         load_quota_burst: Some(4.0),
@@ -167,9 +167,9 @@
 
 fn report_fields(seed: u64) -> Vec<ReportField> {
     match seed % 4 {
-        0 => vec![ReportField::Held, ReportField::MemoryTaken],
-        1 => vec![ReportField::Busy],
-        2 => vec![ReportField::Queued, ReportField::Loads],
+        0 => vec![ReportField::InFlight, ReportField::UnreclaimableMemory],
+        1 => vec![ReportField::CoreUtilization],
+        2 => vec![ReportField::Queued, ReportField::LoadsInProgress],
         _ => Vec::new(),
     }
 }
@@ -185,11 +185,11 @@
         Action::CancelAttempt { request, attempt } => format!("cancel {request} {attempt}"),
         Action::SetTimer { delay, name } => format!("timer {delay:?} {name}"),
         Action::CheckHealth { worker } => format!("probe {worker}"),
-        Action::CloseIdle { worker } => format!("close {worker}"),
+        Action::CloseIdleConnections { worker } => format!("close {worker}"),
         Action::SendToPeer { to, bytes } => format!("tell {to:?} {bytes:?}"),
         Action::Load { worker, function, copies } => format!("load {worker} {function} {copies}"),
         Action::Unload { worker, function } => format!("unload {worker} {function}"),
-        Action::Watch { on } => format!("watch {on}"),
+        Action::WatchEndpoints { enabled: on } => format!("watch {on}"),
         Action::PollEndpoints => "list".to_owned(),
         Action::Notice(notice) => format!("notice {notice:?}"),
         Action::Log { text } => format!("log {text}"),
@@ -265,11 +265,11 @@
                 let (worker, function, sent) = (worker.to_string(), function.to_string(), self.now);
                 self.plan(duration, Upcoming::Loaded { worker, function, copies, sent });
             }
-            Action::Watch { .. } | Action::PollEndpoints => {
+            Action::WatchEndpoints { .. } | Action::PollEndpoints => {
                 self.plan(Duration::from_millis(30), Upcoming::List);
             }
             Action::CheckHealth { .. }
-            | Action::CloseIdle { .. }
+            | Action::CloseIdleConnections { .. }
             | Action::SendToPeer { .. }
             | Action::Unload { .. }
             | Action::Notice(_)
@@ -295,12 +295,20 @@
             }
             let (kind, zone, cell) = (at as u32 % 2, at as u32 % 3, at as u32 / 5);
             let started = self.started[at];
-            entries.push(Endpoint { worker, capacity_hint: None, cell, kind, zone, started, state });
+            entries.push(Endpoint {
+                worker,
+                capacity_hint: None,
+                cell,
+                machine_kind: kind,
+                zone,
+                started_at: started,
+                state,
+            });
         }
         if form == EndpointListKind::Failed {
             entries.clear();
         }
-        self.feed(Event::EndpointList { form, entries });
+        self.feed(Event::EndpointList { kind: form, entries });
     }
 
     fn arrival(&mut self) {
@@ -313,12 +321,12 @@
         let function = format!("f{}", self.random.below(4) * self.random.below(6));
         let left = self.random.millis(800, 3000);
         let arrived = Request {
-            request,
+            id: request,
             request_class: self.random.below(self.classes as u64 + u64::from(request.is_multiple_of(97)))
                 as u32,
             tenant: self.random.below(u64::from(self.tenants)) as u32,
             function: &function,
-            left,
+            time_left: left,
             memory_mb: (!request.is_multiple_of(3)).then_some(200.0),
             concurrency_slots: (!request.is_multiple_of(2)).then_some(1.0 + (request % 4) as f64),
             ..Request::default()
@@ -385,7 +393,7 @@
         let forecast = UsageForecast {
             function: &function,
             request_class: self.random.below(self.classes as u64) as u32,
-            within: self.random.millis(500, 9000),
+            horizon: self.random.millis(500, 9000),
             probability: self.random.below(100) as f64 / 100.0,
             requests_per_second: self.random.chance(50).then_some(3.0),
             memory_mb: Some(200.0),
@@ -399,7 +407,7 @@
                 self.feed(Event::SchedulerCount(schedulers));
             }
             1 => {
-                let before = self.scheduler.measured.clone();
+                let before = self.scheduler.measurements.clone();
                 self.feed(Event::RestoredMeasurements(before));
             }
             _ => {}
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -44,7 +44,7 @@
     /// # Errors
     /// The kind of loss as which an attempt without a connection counts.
     pub(super) fn connection_for(&mut self, worker: &Rc<str>, id: u64) -> Result<SocketId, ConnectionLoss> {
-        let streams = self.config.settings.allowed.streams_per_connection;
+        let streams = self.config.settings.limits.streams_per_connection;
         let streams = streams.map_or(DEFAULT_STREAMS, |streams| streams.max(1) as usize);
         loop {
             let entry = self.workers.get(worker).ok_or(ConnectionLoss::NotConnected)?;
@@ -113,7 +113,7 @@
     /// The connect timeout of the settings, or the default one. Zero counts as unset, since every connection
     /// would time out.
     fn connect_timeout(&self) -> Duration {
-        let configured = self.config.settings.allowed.connect_timeout;
+        let configured = self.config.settings.limits.connect_timeout;
         configured
             .filter(|timeout| !timeout.is_zero())
             .unwrap_or(DEFAULT_CONNECT_TIMEOUT)
@@ -190,7 +190,7 @@
             self.close_connection(id);
             return;
         }
-        let keepalive = self.config.settings.allowed.keepalive;
+        let keepalive = self.config.settings.limits.connection_keep_alive;
         let keepalive = keepalive.unwrap_or(DEFAULT_KEEPALIVE);
         self.sockets
             .set_deadline(id, Some(keepalive.mul_f64(KEEPALIVE_FRACTION)));
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -146,7 +146,7 @@
     /// it.
     pub(super) fn abandon_request(&mut self, request: RequestId) {
         let now = self.now();
-        let may_cancel = self.config.settings.allowed.cancel;
+        let may_cancel = self.config.settings.limits.cancel;
         let attempts: Vec<u32> = self.request_table.attempts_of(request).collect();
         self.request_table.client_disconnected(now, request);
         self.carry_out();
