--- a/crates/quartzdrift-lab/src/emulate/mod.rs
+++ b/crates/quartzdrift-lab/src/emulate/mod.rs
@@ -17,11 +17,11 @@
 use crate::store;
 use crate::traffic::{self, Arrival};
 use crate::worker::Faults;
-use quartzdrift_forecast::{Ahead, Forecasts, Standing, Sums};
-use quartzdrift_lifecycle::{AttemptResult, FinalAnswer, NewRequest, Output, RequestTable};
+use quartzdrift_forecast::{ForecastScores, Forecasts, PrefetchPlanner, PrefetchTotals};
+use quartzdrift_lifecycle::{AttemptResult, FinalResponse, NewRequest, Output, RequestTable};
 use quartzdrift_scheduler::interface::{
-    Allowed, CacheResult, CacheSettings, Endpoint, EndpointListKind, EndpointState, Idempotency, Outcome,
-    Prices, ReportField, ReportSource, RequestClass, Rules, Settings, UsageForecast,
+    ActionLimits, CacheResult, CacheSettings, Endpoint, EndpointListKind, EndpointState, Idempotency,
+    Outcome, Prices, ReportField, ReportSource, RequestClass, Rules, Settings, UsageForecast,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -233,7 +233,7 @@
 
 struct SchedulerSim {
     request_table: Option<RequestTable<usize>>,
-    ahead: Option<Ahead>,
+    ahead: Option<PrefetchPlanner>,
     incarnation: u64,
     planned: Option<Duration>,
     sent: BTreeMap<(u64, u32), (usize, u64)>,
@@ -277,8 +277,8 @@
     waits: Vec<f64>,
     in_time: BTreeSet<usize>,
     idle: (f64, u64),
-    sums: Sums,
-    standing: Standing,
+    sums: PrefetchTotals,
+    standing: ForecastScores,
     deaths: fleet::Deaths,
     power: power::Power,
     /// The attempt whose end is being taken failed with its load.
@@ -300,39 +300,39 @@
         idempotency: w.idempotency,
         timeout: Some(w.limit),
         latency_objective: Some(w.latency_objective),
-        window: (w.idempotency == Idempotency::IdempotentWithKey).then_some(w.window),
+        deduplication_window: (w.idempotency == Idempotency::IdempotentWithKey).then_some(w.window),
         ..RequestClass::default()
     };
     let cold = script.fall_multiple > 0.0;
     Settings {
-        me: Some(me as u32),
-        schedulers: Some(if variant.schedulers > 0 {
+        scheduler_number: Some(me as u32),
+        scheduler_count: Some(if variant.schedulers > 0 {
             variant.schedulers
         } else {
             script.gateways as u32
         }),
         request_classes: script.request_classes.iter().map(request_class).collect(),
-        allowed: Allowed {
+        limits: ActionLimits {
             cancel: true,
             retry_after: true,
             max_retry_after: Some(Duration::from_secs(10)),
             max_attempts: Some(3),
-            ..Allowed::default()
+            ..ActionLimits::default()
         },
         rules: Rules {
-            answer_slack: Some(Duration::from_millis(50)),
+            response_slack: Some(Duration::from_millis(50)),
             drain_grace: Some(Duration::from_millis(250)),
-            cold_from: cold.then_some(script.cold_from),
-            cold_for: cold.then_some(script.cold_for),
-            fall_multiple: cold.then_some(script.fall_multiple),
-            fall_window: cold.then_some(script.fall_window),
+            slow_start_min_capacity: cold.then_some(script.cold_from),
+            slow_start_duration: cold.then_some(script.cold_for),
+            overload_multiple: cold.then_some(script.fall_multiple),
+            overload_window: cold.then_some(script.fall_window),
             ..Rules::default()
         },
-        copies: CacheSettings {
+        cache: CacheSettings {
             load_commands: variant.forecasting != Forecasting::Off,
             reports_cache_status: true,
             reports_concurrency: true,
-            keep: Some(script.keep),
+            keep_alive: Some(script.keep),
             memory_mb_by_kind: vec![script.memory_mb],
             idle_memory_price: Some(variant.memory_price),
             load_quota_burst: (variant.load_window_s > 0.0).then_some(variant.load_quota_burst),
@@ -342,11 +342,11 @@
             ..CacheSettings::default()
         },
         prices: Prices {
-            origin: variant.fetch_price,
+            origin_fetch: variant.fetch_price,
             ..Prices::default()
         },
-        report_source: ReportSource::Answers,
-        report_fields: vec![ReportField::Held, ReportField::MemoryTaken],
+        report_source: ReportSource::Responses,
+        report_fields: vec![ReportField::InFlight, ReportField::UnreclaimableMemory],
         ..Settings::default()
     }
 }
@@ -398,8 +398,8 @@
         waits: Vec::new(),
         in_time: BTreeSet::new(),
         idle: (0.0, 0),
-        sums: Sums::default(),
-        standing: Standing::default(),
+        sums: PrefetchTotals::default(),
+        standing: ForecastScores::default(),
         deaths: fleet::Deaths::default(),
         power: power::Power::default(),
         load_failed: false,
@@ -475,16 +475,16 @@
             self.schedulers
                 .iter()
                 .filter_map(|s| s.ahead.as_ref())
-                .map(|a| a.ledger.sums()),
+                .map(|a| a.tracker.totals()),
         );
         let mut of = self.figures;
         of.orders_used = ledgers.iter().map(|sums| sums.used).sum();
         of.orders_unused = ledgers.iter().map(|sums| sums.unused).sum();
         let mut standing = self.standing;
         let all = self.schedulers.iter().filter_map(|s| s.ahead.as_ref());
-        all.for_each(|ahead| standing.join(ahead.forecasts.standing));
-        (of.gaps, of.score) = (standing.gaps, standing.chosen);
-        (of.score_last, of.score_always) = (standing.last, standing.always);
+        all.for_each(|ahead| standing.merge(ahead.forecasts.scores));
+        (of.gaps, of.score) = (standing.scored_gaps, standing.chosen);
+        (of.score_last, of.score_always) = (standing.last_gap_baseline, standing.always_near_baseline);
         of.fetches = self.store.served;
         of.in_time = self.in_time.len() as f64 / self.arrivals.len().max(1) as f64;
         self.waits.sort_by(f64::total_cmp);
@@ -596,7 +596,7 @@
                     let entry = Endpoint {
                         worker: &worker,
                         state,
-                        started,
+                        started_at: started,
                         ..Endpoint::default()
                     };
                     request_table.update_endpoints(self.now, EndpointListKind::Changes, vec![entry]);
--- a/crates/quartzdrift-scheduler/src/lib.rs
+++ b/crates/quartzdrift-scheduler/src/lib.rs
@@ -1,6 +1,8 @@
-//! Decides for a router of functions that workers load on demand: which worker runs a request, and what becomes of
-//! a request that no worker can take. Use [`scheduler::Scheduler`] for the decisions, with the events, actions and
-//! settings of [`interface`]; it reads no clock and does no I/O.
+//! Scheduling decisions for a router of function requests, whose functions the workers load on demand: which
+//! worker executes a request, and which final response a request gets that no worker accepts.
+//!
+//! [`scheduler::Scheduler`] makes the decisions. Its events, actions and settings are in [`interface`]. It
+//! reads no clock and performs no I/O.
 //!
 //! ```
 //! use quartzdrift_scheduler::interface::{Action, Endpoint, EndpointListKind, EndpointState, Event};
@@ -13,8 +15,8 @@
 //! let mut scheduler = Scheduler::new(&settings, 7);
 //! let now = Duration::from_secs(1);
 //! let entries = vec![Endpoint { worker: "a:1", state: EndpointState::Up, ..Endpoint::default() }];
-//! scheduler.handle(now, Event::EndpointList { form: EndpointListKind::Snapshot, entries });
-//! let request = Request { request: 5, function: "f", left: Duration::from_secs(3), ..Request::default() };
+//! scheduler.handle(now, Event::EndpointList { kind: EndpointListKind::Snapshot, entries });
+//! let request = Request { id: 5, function: "f", time_left: Duration::from_secs(3), ..Request::default() };
 //! let actions = scheduler.handle(now, Event::Request(request));
 //! let sent = |action: &Action| {
 //!     matches!(action, Action::StartAttempt { request: 5, worker, .. } if &**worker == "a:1")
--- a/crates/quartzdrift-scheduler/src/measure/mod.rs
+++ b/crates/quartzdrift-scheduler/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Measurements that forget: histograms, decaying sums and windows. How coarse and how fast is for the scheduler to
-//! say.
+//! Statistics of recent events: histograms, decaying sums and sliding windows. The scheduler's constants set
+//! their resolution and half-lives.
 mod decay;
 mod histogram;
 mod measurements;
@@ -10,4 +10,4 @@
 pub(crate) use histogram::Histogram;
 pub use measurements::Measurements;
 pub(crate) use speed::RelativeSpeeds;
-pub(crate) use window::Window;
+pub(crate) use window::SlidingWindow;
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a test may stop at what must not be")]
 use quartzdrift::{durable, snapshots};
 use quartzdrift_async_queue::{Destination, StoredInvocation};
-use quartzdrift_discovery::{KnownNames, list};
+use quartzdrift_discovery::{ConfiguredNames, list};
 use quartzdrift_forecast::Forecasts;
 use quartzdrift_recovery::{Checkpoint, RecoveryPhase, RecoveryView, RestartKind};
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
@@ -143,7 +143,7 @@
 
 #[test]
 fn the_list_of_workers_is_read() {
-    let known = KnownNames {
+    let known = ConfiguredNames {
         zones: vec!["east".into(), "west".into()],
         kinds: vec!["large".into(), "small".into()],
     };
@@ -214,8 +214,8 @@
     assert_eq!(
         (
             measured.peak_throughput.len(),
-            measured.max_up[&None],
-            measured.usual_duration
+            measured.max_workers_up[&None],
+            measured.mean_duration
         ),
         (2, 2, Some(Duration::from_nanos(2_326_081)))
     );
@@ -259,15 +259,15 @@
     );
     assert_eq!(
         (
-            settings.scheduler.allowed.max_attempts,
+            settings.scheduler.limits.max_attempts,
             settings.scheduler.report_fields.len()
         ),
         (Some(2), 8)
     );
     assert_eq!(
         (
-            settings.scheduler.copies.load_commands,
-            settings.scheduler.copies.load_quota_share
+            settings.scheduler.cache.load_commands,
+            settings.scheduler.cache.load_quota_share
         ),
         (true, Some(0.1))
     );
