--- a/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
@@ -1,34 +1,37 @@
-//! A request table without sockets: the outputs are recorded, and the test decides how attempts end.
-use quartzdrift_lifecycle::{AttemptResult, FinalAnswer, NewRequest, Output, RequestTable};
+//! Harness that drives a request table without sockets: it records the outputs, and the test decides how
+//! attempts end.
+use quartzdrift_lifecycle::{AttemptResult, FinalResponse, NewRequest, Output, RequestTable};
 use quartzdrift_scheduler::interface::{
-    Allowed, Endpoint, EndpointListKind, EndpointState, Idempotency, Outcome, RequestClass, RequestId, Rules,
-    Settings,
+    ActionLimits, Endpoint, EndpointListKind, EndpointState, Idempotency, Outcome, RequestClass, RequestId,
+    Rules, Settings,
 };
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
 pub(crate) const MS: Duration = Duration::from_millis(1);
-/// The request classes' timeout.
+/// Timeout of all request classes, and of the client for each request.
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(1000);
+/// Response slack in the settings.
 pub(crate) const SLACK: Duration = Duration::from_millis(50);
 
+/// Settings with one request class for each of `idempotency_kinds`.
 pub(crate) fn settings(idempotency_kinds: &[Idempotency]) -> Settings {
     let request_class = |idempotency: &Idempotency| RequestClass {
         idempotency: *idempotency,
         timeout: Some(TIMEOUT),
-        window: Some(Duration::from_secs(5)),
+        deduplication_window: Some(Duration::from_secs(5)),
         ..RequestClass::default()
     };
     Settings {
         request_classes: idempotency_kinds.iter().map(request_class).collect(),
-        allowed: Allowed {
+        limits: ActionLimits {
             cancel: true,
             max_attempts: Some(3),
-            ..Allowed::default()
+            ..ActionLimits::default()
         },
         rules: Rules {
-            answer_slack: Some(SLACK),
+            response_slack: Some(SLACK),
             drain_grace: Some(250 * MS),
             ..Rules::default()
         },
@@ -41,30 +44,31 @@
         request_class,
         tenant: 0,
         function: Rc::from("f"),
-        left: TIMEOUT,
+        time_left: TIMEOUT,
         work_hint: None,
         memory_mb: None,
         concurrency_slots: None,
         load_hint: None,
         is_retry: false,
-        writes: false,
+        has_side_effects: false,
         payload: 7,
     }
 }
 
-/// A request table whose outputs are recorded in place of being sent.
+/// A request table with a simulated clock and a record of its outputs.
 pub(crate) struct Harness {
     pub(crate) request_table: RequestTable<u32>,
     pub(crate) now: Duration,
-    /// Each final answer with its time.
-    pub(crate) final_answers: BTreeMap<RequestId, Vec<(Duration, FinalAnswer)>>,
-    /// Attempts in flight, by their workers.
+    /// Final responses of each request, each with the time at which it was given.
+    pub(crate) final_responses: BTreeMap<RequestId, Vec<(Duration, FinalResponse)>>,
+    /// Workers of the attempts in flight, by request and attempt number.
     pub(crate) in_flight: BTreeMap<(RequestId, u32), String>,
+    /// Attempts that the table has recalled, in order.
     pub(crate) recalled: Vec<(RequestId, u32)>,
-    /// Every attempt so far, in order.
+    /// Request and worker of every attempt that was sent so far, in order.
     pub(crate) sent: Vec<(RequestId, String)>,
-    /// Whether bytes of the attempts in flight have been sent.
-    pub(crate) has_left: bool,
+    /// Reported to the table for every attempt: whether a byte of it may have been sent.
+    pub(crate) may_have_been_sent: bool,
 }
 
 impl Harness {
@@ -77,11 +81,11 @@
         let mut harness = Harness {
             request_table: RequestTable::new(settings, 5),
             now,
-            final_answers: BTreeMap::new(),
+            final_responses: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             recalled: Vec::new(),
             sent: Vec::new(),
-            has_left: true,
+            may_have_been_sent: true,
         };
         harness.update_endpoints(EndpointListKind::Snapshot, workers, EndpointState::Up);
         harness
@@ -105,8 +109,9 @@
         self.record_outputs();
     }
 
+    /// Records the outputs of the table. Fails the test if a request has two attempts in flight.
     pub(crate) fn record_outputs(&mut self) {
-        for output in self.request_table.outputs() {
+        for output in self.request_table.take_outputs() {
             match output {
                 Output::StartAttempt {
                     request,
@@ -114,8 +119,8 @@
                     worker,
                     ..
                 } => {
-                    let other = self.in_flight.keys().any(|(other, _)| *other == request);
-                    assert!(!other, "request {request} has two attempts in flight");
+                    let has_attempt = self.in_flight.keys().any(|(other, _)| *other == request);
+                    assert!(!has_attempt, "request {request} has two attempts in flight");
                     self.sent.push((request, worker.to_string()));
                     self.in_flight.insert((request, attempt), worker.to_string());
                 }
@@ -123,17 +128,19 @@
                     drop(self.in_flight.remove(&(request, attempt)))
                 }
                 Output::RecallAttempt { request, attempt } => self.recalled.push((request, attempt)),
-                Output::Respond { request, answer, .. } => self
-                    .final_answers
+                Output::Respond {
+                    request, response, ..
+                } => self
+                    .final_responses
                     .entry(request)
                     .or_default()
-                    .push((self.now, answer)),
+                    .push((self.now, response)),
                 _ => {}
             }
         }
     }
 
-    pub(crate) fn request(&mut self, request_class: u32) -> RequestId {
+    pub(crate) fn submit(&mut self, request_class: u32) -> RequestId {
         let request = self
             .request_table
             .submit(self.now, new_request(request_class))
@@ -142,12 +149,17 @@
         request
     }
 
-    /// Moves the clock to `at`, handling every timer at its time.
+    /// Moves the clock to `at` and fires every timer at its own time on the way.
     pub(crate) fn advance_to(&mut self, at: Duration) {
-        while let Some(due) = self.request_table.next_deadline().filter(|due| *due <= at) {
-            self.now = self.now.max(due);
-            let has_left = self.has_left;
-            self.request_table.due(self.now, |_, _| has_left);
+        while let Some(deadline) = self
+            .request_table
+            .next_deadline()
+            .filter(|deadline| *deadline <= at)
+        {
+            self.now = self.now.max(deadline);
+            let may_have_been_sent = self.may_have_been_sent;
+            self.request_table
+                .fire_timers(self.now, |_, _| may_have_been_sent);
             self.record_outputs();
         }
         self.now = at;
@@ -155,14 +167,23 @@
 
     pub(crate) fn end_attempt(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
         self.in_flight.remove(&(request, attempt));
-        self.request_table
-            .attempt_ended(self.now, request, attempt, AttemptResult::silent(outcome));
+        self.request_table.attempt_ended(
+            self.now,
+            request,
+            attempt,
+            AttemptResult::without_response(outcome),
+        );
         self.record_outputs();
     }
 
-    pub(crate) fn answer(&self, request: RequestId) -> FinalAnswer {
-        let answers = &self.final_answers[&request];
-        assert_eq!(answers.len(), 1, "{answers:?}");
-        answers[0].1
+    /// The only final response of a request.
+    pub(crate) fn final_response(&self, request: RequestId) -> FinalResponse {
+        let responses = &self.final_responses[&request];
+        assert_eq!(
+            responses.len(),
+            1,
+            "final responses of request {request}: {responses:?}"
+        );
+        responses[0].1
     }
 }
--- a/crates/quartzdrift/src/gateway/asynchronous.rs
+++ b/crates/quartzdrift/src/gateway/asynchronous.rs
@@ -7,7 +7,7 @@
     AttemptOutcome, Condition, Destination, DueAttempt, Invocation, InvocationId, NextStep, QueueFull,
 };
 use quartzdrift_http::Response;
-use quartzdrift_lifecycle::FinalAnswer;
+use quartzdrift_lifecycle::FinalResponse;
 use quartzdrift_scheduler::interface::{DeduplicationScope, Idempotency};
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
         let request_class = &self.settings.scheduler.request_classes[function.request_class as usize];
         let idempotency = request_class.idempotency;
         let deduplicated_by_all = request_class.deduplication_scope == DeduplicationScope::All;
-        let deduplication_window = request_class.window.unwrap_or_default();
+        let deduplication_window = request_class.deduplication_window.unwrap_or_default();
         let on_success = or_default(&function.on_success, &self.settings.on_success);
         let on_failure = or_default(&function.on_failure, &self.settings.on_failure);
         // One key for all attempts: workers recognise a further one by it.
@@ -120,16 +120,16 @@
     pub(super) fn attempt_answered(
         &mut self,
         id: InvocationId,
-        answer: FinalAnswer,
+        answer: FinalResponse,
         response: Option<Response>,
     ) {
         let outcome = match answer {
-            FinalAnswer::Succeeded => AttemptOutcome::Succeeded {
+            FinalResponse::Succeeded => AttemptOutcome::Succeeded {
                 function_error: response
                     .as_ref()
                     .is_some_and(|response| response.headers.get("x-amz-function-error").is_some()),
             },
-            FinalAnswer::Rejected {
+            FinalResponse::Rejected {
                 retry_after,
                 may_have_executed,
                 ..
@@ -137,7 +137,7 @@
                 retry_after,
                 may_have_executed,
             },
-            FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => AttemptOutcome::Failed,
+            FinalResponse::Failed { .. } | FinalResponse::Cancelled => AttemptOutcome::Failed,
         };
         self.invocation_attempt_ended(id, outcome, response);
     }
@@ -153,7 +153,7 @@
             Some(NextStep::Retry { at }) => tracing::debug!(id = id.0, ?at, "deferred job waits again"),
             Some(NextStep::Completed(completed)) => {
                 if let Some(schedule) = &completed.invocation.schedule {
-                    self.schedules.completed(schedule);
+                    self.schedules.record_completion(schedule);
                 }
                 if completed.condition != Condition::Success {
                     let function = &completed.invocation.function;
--- a/crates/quartzdrift/src/gateway/event_loop.rs
+++ b/crates/quartzdrift/src/gateway/event_loop.rs
@@ -24,7 +24,7 @@
 
     /// Handles the events that the last wait of the event loop brought, and everything that is due.
     pub fn turn(&mut self) {
-        self.http.expire(Instant::now());
+        self.http.expire_connections(Instant::now());
         for event in self.http.take_events() {
             self.handle_http(event);
         }
@@ -42,11 +42,11 @@
     fn handle_http(&mut self, event: HttpEvent) {
         match event {
             HttpEvent::Request { exchange, request } => self.request_received(exchange, request),
-            HttpEvent::Gone { exchange } => self.client_gone(exchange),
+            HttpEvent::ClientDisconnected { exchange } => self.client_gone(exchange),
             HttpEvent::Response { call, response } => self.response_received(call, response),
-            HttpEvent::Part { call, bytes } => self.part_received(call, bytes),
-            HttpEvent::End { call } => self.stream_ended(call),
-            HttpEvent::Failed { call, failure } => self.call_failed(call, failure),
+            HttpEvent::ResponsePart { call, bytes } => self.part_received(call, bytes),
+            HttpEvent::ResponseEnd { call } => self.stream_ended(call),
+            HttpEvent::CallFailed { call, failure } => self.call_failed(call, failure),
         }
     }
 
@@ -57,7 +57,7 @@
         }
         let attempts = self.calls.attempts();
         let http = &self.http;
-        self.request_table.due(now, |request, attempt| {
+        self.request_table.fire_timers(now, |request, attempt| {
             attempts.has_left(request, attempt, |call| http.is_unsent(call))
         });
         self.carry_out();
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -6,10 +6,10 @@
     self, CHECKPOINT, DAMAGED_CHECKPOINT, FORCE_FULL_SERVICE, MEASUREMENTS, RECOVERY_VIEW,
 };
 use quartzdrift_async_queue::RestoreContext;
-use quartzdrift_lifecycle::FinalAnswer;
+use quartzdrift_lifecycle::FinalResponse;
 use quartzdrift_recovery::{
-    Checkpoint, ClockSample, DiskState, LoadResult, Output, RECOVERY_TOPIC, Recovery, RecoveryPhase,
-    RestartClassification, RestartKind, Settings as RecoverySettings, StartupEvidence,
+    Checkpoint, ClockSample, DiskState, LoadResult, RECOVERY_TOPIC, Recovery, RecoveryOutput, RecoveryPhase,
+    RecoverySettings, RestartClassification, RestartKind, StartupEvidence,
 };
 use quartzdrift_scheduler::interface::{EndpointListKind, EndpointState, Idempotency};
 use quartzdrift_wal::{DirectoryStorage, InvocationRecord};
@@ -137,11 +137,11 @@
     RecoverySettings {
         name: scheduler_name(settings),
         has_fleet: settings.fleet.is_some(),
-        ask_timeout: settings.recovery.ask,
+        classification_timeout: settings.recovery.ask,
         max_duration: settings.recovery.longest,
         idempotency_keys_on_disk: settings.recovery.idempotency_keys_on_disk,
-        load_quota_window: scheduler.copies.load_quota_window.unwrap_or_default(),
-        slow_start_window: scheduler.rules.fall_window.unwrap_or_default(),
+        load_quota_window: scheduler.cache.load_quota_window.unwrap_or_default(),
+        slow_start_window: scheduler.rules.overload_window.unwrap_or_default(),
         max_async_in_flight: settings.asynchronous.max_concurrent_attempts,
         admission_ramp: settings.recovery.pace,
         store_start,
@@ -152,7 +152,7 @@
 fn log_evidence(evidence: &StartupEvidence) {
     let disk = evidence.disk;
     let was_clean = evidence.ended_cleanly();
-    let age = match evidence.age() {
+    let age = match evidence.checkpoint_age() {
         Some(age) => format!("Some({age})"),
         None => "None".to_owned(),
     };
@@ -281,13 +281,13 @@
         };
         for output in recovery.machine.take_outputs() {
             match output {
-                Output::Send { to, bytes } => self.send_to_member(&to, RECOVERY_TOPIC, bytes),
-                Output::Classified(classification) => self.restart_classified(&classification),
-                Output::PhaseEntered(phase) => {
+                RecoveryOutput::Send { to, bytes } => self.send_to_member(&to, RECOVERY_TOPIC, bytes),
+                RecoveryOutput::Classified(classification) => self.restart_classified(&classification),
+                RecoveryOutput::PhaseEntered(phase) => {
                     tracing::info!(stage = %phase, "service returns");
                     self.write_checkpoint();
                 }
-                Output::RestoreMeasurements => self.restore_measurements(),
+                RecoveryOutput::RestoreMeasurements => self.restore_measurements(),
             }
         }
         self.limit_asynchronous();
@@ -353,7 +353,7 @@
         let machine = &recovery.machine;
         let context = RestoreContext {
             keys_remembered: machine.repeats_are_detected(),
-            earlier_copy: machine.waiting_may_have_run(),
+            earlier_copy: machine.waiting_requests_may_have_run(),
         };
         let unproven_downtime = machine.unproven_downtime();
         self.restore(requests, context, unproven_downtime);
@@ -381,7 +381,7 @@
         let Some(recovery) = self.recovery.as_ref().filter(|_| may_repeat) else {
             return Ok(());
         };
-        let window = class.window.unwrap_or_default();
+        let window = class.deduplication_window.unwrap_or_default();
         match recovery.machine.repeat_retry_after(self.now(), window) {
             Some(retry_after) => Err(retry_after),
             None => Ok(()),
@@ -399,7 +399,7 @@
     }
 
     /// A request had its final answer.
-    pub(super) fn request_answered(&mut self, context: &RequestContext, answer: FinalAnswer) {
+    pub(super) fn request_answered(&mut self, context: &RequestContext, answer: FinalResponse) {
         let now = self.now();
         let load_failed = self.load_failed;
         let Some(recovery) = &mut self.recovery else {
@@ -411,13 +411,13 @@
         }
         let is_synchronous = matches!(context.origin, Origin::Client(_));
         let is_full = recovery.machine.phase() == RecoveryPhase::FullService;
-        if is_full || !is_synchronous || answer == FinalAnswer::Cancelled {
+        if is_full || !is_synchronous || answer == FinalResponse::Cancelled {
             return;
         }
         let class = &self.settings.scheduler.request_classes[context.request_class as usize];
         let objective = class.latency_objective.unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
         let is_in_time = now.saturating_sub(context.accepted_at) <= objective;
-        let on_time = answer == FinalAnswer::Succeeded && is_in_time;
+        let on_time = answer == FinalResponse::Succeeded && is_in_time;
         recovery.machine.request_answered(on_time);
     }
 
@@ -451,10 +451,10 @@
     Some(checkpoint.starts)
 }
 
-fn load_result(answer: FinalAnswer, load_failed: bool) -> LoadResult {
+fn load_result(answer: FinalResponse, load_failed: bool) -> LoadResult {
     match answer {
-        FinalAnswer::Succeeded => LoadResult::Cached,
-        FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => {
+        FinalResponse::Succeeded => LoadResult::Cached,
+        FinalResponse::Rejected { .. } | FinalResponse::Failed { .. } | FinalResponse::Cancelled => {
             if load_failed {
                 LoadResult::Rejected
             } else {
