--- a/crates/quartzdrift-lab/src/experiment.rs
+++ b/crates/quartzdrift-lab/src/experiment.rs
@@ -1,7 +1,7 @@
 //! Experiments: days, variants and seeds from one TOML file, played over all cores; a table with intervals, CSV, JSON and
 //! plots. The same file gives the same bytes.
-use crate::emulate::{self, Figures, Variant};
 use crate::script::{self, Script};
+use crate::simulation::{self, Figures, Variant};
 use crate::traffic;
 use indicatif::{ProgressBar, ProgressStyle};
 use plotters::prelude::*;
@@ -92,7 +92,7 @@
                     };
                     let arrivals = traffic::arrivals(&scripts[day], seed);
                     let of = &experiment.variants[variant];
-                    let figures = emulate::run(&scripts[day], &arrivals, &of.is, seed);
+                    let figures = simulation::run(&scripts[day], &arrivals, &of.is, seed);
                     let (day, variant) = (experiment.days[day].name.clone(), of.name.clone());
                     if let Ok(mut rows) = rows.lock() {
                         rows[at] = Some(Row {
--- a/crates/quartzdrift-lab/src/lib.rs
+++ b/crates/quartzdrift-lab/src/lib.rs
@@ -1,10 +1,10 @@
 //! The lab: what the gateway is tried against, and what judges it.
 //!
-//! * [`model`] and [`worker`]: fake workers, first without and then with sockets; [`functions`] that they run.
+//! * [`worker_model`] and [`worker`]: fake workers, first without and then with sockets; [`functions`] that they run.
 //! * [`store`], [`discovery`]: fakes for the store that functions are fetched from and for the list of workers.
 //! * [`clients`], [`load`]: clients of a day, and open-loop load with a report.
 //! * [`script`], [`badday`], [`record`], [`audit`]: days of faults, what passed on the sockets, and the verdict.
-//! * [`emulate`]: a fleet in simulated time, with the real desk, module and forecasts; [`traffic`] of days, and
+//! * [`simulation`]: a fleet in simulated time, with the real desk, module and forecasts; [`traffic`] of days, and
 //!   [`experiment`], which compares variants over days and seeds.
 //! * [`day`]: days of the decision module's bench, scaled down to scripts.
 //! * [`measure`], with [`light`] workers: what a gateway costs.
@@ -17,21 +17,21 @@
 pub mod clients;
 pub mod day;
 pub mod discovery;
-pub mod emulate;
 pub mod experiment;
 pub mod functions;
 pub mod light;
 pub mod load;
 pub mod losses;
 pub mod measure;
-pub mod model;
 pub mod naive;
 pub mod platform;
 pub mod record;
 pub mod relay;
 pub mod script;
+pub mod simulation;
 pub mod stage;
 pub mod store;
 pub mod switch;
 pub mod traffic;
 pub mod worker;
+pub mod worker_model;
--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -1,7 +1,7 @@
 //! The lab's command line.
 use quartzdrift_lab::{
-    actor, audit, badday, day, discovery, emulate, experiment, load, losses, measure, naive, script, store,
-    traffic, worker,
+    actor, audit, badday, day, discovery, experiment, load, losses, measure, naive, script, simulation,
+    store, traffic, worker,
 };
 
 use clap::{Parser, Subcommand};
@@ -339,18 +339,18 @@
             write_trace,
         } => {
             let forecasting = if forecasts {
-                emulate::Forecasting::On
+                simulation::Forecasting::On
             } else {
-                emulate::Forecasting::Off
+                simulation::Forecasting::Off
             };
-            let variant = emulate::Variant {
+            let variant = simulation::Variant {
                 forecasting,
                 members,
                 recovery,
                 pace: recovery,
                 ..Default::default()
             };
-            emulated(
+            simulate(
                 script.as_deref(),
                 seed,
                 &variant,
@@ -552,10 +552,10 @@
     code
 }
 
-fn emulated(
+fn simulate(
     script: Option<&std::path::Path>,
     seed: u64,
-    variant: &emulate::Variant,
+    variant: &simulation::Variant,
     trace: Option<&std::path::Path>,
     write: Option<&std::path::Path>,
 ) -> std::io::Result<()> {
@@ -577,7 +577,7 @@
         traffic::write(path, &arrivals)?;
     }
     let start = std::time::Instant::now();
-    let figures = emulate::run(&script, &arrivals, variant, seed);
+    let figures = simulation::run(&script, &arrivals, variant, seed);
     println!("{}", serde_json::to_string_pretty(&figures)?);
     eprintln!(
         "{:.1?} of simulated time in {:.1?}",
@@ -598,11 +598,11 @@
             some => some.join(", "),
         }
     );
-    let variant = emulate::Variant {
+    let variant = simulation::Variant {
         members: true,
         ..Default::default()
     };
-    let modelled = emulate::run(&script, &traffic::arrivals(&script, seed), &variant, seed);
+    let modelled = simulation::run(&script, &traffic::arrivals(&script, seed), &variant, seed);
     let percent = |part: u64, all: u64| 100.0 * part as f64 / all.max(1) as f64;
     println!(
         "{:<9} {:>7} {:>10} {:>13} {:>8} {:>10} {:>12}",
--- a/crates/quartzdrift-lab/src/emulate/mod.rs
+++ b/crates/quartzdrift-lab/src/simulation/mod.rs
@@ -5,18 +5,18 @@
 //! that is down is refused at once. Everything else is the code that runs on sockets, or the fakes' models.
 mod clients;
 mod faults;
-mod fleet;
-mod power;
-mod returning;
+mod membership;
+mod power_loss;
+mod recovery;
 mod schedulers;
 mod workers;
 
 use crate::badday;
-use crate::model::{Found, Machine, Say, Worker};
 use crate::script::{Fault, Script};
 use crate::store;
 use crate::traffic::{self, Arrival};
 use crate::worker::Faults;
+use crate::worker_model::{Found, Machine, Say, Worker};
 use quartzdrift_forecast::{ForecastScores, Forecasts, PrefetchPlanner, PrefetchTotals};
 use quartzdrift_lifecycle::{AttemptResult, FinalResponse, NewRequest, Output, RequestTable};
 use quartzdrift_scheduler::interface::{
@@ -243,12 +243,12 @@
     given: Vec<Duration>,
     /// The last snapshot of its forecasts.
     saved: Option<(Duration, Vec<u8>)>,
-    fleet: Option<fleet::Fleet>,
+    fleet: Option<membership::Fleet>,
     /// Members met before a kill, and how many schedulers were counted.
     met: (Vec<std::net::SocketAddr>, u32),
     /// It does nothing until then.
     paused: Duration,
-    returning: returning::Returning,
+    returning: recovery::Returning,
 }
 
 struct Sim<'a> {
@@ -279,8 +279,8 @@
     idle: (f64, u64),
     sums: PrefetchTotals,
     standing: ForecastScores,
-    deaths: fleet::Deaths,
-    power: power::Power,
+    deaths: membership::Deaths,
+    power: power_loss::Power,
     /// The attempt whose end is being taken failed with its load.
     load_failed: bool,
     /// Of workers that are no more: the largest share of what they could be sent while cold.
@@ -400,8 +400,8 @@
         idle: (0.0, 0),
         sums: PrefetchTotals::default(),
         standing: ForecastScores::default(),
-        deaths: fleet::Deaths::default(),
-        power: power::Power::default(),
+        deaths: membership::Deaths::default(),
+        power: power_loss::Power::default(),
         load_failed: false,
         cold_most: 0.0,
         apart: None,
@@ -440,7 +440,7 @@
                 fleet: None,
                 met: Default::default(),
                 paused: Duration::ZERO,
-                returning: returning::Returning::default(),
+                returning: recovery::Returning::default(),
             };
             self.schedulers.push(scheduler);
             self.start_scheduler(s, seed);
--- a/crates/quartzdrift-lab/src/emulate/power.rs
+++ b/crates/quartzdrift-lab/src/simulation/power_loss.rs
@@ -1,5 +1,5 @@
 //! What a loss of power cost: until service was back, what was fetched for it, and what the store's pace alone would take.
-use super::fleet::{BEFORE, LOOK_FOR, RECOVERED, STEP, WINDOW};
+use super::membership::{BEFORE, LOOK_FOR, RECOVERED, STEP, WINDOW};
 use super::{START, Sim};
 use crate::badday;
 use std::collections::BTreeMap;
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -1,8 +1,8 @@
 //! A fake worker on sockets: the invoke API on the worker's side, load reports, orders and probes, and faults.
 use crate::actor::Fake;
 use crate::functions;
-use crate::model::{Found, Machine, Say, Spec, Worker};
 use crate::record::{Recorder, Seen};
+use crate::worker_model::{Found, Machine, Say, Spec, Worker};
 use calloop::LoopHandle;
 use quartzdrift_http::{
     CallId, Exchange, HasHttp, Headers, Http, HttpEvent, Limits, OutgoingRequest, Request, Response,
