--- a/crates/quartzdrift-lab/src/badday.rs
+++ b/crates/quartzdrift-lab/src/badday.rs
@@ -6,11 +6,11 @@
 use crate::record::{Line, Recorder, Seen};
 use crate::relay::Relay;
 use crate::script::{Fault, Script, Spoil};
-use crate::store::{self, Store};
-use crate::switch::{Links, Switch, kept_port};
+use crate::store::{self, FakeStore};
+use crate::switch::{LinkFaults, Switch, non_ephemeral_address};
 use crate::traffic;
 use crate::worker::{self, FakeWorker, Faults};
-use crate::worker_model::{Machine, Spec};
+use crate::worker_model::{FunctionSpec, WorkerSpec};
 use quartzdrift_discovery::DiscoveredEndpoint;
 use quartzdrift_recovery::RecoveryView;
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
@@ -122,14 +122,18 @@
 
 /// What makes a gateway a member of the day's fleet, with its asynchronous requests on disk.
 fn fleet_settings(me: usize, period: Duration, switch: &Switch, key: &Path) -> String {
-    let seeds: Vec<String> = switch.outside.iter().map(|at| format!("\"{at}\"")).collect();
+    let seeds: Vec<String> = switch
+        .advertise_addresses
+        .iter()
+        .map(|at| format!("\"{at}\""))
+        .collect();
     format!(
         "[fleet]\nname = \"gateway-{me}\"\ncluster = \"day-{}\"\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = [{}]\n\
          keys = [\"{}\"]\nperiod = \"{}ms\"\n[recovery]\nask = \"1s\"\nlongest = \"60s\"\n",
         // Gateways that outlived a day that was broken off speak to none of another.
-        switch.outside[0].port(),
-        switch.inside[me],
-        switch.outside[me],
+        switch.advertise_addresses[0].port(),
+        switch.listen_addresses[me],
+        switch.advertise_addresses[me],
         seeds.join(", "),
         key.display(),
         period.as_millis(),
@@ -224,17 +228,17 @@
 }
 
 /// The kind of worker that a script tells of.
-pub fn machine(script: &Script) -> Machine {
-    Machine {
+pub fn machine(script: &Script) -> WorkerSpec {
+    WorkerSpec {
         cores: script.cores,
         memory_mb: script.memory_mb,
-        queue_most: script.queue,
-        keep: script.keep,
-        cold_from: script.cold_from,
-        cold_for: script.cold_for,
-        fall_multiple: script.fall_multiple,
-        fall_window: script.fall_window,
-        ..Machine::default()
+        max_queue_length: script.queue,
+        keep_alive: script.keep,
+        slow_start_min_capacity: script.cold_from,
+        slow_start_duration: script.cold_for,
+        overload_multiple: script.fall_multiple,
+        overload_window: script.fall_window,
+        ..WorkerSpec::default()
     }
 }
 
@@ -242,13 +246,13 @@
 pub fn store_config(script: &Script) -> store::Config {
     store::Config {
         capacity: script.store_capacity,
-        limit: script.store_limit,
-        stops_at: script.store_stops_at,
-        stops_for: Duration::from_secs(2),
+        max_concurrent_fetches: script.store_limit,
+        outage_threshold: script.store_stops_at,
+        outage_duration: Duration::from_secs(2),
     }
 }
 
-pub fn specs(script: &Script) -> BTreeMap<String, Spec> {
+pub fn specs(script: &Script) -> BTreeMap<String, FunctionSpec> {
     let mut specs = BTreeMap::new();
     for request_class in &script.request_classes {
         for n in 0..request_class.functions {
@@ -260,20 +264,20 @@
             );
             specs.insert(
                 format!("{}-{n}", request_class.name),
-                Spec {
+                FunctionSpec {
                     memory_mb,
                     slots,
-                    load,
-                    fetch: 0.6,
-                    work,
+                    load_time: load,
+                    fetch_share: 0.6,
+                    default_work: work,
                 },
             );
         }
     }
-    let light = Spec {
+    let light = FunctionSpec {
         memory_mb: 1.0,
-        load: Duration::from_millis(1),
-        ..Spec::default()
+        load_time: Duration::from_millis(1),
+        ..FunctionSpec::default()
     };
     specs.insert("dead".to_owned(), light);
     specs
@@ -388,8 +392,8 @@
             Fault::DiscoveryLag(lag) => self.discovery.tell(discovery::Command::Lag(lag)),
             Fault::DiscoveryStop(on) => self.discovery.tell(discovery::Command::Stop(on)),
             Fault::DiscoveryEmpty(on) => self.discovery.tell(discovery::Command::Empty(on)),
-            Fault::StoreSlow(times) => self.store.tell(store::Command::Slow(times)),
-            Fault::StoreRefuse(on) => self.store.tell(store::Command::Refuse(on)),
+            Fault::StoreSlow(times) => self.store.tell(store::Command::SetSlowdown(times)),
+            Fault::StoreRefuse(on) => self.store.tell(store::Command::SetRejecting(on)),
             Fault::KillGateway(n) => {
                 if let Some(mut child) = self.gateways[n].child.take() {
                     // The moment before counts: what comes back after it was sent before it.
@@ -413,11 +417,15 @@
                     });
                 }
             }
-            Fault::Apart { first, last, one_way } => self.switch()?.apart(first, last, one_way),
-            Fault::Together => self.switch()?.change(|links| *links = Links::default()),
-            Fault::LoseDatagrams(share) => self.switch()?.change(|links| links.lost = share),
-            Fault::DoubleDatagrams(share) => self.switch()?.change(|links| links.doubled = share),
-            Fault::LateDatagrams(late) => self.switch()?.change(|links| links.late = late),
+            Fault::Apart { first, last, one_way } => self.switch()?.partition(first, last, one_way),
+            Fault::Together => self
+                .switch()?
+                .update_faults(|links| *links = LinkFaults::default()),
+            Fault::LoseDatagrams(share) => self.switch()?.update_faults(|links| links.loss_rate = share),
+            Fault::DoubleDatagrams(share) => self
+                .switch()?
+                .update_faults(|links| links.duplication_rate = share),
+            Fault::LateDatagrams(late) => self.switch()?.update_faults(|links| links.max_delay = late),
             Fault::StopGateways(first, last) => {
                 for n in first..=last {
                     self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
@@ -605,7 +613,7 @@
     let folder = tempfile::tempdir()?;
     let recorder = Recorder::default();
     let store_config = store_config(script);
-    let store = actor::spawn(any(), move |handle, _| Store::new(handle, store_config))?;
+    let store = actor::spawn(any(), move |handle, _| FakeStore::new(handle, store_config))?;
     let marks: worker::Marks = Arc::default();
     let window = script
         .request_classes
@@ -664,7 +672,7 @@
     let mut gateways = Vec::new();
     let mut addresses = Vec::new();
     for n in 0..script.gateways {
-        let listen = kept_port()?;
+        let listen = non_ephemeral_address()?;
         let state = folder.path().join(format!("gateway-{n}"));
         let file = folder.path().join(format!("gateway-{n}.toml"));
         let mut text = settings(script, n, listen, discovery.address, &state);
--- a/crates/quartzdrift-lab/src/experiment.rs
+++ b/crates/quartzdrift-lab/src/experiment.rs
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
+pub struct ScenarioEntry {
     pub name: String,
     /// A script of a day, in the notation of `script`.
     pub script: String,
@@ -26,10 +26,10 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Named {
+pub struct NamedVariant {
     pub name: String,
-    #[serde(default)]
-    pub is: Variant,
+    #[serde(default, rename = "is")]
+    pub variant: Variant,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -37,27 +37,29 @@
 pub struct Experiment {
     pub name: String,
     pub seeds: u64,
-    pub days: Vec<Day>,
+    #[serde(rename = "days")]
+    pub scenarios: Vec<ScenarioEntry>,
     /// The first is what the others are compared with.
-    pub variants: Vec<Named>,
+    pub variants: Vec<NamedVariant>,
 }
 
 /// One run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    pub day: String,
+    #[serde(rename = "day")]
+    pub scenario: String,
     pub variant: String,
     pub seed: u64,
     pub figures: Figures,
 }
 
-pub fn read(text: &str) -> Result<(Experiment, Vec<Script>), String> {
+pub fn parse(text: &str) -> Result<(Experiment, Vec<Script>), String> {
     let experiment: Experiment = toml::from_str(text).map_err(|e| e.to_string())?;
-    if experiment.seeds < 2 || experiment.variants.is_empty() || experiment.days.is_empty() {
+    if experiment.seeds < 2 || experiment.variants.is_empty() || experiment.scenarios.is_empty() {
         return Err("an experiment needs two seeds, a variant and a day at least".to_owned());
     }
     let scripts = experiment
-        .days
+        .scenarios
         .iter()
         .map(|day| script::read(&day.script).map_err(|why| format!("day '{}': {why}", day.name)));
     let scripts = scripts.collect::<Result<Vec<_>, _>>()?;
@@ -65,9 +67,9 @@
 }
 
 /// Plays all of it; rows in the order of days, variants and seeds whatever ended first.
-pub fn play(experiment: &Experiment, scripts: &[Script], shown: bool) -> Vec<Row> {
+pub fn run(experiment: &Experiment, scripts: &[Script], shown: bool) -> Vec<Row> {
     let mut plan = Vec::new();
-    for day in 0..experiment.days.len() {
+    for day in 0..experiment.scenarios.len() {
         for variant in 0..experiment.variants.len() {
             plan.extend((1..=experiment.seeds).map(|seed| (day, variant, seed)));
         }
@@ -92,11 +94,11 @@
                     };
                     let arrivals = traffic::arrivals(&scripts[day], seed);
                     let of = &experiment.variants[variant];
-                    let figures = simulation::run(&scripts[day], &arrivals, &of.is, seed);
-                    let (day, variant) = (experiment.days[day].name.clone(), of.name.clone());
+                    let figures = simulation::run(&scripts[day], &arrivals, &of.variant, seed);
+                    let (day, variant) = (experiment.scenarios[day].name.clone(), of.name.clone());
                     if let Ok(mut rows) = rows.lock() {
                         rows[at] = Some(Row {
-                            day,
+                            scenario: day,
                             variant,
                             seed,
                             figures,
@@ -118,29 +120,31 @@
 /// What the table and the plots tell of a run.
 type Figure = (&'static str, fn(&Figures) -> f64);
 
-pub const SHOWN: [Figure; 20] = [
+pub const REPORTED_FIGURES: [Figure; 20] = [
     ("waited for a load, % of finished", |f| {
-        100.0 * f.waited_for_load as f64 / f.finished.max(1) as f64
+        100.0 * f.waited_for_load as f64 / f.succeeded.max(1) as f64
     }),
     ("store fetches", |f| f.fetches as f64),
-    ("in time, %", |f| 100.0 * f.in_time),
+    ("in time, %", |f| 100.0 * f.on_time_share),
     ("wait p50, ms", |f| f.wait_p50_ms),
     ("wait p95, ms", |f| f.wait_p95_ms),
     ("idle memory, %", |f| 100.0 * f.idle_memory),
-    ("orders", |f| f.orders as f64),
-    ("orders unused", |f| f.orders_unused as f64),
-    ("forecast score", |f| f.score),
-    ("score of as the last time", |f| f.score_last),
-    ("score of always near", |f| f.score_always),
-    ("fell over", |f| f.fell_over as f64),
-    ("largest share of the cold limit, %", |f| 100.0 * f.cold_most),
-    ("restart to as before, s", |f| f.recovered_s),
-    ("a kill known to the first, s", |f| f.found_first_s),
-    ("a kill known to all, s", |f| f.found_last_s),
+    ("orders", |f| f.load_commands as f64),
+    ("orders unused", |f| f.load_commands_unused as f64),
+    ("forecast score", |f| f.forecast_score),
+    ("score of as the last time", |f| f.last_gap_score),
+    ("score of always near", |f| f.always_near_score),
+    ("fell over", |f| f.overload_crashes as f64),
+    ("largest share of the cold limit, %", |f| {
+        100.0 * f.max_overload_share
+    }),
+    ("restart to as before, s", |f| f.restart_recovery_s),
+    ("a kill known to the first, s", |f| f.first_detection_s),
+    ("a kill known to all, s", |f| f.last_detection_s),
     ("thought dead and was there", |f| f.false_dead as f64),
-    ("bytes a second of a member", |f| f.member_bytes_s),
-    ("schedulers counted, least share", |f| f.told_least),
-    ("schedulers counted, most", |f| f.told_most),
+    ("bytes a second of a member", |f| f.member_bytes_per_s),
+    ("schedulers counted, least share", |f| f.min_scheduler_count_share),
+    ("schedulers counted, most", |f| f.max_scheduler_count_share),
 ];
 
 /// Mean and half the width of its interval.
@@ -154,22 +158,22 @@
 
 fn values(rows: &[Row], day: &str, variant: &str, of: fn(&Figures) -> f64) -> Vec<f64> {
     rows.iter()
-        .filter(|row| row.day == day && row.variant == variant)
+        .filter(|row| row.scenario == day && row.variant == variant)
         .map(|row| of(&row.figures))
         .collect()
 }
 
 /// A Markdown table for each day: means with their intervals, and against the first variant seed by seed.
-pub fn table(experiment: &Experiment, rows: &[Row]) -> String {
+pub fn markdown_table(experiment: &Experiment, rows: &[Row]) -> String {
     let mut text = String::new();
     let first = &experiment.variants[0].name;
-    for day in &experiment.days {
+    for day in &experiment.scenarios {
         // Writing into a string cannot fail.
         let _ = writeln!(text, "## {}\n", day.name);
         let names: Vec<&str> = experiment.variants.iter().map(|v| v.name.as_str()).collect();
         let _ = writeln!(text, "| | {} |", names.join(" | "));
         let _ = writeln!(text, "| --- |{}", " --- |".repeat(names.len()));
-        for (name, of) in SHOWN {
+        for (name, of) in REPORTED_FIGURES {
             let _ = write!(text, "| {name} |");
             let before = values(rows, &day.name, first, of);
             for variant in &names {
@@ -196,7 +200,7 @@
                     gaps,score,score_last,score_always\n"
         .to_owned();
     for Row {
-        day,
+        scenario: day,
         variant,
         seed,
         figures: f,
@@ -205,27 +209,27 @@
         let _ = writeln!(
             text,
             "{day},{variant},{seed},{},{},{},{},{},{},{},{},{:.6},{:.4},{:.4},{:.6},{},{},{},{},{:.4},{},{:.6},{:.6},{:.6}",
-            f.calls,
-            f.finished,
+            f.requests,
+            f.succeeded,
             f.rejected,
-            f.killed,
-            f.no_answer,
+            f.failed,
+            f.unanswered,
             f.attempts,
             f.waited_for_load,
             f.fetches,
-            f.in_time,
+            f.on_time_share,
             f.wait_p50_ms,
             f.wait_p95_ms,
             f.idle_memory,
-            f.orders,
-            f.orders_used,
-            f.orders_unused,
-            f.fell_over,
-            f.ration_most,
-            f.gaps,
-            f.score,
-            f.score_last,
-            f.score_always
+            f.load_commands,
+            f.load_commands_used,
+            f.load_commands_unused,
+            f.overload_crashes,
+            f.max_load_quota_share,
+            f.scored_gaps,
+            f.forecast_score,
+            f.last_gap_score,
+            f.always_near_score
         );
     }
     text
@@ -239,12 +243,12 @@
     path: &Path,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let (name, of) = figure;
-    let points: Vec<(usize, usize, f64, f64)> = (0..experiment.days.len())
+    let points: Vec<(usize, usize, f64, f64)> = (0..experiment.scenarios.len())
         .flat_map(|day| (0..experiment.variants.len()).map(move |variant| (day, variant)))
         .map(|(day, variant)| {
             let of = values(
                 rows,
-                &experiment.days[day].name,
+                &experiment.scenarios[day].name,
                 &experiment.variants[variant].name,
                 *of,
             );
@@ -255,7 +259,7 @@
     let most = points.iter().map(|p| p.2 + p.3).fold(f64::MIN_POSITIVE, f64::max) * 1.1;
     let area = SVGBackend::new(path, (900, 420)).into_drawing_area();
     area.fill(&WHITE)?;
-    let days = experiment.days.len();
+    let days = experiment.scenarios.len();
     let mut chart = ChartBuilder::on(&area)
         .caption(name, ("sans-serif", 18))
         .margin(10)
@@ -265,7 +269,7 @@
     let day = |at: &f64| {
         let near = at.round();
         let of = experiment
-            .days
+            .scenarios
             .get(near as usize)
             .filter(|_| near >= 0.0 && (at - near).abs() < 0.01);
         of.map_or(String::new(), |day| day.name.clone())
@@ -299,12 +303,12 @@
 }
 
 /// Writes table, rows and plots into a folder.
-pub fn save(experiment: &Experiment, rows: &[Row], folder: &Path) -> io::Result<()> {
+pub fn write_results(experiment: &Experiment, rows: &[Row], folder: &Path) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    std::fs::write(folder.join("table.md"), table(experiment, rows))?;
+    std::fs::write(folder.join("table.md"), markdown_table(experiment, rows))?;
     std::fs::write(folder.join("rows.csv"), csv(rows))?;
     std::fs::write(folder.join("rows.json"), serde_json::to_vec_pretty(rows)?)?;
-    for figure in &SHOWN {
+    for figure in &REPORTED_FIGURES {
         let name: String = figure
             .0
             .chars()
@@ -332,18 +336,18 @@
         let text = "name = 'x'\nseeds = 2\n[[days]]\nname = 'a'\nscript = '''\nlength 5s\n\
             workload q restartable rate=20 functions=3\n'''\n[[variants]]\nname = 'without'\n\
             [[variants]]\nname = 'with'\nis = { forecasting = 'on' }\n";
-        let (experiment, scripts) = read(text).unwrap();
+        let (experiment, scripts) = parse(text).unwrap();
         let (one, two) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
         for folder in [&one, &two] {
-            let rows = play(&experiment, &scripts, false);
+            let rows = run(&experiment, &scripts, false);
             assert_eq!(rows.len(), 4);
-            save(&experiment, &rows, folder.path()).unwrap();
+            write_results(&experiment, &rows, folder.path()).unwrap();
         }
         for entry in std::fs::read_dir(one.path()).unwrap() {
             let name = entry.unwrap().file_name();
             let read = |folder: &tempfile::TempDir| std::fs::read(folder.path().join(&name)).unwrap();
             assert!(read(&one) == read(&two), "{name:?}");
         }
-        assert!(read("name = 'x'\nseeds = 2\nvariants = []\n[[days]]\nname='a'\nscript='wrong'").is_err());
+        assert!(parse("name = 'x'\nseeds = 2\nvariants = []\n[[days]]\nname='a'\nscript='wrong'").is_err());
     }
 }
--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -345,9 +345,9 @@
             };
             let variant = simulation::Variant {
                 forecasting,
-                members,
+                membership: members,
                 recovery,
-                pace: recovery,
+                admission_ramp: recovery,
                 ..Default::default()
             };
             simulate(
@@ -380,10 +380,10 @@
             };
         }
         Command::Experiment { file, out } => std::fs::read_to_string(&file).and_then(|text| {
-            let (experiment, scripts) = experiment::read(&text).map_err(std::io::Error::other)?;
-            let rows = experiment::play(&experiment, &scripts, true);
-            println!("{}", experiment::table(&experiment, &rows));
-            experiment::save(&experiment, &rows, &out)?;
+            let (experiment, scripts) = experiment::parse(&text).map_err(std::io::Error::other)?;
+            let rows = experiment::run(&experiment, &scripts, true);
+            println!("{}", experiment::markdown_table(&experiment, &rows));
+            experiment::write_results(&experiment, &rows, &out)?;
             println!("rows and plots: {}", out.display());
             Ok(())
         }),
@@ -412,10 +412,12 @@
             println!("store at {address}");
             let config = store::Config {
                 capacity: config.capacity,
-                limit: config.limit,
+                max_concurrent_fetches: config.limit,
                 ..store::Config::default()
             };
-            actor::run(Some(listener), None, |handle| store::Store::new(handle, config))
+            actor::run(Some(listener), None, |handle| {
+                store::FakeStore::new(handle, config)
+            })
         }),
         Command::Discovery { listen, workers } => bind(listen).and_then(|(listener, address)| {
             println!("roster at http://{address}/workers/0");
@@ -599,7 +601,7 @@
         }
     );
     let variant = simulation::Variant {
-        members: true,
+        membership: true,
         ..Default::default()
     };
     let modelled = simulation::run(&script, &traffic::arrivals(&script, seed), &variant, seed);
@@ -617,18 +619,18 @@
     let f = &modelled;
     line(
         "emulator",
-        f.calls,
-        [f.finished, f.rejected, f.killed, f.no_answer],
+        f.requests,
+        [f.succeeded, f.rejected, f.failed, f.unanswered],
         f.attempts,
     );
-    if f.fell_over > 0 {
+    if f.overload_crashes > 0 {
         println!(
             "BROKEN {} cold workers were pushed over in the emulator",
-            f.fell_over
+            f.overload_crashes
         );
     }
     if emulator {
-        return Ok(if f.fell_over == 0 {
+        return Ok(if f.overload_crashes == 0 {
             ExitCode::SUCCESS
         } else {
             ExitCode::FAILURE
@@ -640,7 +642,11 @@
     let of = [tally.finished, tally.rejected, tally.killed, tally.no_answer];
     line("sockets", tally.asked, of, played.attempts as u64);
     let code = judged(&played.broken);
-    Ok(if f.fell_over == 0 { code } else { ExitCode::FAILURE })
+    Ok(if f.overload_crashes == 0 {
+        code
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 /// The settings of the demo; its workers are put in.
--- a/crates/quartzdrift-lab/src/simulation/clients.rs
+++ b/crates/quartzdrift-lab/src/simulation/clients.rs
@@ -30,13 +30,13 @@
         if self.schedulers[s].paused > self.now {
             return self.put(self.schedulers[s].paused, Ev::Again(client));
         }
-        self.figures.calls += 1;
+        self.figures.requests += 1;
         self.clients[client].open = true;
         self.clients[client].turn += 1;
         let turn = self.clients[client].turn;
         if self.schedulers[s].request_table.is_none() {
             self.clients[client].open = false;
-            self.figures.no_answer += 1;
+            self.figures.unanswered += 1;
             return self.again(client, Duration::from_millis(50));
         }
         self.put(
@@ -125,7 +125,7 @@
         let of = &mut self.clients[client];
         if of.open && of.turn == turn {
             of.open = false;
-            self.figures.no_answer += 1;
+            self.figures.unanswered += 1;
             if let Some((s, request)) = of.request {
                 if let Some(request_table) = &mut self.schedulers[s].request_table {
                     request_table.client_disconnected(self.now, request);
@@ -150,7 +150,7 @@
         let arrival = &self.arrivals[of.arrival];
         match answer {
             FinalResponse::Succeeded => {
-                self.figures.finished += 1;
+                self.figures.succeeded += 1;
                 self.waits
                     .push((took.as_secs_f64() * 1000.0 - arrival.work_us as f64 / 1000.0).max(0.0));
                 if took <= target {
@@ -164,7 +164,7 @@
                 let wait = told.mul_f64(self.script.haste * self.chance.random_range(1.0..2.0));
                 self.again(client, wait);
             }
-            FinalResponse::Failed { .. } => self.figures.killed += 1,
+            FinalResponse::Failed { .. } => self.figures.failed += 1,
             FinalResponse::Cancelled => {}
         }
     }
--- a/crates/quartzdrift-lab/src/simulation/faults.rs
+++ b/crates/quartzdrift-lab/src/simulation/faults.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    pub(super) fn fault(&mut self, fault: &Fault, machine: &Machine, seed: u64) {
+    pub(super) fn fault(&mut self, fault: &Fault, machine: &WorkerSpec, seed: u64) {
         match *fault {
             Fault::Crash(w) => {
                 self.crash(w);
@@ -32,9 +32,9 @@
                 if self.workers[w].up {
                     self.crash(w);
                 }
-                self.cold_most = self.cold_most.max(self.workers[w].model.cold_most);
+                self.cold_most = self.cold_most.max(self.workers[w].model.max_overload_share);
                 let worker = &mut self.workers[w];
-                worker.model = Worker::new(machine.clone(), badday::specs(self.script), self.now);
+                worker.model = WorkerModel::new(machine.clone(), badday::specs(self.script), self.now);
                 (worker.up, worker.faults) = (true, Faults::default());
                 self.list(w, EndpointState::Up);
             }
@@ -98,10 +98,10 @@
             Fault::DiscoveryEmpty(_) => {}
             Fault::StoreSlow(times) => {
                 self.store.advance(self.now);
-                self.store.slow = times;
+                self.store.slowdown = times;
                 self.plan_store();
             }
-            Fault::StoreRefuse(on) => self.store.refuses = on,
+            Fault::StoreRefuse(on) => self.store.rejecting = on,
             Fault::KillGateway(s) => {
                 if self.schedulers[s].request_table.is_some() {
                     self.fleet_killed(s);
@@ -122,7 +122,7 @@
                 let lost = self.clients.iter_mut().filter(|c| c.open && c.gateway == s);
                 for client in lost {
                     client.open = false;
-                    self.figures.no_answer += 1;
+                    self.figures.unanswered += 1;
                 }
             }
             Fault::StartGateway(s) => {
--- a/crates/quartzdrift-lab/src/simulation/membership.rs
+++ b/crates/quartzdrift-lab/src/simulation/membership.rs
@@ -58,7 +58,7 @@
 impl Sim<'_> {
     /// A scheduler that starts joins the fleet; it finds the others by what it saved, if it ran before, or by the seeds.
     pub(super) fn join(&mut self, s: usize) {
-        if !self.variant.members {
+        if !self.variant.membership {
             return;
         }
         let settings = Settings {
@@ -293,12 +293,12 @@
             })
             .collect();
         let mean = |of: Vec<f64>| of.iter().sum::<f64>() / of.len().max(1) as f64;
-        self.figures.found_first_s = mean(found.iter().map(|f| f.0).collect());
-        self.figures.found_last_s = mean(found.iter().map(|f| f.1).collect());
+        self.figures.first_detection_s = mean(found.iter().map(|f| f.0).collect());
+        self.figures.last_detection_s = mean(found.iter().map(|f| f.1).collect());
         self.figures.false_dead = self.deaths.false_dead;
-        self.figures.member_bytes_s = self.deaths.bytes as f64 / length / self.schedulers.len() as f64;
-        self.figures.told_least = self.deaths.told_least.unwrap_or(0.0);
-        self.figures.told_most = self.deaths.told_most;
+        self.figures.member_bytes_per_s = self.deaths.bytes as f64 / length / self.schedulers.len() as f64;
+        self.figures.min_scheduler_count_share = self.deaths.told_least.unwrap_or(0.0);
+        self.figures.max_scheduler_count_share = self.deaths.told_most;
         let judged: Vec<_> = self
             .schedulers
             .iter()
@@ -308,19 +308,19 @@
             .iter()
             .filter(|(_, kind)| *kind == RestartKind::MassFailure)
             .count();
-        self.figures.judged_lost = lost as f64 / self.schedulers.len() as f64;
+        self.figures.mass_failure_share = lost as f64 / self.schedulers.len() as f64;
         let most = judged.iter().map(|(took, _)| *took).max().unwrap_or_default();
-        self.figures.judged_most_s = most.as_secs_f64();
+        self.figures.max_classification_s = most.as_secs_f64();
         self.power_figures();
         let restarts = std::mem::take(&mut self.deaths.restarted);
         let times = restarts
             .iter()
             .map(|(s, killed, at)| self.recovered(*s, *killed, *at).as_secs_f64());
-        self.figures.recovered_s = mean(times.collect());
-        self.figures.cold_most = self
+        self.figures.restart_recovery_s = mean(times.collect());
+        self.figures.max_overload_share = self
             .workers
             .iter()
-            .map(|w| w.model.cold_most)
+            .map(|w| w.model.max_overload_share)
             .fold(self.cold_most, f64::max);
     }
 
--- a/crates/quartzdrift-lab/src/simulation/mod.rs
+++ b/crates/quartzdrift-lab/src/simulation/mod.rs
@@ -16,7 +16,7 @@
 use crate::store;
 use crate::traffic::{self, Arrival};
 use crate::worker::Faults;
-use crate::worker_model::{Found, Machine, Say, Worker};
+use crate::worker_model::{CacheOutcome, WorkerModel, WorkerOutput, WorkerSpec};
 use quartzdrift_forecast::{ForecastScores, Forecasts, PrefetchPlanner, PrefetchTotals};
 use quartzdrift_lifecycle::{AttemptResult, FinalResponse, NewRequest, Output, RequestTable};
 use quartzdrift_scheduler::interface::{
@@ -55,92 +55,126 @@
 pub struct Variant {
     pub forecasting: Forecasting,
     /// Orders allowed in any window of this many seconds: a few, and a share of the requests taken in it; 0: no ration.
-    pub load_window_s: f64,
+    #[serde(rename = "load_window_s")]
+    pub load_quota_window_s: f64,
     #[serde(rename = "load_free")]
     pub load_quota_burst: f64,
     #[serde(rename = "load_share")]
     pub load_quota_share: f64,
     pub fetch_price: f64,
-    pub memory_price: f64,
+    #[serde(rename = "memory_price")]
+    pub idle_memory_price: f64,
     /// Lengths of the seasons that forecasts look for, in seconds.
     pub seasons_s: Vec<f64>,
     /// What forecasts have learnt is saved this often, and read after a restart; 0: never.
-    pub snapshot_s: f64,
+    #[serde(rename = "snapshot_s")]
+    pub snapshot_interval_s: f64,
     /// Schedulers know of each other by the real membership.
-    pub members: bool,
+    #[serde(rename = "members")]
+    pub membership: bool,
     /// Schedulers return to service in stages after they were killed; it takes `members`.
     pub recovery: bool,
     /// With recovery, calls are let in by a pace while copies return.
-    pub pace: bool,
+    #[serde(rename = "pace")]
+    pub admission_ramp: bool,
     /// Schedulers as the settings tell them; 0: as many as there are.
-    pub schedulers: u32,
+    #[serde(rename = "schedulers")]
+    pub configured_schedulers: u32,
 }
 
 /// What a run came to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Figures {
-    pub calls: u64,
-    pub finished: u64,
+    #[serde(rename = "calls")]
+    pub requests: u64,
+    #[serde(rename = "finished")]
+    pub succeeded: u64,
     #[serde(rename = "pushed_back")]
     pub rejected: u64,
-    pub killed: u64,
-    pub no_answer: u64,
+    #[serde(rename = "killed")]
+    pub failed: u64,
+    #[serde(rename = "no_answer")]
+    pub unanswered: u64,
     #[serde(rename = "executions")]
     pub attempts: u64,
     /// Finished attempts that did not find their copy loaded.
     pub waited_for_load: u64,
     pub fetches: u64,
     /// Share of the asked for that was finished within its latency objective, a client's repeats counted with its first.
-    pub in_time: f64,
+    #[serde(rename = "in_time")]
+    pub on_time_share: f64,
     /// Waiting beside the work itself, of finished requests, in ms.
     pub wait_p50_ms: f64,
     pub wait_p95_ms: f64,
     /// Mean share of all memory held by copies that run nothing.
     pub idle_memory: f64,
-    pub orders: u64,
-    pub orders_used: u64,
-    pub orders_unused: u64,
-    pub fell_over: u64,
+    #[serde(rename = "orders")]
+    pub load_commands: u64,
+    #[serde(rename = "orders_used")]
+    pub load_commands_used: u64,
+    #[serde(rename = "orders_unused")]
+    pub load_commands_unused: u64,
+    #[serde(rename = "fell_over")]
+    pub overload_crashes: u64,
     /// Largest share of the ration that orders came to.
-    pub ration_most: f64,
+    #[serde(rename = "ration_most")]
+    pub max_load_quota_share: f64,
     /// Gaps between uses that forecasts spoke of, and the mean score of what they, "as the last time" and "always near"
     /// said: 0 is best.
-    pub gaps: u64,
-    pub score: f64,
-    pub score_last: f64,
-    pub score_always: f64,
+    #[serde(rename = "gaps")]
+    pub scored_gaps: u64,
+    #[serde(rename = "score")]
+    pub forecast_score: f64,
+    #[serde(rename = "score_last")]
+    pub last_gap_score: f64,
+    #[serde(rename = "score_always")]
+    pub always_near_score: f64,
     /// Largest share of what a cold worker may be sent in a window that it was sent.
-    pub cold_most: f64,
+    #[serde(rename = "cold_most")]
+    pub max_overload_share: f64,
     /// Seconds from a scheduler's restart until calls to it were in time as often as before it was killed, or nearly.
-    pub recovered_s: f64,
+    #[serde(rename = "recovered_s")]
+    pub restart_recovery_s: f64,
     /// Seconds from the return of power, the first gateway or worker, until all calls were in time as often as before, or nearly,
     /// and stayed so; and calls rejected from then on.
-    pub power_back_s: f64,
+    #[serde(rename = "power_back_s")]
+    pub power_recovery_s: f64,
     #[serde(rename = "power_pushed_back")]
     pub power_rejected: u64,
     /// Seconds that the store's pace alone would take for the functions needed for so many calls; fetches after the loss, of how
     /// many functions, and those that the store turned away.
-    pub power_bound_s: f64,
+    #[serde(rename = "power_bound_s")]
+    pub power_recovery_bound_s: f64,
     pub power_fetches: u64,
-    pub power_functions: u64,
-    pub power_refused: u64,
+    #[serde(rename = "power_functions")]
+    pub power_fetched_functions: u64,
+    #[serde(rename = "power_refused")]
+    pub power_rejected_fetches: u64,
     /// Calls a second that were in time over ten seconds before the loss, and over the last ten of the day.
     pub power_goodput_before: f64,
     pub power_goodput_after: f64,
     /// Largest fall of the share in time, over windows of a second, below what it had come to since.
-    pub power_fall_back: f64,
+    #[serde(rename = "power_fall_back")]
+    pub power_max_regression: f64,
     /// Of the schedulers' last starts after a loss of power, the share judged as such, and the longest time until one was judged.
-    pub judged_lost: f64,
-    pub judged_most_s: f64,
+    #[serde(rename = "judged_lost")]
+    pub mass_failure_share: f64,
+    #[serde(rename = "judged_most_s")]
+    pub max_classification_s: f64,
     /// Seconds from a kill until the first and the last of the others knew, and schedulers thought dead that were there.
-    pub found_first_s: f64,
-    pub found_last_s: f64,
+    #[serde(rename = "found_first_s")]
+    pub first_detection_s: f64,
+    #[serde(rename = "found_last_s")]
+    pub last_detection_s: f64,
     pub false_dead: u64,
     /// Bytes of datagrams a second that each member sent.
-    pub member_bytes_s: f64,
+    #[serde(rename = "member_bytes_s")]
+    pub member_bytes_per_s: f64,
     /// Least and greatest number of schedulers counted, against those that were there.
-    pub told_least: f64,
-    pub told_most: f64,
+    #[serde(rename = "told_least")]
+    pub min_scheduler_count_share: f64,
+    #[serde(rename = "told_most")]
+    pub max_scheduler_count_share: f64,
 }
 
 enum Ev {
@@ -221,7 +255,7 @@
 }
 
 struct WorkerSim {
-    model: Worker,
+    model: WorkerModel,
     up: bool,
     faults: Faults,
     calls: BTreeMap<u64, (usize, u64, u64, u32)>,
@@ -266,7 +300,7 @@
     names: Vec<String>,
     by_name: HashMap<String, usize>,
     schedulers: Vec<SchedulerSim>,
-    store: store::Model,
+    store: store::StoreModel,
     store_planned: Option<Duration>,
     fetches: BTreeMap<u64, (usize, u64, u64)>,
     cancelled: BTreeSet<u64>,
@@ -294,7 +328,7 @@
 }
 
 /// The settings that schedulers of a day have.
-pub fn settings(script: &Script, variant: &Variant, me: usize) -> Settings {
+pub fn scheduler_settings(script: &Script, variant: &Variant, me: usize) -> Settings {
     let request_class = |w: &crate::script::RequestClass| RequestClass {
         name: w.name.clone(),
         idempotency: w.idempotency,
@@ -306,8 +340,8 @@
     let cold = script.fall_multiple > 0.0;
     Settings {
         scheduler_number: Some(me as u32),
-        scheduler_count: Some(if variant.schedulers > 0 {
-            variant.schedulers
+        scheduler_count: Some(if variant.configured_schedulers > 0 {
+            variant.configured_schedulers
         } else {
             script.gateways as u32
         }),
@@ -334,11 +368,11 @@
             reports_concurrency: true,
             keep_alive: Some(script.keep),
             memory_mb_by_kind: vec![script.memory_mb],
-            idle_memory_price: Some(variant.memory_price),
-            load_quota_burst: (variant.load_window_s > 0.0).then_some(variant.load_quota_burst),
-            load_quota_share: (variant.load_window_s > 0.0).then_some(variant.load_quota_share),
-            load_quota_window: (variant.load_window_s > 0.0)
-                .then(|| Duration::from_secs_f64(variant.load_window_s)),
+            idle_memory_price: Some(variant.idle_memory_price),
+            load_quota_burst: (variant.load_quota_window_s > 0.0).then_some(variant.load_quota_burst),
+            load_quota_share: (variant.load_quota_window_s > 0.0).then_some(variant.load_quota_share),
+            load_quota_window: (variant.load_quota_window_s > 0.0)
+                .then(|| Duration::from_secs_f64(variant.load_quota_window_s)),
             ..CacheSettings::default()
         },
         prices: Prices {
@@ -358,12 +392,12 @@
         .map(|n| format!("10.0.{}.{}:80", n / 250, n % 250))
         .collect();
     let specs = badday::specs(script);
-    let warm = Machine {
-        cold_for: Duration::ZERO,
+    let warm = WorkerSpec {
+        slow_start_duration: Duration::ZERO,
         ..machine.clone()
     };
     let worker = |_| WorkerSim {
-        model: Worker::new(warm.clone(), specs.clone(), START),
+        model: WorkerModel::new(warm.clone(), specs.clone(), START),
         up: true,
         faults: Faults::default(),
         calls: BTreeMap::new(),
@@ -376,7 +410,7 @@
         script,
         variant,
         arrivals,
-        settings: settings(script, variant, 0),
+        settings: scheduler_settings(script, variant, 0),
         now: START,
         queue: BinaryHeap::new(),
         events: BTreeMap::new(),
@@ -387,7 +421,7 @@
         by_name: names.iter().cloned().zip(0..).collect(),
         names,
         schedulers: Vec::new(),
-        store: store::Model::new(badday::store_config(script)),
+        store: store::StoreModel::new(badday::store_config(script)),
         store_planned: None,
         fetches: BTreeMap::new(),
         cancelled: BTreeSet::new(),
@@ -425,7 +459,7 @@
         self.put(at, event);
     }
 
-    fn play(&mut self, machine: &Machine, seed: u64) {
+    fn play(&mut self, machine: &WorkerSpec, seed: u64) {
         for s in 0..self.script.gateways {
             let scheduler = SchedulerSim {
                 request_table: None,
@@ -478,15 +512,16 @@
                 .map(|a| a.tracker.totals()),
         );
         let mut of = self.figures;
-        of.orders_used = ledgers.iter().map(|sums| sums.used).sum();
-        of.orders_unused = ledgers.iter().map(|sums| sums.unused).sum();
+        of.load_commands_used = ledgers.iter().map(|sums| sums.used).sum();
+        of.load_commands_unused = ledgers.iter().map(|sums| sums.unused).sum();
         let mut standing = self.standing;
         let all = self.schedulers.iter().filter_map(|s| s.ahead.as_ref());
         all.for_each(|ahead| standing.merge(ahead.forecasts.scores));
-        (of.gaps, of.score) = (standing.scored_gaps, standing.chosen);
-        (of.score_last, of.score_always) = (standing.last_gap_baseline, standing.always_near_baseline);
-        of.fetches = self.store.served;
-        of.in_time = self.in_time.len() as f64 / self.arrivals.len().max(1) as f64;
+        (of.scored_gaps, of.forecast_score) = (standing.scored_gaps, standing.chosen);
+        (of.last_gap_score, of.always_near_score) =
+            (standing.last_gap_baseline, standing.always_near_baseline);
+        of.fetches = self.store.completed_fetches;
+        of.on_time_share = self.in_time.len() as f64 / self.arrivals.len().max(1) as f64;
         self.waits.sort_by(f64::total_cmp);
         let at = |share: f64| {
             self.waits
@@ -521,7 +556,7 @@
         }
     }
 
-    fn event(&mut self, event: Ev, machine: &Machine, seed: u64) {
+    fn event(&mut self, event: Ev, machine: &WorkerSpec, seed: u64) {
         // What comes to one that is paused waits for it.
         if let Some(until) = Self::scheduler_of(&event).map(|s| self.schedulers[s].paused)
             && until > self.now
@@ -631,7 +666,7 @@
                     .workers
                     .iter()
                     .filter(|w| w.up)
-                    .map(|w| w.model.idle_mb())
+                    .map(|w| w.model.idle_memory_mb())
                     .sum();
                 self.idle = (self.idle.0 + idle / all, self.idle.1 + 1);
                 if self.now < START + self.script.length {
@@ -643,7 +678,10 @@
 
     /// Has schedulers save what they have learnt, where it is time.
     fn save(&mut self) {
-        let (now, every) = (self.now, Duration::from_secs_f64(self.variant.snapshot_s));
+        let (now, every) = (
+            self.now,
+            Duration::from_secs_f64(self.variant.snapshot_interval_s),
+        );
         for scheduler in self.schedulers.iter_mut().filter(|_| !every.is_zero()) {
             if let Some(ahead) = &scheduler.ahead
                 && scheduler.saved.as_ref().is_none_or(|(at, _)| *at + every <= now)
@@ -678,10 +716,10 @@
         let arrivals = traffic::arrivals(&script, 1);
         let first = run(&script, &arrivals, &Variant::default(), 1);
         assert_eq!(first, run(&script, &arrivals, &Variant::default(), 1));
-        assert!(first.finished as f64 > 0.95 * arrivals.len() as f64, "{first:?}");
-        assert_eq!((first.fell_over, first.orders), (0, 0));
-        let answered = first.finished + first.rejected + first.killed + first.no_answer;
-        assert_eq!(answered, first.calls, "{first:?}");
+        assert!(first.succeeded as f64 > 0.95 * arrivals.len() as f64, "{first:?}");
+        assert_eq!((first.overload_crashes, first.load_commands), (0, 0));
+        let answered = first.succeeded + first.rejected + first.failed + first.unanswered;
+        assert_eq!(answered, first.requests, "{first:?}");
     }
 
     #[test]
@@ -699,32 +737,35 @@
             "{off:?} {with:?}"
         );
         let rationed = Variant {
-            load_window_s: 5.0,
+            load_quota_window_s: 5.0,
             load_quota_burst: 1.0,
             load_quota_share: 0.01,
             ..on.clone()
         };
         let rationed = run(&script, &arrivals, &rationed, 2);
-        assert!(rationed.orders > 0 && rationed.ration_most <= 1.0, "{rationed:?}");
+        assert!(
+            rationed.load_commands > 0 && rationed.max_load_quota_share <= 1.0,
+            "{rationed:?}"
+        );
         // A scheduler that is killed goes on from what it saved: its timers are not learnt anew.
         let saved = run(
             &script,
             &arrivals,
             &Variant {
-                snapshot_s: 2.0,
+                snapshot_interval_s: 2.0,
                 ..on.clone()
             },
             2,
         );
         assert!(
-            saved.gaps > with.gaps && saved.waited_for_load <= with.waited_for_load,
+            saved.scored_gaps > with.scored_gaps && saved.waited_for_load <= with.waited_for_load,
             "{with:?} {saved:?}"
         );
         let none = Variant {
-            load_window_s: 5.0,
+            load_quota_window_s: 5.0,
             forecasting: Forecasting::On,
             ..Variant::default()
         };
-        assert_eq!(run(&script, &arrivals, &none, 2).orders, 0);
+        assert_eq!(run(&script, &arrivals, &none, 2).load_commands, 0);
     }
 }
--- a/crates/quartzdrift-lab/src/simulation/power_loss.rs
+++ b/crates/quartzdrift-lab/src/simulation/power_loss.rs
@@ -44,18 +44,18 @@
             .as_secs_f64();
         let bound_s = self.power_bound(off).as_secs_f64();
         let fetched = self.power.begun.values();
-        self.figures.power_back_s = back_s;
-        self.figures.power_bound_s = bound_s;
+        self.figures.power_recovery_s = back_s;
+        self.figures.power_recovery_bound_s = bound_s;
         self.figures.power_fetches = fetched.clone().map(|of| of.0).sum();
-        self.figures.power_functions = fetched.count() as u64;
-        self.figures.power_refused = self.power.refused;
+        self.figures.power_fetched_functions = fetched.count() as u64;
+        self.figures.power_rejected_fetches = self.power.refused;
         let end = START + self.script.length;
         self.figures.power_goodput_before = self.goodput(off.saturating_sub(BEFORE), off);
         self.figures.power_goodput_after = self.goodput(end.saturating_sub(BEFORE), end);
         let (mut from, mut best) = (back.unwrap_or(off), 0.0f64);
         while from + WINDOW <= end {
             let share = self.share(None, from, from + WINDOW).unwrap_or(best);
-            self.figures.power_fall_back = self.figures.power_fall_back.max(best - share);
+            self.figures.power_max_regression = self.figures.power_max_regression.max(best - share);
             (from, best) = (from + STEP, best.max(share));
         }
     }
@@ -107,8 +107,8 @@
             }
             covered += calls;
             if let Some(spec) = specs.get(&format!("{}-0", self.script.request_classes[request_class].name)) {
-                fetch += spec.load.mul_f64(spec.fetch);
-                rest = rest.max(spec.load.mul_f64(1.0 - spec.fetch));
+                fetch += spec.load_time.mul_f64(spec.fetch_share);
+                rest = rest.max(spec.load_time.mul_f64(1.0 - spec.fetch_share));
             }
         }
         fetch.div_f64(self.script.store_capacity.max(1.0)) + rest
--- a/crates/quartzdrift-lab/src/simulation/recovery.rs
+++ b/crates/quartzdrift-lab/src/simulation/recovery.rs
@@ -78,14 +78,14 @@
         };
         let settings = RecoverySettings {
             name,
-            has_fleet: self.variant.members && now > START,
+            has_fleet: self.variant.membership && now > START,
             classification_timeout: ASK,
             max_duration: LONGEST,
             idempotency_keys_on_disk: false,
-            load_quota_window: Duration::from_secs_f64(self.variant.load_window_s.max(0.0)),
+            load_quota_window: Duration::from_secs_f64(self.variant.load_quota_window_s.max(0.0)),
             slow_start_window: self.script.fall_window,
             max_async_in_flight: 64,
-            admission_ramp: self.variant.pace,
+            admission_ramp: self.variant.admission_ramp,
             store_start: None,
             instance: self.drawn,
         };
--- a/crates/quartzdrift-lab/src/simulation/schedulers.rs
+++ b/crates/quartzdrift-lab/src/simulation/schedulers.rs
@@ -189,7 +189,7 @@
                 function,
                 copies,
             } => {
-                self.figures.orders += 1;
+                self.figures.load_commands += 1;
                 let worker = self.by_name[&*worker];
                 let memory = self
                     .script
@@ -202,14 +202,14 @@
                 if let Some(ahead) = &mut scheduler.ahead {
                     ahead.record_load_command(now, &function, memory);
                 }
-                if self.variant.load_window_s > 0.0 {
-                    let since = now.saturating_sub(Duration::from_secs_f64(self.variant.load_window_s));
+                if self.variant.load_quota_window_s > 0.0 {
+                    let since = now.saturating_sub(Duration::from_secs_f64(self.variant.load_quota_window_s));
                     let count =
                         |times: &[Duration]| times.iter().rev().take_while(|at| **at >= since).count() as f64;
                     let most = self.variant.load_quota_burst
                         + self.variant.load_quota_share * count(&scheduler.taken);
                     let share = count(&scheduler.given) / most.max(1e-9);
-                    self.figures.ration_most = self.figures.ration_most.max(share);
+                    self.figures.max_load_quota_share = self.figures.max_load_quota_share.max(share);
                 }
                 self.later(Ev::Order {
                     worker,
--- a/crates/quartzdrift-lab/src/simulation/workers.rs
+++ b/crates/quartzdrift-lab/src/simulation/workers.rs
@@ -27,7 +27,7 @@
             return self.later(back(Outcome::Error));
         }
         let arrival = &self.arrivals[self.clients[client].arrival];
-        worker.model.call(
+        worker.model.submit_call(
             self.now,
             call,
             &arrival.function,
@@ -39,7 +39,7 @@
     pub(super) fn cancel(&mut self, w: usize, call: u64) {
         if self.workers[w].calls.remove(&call).is_some() {
             if !self.workers[w].faults.hang {
-                self.workers[w].model.cancel(self.now, call);
+                self.workers[w].model.cancel_call(self.now, call);
             }
             self.act(w);
         } else {
@@ -54,10 +54,11 @@
             .last()
             .is_none_or(|(at, _)| *at + REPORT_EVERY <= now)
         {
-            let load = worker.model.load();
-            worker
-                .reports
-                .push((now, vec![Some(load.held as f64), Some(load.memory_taken)]));
+            let load = worker.model.current_load();
+            worker.reports.push((
+                now,
+                vec![Some(load.calls as f64), Some(load.unreclaimable_memory)],
+            ));
             let oldest = now.saturating_sub(worker.faults.late_reports + REPORT_EVERY * 4);
             worker.reports.retain(|(at, _)| *at >= oldest);
         }
@@ -72,38 +73,42 @@
     }
 
     pub(super) fn act(&mut self, w: usize) {
-        for say in self.workers[w].model.says() {
+        for say in self.workers[w].model.take_outputs() {
             match say {
-                Say::Ran {
+                WorkerOutput::CallCompleted {
                     call,
-                    found,
-                    crowd,
-                    wanted,
-                } => self.say(w, call, Outcome::Succeeded, found, crowd, wanted),
-                Say::Full { call } => self.say(w, call, Outcome::AtCapacity, Found::Warm, 0, true),
-                Say::Missed { call } => self.say(w, call, Outcome::CacheMiss, Found::LoadFailed, 0, true),
-                Say::Fetch {
+                    cache_outcome,
+                    concurrency,
+                    awaited,
+                } => self.say(w, call, Outcome::Succeeded, cache_outcome, concurrency, awaited),
+                WorkerOutput::CallRejected { call } => {
+                    self.say(w, call, Outcome::AtCapacity, CacheOutcome::Warm, 0, true)
+                }
+                WorkerOutput::CacheMiss { call } => {
+                    self.say(w, call, Outcome::CacheMiss, CacheOutcome::LoadFailed, 0, true)
+                }
+                WorkerOutput::FetchFunction {
                     load,
-                    takes,
+                    fetch_time: takes,
                     function,
                 } => {
                     self.drawn += 1;
                     let (fetch, incarnation) = (self.drawn, self.workers[w].incarnation);
                     self.fetches.insert(fetch, (w, incarnation, load));
-                    let taken = self.store.begin(self.now, fetch, takes);
+                    let taken = self.store.start_fetch(self.now, fetch, takes);
                     self.power.fetch(function, takes, taken);
                     if !taken {
                         self.fetched(fetch, false);
                     }
                     self.plan_store();
                 }
-                Say::Stands {
-                    order,
+                WorkerOutput::LoadCommandEnded {
+                    command: order,
                     copies,
-                    enough,
+                    succeeded,
                 } => {
                     if let Some((scheduler, incarnation, order)) = self.workers[w].orders.remove(&order) {
-                        let outcome = if enough {
+                        let outcome = if succeeded {
                             Outcome::Succeeded
                         } else {
                             Outcome::AtCapacity
@@ -117,8 +122,8 @@
                         });
                     }
                 }
-                Say::Fell => {
-                    self.figures.fell_over += 1;
+                WorkerOutput::CrashedByOverload => {
+                    self.figures.overload_crashes += 1;
                     return self.crash(w);
                 }
             }
@@ -140,14 +145,14 @@
         w: usize,
         call: u64,
         outcome: Outcome,
-        found: Found,
-        crowd: usize,
-        wanted: bool,
+        cache_outcome: CacheOutcome,
+        concurrency: usize,
+        awaited: bool,
     ) {
         let Some((scheduler, incarnation, request, attempt)) = self.workers[w].calls.remove(&call) else {
             return;
         };
-        if !wanted {
+        if !awaited {
             return;
         }
         let faults = self.workers[w].faults.clone();
@@ -158,18 +163,18 @@
             return;
         }
         let lost = faults.lost > 0.0 && self.chance.random_range(0.0..1.0) < faults.lost;
-        let told = match found {
-            Found::Warm => CacheResult::Warm,
-            Found::StartedLoad => CacheResult::StartedLoad,
-            Found::AwaitedLoad => CacheResult::AwaitedLoad,
-            Found::LoadFailed => CacheResult::LoadFailed,
+        let told = match cache_outcome {
+            CacheOutcome::Warm => CacheResult::Warm,
+            CacheOutcome::StartedLoad => CacheResult::StartedLoad,
+            CacheOutcome::AwaitedLoad => CacheResult::AwaitedLoad,
+            CacheOutcome::LoadFailed => CacheResult::LoadFailed,
         };
         let ended = match lost {
             true => AttemptResult::without_response(Outcome::Reset),
             false => AttemptResult {
                 outcome,
                 cache_result: told,
-                concurrency: Some(crowd as u32),
+                concurrency: Some(concurrency as u32),
                 report: self.report(w),
             },
         };
@@ -213,7 +218,7 @@
         worker.orders.insert(self.drawn, (scheduler, incarnation, order));
         worker
             .model
-            .order(self.now, self.drawn, function, copies as usize);
+            .submit_load_command(self.now, self.drawn, function, copies as usize);
         self.act(w);
     }
 
@@ -221,7 +226,7 @@
         if let Some((w, incarnation, load)) = self.fetches.remove(&fetch)
             && self.workers[w].incarnation == incarnation
         {
-            self.workers[w].model.fetched(self.now, load, good);
+            self.workers[w].model.fetch_ended(self.now, load, good);
             self.act(w);
         }
     }
--- a/crates/quartzdrift-lab/src/store.rs
+++ b/crates/quartzdrift-lab/src/store.rs
@@ -1,5 +1,5 @@
 //! A fake for the store that workers fetch functions from: it slows down when crowded, turns fetches away past
-//! a limit, and stops for a while when pushed far over its capacity. [`Model`] is without sockets.
+//! a limit, and stops for a while when pushed far over its capacity. [`StoreModel`] is without sockets.
 use crate::actor::Fake;
 use calloop::LoopHandle;
 use quartzdrift_http::{Exchange, HasHttp, Http, HttpEvent, Limits, Response};
@@ -13,54 +13,54 @@
     /// Fetches at a time that are as fast as one.
     pub capacity: f64,
     /// Fetches at a time past which more are turned away.
-    pub limit: usize,
+    pub max_concurrent_fetches: usize,
     /// It stops for a while once this many are turned away within a second; 0: never.
-    pub stops_at: usize,
-    pub stops_for: Duration,
+    pub outage_threshold: usize,
+    pub outage_duration: Duration,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
             capacity: 16.0,
-            limit: 64,
-            stops_at: 0,
-            stops_for: Duration::from_secs(3),
+            max_concurrent_fetches: 64,
+            outage_threshold: 0,
+            outage_duration: Duration::from_secs(3),
         }
     }
 }
 
 /// What the store does, with the time told.
 #[derive(Debug)]
-pub struct Model {
+pub struct StoreModel {
     config: Config,
     /// Seconds of undisturbed fetching left, by fetch.
     fetches: Vec<(u64, f64)>,
     at: Duration,
-    pub slow: f64,
-    pub refuses: bool,
+    pub slowdown: f64,
+    pub rejecting: bool,
     turned_away: VecDeque<Duration>,
     stopped_until: Duration,
-    pub served: u64,
+    pub completed_fetches: u64,
 }
 
-impl Model {
-    pub fn new(config: Config) -> Model {
-        Model {
+impl StoreModel {
+    pub fn new(config: Config) -> StoreModel {
+        StoreModel {
             config,
             fetches: Vec::new(),
             at: Duration::ZERO,
-            slow: 1.0,
-            refuses: false,
+            slowdown: 1.0,
+            rejecting: false,
             turned_away: VecDeque::new(),
             stopped_until: Duration::ZERO,
-            served: 0,
+            completed_fetches: 0,
         }
     }
 
     fn speed(&self) -> f64 {
         let crowd = (self.fetches.len() as f64 / self.config.capacity).max(1.0);
-        1.0 / (crowd * self.slow.max(0.001))
+        1.0 / (crowd * self.slowdown.max(0.001))
     }
 
     pub fn advance(&mut self, now: Duration) {
@@ -70,16 +70,16 @@
     }
 
     /// `false`: turned away.
-    pub fn begin(&mut self, now: Duration, fetch: u64, takes: Duration) -> bool {
+    pub fn start_fetch(&mut self, now: Duration, fetch: u64, takes: Duration) -> bool {
         self.advance(now);
         if now < self.stopped_until {
             return false;
         }
-        if self.refuses || self.fetches.len() >= self.config.limit {
+        if self.rejecting || self.fetches.len() >= self.config.max_concurrent_fetches {
             self.turned_away.push_back(now);
             self.turned_away.retain(|at| *at + SECOND > now);
-            if self.config.stops_at > 0 && self.turned_away.len() >= self.config.stops_at {
-                self.stopped_until = now + self.config.stops_for;
+            if self.config.outage_threshold > 0 && self.turned_away.len() >= self.config.outage_threshold {
+                self.stopped_until = now + self.config.outage_duration;
                 self.turned_away.clear();
             }
             return false;
@@ -88,7 +88,7 @@
         true
     }
 
-    pub fn drop_fetch(&mut self, now: Duration, fetch: u64) {
+    pub fn cancel_fetch(&mut self, now: Duration, fetch: u64) {
         self.advance(now);
         self.fetches.retain(|(of, _)| *of != fetch);
     }
@@ -112,35 +112,35 @@
             .map(|fetch| fetch.0)
             .collect();
         self.fetches.retain(|fetch| fetch.1 > 1e-7);
-        self.served += done.len() as u64;
+        self.completed_fetches += done.len() as u64;
         done
     }
 }
 
 pub enum Command {
     /// Every fetch takes this many times as long.
-    Slow(f64),
+    SetSlowdown(f64),
     /// Answers nothing but refusals until told otherwise.
-    Refuse(bool),
+    SetRejecting(bool),
 }
 
-pub struct Store {
-    http: Http<Store>,
+pub struct FakeStore {
+    http: Http<FakeStore>,
     start: Instant,
-    model: Model,
+    model: StoreModel,
     open: HashMap<u64, Exchange>,
     drawn: u64,
 }
 
-impl HasHttp for Store {
-    fn http(&mut self) -> &mut Http<Store> {
+impl HasHttp for FakeStore {
+    fn http(&mut self) -> &mut Http<FakeStore> {
         &mut self.http
     }
 }
 
-impl Store {
-    pub fn new(handle: LoopHandle<'static, Store>, config: Config) -> Store {
-        Store {
+impl FakeStore {
+    pub fn new(handle: LoopHandle<'static, FakeStore>, config: Config) -> FakeStore {
+        FakeStore {
             http: Http::new(
                 handle,
                 Limits {
@@ -149,7 +149,7 @@
                 },
             ),
             start: Instant::now(),
-            model: Model::new(config),
+            model: StoreModel::new(config),
             open: HashMap::new(),
             drawn: 0,
         }
@@ -166,7 +166,7 @@
     }
 }
 
-impl Fake for Store {
+impl Fake for FakeStore {
     type Command = Command;
 
     fn event(&mut self, event: HttpEvent) {
@@ -184,7 +184,7 @@
                 self.drawn += 1;
                 if self
                     .model
-                    .begin(now, self.drawn, Duration::from_micros(told.unwrap_or(0)))
+                    .start_fetch(now, self.drawn, Duration::from_micros(told.unwrap_or(0)))
                 {
                     self.open.insert(self.drawn, exchange);
                 } else {
@@ -203,7 +203,7 @@
                     .map(|(fetch, _)| *fetch);
                 if let Some(fetch) = of {
                     self.open.remove(&fetch);
-                    self.model.drop_fetch(now, fetch);
+                    self.model.cancel_fetch(now, fetch);
                 }
             }
             HttpEvent::Response { .. }
@@ -217,8 +217,8 @@
         let now = self.now();
         self.model.advance(now);
         match command {
-            Command::Slow(times) => self.model.slow = times,
-            Command::Refuse(on) => self.model.refuses = on,
+            Command::SetSlowdown(times) => self.model.slowdown = times,
+            Command::SetRejecting(on) => self.model.rejecting = on,
         }
     }
 
--- a/crates/quartzdrift-lab/src/switch.rs
+++ b/crates/quartzdrift-lab/src/switch.rs
@@ -18,14 +18,14 @@
 /// Datagrams on their way at most; more are lost, as at any switch.
 const MAX_WAITING: usize = 10_000;
 
-/// Addresses handed out by [`kept_port`] so far.
+/// Addresses handed out by [`non_ephemeral_address`] so far.
 static HANDED: AtomicU16 = AtomicU16::new(0);
 /// Ports that it looks at.
 const PORTS: u16 = 8_000;
 
 /// An address that nobody takes while its process is down, so that it comes back there: below the ports that the system
 /// gives to whoever asks for any.
-pub fn kept_port() -> io::Result<SocketAddr> {
+pub fn non_ephemeral_address() -> io::Result<SocketAddr> {
     let range = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range").unwrap_or_default();
     let lowest: u16 = range
         .split_whitespace()
@@ -49,21 +49,21 @@
 
 /// What is wrong with the links.
 #[derive(Clone, Debug, Default)]
-pub struct Links {
+pub struct LinkFaults {
     /// No datagram passes in these directions, by the members' places.
     pub cut: Vec<(usize, usize)>,
     /// Shares of datagrams.
-    pub lost: f64,
-    pub doubled: f64,
+    pub loss_rate: f64,
+    pub duplication_rate: f64,
     /// Each is held back by a chance part of this, so that they overtake each other.
-    pub late: Duration,
+    pub max_delay: Duration,
 }
 
 pub struct Switch {
     /// Where each member is reached by others, and where it listens.
-    pub outside: Vec<SocketAddr>,
-    pub inside: Vec<SocketAddr>,
-    links: Arc<Mutex<Links>>,
+    pub advertise_addresses: Vec<SocketAddr>,
+    pub listen_addresses: Vec<SocketAddr>,
+    links: Arc<Mutex<LinkFaults>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
@@ -74,46 +74,46 @@
         let sockets: Vec<UdpSocket> = (0..members)
             .map(|_| UdpSocket::bind(any))
             .collect::<io::Result<_>>()?;
-        let outside = sockets
+        let advertise_addresses = sockets
             .iter()
             .map(UdpSocket::local_addr)
             .collect::<io::Result<Vec<_>>>()?;
-        let inside = (0..members)
-            .map(|_| kept_port())
+        let listen_addresses = (0..members)
+            .map(|_| non_ephemeral_address())
             .collect::<io::Result<Vec<_>>>()?;
         for socket in &sockets {
             socket.set_read_timeout(Some(LOOK))?;
         }
         let (links, stop) = (
-            Arc::new(Mutex::new(Links::default())),
+            Arc::new(Mutex::new(LinkFaults::default())),
             Arc::new(AtomicBool::new(false)),
         );
-        let (of, ends, to) = (links.clone(), stop.clone(), inside.clone());
+        let (of, ends, to) = (links.clone(), stop.clone(), listen_addresses.clone());
         let work = move || pass(&sockets, &to, &of, &ends, StdRng::seed_from_u64(seed));
         let thread = std::thread::Builder::new()
             .name("switch".to_owned())
             .spawn(work)?;
         Ok(Switch {
-            outside,
-            inside,
+            advertise_addresses,
+            listen_addresses,
             links,
             stop,
             thread: Some(thread),
         })
     }
 
-    pub fn change(&self, change: impl FnOnce(&mut Links)) {
+    pub fn update_faults(&self, change: impl FnOnce(&mut LinkFaults)) {
         change(&mut self.links.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
     /// Cuts those from `first` to `last` off from the others; one way: only they are not heard.
-    pub fn apart(&self, first: usize, last: usize, one_way: bool) {
+    pub fn partition(&self, first: usize, last: usize, one_way: bool) {
         let there = |n: &usize| (first..=last).contains(n);
-        let all = 0..self.inside.len();
+        let all = 0..self.listen_addresses.len();
         let pairs = all.clone().flat_map(|from| all.clone().map(move |to| (from, to)));
         let cut =
             pairs.filter(|(from, to)| there(from) && !there(to) || !one_way && !there(from) && there(to));
-        self.change(|links| links.cut = cut.collect());
+        self.update_faults(|links| links.cut = cut.collect());
     }
 }
 
@@ -128,12 +128,16 @@
 
 fn pass(
     sockets: &[UdpSocket],
-    inside: &[SocketAddr],
-    links: &Mutex<Links>,
+    listen_addresses: &[SocketAddr],
+    links: &Mutex<LinkFaults>,
     stop: &AtomicBool,
     mut chance: StdRng,
 ) {
-    let places: HashMap<SocketAddr, usize> = inside.iter().enumerate().map(|(n, at)| (*at, n)).collect();
+    let places: HashMap<SocketAddr, usize> = listen_addresses
+        .iter()
+        .enumerate()
+        .map(|(n, at)| (*at, n))
+        .collect();
     let mut waiting: BTreeMap<(Instant, u64), (usize, usize, Vec<u8>)> = BTreeMap::new();
     let (mut buffer, mut drawn) = ([0; 2048], 0);
     while !stop.load(Ordering::Relaxed) {
@@ -144,12 +148,12 @@
             };
             let Some(&from) = places.get(&from) else { continue };
             let now = links.lock().unwrap_or_else(PoisonError::into_inner).clone();
-            if now.cut.contains(&(from, to)) || chance.random_range(0.0..1.0) < now.lost {
+            if now.cut.contains(&(from, to)) || chance.random_range(0.0..1.0) < now.loss_rate {
                 continue;
             }
-            let times = 1 + usize::from(chance.random_range(0.0..1.0) < now.doubled);
+            let times = 1 + usize::from(chance.random_range(0.0..1.0) < now.duplication_rate);
             for _ in 0..times {
-                let late = now.late.mul_f64(chance.random_range(0.0..1.0));
+                let late = now.max_delay.mul_f64(chance.random_range(0.0..1.0));
                 drawn += 1;
                 if waiting.len() < MAX_WAITING {
                     waiting.insert(
@@ -165,7 +169,7 @@
         {
             let (from, to, bytes) = entry.remove();
             // Nobody there: lost, as on any network.
-            let _ = sockets[from].send_to(&bytes, inside[to]);
+            let _ = sockets[from].send_to(&bytes, listen_addresses[to]);
         }
     }
 }
@@ -178,23 +182,26 @@
     fn datagrams_pass_as_the_links_let_them() {
         let switch = Switch::start(2, 1).unwrap();
         let ends: Vec<UdpSocket> = switch
-            .inside
+            .listen_addresses
             .iter()
             .map(|at| UdpSocket::bind(at).unwrap())
             .collect();
         ends.iter()
             .for_each(|end| end.set_read_timeout(Some(Duration::from_millis(300))).unwrap());
         let pass = |from: usize, to: usize| {
-            ends[from].send_to(b"x", switch.outside[to]).unwrap();
+            ends[from].send_to(b"x", switch.advertise_addresses[to]).unwrap();
             ends[to].recv_from(&mut [0; 8]).ok().map(|(_, seen)| seen)
         };
-        assert_eq!(pass(0, 1), Some(switch.outside[0]));
-        switch.apart(0, 0, true);
-        assert_eq!((pass(0, 1), pass(1, 0)), (None, Some(switch.outside[1])));
-        switch.change(|links| {
-            *links = Links {
-                doubled: 1.0,
-                ..Links::default()
+        assert_eq!(pass(0, 1), Some(switch.advertise_addresses[0]));
+        switch.partition(0, 0, true);
+        assert_eq!(
+            (pass(0, 1), pass(1, 0)),
+            (None, Some(switch.advertise_addresses[1]))
+        );
+        switch.update_faults(|links| {
+            *links = LinkFaults {
+                duplication_rate: 1.0,
+                ..LinkFaults::default()
             }
         });
         assert!(pass(1, 0).is_some() && ends[0].recv_from(&mut [0; 8]).is_ok());
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -2,7 +2,7 @@
 use crate::actor::Fake;
 use crate::functions;
 use crate::record::{Recorder, Seen};
-use crate::worker_model::{Found, Machine, Say, Spec, Worker};
+use crate::worker_model::{CacheOutcome, FunctionSpec, WorkerModel, WorkerOutput, WorkerSpec};
 use calloop::LoopHandle;
 use quartzdrift_http::{
     CallId, Exchange, HasHttp, Headers, Http, HttpEvent, Limits, OutgoingRequest, Request, Response,
@@ -23,8 +23,8 @@
 
 #[derive(Clone)]
 pub struct Config {
-    pub machine: Machine,
-    pub specs: BTreeMap<String, Spec>,
+    pub machine: WorkerSpec,
+    pub specs: BTreeMap<String, FunctionSpec>,
     pub store: Option<SocketAddr>,
     /// Reports are made anew this often.
     pub report_every: Duration,
@@ -39,7 +39,7 @@
 impl Default for Config {
     fn default() -> Config {
         Config {
-            machine: Machine::default(),
+            machine: WorkerSpec::default(),
             specs: BTreeMap::new(),
             store: None,
             report_every: Duration::from_millis(100),
@@ -90,7 +90,7 @@
     address: SocketAddr,
     start: Instant,
     config: Config,
-    model: Worker,
+    model: WorkerModel,
     incarnation: u64,
     up: bool,
     faults: Faults,
@@ -140,17 +140,17 @@
         let cold_for = if config.warm {
             Duration::ZERO
         } else {
-            config.machine.cold_for
+            config.machine.slow_start_duration
         };
-        let machine = Machine {
-            cold_for,
+        let machine = WorkerSpec {
+            slow_start_duration: cold_for,
             ..config.machine.clone()
         };
         let mut worker = FakeWorker {
             http: Http::new(handle, limits),
             address,
             start: Instant::now(),
-            model: Worker::new(machine, config.specs.clone(), Duration::ZERO),
+            model: WorkerModel::new(machine, config.specs.clone(), Duration::ZERO),
             incarnation: 0,
             up: true,
             faults: Faults::default(),
@@ -177,7 +177,11 @@
 
     fn started(&mut self, cold_for: Duration) {
         self.incarnation += 1;
-        let Machine { cores, cold_from, .. } = self.config.machine;
+        let WorkerSpec {
+            cores,
+            slow_start_min_capacity: cold_from,
+            ..
+        } = self.config.machine;
         let cold_us = cold_for.as_micros() as u64;
         self.see(Seen::Started {
             worker: self.address.to_string(),
@@ -202,7 +206,7 @@
         let function = asked.function.qualified_name();
         self.drawn += 1;
         let id = self.drawn;
-        let work = functions::work(&body).unwrap_or(self.model.spec(&function).work);
+        let work = functions::work(&body).unwrap_or(self.model.function_spec(&function).default_work);
         if self.config.recorder.is_some() {
             let told: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
             self.see(Seen::Came {
@@ -240,7 +244,7 @@
             return self.finish(id, 200, headers, b"{\"repeat\":true}".to_vec());
         }
         let now = self.now();
-        self.model.call(now, id, &function, work);
+        self.model.submit_call(now, id, &function, work);
         self.act();
     }
 
@@ -293,7 +297,7 @@
                 );
             }
             ModelRequest::ModelReady(function) => {
-                let there = self.model.copies(&function) > 0;
+                let there = self.model.ready_copies(&function) > 0;
                 self.say(
                     exchange,
                     if there { 200 } else { 404 },
@@ -303,7 +307,7 @@
             }
             ModelRequest::Index => self.say(exchange, 200, Headers::new(), b"[]".to_vec()),
             ModelRequest::Unload(function) => {
-                self.model.unload(now, &function);
+                self.model.unload_idle_copies(now, &function);
                 self.say(exchange, 200, Headers::new(), Vec::new());
             }
             ModelRequest::Load(function) => {
@@ -316,26 +320,27 @@
                 }
                 self.drawn += 1;
                 self.orders.insert(self.drawn, exchange);
-                self.model.order(now, self.drawn, &function, copies as usize);
+                self.model
+                    .submit_load_command(now, self.drawn, &function, copies as usize);
                 self.act();
             }
         }
     }
 
-    fn with_report(&mut self, headers: Headers, call: Option<(Found, usize)>) -> Headers {
+    fn with_report(&mut self, headers: Headers, call: Option<(CacheOutcome, usize)>) -> Headers {
         let now = self.now();
         let fresh = self
             .reports
             .last()
             .is_some_and(|(at, _)| *at + self.config.report_every > now);
         if !fresh {
-            let load = self.model.load();
+            let load = self.model.current_load();
             let mut report = LoadReport::default();
-            report.push("cpu_utilization", load.busy);
-            report.push("mem_utilization", load.memory_taken);
-            report.push("named_metrics.inflight", load.held as f64);
+            report.push("cpu_utilization", load.cpu_utilization);
+            report.push("mem_utilization", load.unreclaimable_memory);
+            report.push("named_metrics.inflight", load.calls as f64);
             report.push("named_metrics.queue", load.queued as f64);
-            report.push("named_metrics.loads", load.loads as f64);
+            report.push("named_metrics.loads", load.pending_loads as f64);
             self.reports.push((now, report));
             let oldest = now.saturating_sub(self.faults.late_reports + self.config.report_every * 4);
             self.reports.retain(|(at, _)| *at >= oldest);
@@ -348,23 +353,23 @@
             .find(|(at, _)| *at <= told)
             .or(self.reports.first());
         let mut report = report.map(|(_, report)| report.clone()).unwrap_or_default();
-        if let Some((found, crowd)) = call {
-            report.push("named_metrics.found", f64::from(found as u8));
-            report.push("named_metrics.crowd", crowd as f64);
+        if let Some((cache_outcome, concurrency)) = call {
+            report.push("named_metrics.found", f64::from(cache_outcome as u8));
+            report.push("named_metrics.crowd", concurrency as f64);
         }
         headers.with(load_report::HEADER_NAME, &report.to_header_value())
     }
 
     fn act(&mut self) {
-        for say in self.model.says() {
-            match say {
-                Say::Ran {
+        for output in self.model.take_outputs() {
+            match output {
+                WorkerOutput::CallCompleted {
                     call,
-                    found,
-                    crowd,
-                    wanted,
-                } => self.may_have_executed(call, found, crowd, wanted),
-                Say::Full { call } => {
+                    cache_outcome,
+                    concurrency,
+                    awaited,
+                } => self.call_completed(call, cache_outcome, concurrency, awaited),
+                WorkerOutput::CallRejected { call } => {
                     self.not_taken(call);
                     let headers = Headers::new().with("x-amzn-errortype", "TooManyRequestsException");
                     let headers = self.with_report(headers, None);
@@ -375,10 +380,10 @@
                         b"{\"Type\":\"User\",\"message\":\"full\"}".to_vec(),
                     );
                 }
-                Say::Missed { call } => {
+                WorkerOutput::CacheMiss { call } => {
                     self.not_taken(call);
                     let headers = Headers::new().with("x-amzn-errortype", "ResourceNotFoundException");
-                    let headers = self.with_report(headers, Some((Found::LoadFailed, 0)));
+                    let headers = self.with_report(headers, Some((CacheOutcome::LoadFailed, 0)));
                     self.finish(
                         call,
                         404,
@@ -386,23 +391,23 @@
                         b"{\"Type\":\"User\",\"message\":\"not loaded\"}".to_vec(),
                     );
                 }
-                Say::Fetch {
+                WorkerOutput::FetchFunction {
                     load,
                     function,
-                    takes,
-                } => self.fetch(load, &function, takes),
-                Say::Stands {
-                    order,
+                    fetch_time,
+                } => self.fetch(load, &function, fetch_time),
+                WorkerOutput::LoadCommandEnded {
+                    command,
                     copies,
-                    enough,
+                    succeeded,
                 } => {
-                    if let Some(exchange) = self.orders.remove(&order) {
-                        let status = if enough { 200 } else { 429 };
+                    if let Some(exchange) = self.orders.remove(&command) {
+                        let status = if succeeded { 200 } else { 429 };
                         let headers = Headers::new().with("content-type", "application/json");
                         self.say(exchange, status, headers, models::write_replicas(copies as u32));
                     }
                 }
-                Say::Fell => {
+                WorkerOutput::CrashedByOverload => {
                     self.see(Seen::Fell {
                         worker: self.address.to_string(),
                     });
@@ -413,8 +418,12 @@
         }
     }
 
-    fn may_have_executed(&mut self, call: u64, found: Found, crowd: usize, wanted: bool) {
-        let (worker, incarnation, warm) = (self.address.to_string(), self.incarnation, found == Found::Warm);
+    fn call_completed(&mut self, call: u64, cache_outcome: CacheOutcome, concurrency: usize, awaited: bool) {
+        let (worker, incarnation, warm) = (
+            self.address.to_string(),
+            self.incarnation,
+            cache_outcome == CacheOutcome::Warm,
+        );
         self.see(Seen::Began {
             worker,
             incarnation,
@@ -422,17 +431,17 @@
             warm,
         });
         let Some(open) = self.open.get(&call) else { return };
-        if !wanted {
+        if !awaited {
             self.open.remove(&call);
             return;
         }
-        let may_have_executed = functions::run(&open.function, &open.payload, &self.address.to_string());
+        let result = functions::run(&open.function, &open.payload, &self.address.to_string());
         let mut headers = Headers::new().with("content-type", "application/json");
-        if may_have_executed.error {
+        if result.error {
             headers.push("x-amz-function-error", "Unhandled");
         }
-        let headers = self.with_report(headers, Some((found, crowd)));
-        self.finish(call, 200, headers, may_have_executed.body);
+        let headers = self.with_report(headers, Some((cache_outcome, concurrency)));
+        self.finish(call, 200, headers, result.body);
     }
 
     fn fetch(&mut self, load: u64, function: &str, takes: Duration) {
@@ -513,7 +522,7 @@
         self.http.close_all();
         (self.open, self.orders, self.fetches) = Default::default();
         (self.local_fetches, self.held_back, self.reports) = Default::default();
-        self.model = Worker::new(self.config.machine.clone(), self.config.specs.clone(), self.now());
+        self.model = WorkerModel::new(self.config.machine.clone(), self.config.specs.clone(), self.now());
     }
 
     fn restart(&mut self) {
@@ -521,9 +530,9 @@
             self.crash();
         }
         let now = self.now();
-        self.model = Worker::new(self.config.machine.clone(), self.config.specs.clone(), now);
+        self.model = WorkerModel::new(self.config.machine.clone(), self.config.specs.clone(), now);
         self.faults = Faults::default();
-        self.started(self.config.machine.cold_for);
+        self.started(self.config.machine.slow_start_duration);
         match quartzdrift_http::bind(self.address, false).and_then(|listener| self.http.listen(listener)) {
             Ok(()) => self.up = true,
             Err(e) => eprintln!("worker {} cannot start again: {e}", self.address),
@@ -552,7 +561,7 @@
                 self.held_back.retain(|(_, held, ..)| *held != id);
                 if !self.faults.hang {
                     let now = self.now();
-                    if self.model.cancel(now, id) {
+                    if self.model.cancel_call(now, id) {
                         self.forget(id);
                     }
                     self.act();
@@ -566,14 +575,14 @@
                             worker: self.address.to_string(),
                         });
                     }
-                    self.model.fetched(now, load, response.status == 200);
+                    self.model.fetch_ended(now, load, response.status == 200);
                     self.act();
                 }
             }
             HttpEvent::CallFailed { call, .. } => {
                 if let Some(load) = self.fetches.remove(&call) {
                     let now = self.now();
-                    self.model.fetched(now, load, false);
+                    self.model.fetch_ended(now, load, false);
                     self.act();
                 }
             }
@@ -620,7 +629,7 @@
             self.local_fetches = left;
             let over: Vec<(Duration, u64)> = over;
             over.into_iter()
-                .for_each(|(_, load)| self.model.fetched(now, load, true));
+                .for_each(|(_, load)| self.model.fetch_ended(now, load, true));
             self.model.due(now);
             self.act();
         }
--- a/crates/quartzdrift-lab/src/worker_model.rs
+++ b/crates/quartzdrift-lab/src/worker_model.rs
@@ -1,7 +1,7 @@
 //! What a fake worker does with calls, without sockets or clock: copies that load, hold memory and slots,
 //! stand idle and are unloaded; queues; a cold start; falling over; work that goes on after a cancel. Give it
-//! what comes ([`Worker::call`], ...) with the time, run [`Worker::due`] when [`Worker::next_due`] has come, and do
-//! what [`Worker::says`].
+//! what comes ([`WorkerModel::submit_call`], ...) with the time, run [`WorkerModel::due`] when [`WorkerModel::next_due`] has come, and do
+//! what [`WorkerModel::take_outputs`].
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -12,66 +12,66 @@
 
 /// A function as workers know it.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct FunctionSpec {
     pub memory_mb: f64,
     /// Requests at a time in one copy.
     pub slots: usize,
-    pub load: Duration,
+    pub load_time: Duration,
     /// Share of the load that is the fetch from the store.
-    pub fetch: f64,
+    pub fetch_share: f64,
     /// Work of a call that tells none.
-    pub work: Duration,
+    pub default_work: Duration,
 }
 
-impl Default for Spec {
-    fn default() -> Spec {
+impl Default for FunctionSpec {
+    fn default() -> FunctionSpec {
         let (load, work) = (Duration::from_millis(300), Duration::from_millis(2));
-        Spec {
+        FunctionSpec {
             memory_mb: 200.0,
             slots: 8,
-            load,
-            fetch: 0.5,
-            work,
+            load_time: load,
+            fetch_share: 0.5,
+            default_work: work,
         }
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct WorkerSpec {
     pub cores: f64,
     pub memory_mb: f64,
-    pub loads_most: usize,
-    pub queue_most: usize,
+    pub max_concurrent_loads: usize,
+    pub max_queue_length: usize,
     /// Until an idle copy is unloaded.
-    pub keep: Duration,
-    pub cold_from: f64,
-    pub cold_for: Duration,
+    pub keep_alive: Duration,
+    pub slow_start_min_capacity: f64,
+    pub slow_start_duration: Duration,
     /// Falls over when sent more than this multiple of what it can do in the window; 0: never.
-    pub fall_multiple: f64,
-    pub fall_window: Duration,
+    pub overload_multiple: f64,
+    pub overload_window: Duration,
     /// Running work goes on when its call is cancelled.
-    pub goes_on: bool,
+    pub runs_after_cancel: bool,
 }
 
-impl Default for Machine {
-    fn default() -> Machine {
-        Machine {
+impl Default for WorkerSpec {
+    fn default() -> WorkerSpec {
+        WorkerSpec {
             cores: 4.0,
             memory_mb: 4000.0,
-            loads_most: 4,
-            queue_most: 200,
-            keep: Duration::from_secs(10),
-            cold_from: 1.0,
-            cold_for: Duration::ZERO,
-            fall_multiple: 0.0,
-            fall_window: Duration::from_secs(2),
-            goes_on: true,
+            max_concurrent_loads: 4,
+            max_queue_length: 200,
+            keep_alive: Duration::from_secs(10),
+            slow_start_min_capacity: 1.0,
+            slow_start_duration: Duration::ZERO,
+            overload_multiple: 0.0,
+            overload_window: Duration::from_secs(2),
+            runs_after_cancel: true,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum CacheOutcome {
     Warm = 1,
     StartedLoad = 2,
     AwaitedLoad = 3,
@@ -79,28 +79,32 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Say {
+pub enum WorkerOutput {
     /// The call ran to its end, whether or not anybody still waits for it.
-    Ran {
+    CallCompleted {
         call: u64,
-        found: Found,
-        crowd: usize,
-        wanted: bool,
+        cache_outcome: CacheOutcome,
+        concurrency: usize,
+        awaited: bool,
     },
     /// Turned away unseen.
-    Full { call: u64 },
+    CallRejected { call: u64 },
     /// The load that it waited for failed; it never ran.
-    Missed { call: u64 },
-    /// Fetch a function from the store, which takes so long undisturbed; then [`Worker::fetched`].
-    Fetch {
+    CacheMiss { call: u64 },
+    /// Fetch a function from the store, which takes so long undisturbed; then [`WorkerModel::fetch_ended`].
+    FetchFunction {
         load: u64,
         function: String,
-        takes: Duration,
+        fetch_time: Duration,
     },
     /// An order is done, or cannot be.
-    Stands { order: u64, copies: usize, enough: bool },
+    LoadCommandEnded {
+        command: u64,
+        copies: usize,
+        succeeded: bool,
+    },
     /// Pushed over: it takes nothing any more.
-    Fell,
+    CrashedByOverload,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -145,26 +149,26 @@
 struct Call {
     function: String,
     left: f64,
-    found: Found,
-    crowd: usize,
+    cache_outcome: CacheOutcome,
+    concurrency: usize,
     copy: Option<u64>,
-    wanted: bool,
+    awaited: bool,
 }
 
 /// What a worker reports of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
-    pub held: usize,
+pub struct WorkerLoad {
+    pub calls: usize,
     pub queued: usize,
-    pub busy: f64,
-    pub memory_taken: f64,
-    pub loads: usize,
+    pub cpu_utilization: f64,
+    pub unreclaimable_memory: f64,
+    pub pending_loads: usize,
 }
 
 #[derive(Debug)]
-pub struct Worker {
-    machine: Machine,
-    specs: BTreeMap<String, Spec>,
+pub struct WorkerModel {
+    machine: WorkerSpec,
+    specs: BTreeMap<String, FunctionSpec>,
     started: Duration,
     now: Duration,
     copies: Vec<Copy>,
@@ -173,16 +177,16 @@
     orders: Vec<(u64, String, usize)>,
     arrived: VecDeque<(Duration, f64)>,
     /// Largest share of what it could be sent in a window while cold that it was sent.
-    pub cold_most: f64,
-    says: Vec<Say>,
+    pub max_overload_share: f64,
+    says: Vec<WorkerOutput>,
     drawn: u64,
     pub draining: bool,
-    pub fallen: bool,
+    pub crashed: bool,
 }
 
-impl Worker {
-    pub fn new(machine: Machine, specs: BTreeMap<String, Spec>, now: Duration) -> Worker {
-        Worker {
+impl WorkerModel {
+    pub fn new(machine: WorkerSpec, specs: BTreeMap<String, FunctionSpec>, now: Duration) -> WorkerModel {
+        WorkerModel {
             machine,
             specs,
             started: now,
@@ -192,19 +196,19 @@
             waiting: VecDeque::new(),
             orders: Vec::new(),
             arrived: VecDeque::new(),
-            cold_most: 0.0,
+            max_overload_share: 0.0,
             says: Vec::new(),
             drawn: 0,
             draining: false,
-            fallen: false,
+            crashed: false,
         }
     }
 
-    pub fn says(&mut self) -> Vec<Say> {
+    pub fn take_outputs(&mut self) -> Vec<WorkerOutput> {
         std::mem::take(&mut self.says)
     }
 
-    pub fn spec(&self, function: &str) -> Spec {
+    pub fn function_spec(&self, function: &str) -> FunctionSpec {
         let plain = function.split(':').next().unwrap_or(function);
         self.specs
             .get(function)
@@ -214,16 +218,16 @@
     }
 
     /// Share of its full speed that the worker has now.
-    pub fn warmth(&self, now: Duration) -> f64 {
+    pub fn capacity_share(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.started);
-        if age >= self.machine.cold_for {
+        if age >= self.machine.slow_start_duration {
             return 1.0;
         }
-        let part = age.as_secs_f64() / self.machine.cold_for.as_secs_f64();
-        self.machine.cold_from + (1.0 - self.machine.cold_from) * part
+        let part = age.as_secs_f64() / self.machine.slow_start_duration.as_secs_f64();
+        self.machine.slow_start_min_capacity + (1.0 - self.machine.slow_start_min_capacity) * part
     }
 
-    pub fn load(&self) -> Load {
+    pub fn current_load(&self) -> WorkerLoad {
         let running = self.calls.len() - self.waiting.len();
         let memory = self.memory(Copy::stays);
         let loads = self
@@ -231,12 +235,12 @@
             .iter()
             .filter(|c| !matches!(c.stage, Stage::Ready { .. }))
             .count();
-        Load {
-            held: self.calls.len(),
+        WorkerLoad {
+            calls: self.calls.len(),
             queued: self.waiting.len(),
-            busy: (running as f64 / (self.machine.cores * self.warmth(self.now))).min(1.0),
-            memory_taken: memory / self.machine.memory_mb,
-            loads,
+            cpu_utilization: (running as f64 / (self.machine.cores * self.capacity_share(self.now))).min(1.0),
+            unreclaimable_memory: memory / self.machine.memory_mb,
+            pending_loads: loads,
         }
     }
 
@@ -245,16 +249,16 @@
         self.copies
             .iter()
             .filter(|c| of(c))
-            .map(|c| self.spec(&c.function).memory_mb)
+            .map(|c| self.function_spec(&c.function).memory_mb)
             .sum()
     }
 
     /// Memory of copies that stand and run nothing, in MB.
-    pub fn idle_mb(&self) -> f64 {
+    pub fn idle_memory_mb(&self) -> f64 {
         self.memory(Copy::idle)
     }
 
-    pub fn copies(&self, function: &str) -> usize {
+    pub fn ready_copies(&self, function: &str) -> usize {
         let ready = |c: &&Copy| c.function == function && matches!(c.stage, Stage::Ready { .. });
         self.copies.iter().filter(ready).count()
     }
@@ -272,7 +276,7 @@
     /// Work a second that each running call gets.
     fn speed(&self) -> f64 {
         let running = self.calls.values().filter(|call| call.copy.is_some()).count();
-        let cores = self.machine.cores * self.warmth(self.now);
+        let cores = self.machine.cores * self.capacity_share(self.now);
         if running == 0 {
             0.0
         } else {
@@ -281,16 +285,16 @@
     }
 
     /// A call came, with so much work.
-    pub fn call(&mut self, now: Duration, call: u64, function: &str, work: Duration) {
+    pub fn submit_call(&mut self, now: Duration, call: u64, function: &str, work: Duration) {
         self.advance(now);
-        if self.fallen || self.pushed_over(work.as_secs_f64()) {
+        if self.crashed || self.pushed_over(work.as_secs_f64()) {
             return;
         }
-        if self.draining || self.waiting.len() >= self.machine.queue_most {
-            self.says.push(Say::Full { call });
+        if self.draining || self.waiting.len() >= self.machine.max_queue_length {
+            self.says.push(WorkerOutput::CallRejected { call });
             return;
         }
-        let crowd = self
+        let concurrency = self
             .calls
             .values()
             .filter(|other| other.function == function)
@@ -300,19 +304,19 @@
             .iter()
             .filter(|c| c.function == function)
             .map(|c| c.stage);
-        let found = match stages.any(|stage| matches!(stage, Stage::Ready { .. })) {
-            true => Found::Warm,
-            false if self.copies.iter().any(|c| c.function == function) => Found::AwaitedLoad,
-            false => Found::StartedLoad,
+        let cache_outcome = match stages.any(|stage| matches!(stage, Stage::Ready { .. })) {
+            true => CacheOutcome::Warm,
+            false if self.copies.iter().any(|c| c.function == function) => CacheOutcome::AwaitedLoad,
+            false => CacheOutcome::StartedLoad,
         };
         let left = work.as_secs_f64();
         let of = Call {
             function: function.to_owned(),
             left,
-            found,
-            crowd,
+            cache_outcome,
+            concurrency,
             copy: None,
-            wanted: true,
+            awaited: true,
         };
         self.calls.insert(call, of);
         self.waiting.push_back(call);
@@ -322,7 +326,7 @@
             if !any {
                 self.calls.remove(&call);
                 self.waiting.retain(|&other| other != call);
-                self.says.push(Say::Full { call });
+                self.says.push(WorkerOutput::CallRejected { call });
             }
         }
         self.work_on();
@@ -335,26 +339,29 @@
         while self
             .arrived
             .front()
-            .is_some_and(|(at, _)| *at + machine.fall_window < now)
+            .is_some_and(|(at, _)| *at + machine.overload_window < now)
         {
             self.arrived.pop_front();
         }
-        if machine.fall_multiple <= 0.0 || now.saturating_sub(self.started) >= machine.cold_for {
+        if machine.overload_multiple <= 0.0 || now.saturating_sub(self.started) >= machine.slow_start_duration
+        {
             return false;
         }
         let sum: f64 = self.arrived.iter().map(|(_, work)| work).sum();
-        let can = machine.cores * self.warmth(now) * machine.fall_window.as_secs_f64();
-        self.cold_most = self.cold_most.max(sum / (machine.fall_multiple * can));
-        if sum > machine.fall_multiple * can {
-            self.fallen = true;
-            self.says.push(Say::Fell);
+        let can = machine.cores * self.capacity_share(now) * machine.overload_window.as_secs_f64();
+        self.max_overload_share = self
+            .max_overload_share
+            .max(sum / (machine.overload_multiple * can));
+        if sum > machine.overload_multiple * can {
+            self.crashed = true;
+            self.says.push(WorkerOutput::CrashedByOverload);
         }
-        self.fallen
+        self.crashed
     }
 
     /// Starts another copy where waiting calls are more than the loads under way will take.
     fn begin_load_for(&mut self, function: &str) -> bool {
-        let spec = self.spec(function);
+        let spec = self.function_spec(function);
         let waiting = self
             .waiting
             .iter()
@@ -370,7 +377,7 @@
 
     /// Puts a load into the queue; `false` where copies that are in use or under way leave no room for it.
     fn begin_load(&mut self, function: &str) -> bool {
-        let need = self.spec(function).memory_mb;
+        let need = self.function_spec(function).memory_mb;
         if self.memory(Copy::stays) + need > self.machine.memory_mb {
             return false;
         }
@@ -388,7 +395,7 @@
     /// Makes room for a load whose turn it is by unloading idle copies, those that stood longest first; `false` where there
     /// is none.
     fn make_room(&mut self, function: &str) -> bool {
-        let need = self.spec(function).memory_mb;
+        let need = self.function_spec(function).memory_mb;
         loop {
             if self.memory(|c| c.stage != Stage::Queued) + need <= self.machine.memory_mb {
                 return true;
@@ -424,7 +431,7 @@
                 .get(function)
                 .copied()
                 .unwrap_or(0)
-                .div_ceil(self.spec(function).slots.max(1));
+                .div_ceil(self.function_spec(function).slots.max(1));
             let loads = |c: &&Copy| c.function == function && c.loads();
             room.insert(
                 function.to_owned(),
@@ -446,7 +453,7 @@
         let waiting: Vec<u64> = self.waiting.iter().copied().collect();
         for id in waiting {
             let function = &self.calls[&id].function;
-            let slots = self.spec(function).slots;
+            let slots = self.function_spec(function).slots;
             let free = |c: &&mut Copy| {
                 c.function == *function && matches!(c.stage, Stage::Ready { .. }) && c.used < slots
             };
@@ -465,7 +472,7 @@
     /// Starts loads whose turn it is.
     fn work_on(&mut self) {
         let loading = self.copies.iter().filter(|c| c.loads()).count();
-        let mut free = self.machine.loads_most.saturating_sub(loading);
+        let mut free = self.machine.max_concurrent_loads.saturating_sub(loading);
         if free == 0 || !self.copies.iter().any(|c| c.stage == Stage::Queued) {
             return;
         }
@@ -484,17 +491,17 @@
                 copy.stage = Stage::Fetching;
                 free -= 1;
             }
-            let spec = self.spec(&function);
-            self.says.push(Say::Fetch {
+            let spec = self.function_spec(&function);
+            self.says.push(WorkerOutput::FetchFunction {
                 load,
                 function,
-                takes: spec.load.mul_f64(spec.fetch),
+                fetch_time: spec.load_time.mul_f64(spec.fetch_share),
             });
         }
     }
 
     /// A fetch ended.
-    pub fn fetched(&mut self, now: Duration, load: u64, good: bool) {
+    pub fn fetch_ended(&mut self, now: Duration, load: u64, good: bool) {
         self.advance(now);
         let Some(at) = self
             .copies
@@ -505,8 +512,8 @@
         };
         let function = self.copies[at].function.clone();
         if good {
-            let spec = self.spec(&function);
-            let until = self.now + spec.load.mul_f64(1.0 - spec.fetch);
+            let spec = self.function_spec(&function);
+            let until = self.now + spec.load_time.mul_f64(1.0 - spec.fetch_share);
             self.copies[at].stage = Stage::Starting { until };
         } else {
             self.copies.remove(at);
@@ -520,7 +527,7 @@
                 for call in lost {
                     self.calls.remove(&call);
                     self.waiting.retain(|&other| other != call);
-                    self.says.push(Say::Missed { call });
+                    self.says.push(WorkerOutput::CacheMiss { call });
                 }
             }
             self.orders_done(&function, false);
@@ -529,7 +536,7 @@
     }
 
     /// The caller gave up. Whether the work was dropped with it.
-    pub fn cancel(&mut self, now: Duration, call: u64) -> bool {
+    pub fn cancel_call(&mut self, now: Duration, call: u64) -> bool {
         self.advance(now);
         let Some(of) = self.calls.get_mut(&call) else {
             return false;
@@ -541,8 +548,8 @@
                 self.waiting.retain(|&other| other != call);
             }
             Some(copy) => {
-                of.wanted = false;
-                if !self.machine.goes_on {
+                of.awaited = false;
+                if !self.machine.runs_after_cancel {
                     self.calls.remove(&call);
                     self.release(copy);
                     self.place();
@@ -561,7 +568,7 @@
     }
 
     /// An order to hold so many copies; 0 only asks.
-    pub fn order(&mut self, now: Duration, order: u64, function: &str, copies: usize) {
+    pub fn submit_load_command(&mut self, now: Duration, order: u64, function: &str, copies: usize) {
         self.advance(now);
         let there = self.copies.iter().filter(|c| c.function == function).count();
         for copy in self
@@ -573,13 +580,13 @@
                 *idle_since = self.now;
             }
         }
-        let room = !self.draining && !self.fallen && (there..copies).all(|_| self.begin_load(function));
-        if !room || self.copies(function) >= copies {
-            let enough = copies == 0 || self.copies(function) >= copies;
-            self.says.push(Say::Stands {
-                order,
-                copies: self.copies(function),
-                enough,
+        let room = !self.draining && !self.crashed && (there..copies).all(|_| self.begin_load(function));
+        if !room || self.ready_copies(function) >= copies {
+            let succeeded = copies == 0 || self.ready_copies(function) >= copies;
+            self.says.push(WorkerOutput::LoadCommandEnded {
+                command: order,
+                copies: self.ready_copies(function),
+                succeeded,
             });
         } else {
             self.orders.push((order, function.to_owned(), copies));
@@ -587,20 +594,20 @@
         self.work_on();
     }
 
-    pub fn unload(&mut self, now: Duration, function: &str) {
+    pub fn unload_idle_copies(&mut self, now: Duration, function: &str) {
         self.advance(now);
         self.copies.retain(|c| c.function != function || !c.idle());
     }
 
     fn orders_done(&mut self, function: &str, good: bool) {
-        let standing = self.copies(function);
+        let standing = self.ready_copies(function);
         let done = |(_, of, copies): &(u64, String, usize)| of == function && (!good || standing >= *copies);
         let over: Vec<u64> = self.orders.iter().filter(|o| done(o)).map(|o| o.0).collect();
         self.orders.retain(|o| !done(o));
-        let says = over.into_iter().map(|order| Say::Stands {
-            order,
+        let says = over.into_iter().map(|order| WorkerOutput::LoadCommandEnded {
+            command: order,
             copies: standing,
-            enough: good,
+            succeeded: good,
         });
         self.says.extend(says);
     }
@@ -611,7 +618,7 @@
         let soonest = running.map(|call| call.left.max(0.0)).min_by(f64::total_cmp);
         let work = soonest.filter(|_| speed > 0.0).map(|left| {
             let at = self.now + Duration::from_secs_f64(left / speed) + Duration::from_micros(1);
-            if self.warmth(self.now) < 1.0 {
+            if self.capacity_share(self.now) < 1.0 {
                 at.min(self.now + COLD_STEP)
             } else {
                 at
@@ -619,7 +626,7 @@
         });
         let copies = self.copies.iter().filter_map(|copy| match copy.stage {
             Stage::Starting { until } => Some(until),
-            Stage::Ready { idle_since } if copy.used == 0 => Some(idle_since + self.machine.keep),
+            Stage::Ready { idle_since } if copy.used == 0 => Some(idle_since + self.machine.keep_alive),
             Stage::Ready { .. } | Stage::Queued | Stage::Fetching => None,
         });
         copies.chain(work).min()
@@ -627,7 +634,7 @@
 
     pub fn due(&mut self, now: Duration) {
         self.advance(now);
-        if self.fallen {
+        if self.crashed {
             return;
         }
         let done = |call: &Call| call.copy.is_some() && call.left <= NOTHING;
@@ -639,20 +646,20 @@
             .collect();
         for id in over {
             let Some(Call {
-                found,
-                crowd,
+                cache_outcome,
+                concurrency,
                 copy,
-                wanted,
+                awaited,
                 ..
             }) = self.calls.remove(&id)
             else {
                 continue;
             };
-            self.says.push(Say::Ran {
+            self.says.push(WorkerOutput::CallCompleted {
                 call: id,
-                found,
-                crowd,
-                wanted,
+                cache_outcome,
+                concurrency,
+                awaited,
             });
             copy.into_iter().for_each(|copy| self.release(copy));
         }
@@ -665,7 +672,7 @@
         }
         ready.iter().for_each(|function| self.orders_done(function, true));
         self.place();
-        let (now, keep) = (self.now, self.machine.keep);
+        let (now, keep) = (self.now, self.machine.keep_alive);
         self.copies.retain(|copy| match copy.stage {
             Stage::Ready { idle_since } => copy.used > 0 || now < idle_since + keep,
             Stage::Queued | Stage::Fetching | Stage::Starting { .. } => true,
@@ -680,14 +687,14 @@
 
     const MS: Duration = Duration::from_millis(1);
 
-    fn run(worker: &mut Worker, until: Duration) -> Vec<(Duration, Say)> {
+    fn run(worker: &mut WorkerModel, until: Duration) -> Vec<(Duration, WorkerOutput)> {
         let mut said = Vec::new();
         loop {
-            for say in worker.says() {
-                if let Say::Fetch { load, takes, .. } = &say {
-                    let at = worker.now + *takes;
+            for say in worker.take_outputs() {
+                if let WorkerOutput::FetchFunction { load, fetch_time, .. } = &say {
+                    let at = worker.now + *fetch_time;
                     worker.due(at.min(until));
-                    worker.fetched(at.min(until), *load, true);
+                    worker.fetch_ended(at.min(until), *load, true);
                 }
                 said.push((worker.now, say));
             }
@@ -700,12 +707,12 @@
 
     #[test]
     fn a_cold_call_waits_for_its_load_and_a_second_finds_the_copy() {
-        let mut worker = Worker::new(Machine::default(), BTreeMap::new(), Duration::ZERO);
-        worker.call(Duration::ZERO, 1, "f", 10 * MS);
+        let mut worker = WorkerModel::new(WorkerSpec::default(), BTreeMap::new(), Duration::ZERO);
+        worker.submit_call(Duration::ZERO, 1, "f", 10 * MS);
         let first = run(&mut worker, 1000 * MS);
         let may_have_executed = first
             .iter()
-            .find(|(_, say)| matches!(say, Say::Ran { .. }))
+            .find(|(_, say)| matches!(say, WorkerOutput::CallCompleted { .. }))
             .unwrap();
         assert!(
             may_have_executed.0 >= 310 * MS && may_have_executed.0 < 315 * MS,
@@ -713,55 +720,59 @@
         );
         assert!(matches!(
             may_have_executed.1,
-            Say::Ran {
-                found: Found::StartedLoad,
+            WorkerOutput::CallCompleted {
+                cache_outcome: CacheOutcome::StartedLoad,
                 ..
             }
         ));
-        worker.call(1000 * MS, 2, "f", 10 * MS);
+        worker.submit_call(1000 * MS, 2, "f", 10 * MS);
         let second = run(&mut worker, 2000 * MS);
         assert!(matches!(
             second[0].1,
-            Say::Ran {
-                found: Found::Warm,
-                crowd: 0,
+            WorkerOutput::CallCompleted {
+                cache_outcome: CacheOutcome::Warm,
+                concurrency: 0,
                 ..
             }
         ));
         assert!(run(&mut worker, Duration::from_secs(30)).is_empty());
-        assert_eq!(worker.copies("f"), 0);
+        assert_eq!(worker.ready_copies("f"), 0);
     }
 
     #[test]
     fn memory_bounds_copies_and_idle_ones_give_way() {
-        let machine = Machine {
+        let machine = WorkerSpec {
             memory_mb: 400.0,
-            ..Machine::default()
+            ..WorkerSpec::default()
         };
-        let mut worker = Worker::new(machine, BTreeMap::new(), Duration::ZERO);
+        let mut worker = WorkerModel::new(machine, BTreeMap::new(), Duration::ZERO);
         for (call, function) in [(1, "a"), (2, "b"), (3, "c")] {
-            worker.call(Duration::ZERO, call, function, MS);
+            worker.submit_call(Duration::ZERO, call, function, MS);
         }
-        assert!(worker.says().contains(&Say::Full { call: 3 }));
+        assert!(
+            worker
+                .take_outputs()
+                .contains(&WorkerOutput::CallRejected { call: 3 })
+        );
     }
 
     #[test]
     fn a_load_waits_without_room_and_is_dropped_with_its_last_call() {
-        let machine = Machine {
+        let machine = WorkerSpec {
             memory_mb: 400.0,
-            loads_most: 1,
-            ..Machine::default()
+            max_concurrent_loads: 1,
+            ..WorkerSpec::default()
         };
-        let mut worker = Worker::new(machine, BTreeMap::new(), Duration::ZERO);
-        worker.call(Duration::ZERO, 1, "x", MS);
+        let mut worker = WorkerModel::new(machine, BTreeMap::new(), Duration::ZERO);
+        worker.submit_call(Duration::ZERO, 1, "x", MS);
         run(&mut worker, 2000 * MS);
-        assert_eq!(worker.copies("x"), 1);
+        assert_eq!(worker.ready_copies("x"), 1);
         for (call, function) in [(2, "a"), (3, "b"), (4, "c")] {
-            worker.call(2000 * MS, call, function, MS);
+            worker.submit_call(2000 * MS, call, function, MS);
         }
-        let fetched = |says: Vec<Say>| {
-            let fetch = |say: Say| {
-                if let Say::Fetch { load, function, .. } = say {
+        let fetched = |says: Vec<WorkerOutput>| {
+            let fetch = |say: WorkerOutput| {
+                if let WorkerOutput::FetchFunction { load, function, .. } = say {
                     Some((load, function))
                 } else {
                     None
@@ -769,50 +780,50 @@
             };
             says.into_iter().find_map(fetch).unwrap()
         };
-        let (load, function) = fetched(worker.says());
+        let (load, function) = fetched(worker.take_outputs());
         // What stands idle stays while the others only wait for their turn.
-        assert_eq!((function.as_str(), worker.copies("x")), ("a", 1));
-        worker.cancel(2100 * MS, 3);
-        worker.fetched(2200 * MS, load, true);
+        assert_eq!((function.as_str(), worker.ready_copies("x")), ("a", 1));
+        worker.cancel_call(2100 * MS, 3);
+        worker.fetch_ended(2200 * MS, load, true);
         let at = worker.next_due().unwrap();
         worker.due(at);
-        assert_eq!(fetched(worker.says()).1, "c");
-        assert_eq!(worker.copies("x"), 0);
+        assert_eq!(fetched(worker.take_outputs()).1, "c");
+        assert_eq!(worker.ready_copies("x"), 0);
     }
 
     #[test]
     fn a_cold_worker_falls_over_past_the_multiple() {
-        let machine = Machine {
+        let machine = WorkerSpec {
             cores: 1.0,
-            cold_from: 0.2,
-            cold_for: Duration::from_secs(10),
-            fall_multiple: 3.0,
-            ..Machine::default()
+            slow_start_min_capacity: 0.2,
+            slow_start_duration: Duration::from_secs(10),
+            overload_multiple: 3.0,
+            ..WorkerSpec::default()
         };
-        let mut worker = Worker::new(machine, BTreeMap::new(), Duration::ZERO);
+        let mut worker = WorkerModel::new(machine, BTreeMap::new(), Duration::ZERO);
         // 0.2 cores for 2 s, three times: 1.2 s of work may come.
         for call in 0..12 {
-            worker.call(Duration::ZERO, call, "f", 100 * MS);
-            assert!(!worker.fallen);
+            worker.submit_call(Duration::ZERO, call, "f", 100 * MS);
+            assert!(!worker.crashed);
         }
-        worker.call(Duration::ZERO, 12, "f", 100 * MS);
-        assert!(worker.fallen && worker.says().contains(&Say::Fell));
+        worker.submit_call(Duration::ZERO, 12, "f", 100 * MS);
+        assert!(worker.crashed && worker.take_outputs().contains(&WorkerOutput::CrashedByOverload));
     }
 
     #[test]
     fn cancelled_work_that_runs_goes_on_and_tells_nobody() {
-        let mut worker = Worker::new(Machine::default(), BTreeMap::new(), Duration::ZERO);
-        worker.call(Duration::ZERO, 1, "f", 100 * MS);
+        let mut worker = WorkerModel::new(WorkerSpec::default(), BTreeMap::new(), Duration::ZERO);
+        worker.submit_call(Duration::ZERO, 1, "f", 100 * MS);
         run(&mut worker, 310 * MS);
-        worker.cancel(320 * MS, 1);
+        worker.cancel_call(320 * MS, 1);
         let said = run(&mut worker, 1000 * MS);
         assert!(matches!(
             said[..],
             [(
                 _,
-                Say::Ran {
+                WorkerOutput::CallCompleted {
                     call: 1,
-                    wanted: false,
+                    awaited: false,
                     ..
                 }
             )]
@@ -821,13 +832,13 @@
 
     #[test]
     fn a_failed_load_misses_its_calls() {
-        let mut worker = Worker::new(Machine::default(), BTreeMap::new(), Duration::ZERO);
-        worker.call(Duration::ZERO, 1, "f", MS);
-        let Say::Fetch { load, .. } = worker.says().remove(0) else {
+        let mut worker = WorkerModel::new(WorkerSpec::default(), BTreeMap::new(), Duration::ZERO);
+        worker.submit_call(Duration::ZERO, 1, "f", MS);
+        let WorkerOutput::FetchFunction { load, .. } = worker.take_outputs().remove(0) else {
             panic!()
         };
-        worker.fetched(MS, load, false);
-        assert_eq!(worker.says(), [Say::Missed { call: 1 }]);
-        assert_eq!(worker.load(), Load::default());
+        worker.fetch_ended(MS, load, false);
+        assert_eq!(worker.take_outputs(), [WorkerOutput::CacheMiss { call: 1 }]);
+        assert_eq!(worker.current_load(), WorkerLoad::default());
     }
 }
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -14,7 +14,7 @@
 use quartzdrift_lab::stage::failing;
 use quartzdrift_lab::traffic::Arrival;
 use quartzdrift_lab::worker::{Command, Config, FakeWorker, Faults};
-use quartzdrift_lab::worker_model::Machine;
+use quartzdrift_lab::worker_model::WorkerSpec;
 use quartzdrift_membership::MemberState;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -154,9 +154,9 @@
         let recorder = Recorder::default();
         let folder = tempfile::tempdir().unwrap();
         let workers = (0..workers).map(|_| {
-            let machine = Machine {
+            let machine = WorkerSpec {
                 cores: 4.0,
-                ..Machine::default()
+                ..WorkerSpec::default()
             };
             let config = Config {
                 machine,
@@ -548,9 +548,9 @@
 #[test]
 fn a_function_used_at_regular_times_is_loaded_ahead() {
     let recorder = Recorder::default();
-    let machine = Machine {
-        keep: 400 * MS,
-        ..Machine::default()
+    let machine = WorkerSpec {
+        keep_alive: 400 * MS,
+        ..WorkerSpec::default()
     };
     let config = Config {
         machine,
--- a/crates/quartzdrift-lab/tests/stored.rs
+++ b/crates/quartzdrift-lab/tests/stored.rs
@@ -28,8 +28,8 @@
     }
     for file in fs::read_dir(folder("experiments")).unwrap() {
         let text = fs::read_to_string(file.unwrap().path()).unwrap();
-        let (of, scripts) = experiment::read(&text).unwrap();
-        assert_eq!(of.days.len(), scripts.len());
+        let (of, scripts) = experiment::parse(&text).unwrap();
+        assert_eq!(of.scenarios.len(), scripts.len());
         read += 1;
     }
     assert!(read >= 10, "{read}");
