--- a/crates/quartzdrift-lab/src/worker_model.rs
+++ b/crates/quartzdrift-lab/src/worker_model.rs
@@ -1,55 +1,62 @@
-//! What a fake worker does with calls, without sockets or clock: copies that load, hold memory and slots,
-//! stand idle and are unloaded; queues; a cold start; falling over; work that goes on after a cancel. Give it
-//! what comes ([`WorkerModel::submit_call`], ...) with the time, run [`WorkerModel::due`] when [`WorkerModel::next_due`] has come, and do
-//! what [`WorkerModel::take_outputs`].
+//! Model of a fake worker as a state machine without sockets or a clock.
+//!
+//! The model covers loading, memory, concurrency slots and idle unloading of function copies, the call queue,
+//! slow start, the crash by overload, and work that continues after its call was cancelled. The caller passes
+//! the time with each input ([`WorkerModel::submit_call`], ...), calls [`WorkerModel::due`] at
+//! [`WorkerModel::next_due`], and carries out [`WorkerModel::take_outputs`].
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// While a worker is cold its speed is looked at anew this often.
-const COLD_STEP: Duration = Duration::from_millis(20);
-/// Work left that counts as none: below what a clock tells.
-const NOTHING: f64 = 1e-7;
+/// Interval at which the completion time of running calls is recomputed during slow start.
+const SLOW_START_STEP: Duration = Duration::from_millis(20);
+/// Remaining work, in seconds, that counts as completed: less than the resolution of the clock.
+const WORK_EPSILON_S: f64 = 1e-7;
 
-/// A function as workers know it.
+/// Resources and durations of a function on a worker.
 #[derive(Clone, Debug)]
 pub struct FunctionSpec {
     pub memory_mb: f64,
-    /// Requests at a time in one copy.
+    /// Calls that one copy executes concurrently.
     pub slots: usize,
+    /// Time from the start of the fetch until the copy is ready, on an uncontended store.
     pub load_time: Duration,
-    /// Share of the load that is the fetch from the store.
+    /// Share of the load time spent on the fetch from the store.
     pub fetch_share: f64,
-    /// Work of a call that tells none.
+    /// CPU time of a call whose payload does not set one.
     pub default_work: Duration,
 }
 
 impl Default for FunctionSpec {
     fn default() -> FunctionSpec {
-        let (load, work) = (Duration::from_millis(300), Duration::from_millis(2));
         FunctionSpec {
             memory_mb: 200.0,
             slots: 8,
-            load_time: load,
+            load_time: Duration::from_millis(300),
             fetch_share: 0.5,
-            default_work: work,
+            default_work: Duration::from_millis(2),
         }
     }
 }
 
+/// Resources, limits and slow start of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerSpec {
     pub cores: f64,
     pub memory_mb: f64,
     pub max_concurrent_loads: usize,
+    /// Calls waiting for a copy at which further calls are rejected.
     pub max_queue_length: usize,
-    /// Until an idle copy is unloaded.
+    /// Time after which an idle copy is unloaded.
     pub keep_alive: Duration,
+    /// Share of the full capacity right after the start.
     pub slow_start_min_capacity: f64,
+    /// Time from the start until the worker reaches its full capacity.
     pub slow_start_duration: Duration,
-    /// Falls over when sent more than this multiple of what it can do in the window; 0: never.
+    /// Overload bound during slow start: a worker that receives more than this multiple of its capacity within
+    /// `overload_window` crashes; 0 disables the bound.
     pub overload_multiple: f64,
     pub overload_window: Duration,
-    /// Running work goes on when its call is cancelled.
+    /// Whether running work continues after its call was cancelled.
     pub runs_after_cancel: bool,
 }
 
@@ -70,6 +77,8 @@
     }
 }
 
+/// Cache status that a call met on arrival. The discriminants are the values of `named_metrics.found` in load
+/// reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheOutcome {
     Warm = 1,
@@ -78,38 +87,42 @@
     LoadFailed = 4,
 }
 
+/// An action that the model asks its driver to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerOutput {
-    /// The call ran to its end, whether or not anybody still waits for it.
+    /// The call executed to completion.
     CallCompleted {
         call: u64,
         cache_outcome: CacheOutcome,
+        /// Calls of the same function that the worker held when this call arrived.
         concurrency: usize,
+        /// Whether the caller still waits, that is, did not cancel the call.
         awaited: bool,
     },
-    /// Turned away unseen.
+    /// The call was rejected before execution: the worker is draining, or its queue or memory is full.
     CallRejected { call: u64 },
-    /// The load that it waited for failed; it never ran.
+    /// The load that the call waited for failed; the call was not executed.
     CacheMiss { call: u64 },
-    /// Fetch a function from the store, which takes so long undisturbed; then [`WorkerModel::fetch_ended`].
+    /// Fetch the function from the store, then report the result to [`WorkerModel::fetch_ended`].
     FetchFunction {
         load: u64,
         function: String,
+        /// Duration of the fetch on an uncontended store.
         fetch_time: Duration,
     },
-    /// An order is done, or cannot be.
+    /// A load command ended with this number of ready copies.
     LoadCommandEnded {
         command: u64,
         copies: usize,
         succeeded: bool,
     },
-    /// Pushed over: it takes nothing any more.
+    /// The worker exceeded its overload bound and crashed; it accepts no further calls.
     CrashedByOverload,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
-    /// Waits for its turn to load.
+enum CopyState {
+    /// Waits for one of the concurrent loads to end.
     Queued,
     Fetching,
     Starting {
@@ -120,163 +133,191 @@
     },
 }
 
+/// A copy of a function in the worker's memory, or its load.
 #[derive(Debug)]
-struct Copy {
+struct FunctionCopy {
     id: u64,
     function: String,
-    stage: Stage,
-    used: usize,
+    state: CopyState,
+    slots_in_use: usize,
 }
 
-impl Copy {
-    /// It is being loaded, no longer queued.
-    fn loads(&self) -> bool {
-        matches!(self.stage, Stage::Fetching | Stage::Starting { .. })
+impl FunctionCopy {
+    fn is_ready(&self) -> bool {
+        matches!(self.state, CopyState::Ready { .. })
     }
 
-    /// It is in use or under way, and no room can be made of it.
-    fn stays(&self) -> bool {
-        self.used > 0 || self.loads()
+    /// Whether the load has left the queue and is not complete.
+    fn is_loading(&self) -> bool {
+        matches!(self.state, CopyState::Fetching | CopyState::Starting { .. })
     }
 
-    /// It stands and runs nothing.
-    fn idle(&self) -> bool {
-        self.used == 0 && matches!(self.stage, Stage::Ready { .. })
+    /// Whether the copy executes calls or is loading, so that its memory cannot be reclaimed.
+    fn is_unreclaimable(&self) -> bool {
+        self.slots_in_use > 0 || self.is_loading()
+    }
+
+    /// Whether the copy is ready and executes no call.
+    fn is_idle(&self) -> bool {
+        self.slots_in_use == 0 && self.is_ready()
     }
 }
 
 #[derive(Debug)]
 struct Call {
     function: String,
-    left: f64,
+    /// Remaining CPU time in seconds.
+    remaining_work: f64,
     cache_outcome: CacheOutcome,
     concurrency: usize,
+    /// Copy that executes the call; `None` while the call waits.
     copy: Option<u64>,
     awaited: bool,
 }
 
-/// What a worker reports of itself.
+/// A command to hold a number of ready copies, still unfulfilled.
+#[derive(Debug)]
+struct LoadCommand {
+    id: u64,
+    function: String,
+    copies: usize,
+}
+
+/// Current load of a worker, as its load reports state it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkerLoad {
+    /// Calls that execute or wait.
     pub calls: usize,
+    /// Calls that wait for a copy.
     pub queued: usize,
+    /// Share of the cores in use, from 0 to 1.
     pub cpu_utilization: f64,
+    /// Share of the memory that cannot be reclaimed, from 0 to 1.
     pub unreclaimable_memory: f64,
+    /// Loads that are queued or in progress.
     pub pending_loads: usize,
 }
 
+/// State machine of one worker process.
 #[derive(Debug)]
 pub struct WorkerModel {
-    machine: WorkerSpec,
-    specs: BTreeMap<String, FunctionSpec>,
-    started: Duration,
+    spec: WorkerSpec,
+    function_specs: BTreeMap<String, FunctionSpec>,
+    started_at: Duration,
     now: Duration,
-    copies: Vec<Copy>,
+    copies: Vec<FunctionCopy>,
     calls: BTreeMap<u64, Call>,
     waiting: VecDeque<u64>,
-    orders: Vec<(u64, String, usize)>,
-    arrived: VecDeque<(Duration, f64)>,
-    /// Largest share of what it could be sent in a window while cold that it was sent.
+    load_commands: Vec<LoadCommand>,
+    /// Arrival time and work, in seconds, of the calls within the overload window.
+    recent_arrivals: VecDeque<(Duration, f64)>,
+    /// Largest share of the overload bound reached in any window during slow start.
     pub max_overload_share: f64,
-    says: Vec<WorkerOutput>,
-    drawn: u64,
+    outputs: Vec<WorkerOutput>,
+    last_copy_id: u64,
     pub draining: bool,
     pub crashed: bool,
 }
 
 impl WorkerModel {
-    pub fn new(machine: WorkerSpec, specs: BTreeMap<String, FunctionSpec>, now: Duration) -> WorkerModel {
+    /// Creates a worker that starts at `now`, with no copies loaded.
+    pub fn new(
+        spec: WorkerSpec,
+        function_specs: BTreeMap<String, FunctionSpec>,
+        now: Duration,
+    ) -> WorkerModel {
         WorkerModel {
-            machine,
-            specs,
-            started: now,
+            spec,
+            function_specs,
+            started_at: now,
             now,
             copies: Vec::new(),
             calls: BTreeMap::new(),
             waiting: VecDeque::new(),
-            orders: Vec::new(),
-            arrived: VecDeque::new(),
+            load_commands: Vec::new(),
+            recent_arrivals: VecDeque::new(),
             max_overload_share: 0.0,
-            says: Vec::new(),
-            drawn: 0,
+            outputs: Vec::new(),
+            last_copy_id: 0,
             draining: false,
             crashed: false,
         }
     }
 
+    /// Removes and returns the pending outputs in order.
     pub fn take_outputs(&mut self) -> Vec<WorkerOutput> {
-        std::mem::take(&mut self.says)
+        std::mem::take(&mut self.outputs)
     }
 
+    /// Returns the spec of a function; a qualified name falls back to the spec of the unqualified one.
     pub fn function_spec(&self, function: &str) -> FunctionSpec {
-        let plain = function.split(':').next().unwrap_or(function);
-        self.specs
+        let unqualified = function.split(':').next().unwrap_or(function);
+        self.function_specs
             .get(function)
-            .or_else(|| self.specs.get(plain))
+            .or_else(|| self.function_specs.get(unqualified))
             .cloned()
             .unwrap_or_default()
     }
 
-    /// Share of its full speed that the worker has now.
+    /// Share of the full capacity at `now`: below 1 during slow start.
     pub fn capacity_share(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.started);
-        if age >= self.machine.slow_start_duration {
+        let age = now.saturating_sub(self.started_at);
+        if age >= self.spec.slow_start_duration {
             return 1.0;
         }
-        let part = age.as_secs_f64() / self.machine.slow_start_duration.as_secs_f64();
-        self.machine.slow_start_min_capacity + (1.0 - self.machine.slow_start_min_capacity) * part
+        let progress = age.as_secs_f64() / self.spec.slow_start_duration.as_secs_f64();
+        self.spec.slow_start_min_capacity + (1.0 - self.spec.slow_start_min_capacity) * progress
     }
 
     pub fn current_load(&self) -> WorkerLoad {
         let running = self.calls.len() - self.waiting.len();
-        let memory = self.memory(Copy::stays);
-        let loads = self
-            .copies
-            .iter()
-            .filter(|c| !matches!(c.stage, Stage::Ready { .. }))
-            .count();
+        let unreclaimable_mb = self.memory_mb(FunctionCopy::is_unreclaimable);
+        let cores = self.spec.cores * self.capacity_share(self.now);
         WorkerLoad {
             calls: self.calls.len(),
             queued: self.waiting.len(),
-            cpu_utilization: (running as f64 / (self.machine.cores * self.capacity_share(self.now))).min(1.0),
-            unreclaimable_memory: memory / self.machine.memory_mb,
-            pending_loads: loads,
+            cpu_utilization: (running as f64 / cores).min(1.0),
+            unreclaimable_memory: unreclaimable_mb / self.spec.memory_mb,
+            pending_loads: self.copies.iter().filter(|copy| !copy.is_ready()).count(),
         }
     }
 
-    /// Memory of some copies, in MB.
-    fn memory(&self, of: impl Fn(&Copy) -> bool) -> f64 {
+    /// Memory, in MB, of the copies that match.
+    fn memory_mb(&self, matches: impl Fn(&FunctionCopy) -> bool) -> f64 {
         self.copies
             .iter()
-            .filter(|c| of(c))
-            .map(|c| self.function_spec(&c.function).memory_mb)
+            .filter(|copy| matches(copy))
+            .map(|copy| self.function_spec(&copy.function).memory_mb)
             .sum()
     }
 
-    /// Memory of copies that stand and run nothing, in MB.
+    /// Memory of idle copies, in MB.
     pub fn idle_memory_mb(&self) -> f64 {
-        self.memory(Copy::idle)
+        self.memory_mb(FunctionCopy::is_idle)
     }
 
+    /// Number of ready copies of a function.
     pub fn ready_copies(&self, function: &str) -> usize {
-        let ready = |c: &&Copy| c.function == function && matches!(c.stage, Stage::Ready { .. });
-        self.copies.iter().filter(ready).count()
+        self.copies
+            .iter()
+            .filter(|copy| copy.function == function && copy.is_ready())
+            .count()
     }
 
-    /// Moves running work on to `now`: all running calls share the cores evenly.
+    /// Advances running calls to `now`; all running calls share the cores evenly.
     fn advance(&mut self, now: Duration) {
         let now = now.max(self.now);
-        let spent = (now - self.now).as_secs_f64() * self.speed();
+        let done = (now - self.now).as_secs_f64() * self.speed();
         self.now = now;
         for call in self.calls.values_mut().filter(|call| call.copy.is_some()) {
-            call.left -= spent;
+            call.remaining_work -= done;
         }
     }
 
-    /// Work a second that each running call gets.
+    /// CPU seconds per second that each running call gets, at most 1.
     fn speed(&self) -> f64 {
         let running = self.calls.values().filter(|call| call.copy.is_some()).count();
-        let cores = self.machine.cores * self.capacity_share(self.now);
+        let cores = self.spec.cores * self.capacity_share(self.now);
         if running == 0 {
             0.0
         } else {
@@ -284,14 +325,14 @@
         }
     }
 
-    /// A call came, with so much work.
+    /// Accepts a call that needs `work` of CPU time, or rejects it.
     pub fn submit_call(&mut self, now: Duration, call: u64, function: &str, work: Duration) {
         self.advance(now);
-        if self.crashed || self.pushed_over(work.as_secs_f64()) {
+        if self.crashed || self.exceeds_overload_bound(work.as_secs_f64()) {
             return;
         }
-        if self.draining || self.waiting.len() >= self.machine.max_queue_length {
-            self.says.push(WorkerOutput::CallRejected { call });
+        if self.draining || self.waiting.len() >= self.spec.max_queue_length {
+            self.outputs.push(WorkerOutput::CallRejected { call });
             return;
         }
         let concurrency = self
@@ -299,200 +340,209 @@
             .values()
             .filter(|other| other.function == function)
             .count();
-        let mut stages = self
-            .copies
-            .iter()
-            .filter(|c| c.function == function)
-            .map(|c| c.stage);
-        let cache_outcome = match stages.any(|stage| matches!(stage, Stage::Ready { .. })) {
-            true => CacheOutcome::Warm,
-            false if self.copies.iter().any(|c| c.function == function) => CacheOutcome::AwaitedLoad,
-            false => CacheOutcome::StartedLoad,
+        let cache_outcome = if self.ready_copies(function) > 0 {
+            CacheOutcome::Warm
+        } else if self.copies.iter().any(|copy| copy.function == function) {
+            CacheOutcome::AwaitedLoad
+        } else {
+            CacheOutcome::StartedLoad
         };
-        let left = work.as_secs_f64();
-        let of = Call {
+        let accepted = Call {
             function: function.to_owned(),
-            left,
+            remaining_work: work.as_secs_f64(),
             cache_outcome,
             concurrency,
             copy: None,
             awaited: true,
         };
-        self.calls.insert(call, of);
+        self.calls.insert(call, accepted);
         self.waiting.push_back(call);
-        self.place();
-        if self.calls.get(&call).is_some_and(|c| c.copy.is_none()) && !self.begin_load_for(function) {
-            let any = self.copies.iter().any(|c| c.function == function);
-            if !any {
+        self.assign_waiting_calls();
+        if self.calls.get(&call).is_some_and(|call| call.copy.is_none())
+            && !self.queue_load_if_needed(function)
+        {
+            let has_copy = self.copies.iter().any(|copy| copy.function == function);
+            if !has_copy {
                 self.calls.remove(&call);
                 self.waiting.retain(|&other| other != call);
-                self.says.push(WorkerOutput::CallRejected { call });
+                self.outputs.push(WorkerOutput::CallRejected { call });
             }
         }
-        self.work_on();
+        self.start_queued_loads();
     }
 
-    /// Counts what arrives against what the worker can do; past the multiple it falls over.
-    fn pushed_over(&mut self, work: f64) -> bool {
-        let (machine, now) = (&self.machine, self.now);
-        self.arrived.push_back((now, work));
+    /// Adds the work of an arriving call, in seconds, to the overload window; the worker crashes when the sum
+    /// exceeds the overload bound. Returns whether the worker has crashed.
+    fn exceeds_overload_bound(&mut self, work: f64) -> bool {
+        let (spec, now) = (&self.spec, self.now);
+        self.recent_arrivals.push_back((now, work));
         while self
-            .arrived
+            .recent_arrivals
             .front()
-            .is_some_and(|(at, _)| *at + machine.overload_window < now)
+            .is_some_and(|(at, _)| *at + spec.overload_window < now)
         {
-            self.arrived.pop_front();
+            self.recent_arrivals.pop_front();
         }
-        if machine.overload_multiple <= 0.0 || now.saturating_sub(self.started) >= machine.slow_start_duration
-        {
+        let in_slow_start = now.saturating_sub(self.started_at) < spec.slow_start_duration;
+        if spec.overload_multiple <= 0.0 || !in_slow_start {
             return false;
         }
-        let sum: f64 = self.arrived.iter().map(|(_, work)| work).sum();
-        let can = machine.cores * self.capacity_share(now) * machine.overload_window.as_secs_f64();
-        self.max_overload_share = self
-            .max_overload_share
-            .max(sum / (machine.overload_multiple * can));
-        if sum > machine.overload_multiple * can {
+        let received: f64 = self.recent_arrivals.iter().map(|(_, work)| work).sum();
+        let capacity = spec.cores * self.capacity_share(now) * spec.overload_window.as_secs_f64();
+        let bound = spec.overload_multiple * capacity;
+        self.max_overload_share = self.max_overload_share.max(received / bound);
+        if received > bound {
             self.crashed = true;
-            self.says.push(WorkerOutput::CrashedByOverload);
+            self.outputs.push(WorkerOutput::CrashedByOverload);
         }
         self.crashed
     }
 
-    /// Starts another copy where waiting calls are more than the loads under way will take.
-    fn begin_load_for(&mut self, function: &str) -> bool {
-        let spec = self.function_spec(function);
+    /// Queues another load when more calls wait than the pending loads will have slots for. Returns `false`
+    /// when a load was needed and memory did not allow it.
+    fn queue_load_if_needed(&mut self, function: &str) -> bool {
+        let slots = self.function_spec(function).slots;
         let waiting = self
             .waiting
             .iter()
             .filter(|id| self.calls[id].function == function)
             .count();
-        let coming = |c: &&Copy| c.function == function && !matches!(c.stage, Stage::Ready { .. });
-        let loading = self.copies.iter().filter(coming).count();
-        if loading * spec.slots >= waiting {
+        let pending = |copy: &&FunctionCopy| copy.function == function && !copy.is_ready();
+        let pending_loads = self.copies.iter().filter(pending).count();
+        if pending_loads * slots >= waiting {
             return true;
         }
-        self.begin_load(function)
+        self.queue_load(function)
     }
 
-    /// Puts a load into the queue; `false` where copies that are in use or under way leave no room for it.
-    fn begin_load(&mut self, function: &str) -> bool {
-        let need = self.function_spec(function).memory_mb;
-        if self.memory(Copy::stays) + need > self.machine.memory_mb {
+    /// Queues a load; returns `false` when unreclaimable copies leave too little memory for it.
+    fn queue_load(&mut self, function: &str) -> bool {
+        let needed_mb = self.function_spec(function).memory_mb;
+        if self.memory_mb(FunctionCopy::is_unreclaimable) + needed_mb > self.spec.memory_mb {
             return false;
         }
-        self.drawn += 1;
-        let copy = Copy {
-            id: self.drawn,
+        self.last_copy_id += 1;
+        let copy = FunctionCopy {
+            id: self.last_copy_id,
             function: function.to_owned(),
-            stage: Stage::Queued,
-            used: 0,
+            state: CopyState::Queued,
+            slots_in_use: 0,
         };
         self.copies.push(copy);
         true
     }
 
-    /// Makes room for a load whose turn it is by unloading idle copies, those that stood longest first; `false` where there
-    /// is none.
-    fn make_room(&mut self, function: &str) -> bool {
-        let need = self.function_spec(function).memory_mb;
+    /// Unloads idle copies of other functions, longest idle first, until a load fits into memory. Returns
+    /// `false` when there are not enough of them.
+    fn free_memory_for(&mut self, function: &str) -> bool {
+        let needed_mb = self.function_spec(function).memory_mb;
         loop {
-            if self.memory(|c| c.stage != Stage::Queued) + need <= self.machine.memory_mb {
+            if self.memory_mb(|copy| copy.state != CopyState::Queued) + needed_mb <= self.spec.memory_mb {
                 return true;
             }
-            let idle = self
+            let idle_copies = self
                 .copies
                 .iter()
                 .enumerate()
-                .filter_map(|(at, c)| match c.stage {
-                    Stage::Ready { idle_since } if c.used == 0 && c.function != function => {
-                        Some((idle_since, at))
+                .filter_map(|(index, copy)| match copy.state {
+                    CopyState::Ready { idle_since }
+                        if copy.slots_in_use == 0 && copy.function != function =>
+                    {
+                        Some((idle_since, index))
                     }
                     _ => None,
                 });
-            let Some((_, at)) = idle.min() else { return false };
-            self.copies.remove(at);
+            let Some((_, longest_idle)) = idle_copies.min() else {
+                return false;
+            };
+            self.copies.remove(longest_idle);
         }
     }
 
-    /// Forgets queued loads that no call waits for any more, and no order.
-    fn drop_needless(&mut self) {
-        let mut needs: BTreeMap<&str, usize> = BTreeMap::new();
+    /// Removes queued loads that neither a waiting call nor a load command needs any more.
+    fn drop_unneeded_loads(&mut self) {
+        let mut waiting_calls: BTreeMap<&str, usize> = BTreeMap::new();
         for id in &self.waiting {
-            *needs.entry(&self.calls[id].function).or_default() += 1;
+            *waiting_calls.entry(&self.calls[id].function).or_default() += 1;
         }
-        let mut room: BTreeMap<String, usize> = BTreeMap::new();
-        for copy in self.copies.iter().filter(|c| c.stage == Stage::Queued) {
+        // Number of queued loads to keep, by function; functions with a load command keep all of theirs.
+        let mut loads_to_keep: BTreeMap<String, usize> = BTreeMap::new();
+        for copy in self.copies.iter().filter(|copy| copy.state == CopyState::Queued) {
             let function = copy.function.as_str();
-            if room.contains_key(function) || self.orders.iter().any(|(_, of, _)| of == function) {
+            let commanded = self
+                .load_commands
+                .iter()
+                .any(|command| command.function == function);
+            if loads_to_keep.contains_key(function) || commanded {
                 continue;
             }
-            let wanted = needs
+            let needed = waiting_calls
                 .get(function)
                 .copied()
                 .unwrap_or(0)
                 .div_ceil(self.function_spec(function).slots.max(1));
-            let loads = |c: &&Copy| c.function == function && c.loads();
-            room.insert(
+            let loading = |copy: &&FunctionCopy| copy.function == function && copy.is_loading();
+            loads_to_keep.insert(
                 function.to_owned(),
-                wanted.saturating_sub(self.copies.iter().filter(loads).count()),
+                needed.saturating_sub(self.copies.iter().filter(loading).count()),
             );
         }
-        self.copies.retain(|copy| match room.get_mut(&copy.function) {
-            Some(left) if copy.stage == Stage::Queued => {
-                let stays = *left > 0;
-                *left = left.saturating_sub(1);
-                stays
-            }
-            Some(_) | None => true,
-        });
+        self.copies
+            .retain(|copy| match loads_to_keep.get_mut(&copy.function) {
+                Some(remaining) if copy.state == CopyState::Queued => {
+                    let keep = *remaining > 0;
+                    *remaining = remaining.saturating_sub(1);
+                    keep
+                }
+                Some(_) | None => true,
+            });
     }
 
-    /// Gives waiting calls to copies with free slots, in the order they came.
-    fn place(&mut self) {
+    /// Assigns waiting calls, in order of arrival, to ready copies with free slots.
+    fn assign_waiting_calls(&mut self) {
         let waiting: Vec<u64> = self.waiting.iter().copied().collect();
         for id in waiting {
             let function = &self.calls[&id].function;
             let slots = self.function_spec(function).slots;
-            let free = |c: &&mut Copy| {
-                c.function == *function && matches!(c.stage, Stage::Ready { .. }) && c.used < slots
+            let has_free_slot = |copy: &&mut FunctionCopy| {
+                copy.function == *function && copy.is_ready() && copy.slots_in_use < slots
             };
-            let Some(copy) = self.copies.iter_mut().find(free) else {
+            let Some(copy) = self.copies.iter_mut().find(has_free_slot) else {
                 continue;
             };
-            copy.used += 1;
-            let copy = copy.id;
+            copy.slots_in_use += 1;
+            let copy_id = copy.id;
             if let Some(call) = self.calls.get_mut(&id) {
-                call.copy = Some(copy);
+                call.copy = Some(copy_id);
             }
             self.waiting.retain(|&other| other != id);
         }
     }
 
-    /// Starts loads whose turn it is.
-    fn work_on(&mut self) {
-        let loading = self.copies.iter().filter(|c| c.loads()).count();
-        let mut free = self.machine.max_concurrent_loads.saturating_sub(loading);
-        if free == 0 || !self.copies.iter().any(|c| c.stage == Stage::Queued) {
+    /// Starts queued loads, in order, up to the limit of concurrent loads.
+    fn start_queued_loads(&mut self) {
+        let loading = self.copies.iter().filter(|copy| copy.is_loading()).count();
+        let mut available = self.spec.max_concurrent_loads.saturating_sub(loading);
+        if available == 0 || !self.copies.iter().any(|copy| copy.state == CopyState::Queued) {
             return;
         }
-        self.drop_needless();
-        let queued = self.copies.iter().filter(|c| c.stage == Stage::Queued);
-        let queued: Vec<(u64, String)> = queued.map(|c| (c.id, c.function.clone())).collect();
+        self.drop_unneeded_loads();
+        let queued = self.copies.iter().filter(|copy| copy.state == CopyState::Queued);
+        let queued: Vec<(u64, String)> = queued.map(|copy| (copy.id, copy.function.clone())).collect();
         for (load, function) in queued {
-            if free == 0 {
+            if available == 0 {
                 break;
             }
-            // Where there is no room it waits on, for what runs to end.
-            if !self.make_room(&function) {
+            // A load that does not fit stays queued until running calls end and free memory.
+            if !self.free_memory_for(&function) {
                 continue;
             }
-            if let Some(copy) = self.copies.iter_mut().find(|c| c.id == load) {
-                copy.stage = Stage::Fetching;
-                free -= 1;
+            if let Some(copy) = self.copies.iter_mut().find(|copy| copy.id == load) {
+                copy.state = CopyState::Fetching;
+                available -= 1;
             }
             let spec = self.function_spec(&function);
-            self.says.push(WorkerOutput::FetchFunction {
+            self.outputs.push(WorkerOutput::FetchFunction {
                 load,
                 function,
                 fetch_time: spec.load_time.mul_f64(spec.fetch_share),
@@ -500,184 +550,202 @@
         }
     }
 
-    /// A fetch ended.
-    pub fn fetch_ended(&mut self, now: Duration, load: u64, good: bool) {
+    /// Records the end of a fetch; a failed one ends the calls and load commands that depend on it.
+    pub fn fetch_ended(&mut self, now: Duration, load: u64, succeeded: bool) {
         self.advance(now);
-        let Some(at) = self
+        let Some(index) = self
             .copies
             .iter()
-            .position(|c| c.id == load && c.stage == Stage::Fetching)
+            .position(|copy| copy.id == load && copy.state == CopyState::Fetching)
         else {
             return;
         };
-        let function = self.copies[at].function.clone();
-        if good {
+        let function = self.copies[index].function.clone();
+        if succeeded {
             let spec = self.function_spec(&function);
             let until = self.now + spec.load_time.mul_f64(1.0 - spec.fetch_share);
-            self.copies[at].stage = Stage::Starting { until };
+            self.copies[index].state = CopyState::Starting { until };
         } else {
-            self.copies.remove(at);
-            if !self.copies.iter().any(|c| c.function == function) {
-                let lost: Vec<u64> = self
+            self.copies.remove(index);
+            if !self.copies.iter().any(|copy| copy.function == function) {
+                let missed: Vec<u64> = self
                     .waiting
                     .iter()
                     .copied()
                     .filter(|id| self.calls[id].function == function)
                     .collect();
-                for call in lost {
+                for call in missed {
                     self.calls.remove(&call);
                     self.waiting.retain(|&other| other != call);
-                    self.says.push(WorkerOutput::CacheMiss { call });
+                    self.outputs.push(WorkerOutput::CacheMiss { call });
                 }
             }
-            self.orders_done(&function, false);
+            self.end_load_commands(&function, false);
         }
-        self.work_on();
+        self.start_queued_loads();
     }
 
-    /// The caller gave up. Whether the work was dropped with it.
+    /// Cancels a call: a waiting one is dropped, a running one continues if `runs_after_cancel` is set.
+    /// Returns whether the call was dropped.
     pub fn cancel_call(&mut self, now: Duration, call: u64) -> bool {
         self.advance(now);
-        let Some(of) = self.calls.get_mut(&call) else {
+        let Some(cancelled) = self.calls.get_mut(&call) else {
             return false;
         };
-        match of.copy {
-            // Work that waits is dropped; work that runs may go on.
+        match cancelled.copy {
             None => {
                 self.calls.remove(&call);
                 self.waiting.retain(|&other| other != call);
             }
             Some(copy) => {
-                of.awaited = false;
-                if !self.machine.runs_after_cancel {
+                cancelled.awaited = false;
+                if !self.spec.runs_after_cancel {
                     self.calls.remove(&call);
-                    self.release(copy);
-                    self.place();
+                    self.release_slot(copy);
+                    self.assign_waiting_calls();
                 }
             }
         }
         !self.calls.contains_key(&call)
     }
 
-    fn release(&mut self, copy: u64) {
+    fn release_slot(&mut self, copy: u64) {
         let now = self.now;
-        if let Some(copy) = self.copies.iter_mut().find(|c| c.id == copy) {
-            copy.used -= 1;
-            copy.stage = Stage::Ready { idle_since: now };
+        if let Some(copy) = self.copies.iter_mut().find(|other| other.id == copy) {
+            copy.slots_in_use -= 1;
+            copy.state = CopyState::Ready { idle_since: now };
         }
     }
 
-    /// An order to hold so many copies; 0 only asks.
-    pub fn submit_load_command(&mut self, now: Duration, order: u64, function: &str, copies: usize) {
+    /// Accepts a command to hold `copies` ready copies and restarts the keep-alive of idle ones; 0 copies
+    /// only asks for the current number.
+    pub fn submit_load_command(&mut self, now: Duration, command: u64, function: &str, copies: usize) {
         self.advance(now);
-        let there = self.copies.iter().filter(|c| c.function == function).count();
+        let existing = self
+            .copies
+            .iter()
+            .filter(|copy| copy.function == function)
+            .count();
         for copy in self
             .copies
             .iter_mut()
-            .filter(|c| c.function == function && c.used == 0)
+            .filter(|copy| copy.function == function && copy.slots_in_use == 0)
         {
-            if let Stage::Ready { idle_since } = &mut copy.stage {
+            if let CopyState::Ready { idle_since } = &mut copy.state {
                 *idle_since = self.now;
             }
         }
-        let room = !self.draining && !self.crashed && (there..copies).all(|_| self.begin_load(function));
-        if !room || self.ready_copies(function) >= copies {
+        let accepted =
+            !self.draining && !self.crashed && (existing..copies).all(|_| self.queue_load(function));
+        if !accepted || self.ready_copies(function) >= copies {
             let succeeded = copies == 0 || self.ready_copies(function) >= copies;
-            self.says.push(WorkerOutput::LoadCommandEnded {
-                command: order,
+            self.outputs.push(WorkerOutput::LoadCommandEnded {
+                command,
                 copies: self.ready_copies(function),
                 succeeded,
             });
         } else {
-            self.orders.push((order, function.to_owned(), copies));
+            self.load_commands.push(LoadCommand {
+                id: command,
+                function: function.to_owned(),
+                copies,
+            });
         }
-        self.work_on();
+        self.start_queued_loads();
     }
 
+    /// Unloads the idle copies of a function.
     pub fn unload_idle_copies(&mut self, now: Duration, function: &str) {
         self.advance(now);
-        self.copies.retain(|c| c.function != function || !c.idle());
-    }
-
-    fn orders_done(&mut self, function: &str, good: bool) {
-        let standing = self.ready_copies(function);
-        let done = |(_, of, copies): &(u64, String, usize)| of == function && (!good || standing >= *copies);
-        let over: Vec<u64> = self.orders.iter().filter(|o| done(o)).map(|o| o.0).collect();
-        self.orders.retain(|o| !done(o));
-        let says = over.into_iter().map(|order| WorkerOutput::LoadCommandEnded {
-            command: order,
-            copies: standing,
-            succeeded: good,
+        self.copies
+            .retain(|copy| copy.function != function || !copy.is_idle());
+    }
+
+    /// Ends the load commands of a function that are fulfilled, or all of them after a failed load.
+    fn end_load_commands(&mut self, function: &str, succeeded: bool) {
+        let ready_copies = self.ready_copies(function);
+        let has_ended = |command: &LoadCommand| {
+            command.function == function && (!succeeded || ready_copies >= command.copies)
+        };
+        let (ended, pending): (Vec<LoadCommand>, Vec<LoadCommand>) = std::mem::take(&mut self.load_commands)
+            .into_iter()
+            .partition(has_ended);
+        self.load_commands = pending;
+        let outputs = ended.into_iter().map(|command| WorkerOutput::LoadCommandEnded {
+            command: command.id,
+            copies: ready_copies,
+            succeeded,
         });
-        self.says.extend(says);
+        self.outputs.extend(outputs);
     }
 
+    /// Time at which [`WorkerModel::due`] has to be called next.
     pub fn next_due(&self) -> Option<Duration> {
         let speed = self.speed();
         let running = self.calls.values().filter(|call| call.copy.is_some());
-        let soonest = running.map(|call| call.left.max(0.0)).min_by(f64::total_cmp);
-        let work = soonest.filter(|_| speed > 0.0).map(|left| {
-            let at = self.now + Duration::from_secs_f64(left / speed) + Duration::from_micros(1);
+        let least_work = running
+            .map(|call| call.remaining_work.max(0.0))
+            .min_by(f64::total_cmp);
+        let next_completion = least_work.filter(|_| speed > 0.0).map(|work| {
+            let at = self.now + Duration::from_secs_f64(work / speed) + Duration::from_micros(1);
             if self.capacity_share(self.now) < 1.0 {
-                at.min(self.now + COLD_STEP)
+                at.min(self.now + SLOW_START_STEP)
             } else {
                 at
             }
         });
-        let copies = self.copies.iter().filter_map(|copy| match copy.stage {
-            Stage::Starting { until } => Some(until),
-            Stage::Ready { idle_since } if copy.used == 0 => Some(idle_since + self.machine.keep_alive),
-            Stage::Ready { .. } | Stage::Queued | Stage::Fetching => None,
+        let state_changes = self.copies.iter().filter_map(|copy| match copy.state {
+            CopyState::Starting { until } => Some(until),
+            CopyState::Ready { idle_since } if copy.slots_in_use == 0 => {
+                Some(idle_since + self.spec.keep_alive)
+            }
+            CopyState::Ready { .. } | CopyState::Queued | CopyState::Fetching => None,
         });
-        copies.chain(work).min()
+        state_changes.chain(next_completion).min()
     }
 
+    /// Completes calls and loads that have ended by `now`, and unloads copies whose keep-alive has expired.
     pub fn due(&mut self, now: Duration) {
         self.advance(now);
         if self.crashed {
             return;
         }
-        let done = |call: &Call| call.copy.is_some() && call.left <= NOTHING;
-        let over: Vec<u64> = self
+        let is_complete = |call: &Call| call.copy.is_some() && call.remaining_work <= WORK_EPSILON_S;
+        let completed: Vec<u64> = self
             .calls
             .iter()
-            .filter(|(_, call)| done(call))
+            .filter(|(_, call)| is_complete(call))
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
-            let Some(Call {
-                cache_outcome,
-                concurrency,
-                copy,
-                awaited,
-                ..
-            }) = self.calls.remove(&id)
-            else {
+        for id in completed {
+            let Some(call) = self.calls.remove(&id) else {
                 continue;
             };
-            self.says.push(WorkerOutput::CallCompleted {
+            self.outputs.push(WorkerOutput::CallCompleted {
                 call: id,
-                cache_outcome,
-                concurrency,
-                awaited,
+                cache_outcome: call.cache_outcome,
+                concurrency: call.concurrency,
+                awaited: call.awaited,
             });
-            copy.into_iter().for_each(|copy| self.release(copy));
+            call.copy.into_iter().for_each(|copy| self.release_slot(copy));
         }
-        let mut ready = Vec::new();
+        let mut loaded = Vec::new();
         for copy in &mut self.copies {
-            if matches!(copy.stage, Stage::Starting { until } if until <= self.now) {
-                copy.stage = Stage::Ready { idle_since: self.now };
-                ready.push(copy.function.clone());
+            if matches!(copy.state, CopyState::Starting { until } if until <= self.now) {
+                copy.state = CopyState::Ready { idle_since: self.now };
+                loaded.push(copy.function.clone());
             }
         }
-        ready.iter().for_each(|function| self.orders_done(function, true));
-        self.place();
-        let (now, keep) = (self.now, self.machine.keep_alive);
-        self.copies.retain(|copy| match copy.stage {
-            Stage::Ready { idle_since } => copy.used > 0 || now < idle_since + keep,
-            Stage::Queued | Stage::Fetching | Stage::Starting { .. } => true,
+        loaded
+            .iter()
+            .for_each(|function| self.end_load_commands(function, true));
+        self.assign_waiting_calls();
+        let (now, keep_alive) = (self.now, self.spec.keep_alive);
+        self.copies.retain(|copy| match copy.state {
+            CopyState::Ready { idle_since } => copy.slots_in_use > 0 || now < idle_since + keep_alive,
+            CopyState::Queued | CopyState::Fetching | CopyState::Starting { .. } => true,
         });
-        self.work_on();
+        self.start_queued_loads();
     }
 }
 
@@ -687,39 +755,37 @@
 
     const MS: Duration = Duration::from_millis(1);
 
+    /// Runs the worker until `until` with an uncontended store; returns its outputs with their times.
     fn run(worker: &mut WorkerModel, until: Duration) -> Vec<(Duration, WorkerOutput)> {
-        let mut said = Vec::new();
+        let mut outputs = Vec::new();
         loop {
-            for say in worker.take_outputs() {
-                if let WorkerOutput::FetchFunction { load, fetch_time, .. } = &say {
+            for output in worker.take_outputs() {
+                if let WorkerOutput::FetchFunction { load, fetch_time, .. } = &output {
                     let at = worker.now + *fetch_time;
                     worker.due(at.min(until));
                     worker.fetch_ended(at.min(until), *load, true);
                 }
-                said.push((worker.now, say));
+                outputs.push((worker.now, output));
             }
             match worker.next_due().filter(|at| *at <= until) {
                 Some(at) => worker.due(at),
-                None => return said,
+                None => return outputs,
             }
         }
     }
 
     #[test]
-    fn a_cold_call_waits_for_its_load_and_a_second_finds_the_copy() {
+    fn a_cold_call_waits_for_the_load_and_a_second_call_is_warm() {
         let mut worker = WorkerModel::new(WorkerSpec::default(), BTreeMap::new(), Duration::ZERO);
         worker.submit_call(Duration::ZERO, 1, "f", 10 * MS);
         let first = run(&mut worker, 1000 * MS);
-        let may_have_executed = first
+        let completed = first
             .iter()
-            .find(|(_, say)| matches!(say, WorkerOutput::CallCompleted { .. }))
+            .find(|(_, output)| matches!(output, WorkerOutput::CallCompleted { .. }))
             .unwrap();
-        assert!(
-            may_have_executed.0 >= 310 * MS && may_have_executed.0 < 315 * MS,
-            "{may_have_executed:?}"
-        );
+        assert!(completed.0 >= 310 * MS && completed.0 < 315 * MS, "{completed:?}");
         assert!(matches!(
-            may_have_executed.1,
+            completed.1,
             WorkerOutput::CallCompleted {
                 cache_outcome: CacheOutcome::StartedLoad,
                 ..
@@ -740,12 +806,12 @@
     }
 
     #[test]
-    fn memory_bounds_copies_and_idle_ones_give_way() {
-        let machine = WorkerSpec {
+    fn a_call_is_rejected_when_loading_copies_fill_the_memory() {
+        let spec = WorkerSpec {
             memory_mb: 400.0,
             ..WorkerSpec::default()
         };
-        let mut worker = WorkerModel::new(machine, BTreeMap::new(), Duration::ZERO);
+        let mut worker = WorkerModel::new(spec, BTreeMap::new(), Duration::ZERO);
         for (call, function) in [(1, "a"), (2, "b"), (3, "c")] {
             worker.submit_call(Duration::ZERO, call, function, MS);
         }
@@ -757,51 +823,51 @@
     }
 
     #[test]
-    fn a_load_waits_without_room_and_is_dropped_with_its_last_call() {
-        let machine = WorkerSpec {
+    fn a_load_without_free_memory_waits_and_is_dropped_with_its_last_call() {
+        let spec = WorkerSpec {
             memory_mb: 400.0,
             max_concurrent_loads: 1,
             ..WorkerSpec::default()
         };
-        let mut worker = WorkerModel::new(machine, BTreeMap::new(), Duration::ZERO);
+        let mut worker = WorkerModel::new(spec, BTreeMap::new(), Duration::ZERO);
         worker.submit_call(Duration::ZERO, 1, "x", MS);
         run(&mut worker, 2000 * MS);
         assert_eq!(worker.ready_copies("x"), 1);
         for (call, function) in [(2, "a"), (3, "b"), (4, "c")] {
             worker.submit_call(2000 * MS, call, function, MS);
         }
-        let fetched = |says: Vec<WorkerOutput>| {
-            let fetch = |say: WorkerOutput| {
-                if let WorkerOutput::FetchFunction { load, function, .. } = say {
+        let started_fetch = |outputs: Vec<WorkerOutput>| {
+            let fetch = |output: WorkerOutput| {
+                if let WorkerOutput::FetchFunction { load, function, .. } = output {
                     Some((load, function))
                 } else {
                     None
                 }
             };
-            says.into_iter().find_map(fetch).unwrap()
+            outputs.into_iter().find_map(fetch).unwrap()
         };
-        let (load, function) = fetched(worker.take_outputs());
-        // What stands idle stays while the others only wait for their turn.
+        let (load, function) = started_fetch(worker.take_outputs());
+        // Queued loads alone do not unload the idle copy of x.
         assert_eq!((function.as_str(), worker.ready_copies("x")), ("a", 1));
         worker.cancel_call(2100 * MS, 3);
         worker.fetch_ended(2200 * MS, load, true);
         let at = worker.next_due().unwrap();
         worker.due(at);
-        assert_eq!(fetched(worker.take_outputs()).1, "c");
+        assert_eq!(started_fetch(worker.take_outputs()).1, "c");
         assert_eq!(worker.ready_copies("x"), 0);
     }
 
     #[test]
-    fn a_cold_worker_falls_over_past_the_multiple() {
-        let machine = WorkerSpec {
+    fn a_worker_in_slow_start_crashes_past_the_overload_bound() {
+        let spec = WorkerSpec {
             cores: 1.0,
             slow_start_min_capacity: 0.2,
             slow_start_duration: Duration::from_secs(10),
             overload_multiple: 3.0,
             ..WorkerSpec::default()
         };
-        let mut worker = WorkerModel::new(machine, BTreeMap::new(), Duration::ZERO);
-        // 0.2 cores for 2 s, three times: 1.2 s of work may come.
+        let mut worker = WorkerModel::new(spec, BTreeMap::new(), Duration::ZERO);
+        // Overload bound: 0.2 cores * 2 s window * multiple 3 = 1.2 s of work.
         for call in 0..12 {
             worker.submit_call(Duration::ZERO, call, "f", 100 * MS);
             assert!(!worker.crashed);
@@ -811,14 +877,14 @@
     }
 
     #[test]
-    fn cancelled_work_that_runs_goes_on_and_tells_nobody() {
+    fn cancelled_running_work_continues_without_a_caller() {
         let mut worker = WorkerModel::new(WorkerSpec::default(), BTreeMap::new(), Duration::ZERO);
         worker.submit_call(Duration::ZERO, 1, "f", 100 * MS);
         run(&mut worker, 310 * MS);
         worker.cancel_call(320 * MS, 1);
-        let said = run(&mut worker, 1000 * MS);
+        let outputs = run(&mut worker, 1000 * MS);
         assert!(matches!(
-            said[..],
+            outputs[..],
             [(
                 _,
                 WorkerOutput::CallCompleted {
@@ -831,7 +897,7 @@
     }
 
     #[test]
-    fn a_failed_load_misses_its_calls() {
+    fn a_failed_load_ends_its_calls_with_a_cache_miss() {
         let mut worker = WorkerModel::new(WorkerSpec::default(), BTreeMap::new(), Duration::ZERO);
         worker.submit_call(Duration::ZERO, 1, "f", MS);
         let WorkerOutput::FetchFunction { load, .. } = worker.take_outputs().remove(0) else {
