--- a/crates/quartzdrift-lab/src/simulation/faults.rs
+++ b/crates/quartzdrift-lab/src/simulation/faults.rs
@@ -1,46 +1,49 @@
-//! Faults of a script, and the list of workers that tells of some.
+//! Faults of the scenario, and the endpoint list that reports some of them.
 use super::*;
 
-impl Sim<'_> {
-    pub(super) fn list(&mut self, worker: usize, state: EndpointState) {
-        let started = (state == EndpointState::Up).then_some(self.now);
-        self.discovery[worker] = (state, started);
+impl Simulation<'_> {
+    /// Changes the state of a worker in the endpoint list and sends the change to all schedulers.
+    fn set_endpoint_state(&mut self, worker: usize, state: EndpointState) {
+        let started_at = (state == EndpointState::Up).then_some(self.now);
+        self.endpoints[worker] = (state, started_at);
         if self.discovery_stopped {
             return;
         }
         for scheduler in 0..self.schedulers.len() {
-            let at = self.now + self.lag + Duration::from_secs_f64(self.chance.random_range(0.0005..0.02));
-            self.put(
-                at,
-                Ev::List {
+            let latency = Duration::from_secs_f64(self.rng.random_range(0.0005..0.02));
+            self.schedule(
+                self.now + self.discovery_lag + latency,
+                Event::EndpointChanged {
                     scheduler,
                     worker,
                     state,
-                    started,
+                    started_at,
                 },
             );
         }
     }
 
-    pub(super) fn fault(&mut self, fault: &Fault, machine: &WorkerSpec, seed: u64) {
+    pub(super) fn apply_fault(&mut self, fault: &Fault, worker_spec: &WorkerSpec, seed: u64) {
         match *fault {
             Fault::Crash(w) => {
-                self.crash(w);
-                self.list(w, EndpointState::Gone);
+                self.crash_worker(w);
+                self.set_endpoint_state(w, EndpointState::Gone);
             }
             Fault::Start(w) => {
                 if self.workers[w].up {
-                    self.crash(w);
+                    self.crash_worker(w);
                 }
-                self.cold_most = self.cold_most.max(self.workers[w].model.max_overload_share);
+                self.max_overload_share = self
+                    .max_overload_share
+                    .max(self.workers[w].model.max_overload_share);
                 let worker = &mut self.workers[w];
-                worker.model = WorkerModel::new(machine.clone(), badday::specs(self.script), self.now);
+                worker.model = WorkerModel::new(worker_spec.clone(), badday::specs(self.scenario), self.now);
                 (worker.up, worker.faults) = (true, Faults::default());
-                self.list(w, EndpointState::Up);
+                self.set_endpoint_state(w, EndpointState::Up);
             }
             Fault::Drain(w) => {
                 self.workers[w].model.draining = true;
-                self.list(w, EndpointState::Draining);
+                self.set_endpoint_state(w, EndpointState::Draining);
             }
             Fault::Silent(w) => self.workers[w].faults.silent = true,
             Fault::Hang(w) => self.workers[w].faults.hang = true,
@@ -49,85 +52,91 @@
                 if self.workers[w].up {
                     self.workers[w].model.due(self.now);
                 }
-                self.act(w);
+                self.process_worker_outputs(w);
             }
             Fault::Errors(w, share) => self.workers[w].faults.errors = share,
             Fault::Lose(w, share) => self.workers[w].faults.lost = share,
-            Fault::Slow(w, by) => self.workers[w].faults.slow = by,
-            Fault::Late(w, by) => self.workers[w].faults.late_reports = by,
-            Fault::DiscoveryLag(lag) => self.lag = lag,
+            Fault::Slow(w, delay) => self.workers[w].faults.slow = delay,
+            Fault::Late(w, delay) => self.workers[w].faults.late_reports = delay,
+            Fault::DiscoveryLag(lag) => self.discovery_lag = lag,
             Fault::DiscoveryStop(on) => {
                 self.discovery_stopped = on;
                 if !on {
                     for scheduler in 0..self.schedulers.len() {
                         let incarnation = self.schedulers[scheduler].incarnation;
-                        self.later(Ev::FullList {
+                        self.schedule_message(Event::FullEndpointList {
                             scheduler,
                             incarnation,
                         });
                     }
                 }
             }
-            Fault::PauseGateway(s, length) => self.schedulers[s].paused = self.now + length,
-            Fault::Apart { first, last, one_way } => self.apart = Some((first..last + 1, one_way)),
+            Fault::PauseGateway(s, length) => self.schedulers[s].paused_until = self.now + length,
+            Fault::Apart { first, last, one_way } => self.partition = Some((first..last + 1, one_way)),
             Fault::Together => {
-                (self.apart, self.loss, self.doubled, self.late) = (None, 0.0, 0.0, Duration::ZERO);
+                self.partition = None;
+                (self.datagram_loss, self.datagram_duplication) = (0.0, 0.0);
+                self.max_datagram_delay = Duration::ZERO;
             }
-            Fault::LoseDatagrams(share) => self.loss = share,
+            Fault::LoseDatagrams(share) => self.datagram_loss = share,
             Fault::PowerOff { gateways } => {
-                self.power.off.get_or_insert(self.now);
+                self.power_loss.first_at.get_or_insert(self.now);
                 let (first, last) = gateways.unwrap_or((0, self.schedulers.len().saturating_sub(1)));
-                (first..=last).for_each(|s| self.fault(&Fault::KillGateway(s), machine, seed));
+                (first..=last).for_each(|s| self.apply_fault(&Fault::KillGateway(s), worker_spec, seed));
                 if gateways.is_none() {
-                    (0..self.workers.len()).for_each(|w| self.fault(&Fault::Crash(w), machine, seed));
-                    self.fault(&Fault::DiscoveryStop(true), machine, seed);
+                    (0..self.workers.len())
+                        .for_each(|w| self.apply_fault(&Fault::Crash(w), worker_spec, seed));
+                    self.apply_fault(&Fault::DiscoveryStop(true), worker_spec, seed);
                 }
             }
             Fault::StopGateways(first, last) => {
-                (first..=last).for_each(|s| self.fault(&Fault::KillGateway(s), machine, seed));
+                (first..=last).for_each(|s| self.apply_fault(&Fault::KillGateway(s), worker_spec, seed));
             }
-            Fault::PowerOnGateway(s) => self.fault(&Fault::StartGateway(s), machine, seed),
-            Fault::DoubleDatagrams(share) => self.doubled = share,
-            Fault::LateDatagrams(late) => self.late = late,
-            Fault::Clock(s, by, ahead) => self.schedulers[s].returning.clock = (by, ahead),
-            Fault::CopyState(s) => self.return_copied(s),
-            Fault::Spoil(s, how) => self.return_spoilt(s, how),
-            // Connections are not modelled byte by byte.
+            Fault::PowerOnGateway(s) => self.apply_fault(&Fault::StartGateway(s), worker_spec, seed),
+            Fault::DoubleDatagrams(share) => self.datagram_duplication = share,
+            Fault::LateDatagrams(delay) => self.max_datagram_delay = delay,
+            Fault::Clock(s, offset, ahead) => self.schedulers[s].recovery.clock_offset = (offset, ahead),
+            Fault::CopyState(s) => self.back_up_checkpoint(s),
+            Fault::Spoil(s, damage) => self.damage_disk(s, damage),
+            // The network model has no connections that could stall.
             Fault::Link(..) | Fault::DiscoveryStall(..) => {}
-            // Empty lists are doubted by the daemon's reading of lists, which is not part of this model.
+            // The discovery client, which rejects an empty list, is not part of the simulation.
             Fault::DiscoveryEmpty(_) => {}
-            Fault::StoreSlow(times) => {
+            Fault::StoreSlow(slowdown) => {
                 self.store.advance(self.now);
-                self.store.slowdown = times;
-                self.plan_store();
+                self.store.slowdown = slowdown;
+                self.schedule_store_wakeup();
             }
             Fault::StoreRefuse(on) => self.store.rejecting = on,
             Fault::KillGateway(s) => {
                 if self.schedulers[s].request_table.is_some() {
-                    self.fleet_killed(s);
+                    self.scheduler_killed(s);
                 }
                 let scheduler = &mut self.schedulers[s];
                 scheduler.request_table = None;
                 scheduler.incarnation += 1;
-                if let Some(ahead) = scheduler.ahead.take() {
-                    let totals = ahead.tracker.totals();
-                    self.sums.used += totals.used;
-                    self.sums.unused += totals.unused;
-                    self.standing.merge(ahead.forecasts.scores);
+                if let Some(planner) = scheduler.prefetch_planner.take() {
+                    let totals = planner.tracker.totals();
+                    self.killed_prefetch_totals.used += totals.used;
+                    self.killed_prefetch_totals.unused += totals.unused;
+                    self.killed_forecast_scores.merge(planner.forecasts.scores);
                 }
-                scheduler.orders.clear();
-                for (worker, call) in std::mem::take(&mut scheduler.sent).into_values() {
-                    self.later(Ev::Cancel { worker, call });
+                scheduler.load_commands.clear();
+                for (worker, call) in std::mem::take(&mut scheduler.attempts_in_flight).into_values() {
+                    self.schedule_message(Event::AttemptCancelled { worker, call });
                 }
-                let lost = self.clients.iter_mut().filter(|c| c.open && c.gateway == s);
-                for client in lost {
-                    client.open = false;
+                let waiting = self
+                    .clients
+                    .iter_mut()
+                    .filter(|client| client.awaits_response && client.gateway == s);
+                for client in waiting {
+                    client.awaits_response = false;
                     self.figures.unanswered += 1;
                 }
             }
             Fault::StartGateway(s) => {
-                if self.schedulers[s].request_table.is_none() && !self.schedulers[s].returning.full {
-                    self.fleet_restarted(s);
+                if self.schedulers[s].request_table.is_none() && !self.schedulers[s].recovery.disk_full {
+                    self.scheduler_restarted(s);
                     self.start_scheduler(s, seed);
                 }
             }
--- a/crates/quartzdrift-lab/src/simulation/mod.rs
+++ b/crates/quartzdrift-lab/src/simulation/mod.rs
@@ -1,8 +1,11 @@
-//! A fleet in simulated time: the real desk, decision module and forecasts, with modelled workers, store, roster,
-//! clients and network. One queue of events; the same script, traffic and seed give the same figures.
+//! Discrete-event simulation of a cluster in simulated time.
 //!
-//! Modelled, not measured: each message takes 0.2 to 0.6 ms, schedulers take no time to decide, and a connection to a worker
-//! that is down is refused at once. Everything else is the code that runs on sockets, or the fakes' models.
+//! The lifecycle of requests, the scheduler, the forecasts, the membership and the recovery are the real
+//! code. Workers, the store, the discovery service, clients and the network are models. All of them share one
+//! event queue; the same scenario, traffic and seed give the same figures.
+//!
+//! Simplifications: each message takes 0.2 to 0.6 ms, schedulers take no time to decide, and a connection to
+//! a worker that is down is refused at once.
 mod clients;
 mod faults;
 mod membership;
@@ -25,66 +28,73 @@
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use schedulers::entries;
+use schedulers::endpoint_list;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The simulated day begins here on the schedulers' clocks.
+/// Start of the scenario on the schedulers' clocks.
 const START: Duration = Duration::from_secs(1_700_000_000);
-/// Reports are made anew this often.
-const REPORT_EVERY: Duration = Duration::from_millis(100);
-/// After the last call, for what is open to end.
+/// Interval at which a worker renews its load report.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after the end of the traffic for open requests to end.
 const SETTLE: Duration = Duration::from_secs(10);
+/// Interval of the samples of idle memory and scheduler counts.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
+/// Source of the usage forecasts that schedulers receive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Forecasting {
     #[default]
     Off,
     On,
-    /// Each use is told in time and for sure: the limit of what forecasts can do.
+    /// Every use is forecast in time with probability 1: the upper bound for any forecast.
     Foresight,
 }
 
-/// What differs between runs of one day.
+/// Options that differ between runs of the same scenario.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Variant {
     pub forecasting: Forecasting,
-    /// Orders allowed in any window of this many seconds: a few, and a share of the requests taken in it; 0: no ration.
+    /// Window of the load quota in seconds: within any window a scheduler sends at most `load_quota_burst`
+    /// load commands plus `load_quota_share` per received request; 0 disables the quota.
     #[serde(rename = "load_window_s")]
     pub load_quota_window_s: f64,
     #[serde(rename = "load_free")]
     pub load_quota_burst: f64,
     #[serde(rename = "load_share")]
     pub load_quota_share: f64,
+    /// Price of a fetch from the store.
     pub fetch_price: f64,
     #[serde(rename = "memory_price")]
     pub idle_memory_price: f64,
-    /// Lengths of the seasons that forecasts look for, in seconds.
+    /// Periods, in seconds, of the seasonal patterns that forecasts look for.
     pub seasons_s: Vec<f64>,
-    /// What forecasts have learnt is saved this often, and read after a restart; 0: never.
+    /// Interval, in seconds, of the forecast snapshots that a scheduler restores after a restart; 0 disables
+    /// snapshots.
     #[serde(rename = "snapshot_s")]
     pub snapshot_interval_s: f64,
-    /// Schedulers know of each other by the real membership.
+    /// Schedulers detect each other through the membership protocol.
     #[serde(rename = "members")]
     pub membership: bool,
-    /// Schedulers return to service in stages after they were killed; it takes `members`.
+    /// Schedulers recover in phases after they were killed; requires `membership`.
     pub recovery: bool,
-    /// With recovery, calls are let in by a pace while copies return.
+    /// An admission ramp limits requests during recovery; requires `recovery`.
     #[serde(rename = "pace")]
     pub admission_ramp: bool,
-    /// Schedulers as the settings tell them; 0: as many as there are.
+    /// Number of schedulers in the settings; 0: the number in the scenario.
     #[serde(rename = "schedulers")]
     pub configured_schedulers: u32,
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Figures {
+    /// Requests sent by clients, retries included.
     #[serde(rename = "calls")]
     pub requests: u64,
     #[serde(rename = "finished")]
@@ -93,34 +103,38 @@
     pub rejected: u64,
     #[serde(rename = "killed")]
     pub failed: u64,
+    /// Requests that ended without a response: by the client's timeout, or by the loss of the gateway.
     #[serde(rename = "no_answer")]
     pub unanswered: u64,
     #[serde(rename = "executions")]
     pub attempts: u64,
-    /// Finished attempts that did not find their copy loaded.
+    /// Successful attempts that started a load or waited for one.
     pub waited_for_load: u64,
     pub fetches: u64,
-    /// Share of the asked for that was finished within its latency objective, a client's repeats counted with its first.
+    /// Share of the arrivals that succeeded within the latency objective, measured from the first request of
+    /// the client, retries included.
     #[serde(rename = "in_time")]
     pub on_time_share: f64,
-    /// Waiting beside the work itself, of finished requests, in ms.
+    /// Median and 95th percentile of the latency of successful requests, without their execution time.
     pub wait_p50_ms: f64,
     pub wait_p95_ms: f64,
-    /// Mean share of all memory held by copies that run nothing.
+    /// Mean share of the memory of all workers that idle copies hold.
     pub idle_memory: f64,
     #[serde(rename = "orders")]
     pub load_commands: u64,
+    /// Prefetches followed by a use within the keep-alive, and prefetches without one.
     #[serde(rename = "orders_used")]
     pub load_commands_used: u64,
     #[serde(rename = "orders_unused")]
     pub load_commands_unused: u64,
+    /// Workers that crashed because they exceeded their overload bound.
     #[serde(rename = "fell_over")]
     pub overload_crashes: u64,
-    /// Largest share of the ration that orders came to.
+    /// Largest share of the load quota used within any window.
     #[serde(rename = "ration_most")]
     pub max_load_quota_share: f64,
-    /// Gaps between uses that forecasts spoke of, and the mean score of what they, "as the last time" and "always near"
-    /// said: 0 is best.
+    /// Gaps between uses that were forecast, and the mean scores of the forecasts and of two baselines: the
+    /// last gap repeats, and the next use is always near. A score of 0 is best.
     #[serde(rename = "gaps")]
     pub scored_gaps: u64,
     #[serde(rename = "score")]
@@ -129,61 +143,74 @@
     pub last_gap_score: f64,
     #[serde(rename = "score_always")]
     pub always_near_score: f64,
-    /// Largest share of what a cold worker may be sent in a window that it was sent.
+    /// Largest share of its overload bound that a worker received in a window during slow start.
     #[serde(rename = "cold_most")]
     pub max_overload_share: f64,
-    /// Seconds from a scheduler's restart until calls to it were in time as often as before it was killed, or nearly.
+    /// Mean time from a scheduler's restart until the on-time share of its requests is back at
+    /// `RECOVERED_SHARE` of the share before the kill.
     #[serde(rename = "recovered_s")]
     pub restart_recovery_s: f64,
-    /// Seconds from the return of power, the first gateway or worker, until all calls were in time as often as before, or nearly,
-    /// and stayed so; and calls rejected from then on.
+    /// Time from the first restart of a scheduler after the last loss of power until the on-time share of all
+    /// requests stays at `RECOVERED_SHARE` of the share before the loss.
     #[serde(rename = "power_back_s")]
     pub power_recovery_s: f64,
+    /// Requests rejected since the first loss of power.
     #[serde(rename = "power_pushed_back")]
     pub power_rejected: u64,
-    /// Seconds that the store's pace alone would take for the functions needed for so many calls; fetches after the loss, of how
-    /// many functions, and those that the store turned away.
+    /// Lower bound of the recovery time: the time that the store needs to serve the functions that receive
+    /// `RECOVERED_SHARE` of the requests.
     #[serde(rename = "power_bound_s")]
     pub power_recovery_bound_s: f64,
+    /// Fetches that the store accepted since the first loss of power.
     pub power_fetches: u64,
+    /// Functions that these fetches were for.
     #[serde(rename = "power_functions")]
     pub power_fetched_functions: u64,
+    /// Fetches that the store rejected since the first loss of power.
     #[serde(rename = "power_refused")]
     pub power_rejected_fetches: u64,
-    /// Calls a second that were in time over ten seconds before the loss, and over the last ten of the day.
+    /// On-time requests per second in the 10 s before the loss of power, and in the last 10 s of the
+    /// scenario.
     pub power_goodput_before: f64,
     pub power_goodput_after: f64,
-    /// Largest fall of the share in time, over windows of a second, below what it had come to since.
+    /// Largest drop of the on-time share below its maximum since the restart, over windows of 1 s.
     #[serde(rename = "power_fall_back")]
     pub power_max_regression: f64,
-    /// Of the schedulers' last starts after a loss of power, the share judged as such, and the longest time until one was judged.
+    /// Share of the schedulers whose last start was classified as a mass failure.
     #[serde(rename = "judged_lost")]
     pub mass_failure_share: f64,
+    /// Longest time from the last start of a scheduler until it was classified.
     #[serde(rename = "judged_most_s")]
     pub max_classification_s: f64,
-    /// Seconds from a kill until the first and the last of the others knew, and schedulers thought dead that were there.
+    /// Mean time from a kill until the first and the last of the other schedulers detected it.
     #[serde(rename = "found_first_s")]
     pub first_detection_s: f64,
     #[serde(rename = "found_last_s")]
     pub last_detection_s: f64,
+    /// Detections of running schedulers as dead.
     pub false_dead: u64,
-    /// Bytes of datagrams a second that each member sent.
+    /// Mean datagram bytes per second that each member sent.
     #[serde(rename = "member_bytes_s")]
     pub member_bytes_per_s: f64,
-    /// Least and greatest number of schedulers counted, against those that were there.
+    /// Smallest and largest ratio of the scheduler count of a member to the number of running schedulers.
     #[serde(rename = "told_least")]
     pub min_scheduler_count_share: f64,
     #[serde(rename = "told_most")]
     pub max_scheduler_count_share: f64,
 }
 
-enum Ev {
-    Arrive(usize),
+/// Attempt as its worker knows it: scheduler, incarnation of the scheduler, request and attempt number.
+type AttemptKey = (usize, u64, u64, u32);
+
+/// Event of the simulation. Workers, schedulers, clients, arrivals and faults are given by their index.
+enum Event {
+    ClientArrival(usize),
+    /// The client at this index waited too long for the response to its request with this number.
     ClientTimeout(usize, u32),
-    /// A repeat whose time has come.
-    Again(usize),
+    ClientRetry(usize),
+    /// A timer of the request table of a scheduler, in this incarnation.
     RequestTableDue(usize, u64),
-    Came {
+    AttemptArrived {
         worker: usize,
         scheduler: usize,
         incarnation: u64,
@@ -192,160 +219,178 @@
         call: u64,
         client: usize,
     },
-    Back {
+    AttemptEnded {
         scheduler: usize,
         incarnation: u64,
         request: u64,
         attempt: u32,
-        ended: AttemptResult,
+        result: AttemptResult,
     },
-    Cancel {
+    AttemptCancelled {
         worker: usize,
         call: u64,
     },
     WorkerDue(usize),
     StoreDue,
-    Order {
+    LoadCommandArrived {
         worker: usize,
         scheduler: usize,
         incarnation: u64,
-        order: u64,
+        command: u64,
         function: Rc<str>,
         copies: u32,
     },
-    OrderBack {
+    LoadCommandEnded {
         scheduler: usize,
         incarnation: u64,
-        order: u64,
+        command: u64,
         outcome: Outcome,
         copies: u32,
     },
-    List {
+    EndpointChanged {
         scheduler: usize,
         worker: usize,
         state: EndpointState,
-        started: Option<Duration>,
+        started_at: Option<Duration>,
     },
-    FullList {
+    FullEndpointList {
         scheduler: usize,
         incarnation: u64,
     },
     Fault(usize),
-    Datagram {
+    DatagramArrived {
         to: usize,
         from: usize,
         bytes: Vec<u8>,
     },
-    FleetDue(usize, u64),
-    Foresee(usize),
+    /// A timer of the membership of a scheduler, in this incarnation.
+    MembershipDue(usize, u64),
+    /// The forecast of the arrival at this index, with [`Forecasting::Foresight`].
+    PerfectForecast(usize),
     Sample,
 }
 
+/// One request of a client. A retry is a client of its own, with the same arrival.
 struct Client {
     arrival: usize,
-    repeats: u32,
+    retries: u32,
     gateway: usize,
-    first: Duration,
-    /// Which try this is; news of earlier ones does not count.
-    turn: u32,
-    open: bool,
+    /// Time of the client's first request.
+    first_sent_at: Duration,
+    /// Number of the request; a timeout of an earlier request is ignored.
+    request_number: u32,
+    awaits_response: bool,
+    /// Scheduler and number of the request in its request table.
     request: Option<(usize, u64)>,
-    /// The number of the function that it tries, and in which life of its scheduler.
-    tries: Option<(u64, u32)>,
+    /// Incarnation of the scheduler and number of the load that the request was admitted for during recovery.
+    recovery_load: Option<(u64, u32)>,
 }
 
-struct WorkerSim {
+struct SimulatedWorker {
     model: WorkerModel,
     up: bool,
     faults: Faults,
-    calls: BTreeMap<u64, (usize, u64, u64, u32)>,
-    orders: BTreeMap<u64, (usize, u64, u64)>,
-    planned: Option<Duration>,
-    reports: Vec<(Duration, Vec<Option<f64>>)>,
+    calls: BTreeMap<u64, AttemptKey>,
+    /// Scheduler, its incarnation and its number of each load command, by the worker's number.
+    load_commands: BTreeMap<u64, (usize, u64, u64)>,
+    next_wakeup: Option<Duration>,
+    /// Recent load reports with the times they were made.
+    load_reports: Vec<(Duration, Vec<Option<f64>>)>,
     incarnation: u64,
 }
 
-struct SchedulerSim {
+struct SimulatedScheduler {
+    /// `None` while the scheduler is down.
     request_table: Option<RequestTable<usize>>,
-    ahead: Option<PrefetchPlanner>,
+    prefetch_planner: Option<PrefetchPlanner>,
     incarnation: u64,
-    planned: Option<Duration>,
-    sent: BTreeMap<(u64, u32), (usize, u64)>,
-    orders: BTreeMap<u64, (Duration, Rc<str>)>,
-    /// Times of requests taken and orders given, for the ration.
-    taken: Vec<Duration>,
-    given: Vec<Duration>,
-    /// The last snapshot of its forecasts.
-    saved: Option<(Duration, Vec<u8>)>,
-    fleet: Option<membership::Fleet>,
-    /// Members met before a kill, and how many schedulers were counted.
-    met: (Vec<std::net::SocketAddr>, u32),
-    /// It does nothing until then.
-    paused: Duration,
-    returning: recovery::Returning,
+    next_wakeup: Option<Duration>,
+    /// Worker and call of each attempt in flight, by request and attempt number.
+    attempts_in_flight: BTreeMap<(u64, u32), (usize, u64)>,
+    /// Time and function of each pending load command.
+    load_commands: BTreeMap<u64, (Duration, Rc<str>)>,
+    /// Times of the received requests and of the sent load commands, to check the load quota.
+    request_times: Vec<Duration>,
+    load_command_times: Vec<Duration>,
+    /// Time and bytes of the last snapshot of the forecasts.
+    forecast_snapshot: Option<(Duration, Vec<u8>)>,
+    membership: Option<membership::SchedulerMembership>,
+    /// Addresses of the known members and the scheduler count, saved when the scheduler was killed.
+    saved_members: (Vec<std::net::SocketAddr>, u32),
+    /// The scheduler handles no events before this time.
+    paused_until: Duration,
+    recovery: recovery::RecoveryState,
 }
 
-struct Sim<'a> {
-    script: &'a Script,
+struct Simulation<'a> {
+    scenario: &'a Script,
     variant: &'a Variant,
     arrivals: &'a [Arrival],
     settings: Settings,
     now: Duration,
-    queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    events: BTreeMap<u64, Ev>,
-    drawn: u64,
-    chance: StdRng,
+    /// Time and number of each pending event, earliest first.
+    event_queue: BinaryHeap<Reverse<(Duration, u64)>>,
+    events: BTreeMap<u64, Event>,
+    /// Source of the numbers of events, calls, fetches and load commands.
+    last_id: u64,
+    rng: StdRng,
     clients: Vec<Client>,
-    workers: Vec<WorkerSim>,
-    names: Vec<String>,
-    by_name: HashMap<String, usize>,
-    schedulers: Vec<SchedulerSim>,
+    workers: Vec<SimulatedWorker>,
+    worker_names: Vec<String>,
+    workers_by_name: HashMap<String, usize>,
+    schedulers: Vec<SimulatedScheduler>,
     store: store::StoreModel,
-    store_planned: Option<Duration>,
+    store_wakeup: Option<Duration>,
+    /// Worker, its incarnation and its load of each fetch.
     fetches: BTreeMap<u64, (usize, u64, u64)>,
-    cancelled: BTreeSet<u64>,
-    discovery: Vec<(EndpointState, Option<Duration>)>,
-    lag: Duration,
+    /// Calls that were cancelled before they reached their worker.
+    cancelled_calls: BTreeSet<u64>,
+    /// State and start time of each worker in the endpoint list.
+    endpoints: Vec<(EndpointState, Option<Duration>)>,
+    discovery_lag: Duration,
     discovery_stopped: bool,
     figures: Figures,
-    waits: Vec<f64>,
-    in_time: BTreeSet<usize>,
-    idle: (f64, u64),
-    sums: PrefetchTotals,
-    standing: ForecastScores,
-    deaths: membership::Deaths,
-    power: power_loss::Power,
-    /// The attempt whose end is being taken failed with its load.
-    load_failed: bool,
-    /// Of workers that are no more: the largest share of what they could be sent while cold.
-    cold_most: f64,
-    /// Schedulers that datagrams do not reach from others, nor others from them where it is not one way.
-    apart: Option<(std::ops::Range<usize>, bool)>,
-    /// Shares of datagrams that are lost and that come twice, and by how much each may be late.
-    loss: f64,
-    doubled: f64,
-    late: Duration,
+    /// Latency of each successful request in milliseconds, without its execution time.
+    wait_times_ms: Vec<f64>,
+    on_time_arrivals: BTreeSet<usize>,
+    /// Sum and number of the samples of the share of memory that idle copies hold.
+    idle_memory_samples: (f64, u64),
+    /// Prefetch totals and forecast scores of scheduler incarnations that were killed.
+    killed_prefetch_totals: PrefetchTotals,
+    killed_forecast_scores: ForecastScores,
+    membership_stats: membership::MembershipStats,
+    power_loss: power_loss::PowerLoss,
+    /// Set while the end of an attempt whose load failed is handled.
+    attempt_load_failed: bool,
+    /// Largest share of the overload bound among worker processes that have ended.
+    max_overload_share: f64,
+    /// Schedulers cut off from the others, and whether only datagrams from them are lost.
+    partition: Option<(std::ops::Range<usize>, bool)>,
+    /// Shares of datagrams that are lost and duplicated, and the maximum delay of each.
+    datagram_loss: f64,
+    datagram_duplication: f64,
+    max_datagram_delay: Duration,
 }
 
-/// The settings that schedulers of a day have.
-pub fn scheduler_settings(script: &Script, variant: &Variant, me: usize) -> Settings {
-    let request_class = |w: &crate::script::RequestClass| RequestClass {
-        name: w.name.clone(),
-        idempotency: w.idempotency,
-        timeout: Some(w.limit),
-        latency_objective: Some(w.latency_objective),
-        deduplication_window: (w.idempotency == Idempotency::IdempotentWithKey).then_some(w.window),
+/// Returns the settings of the scheduler with number `scheduler_number`.
+pub fn scheduler_settings(scenario: &Script, variant: &Variant, scheduler_number: usize) -> Settings {
+    let request_class = |class: &crate::script::RequestClass| RequestClass {
+        name: class.name.clone(),
+        idempotency: class.idempotency,
+        timeout: Some(class.limit),
+        latency_objective: Some(class.latency_objective),
+        deduplication_window: (class.idempotency == Idempotency::IdempotentWithKey).then_some(class.window),
         ..RequestClass::default()
     };
-    let cold = script.fall_multiple > 0.0;
+    let has_overload_bound = scenario.fall_multiple > 0.0;
     Settings {
-        scheduler_number: Some(me as u32),
+        scheduler_number: Some(scheduler_number as u32),
         scheduler_count: Some(if variant.configured_schedulers > 0 {
             variant.configured_schedulers
         } else {
-            script.gateways as u32
+            scenario.gateways as u32
         }),
-        request_classes: script.request_classes.iter().map(request_class).collect(),
+        request_classes: scenario.request_classes.iter().map(request_class).collect(),
         limits: ActionLimits {
             cancel: true,
             retry_after: true,
@@ -356,18 +401,18 @@
         rules: Rules {
             response_slack: Some(Duration::from_millis(50)),
             drain_grace: Some(Duration::from_millis(250)),
-            slow_start_min_capacity: cold.then_some(script.cold_from),
-            slow_start_duration: cold.then_some(script.cold_for),
-            overload_multiple: cold.then_some(script.fall_multiple),
-            overload_window: cold.then_some(script.fall_window),
+            slow_start_min_capacity: has_overload_bound.then_some(scenario.cold_from),
+            slow_start_duration: has_overload_bound.then_some(scenario.cold_for),
+            overload_multiple: has_overload_bound.then_some(scenario.fall_multiple),
+            overload_window: has_overload_bound.then_some(scenario.fall_window),
             ..Rules::default()
         },
         cache: CacheSettings {
             load_commands: variant.forecasting != Forecasting::Off,
             reports_cache_status: true,
             reports_concurrency: true,
-            keep_alive: Some(script.keep),
-            memory_mb_by_kind: vec![script.memory_mb],
+            keep_alive: Some(scenario.keep),
+            memory_mb_by_kind: vec![scenario.memory_mb],
             idle_memory_price: Some(variant.idle_memory_price),
             load_quota_burst: (variant.load_quota_window_s > 0.0).then_some(variant.load_quota_burst),
             load_quota_share: (variant.load_quota_window_s > 0.0).then_some(variant.load_quota_share),
@@ -385,112 +430,114 @@
     }
 }
 
-/// Plays a day; `seed` draws what traffic leaves to chance.
-pub fn run(script: &Script, arrivals: &[Arrival], variant: &Variant, seed: u64) -> Figures {
-    let machine = badday::machine(script);
-    let names: Vec<String> = (0..script.workers)
+/// Runs a scenario with the given arrivals. The seed determines every random draw except the traffic's.
+pub fn run(scenario: &Script, arrivals: &[Arrival], variant: &Variant, seed: u64) -> Figures {
+    let worker_spec = badday::machine(scenario);
+    let worker_names: Vec<String> = (0..scenario.workers)
         .map(|n| format!("10.0.{}.{}:80", n / 250, n % 250))
         .collect();
-    let specs = badday::specs(script);
-    let warm = WorkerSpec {
+    let function_specs = badday::specs(scenario);
+    let without_slow_start = WorkerSpec {
         slow_start_duration: Duration::ZERO,
-        ..machine.clone()
+        ..worker_spec.clone()
     };
-    let worker = |_| WorkerSim {
-        model: WorkerModel::new(warm.clone(), specs.clone(), START),
+    let worker = |_| SimulatedWorker {
+        model: WorkerModel::new(without_slow_start.clone(), function_specs.clone(), START),
         up: true,
         faults: Faults::default(),
         calls: BTreeMap::new(),
-        orders: BTreeMap::new(),
-        planned: None,
-        reports: Vec::new(),
+        load_commands: BTreeMap::new(),
+        next_wakeup: None,
+        load_reports: Vec::new(),
         incarnation: 1,
     };
-    let mut sim = Sim {
-        script,
+    let mut simulation = Simulation {
+        scenario,
         variant,
         arrivals,
-        settings: scheduler_settings(script, variant, 0),
+        settings: scheduler_settings(scenario, variant, 0),
         now: START,
-        queue: BinaryHeap::new(),
+        event_queue: BinaryHeap::new(),
         events: BTreeMap::new(),
-        drawn: 0,
-        chance: StdRng::seed_from_u64(seed),
+        last_id: 0,
+        rng: StdRng::seed_from_u64(seed),
         clients: Vec::new(),
-        workers: (0..script.workers).map(worker).collect(),
-        by_name: names.iter().cloned().zip(0..).collect(),
-        names,
+        workers: (0..scenario.workers).map(worker).collect(),
+        workers_by_name: worker_names.iter().cloned().zip(0..).collect(),
+        worker_names,
         schedulers: Vec::new(),
-        store: store::StoreModel::new(badday::store_config(script)),
-        store_planned: None,
+        store: store::StoreModel::new(badday::store_config(scenario)),
+        store_wakeup: None,
         fetches: BTreeMap::new(),
-        cancelled: BTreeSet::new(),
-        discovery: vec![(EndpointState::Up, None); script.workers],
-        lag: script.lag,
+        cancelled_calls: BTreeSet::new(),
+        endpoints: vec![(EndpointState::Up, None); scenario.workers],
+        discovery_lag: scenario.lag,
         discovery_stopped: false,
         figures: Figures::default(),
-        waits: Vec::new(),
-        in_time: BTreeSet::new(),
-        idle: (0.0, 0),
-        sums: PrefetchTotals::default(),
-        standing: ForecastScores::default(),
-        deaths: membership::Deaths::default(),
-        power: power_loss::Power::default(),
-        load_failed: false,
-        cold_most: 0.0,
-        apart: None,
-        loss: 0.0,
-        doubled: 0.0,
-        late: Duration::ZERO,
+        wait_times_ms: Vec::new(),
+        on_time_arrivals: BTreeSet::new(),
+        idle_memory_samples: (0.0, 0),
+        killed_prefetch_totals: PrefetchTotals::default(),
+        killed_forecast_scores: ForecastScores::default(),
+        membership_stats: membership::MembershipStats::default(),
+        power_loss: power_loss::PowerLoss::default(),
+        attempt_load_failed: false,
+        max_overload_share: 0.0,
+        partition: None,
+        datagram_loss: 0.0,
+        datagram_duplication: 0.0,
+        max_datagram_delay: Duration::ZERO,
     };
-    sim.play(&machine, seed);
-    sim.figures()
+    simulation.run_to_end(&worker_spec, seed);
+    simulation.into_figures()
 }
 
-impl Sim<'_> {
-    fn put(&mut self, at: Duration, event: Ev) {
-        self.drawn += 1;
-        self.queue.push(Reverse((at.max(self.now), self.drawn)));
-        self.events.insert(self.drawn, event);
+impl Simulation<'_> {
+    /// Queues an event for `at`, or for now if `at` has passed.
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.last_id += 1;
+        self.event_queue.push(Reverse((at.max(self.now), self.last_id)));
+        self.events.insert(self.last_id, event);
     }
 
-    fn later(&mut self, event: Ev) {
-        let at = self.now + Duration::from_secs_f64(self.chance.random_range(0.0002..0.0006));
-        self.put(at, event);
+    /// Queues an event that a message causes, after the network latency.
+    fn schedule_message(&mut self, event: Event) {
+        let latency_s = self.rng.random_range(0.0002..0.0006);
+        self.schedule(self.now + Duration::from_secs_f64(latency_s), event);
     }
 
-    fn play(&mut self, machine: &WorkerSpec, seed: u64) {
-        for s in 0..self.script.gateways {
-            let scheduler = SchedulerSim {
+    fn run_to_end(&mut self, worker_spec: &WorkerSpec, seed: u64) {
+        for s in 0..self.scenario.gateways {
+            let scheduler = SimulatedScheduler {
                 request_table: None,
-                ahead: None,
+                prefetch_planner: None,
                 incarnation: 0,
-                planned: None,
-                sent: BTreeMap::new(),
-                orders: BTreeMap::new(),
-                taken: Vec::new(),
-                given: Vec::new(),
-                saved: None,
-                fleet: None,
-                met: Default::default(),
-                paused: Duration::ZERO,
-                returning: recovery::Returning::default(),
+                next_wakeup: None,
+                attempts_in_flight: BTreeMap::new(),
+                load_commands: BTreeMap::new(),
+                request_times: Vec::new(),
+                load_command_times: Vec::new(),
+                forecast_snapshot: None,
+                membership: None,
+                saved_members: Default::default(),
+                paused_until: Duration::ZERO,
+                recovery: recovery::RecoveryState::default(),
             };
             self.schedulers.push(scheduler);
             self.start_scheduler(s, seed);
         }
-        for (n, (at, _)) in self.script.faults.iter().enumerate() {
-            self.put(START + *at, Ev::Fault(n));
+        for (n, (at, _)) in self.scenario.faults.iter().enumerate() {
+            self.schedule(START + *at, Event::Fault(n));
         }
         if let Some(first) = self.arrivals.first() {
-            self.put(START + traffic::at(first), Ev::Arrive(0));
+            self.schedule(START + traffic::at(first), Event::ClientArrival(0));
         }
         if self.variant.forecasting == Forecasting::Foresight {
-            self.put(START, Ev::Foresee(0));
+            self.schedule(START, Event::PerfectForecast(0));
         }
-        self.put(START + Duration::from_secs(1), Ev::Sample);
-        let end = START + self.script.length + SETTLE;
-        while let Some(Reverse((at, id))) = self.queue.pop() {
+        self.schedule(START + SAMPLE_INTERVAL, Event::Sample);
+        let end = START + self.scenario.length + SETTLE;
+        while let Some(Reverse((at, id))) = self.event_queue.pop() {
             if at > end {
                 break;
             }
@@ -498,83 +545,81 @@
             let Some(event) = self.events.remove(&id) else {
                 continue;
             };
-            self.event(event, machine, seed);
+            self.handle_event(event, worker_spec, seed);
         }
     }
 
-    fn figures(mut self) -> Figures {
-        self.fleet_figures();
-        let mut ledgers = vec![self.sums];
-        ledgers.extend(
-            self.schedulers
-                .iter()
-                .filter_map(|s| s.ahead.as_ref())
-                .map(|a| a.tracker.totals()),
-        );
-        let mut of = self.figures;
-        of.load_commands_used = ledgers.iter().map(|sums| sums.used).sum();
-        of.load_commands_unused = ledgers.iter().map(|sums| sums.unused).sum();
-        let mut standing = self.standing;
-        let all = self.schedulers.iter().filter_map(|s| s.ahead.as_ref());
-        all.for_each(|ahead| standing.merge(ahead.forecasts.scores));
-        (of.scored_gaps, of.forecast_score) = (standing.scored_gaps, standing.chosen);
-        (of.last_gap_score, of.always_near_score) =
-            (standing.last_gap_baseline, standing.always_near_baseline);
-        of.fetches = self.store.completed_fetches;
-        of.on_time_share = self.in_time.len() as f64 / self.arrivals.len().max(1) as f64;
-        self.waits.sort_by(f64::total_cmp);
-        let at = |share: f64| {
-            self.waits
-                .get(((self.waits.len() as f64 - 1.0) * share).max(0.0) as usize)
+    fn into_figures(mut self) -> Figures {
+        self.compute_membership_figures();
+        let mut prefetch_totals = vec![self.killed_prefetch_totals];
+        let mut scores = self.killed_forecast_scores;
+        for planner in self.schedulers.iter().filter_map(|s| s.prefetch_planner.as_ref()) {
+            prefetch_totals.push(planner.tracker.totals());
+            scores.merge(planner.forecasts.scores);
+        }
+        let mut figures = self.figures;
+        figures.load_commands_used = prefetch_totals.iter().map(|totals| totals.used).sum();
+        figures.load_commands_unused = prefetch_totals.iter().map(|totals| totals.unused).sum();
+        figures.scored_gaps = scores.scored_gaps;
+        figures.forecast_score = scores.chosen;
+        figures.last_gap_score = scores.last_gap_baseline;
+        figures.always_near_score = scores.always_near_baseline;
+        figures.fetches = self.store.completed_fetches;
+        figures.on_time_share = self.on_time_arrivals.len() as f64 / self.arrivals.len().max(1) as f64;
+        self.wait_times_ms.sort_by(f64::total_cmp);
+        let quantile = |share: f64| {
+            let index = ((self.wait_times_ms.len() as f64 - 1.0) * share).max(0.0) as usize;
+            self.wait_times_ms.get(index).copied().unwrap_or(0.0)
         };
-        (of.wait_p50_ms, of.wait_p95_ms) =
-            (at(0.5).copied().unwrap_or(0.0), at(0.95).copied().unwrap_or(0.0));
-        of.idle_memory = self.idle.0 / self.idle.1.max(1) as f64;
-        of
+        figures.wait_p50_ms = quantile(0.5);
+        figures.wait_p95_ms = quantile(0.95);
+        let (idle_share_sum, samples) = self.idle_memory_samples;
+        figures.idle_memory = idle_share_sum / samples.max(1) as f64;
+        figures
     }
 
-    /// The scheduler that an event is for; a client's call finds its own.
-    fn scheduler_of(event: &Ev) -> Option<usize> {
+    /// Scheduler that handles the event; `None` for events of clients, workers and the simulation itself.
+    fn receiving_scheduler(event: &Event) -> Option<usize> {
         match event {
-            Ev::RequestTableDue(s, _) | Ev::FleetDue(s, _) => Some(*s),
-            Ev::Back { scheduler, .. }
-            | Ev::OrderBack { scheduler, .. }
-            | Ev::List { scheduler, .. }
-            | Ev::FullList { scheduler, .. } => Some(*scheduler),
-            Ev::Datagram { to, .. } => Some(*to),
-            Ev::Arrive(_)
-            | Ev::ClientTimeout(..)
-            | Ev::Again(_)
-            | Ev::Came { .. }
-            | Ev::Cancel { .. }
-            | Ev::WorkerDue(_)
-            | Ev::StoreDue
-            | Ev::Order { .. }
-            | Ev::Fault(_)
-            | Ev::Foresee(_)
-            | Ev::Sample => None,
+            Event::RequestTableDue(s, _) | Event::MembershipDue(s, _) => Some(*s),
+            Event::AttemptEnded { scheduler, .. }
+            | Event::LoadCommandEnded { scheduler, .. }
+            | Event::EndpointChanged { scheduler, .. }
+            | Event::FullEndpointList { scheduler, .. } => Some(*scheduler),
+            Event::DatagramArrived { to, .. } => Some(*to),
+            Event::ClientArrival(_)
+            | Event::ClientTimeout(..)
+            | Event::ClientRetry(_)
+            | Event::AttemptArrived { .. }
+            | Event::AttemptCancelled { .. }
+            | Event::WorkerDue(_)
+            | Event::StoreDue
+            | Event::LoadCommandArrived { .. }
+            | Event::Fault(_)
+            | Event::PerfectForecast(_)
+            | Event::Sample => None,
         }
     }
 
-    fn event(&mut self, event: Ev, machine: &WorkerSpec, seed: u64) {
-        // What comes to one that is paused waits for it.
-        if let Some(until) = Self::scheduler_of(&event).map(|s| self.schedulers[s].paused)
+    fn handle_event(&mut self, event: Event, worker_spec: &WorkerSpec, seed: u64) {
+        // Events for a paused scheduler are postponed until it resumes.
+        if let Some(until) = Self::receiving_scheduler(&event).map(|s| self.schedulers[s].paused_until)
             && until > self.now
         {
-            return self.put(until, event);
+            return self.schedule(until, event);
         }
         match event {
-            Ev::Datagram { to, from, bytes } => self.datagram(to, from, &bytes),
-            Ev::FleetDue(s, incarnation) => {
+            Event::DatagramArrived { to, from, bytes } => self.datagram_arrived(to, from, &bytes),
+            Event::MembershipDue(s, incarnation) => {
                 if self.schedulers[s].incarnation == incarnation {
-                    self.fleet_due(s);
+                    self.membership_due(s);
                 }
             }
-            Ev::Arrive(n) => self.arrive(n),
-            Ev::ClientTimeout(client, turn) => self.client_timeout(client, turn),
-            Ev::Again(client) => self.ask(client),
-            Ev::RequestTableDue(s, incarnation) => self.request_table_due(s, incarnation),
-            Ev::Came {
+            Event::ClientArrival(n) => self.client_arrived(n),
+            Event::ClientTimeout(client, request_number) => self.client_timed_out(client, request_number),
+            Event::ClientRetry(client) => self.send_request(client),
+            Event::RequestTableDue(s, incarnation) => self.request_table_due(s, incarnation),
+            Event::AttemptArrived {
                 worker,
                 scheduler,
                 incarnation,
@@ -582,63 +627,63 @@
                 attempt,
                 call,
                 client,
-            } => self.came(worker, (scheduler, incarnation, request, attempt), call, client),
-            Ev::Back {
+            } => self.attempt_arrived(worker, (scheduler, incarnation, request, attempt), call, client),
+            Event::AttemptEnded {
                 scheduler,
                 incarnation,
                 request,
                 attempt,
-                ended,
-            } => self.back(scheduler, incarnation, request, attempt, ended),
-            Ev::Cancel { worker, call } => self.cancel(worker, call),
-            Ev::WorkerDue(w) => {
-                self.workers[w].planned = None;
+                result,
+            } => self.attempt_ended(scheduler, incarnation, request, attempt, result),
+            Event::AttemptCancelled { worker, call } => self.attempt_cancelled(worker, call),
+            Event::WorkerDue(w) => {
+                self.workers[w].next_wakeup = None;
                 if !self.workers[w].faults.hang && self.workers[w].up {
                     self.workers[w].model.due(self.now);
                 }
-                self.act(w);
+                self.process_worker_outputs(w);
             }
-            Ev::StoreDue => {
-                self.store_planned = None;
+            Event::StoreDue => {
+                self.store_wakeup = None;
                 for fetch in self.store.due(self.now) {
-                    self.fetched(fetch, true);
+                    self.fetch_ended(fetch, true);
                 }
-                self.plan_store();
+                self.schedule_store_wakeup();
             }
-            Ev::Order {
+            Event::LoadCommandArrived {
                 worker,
                 scheduler,
                 incarnation,
-                order,
+                command,
                 function,
                 copies,
-            } => self.order(worker, scheduler, incarnation, order, &function, copies),
-            Ev::OrderBack {
+            } => self.load_command_arrived(worker, (scheduler, incarnation, command), &function, copies),
+            Event::LoadCommandEnded {
                 scheduler,
                 incarnation,
-                order,
+                command,
                 outcome,
                 copies,
-            } => self.order_back(scheduler, incarnation, order, outcome, copies),
-            Ev::List {
+            } => self.load_command_ended(scheduler, incarnation, command, outcome, copies),
+            Event::EndpointChanged {
                 scheduler,
                 worker,
                 state,
-                started,
+                started_at,
             } => {
-                let worker = self.names[worker].clone();
+                let worker = self.worker_names[worker].clone();
                 if let Some(request_table) = &mut self.schedulers[scheduler].request_table {
-                    let entry = Endpoint {
+                    let endpoint = Endpoint {
                         worker: &worker,
                         state,
-                        started_at: started,
+                        started_at,
                         ..Endpoint::default()
                     };
-                    request_table.update_endpoints(self.now, EndpointListKind::Changes, vec![entry]);
+                    request_table.update_endpoints(self.now, EndpointListKind::Changes, vec![endpoint]);
                 }
-                self.outputs(scheduler);
+                self.process_scheduler_outputs(scheduler);
             }
-            Ev::FullList {
+            Event::FullEndpointList {
                 scheduler,
                 incarnation,
             } => {
@@ -647,46 +692,53 @@
                         request_table.update_endpoints(
                             self.now,
                             EndpointListKind::Full,
-                            entries(&self.names, &self.discovery),
+                            endpoint_list(&self.worker_names, &self.endpoints),
                         );
                     }
-                    self.outputs(scheduler);
+                    self.process_scheduler_outputs(scheduler);
                 }
             }
-            Ev::Fault(n) => {
-                let fault = self.script.faults[n].1.clone();
-                self.fault(&fault, machine, seed);
-            }
-            Ev::Foresee(n) => self.foresee(n),
-            Ev::Sample => {
-                self.save();
-                self.sample_fleet();
-                let all = self.script.memory_mb * self.workers.len() as f64;
-                let idle: f64 = self
-                    .workers
-                    .iter()
-                    .filter(|w| w.up)
-                    .map(|w| w.model.idle_memory_mb())
-                    .sum();
-                self.idle = (self.idle.0 + idle / all, self.idle.1 + 1);
-                if self.now < START + self.script.length {
-                    self.put(self.now + Duration::from_secs(1), Ev::Sample);
-                }
+            Event::Fault(n) => {
+                let fault = self.scenario.faults[n].1.clone();
+                self.apply_fault(&fault, worker_spec, seed);
             }
+            Event::PerfectForecast(n) => self.send_perfect_forecast(n),
+            Event::Sample => self.take_sample(),
         }
     }
 
-    /// Has schedulers save what they have learnt, where it is time.
-    fn save(&mut self) {
-        let (now, every) = (
+    /// Takes the periodic snapshots and samples, and schedules the next ones.
+    fn take_sample(&mut self) {
+        self.save_forecast_snapshots();
+        self.sample_scheduler_counts();
+        let total_mb = self.scenario.memory_mb * self.workers.len() as f64;
+        let running_workers = self.workers.iter().filter(|worker| worker.up);
+        let idle_mb: f64 = running_workers.map(|worker| worker.model.idle_memory_mb()).sum();
+        let (idle_share_sum, samples) = self.idle_memory_samples;
+        self.idle_memory_samples = (idle_share_sum + idle_mb / total_mb, samples + 1);
+        if self.now < START + self.scenario.length {
+            self.schedule(self.now + SAMPLE_INTERVAL, Event::Sample);
+        }
+    }
+
+    /// Saves a snapshot of the forecasts of each scheduler whose last one is older than the interval.
+    fn save_forecast_snapshots(&mut self) {
+        let (now, interval) = (
             self.now,
             Duration::from_secs_f64(self.variant.snapshot_interval_s),
         );
-        for scheduler in self.schedulers.iter_mut().filter(|_| !every.is_zero()) {
-            if let Some(ahead) = &scheduler.ahead
-                && scheduler.saved.as_ref().is_none_or(|(at, _)| *at + every <= now)
+        if interval.is_zero() {
+            return;
+        }
+        for scheduler in &mut self.schedulers {
+            let is_due = scheduler
+                .forecast_snapshot
+                .as_ref()
+                .is_none_or(|(at, _)| *at + interval <= now);
+            if let Some(planner) = &scheduler.prefetch_planner
+                && is_due
             {
-                scheduler.saved = Some((now, ahead.forecasts.save(now)));
+                scheduler.forecast_snapshot = Some((now, planner.forecasts.save(now)));
             }
         }
     }
@@ -697,7 +749,8 @@
     use super::*;
     use crate::script;
 
-    fn day() -> Script {
+    /// A scenario with worker, gateway and deployment faults.
+    fn scenario() -> Script {
         script::read(
             "gateways 3\nworkers 6 cores=2 memory=1600 keep=5s cold=0.2 cold-for=3s fall=3 fall-window=1s\n\
              roster lag=300ms\nlength 180s\n\
@@ -711,61 +764,62 @@
     }
 
     #[test]
-    fn a_day_is_the_same_for_a_seed_and_nobody_falls_over() {
-        let script = day();
-        let arrivals = traffic::arrivals(&script, 1);
-        let first = run(&script, &arrivals, &Variant::default(), 1);
-        assert_eq!(first, run(&script, &arrivals, &Variant::default(), 1));
+    fn a_seed_gives_the_same_figures_and_no_worker_is_overloaded() {
+        let scenario = scenario();
+        let arrivals = traffic::arrivals(&scenario, 1);
+        let first = run(&scenario, &arrivals, &Variant::default(), 1);
+        assert_eq!(first, run(&scenario, &arrivals, &Variant::default(), 1));
         assert!(first.succeeded as f64 > 0.95 * arrivals.len() as f64, "{first:?}");
         assert_eq!((first.overload_crashes, first.load_commands), (0, 0));
-        let answered = first.succeeded + first.rejected + first.failed + first.unanswered;
-        assert_eq!(answered, first.requests, "{first:?}");
+        let ended = first.succeeded + first.rejected + first.failed + first.unanswered;
+        assert_eq!(ended, first.requests, "{first:?}");
     }
 
     #[test]
-    fn timers_are_loaded_ahead_and_the_ration_holds() {
-        let script = day();
-        let arrivals = traffic::arrivals(&script, 2);
-        let off = run(&script, &arrivals, &Variant::default(), 2);
-        let on = Variant {
+    fn functions_on_timers_are_prefetched_within_the_load_quota() {
+        let scenario = scenario();
+        let arrivals = traffic::arrivals(&scenario, 2);
+        let off = run(&scenario, &arrivals, &Variant::default(), 2);
+        let forecasting = Variant {
             forecasting: Forecasting::On,
             ..Variant::default()
         };
-        let with = run(&script, &arrivals, &on, 2);
+        let prefetched = run(&scenario, &arrivals, &forecasting, 2);
         assert!(
-            (with.waited_for_load as f64) < 0.8 * off.waited_for_load as f64,
-            "{off:?} {with:?}"
+            (prefetched.waited_for_load as f64) < 0.8 * off.waited_for_load as f64,
+            "{off:?} {prefetched:?}"
         );
         let rationed = Variant {
             load_quota_window_s: 5.0,
             load_quota_burst: 1.0,
             load_quota_share: 0.01,
-            ..on.clone()
+            ..forecasting.clone()
         };
-        let rationed = run(&script, &arrivals, &rationed, 2);
+        let rationed = run(&scenario, &arrivals, &rationed, 2);
         assert!(
             rationed.load_commands > 0 && rationed.max_load_quota_share <= 1.0,
             "{rationed:?}"
         );
-        // A scheduler that is killed goes on from what it saved: its timers are not learnt anew.
-        let saved = run(
-            &script,
+        // A killed scheduler restores its snapshot: it does not learn the timers again.
+        let restored = run(
+            &scenario,
             &arrivals,
             &Variant {
                 snapshot_interval_s: 2.0,
-                ..on.clone()
+                ..forecasting.clone()
             },
             2,
         );
         assert!(
-            saved.scored_gaps > with.scored_gaps && saved.waited_for_load <= with.waited_for_load,
-            "{with:?} {saved:?}"
+            restored.scored_gaps > prefetched.scored_gaps
+                && restored.waited_for_load <= prefetched.waited_for_load,
+            "{prefetched:?} {restored:?}"
         );
-        let none = Variant {
+        let zero_quota = Variant {
             load_quota_window_s: 5.0,
             forecasting: Forecasting::On,
             ..Variant::default()
         };
-        assert_eq!(run(&script, &arrivals, &none, 2).load_commands, 0);
+        assert_eq!(run(&scenario, &arrivals, &zero_quota, 2).load_commands, 0);
     }
 }
--- a/crates/quartzdrift-lab/src/simulation/power_loss.rs
+++ b/crates/quartzdrift-lab/src/simulation/power_loss.rs
@@ -1,116 +1,139 @@
-//! What a loss of power cost: until service was back, what was fetched for it, and what the store's pace alone would take.
-use super::membership::{BEFORE, LOOK_FOR, RECOVERED, STEP, WINDOW};
-use super::{START, Sim};
+//! Figures of a loss of power: the recovery time, the fetches it caused, and the lower bound that the store
+//! sets.
+use super::membership::{BASELINE_WINDOW, MAX_RECOVERY_TIME, RECOVERED_SHARE, SHARE_STEP, SHARE_WINDOW};
+use super::{START, Simulation};
 use crate::badday;
+use crate::traffic::{self, Arrival};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 #[derive(Default)]
-pub(super) struct Power {
-    /// When it first went.
-    pub off: Option<Duration>,
-    /// Since then, by function: fetches begun with the time that each takes undisturbed; and fetches turned away.
-    pub begun: BTreeMap<String, (u64, Duration)>,
-    pub refused: u64,
+pub(super) struct PowerLoss {
+    /// Time of the first loss of power.
+    pub first_at: Option<Duration>,
+    /// Fetches that the store accepted since then, by function.
+    accepted_fetches: BTreeMap<String, u64>,
+    /// Fetches that the store rejected since then.
+    rejected_fetches: u64,
 }
 
-impl Power {
-    pub fn fetch(&mut self, function: String, takes: Duration, taken: bool) {
-        if self.off.is_none() {
+impl PowerLoss {
+    /// Counts a fetch if power was lost before.
+    pub fn record_fetch(&mut self, function: String, accepted: bool) {
+        if self.first_at.is_none() {
             return;
         }
-        match taken {
-            true => {
-                let begun = self.begun.entry(function).or_default();
-                *begun = (begun.0 + 1, takes);
-            }
-            false => self.refused += 1,
+        if accepted {
+            *self.accepted_fetches.entry(function).or_default() += 1;
+        } else {
+            self.rejected_fetches += 1;
         }
     }
 }
 
-impl Sim<'_> {
-    pub(super) fn power_figures(&mut self) {
-        let Some(off) = self.power.off else { return };
-        let restarts = &self.deaths.restarted;
-        let last = restarts.iter().map(|(_, killed, _)| *killed).max().unwrap_or(off);
-        let back = restarts
+impl Simulation<'_> {
+    pub(super) fn compute_power_loss_figures(&mut self) {
+        let Some(first_loss) = self.power_loss.first_at else {
+            return;
+        };
+        let restarts = &self.membership_stats.restarts;
+        let last_loss = restarts
             .iter()
-            .filter(|(_, killed, _)| *killed == last)
-            .map(|(.., at)| *at)
+            .map(|restart| restart.killed_at)
+            .max()
+            .unwrap_or(first_loss);
+        let first_restart = restarts
+            .iter()
+            .filter(|restart| restart.killed_at == last_loss)
+            .map(|restart| restart.started_at)
             .min();
-        let back_s = back
-            .map_or(LOOK_FOR, |back| self.power_back(off, back))
-            .as_secs_f64();
-        let bound_s = self.power_bound(off).as_secs_f64();
-        let fetched = self.power.begun.values();
-        self.figures.power_recovery_s = back_s;
-        self.figures.power_recovery_bound_s = bound_s;
-        self.figures.power_fetches = fetched.clone().map(|of| of.0).sum();
-        self.figures.power_fetched_functions = fetched.count() as u64;
-        self.figures.power_rejected_fetches = self.power.refused;
-        let end = START + self.script.length;
-        self.figures.power_goodput_before = self.goodput(off.saturating_sub(BEFORE), off);
-        self.figures.power_goodput_after = self.goodput(end.saturating_sub(BEFORE), end);
-        let (mut from, mut best) = (back.unwrap_or(off), 0.0f64);
-        while from + WINDOW <= end {
-            let share = self.share(None, from, from + WINDOW).unwrap_or(best);
+        let recovery_time = first_restart.map_or(MAX_RECOVERY_TIME, |restart| {
+            self.power_recovery_time(first_loss, restart)
+        });
+        let bound = self.power_recovery_bound(first_loss);
+        let fetches = &self.power_loss.accepted_fetches;
+        self.figures.power_recovery_s = recovery_time.as_secs_f64();
+        self.figures.power_recovery_bound_s = bound.as_secs_f64();
+        self.figures.power_fetches = fetches.values().sum();
+        self.figures.power_fetched_functions = fetches.len() as u64;
+        self.figures.power_rejected_fetches = self.power_loss.rejected_fetches;
+        let end = START + self.scenario.length;
+        self.figures.power_goodput_before =
+            self.goodput(first_loss.saturating_sub(BASELINE_WINDOW), first_loss);
+        self.figures.power_goodput_after = self.goodput(end.saturating_sub(BASELINE_WINDOW), end);
+        let (mut from, mut best) = (first_restart.unwrap_or(first_loss), 0.0f64);
+        while from + SHARE_WINDOW <= end {
+            let share = self
+                .on_time_share(None, from, from + SHARE_WINDOW)
+                .unwrap_or(best);
             self.figures.power_max_regression = self.figures.power_max_regression.max(best - share);
-            (from, best) = (from + STEP, best.max(share));
+            from += SHARE_STEP;
+            best = best.max(share);
         }
     }
 
-    /// Calls a second of this time that were in time.
+    /// On-time requests per second among the arrivals of a time range.
     fn goodput(&self, from: Duration, to: Duration) -> f64 {
-        let of = |a: &crate::traffic::Arrival| (from..to).contains(&(START + crate::traffic::at(a)));
-        let good = self.in_time.iter().filter(|n| of(&self.arrivals[**n])).count();
-        good as f64 / to.saturating_sub(from).as_secs_f64().max(1.0)
+        let in_range = |arrival: &Arrival| (from..to).contains(&(START + traffic::at(arrival)));
+        let on_time = self
+            .on_time_arrivals
+            .iter()
+            .filter(|n| in_range(&self.arrivals[**n]))
+            .count();
+        on_time as f64 / to.saturating_sub(from).as_secs_f64().max(1.0)
     }
 
-    /// From the first start after the last loss of power until calls to all were in time as often as before it, for good.
-    fn power_back(&self, off: Duration, back: Duration) -> Duration {
-        let before = self.share(None, off.saturating_sub(BEFORE), off).unwrap_or(1.0);
-        let end = (START + self.script.length).saturating_sub(WINDOW);
-        let (mut from, mut since) = (back, back);
+    /// Time from the first restart after the last loss of power until the on-time share of all requests stays at
+    /// `RECOVERED_SHARE` of the share before the first loss.
+    fn power_recovery_time(&self, first_loss: Duration, first_restart: Duration) -> Duration {
+        let baseline = self
+            .on_time_share(None, first_loss.saturating_sub(BASELINE_WINDOW), first_loss)
+            .unwrap_or(1.0);
+        let end = (START + self.scenario.length).saturating_sub(SHARE_WINDOW);
+        let (mut from, mut recovered_at) = (first_restart, first_restart);
         while from < end {
             if self
-                .share(None, from, from + WINDOW)
-                .is_some_and(|share| share < before * RECOVERED)
+                .on_time_share(None, from, from + SHARE_WINDOW)
+                .is_some_and(|share| share < baseline * RECOVERED_SHARE)
             {
-                since = from + STEP;
+                recovered_at = from + SHARE_STEP;
             }
-            from += STEP;
+            from += SHARE_STEP;
         }
-        since - back
+        recovered_at - first_restart
     }
 
-    /// What the store alone takes for one copy of each function that is needed for so many of the calls, those most asked for
-    /// first, and for the rest of one load.
-    fn power_bound(&self, off: Duration) -> Duration {
-        let from = off.saturating_sub(BEFORE);
-        let mut asked: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        let of = |a: &&crate::traffic::Arrival| (from..off).contains(&(START + crate::traffic::at(a)));
-        for arrival in self.arrivals.iter().filter(of) {
-            asked
+    /// Time that the store alone needs to serve one copy of each function, most requested first, until the
+    /// functions cover `RECOVERED_SHARE` of the requests, plus the longest load without its fetch.
+    fn power_recovery_bound(&self, first_loss: Duration) -> Duration {
+        let from = first_loss.saturating_sub(BASELINE_WINDOW);
+        // Number of requests and request class of each function.
+        let mut requests: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
+        let before_loss = |arrival: &&Arrival| (from..first_loss).contains(&(START + traffic::at(arrival)));
+        for arrival in self.arrivals.iter().filter(before_loss) {
+            requests
                 .entry(&arrival.function)
                 .or_insert((0, arrival.request_class))
                 .0 += 1;
         }
-        let all: usize = asked.values().map(|of| of.0).sum();
-        let mut most: Vec<(usize, usize)> = asked.into_values().collect();
-        most.sort_by_key(|of| std::cmp::Reverse(of.0));
-        let specs = badday::specs(self.script);
-        let (mut covered, mut fetch, mut rest) = (0, Duration::ZERO, Duration::ZERO);
-        for (calls, request_class) in most {
-            if covered as f64 >= RECOVERED * all as f64 {
+        let total: usize = requests.values().map(|(count, _)| count).sum();
+        let mut by_count: Vec<(usize, usize)> = requests.into_values().collect();
+        by_count.sort_by_key(|(count, _)| Reverse(*count));
+        let specs = badday::specs(self.scenario);
+        let (mut covered, mut fetch_time, mut start_time) = (0, Duration::ZERO, Duration::ZERO);
+        for (count, request_class) in by_count {
+            if covered as f64 >= RECOVERED_SHARE * total as f64 {
                 break;
             }
-            covered += calls;
-            if let Some(spec) = specs.get(&format!("{}-0", self.script.request_classes[request_class].name)) {
-                fetch += spec.load_time.mul_f64(spec.fetch_share);
-                rest = rest.max(spec.load_time.mul_f64(1.0 - spec.fetch_share));
+            covered += count;
+            // All functions of a request class have the same spec.
+            let function = format!("{}-0", self.scenario.request_classes[request_class].name);
+            if let Some(spec) = specs.get(&function) {
+                fetch_time += spec.load_time.mul_f64(spec.fetch_share);
+                start_time = start_time.max(spec.load_time.mul_f64(1.0 - spec.fetch_share));
             }
         }
-        fetch.div_f64(self.script.store_capacity.max(1.0)) + rest
+        fetch_time.div_f64(self.scenario.store_capacity.max(1.0)) + start_time
     }
 }
--- a/crates/quartzdrift-lab/src/simulation/recovery.rs
+++ b/crates/quartzdrift-lab/src/simulation/recovery.rs
@@ -1,6 +1,8 @@
-//! How schedulers return to service after they were killed: the real state machine, told what the emulator's members say.
-//! On disk here is what a scheduler noted when it was killed, and what a script makes of it.
-use super::{START, Sim};
+//! Recovery of schedulers after a kill: the real state machine over the simulated membership.
+//!
+//! A scheduler's disk is modelled as the checkpoint saved at its kill, which faults of the scenario may
+//! damage.
+use super::{START, Simulation};
 use crate::script::Spoil;
 use quartzdrift_recovery::{
     Checkpoint, ClockSample, DiskState, LoadResult, Recovery, RecoveryOutput, RecoverySettings, RestartKind,
@@ -9,190 +11,203 @@
 use quartzdrift_scheduler::measure::Measurements;
 use std::time::Duration;
 
-/// As the daemon's settings have it where nothing is told.
-const ASK: Duration = Duration::from_secs(2);
-/// From power to the start of a scheduler.
-const BOOT: Duration = Duration::from_secs(2);
-const LONGEST: Duration = Duration::from_secs(300);
+/// Classification timeout and maximum duration of a recovery, as in the gateway's default settings.
+const CLASSIFICATION_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_RECOVERY_DURATION: Duration = Duration::from_secs(300);
+/// Time from the boot of a machine until its scheduler starts.
+const BOOT_TIME: Duration = Duration::from_secs(2);
 
-/// What the emulator keeps of a scheduler that returns.
+/// A checkpoint and the names of the members that were reachable when it was saved.
+type SavedCheckpoint = (Checkpoint, Vec<String>);
+
+/// Recovery of a scheduler, and what its disk and its clock hold for the next start.
 #[derive(Default)]
-pub(super) struct Returning {
+pub(super) struct RecoveryState {
     pub machine: Option<Recovery>,
-    /// What it noted, and which members it counted then.
-    noted: Option<(Checkpoint, Vec<String>)>,
-    /// What it would have noted at another moment, for a script to put back.
-    copy: Option<(Checkpoint, Vec<String>)>,
-    /// The mark cannot be read; nothing can be written.
-    spoilt: bool,
-    pub full: bool,
-    /// How far its next starts' wall clock is off, and whether ahead.
-    pub clock: (Duration, bool),
-    /// How long it took to judge its last start after a kill, and what for.
-    pub judged: Option<(Duration, RestartKind)>,
-    since: Duration,
+    /// Checkpoint on disk.
+    saved: Option<SavedCheckpoint>,
+    /// Earlier checkpoint, which a fault of the scenario can restore.
+    backup: Option<SavedCheckpoint>,
+    /// Whether the checkpoint on disk is unreadable.
+    checkpoint_damaged: bool,
+    /// Whether the disk is full; a scheduler does not start then.
+    pub disk_full: bool,
+    /// Offset of the wall clock at the next starts, and whether the clock is ahead.
+    pub clock_offset: (Duration, bool),
+    /// Time that the classification of the last start took, and its result.
+    pub classified: Option<(Duration, RestartKind)>,
+    started_at: Duration,
     starts: u32,
-    /// What its desk had measured when it was killed.
-    measured: Option<Measurements>,
+    /// Measurements of the scheduler when it was killed.
+    measurements: Option<Measurements>,
 }
 
-impl Sim<'_> {
-    /// All machines run on the same clock, and one that was killed has started anew.
-    fn moment(&self, s: usize) -> ClockSample {
-        let boot_id = format!("{s}-{}", self.schedulers[s].returning.starts);
-        let (by, ahead) = self.schedulers[s].returning.clock;
+impl Simulation<'_> {
+    /// Clocks of a scheduler's machine; each start of the scheduler is on a newly booted machine.
+    fn clock_sample(&self, s: usize) -> ClockSample {
+        let recovery = &self.schedulers[s].recovery;
+        let (offset, ahead) = recovery.clock_offset;
         let wall = if ahead {
-            self.now + by
+            self.now + offset
         } else {
-            self.now.saturating_sub(by)
+            self.now.saturating_sub(offset)
         };
         ClockSample {
             wall,
-            boot_id,
-            since_boot: BOOT,
+            boot_id: format!("{s}-{}", recovery.starts),
+            since_boot: BOOT_TIME,
         }
     }
 
-    pub(super) fn begin_return(&mut self, s: usize) {
+    pub(super) fn start_recovery(&mut self, s: usize) {
         if !self.variant.recovery {
             return;
         }
-        self.schedulers[s].returning.starts += 1;
-        (
-            self.schedulers[s].returning.since,
-            self.schedulers[s].returning.judged,
-        ) = (self.now, None);
-        let (now, moment) = (self.now, self.moment(s));
+        let now = self.now;
+        let recovery = &mut self.schedulers[s].recovery;
+        recovery.starts += 1;
+        recovery.started_at = now;
+        recovery.classified = None;
+        let clock_sample = self.clock_sample(s);
+        let recovery = &mut self.schedulers[s].recovery;
         let name = format!("s{s}");
-        let found = match self.schedulers[s].returning.noted.take() {
-            Some((mark, known)) => StartupEvidence::from_checkpoint(mark, &name, known, moment),
+        let evidence = match recovery.saved.take() {
+            Some((checkpoint, known_members)) => {
+                StartupEvidence::from_checkpoint(checkpoint, &name, known_members, clock_sample)
+            }
             None => {
-                let spoilt = std::mem::take(&mut self.schedulers[s].returning.spoilt);
-                let disk = if spoilt {
+                let disk = if std::mem::take(&mut recovery.checkpoint_damaged) {
                     DiskState::Damaged
                 } else {
                     DiskState::Empty
                 };
-                StartupEvidence::without_checkpoint(disk, Vec::new(), moment)
+                StartupEvidence::without_checkpoint(disk, Vec::new(), clock_sample)
             }
         };
         let settings = RecoverySettings {
             name,
             has_fleet: self.variant.membership && now > START,
-            classification_timeout: ASK,
-            max_duration: LONGEST,
+            classification_timeout: CLASSIFICATION_TIMEOUT,
+            max_duration: MAX_RECOVERY_DURATION,
             idempotency_keys_on_disk: false,
             load_quota_window: Duration::from_secs_f64(self.variant.load_quota_window_s.max(0.0)),
-            slow_start_window: self.script.fall_window,
+            slow_start_window: self.scenario.fall_window,
             max_async_in_flight: 64,
             admission_ramp: self.variant.admission_ramp,
             store_start: None,
-            instance: self.drawn,
+            instance: self.last_id,
         };
-        self.schedulers[s].returning.machine = Some(Recovery::new(settings, found, now));
+        recovery.machine = Some(Recovery::new(settings, evidence, now));
     }
 
-    /// What a scheduler noted last is there at its next start.
-    pub(super) fn return_killed(&mut self, s: usize, known: Vec<String>) {
-        let moment = self.moment(s);
-        let measured = self.schedulers[s]
+    /// Saves the checkpoint and the measurements of a killed scheduler for its next start.
+    pub(super) fn save_checkpoint(&mut self, s: usize, reachable_members: Vec<String>) {
+        let clock_sample = self.clock_sample(s);
+        let scheduler = &mut self.schedulers[s];
+        let Some(machine) = scheduler.recovery.machine.take() else {
+            return;
+        };
+        scheduler.recovery.measurements = scheduler
             .request_table
             .as_ref()
             .map(|request_table| request_table.measurements().clone());
-        let returning = &mut self.schedulers[s].returning;
-        if let Some(machine) = returning.machine.take() {
-            returning.measured = measured;
-            returning.noted = Some((machine.checkpoint(moment), known));
-        }
+        scheduler.recovery.saved = Some((machine.checkpoint(clock_sample), reachable_members));
     }
 
-    /// What a scheduler that runs would have noted now.
-    pub(super) fn return_copied(&mut self, s: usize) {
-        let moment = self.moment(s);
+    /// Backs up the checkpoint that a running scheduler would save now.
+    pub(super) fn back_up_checkpoint(&mut self, s: usize) {
+        let clock_sample = self.clock_sample(s);
         let scheduler = &mut self.schedulers[s];
-        let known = scheduler
-            .fleet
-            .as_ref()
-            .map(|fleet| fleet.members.reachable_members().map(|m| m.name.to_string()));
-        let known: Vec<String> = known.into_iter().flatten().collect();
-        scheduler.returning.copy = scheduler
-            .returning
+        let reachable_members: Vec<String> = scheduler
+            .membership
+            .iter()
+            .flat_map(|membership| membership.members.reachable_members())
+            .map(|member| member.name.to_string())
+            .collect();
+        scheduler.recovery.backup = scheduler
+            .recovery
             .machine
             .as_ref()
-            .map(|machine| (machine.checkpoint(moment), known));
+            .map(|machine| (machine.checkpoint(clock_sample), reachable_members));
     }
 
-    pub(super) fn return_spoilt(&mut self, s: usize, how: Spoil) {
-        let returning = &mut self.schedulers[s].returning;
-        match how {
+    /// Applies a disk fault to the saved checkpoint of a scheduler that is down.
+    pub(super) fn damage_disk(&mut self, s: usize, damage: Spoil) {
+        let recovery = &mut self.schedulers[s].recovery;
+        match damage {
             Spoil::Cut | Spoil::Flip | Spoil::Unreadable => {
-                (returning.noted, returning.spoilt) = (None, true)
+                recovery.saved = None;
+                recovery.checkpoint_damaged = true;
             }
-            Spoil::Empty => returning.noted = None,
-            Spoil::Older => returning.noted = returning.copy.clone(),
+            Spoil::Empty => recovery.saved = None,
+            Spoil::Older => recovery.saved = recovery.backup.clone(),
             Spoil::Other => {
-                if let Some((mark, _)) = &mut returning.noted {
-                    mark.name = "another".to_owned();
+                if let Some((checkpoint, _)) = &mut recovery.saved {
+                    checkpoint.name = "another".to_owned();
                 }
             }
-            Spoil::Full => returning.full = true,
+            Spoil::Full => recovery.disk_full = true,
         }
     }
 
-    pub(super) fn return_due(&mut self, s: usize) {
+    pub(super) fn recovery_due(&mut self, s: usize) {
         let now = self.now;
-        if let Some(machine) = &mut self.schedulers[s].returning.machine {
-            if machine.next_due().is_some_and(|at| at <= now) {
-                machine.due(now);
+        if let Some(recovery) = &mut self.schedulers[s].recovery.machine {
+            if recovery.next_due().is_some_and(|at| at <= now) {
+                recovery.due(now);
             }
-            // Asynchronous requests are not modelled: there is no backlog.
-            machine.backlog_drained(now);
+            // Asynchronous requests are not simulated, so the backlog is always drained.
+            recovery.backlog_drained(now);
         }
-        self.return_says(s);
+        self.process_recovery_outputs(s);
     }
 
-    /// A call had its final answer: what its try came to, and whether synchronous work keeps its targets.
-    pub(super) fn return_answered(&mut self, client: usize, finished: bool, kept: bool) {
-        let (now, of) = (self.now, &mut self.clients[client]);
-        let scheduler = &mut self.schedulers[of.gateway];
-        let Some(machine) = &mut scheduler.returning.machine else {
+    /// Reports the final response to a request to the scheduler's recovery, with the result of the load that
+    /// the request was admitted for.
+    pub(super) fn record_recovery_response(&mut self, client: usize, succeeded: bool, on_time: bool) {
+        let (now, client) = (self.now, &mut self.clients[client]);
+        let scheduler = &mut self.schedulers[client.gateway];
+        let Some(recovery) = &mut scheduler.recovery.machine else {
             return;
         };
-        machine.request_answered(kept);
-        if let Some((incarnation, number)) = of.tries.take()
+        recovery.request_answered(on_time);
+        if let Some((incarnation, load)) = client.recovery_load.take()
             && incarnation == scheduler.incarnation
         {
-            let came = match (finished, self.load_failed) {
+            let result = match (succeeded, self.attempt_load_failed) {
                 (true, _) => LoadResult::Cached,
                 (false, true) => LoadResult::Rejected,
                 (false, false) => LoadResult::Inconclusive,
             };
-            machine.load_finished(now, number, came);
+            recovery.load_finished(now, load, result);
         }
     }
 
-    /// Sends what the machine asks and answers; the rest is its own.
-    pub(super) fn return_says(&mut self, s: usize) {
+    /// Sends the messages of a scheduler's recovery, records its classification and restores its
+    /// measurements.
+    pub(super) fn process_recovery_outputs(&mut self, s: usize) {
         let scheduler = &mut self.schedulers[s];
-        let Some(machine) = &mut scheduler.returning.machine else {
+        let Some(recovery) = &mut scheduler.recovery.machine else {
             return;
         };
-        let outputs = machine.take_outputs();
+        let outputs = recovery.take_outputs();
         for output in outputs {
-            match (output, &mut scheduler.fleet) {
-                (RecoveryOutput::Send { to, bytes }, Some(fleet)) => {
-                    fleet
+            match (output, &mut scheduler.membership) {
+                (RecoveryOutput::Send { to, bytes }, Some(membership)) => {
+                    membership
                         .members
                         .send_message(&to, quartzdrift_recovery::RECOVERY_TOPIC, bytes);
                 }
                 (RecoveryOutput::Classified(restart), _) => {
-                    scheduler.returning.judged = Some((self.now - scheduler.returning.since, restart.kind));
+                    let duration = self.now - scheduler.recovery.started_at;
+                    scheduler.recovery.classified = Some((duration, restart.kind));
                 }
                 (RecoveryOutput::RestoreMeasurements, _) => {
-                    if let (Some(before), Some(request_table)) =
-                        (scheduler.returning.measured.take(), &mut scheduler.request_table)
-                    {
-                        request_table.restore_measurements(self.now, before);
+                    if let (Some(measurements), Some(request_table)) = (
+                        scheduler.recovery.measurements.take(),
+                        &mut scheduler.request_table,
+                    ) {
+                        request_table.restore_measurements(self.now, measurements);
                     }
                 }
                 (RecoveryOutput::Send { .. } | RecoveryOutput::PhaseEntered(_), _) => {}
--- a/crates/quartzdrift-lab/src/simulation/schedulers.rs
+++ b/crates/quartzdrift-lab/src/simulation/schedulers.rs
@@ -1,7 +1,12 @@
-//! Schedulers: the real desk, decision module and forecasts, and what they say.
+//! Schedulers: the real request table, scheduler and forecasts, and the effects of their outputs.
 use super::*;
+use quartzdrift_forecast::ForecastSettings;
 
-impl Sim<'_> {
+/// How much longer than the longest load a perfect forecast precedes the use.
+const PERFECT_FORECAST_LOAD_TIMES: f64 = 1.5;
+
+impl Simulation<'_> {
+    /// Starts a scheduler with the current endpoint list and what it saved before its last kill.
     pub(super) fn start_scheduler(&mut self, s: usize, seed: u64) {
         let mut settings = self.settings.clone();
         settings.scheduler_number = Some(s as u32);
@@ -13,107 +18,97 @@
         request_table.update_endpoints(
             self.now,
             EndpointListKind::Snapshot,
-            entries(&self.names, &self.discovery),
+            endpoint_list(&self.worker_names, &self.endpoints),
         );
-        let ahead = (self.variant.forecasting == Forecasting::On).then(|| {
-            let span = |s: &f64| Duration::from_secs_f64(*s);
-            let settings = quartzdrift_forecast::ForecastSettings {
-                keep_alive: self.script.keep,
-                seasons: self.variant.seasons_s.iter().map(span).collect(),
-                ..quartzdrift_forecast::ForecastSettings::default()
-            };
-            let mut ahead = PrefetchPlanner::new(settings.clone());
-            let saved = self.schedulers[s].saved.as_ref();
-            if let Some(Ok(saved)) = saved.map(|(_, bytes)| Forecasts::restore(settings, bytes, self.now)) {
-                ahead.forecasts = saved;
-            }
-            ahead
-        });
+        let prefetch_planner =
+            (self.variant.forecasting == Forecasting::On).then(|| self.new_prefetch_planner(s));
         let scheduler = &mut self.schedulers[s];
-        (
-            scheduler.request_table,
-            scheduler.ahead,
-            scheduler.incarnation,
-            scheduler.planned,
-        ) = (Some(request_table), ahead, incarnation, None);
-        self.begin_return(s);
-        self.outputs(s);
-        self.join(s);
+        scheduler.request_table = Some(request_table);
+        scheduler.prefetch_planner = prefetch_planner;
+        scheduler.incarnation = incarnation;
+        scheduler.next_wakeup = None;
+        self.start_recovery(s);
+        self.process_scheduler_outputs(s);
+        self.join_cluster(s);
+    }
+
+    /// Creates a prefetch planner with the scheduler's last forecast snapshot, if there is one.
+    fn new_prefetch_planner(&self, s: usize) -> PrefetchPlanner {
+        let seasons = self.variant.seasons_s.iter();
+        let settings = ForecastSettings {
+            keep_alive: self.scenario.keep,
+            seasons: seasons.map(|seconds| Duration::from_secs_f64(*seconds)).collect(),
+            ..ForecastSettings::default()
+        };
+        let mut planner = PrefetchPlanner::new(settings.clone());
+        if let Some((_, snapshot)) = &self.schedulers[s].forecast_snapshot
+            && let Ok(forecasts) = Forecasts::restore(settings, snapshot, self.now)
+        {
+            planner.forecasts = forecasts;
+        }
+        planner
     }
 
     pub(super) fn request_table_due(&mut self, s: usize, incarnation: u64) {
         if self.schedulers[s].incarnation != incarnation {
             return;
         }
-        self.schedulers[s].planned = None;
+        self.schedulers[s].next_wakeup = None;
         if self.variant.recovery {
-            self.return_due(s);
-            self.fleet_changed(s);
+            self.recovery_due(s);
+            self.process_membership_outputs(s);
         }
         let (now, scheduler) = (self.now, &mut self.schedulers[s]);
         if let Some(request_table) = &mut scheduler.request_table {
             request_table.fire_timers(now, |_, _| true);
-            let expected = scheduler
-                .ahead
+            let forecasts = scheduler
+                .prefetch_planner
                 .as_mut()
-                .map(|ahead| ahead.due(now))
+                .map(|planner| planner.due(now))
                 .unwrap_or_default();
-            for of in expected {
-                let Some((n, request_class)) = self.script.request_class_of(&of.function) else {
+            for forecast in forecasts {
+                let Some((n, request_class)) = self.scenario.request_class_of(&forecast.function) else {
                     continue;
                 };
-                request_table.forecast(
-                    now,
-                    expectation(
-                        &of.function,
-                        n,
-                        request_class,
-                        of.within,
-                        of.probability,
-                        of.requests_per_second,
-                    ),
-                );
+                let usage_forecast = UsageForecast {
+                    horizon: forecast.within,
+                    probability: forecast.probability,
+                    requests_per_second: forecast.requests_per_second,
+                    ..certain_use(&forecast.function, n, request_class)
+                };
+                request_table.forecast(now, usage_forecast);
             }
         }
-        self.outputs(s);
+        self.process_scheduler_outputs(s);
     }
 
-    pub(super) fn foresee(&mut self, n: usize) {
-        // All are told equally early, so that one event can follow the other.
-        let loads = self
-            .script
-            .request_classes
-            .iter()
-            .map(|request_class| request_class.load);
-        let early = loads.max().unwrap_or_default().mul_f64(1.5);
+    /// Forecasts the use of one arrival and schedules the forecast of the next one.
+    pub(super) fn send_perfect_forecast(&mut self, n: usize) {
+        // The lead time is the same for all arrivals, so that their forecasts keep the order of the arrivals.
+        let load_times = self.scenario.request_classes.iter().map(|class| class.load);
+        let longest_load = load_times.max().unwrap_or_default();
+        let lead_time = longest_load.mul_f64(PERFECT_FORECAST_LOAD_TIMES);
         if let Some(next) = self.arrivals.get(n + 1) {
-            self.put(
-                (START + traffic::at(next)).saturating_sub(early),
-                Ev::Foresee(n + 1),
+            self.schedule(
+                (START + traffic::at(next)).saturating_sub(lead_time),
+                Event::PerfectForecast(n + 1),
             );
         }
         let arrival = &self.arrivals[n];
         let s = arrival.gateway_of(self.schedulers.len());
-        let request_class = &self.script.request_classes[arrival.request_class];
-        let within = early.max(self.script.keep / 2);
+        let request_class = &self.scenario.request_classes[arrival.request_class];
         if let Some(request_table) = &mut self.schedulers[s].request_table {
-            request_table.forecast(
-                self.now,
-                expectation(
-                    &arrival.function,
-                    arrival.request_class,
-                    request_class,
-                    within,
-                    1.0,
-                    None,
-                ),
-            );
+            let usage_forecast = UsageForecast {
+                horizon: lead_time.max(self.scenario.keep / 2),
+                ..certain_use(&arrival.function, arrival.request_class, request_class)
+            };
+            request_table.forecast(self.now, usage_forecast);
         }
-        self.outputs(s);
+        self.process_scheduler_outputs(s);
     }
 
-    /// Carries out what a scheduler says, and plans its next turn.
-    pub(super) fn outputs(&mut self, s: usize) {
+    /// Carries out the outputs of a scheduler and schedules its next wakeup.
+    pub(super) fn process_scheduler_outputs(&mut self, s: usize) {
         loop {
             let Some(request_table) = &mut self.schedulers[s].request_table else {
                 return;
@@ -123,34 +118,34 @@
                 break;
             }
             for output in outputs {
-                self.output(s, output);
+                self.process_scheduler_output(s, output);
             }
         }
         let scheduler = &self.schedulers[s];
         let Some(request_table) = &scheduler.request_table else {
             return;
         };
-        let ahead = scheduler.ahead.as_ref().and_then(PrefetchPlanner::next_due);
-        let returns = scheduler
-            .returning
+        let prefetch_due = scheduler
+            .prefetch_planner
+            .as_ref()
+            .and_then(PrefetchPlanner::next_due);
+        let recovery_due = scheduler
+            .recovery
             .machine
             .as_ref()
             .and_then(quartzdrift_recovery::Recovery::next_due);
-        let Some(next) = [request_table.next_deadline(), ahead, returns]
-            .into_iter()
-            .flatten()
-            .min()
-        else {
+        let deadlines = [request_table.next_deadline(), prefetch_due, recovery_due];
+        let Some(next) = deadlines.into_iter().flatten().min() else {
             return;
         };
-        if scheduler.planned.is_none_or(|at| next < at) {
+        if scheduler.next_wakeup.is_none_or(|at| next < at) {
             let incarnation = scheduler.incarnation;
-            self.schedulers[s].planned = Some(next);
-            self.put(next, Ev::RequestTableDue(s, incarnation));
+            self.schedulers[s].next_wakeup = Some(next);
+            self.schedule(next, Event::RequestTableDue(s, incarnation));
         }
     }
 
-    pub(super) fn output(&mut self, s: usize, output: Output<usize>) {
+    fn process_scheduler_output(&mut self, s: usize, output: Output<usize>) {
         let incarnation = self.schedulers[s].incarnation;
         match output {
             Output::StartAttempt {
@@ -160,12 +155,14 @@
                 payload,
                 ..
             } => {
-                let worker = self.by_name[&*worker];
+                let worker = self.workers_by_name[&*worker];
                 self.figures.attempts += 1;
-                self.drawn += 1;
-                let call = self.drawn;
-                self.schedulers[s].sent.insert((request, attempt), (worker, call));
-                self.later(Ev::Came {
+                self.last_id += 1;
+                let call = self.last_id;
+                self.schedulers[s]
+                    .attempts_in_flight
+                    .insert((request, attempt), (worker, call));
+                self.schedule_message(Event::AttemptArrived {
                     worker,
                     scheduler: s,
                     incarnation,
@@ -176,51 +173,33 @@
                 });
             }
             Output::CancelAttempt { request, attempt } => {
-                if let Some((worker, call)) = self.schedulers[s].sent.remove(&(request, attempt)) {
-                    self.later(Ev::Cancel { worker, call });
+                let in_flight = &mut self.schedulers[s].attempts_in_flight;
+                if let Some((worker, call)) = in_flight.remove(&(request, attempt)) {
+                    self.schedule_message(Event::AttemptCancelled { worker, call });
                 }
             }
             Output::Respond {
                 payload, response, ..
-            } => self.answered(payload, response),
+            } => self.response_received(payload, response),
             Output::Load {
-                command: order,
+                command,
                 worker,
                 function,
                 copies,
             } => {
-                self.figures.load_commands += 1;
-                let worker = self.by_name[&*worker];
-                let memory = self
-                    .script
-                    .request_class_of(&function)
-                    .map_or(0.0, |(_, w)| w.memory_mb);
-                let now = self.now;
-                let scheduler = &mut self.schedulers[s];
-                scheduler.orders.insert(order, (now, function.clone()));
-                scheduler.given.push(now);
-                if let Some(ahead) = &mut scheduler.ahead {
-                    ahead.record_load_command(now, &function, memory);
-                }
-                if self.variant.load_quota_window_s > 0.0 {
-                    let since = now.saturating_sub(Duration::from_secs_f64(self.variant.load_quota_window_s));
-                    let count =
-                        |times: &[Duration]| times.iter().rev().take_while(|at| **at >= since).count() as f64;
-                    let most = self.variant.load_quota_burst
-                        + self.variant.load_quota_share * count(&scheduler.taken);
-                    let share = count(&scheduler.given) / most.max(1e-9);
-                    self.figures.max_load_quota_share = self.figures.max_load_quota_share.max(share);
-                }
-                self.later(Ev::Order {
+                let worker = self.workers_by_name[&*worker];
+                self.record_load_command(s, command, &function);
+                self.schedule_message(Event::LoadCommandArrived {
                     worker,
                     scheduler: s,
                     incarnation,
-                    order,
+                    command,
                     function,
                     copies,
                 });
             }
-            // Messages leave at once here: nothing waits unsent. Probes, lists and messages are not asked for.
+            // Attempts and load commands leave at once, so that none can be recalled. The settings ask for no
+            // health checks, endpoint requests or scheduler messages.
             Output::RecallAttempt { .. }
             | Output::RecallCommand { .. }
             | Output::AbandonCommand { .. }
@@ -235,34 +214,65 @@
         }
     }
 
-    pub(super) fn back(
+    /// Records a sent load command and the share of the load quota in use.
+    fn record_load_command(&mut self, s: usize, command: u64, function: &Rc<str>) {
+        self.figures.load_commands += 1;
+        let memory_mb = self
+            .scenario
+            .request_class_of(function)
+            .map_or(0.0, |(_, class)| class.memory_mb);
+        let now = self.now;
+        let scheduler = &mut self.schedulers[s];
+        scheduler.load_commands.insert(command, (now, function.clone()));
+        scheduler.load_command_times.push(now);
+        if let Some(planner) = &mut scheduler.prefetch_planner {
+            planner.record_load_command(now, function, memory_mb);
+        }
+        if self.variant.load_quota_window_s > 0.0 {
+            let window = Duration::from_secs_f64(self.variant.load_quota_window_s);
+            let since = now.saturating_sub(window);
+            let count_since =
+                |times: &[Duration]| times.iter().rev().take_while(|at| **at >= since).count() as f64;
+            let quota = self.variant.load_quota_burst
+                + self.variant.load_quota_share * count_since(&scheduler.request_times);
+            let share = count_since(&scheduler.load_command_times) / quota.max(1e-9);
+            self.figures.max_load_quota_share = self.figures.max_load_quota_share.max(share);
+        }
+    }
+
+    /// Delivers the end of an attempt to its scheduler, unless the scheduler has restarted or cancelled the
+    /// attempt.
+    pub(super) fn attempt_ended(
         &mut self,
         s: usize,
         incarnation: u64,
         request: u64,
         attempt: u32,
-        ended: AttemptResult,
+        result: AttemptResult,
     ) {
         let scheduler = &mut self.schedulers[s];
-        if scheduler.incarnation != incarnation || scheduler.sent.remove(&(request, attempt)).is_none() {
+        if scheduler.incarnation != incarnation
+            || scheduler.attempts_in_flight.remove(&(request, attempt)).is_none()
+        {
             return;
         }
-        if ended.outcome == Outcome::Succeeded && ended.cache_result != CacheResult::Warm {
+        if result.outcome == Outcome::Succeeded && result.cache_result != CacheResult::Warm {
             self.figures.waited_for_load += 1;
         }
         if let Some(request_table) = &mut scheduler.request_table {
-            self.load_failed = ended.cache_result == CacheResult::LoadFailed;
-            request_table.attempt_ended(self.now, request, attempt, ended);
+            self.attempt_load_failed = result.cache_result == CacheResult::LoadFailed;
+            request_table.attempt_ended(self.now, request, attempt, result);
         }
-        self.outputs(s);
-        self.load_failed = false;
+        self.process_scheduler_outputs(s);
+        self.attempt_load_failed = false;
     }
 
-    pub(super) fn order_back(
+    /// Delivers the end of a load command to its scheduler, unless the scheduler has restarted.
+    pub(super) fn load_command_ended(
         &mut self,
         s: usize,
         incarnation: u64,
-        order: u64,
+        command: u64,
         outcome: Outcome,
         copies: u32,
     ) {
@@ -270,52 +280,50 @@
         if scheduler.incarnation != incarnation {
             return;
         }
-        if let Some((at, function)) = scheduler.orders.remove(&order)
-            && let Some(ahead) = &mut scheduler.ahead
+        if let Some((sent_at, function)) = scheduler.load_commands.remove(&command)
+            && let Some(planner) = &mut scheduler.prefetch_planner
         {
-            ahead.record_load_end(now, &function, outcome == Outcome::Succeeded, now - at);
+            planner.record_load_end(now, &function, outcome == Outcome::Succeeded, now - sent_at);
         }
         if let Some(request_table) = &mut scheduler.request_table {
-            request_table.command_ended(now, order, outcome, copies, Vec::new());
+            request_table.command_ended(now, command, outcome, copies, Vec::new());
         }
-        self.outputs(s);
+        self.process_scheduler_outputs(s);
     }
 }
 
-/// The whole list as a roster tells it.
-pub(super) fn entries<'a>(
-    names: &'a [String],
-    discovery: &[(EndpointState, Option<Duration>)],
+/// Full endpoint list, as the discovery service reports it.
+pub(super) fn endpoint_list<'a>(
+    worker_names: &'a [String],
+    endpoints: &[(EndpointState, Option<Duration>)],
 ) -> Vec<Endpoint<'a>> {
-    let there = names
+    worker_names
         .iter()
-        .zip(discovery)
-        .filter(|(_, (state, _))| *state != EndpointState::Gone);
-    let entry = |(worker, &(state, started)): (&'a String, &(EndpointState, Option<Duration>))| Endpoint {
-        worker,
-        state,
-        started_at: started,
-        ..Endpoint::default()
-    };
-    there.map(entry).collect()
+        .zip(endpoints)
+        .filter(|(_, (state, _))| *state != EndpointState::Gone)
+        .map(|(worker, &(state, started_at))| Endpoint {
+            worker,
+            state,
+            started_at,
+            ..Endpoint::default()
+        })
+        .collect()
 }
 
-fn expectation<'a>(
+/// Forecast of one use of a function, with probability 1 and without a horizon.
+fn certain_use<'a>(
     function: &'a str,
-    request_class: usize,
-    of: &crate::script::RequestClass,
-    within: Duration,
-    probability: f64,
-    requests_per_second: Option<f64>,
+    n: usize,
+    request_class: &crate::script::RequestClass,
 ) -> UsageForecast<'a> {
     UsageForecast {
         function,
-        request_class: request_class as u32,
-        horizon: within,
-        probability,
-        requests_per_second,
-        memory_mb: Some(of.memory_mb),
-        concurrency_slots: Some(of.slots as f64),
-        load_hint: Some(of.load),
+        request_class: n as u32,
+        horizon: Duration::ZERO,
+        probability: 1.0,
+        requests_per_second: None,
+        memory_mb: Some(request_class.memory_mb),
+        concurrency_slots: Some(request_class.slots as f64),
+        load_hint: Some(request_class.load),
     }
 }
