--- a/crates/quartzdrift-lab/src/experiment.rs
+++ b/crates/quartzdrift-lab/src/experiment.rs
@@ -1,5 +1,7 @@
-//! Experiments: days, variants and seeds from one TOML file, played over all cores; a table with intervals, CSV, JSON and
-//! plots. The same file gives the same bytes.
+//! Experiments: every scenario, variant and seed of a TOML file, simulated on all cores.
+//!
+//! The results are a table of means with confidence intervals, CSV, JSON and plots. The same file gives the
+//! same bytes.
 use crate::script::{self, Script};
 use crate::simulation::{self, Figures, Variant};
 use crate::traffic;
@@ -13,14 +15,20 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Of intervals: nineteen in twenty hold the mean.
-const SURE: f64 = 0.975;
+/// Quantile of Student's t distribution for two-sided 95 % confidence intervals.
+const CONFIDENCE_QUANTILE: f64 = 0.975;
+/// Least number of seeds for a confidence interval.
+const MIN_SEEDS: u64 = 2;
+/// Width and height of a plot in pixels.
+const PLOT_SIZE: (u32, u32) = (900, 420);
+/// Width that the points of all variants take up within a scenario's unit of the horizontal axis.
+const VARIANTS_WIDTH: f64 = 0.6;
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScenarioEntry {
     pub name: String,
-    /// A script of a day, in the notation of `script`.
+    /// Scenario in the notation of [`script::read`].
     pub script: String,
 }
 
@@ -36,14 +44,15 @@
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     pub name: String,
+    /// Number of seeds; each scenario and variant runs with the seeds from 1 to this number.
     pub seeds: u64,
     #[serde(rename = "days")]
     pub scenarios: Vec<ScenarioEntry>,
-    /// The first is what the others are compared with.
+    /// Variants to compare; the first one is the baseline.
     pub variants: Vec<NamedVariant>,
 }
 
-/// One run.
+/// Result of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     #[serde(rename = "day")]
@@ -53,28 +62,35 @@
     pub figures: Figures,
 }
 
+/// Parses an experiment file, and its scenarios in their order.
 pub fn parse(text: &str) -> Result<(Experiment, Vec<Script>), String> {
     let experiment: Experiment = toml::from_str(text).map_err(|e| e.to_string())?;
-    if experiment.seeds < 2 || experiment.variants.is_empty() || experiment.scenarios.is_empty() {
-        return Err("an experiment needs two seeds, a variant and a day at least".to_owned());
+    let (scenarios, variants) = (experiment.scenarios.len(), experiment.variants.len());
+    if experiment.seeds < MIN_SEEDS || variants == 0 || scenarios == 0 {
+        return Err(format!(
+            "experiment '{}' has {} seeds, {variants} variants and {scenarios} days; \
+             it needs at least {MIN_SEEDS} seeds, 1 variant and 1 day",
+            experiment.name, experiment.seeds
+        ));
     }
     let scripts = experiment
         .scenarios
         .iter()
-        .map(|day| script::read(&day.script).map_err(|why| format!("day '{}': {why}", day.name)));
-    let scripts = scripts.collect::<Result<Vec<_>, _>>()?;
+        .map(|entry| script::read(&entry.script).map_err(|error| format!("day '{}': {error}", entry.name)))
+        .collect::<Result<Vec<_>, _>>()?;
     Ok((experiment, scripts))
 }
 
-/// Plays all of it; rows in the order of days, variants and seeds whatever ended first.
-pub fn run(experiment: &Experiment, scripts: &[Script], shown: bool) -> Vec<Row> {
+/// Runs all scenarios, variants and seeds on all cores and returns the rows in that order; `show_progress`
+/// draws a progress bar.
+pub fn run(experiment: &Experiment, scenarios: &[Script], show_progress: bool) -> Vec<Row> {
     let mut plan = Vec::new();
-    for day in 0..experiment.scenarios.len() {
+    for scenario in 0..experiment.scenarios.len() {
         for variant in 0..experiment.variants.len() {
-            plan.extend((1..=experiment.seeds).map(|seed| (day, variant, seed)));
+            plan.extend((1..=experiment.seeds).map(|seed| (scenario, variant, seed)));
         }
     }
-    let bar = if shown {
+    let bar = if show_progress {
         ProgressBar::new(plan.len() as u64)
     } else {
         ProgressBar::hidden()
@@ -88,21 +104,22 @@
         for _ in 0..cores {
             scope.spawn(|| {
                 loop {
-                    let at = next.fetch_add(1, Ordering::Relaxed);
-                    let Some(&(day, variant, seed)) = plan.get(at) else {
+                    let index = next.fetch_add(1, Ordering::Relaxed);
+                    let Some(&(scenario, variant, seed)) = plan.get(index) else {
                         return;
                     };
-                    let arrivals = traffic::arrivals(&scripts[day], seed);
-                    let of = &experiment.variants[variant];
-                    let figures = simulation::run(&scripts[day], &arrivals, &of.variant, seed);
-                    let (day, variant) = (experiment.scenarios[day].name.clone(), of.name.clone());
+                    let arrivals = traffic::arrivals(&scenarios[scenario], seed);
+                    let named_variant = &experiment.variants[variant];
+                    let figures =
+                        simulation::run(&scenarios[scenario], &arrivals, &named_variant.variant, seed);
+                    let row = Row {
+                        scenario: experiment.scenarios[scenario].name.clone(),
+                        variant: named_variant.name.clone(),
+                        seed,
+                        figures,
+                    };
                     if let Ok(mut rows) = rows.lock() {
-                        rows[at] = Some(Row {
-                            scenario: day,
-                            variant,
-                            seed,
-                            figures,
-                        });
+                        rows[index] = Some(row);
                     }
                     bar.inc(1);
                 }
@@ -117,10 +134,11 @@
         .collect()
 }
 
-/// What the table and the plots tell of a run.
-type Figure = (&'static str, fn(&Figures) -> f64);
+/// Label of a figure in the table and the plots, and its value for a run.
+type ReportedFigure = (&'static str, fn(&Figures) -> f64);
 
-pub const REPORTED_FIGURES: [Figure; 20] = [
+/// Figures that the table and the plots report. The file names of the plots derive from the labels.
+pub const REPORTED_FIGURES: [ReportedFigure; 20] = [
     ("waited for a load, % of finished", |f| {
         100.0 * f.waited_for_load as f64 / f.succeeded.max(1) as f64
     }),
@@ -147,43 +165,47 @@
     ("schedulers counted, most", |f| f.max_scheduler_count_share),
 ];
 
-/// Mean and half the width of its interval.
+/// Mean and half the width of its 95 % confidence interval.
 pub fn interval(values: &[f64]) -> (f64, f64) {
     let n = values.len() as f64;
     let mean = values.iter().sum::<f64>() / n;
-    let spread = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
-    let t = StudentsT::new(0.0, 1.0, (n - 1.0).max(1.0)).map_or(2.0, |t| t.inverse_cdf(SURE));
-    (mean, t * (spread / n).sqrt())
+    let degrees_of_freedom = (n - 1.0).max(1.0);
+    let variance = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / degrees_of_freedom;
+    let t = StudentsT::new(0.0, 1.0, degrees_of_freedom).map_or(2.0, |t| t.inverse_cdf(CONFIDENCE_QUANTILE));
+    (mean, t * (variance / n).sqrt())
 }
 
-fn values(rows: &[Row], day: &str, variant: &str, of: fn(&Figures) -> f64) -> Vec<f64> {
+/// Values of a figure over the seeds of a scenario and variant.
+fn values(rows: &[Row], scenario: &str, variant: &str, value: fn(&Figures) -> f64) -> Vec<f64> {
     rows.iter()
-        .filter(|row| row.scenario == day && row.variant == variant)
-        .map(|row| of(&row.figures))
+        .filter(|row| row.scenario == scenario && row.variant == variant)
+        .map(|row| value(&row.figures))
         .collect()
 }
 
-/// A Markdown table for each day: means with their intervals, and against the first variant seed by seed.
+/// Markdown table for each scenario: means with their confidence intervals, and the paired differences from
+/// the first variant by seed.
 pub fn markdown_table(experiment: &Experiment, rows: &[Row]) -> String {
     let mut text = String::new();
-    let first = &experiment.variants[0].name;
-    for day in &experiment.scenarios {
+    let baseline = &experiment.variants[0].name;
+    for scenario in &experiment.scenarios {
         // Writing into a string cannot fail.
-        let _ = writeln!(text, "## {}\n", day.name);
+        let _ = writeln!(text, "## {}\n", scenario.name);
         let names: Vec<&str> = experiment.variants.iter().map(|v| v.name.as_str()).collect();
         let _ = writeln!(text, "| | {} |", names.join(" | "));
         let _ = writeln!(text, "| --- |{}", " --- |".repeat(names.len()));
-        for (name, of) in REPORTED_FIGURES {
-            let _ = write!(text, "| {name} |");
-            let before = values(rows, &day.name, first, of);
+        for (label, value) in REPORTED_FIGURES {
+            let _ = write!(text, "| {label} |");
+            let baseline_values = values(rows, &scenario.name, baseline, value);
             for variant in &names {
-                let own = values(rows, &day.name, variant, of);
-                let (mean, half) = interval(&own);
-                let _ = write!(text, " {mean:.2} ± {half:.2}");
-                if *variant != first {
-                    let differences: Vec<f64> = own.iter().zip(&before).map(|(a, b)| a - b).collect();
-                    let (mean, half) = interval(&differences);
-                    let _ = write!(text, " ({mean:+.2} ± {half:.2})");
+                let variant_values = values(rows, &scenario.name, variant, value);
+                let (mean, half_width) = interval(&variant_values);
+                let _ = write!(text, " {mean:.2} ± {half_width:.2}");
+                if *variant != baseline {
+                    let pairs = variant_values.iter().zip(&baseline_values);
+                    let differences: Vec<f64> = pairs.map(|(a, b)| a - b).collect();
+                    let (mean, half_width) = interval(&differences);
+                    let _ = write!(text, " ({mean:+.2} ± {half_width:.2})");
                 }
                 let _ = write!(text, " |");
             }
@@ -200,7 +222,7 @@
                     gaps,score,score_last,score_always\n"
         .to_owned();
     for Row {
-        scenario: day,
+        scenario,
         variant,
         seed,
         figures: f,
@@ -208,7 +230,7 @@
     {
         let _ = writeln!(
             text,
-            "{day},{variant},{seed},{},{},{},{},{},{},{},{},{:.6},{:.4},{:.4},{:.6},{},{},{},{},{:.4},{},{:.6},{:.6},{:.6}",
+            "{scenario},{variant},{seed},{},{},{},{},{},{},{},{},{:.6},{:.4},{:.4},{:.6},{},{},{},{},{:.4},{},{:.6},{:.6},{:.6}",
             f.requests,
             f.succeeded,
             f.rejected,
@@ -235,61 +257,88 @@
     text
 }
 
-/// One figure over days and variants, with intervals.
+/// Mean of a figure for one scenario and variant, given by their index.
+struct Point {
+    scenario: usize,
+    variant: usize,
+    mean: f64,
+    half_width: f64,
+}
+
+/// Plots a figure over scenarios and variants, with confidence intervals.
 fn plot(
     experiment: &Experiment,
     rows: &[Row],
-    figure: &Figure,
+    figure: &ReportedFigure,
     path: &Path,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let (name, of) = figure;
-    let points: Vec<(usize, usize, f64, f64)> = (0..experiment.scenarios.len())
-        .flat_map(|day| (0..experiment.variants.len()).map(move |variant| (day, variant)))
-        .map(|(day, variant)| {
-            let of = values(
+    let (label, value) = figure;
+    let points: Vec<Point> = (0..experiment.scenarios.len())
+        .flat_map(|scenario| (0..experiment.variants.len()).map(move |variant| (scenario, variant)))
+        .map(|(scenario, variant)| {
+            let values = values(
                 rows,
-                &experiment.scenarios[day].name,
+                &experiment.scenarios[scenario].name,
                 &experiment.variants[variant].name,
-                *of,
+                *value,
             );
-            let (mean, half) = interval(&of);
-            (day, variant, mean, half)
+            let (mean, half_width) = interval(&values);
+            Point {
+                scenario,
+                variant,
+                mean,
+                half_width,
+            }
         })
         .collect();
-    let most = points.iter().map(|p| p.2 + p.3).fold(f64::MIN_POSITIVE, f64::max) * 1.1;
-    let area = SVGBackend::new(path, (900, 420)).into_drawing_area();
+    let top = points
+        .iter()
+        .map(|point| point.mean + point.half_width)
+        .fold(f64::MIN_POSITIVE, f64::max)
+        * 1.1;
+    let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let days = experiment.scenarios.len();
+    let scenarios = experiment.scenarios.len();
     let mut chart = ChartBuilder::on(&area)
-        .caption(name, ("sans-serif", 18))
+        .caption(label, ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(-0.5..days as f64 - 0.5, 0.0..most)?;
-    let day = |at: &f64| {
-        let near = at.round();
-        let of = experiment
+        .build_cartesian_2d(-0.5..scenarios as f64 - 0.5, 0.0..top)?;
+    let scenario_label = |x: &f64| {
+        let nearest = x.round();
+        let scenario = experiment
             .scenarios
-            .get(near as usize)
-            .filter(|_| near >= 0.0 && (at - near).abs() < 0.01);
-        of.map_or(String::new(), |day| day.name.clone())
+            .get(nearest as usize)
+            .filter(|_| nearest >= 0.0 && (x - nearest).abs() < 0.01);
+        scenario.map_or(String::new(), |scenario| scenario.name.clone())
     };
     chart
         .configure_mesh()
         .disable_x_mesh()
-        .x_labels(days * 2 + 1)
-        .x_label_formatter(&day)
+        .x_labels(scenarios * 2 + 1)
+        .x_label_formatter(&scenario_label)
         .draw()?;
     let variants = experiment.variants.len() as f64;
     for (n, variant) in experiment.variants.iter().enumerate() {
         let colour = Palette99::pick(n).to_rgba();
-        let own = points.iter().filter(move |p| p.1 == n);
-        let place = move |p: &(usize, usize, f64, f64)| p.0 as f64 + (n as f64 + 0.5) / variants * 0.6 - 0.3;
-        let bars = own.map(|p| {
-            ErrorBar::new_vertical(place(p), (p.2 - p.3).max(0.0), p.2, p.2 + p.3, colour.filled(), 8)
+        let x = move |point: &Point| {
+            let offset = (n as f64 + 0.5) / variants * VARIANTS_WIDTH;
+            point.scenario as f64 + offset - VARIANTS_WIDTH / 2.0
+        };
+        let variant_points = points.iter().filter(move |point| point.variant == n);
+        let error_bars = variant_points.map(|point| {
+            ErrorBar::new_vertical(
+                x(point),
+                (point.mean - point.half_width).max(0.0),
+                point.mean,
+                point.mean + point.half_width,
+                colour.filled(),
+                8,
+            )
         });
         chart
-            .draw_series(bars)?
+            .draw_series(error_bars)?
             .label(&variant.name)
             .legend(move |(x, y)| Circle::new((x + 8, y), 4, colour.filled()));
     }
@@ -302,15 +351,15 @@
     Ok(())
 }
 
-/// Writes table, rows and plots into a folder.
+/// Writes `table.md`, `rows.csv`, `rows.json` and a plot for each reported figure into a folder.
 pub fn write_results(experiment: &Experiment, rows: &[Row], folder: &Path) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
     std::fs::write(folder.join("table.md"), markdown_table(experiment, rows))?;
     std::fs::write(folder.join("rows.csv"), csv(rows))?;
     std::fs::write(folder.join("rows.json"), serde_json::to_vec_pretty(rows)?)?;
     for figure in &REPORTED_FIGURES {
-        let name: String = figure
-            .0
+        let (label, _) = figure;
+        let name: String = label
             .chars()
             .map(|c| if c.is_ascii_alphanumeric() { c } else { '-' })
             .collect();
@@ -325,10 +374,10 @@
     use super::*;
 
     #[test]
-    fn an_interval_is_the_published_one() {
-        // Five values, t at 0.975 with 4 degrees of freedom: 2.776.
-        let (mean, half) = interval(&[1.0, 2.0, 3.0, 4.0, 5.0]);
-        assert!((mean - 3.0).abs() < 1e-9 && (half - 2.776 * (2.5f64 / 5.0).sqrt()).abs() < 1e-3);
+    fn an_interval_matches_the_published_quantile() {
+        // Published quantile of the t distribution at 0.975 with 4 degrees of freedom: 2.776.
+        let (mean, half_width) = interval(&[1.0, 2.0, 3.0, 4.0, 5.0]);
+        assert!((mean - 3.0).abs() < 1e-9 && (half_width - 2.776 * (2.5f64 / 5.0).sqrt()).abs() < 1e-3);
     }
 
     #[test]
@@ -337,16 +386,16 @@
             workload q restartable rate=20 functions=3\n'''\n[[variants]]\nname = 'without'\n\
             [[variants]]\nname = 'with'\nis = { forecasting = 'on' }\n";
         let (experiment, scripts) = parse(text).unwrap();
-        let (one, two) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
-        for folder in [&one, &two] {
+        let (first, second) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
+        for folder in [&first, &second] {
             let rows = run(&experiment, &scripts, false);
             assert_eq!(rows.len(), 4);
             write_results(&experiment, &rows, folder.path()).unwrap();
         }
-        for entry in std::fs::read_dir(one.path()).unwrap() {
+        for entry in std::fs::read_dir(first.path()).unwrap() {
             let name = entry.unwrap().file_name();
             let read = |folder: &tempfile::TempDir| std::fs::read(folder.path().join(&name)).unwrap();
-            assert!(read(&one) == read(&two), "{name:?}");
+            assert!(read(&first) == read(&second), "{name:?}");
         }
         assert!(parse("name = 'x'\nseeds = 2\nvariants = []\n[[days]]\nname='a'\nscript='wrong'").is_err());
     }
--- a/crates/quartzdrift-lab/src/store.rs
+++ b/crates/quartzdrift-lab/src/store.rs
@@ -1,20 +1,29 @@
-//! A fake for the store that workers fetch functions from: it slows down when crowded, turns fetches away past
-//! a limit, and stops for a while when pushed far over its capacity. [`StoreModel`] is without sockets.
+//! A fake of the store that workers fetch functions from.
+//!
+//! Fetches beyond its capacity share it and take longer. Fetches beyond its limit are rejected, and too many
+//! rejections within a second cause an outage. [`StoreModel`] is the state machine without sockets.
 use crate::actor::Fake;
 use calloop::LoopHandle;
 use quartzdrift_http::{Exchange, HasHttp, Http, HttpEvent, Limits, Response};
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-const SECOND: Duration = Duration::from_secs(1);
+/// Window over which rejected fetches are counted for the outage threshold.
+const REJECTION_WINDOW: Duration = Duration::from_secs(1);
+/// Remaining fetch time, in seconds, that counts as completed: less than the resolution of the clock.
+const FETCH_EPSILON_S: f64 = 1e-7;
+/// Smallest factor by which fetches are slowed down.
+const MIN_SLOWDOWN: f64 = 0.001;
+/// Time after which an idle connection of a worker is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Fetches at a time that are as fast as one.
+    /// Number of concurrent fetches that run at full speed.
     pub capacity: f64,
-    /// Fetches at a time past which more are turned away.
+    /// Number of concurrent fetches beyond which further ones are rejected.
     pub max_concurrent_fetches: usize,
-    /// It stops for a while once this many are turned away within a second; 0: never.
+    /// Number of fetches rejected within a second that causes an outage; 0 disables outages.
     pub outage_threshold: usize,
     pub outage_duration: Duration,
 }
@@ -30,17 +39,25 @@
     }
 }
 
-/// What the store does, with the time told.
+#[derive(Debug)]
+struct Fetch {
+    id: u64,
+    /// Remaining time in seconds at full speed.
+    remaining_s: f64,
+}
+
+/// State machine of the store; the caller passes the time with each input.
 #[derive(Debug)]
 pub struct StoreModel {
     config: Config,
-    /// Seconds of undisturbed fetching left, by fetch.
-    fetches: Vec<(u64, f64)>,
-    at: Duration,
+    fetches: Vec<Fetch>,
+    now: Duration,
+    /// Factor by which every fetch takes longer.
     pub slowdown: f64,
+    /// Whether every fetch is rejected.
     pub rejecting: bool,
-    turned_away: VecDeque<Duration>,
-    stopped_until: Duration,
+    rejected_at: VecDeque<Duration>,
+    outage_until: Duration,
     pub completed_fetches: u64,
 }
 
@@ -49,87 +66,105 @@
         StoreModel {
             config,
             fetches: Vec::new(),
-            at: Duration::ZERO,
+            now: Duration::ZERO,
             slowdown: 1.0,
             rejecting: false,
-            turned_away: VecDeque::new(),
-            stopped_until: Duration::ZERO,
+            rejected_at: VecDeque::new(),
+            outage_until: Duration::ZERO,
             completed_fetches: 0,
         }
     }
 
+    /// Seconds of fetch time per second that each fetch gets.
     fn speed(&self) -> f64 {
-        let crowd = (self.fetches.len() as f64 / self.config.capacity).max(1.0);
-        1.0 / (crowd * self.slowdown.max(0.001))
+        let contention = (self.fetches.len() as f64 / self.config.capacity).max(1.0);
+        1.0 / (contention * self.slowdown.max(MIN_SLOWDOWN))
     }
 
+    /// Advances the fetches in progress to `now`.
     pub fn advance(&mut self, now: Duration) {
-        let spent = now.saturating_sub(self.at).as_secs_f64() * self.speed();
-        self.at = self.at.max(now);
-        self.fetches.iter_mut().for_each(|fetch| fetch.1 -= spent);
+        let done_s = now.saturating_sub(self.now).as_secs_f64() * self.speed();
+        self.now = self.now.max(now);
+        for fetch in &mut self.fetches {
+            fetch.remaining_s -= done_s;
+        }
     }
 
-    /// `false`: turned away.
-    pub fn start_fetch(&mut self, now: Duration, fetch: u64, takes: Duration) -> bool {
+    /// Starts a fetch that takes `fetch_time` at full speed; returns `false` if the store rejects it.
+    pub fn start_fetch(&mut self, now: Duration, id: u64, fetch_time: Duration) -> bool {
         self.advance(now);
-        if now < self.stopped_until {
+        if now < self.outage_until {
             return false;
         }
         if self.rejecting || self.fetches.len() >= self.config.max_concurrent_fetches {
-            self.turned_away.push_back(now);
-            self.turned_away.retain(|at| *at + SECOND > now);
-            if self.config.outage_threshold > 0 && self.turned_away.len() >= self.config.outage_threshold {
-                self.stopped_until = now + self.config.outage_duration;
-                self.turned_away.clear();
-            }
+            self.record_rejection(now);
             return false;
         }
-        self.fetches.push((fetch, takes.as_secs_f64()));
+        self.fetches.push(Fetch {
+            id,
+            remaining_s: fetch_time.as_secs_f64(),
+        });
         true
     }
 
-    pub fn cancel_fetch(&mut self, now: Duration, fetch: u64) {
+    /// Counts a rejected fetch and starts an outage at the threshold.
+    fn record_rejection(&mut self, now: Duration) {
+        self.rejected_at.push_back(now);
+        self.rejected_at.retain(|at| *at + REJECTION_WINDOW > now);
+        let threshold = self.config.outage_threshold;
+        if threshold > 0 && self.rejected_at.len() >= threshold {
+            self.outage_until = now + self.config.outage_duration;
+            self.rejected_at.clear();
+        }
+    }
+
+    pub fn cancel_fetch(&mut self, now: Duration, id: u64) {
         self.advance(now);
-        self.fetches.retain(|(of, _)| *of != fetch);
+        self.fetches.retain(|fetch| fetch.id != id);
     }
 
+    /// Time at which [`StoreModel::due`] has to be called next.
     pub fn next_due(&self) -> Option<Duration> {
-        let first = self
+        let least_remaining_s = self
             .fetches
             .iter()
-            .map(|fetch| fetch.1.max(0.0))
+            .map(|fetch| fetch.remaining_s.max(0.0))
             .min_by(f64::total_cmp)?;
-        Some(self.at + Duration::from_secs_f64(first / self.speed()) + Duration::from_micros(1))
+        let wait = Duration::from_secs_f64(least_remaining_s / self.speed());
+        Some(self.now + wait + Duration::from_micros(1))
     }
 
-    /// Fetches that are done.
+    /// Removes the fetches that have completed by `now` and returns their numbers.
     pub fn due(&mut self, now: Duration) -> Vec<u64> {
         self.advance(now);
-        let done: Vec<u64> = self
+        let completed: Vec<u64> = self
             .fetches
             .iter()
-            .filter(|fetch| fetch.1 <= 1e-7)
-            .map(|fetch| fetch.0)
+            .filter(|fetch| fetch.remaining_s <= FETCH_EPSILON_S)
+            .map(|fetch| fetch.id)
             .collect();
-        self.fetches.retain(|fetch| fetch.1 > 1e-7);
-        self.completed_fetches += done.len() as u64;
-        done
+        self.fetches.retain(|fetch| fetch.remaining_s > FETCH_EPSILON_S);
+        self.completed_fetches += completed.len() as u64;
+        completed
     }
 }
 
+/// Fault that a running store is told to apply.
 pub enum Command {
-    /// Every fetch takes this many times as long.
+    /// Sets the factor by which every fetch takes longer.
     SetSlowdown(f64),
-    /// Answers nothing but refusals until told otherwise.
+    /// Sets whether every fetch is rejected.
     SetRejecting(bool),
 }
 
+/// The store on sockets: workers fetch with `GET /FUNCTION?us=FETCH_TIME`.
 pub struct FakeStore {
     http: Http<FakeStore>,
     start: Instant,
     model: StoreModel,
-    open: HashMap<u64, Exchange>,
-    drawn: u64,
+    /// Exchanges of the fetches in progress.
+    open_fetches: HashMap<u64, Exchange>,
+    last_fetch_id: u64,
 }
 
 impl HasHttp for FakeStore {
@@ -140,29 +175,25 @@
 
 impl FakeStore {
     pub fn new(handle: LoopHandle<'static, FakeStore>, config: Config) -> FakeStore {
+        let limits = Limits {
+            idle_timeout: IDLE_TIMEOUT,
+            ..Limits::default()
+        };
         FakeStore {
-            http: Http::new(
-                handle,
-                Limits {
-                    idle_timeout: Duration::from_secs(300),
-                    ..Limits::default()
-                },
-            ),
+            http: Http::new(handle, limits),
             start: Instant::now(),
             model: StoreModel::new(config),
-            open: HashMap::new(),
-            drawn: 0,
+            open_fetches: HashMap::new(),
+            last_fetch_id: 0,
         }
     }
 
-    fn say(&mut self, exchange: Exchange, status: u16) {
-        self.http.respond(
-            exchange,
-            &Response {
-                status,
-                ..Response::default()
-            },
-        );
+    fn respond(&mut self, exchange: Exchange, status: u16) {
+        let response = Response {
+            status,
+            ..Response::default()
+        };
+        self.http.respond(exchange, &response);
     }
 }
 
@@ -176,33 +207,31 @@
                 exchange,
                 request: Ok(request),
             } => {
-                let told = request
+                let fetch_time_us = request
                     .head
                     .target
                     .split_once("?us=")
                     .and_then(|(_, us)| us.parse::<u64>().ok());
-                self.drawn += 1;
-                if self
-                    .model
-                    .start_fetch(now, self.drawn, Duration::from_micros(told.unwrap_or(0)))
-                {
-                    self.open.insert(self.drawn, exchange);
+                self.last_fetch_id += 1;
+                let fetch_time = Duration::from_micros(fetch_time_us.unwrap_or(0));
+                if self.model.start_fetch(now, self.last_fetch_id, fetch_time) {
+                    self.open_fetches.insert(self.last_fetch_id, exchange);
                 } else {
-                    self.say(exchange, 503);
+                    self.respond(exchange, 503);
                 }
             }
             HttpEvent::Request {
                 exchange,
                 request: Err(_),
-            } => self.say(exchange, 400),
+            } => self.respond(exchange, 400),
             HttpEvent::ClientDisconnected { exchange } => {
-                let of = self
-                    .open
+                let disconnected = self
+                    .open_fetches
                     .iter()
                     .find(|(_, open)| **open == exchange)
                     .map(|(fetch, _)| *fetch);
-                if let Some(fetch) = of {
-                    self.open.remove(&fetch);
+                if let Some(fetch) = disconnected {
+                    self.open_fetches.remove(&fetch);
                     self.model.cancel_fetch(now, fetch);
                 }
             }
@@ -217,8 +246,8 @@
         let now = self.now();
         self.model.advance(now);
         match command {
-            Command::SetSlowdown(times) => self.model.slowdown = times,
-            Command::SetRejecting(on) => self.model.rejecting = on,
+            Command::SetSlowdown(slowdown) => self.model.slowdown = slowdown,
+            Command::SetRejecting(rejecting) => self.model.rejecting = rejecting,
         }
     }
 
@@ -228,8 +257,8 @@
 
     fn due(&mut self, now: Duration) {
         for fetch in self.model.due(now) {
-            if let Some(exchange) = self.open.remove(&fetch) {
-                self.say(exchange, 200);
+            if let Some(exchange) = self.open_fetches.remove(&fetch) {
+                self.respond(exchange, 200);
             }
         }
     }
