--- a/crates/quartzdrift-adapter/src/action/mod.rs
+++ b/crates/quartzdrift-adapter/src/action/mod.rs
@@ -1,4 +1,4 @@
-//! Actions of the scheduler as lines of the wire.
+//! Encodes actions of the scheduler as lines of the simulator's protocol.
 use crate::hex;
 use quartzdrift_scheduler::interface::Action;
 use std::fmt::{Result, Write};
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Appends the line for an action of an instance.
+/// Appends the line for an action that the given instance returned.
 pub(crate) fn encode(out: &mut String, instance: u64, action: &Action) -> Result {
     write!(out, "{}\ti={instance}", name(action))?;
     write_fields(out, action)?;
@@ -48,7 +48,7 @@
             request, retry_after, ..
         } => {
             write!(out, "\ttid={request}")?;
-            retry_after.map_or(Ok(()), |time| write!(out, "\tcool-down-ns={}", time.as_nanos()))
+            retry_after.map_or(Ok(()), |delay| write!(out, "\tcool-down-ns={}", delay.as_nanos()))
         }
         Action::Fail { request } => write!(out, "\ttid={request}"),
         Action::CancelAttempt { request, attempt } => write!(out, "\ttid={request}\tseq-no={attempt}"),
@@ -57,8 +57,8 @@
             write!(out, "\tworker={worker}")
         }
         Action::SendToPeer { to, bytes } => {
-            let to = to.map_or("all".to_owned(), |scheduler| scheduler.to_string());
-            write!(out, "\tdst={to}\tbody={}", hex::encode(bytes))
+            let receiver = to.map_or("all".to_owned(), |scheduler| scheduler.to_string());
+            write!(out, "\tdst={receiver}\tbody={}", hex::encode(bytes))
         }
         Action::Load {
             worker,
@@ -68,7 +68,7 @@
             write!(out, "\tworker={worker}\timage={function}\tn-inst={copies}")
         }
         Action::Unload { worker, function } => write!(out, "\tworker={worker}\timage={function}"),
-        Action::WatchEndpoints { enabled: on } => write!(out, "\tactive={}", u8::from(*on)),
+        Action::WatchEndpoints { enabled } => write!(out, "\tactive={}", u8::from(*enabled)),
         Action::PollEndpoints => Ok(()),
         Action::Notice(notice) => write!(out, "\ttext={notice:?}"),
         Action::Log { text } => write!(out, "\ttext={}", text.replace(['\n', '\r', '\t'], " ")),
--- a/crates/quartzdrift-adapter/src/error.rs
+++ b/crates/quartzdrift-adapter/src/error.rs
@@ -1,39 +1,40 @@
-//! What of the input cannot be used.
+//! Errors in the simulator's input.
 use std::{fmt, io};
 use thiserror::Error;
 
-/// A field of a line that is missing or cannot be read.
+/// The named field of a line is missing, or its value cannot be parsed.
 #[derive(Debug, Error)]
-#[error("'{0}' is missing or unreadable")]
-pub(crate) struct UnreadableField(pub(crate) &'static str);
+#[error("field '{0}' is missing or invalid")]
+pub(crate) struct InvalidField(pub(crate) &'static str);
 
-/// Why an instance cannot be started.
+/// Reason for which an instance of the scheduler cannot be started.
 #[derive(Debug, Error)]
-pub(crate) enum OpenError {
-    #[error(transparent)]
-    Field(#[from] UnreadableField),
+pub(crate) enum OpenInstanceError {
     #[error(transparent)]
+    Field(#[from] InvalidField),
+    #[error("the settings are not valid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// The settings hold rules that no scheduler can follow.
+    /// The settings are valid JSON, but a setting is missing or invalid.
     #[error("{0}")]
     Settings(String),
 }
 
-/// Why a line for an instance has no effect.
+/// Reason for which a line is ignored.
 #[derive(Debug, Error)]
 pub(crate) enum LineError {
     #[error(transparent)]
-    Field(#[from] UnreadableField),
+    Field(#[from] InvalidField),
     #[error(transparent)]
     Write(#[from] fmt::Error),
 }
 
-/// Why the host ends before its input does.
+/// Reason for which the host stops before the end of its input.
 #[derive(Debug, Error)]
 pub(crate) enum HostError {
-    /// Requests of an instance that did not start would go unanswered.
-    #[error("the settings cannot be used: {0}")]
-    Open(#[from] OpenError),
+    /// An instance cannot be started. The host stops, because the instance's requests would get no final
+    /// response.
+    #[error("cannot start an instance of the scheduler: {0}")]
+    OpenInstance(#[from] OpenInstanceError),
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/crates/quartzdrift-adapter/src/event.rs
+++ b/crates/quartzdrift-adapter/src/event.rs
@@ -1,25 +1,26 @@
-//! Lines of the wire as events of the scheduler.
-use crate::error::UnreadableField;
+//! Decodes lines of the simulator's protocol into events of the scheduler.
+use crate::error::InvalidField;
 use crate::hex;
-use crate::line::{Line, Remark};
+use crate::line::{CacheReport, Line};
 use quartzdrift_scheduler::interface::{Endpoint, EndpointListKind, Event, Outcome, Request};
 use std::time::Duration;
 
-/// Names of the lines that are events.
-const EVENTS: [&str; 9] = [
+/// Names of the lines that are decoded into events.
+const EVENT_LINES: [&str; 9] = [
     "targets", "req", "fired", "sampled", "answer", "started", "heard", "expired", "stands",
 ];
 
-/// Whether a line of this name is an event of an instance.
+/// Whether lines with this name are decoded into events.
 pub(crate) fn is_event(name: &str) -> bool {
-    EVENTS.contains(&name)
+    EVENT_LINES.contains(&name)
 }
 
-/// The event that a line stands for, `None` for other lines. `entries` are the workers that follow an endpoint list.
+/// Returns the event of a line; `None`: the line is not an event. `entries` are the workers of an endpoint
+/// list, which the simulator sends as separate lines after it.
 pub(crate) fn decode<'a>(
     line: &Line<'a>,
     entries: Vec<Endpoint<'a>>,
-) -> Result<Option<Event<'a>>, UnreadableField> {
+) -> Result<Option<Event<'a>>, InvalidField> {
     Ok(Some(match line.name {
         "targets" => Event::EndpointList {
             kind: endpoint_list_kind(line),
@@ -33,7 +34,7 @@
             worker: line.required_text("worker")?,
             outcome: line.outcome()?,
             duration: duration(line),
-            report: line.report(),
+            report: line.load_report(),
         },
         "answer" => attempt_ended(line)?,
         "started" => Event::StreamingStarted {
@@ -47,7 +48,7 @@
             bytes: line
                 .text("body")
                 .and_then(hex::decode)
-                .ok_or(UnreadableField("body"))?,
+                .ok_or(InvalidField("body"))?,
         },
         "expired" => Event::RequestCancelled {
             request: line.required_integer("tid")?,
@@ -70,19 +71,20 @@
         Some("SAVED") => EndpointListKind::Snapshot,
         Some("FAILED") => EndpointListKind::Failed,
         other => {
-            // Left out, it could hide that a worker drains.
-            eprintln!("a list of form {other:?} is taken for changes");
+            // The list must not be ignored, because it may report that a worker is draining.
+            eprintln!("endpoint list has the unknown form {other:?}, processed as INCREMENTAL");
             EndpointListKind::Changes
         }
     }
 }
 
-fn request<'a>(line: &Line<'a>) -> Result<Request<'a>, UnreadableField> {
+fn request<'a>(line: &Line<'a>) -> Result<Request<'a>, InvalidField> {
     let request_class = line.text("tier-class");
     let load_milliseconds = line.number("start-ms");
     Ok(Request {
         id: line.required_integer("tid")?,
-        // A class that cannot be read is an unknown one: another's rule on retries would be followed for it.
+        // An invalid class counts as unknown, because the retry rules of another class could be wrong for the
+        // request.
         request_class: request_class.map_or(0, |text| text.parse().unwrap_or(u32::MAX)),
         tenant: line.integer("user-group").unwrap_or(0),
         function: line.text("image").unwrap_or(""),
@@ -90,32 +92,36 @@
         work_hint: line.duration("expected-ns"),
         memory_mb: line.number("size-mb"),
         concurrency_slots: line.number("lanes"),
-        load_hint: load_milliseconds.and_then(|count| Duration::try_from_secs_f64(count / 1000.0).ok()),
+        load_hint: load_milliseconds
+            .and_then(|milliseconds| Duration::try_from_secs_f64(milliseconds / 1000.0).ok()),
         is_retry: line.flag("is-retry"),
         has_side_effects: line.flag("mutates"),
     })
 }
 
-fn attempt_ended<'a>(line: &Line<'a>) -> Result<Event<'a>, UnreadableField> {
-    let Remark {
+fn attempt_ended<'a>(line: &Line<'a>) -> Result<Event<'a>, InvalidField> {
+    let CacheReport {
         cache_result,
         concurrency,
-    } = line.remark();
+    } = line.cache_report();
     Ok(Event::AttemptEnded {
         request: line.required_integer("tid")?,
         attempt: attempt_number(line),
         worker: line.required_text("worker")?,
         outcome: line.outcome().unwrap_or_else(|error| {
-            // Left out, its request would go unanswered; it may have been executed.
+            // The line must not be ignored, because the request would get no final response. The request may
+            // have been executed.
             let request = line.text("tid").unwrap_or("");
-            eprintln!("job {request}: {error}; it is taken for an error");
+            eprintln!(
+                "attempt of request {request} ended with an unknown outcome: {error}; counted as an error"
+            );
             Outcome::Error
         }),
         duration: duration(line),
         concluded: line.flag("no-more"),
         cache_result,
         concurrency: Some(concurrency),
-        report: line.report(),
+        report: line.load_report(),
     })
 }
 
--- a/crates/quartzdrift-adapter/src/hex.rs
+++ b/crates/quartzdrift-adapter/src/hex.rs
@@ -1,6 +1,6 @@
-//! Bytes in hexadecimal digits, as messages between schedulers are written; `-` stands for none.
+//! Hexadecimal encoding of the messages between schedulers. `-` stands for an empty message.
 
-/// The bytes that `text` stands for, `None` where it is not hexadecimal.
+/// Returns the decoded bytes; `None`: `text` is neither `-` nor pairs of hexadecimal digits.
 pub(crate) fn decode(text: &str) -> Option<Vec<u8>> {
     if text == "-" {
         return Some(Vec::new());
@@ -11,7 +11,7 @@
         .collect()
 }
 
-/// The text that stands for `bytes`.
+/// Returns two hexadecimal digits for each byte, or `-` if there are none.
 pub(crate) fn encode(bytes: &[u8]) -> String {
     if bytes.is_empty() {
         return "-".to_owned();
--- a/crates/quartzdrift-adapter/src/line.rs
+++ b/crates/quartzdrift-adapter/src/line.rs
@@ -1,34 +1,35 @@
-//! A line of the wire: a name and `name=value` fields, separated by tabs.
-use crate::error::UnreadableField;
+//! A line of the simulator's protocol: a name and `key=value` fields, separated by tabs.
+use crate::error::InvalidField;
 use quartzdrift_scheduler::interface::{CacheResult, Endpoint, EndpointState, Outcome};
 use std::str::FromStr;
 use std::time::Duration;
 
-/// A line's name and its fields, in whatever order they came.
+/// The name and the fields of a line. The fields may be in any order.
 pub(crate) struct Line<'a> {
     pub(crate) name: &'a str,
     fields: &'a str,
 }
 
-/// What an answer tells of the function's copy.
-pub(crate) struct Remark {
+/// Report of a response on the function's cached copy.
+pub(crate) struct CacheReport {
     pub(crate) cache_result: CacheResult,
-    /// Requests of the function that the worker held.
+    /// Number of the function's requests that the worker held.
     pub(crate) concurrency: u32,
 }
 
 impl<'a> Line<'a> {
-    pub(crate) fn read(text: &'a str) -> Line<'a> {
+    pub(crate) fn parse(text: &'a str) -> Line<'a> {
         let (name, fields) = text.split_once('\t').unwrap_or((text, ""));
         Line { name, fields }
     }
 
+    /// Returns the value of a field; `None`: the line has no field with this key.
     pub(crate) fn text(&self, key: &str) -> Option<&'a str> {
         let mut fields = self.fields.split('\t');
         fields.find_map(|field| field.strip_prefix(key)?.strip_prefix('='))
     }
 
-    /// A value that runs to the end of the line.
+    /// Returns a value that extends to the end of the line and may contain tabs.
     pub(crate) fn text_to_end(&self, key: &str) -> Option<&'a str> {
         let mut rest = self.fields;
         loop {
@@ -44,31 +45,34 @@
         self.text(key)?.parse().ok()
     }
 
+    /// Returns a finite number.
     pub(crate) fn number(&self, key: &str) -> Option<f64> {
-        self.text(key).and_then(finite)
+        self.text(key).and_then(parse_finite)
     }
 
-    /// A span in nanoseconds, whole or not; one below zero is zero.
+    /// Parses a number of nanoseconds, which may have decimals. A negative number yields zero.
     pub(crate) fn duration(&self, key: &str) -> Option<Duration> {
         let value = self.text(key)?;
-        let whole = value.parse::<i64>().ok();
-        let nanoseconds = whole.or_else(|| value.parse::<f64>().ok().map(|number| number as i64))?;
+        let integer = value.parse::<i64>().ok();
+        let nanoseconds = integer.or_else(|| value.parse::<f64>().ok().map(|number| number as i64))?;
         Some(Duration::from_nanos(nanoseconds.max(0) as u64))
     }
 
+    /// Whether the field has the value `1`.
     pub(crate) fn flag(&self, key: &str) -> bool {
         self.text(key) == Some("1")
     }
 
-    pub(crate) fn required_text(&self, key: &'static str) -> Result<&'a str, UnreadableField> {
-        self.text(key).ok_or(UnreadableField(key))
+    pub(crate) fn required_text(&self, key: &'static str) -> Result<&'a str, InvalidField> {
+        self.text(key).ok_or(InvalidField(key))
     }
 
-    pub(crate) fn required_integer<T: FromStr>(&self, key: &'static str) -> Result<T, UnreadableField> {
-        self.integer(key).ok_or(UnreadableField(key))
+    pub(crate) fn required_integer<T: FromStr>(&self, key: &'static str) -> Result<T, InvalidField> {
+        self.integer(key).ok_or(InvalidField(key))
     }
 
-    pub(crate) fn outcome(&self) -> Result<Outcome, UnreadableField> {
+    /// Returns the outcome of an attempt, a health check or a load command.
+    pub(crate) fn outcome(&self) -> Result<Outcome, InvalidField> {
         let key = "disposition";
         match self.required_text(key)? {
             "completed" => Ok(Outcome::Succeeded),
@@ -80,18 +84,19 @@
             "recalled" => Ok(Outcome::Cancelled),
             "superseded" => Ok(Outcome::NeverSent),
             "lookup_miss" => Ok(Outcome::CacheMiss),
-            _ => Err(UnreadableField(key)),
+            _ => Err(InvalidField(key)),
         }
     }
 
-    /// A worker's load report; a value that cannot be read is `None`.
-    pub(crate) fn report(&self) -> Vec<Option<f64>> {
-        let row = self.text("health-info");
-        row.map_or_else(Vec::new, |row| row.split(',').map(finite).collect())
+    /// Returns a worker's load report, empty if there is none. A value that is not a finite number is `None`.
+    pub(crate) fn load_report(&self) -> Vec<Option<f64>> {
+        let values = self.text("health-info");
+        values.map_or_else(Vec::new, |values| values.split(',').map(parse_finite).collect())
     }
 
-    /// The low three bits are the cache result, the others the concurrency.
-    pub(crate) fn remark(&self) -> Remark {
+    /// Returns the cache report of a response. The low three bits of its field are the cache result, the
+    /// others are the concurrency.
+    pub(crate) fn cache_report(&self) -> CacheReport {
         let bits: u32 = self.integer("remark").unwrap_or(0);
         let cache_result = match bits % 8 {
             1 => CacheResult::Warm,
@@ -100,13 +105,13 @@
             4 => CacheResult::LoadFailed,
             _ => CacheResult::Unknown,
         };
-        Remark {
+        CacheReport {
             cache_result,
             concurrency: bits / 8,
         }
     }
 
-    /// A worker's entry in the endpoint list.
+    /// Returns the worker's entry in the endpoint list; `None`: the line does not name a worker.
     pub(crate) fn endpoint(&self) -> Option<Endpoint<'a>> {
         Some(Endpoint {
             worker: self.text("worker")?,
@@ -115,7 +120,7 @@
             machine_kind: self.integer("generation-hw").unwrap_or(0),
             zone: self.integer("az").unwrap_or(0),
             started_at: self.duration("came-up-ns").filter(|at| !at.is_zero()),
-            // A worker in an unknown state gets no requests.
+            // A worker in an unknown state must not receive requests.
             state: match self.text("health") {
                 Some("up") => EndpointState::Up,
                 Some("draining") => EndpointState::Draining,
@@ -125,6 +130,6 @@
     }
 }
 
-fn finite(text: &str) -> Option<f64> {
+fn parse_finite(text: &str) -> Option<f64> {
     text.parse().ok().filter(|number: &f64| number.is_finite())
 }
--- a/crates/quartzdrift-adapter/src/main.rs
+++ b/crates/quartzdrift-adapter/src/main.rs
@@ -1,5 +1,8 @@
-//! Speaks the simulator's wire on standard input and output for many instances of the scheduler, which share
-//! nothing. All decisions are the scheduler's; this only translates.
+//! Hosts instances of the scheduler for the simulator.
+//!
+//! Reads the lines of the simulator's protocol from standard input, passes them as events to the instances,
+//! and writes the resulting actions as lines to standard output. The instances share no state, and this
+//! program makes no scheduling decisions.
 mod action;
 mod error;
 mod event;
