--- a/crates/quartzdrift-scheduler/tests/decisions.rs
+++ b/crates/quartzdrift-scheduler/tests/decisions.rs
@@ -1,9 +1,10 @@
-//! The decisions of seeded days, compared with recorded hashes: a change of names or structure must not move one.
+//! Regression test of the scheduler's decisions: a change of names or structure must not change any of them.
 //!
-//! Each day drives one scheduler with a small model of workers and hashes the sequence of its actions in blocks. The
-//! recorded hashes are in `decisions.txt`, one `day block hash` a line; the first block that differs is printed. After an
-//! intended change of a decision, `RECORD_DECISIONS=1` writes the file anew.
-#![allow(clippy::unwrap_used, reason = "a test may stop at what must not be")]
+//! Each simulated run drives one scheduler with seeded random events and a small model of the workers. Its
+//! actions are hashed in blocks and compared with `decisions.txt`, which holds one line `run block hash` for
+//! each block. The test prints the actions of the first block that differs. After an intended change of a
+//! decision, `RECORD_DECISIONS=1` writes the file again.
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use quartzdrift_scheduler::interface::{
     Action, ActionLimits, CacheResult, CacheSettings, DeduplicationScope, DiscoveryMode, Endpoint,
@@ -15,17 +16,19 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-const DAYS: u64 = 24;
+const RUNS: u64 = 24;
 const WORKERS: usize = 10;
-const DAY: Duration = Duration::from_secs(30);
-/// Actions that share a hash.
-const BLOCK: usize = 32;
-const RECORDED: &str = include_str!("decisions.txt");
+const RUN_DURATION: Duration = Duration::from_secs(30);
+/// Number of actions that share a hash.
+const BLOCK_SIZE: usize = 32;
+/// Longer than any run. Added to the start time of an attempt to mark the attempt as cancelled.
+const CANCELLATION_MARK: Duration = Duration::from_secs(1_000_000);
+const RECORDED_HASHES: &str = include_str!("decisions.txt");
 
-/// SplitMix64, as published by its author.
-struct Random(u64);
+/// The SplitMix64 pseudo-random number generator.
+struct SplitMix64(u64);
 
-impl Random {
+impl SplitMix64 {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -34,56 +37,67 @@
         mixed ^ (mixed >> 31)
     }
 
+    /// Returns a number from 0 up to, but not including, `bound`.
     fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
 
+    /// Returns true with a probability of `percent`.
     fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 
-    fn millis(&mut self, from: u64, to: u64) -> Duration {
-        Duration::from_micros(from * 1000 + self.below((to - from) * 1000))
+    /// Returns a duration from `min` up to, but not including, `max` milliseconds.
+    fn duration_ms(&mut self, min: u64, max: u64) -> Duration {
+        Duration::from_micros(min * 1000 + self.below((max - min) * 1000))
     }
 }
 
-/// An event that is still to come.
-enum Upcoming {
+/// An event that the simulation has scheduled.
+enum ScheduledEvent {
     Arrival,
-    Ending { request: RequestId, attempt: u32, worker: String, sent: Duration },
-    Expiry(RequestId),
+    AttemptEnd { request: RequestId, attempt: u32, worker: String, sent_at: Duration },
+    Deadline(RequestId),
     Timer(&'static str),
-    List,
+    EndpointList,
     Forecast,
-    Loaded { worker: String, function: String, copies: u32, sent: Duration },
+    LoadEnd { worker: String, function: String, copies: u32, sent_at: Duration },
 }
 
-struct Day {
+/// Time of a scheduled event, and its sequence number.
+type EventKey = (Duration, u64);
+
+/// A run of one scheduler in simulated time.
+struct Simulation {
     seed: u64,
-    random: Random,
+    random: SplitMix64,
     scheduler: Scheduler,
-    classes: usize,
-    tenants: u32,
-    fields: usize,
+    class_count: usize,
+    tenant_count: u32,
+    report_field_count: usize,
     now: Duration,
-    /// Events planned so far.
-    planned: u64,
-    /// By time, then in the order in which they were planned.
-    upcoming: BTreeMap<(Duration, u64), Upcoming>,
-    open: BTreeSet<RequestId>,
-    attempts: BTreeMap<RequestId, u32>,
-    /// Keys of the ends of attempts that are in flight.
-    in_flight: BTreeMap<(RequestId, u32), (Duration, u64)>,
-    started: Vec<Option<Duration>>,
-    /// Attempts at each worker that may still fail in a row.
+    /// Number of events scheduled so far.
+    scheduled_count: u64,
+    /// Scheduled events by time; events with equal times are in the order in which they were scheduled.
+    queue: BTreeMap<EventKey, ScheduledEvent>,
+    /// Requests without a final response.
+    open_requests: BTreeSet<RequestId>,
+    /// Number of attempts so far, by request.
+    attempt_counts: BTreeMap<RequestId, u32>,
+    /// Scheduled end of each attempt in flight, by request and number of the attempt.
+    in_flight: BTreeMap<(RequestId, u32), EventKey>,
+    /// Latest start of each worker's process; `None`: before the run.
+    started_at: Vec<Option<Duration>>,
+    /// Number of attempts for which each worker's error rate is still raised.
     failures_left: Vec<u64>,
-    next_request: RequestId,
+    last_request: RequestId,
+    /// Formatted actions of the scheduler.
     actions: Vec<String>,
 }
 
-/// Bit `at` of the seed, which switches a setting.
-fn bit(seed: u64, at: u64) -> bool {
-    seed >> at & 1 == 1
+/// Returns a bit of the seed, which enables or disables a setting.
+fn bit(seed: u64, position: u64) -> bool {
+    seed >> position & 1 == 1
 }
 
 fn millis(count: u64) -> Duration {
@@ -100,9 +114,9 @@
         scheduler_count: Some(1 + (seed % 5) as u32),
         discovery_mode: if bit(seed, 1) { DiscoveryMode::Poll } else { DiscoveryMode::Push },
         priority_unit: if bit(seed, 2) { PriorityUnit::Work } else { PriorityUnit::Request },
-        request_classes: (0..3).map(|at| request_class(seed, at)).collect(),
+        request_classes: (0..3).map(|index| request_class(seed, index)).collect(),
         tenants: vec![tenant("a", 20.0), tenant("b", 10.0)],
-        limits: allowed(seed),
+        limits: action_limits(seed),
         rules: rules(seed),
         cache: cache_settings(seed),
         report_source: ReportSource::Responses,
@@ -112,23 +126,23 @@
     }
 }
 
-fn request_class(seed: u64, at: usize) -> RequestClass {
+fn request_class(seed: u64, index: usize) -> RequestClass {
     let idempotency_kinds =
         [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent];
     let scopes = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell];
     RequestClass {
-        name: format!("class-{at}"),
-        idempotency: idempotency_kinds[(at + seed as usize) % 3],
-        latency_objective: Some(millis(400 + 300 * at as u64)),
+        name: format!("class-{index}"),
+        idempotency: idempotency_kinds[(index + seed as usize) % 3],
+        latency_objective: Some(millis(400 + 300 * index as u64)),
         timeout: Some(millis(3000)),
-        priority_weight: Some(1.0 + at as f64),
+        priority_weight: Some(1.0 + index as f64),
         deduplication_scope: scopes[seed as usize % 3],
         deduplication_window: Some(millis(1500)),
         ..RequestClass::default()
     }
 }
 
-fn allowed(seed: u64) -> ActionLimits {
+fn action_limits(seed: u64) -> ActionLimits {
     ActionLimits {
         cancel: bit(seed, 0),
         retry_after: bit(seed, 3),
@@ -174,8 +188,8 @@
     }
 }
 
-/// Actions in a form that does not follow the names of types and fields.
-fn written(action: &Action) -> String {
+/// Formats an action without the names of types and fields, so that renaming them does not change a hash.
+fn format_action(action: &Action) -> String {
     match action {
         Action::StartAttempt { request, worker, timeout, .. } => {
             format!("send {request} {worker} {timeout:?}")
@@ -189,47 +203,48 @@
         Action::SendToPeer { to, bytes } => format!("tell {to:?} {bytes:?}"),
         Action::Load { worker, function, copies } => format!("load {worker} {function} {copies}"),
         Action::Unload { worker, function } => format!("unload {worker} {function}"),
-        Action::WatchEndpoints { enabled: on } => format!("watch {on}"),
+        Action::WatchEndpoints { enabled } => format!("watch {enabled}"),
         Action::PollEndpoints => "list".to_owned(),
         Action::Notice(notice) => format!("notice {notice:?}"),
         Action::Log { text } => format!("log {text}"),
     }
 }
 
-impl Day {
-    fn new(seed: u64) -> Day {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let settings = settings(seed);
-        let mut random = Random(seed.wrapping_mul(0x5851_f42d_4c95_7f2d));
-        Day {
+        let mut random = SplitMix64(seed.wrapping_mul(0x5851_f42d_4c95_7f2d));
+        Simulation {
             seed,
             scheduler: Scheduler::new(&settings, random.next()),
-            classes: settings.request_classes.len(),
-            tenants: settings.tenants.len() as u32,
-            fields: settings.report_fields.len(),
+            class_count: settings.request_classes.len(),
+            tenant_count: settings.tenants.len() as u32,
+            report_field_count: settings.report_fields.len(),
             random,
             now: Duration::from_secs(1),
-            planned: 0,
-            upcoming: BTreeMap::new(),
-            open: BTreeSet::new(),
-            attempts: BTreeMap::new(),
+            scheduled_count: 0,
+            queue: BTreeMap::new(),
+            open_requests: BTreeSet::new(),
+            attempt_counts: BTreeMap::new(),
             in_flight: BTreeMap::new(),
-            started: vec![None; WORKERS],
+            started_at: vec![None; WORKERS],
             failures_left: vec![0; WORKERS],
-            next_request: 0,
+            last_request: 0,
             actions: Vec::new(),
         }
     }
 
-    fn plan(&mut self, after: Duration, what: Upcoming) -> (Duration, u64) {
-        self.planned += 1;
-        let key = (self.now + after, self.planned);
-        self.upcoming.insert(key, what);
+    fn schedule(&mut self, delay: Duration, event: ScheduledEvent) -> EventKey {
+        self.scheduled_count += 1;
+        let key = (self.now + delay, self.scheduled_count);
+        self.queue.insert(key, event);
         key
     }
 
-    fn feed(&mut self, event: Event) {
+    /// Passes an event to the scheduler, and records and carries out its actions.
+    fn handle_event(&mut self, event: Event) {
         for action in self.scheduler.handle(self.now, event) {
-            self.actions.push(format!("{:?} {}", self.now, written(&action)));
+            self.actions.push(format!("{:?} {}", self.now, format_action(&action)));
             self.carry_out(action);
         }
     }
@@ -237,36 +252,43 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::StartAttempt { request, worker, timeout, .. } => {
-                let next = self.attempts.entry(request).or_insert(0);
-                let attempt = *next;
-                *next += 1;
-                let loads = self.random.chance(25);
-                let duration = if loads { self.random.millis(200, 900) } else { self.random.millis(20, 250) };
-                let after = timeout.map_or(duration, |limit| duration.min(limit));
-                let (worker, sent) = (worker.to_string(), self.now);
-                let key = self.plan(after, Upcoming::Ending { request, attempt, worker, sent });
+                let count = self.attempt_counts.entry(request).or_insert(0);
+                let attempt = *count;
+                *count += 1;
+                let waits_for_load = self.random.chance(25);
+                let duration = if waits_for_load {
+                    self.random.duration_ms(200, 900)
+                } else {
+                    self.random.duration_ms(20, 250)
+                };
+                let delay = timeout.map_or(duration, |limit| duration.min(limit));
+                let (worker, sent_at) = (worker.to_string(), self.now);
+                let key =
+                    self.schedule(delay, ScheduledEvent::AttemptEnd { request, attempt, worker, sent_at });
                 self.in_flight.insert((request, attempt), key);
             }
-            Action::Reject { request, .. } | Action::Fail { request } => drop(self.open.remove(&request)),
+            Action::Reject { request, .. } | Action::Fail { request } => {
+                self.open_requests.remove(&request);
+            }
             Action::CancelAttempt { request, attempt } => {
                 let Some(key) = self.in_flight.get(&(request, attempt)).copied() else { return };
-                if let Some(Upcoming::Ending { worker, sent, .. }) = self.upcoming.remove(&key) {
+                if let Some(ScheduledEvent::AttemptEnd { worker, sent_at, .. }) = self.queue.remove(&key) {
                     self.in_flight.remove(&(request, attempt));
-                    let after = Duration::from_micros(10);
-                    let sent = sent + Duration::from_secs(1_000_000); // marks a cancelled one
-                    self.plan(after, Upcoming::Ending { request, attempt, worker, sent });
+                    let delay = Duration::from_micros(10);
+                    let sent_at = sent_at + CANCELLATION_MARK;
+                    self.schedule(delay, ScheduledEvent::AttemptEnd { request, attempt, worker, sent_at });
                 }
             }
             Action::SetTimer { delay, name } => {
-                self.plan(delay, Upcoming::Timer(name));
+                self.schedule(delay, ScheduledEvent::Timer(name));
             }
             Action::Load { worker, function, copies } => {
-                let duration = self.random.millis(100, 700);
-                let (worker, function, sent) = (worker.to_string(), function.to_string(), self.now);
-                self.plan(duration, Upcoming::Loaded { worker, function, copies, sent });
+                let duration = self.random.duration_ms(100, 700);
+                let (worker, function, sent_at) = (worker.to_string(), function.to_string(), self.now);
+                self.schedule(duration, ScheduledEvent::LoadEnd { worker, function, copies, sent_at });
             }
             Action::WatchEndpoints { .. } | Action::PollEndpoints => {
-                self.plan(Duration::from_millis(30), Upcoming::List);
+                self.schedule(Duration::from_millis(30), ScheduledEvent::EndpointList);
             }
             Action::CheckHealth { .. }
             | Action::CloseIdleConnections { .. }
@@ -277,81 +299,85 @@
         }
     }
 
-    fn list(&mut self, form: EndpointListKind) {
-        let names: Vec<String> = (0..WORKERS).map(|at| format!("10.0.0.{at}:80")).collect();
-        if form != EndpointListKind::Snapshot && self.random.chance(40) {
-            let at = self.random.below(WORKERS as u64) as usize;
-            self.started[at] = Some(self.now);
+    /// Sends an endpoint list with random states of the workers.
+    fn send_endpoint_list(&mut self, kind: EndpointListKind) {
+        let names: Vec<String> = (0..WORKERS).map(|index| format!("10.0.0.{index}:80")).collect();
+        if kind != EndpointListKind::Snapshot && self.random.chance(40) {
+            let index = self.random.below(WORKERS as u64) as usize;
+            self.started_at[index] = Some(self.now);
         }
         let mut entries = Vec::new();
-        for (at, worker) in names.iter().enumerate() {
+        for (index, worker) in names.iter().enumerate() {
             let state = match self.random.below(12) {
-                0 if form != EndpointListKind::Snapshot => EndpointState::Draining,
-                1 if form == EndpointListKind::Changes => EndpointState::Gone,
+                0 if kind != EndpointListKind::Snapshot => EndpointState::Draining,
+                1 if kind == EndpointListKind::Changes => EndpointState::Gone,
                 _ => EndpointState::Up,
             };
-            if form == EndpointListKind::Changes && self.random.chance(70) {
+            if kind == EndpointListKind::Changes && self.random.chance(70) {
                 continue;
             }
-            let (kind, zone, cell) = (at as u32 % 2, at as u32 % 3, at as u32 / 5);
-            let started = self.started[at];
+            let number = index as u32;
             entries.push(Endpoint {
                 worker,
                 capacity_hint: None,
-                cell,
-                machine_kind: kind,
-                zone,
-                started_at: started,
+                cell: number / 5,
+                machine_kind: number % 2,
+                zone: number % 3,
+                started_at: self.started_at[index],
                 state,
             });
         }
-        if form == EndpointListKind::Failed {
+        if kind == EndpointListKind::Failed {
             entries.clear();
         }
-        self.feed(Event::EndpointList { kind: form, entries });
+        self.handle_event(Event::EndpointList { kind, entries });
     }
 
-    fn arrival(&mut self) {
-        // A burst in the middle third.
-        let busy = self.now > DAY / 3 && self.now < DAY * 2 / 3;
-        let gap = if busy { self.random.millis(1, 9) } else { self.random.millis(4, 30) };
-        self.plan(gap, Upcoming::Arrival);
-        self.next_request += 1;
-        let request = self.next_request;
+    /// Sends a request, and schedules its deadline and the arrival of the next request.
+    fn send_request(&mut self) {
+        // The rate of requests is higher in the middle third of the run.
+        let is_burst = self.now > RUN_DURATION / 3 && self.now < RUN_DURATION * 2 / 3;
+        let interval = if is_burst { self.random.duration_ms(1, 9) } else { self.random.duration_ms(4, 30) };
+        self.schedule(interval, ScheduledEvent::Arrival);
+        self.last_request += 1;
+        let request = self.last_request;
         let function = format!("f{}", self.random.below(4) * self.random.below(6));
-        let left = self.random.millis(800, 3000);
-        let arrived = Request {
+        let time_left = self.random.duration_ms(800, 3000);
+        // Every 97th request may name a class that is not configured.
+        let class_bound = self.class_count as u64 + u64::from(request.is_multiple_of(97));
+        let new_request = Request {
             id: request,
-            request_class: self.random.below(self.classes as u64 + u64::from(request.is_multiple_of(97)))
-                as u32,
-            tenant: self.random.below(u64::from(self.tenants)) as u32,
+            request_class: self.random.below(class_bound) as u32,
+            tenant: self.random.below(u64::from(self.tenant_count)) as u32,
             function: &function,
-            time_left: left,
+            time_left,
             memory_mb: (!request.is_multiple_of(3)).then_some(200.0),
             concurrency_slots: (!request.is_multiple_of(2)).then_some(1.0 + (request % 4) as f64),
             ..Request::default()
         };
-        self.open.insert(request);
-        self.plan(left, Upcoming::Expiry(request));
-        self.feed(Event::Request(arrived));
+        self.open_requests.insert(request);
+        self.schedule(time_left, ScheduledEvent::Deadline(request));
+        self.handle_event(Event::Request(new_request));
     }
 
-    fn report(&mut self) -> Vec<Option<f64>> {
-        let field = |random: &mut Random| (!random.chance(10)).then(|| random.below(1000) as f64 / 100.0);
-        (0..self.fields).map(|_| field(&mut self.random)).collect()
+    fn load_report(&mut self) -> Vec<Option<f64>> {
+        let value = |random: &mut SplitMix64| (!random.chance(10)).then(|| random.below(1000) as f64 / 100.0);
+        (0..self.report_field_count).map(|_| value(&mut self.random)).collect()
     }
 
-    fn ending(&mut self, request: RequestId, attempt: u32, worker: &str, sent: Duration) {
+    /// Ends an attempt with a random outcome. A worker sometimes fails many attempts in a row.
+    fn end_attempt(&mut self, request: RequestId, attempt: u32, worker: &str, sent_at: Duration) {
         self.in_flight.remove(&(request, attempt));
-        let cancelled = sent > self.now;
-        let at: usize = worker[7..worker.len() - 3].parse().unwrap();
+        let is_cancelled = sent_at > self.now;
+        // The index is the last number of the address: 10.0.0.INDEX:80.
+        let index: usize = worker[7..worker.len() - 3].parse().unwrap();
         if self.random.chance(1) {
-            self.failures_left[at] = self.random.below(60);
+            self.failures_left[index] = self.random.below(60);
         }
-        let is_failing = self.failures_left[at] > 0;
-        self.failures_left[at] = self.failures_left[at].saturating_sub(1);
+        let is_failing = self.failures_left[index] > 0;
+        self.failures_left[index] = self.failures_left[index].saturating_sub(1);
         let outcome = match self.random.below(if is_failing { 8 } else { 60 }) {
-            _ if cancelled => Outcome::Cancelled,
+            _ if is_cancelled => Outcome::Cancelled,
             0 => Outcome::Error,
             1 => Outcome::AtCapacity,
             2 => Outcome::TimedOut,
@@ -368,13 +394,13 @@
             3 if outcome == Outcome::CacheMiss => CacheResult::LoadFailed,
             _ => CacheResult::Warm,
         };
-        let duration = if cancelled { self.random.millis(1, 400) } else { self.now - sent };
-        let concluded = outcome == Outcome::Succeeded || !self.open.contains(&request);
+        let duration = if is_cancelled { self.random.duration_ms(1, 400) } else { self.now - sent_at };
+        let concluded = outcome == Outcome::Succeeded || !self.open_requests.contains(&request);
         if concluded {
-            self.open.remove(&request);
+            self.open_requests.remove(&request);
         }
-        let report = self.report();
-        self.feed(Event::AttemptEnded {
+        let report = self.load_report();
+        self.handle_event(Event::AttemptEnded {
             request,
             attempt,
             worker,
@@ -387,115 +413,114 @@
         });
     }
 
-    fn forecast(&mut self) {
-        self.plan(Duration::from_millis(700), Upcoming::Forecast);
+    /// Sends a forecast, and sometimes a changed number of schedulers or the scheduler's own measurements.
+    fn send_forecast(&mut self) {
+        self.schedule(Duration::from_millis(700), ScheduledEvent::Forecast);
         let function = format!("f{}", self.random.below(16));
         let forecast = UsageForecast {
             function: &function,
-            request_class: self.random.below(self.classes as u64) as u32,
-            horizon: self.random.millis(500, 9000),
+            request_class: self.random.below(self.class_count as u64) as u32,
+            horizon: self.random.duration_ms(500, 9000),
             probability: self.random.below(100) as f64 / 100.0,
             requests_per_second: self.random.chance(50).then_some(3.0),
             memory_mb: Some(200.0),
             concurrency_slots: Some(1.0),
             load_hint: self.random.chance(50).then_some(Duration::from_millis(600)),
         };
-        self.feed(Event::UsageForecast(forecast));
+        self.handle_event(Event::UsageForecast(forecast));
         match self.random.below(20) {
             0 => {
                 let schedulers = 1 + self.random.below(6) as u32;
-                self.feed(Event::SchedulerCount(schedulers));
+                self.handle_event(Event::SchedulerCount(schedulers));
             }
             1 => {
-                let before = self.scheduler.measurements.clone();
-                self.feed(Event::RestoredMeasurements(before));
+                let measurements = self.scheduler.measurements.clone();
+                self.handle_event(Event::RestoredMeasurements(measurements));
             }
             _ => {}
         }
     }
 
-    fn step(&mut self, what: Upcoming) {
-        match what {
-            Upcoming::Arrival => self.arrival(),
-            Upcoming::Ending { request, attempt, worker, sent } => {
-                self.ending(request, attempt, &worker, sent)
+    fn process(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Arrival => self.send_request(),
+            ScheduledEvent::AttemptEnd { request, attempt, worker, sent_at } => {
+                self.end_attempt(request, attempt, &worker, sent_at)
             }
-            Upcoming::Expiry(request) => {
-                if self.open.remove(&request) {
-                    self.feed(Event::RequestCancelled { request });
+            ScheduledEvent::Deadline(request) => {
+                if self.open_requests.remove(&request) {
+                    self.handle_event(Event::RequestCancelled { request });
                 }
             }
-            Upcoming::Timer(name) => self.feed(Event::Timer { name }),
-            Upcoming::List => {
-                self.plan(Duration::from_millis(2500), Upcoming::List);
-                let form = match self.random.below(6) {
+            ScheduledEvent::Timer(name) => self.handle_event(Event::Timer { name }),
+            ScheduledEvent::EndpointList => {
+                self.schedule(Duration::from_millis(2500), ScheduledEvent::EndpointList);
+                let kind = match self.random.below(6) {
                     0 => EndpointListKind::Failed,
                     1 | 2 => EndpointListKind::Full,
                     _ => EndpointListKind::Changes,
                 };
-                self.list(form);
+                self.send_endpoint_list(kind);
             }
-            Upcoming::Forecast => self.forecast(),
-            Upcoming::Loaded { worker, function, copies, sent } => {
+            ScheduledEvent::Forecast => self.send_forecast(),
+            ScheduledEvent::LoadEnd { worker, function, copies, sent_at } => {
                 let (outcome, copies) = match self.random.below(10) {
                     0 => (Outcome::Error, 0),
                     1 => (Outcome::AtCapacity, 0),
                     2 => (Outcome::Succeeded, 0),
                     _ => (Outcome::Succeeded, copies),
                 };
-                let duration = self.now - sent;
+                let duration = self.now - sent_at;
                 let (worker, function) = (&*worker, &*function);
-                self.feed(Event::LoadEnded { worker, function, outcome, duration, copies });
+                self.handle_event(Event::LoadEnded { worker, function, outcome, duration, copies });
             }
         }
     }
 
-    fn play(mut self) -> Vec<String> {
-        self.list(EndpointListKind::Snapshot);
-        self.plan(Duration::from_millis(5), Upcoming::Arrival);
-        self.plan(Duration::from_millis(1500), Upcoming::List);
-        self.plan(Duration::from_millis(2000), Upcoming::Forecast);
-        while let Some(((at, _), what)) = self.upcoming.pop_first().filter(|((at, _), _)| *at < DAY) {
-            self.now = at;
-            self.step(what);
+    /// Returns the formatted actions of the whole run.
+    fn run(mut self) -> Vec<String> {
+        self.send_endpoint_list(EndpointListKind::Snapshot);
+        self.schedule(Duration::from_millis(5), ScheduledEvent::Arrival);
+        self.schedule(Duration::from_millis(1500), ScheduledEvent::EndpointList);
+        self.schedule(Duration::from_millis(2000), ScheduledEvent::Forecast);
+        while let Some(((time, _), event)) =
+            self.queue.pop_first().filter(|((time, _), _)| *time < RUN_DURATION)
+        {
+            self.now = time;
+            self.process(event);
         }
-        assert!(
-            self.actions.len() > 1000,
-            "day {} decides little: {} actions",
-            self.seed,
-            self.actions.len()
-        );
+        assert!(self.actions.len() > 1000, "run {} has only {} actions", self.seed, self.actions.len());
         self.actions
     }
 }
 
-/// FNV-1a with 64 bits, as published.
-fn hash(lines: &[String]) -> u64 {
+/// Returns the 64-bit FNV-1a hash of the lines.
+fn fnv1a(lines: &[String]) -> u64 {
     let bytes = lines.iter().flat_map(|line| line.bytes().chain([b'\n']));
     bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
 #[test]
-fn actions_of_seeded_days_are_the_recorded_ones() {
-    let mut recorded = RECORDED.lines();
-    let mut text = String::new();
-    let record = std::env::var_os("RECORD_DECISIONS").is_some();
-    for seed in 0..DAYS {
-        let actions = Day::new(seed).play();
-        for (block, lines) in actions.chunks(BLOCK).enumerate() {
-            let line = format!("{seed} {block} {:016x}", hash(lines));
+fn actions_of_seeded_runs_match_the_recorded_hashes() {
+    let mut recorded = RECORDED_HASHES.lines();
+    let mut hashes = String::new();
+    let is_recording = std::env::var_os("RECORD_DECISIONS").is_some();
+    for seed in 0..RUNS {
+        let actions = Simulation::new(seed).run();
+        for (block, lines) in actions.chunks(BLOCK_SIZE).enumerate() {
+            let line = format!("{seed} {block} {:016x}", fnv1a(lines));
             let expected = recorded.next();
             assert!(
-                record || expected == Some(&*line),
-                "day {seed}, block {block}: decided otherwise than recorded ({expected:?}):\n{}",
+                is_recording || expected == Some(&*line),
+                "run {seed}, block {block}: hash differs from the recorded {expected:?}, actions:\n{}",
                 lines.join("\n")
             );
-            writeln!(text, "{line}").unwrap();
+            writeln!(hashes, "{line}").unwrap();
         }
     }
-    if record {
-        std::fs::write(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/decisions.txt"), text).unwrap();
+    if is_recording {
+        std::fs::write(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/decisions.txt"), hashes).unwrap();
     } else {
-        assert_eq!(recorded.next(), None, "more was recorded than is decided");
+        assert_eq!(recorded.next(), None, "decisions.txt has more lines than the runs have blocks");
     }
 }
