--- a/crates/quartzdrift-scheduler/tests/scenario_runner/expectations.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/expectations.rs
@@ -1,115 +1,142 @@
-//! Lines that expect an action, or a bound of what was done so far.
+//! Lines that expect an action, or a bound on the attempts or the table sizes.
 use super::{Result, Runner, Words};
 use quartzdrift_scheduler::interface::{Action, ActionLimits, RequestId};
 use std::time::Duration;
 
 impl Runner {
-    pub(crate) fn expectation(&mut self, words: &Words) -> Result {
+    pub(crate) fn check_expectation(&mut self, words: &Words) -> Result {
         match words.get(0).unwrap_or("") {
             "sent" => self.expect_attempt(words),
-            "sent-there" => self.expect_attempt_where_loaded(words.number(1)?),
+            "sent-there" => self.expect_attempt_at_load_worker(words.number(1)?),
             "pushed-back" => self.expect_rejection(words.number(1)?),
-            "killed" => {
-                let failed = Action::Fail { request: words.number(1)? };
-                self.expect("kill", |action| *action == failed)
-            }
-            "cancelled" => {
-                let wanted: RequestId = words.number(1)?;
-                let is_cancelled = |action: &Action| matches!(action, Action::CancelAttempt { request, .. } if *request == wanted);
-                self.expect("cancel", is_cancelled)
-            }
-            "watched" => self.expect("watch", |action| *action == Action::WatchEndpoints { enabled: true }),
+            "killed" => self.expect_failure(words.number(1)?),
+            "cancelled" => self.expect_cancellation(words.number(1)?),
+            "watched" => self.expect_watch(),
             "ordered" => self.expect_load(words.get(1).unwrap_or("f")),
-            "quiet" => self.expect_nothing(),
+            "quiet" => self.expect_no_action(),
             "places-most" => {
                 let count = self.table_size(words);
-                check(count <= words.number(2)?, || format!("{count} places are kept"))
+                check(count <= words.number(2)?, || format!("the table size is {count}"))
             }
             "places-least" => {
                 let count = self.table_size(words);
-                check(count >= words.number(2)?, || format!("{count} places are kept"))
+                check(count >= words.number(2)?, || format!("the table size is {count}"))
             }
             "loads-most" => {
-                let is_within = self.pairs.len() <= words.number(1)?;
-                check(is_within, || format!("{} pairs: {:?}", self.pairs.len(), self.pairs))
+                let is_at_most = self.attempted_pairs.len() <= words.number(1)?;
+                check(is_at_most, || {
+                    format!(
+                        "{} pairs of a function and a worker: {:?}",
+                        self.attempted_pairs.len(),
+                        self.attempted_pairs
+                    )
+                })
             }
             "loads-least" => {
-                let is_reached = self.pairs.len() >= words.number(1)?;
-                check(is_reached, || format!("{} pairs: {:?}", self.pairs.len(), self.pairs))
+                let is_at_least = self.attempted_pairs.len() >= words.number(1)?;
+                check(is_at_least, || {
+                    format!(
+                        "{} pairs of a function and a worker: {:?}",
+                        self.attempted_pairs.len(),
+                        self.attempted_pairs
+                    )
+                })
             }
             "sent-most" => {
-                let (worker, sent) = self.sent(words);
-                check(sent <= words.number(2)?, || format!("{worker} was sent {sent}"))
+                let (worker, count) = self.attempts_at_worker(words);
+                check(count <= words.number(2)?, || format!("{count} attempts were sent to worker {worker}"))
             }
             "sent-least" => {
-                let (worker, sent) = self.sent(words);
-                check(sent >= words.number(2)?, || format!("{worker} was sent {sent}"))
+                let (worker, count) = self.attempts_at_worker(words);
+                check(count >= words.number(2)?, || format!("{count} attempts were sent to worker {worker}"))
             }
-            other => Err(format!("cannot read '{other}'")),
+            other => Err(format!("unknown or incomplete line {other:?}")),
         }
     }
 
-    fn expect(&mut self, what: &str, fits: impl Fn(&Action) -> bool) -> Result {
-        self.take(what, fits).map(drop)
+    fn expect_action(&mut self, description: &str, matches: impl Fn(&Action) -> bool) -> Result {
+        self.take_action(description, matches).map(drop)
     }
 
-    /// Removes the first action that fits from those that are pending.
-    fn take(&mut self, what: &str, fits: impl Fn(&Action) -> bool) -> Result<Action> {
-        let at = self.pending.iter().position(fits);
-        let at = at.ok_or(format!("no {what} in {:?}", self.pending))?;
-        Ok(self.pending.remove(at))
+    /// Removes and returns the first pending action that matches.
+    fn take_action(&mut self, description: &str, matches: impl Fn(&Action) -> bool) -> Result<Action> {
+        let index = self.pending_actions.iter().position(matches);
+        let index = index.ok_or(format!("no {description} among the actions {:?}", self.pending_actions))?;
+        Ok(self.pending_actions.remove(index))
     }
 
     fn expect_attempt(&mut self, words: &Words) -> Result {
         let wanted: RequestId = words.number(1)?;
-        let fits = |worker: &str| match (words.get(2), words.get(3)) {
+        let is_expected_worker = |worker: &str| match (words.get(2), words.get(3)) {
             (Some("to"), Some(name)) => worker == name,
             (Some("not"), Some(name)) => worker != name,
             _ => true,
         };
-        self.expect(&words.joined(), |action| match action {
-            Action::StartAttempt { request, worker, .. } => *request == wanted && fits(worker),
+        self.expect_action(&words.joined(), |action| match action {
+            Action::StartAttempt { request, worker, .. } => *request == wanted && is_expected_worker(worker),
             _ => false,
         })
     }
 
-    fn expect_attempt_where_loaded(&mut self, wanted: RequestId) -> Result {
-        let load_worker = self.load_worker.clone();
-        self.expect("send to where it was loaded", |action| match action {
+    fn expect_attempt_at_load_worker(&mut self, wanted: RequestId) -> Result {
+        let load_worker = self.last_load_worker.clone();
+        self.expect_action("attempt at the worker of the last load command", |action| match action {
             Action::StartAttempt { request, worker, .. } => *request == wanted && **worker == *load_worker,
             _ => false,
         })
     }
 
     fn expect_rejection(&mut self, wanted: RequestId) -> Result {
-        let ActionLimits { retry_after: allows_time, max_retry_after, .. } = self.settings.limits;
-        let is_within = |time: Duration| !time.is_zero() && max_retry_after.is_none_or(|max| time <= max);
-        let fits = |time: Option<Duration>| match time {
-            Some(time) => allows_time && is_within(time),
-            None => !allows_time,
+        let ActionLimits { retry_after: allows_retry_after, max_retry_after, .. } = self.settings.limits;
+        let is_within = |delay: Duration| !delay.is_zero() && max_retry_after.is_none_or(|max| delay <= max);
+        let is_expected_delay = |retry_after: Option<Duration>| match retry_after {
+            Some(delay) => allows_retry_after && is_within(delay),
+            None => !allows_retry_after,
         };
-        self.expect("push-back, with a time to come back where settings allow", |action| match action {
-            Action::Reject { request, retry_after, .. } => *request == wanted && fits(*retry_after),
+        self.expect_action("rejection, with a retry delay if and only if the settings allow one,", |action| {
+            match action {
+                Action::Reject { request, retry_after, .. } => {
+                    *request == wanted && is_expected_delay(*retry_after)
+                }
+                _ => false,
+            }
+        })
+    }
+
+    fn expect_failure(&mut self, request: RequestId) -> Result {
+        self.expect_action("failure", |action| *action == Action::Fail { request })
+    }
+
+    fn expect_cancellation(&mut self, wanted: RequestId) -> Result {
+        self.expect_action("cancellation", |action| match action {
+            Action::CancelAttempt { request, .. } => *request == wanted,
             _ => false,
         })
     }
 
+    fn expect_watch(&mut self) -> Result {
+        self.expect_action("watch", |action| *action == Action::WatchEndpoints { enabled: true })
+    }
+
     fn expect_load(&mut self, wanted: &str) -> Result {
         let is_load = |action: &Action| match action {
             Action::Load { function, copies: 1, .. } => &**function == wanted,
             _ => false,
         };
-        if let Action::Load { worker, .. } = self.take(&format!("order to load {wanted}"), is_load)? {
-            self.load_worker = worker.to_string();
+        if let Action::Load { worker, .. } =
+            self.take_action(&format!("load command for {wanted}"), is_load)?
+        {
+            self.last_load_worker = worker.to_string();
         }
         Ok(())
     }
 
-    fn expect_nothing(&mut self) -> Result {
-        self.pending.retain(|action| !matches!(action, Action::SetTimer { .. }));
-        check(self.pending.is_empty(), || format!("not quiet: {:?}", self.pending))
+    fn expect_no_action(&mut self) -> Result {
+        self.pending_actions.retain(|action| !matches!(action, Action::SetTimer { .. }));
+        check(self.pending_actions.is_empty(), || format!("unexpected actions: {:?}", self.pending_actions))
     }
 
+    /// Returns the size of the scheduler's table that a line names.
     fn table_size(&self, words: &Words) -> usize {
         let sizes = self.scheduler.as_ref().map(|scheduler| scheduler.table_sizes()).unwrap_or_default();
         match words.get(1) {
@@ -119,13 +146,14 @@
         }
     }
 
-    /// The worker that a line names, and how many attempts were sent to it.
-    fn sent<'a>(&self, words: &Words<'a>) -> (&'a str, u32) {
+    /// Returns the worker that a line names, and the number of attempts sent to it since the last `recount`
+    /// or `restart`.
+    fn attempts_at_worker<'a>(&self, words: &Words<'a>) -> (&'a str, u32) {
         let worker = words.get(1).unwrap_or("");
-        (worker, self.sends.get(worker).copied().unwrap_or(0))
+        (worker, self.worker_attempt_counts.get(worker).copied().unwrap_or(0))
     }
 }
 
-fn check(holds: bool, error: impl FnOnce() -> String) -> Result {
-    if holds { Ok(()) } else { Err(error()) }
+fn check(is_met: bool, error: impl FnOnce() -> String) -> Result {
+    if is_met { Ok(()) } else { Err(error()) }
 }
--- a/crates/quartzdrift-scheduler/tests/scenario_runner/mod.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/mod.rs
@@ -1,4 +1,4 @@
-//! Plays the lines of a scenario; the notation is described in `scenarios.rs`.
+//! Runs the lines of a scenario; `scenarios.rs` describes the notation.
 mod attempts;
 mod expectations;
 mod runner;
@@ -9,5 +9,5 @@
 pub(crate) use runner::Runner;
 pub(crate) use words::Words;
 
-/// What is wrong with a line, or which of its expectations failed.
+/// The error describes an invalid line or an expectation that was not met.
 type Result<T = ()> = std::result::Result<T, String>;
--- a/crates/quartzdrift-scheduler/tests/scenario_runner/runner.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/runner.rs
@@ -1,4 +1,4 @@
-//! The state of a scenario, and which line is played where.
+//! State of a scenario, and the dispatch of its lines.
 use super::{Result, Words};
 use quartzdrift_scheduler::interface::{Action, Event, RequestId, Settings};
 use quartzdrift_scheduler::scheduler::Scheduler;
@@ -9,93 +9,98 @@
 const SEED: u64 = 11;
 
 /// The attempt of a request that is in flight.
-pub(crate) struct InFlight {
+pub(crate) struct InFlightAttempt {
     pub(crate) worker: String,
-    pub(crate) attempt: u32,
+    /// Number of the attempt within its request, from 0.
+    pub(crate) number: u32,
 }
 
-/// A scenario that is played, with a scheduler that the first event makes.
+/// Runs a scenario. The first event creates the scheduler.
 #[derive(Default)]
 pub(crate) struct Runner {
     pub(crate) settings: Settings,
     pub(crate) scheduler: Option<Scheduler>,
     pub(crate) now: Duration,
-    /// Actions that no line has expected yet.
-    pub(crate) pending: Vec<Action>,
-    pub(crate) in_flight: BTreeMap<RequestId, InFlight>,
-    /// Attempts of each request so far.
-    pub(crate) attempts: BTreeMap<RequestId, u32>,
-    /// Attempts at each worker so far.
-    pub(crate) sends: BTreeMap<String, u32>,
+    /// Actions that no expectation has consumed yet.
+    pub(crate) pending_actions: Vec<Action>,
+    pub(crate) in_flight: BTreeMap<RequestId, InFlightAttempt>,
+    /// Number of attempts so far, by request.
+    pub(crate) attempt_counts: BTreeMap<RequestId, u32>,
+    /// Number of attempts since the last `recount` or `restart`, by worker.
+    pub(crate) worker_attempt_counts: BTreeMap<String, u32>,
+    /// Function of each request.
     pub(crate) functions: BTreeMap<RequestId, String>,
-    /// Functions and workers that were sent them.
-    pub(crate) pairs: BTreeSet<(String, String)>,
-    pub(crate) kinds: BTreeMap<String, String>,
-    /// Worker of the last load command that was expected.
-    pub(crate) load_worker: String,
+    /// Functions and workers with an attempt since the last `recount`.
+    pub(crate) attempted_pairs: BTreeSet<(String, String)>,
+    /// Kind of machine of each worker.
+    pub(crate) machine_kinds: BTreeMap<String, String>,
+    /// Worker of the last load command that an expectation consumed.
+    pub(crate) last_load_worker: String,
 }
 
 impl Runner {
-    /// Plays a line that has words.
-    pub(crate) fn line(&mut self, words: &Words) -> Result {
+    /// Runs a line with at least one word.
+    pub(crate) fn run_line(&mut self, words: &Words) -> Result {
         match words.get(0).unwrap_or("") {
-            "set" if words.len() > 1 => self.set(words),
+            "set" if words.len() > 1 => self.apply_setting(words),
             "at" => words.duration(1).map(|now| self.now = now),
-            "list" => self.list(words),
+            "list" => self.send_endpoint_list(words),
             "confirmed" => {
                 let as_of = if words.len() > 1 { words.duration(1)? } else { self.now };
-                self.event(Event::EndpointsConfirmed { as_of })
+                self.handle_event(Event::EndpointsConfirmed { as_of })
             }
-            "disconnected" => self.event(Event::WorkerDisconnected { worker: words.get(1).unwrap_or("") }),
-            "replace" => self.replace(words),
-            "job" => self.request(words.number(1)?, words.get(2).unwrap_or("f"), words),
-            "jobs" => self.requests(words),
-            "end" if words.len() > 2 => self.end(words.number(1)?, words.from(2)),
-            "end-all" if words.len() > 1 => self.end_all(words.from(1)),
-            "tick" => self.event(Event::Timer { name: "tick" }),
-            "expire" => self.event(Event::RequestCancelled { request: words.number(1)? }),
-            "expect" => self.forecast(words),
-            "loaded" => self.loaded(words),
-            "schedulers" => self.event(Event::SchedulerCount(words.number(1)?)),
-            "restart" => self.restart(words),
+            "disconnected" => {
+                self.handle_event(Event::WorkerDisconnected { worker: words.get(1).unwrap_or("") })
+            }
+            "replace" => self.replace_workers(words),
+            "job" => self.send_request(words.number(1)?, words.get(2).unwrap_or("f"), words),
+            "jobs" => self.send_requests(words),
+            "end" if words.len() > 2 => self.end_attempt(words.number(1)?, words.from(2)),
+            "end-all" if words.len() > 1 => self.end_all_attempts(words.from(1)),
+            "tick" => self.handle_event(Event::Timer { name: "tick" }),
+            "expire" => self.handle_event(Event::RequestCancelled { request: words.number(1)? }),
+            "expect" => self.send_forecast(words),
+            "loaded" => self.end_load_command(words),
+            "schedulers" => self.handle_event(Event::SchedulerCount(words.number(1)?)),
+            "restart" => self.restart_scheduler(words),
             "forget" => {
-                self.pending.clear();
+                self.pending_actions.clear();
                 Ok(())
             }
             "recount" => {
-                self.sends.clear();
-                self.pairs.clear();
+                self.worker_attempt_counts.clear();
+                self.attempted_pairs.clear();
                 Ok(())
             }
-            _ => self.expectation(words),
+            _ => self.check_expectation(words),
         }
     }
 
-    /// Passes an event to the scheduler, and stores its actions.
-    pub(crate) fn event(&mut self, event: Event) -> Result {
+    /// Passes an event to the scheduler, and stores the resulting actions.
+    pub(crate) fn handle_event(&mut self, event: Event) -> Result {
         let scheduler = self.scheduler.get_or_insert_with(|| Scheduler::new(&self.settings, SEED));
         for action in scheduler.handle(self.now, event) {
             if let Action::StartAttempt { request, worker, .. } = &action {
-                let attempts = self.attempts.entry(*request).or_default();
-                let attempt = InFlight { worker: worker.to_string(), attempt: *attempts };
-                let before = self.in_flight.insert(*request, attempt);
-                assert!(before.is_none(), "job {request} has two executions out");
-                *attempts += 1;
-                *self.sends.entry(worker.to_string()).or_default() += 1;
+                let count = self.attempt_counts.entry(*request).or_default();
+                let attempt = InFlightAttempt { worker: worker.to_string(), number: *count };
+                let previous = self.in_flight.insert(*request, attempt);
+                assert!(previous.is_none(), "request {request} has two attempts in flight");
+                *count += 1;
+                *self.worker_attempt_counts.entry(worker.to_string()).or_default() += 1;
                 let function = self.functions.get(request);
-                self.pairs.extend(function.map(|function| (function.clone(), worker.to_string())));
+                self.attempted_pairs.extend(function.map(|function| (function.clone(), worker.to_string())));
             }
-            self.pending.push(action);
+            self.pending_actions.push(action);
         }
         Ok(())
     }
 
-    fn restart(&mut self, words: &Words) -> Result {
-        let measured = self.scheduler.take().map(|scheduler| scheduler.measurements);
-        self.sends.clear();
-        match measured {
-            Some(measured) if words.get(1) == Some("knowing") => {
-                self.event(Event::RestoredMeasurements(measured))
+    fn restart_scheduler(&mut self, words: &Words) -> Result {
+        let measurements = self.scheduler.take().map(|scheduler| scheduler.measurements);
+        self.worker_attempt_counts.clear();
+        match measurements {
+            Some(measurements) if words.get(1) == Some("knowing") => {
+                self.handle_event(Event::RestoredMeasurements(measurements))
             }
             _ => Ok(()),
         }
--- a/crates/quartzdrift-scheduler/tests/scenario_runner/settings.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/settings.rs
@@ -1,5 +1,5 @@
-//! Lines that set the scheduler's settings.
-use super::words::number;
+//! Lines that change the scheduler's settings.
+use super::words::parse_number;
 use super::{Result, Runner, Words};
 use quartzdrift_scheduler::interface::{
     CacheSettings, DeduplicationScope, DiscoveryMode, Idempotency, ReportField, RequestClass, Rules,
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 impl Runner {
-    pub(crate) fn set(&mut self, words: &Words) -> Result {
+    /// Applies a `set` line.
+    pub(crate) fn apply_setting(&mut self, words: &Words) -> Result {
         let settings = &mut self.settings;
         if settings.request_classes.is_empty() {
             let timeout = Some(Duration::from_secs(3));
@@ -16,7 +17,7 @@
         }
         let value = words.get(2).unwrap_or("");
         match words.get(1).unwrap_or("") {
-            "effect" => settings.request_classes[0].idempotency = idempotency(value)?,
+            "effect" => settings.request_classes[0].idempotency = parse_idempotency(value)?,
             "group" if value == "zone" => {
                 settings.request_classes[0].deduplication_scope = DeduplicationScope::Zone;
             }
@@ -51,24 +52,24 @@
             "report" if value == "memory" => settings.report_fields = vec![ReportField::UnreclaimableMemory],
             "report" if value == "held" => settings.report_fields = vec![ReportField::InFlight],
             "discovery" if value == "ask" => settings.discovery_mode = DiscoveryMode::Poll,
-            _ => return Err(format!("no setting: {:?}", words.from(1))),
+            _ => return Err(format!("unknown setting or value: {:?}", words.from(1))),
         }
         Ok(())
     }
 }
 
-fn idempotency(text: &str) -> Result<Idempotency> {
+fn parse_idempotency(text: &str) -> Result<Idempotency> {
     match text {
         "restartable" => Ok(Idempotency::Idempotent),
         "fingerprinted" => Ok(Idempotency::IdempotentWithKey),
         "run-once" => Ok(Idempotency::NonIdempotent),
-        _ => Err(format!("no effect: {text}")),
+        _ => Err(format!("unknown effect {text:?}, expected restartable, fingerprinted or run-once")),
     }
 }
 
 fn set_priorities(settings: &mut Settings, words: &Words) -> Result {
     for (class, word) in settings.request_classes.iter_mut().zip(words.from(2)) {
-        class.priority_weight = Some(number(word)?);
+        class.priority_weight = Some(parse_number(word)?);
     }
     Ok(())
 }
@@ -83,13 +84,13 @@
 }
 
 fn set_load_commands(settings: &mut Settings, words: &Words) -> Result {
-    settings.prices.origin_fetch = words.number_of("fetch")?.unwrap_or(0.0);
+    settings.prices.origin_fetch = words.number_value("fetch")?.unwrap_or(0.0);
     settings.cache = CacheSettings {
         load_commands: true,
-        load_quota_burst: words.number_of("free")?,
-        load_quota_share: words.number_of("share")?,
-        load_quota_window: words.duration_of("window")?,
-        idle_memory_price: words.number_of("memory")?,
+        load_quota_burst: words.number_value("free")?,
+        load_quota_share: words.number_value("share")?,
+        load_quota_window: words.duration_value("window")?,
+        idle_memory_price: words.number_value("memory")?,
         memory_mb_by_kind: vec![1000.0],
         ..settings.cache.clone()
     };
--- a/crates/quartzdrift-scheduler/tests/scenario_runner/words.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/words.rs
@@ -1,13 +1,13 @@
-//! The words of a line, and the values that are read from them.
+//! The words of a scenario's line, and the parsing of their values.
 use super::Result;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The words of a line; the first says what the line is.
+/// The words of a line. The first word is the line's keyword.
 pub(crate) struct Words<'a>(Vec<&'a str>);
 
 impl<'a> Words<'a> {
-    /// The words of a line before its remark.
+    /// Returns the words of a line before its comment.
     pub(crate) fn of_line(line: &'a str) -> Words<'a> {
         let text = line.split('#').next().unwrap_or("");
         Words(text.split_whitespace().collect())
@@ -25,7 +25,7 @@
         self.0.get(index).copied()
     }
 
-    /// The words from `index` on, perhaps none.
+    /// Returns the words from `index` on; empty if the line has no more words.
     pub(crate) fn from(&self, index: usize) -> &[&'a str] {
         self.0.get(index..).unwrap_or_default()
     }
@@ -35,38 +35,38 @@
     }
 
     pub(crate) fn number<T: FromStr>(&self, index: usize) -> Result<T> {
-        let word = self.get(index);
-        word.and_then(|word| word.parse().ok()).ok_or(format!("no number: {word:?}"))
+        parse_number(self.get(index).unwrap_or(""))
     }
 
     pub(crate) fn duration(&self, index: usize) -> Result<Duration> {
-        duration(self.get(index).unwrap_or(""))
+        parse_duration(self.get(index).unwrap_or(""))
     }
 
-    /// The value of a word such as `customer=1`.
+    /// Returns the value of a word `KEY=VALUE`; `None`: the line has no such word.
     pub(crate) fn value(&self, key: &str) -> Option<&'a str> {
         self.0.iter().find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
     }
 
-    pub(crate) fn number_of<T: FromStr>(&self, key: &str) -> Result<Option<T>> {
-        self.value(key).map(number).transpose()
+    pub(crate) fn number_value<T: FromStr>(&self, key: &str) -> Result<Option<T>> {
+        self.value(key).map(parse_number).transpose()
     }
 
-    pub(crate) fn duration_of(&self, key: &str) -> Result<Option<Duration>> {
-        self.value(key).map(duration).transpose()
+    pub(crate) fn duration_value(&self, key: &str) -> Result<Option<Duration>> {
+        self.value(key).map(parse_duration).transpose()
     }
 }
 
-pub(crate) fn number<T: FromStr>(text: &str) -> Result<T> {
-    text.parse().map_err(|_| format!("no number: {text:?}"))
+pub(crate) fn parse_number<T: FromStr>(text: &str) -> Result<T> {
+    text.parse().map_err(|_| format!("{text:?} is not a number of the expected type"))
 }
 
-pub(crate) fn duration(text: &str) -> Result<Duration> {
+/// Parses a duration such as `100ms` or `1.5s`.
+pub(crate) fn parse_duration(text: &str) -> Result<Duration> {
     let (count, unit) = text.split_at(text.find(|c: char| c.is_alphabetic()).unwrap_or(text.len()));
-    let count: f64 = count.parse().map_err(|_| format!("no time: {text}"))?;
+    let count: f64 = count.parse().map_err(|_| format!("duration {text:?} does not start with a number"))?;
     match unit {
         "s" => Ok(Duration::from_secs_f64(count)),
         "ms" => Ok(Duration::from_secs_f64(count / 1000.0)),
-        _ => Err(format!("no unit of time: {text}")),
+        _ => Err(format!("duration {text:?} has the unit {unit:?}, expected s or ms")),
     }
 }
