--- a/crates/quartzdrift-scheduler/tests/scenario_runner/expectations.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/expectations.rs
@@ -15,40 +15,28 @@
             "ordered" => self.expect_load(words.get(1).unwrap_or("f")),
             "quiet" => self.expect_no_action(),
             "places-most" => {
-                let count = self.table_size(words);
-                check(count <= words.number(2)?, || format!("the table size is {count}"))
+                let size = self.table_size(words);
+                check_bound(words, size <= words.number(2)?, || format!("a table size of {size}"))
             }
             "places-least" => {
-                let count = self.table_size(words);
-                check(count >= words.number(2)?, || format!("the table size is {count}"))
+                let size = self.table_size(words);
+                check_bound(words, size >= words.number(2)?, || format!("a table size of {size}"))
             }
             "loads-most" => {
-                let is_at_most = self.attempted_pairs.len() <= words.number(1)?;
-                check(is_at_most, || {
-                    format!(
-                        "{} pairs of a function and a worker: {:?}",
-                        self.attempted_pairs.len(),
-                        self.attempted_pairs
-                    )
-                })
+                let is_met = self.attempted_pairs.len() <= words.number(1)?;
+                check_bound(words, is_met, || format!("the pairs {:?}", self.attempted_pairs))
             }
             "loads-least" => {
-                let is_at_least = self.attempted_pairs.len() >= words.number(1)?;
-                check(is_at_least, || {
-                    format!(
-                        "{} pairs of a function and a worker: {:?}",
-                        self.attempted_pairs.len(),
-                        self.attempted_pairs
-                    )
-                })
+                let is_met = self.attempted_pairs.len() >= words.number(1)?;
+                check_bound(words, is_met, || format!("the pairs {:?}", self.attempted_pairs))
             }
             "sent-most" => {
-                let (worker, count) = self.attempts_at_worker(words);
-                check(count <= words.number(2)?, || format!("{count} attempts were sent to worker {worker}"))
+                let count = self.attempts_at_worker(words);
+                check_bound(words, count <= words.number(2)?, || format!("{count} attempts"))
             }
             "sent-least" => {
-                let (worker, count) = self.attempts_at_worker(words);
-                check(count >= words.number(2)?, || format!("{count} attempts were sent to worker {worker}"))
+                let count = self.attempts_at_worker(words);
+                check_bound(words, count >= words.number(2)?, || format!("{count} attempts"))
             }
             other => Err(format!("unknown or incomplete line {other:?}")),
         }
@@ -133,7 +121,11 @@
 
     fn expect_no_action(&mut self) -> Result {
         self.pending_actions.retain(|action| !matches!(action, Action::SetTimer { .. }));
-        check(self.pending_actions.is_empty(), || format!("unexpected actions: {:?}", self.pending_actions))
+        if self.pending_actions.is_empty() {
+            Ok(())
+        } else {
+            Err(format!("unexpected actions: {:?}", self.pending_actions))
+        }
     }
 
     /// Returns the size of the scheduler's table that a line names.
@@ -146,14 +138,13 @@
         }
     }
 
-    /// Returns the worker that a line names, and the number of attempts sent to it since the last `recount`
-    /// or `restart`.
-    fn attempts_at_worker<'a>(&self, words: &Words<'a>) -> (&'a str, u32) {
+    /// Returns the number of attempts at the worker that a line names, since the last `recount` or `restart`.
+    fn attempts_at_worker(&self, words: &Words) -> u32 {
         let worker = words.get(1).unwrap_or("");
-        (worker, self.worker_attempt_counts.get(worker).copied().unwrap_or(0))
+        self.worker_attempt_counts.get(worker).copied().unwrap_or(0)
     }
 }
 
-fn check(is_met: bool, error: impl FnOnce() -> String) -> Result {
-    if is_met { Ok(()) } else { Err(error()) }
+fn check_bound(words: &Words, is_met: bool, actual: impl FnOnce() -> String) -> Result {
+    if is_met { Ok(()) } else { Err(format!("expected '{}', found {}", words.joined(), actual())) }
 }
--- a/crates/quartzdrift-scheduler/tests/scenarios.rs
+++ b/crates/quartzdrift-scheduler/tests/scenarios.rs
@@ -4,7 +4,8 @@
 //! an attempt an execution, a request class a workload, a tenant a customer, and a load command an order.
 //!
 //! Settings apply to the scheduler that the next event creates: the first event of a file, or the first one
-//! after `restart`. The settings of requests apply to the first request class, except `importance`.
+//! after `restart`. The first `set` line adds the first request class; without one, every request is
+//! rejected. The settings of requests apply to the first request class, except `importance`.
 //!
 //!     set effect run-once         idempotency: `restartable` (idempotent), `fingerprinted` (idempotent with
 //!                                 key) or `run-once` (non-idempotent)
