--- a/crates/quartzdrift-recovery/src/restore_policy/tests.rs
+++ b/crates/quartzdrift-recovery/src/restore_policy/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn state_lost_with_power_is_discarded_and_an_older_store_is_doubted() {
+fn a_power_loss_discards_idempotency_keys_and_an_older_store_is_restored_partly() {
     let within_start = RestartClassification {
         disk: DiskState::Stale,
         answered: 1,
@@ -24,8 +24,8 @@
         ..classification(RestartKind::MassFailure)
     };
     assert!(
-        waiting_may_have_run(&within_start, Some(4)),
-        "a copy made within the same start"
+        waiting_requests_may_have_run(&within_start, Some(4)),
+        "the store is a copy made during the same start"
     );
     for kind in [
         RestartKind::FirstStart,
@@ -43,7 +43,7 @@
             (!is_mass_failure, true)
         );
         for (store, is_doubted) in [(None, false), (Some(3), true), (Some(4), false), (Some(5), false)] {
-            assert_eq!(waiting_may_have_run(&classification, store), is_doubted);
+            assert_eq!(waiting_requests_may_have_run(&classification, store), is_doubted);
             check_decisions(&classification, store, is_doubted);
         }
     }
--- a/crates/quartzdrift-recovery/src/view/tests.rs
+++ b/crates/quartzdrift-recovery/src/view/tests.rs
@@ -3,7 +3,7 @@
 use crate::evidence::DiskState;
 use crate::restore_policy::restore_decisions;
 
-fn view() -> View {
+fn view() -> RecoveryView {
     let classification = RestartClassification {
         kind: RestartKind::MassFailure,
         disk: DiskState::Stale,
@@ -14,7 +14,7 @@
         latest_start: 4,
         later_checkpoint_known: true,
     };
-    View {
+    RecoveryView {
         starts: 5,
         phase: RecoveryPhase::Backlog,
         phase_seconds: 6,
@@ -31,7 +31,7 @@
     }
 }
 
-/// As the release of 2026-12-02 prints it.
+/// The table as the release of 2026-12-02 prints it.
 const RECORDED_TABLE: &str = "\
 stage backlog for 6 s, start 5, up 7 s
 loss of many: 3 others answered, 2 of them ended with us, 1 did not answer; disk Old
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -224,12 +224,12 @@
         let streaming = may_stream
             .then(|| self.calls.streaming_attempt(request))
             .flatten();
-        self.request_table.client_gone(self.now(), request);
+        self.request_table.client_disconnected(self.now(), request);
         self.carry_out();
         if let Some(attempt) = streaming {
             // Nobody reads the rest, and no deadline would end it.
             self.cancel_attempt(request, attempt);
-            let result = AttemptResult::silent(Outcome::Cancelled);
+            let result = AttemptResult::without_response(Outcome::Cancelled);
             self.request_table
                 .attempt_ended(self.now(), request, attempt, result);
             self.carry_out();
@@ -265,7 +265,7 @@
     function: &Function,
     name: Rc<str>,
     tenant: u32,
-    left: Duration,
+    time_left: Duration,
     is_retry: bool,
     payload: Rc<RequestContext>,
 ) -> NewRequest<Rc<RequestContext>> {
@@ -273,13 +273,13 @@
         request_class: function.request_class,
         tenant,
         function: name,
-        left,
+        time_left,
         work_hint: function.work,
         memory_mb: function.memory_mb,
         concurrency_slots: function.concurrency_slots,
         load_hint: function.load,
         is_retry,
-        writes: function.writes,
+        has_side_effects: function.writes,
         payload,
     }
 }
--- a/crates/quartzdrift/src/gateway/discovery.rs
+++ b/crates/quartzdrift/src/gateway/discovery.rs
@@ -1,10 +1,10 @@
 //! Where the endpoint list comes from: polled at intervals, and pushed over server-sent events.
 use super::{CallPurpose, Gateway};
 use crate::settings::Settings;
+use quartzdrift_discovery::event_stream::{EventReader, ServerSentEvent};
 use quartzdrift_discovery::list::ListError;
-use quartzdrift_discovery::stream::{EventReader, ServerSentEvent};
 use quartzdrift_discovery::{DiscoveredEndpoint, ListDecision, list};
-use quartzdrift_http::{CallId, Headers, Outgoing};
+use quartzdrift_http::{CallId, Headers, OutgoingRequest};
 use quartzdrift_scheduler::interface::{DiscoveryMode, EndpointListKind};
 use std::rc::Rc;
 use std::time::Duration;
@@ -222,13 +222,13 @@
 
     fn call_source(&mut self, accept: &str, streams: bool, purpose: CallPurpose) -> Option<CallId> {
         let discovery = self.settings.discovery.as_ref()?;
-        let request = Outgoing {
+        let request = OutgoingRequest {
             method: "GET",
             target: discovery.target.clone(),
             headers: Headers::new().with("accept", accept),
             body: Rc::from([]),
             connect_timeout: discovery.timeout,
-            streams,
+            streams_response: streams,
         };
         let call = self.http.call(discovery.address, request);
         self.calls.insert(call, purpose);
@@ -284,7 +284,7 @@
                 self.discovery.last_full = workers;
                 Acceptance::Accepted
             }
-            ListDecision::NamedOnly { workers, reason } => {
+            ListDecision::Partial { workers, reason } => {
                 tracing::warn!(why = reason.to_string(), "a list of workers is doubted");
                 self.update_endpoints(EndpointListKind::Changes, &workers);
                 self.discovery.last_full.clear();
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -3,7 +3,7 @@
 use super::calls::{AttemptCall, CallPurpose};
 use super::{Gateway, RequestContext};
 use quartzdrift_discovery::list;
-use quartzdrift_http::{Headers, Outgoing};
+use quartzdrift_http::{Headers, OutgoingRequest};
 use quartzdrift_invoke::{models, request};
 use quartzdrift_lifecycle::AttemptResult;
 use quartzdrift_scheduler::interface::{Outcome, RequestId};
@@ -29,8 +29,8 @@
             return self.request_table.attempt_recalled(now, request, attempt);
         }
         self.counts.attempts += 1;
-        let Ok(address) = list::address(&worker) else {
-            let result = AttemptResult::silent(NOT_AN_ADDRESS);
+        let Ok(address) = list::parse_address(&worker) else {
+            let result = AttemptResult::without_response(NOT_AN_ADDRESS);
             return self
                 .request_table
                 .attempt_ended(self.now(), request, attempt, result);
@@ -42,7 +42,7 @@
             // A connection that comes up later would carry the attempt too late.
             outgoing.connect_timeout = outgoing.connect_timeout.min(send_by - now);
         }
-        outgoing.streams = context.streaming_client().is_some();
+        outgoing.streams_response = context.streaming_client().is_some();
         let call = self.http.call(address, outgoing);
         tracing::trace!(request, attempt, %worker, %function, "attempt sent");
         let attempt_call = AttemptCall {
@@ -78,7 +78,7 @@
     }
 
     pub(super) fn unload(&mut self, worker: &str, function: &str) {
-        let Ok(address) = list::address(worker) else {
+        let Ok(address) = list::parse_address(worker) else {
             return;
         };
         let headers = Headers::new().with("content-type", "application/json");
@@ -89,13 +89,13 @@
     }
 
     pub(super) fn close_idle(&mut self, worker: &str) {
-        if let Ok(address) = list::address(worker) {
-            self.http.close_idle(address);
+        if let Ok(address) = list::parse_address(worker) {
+            self.http.close_idle_connections(address);
         }
     }
 
-    fn send_command(&mut self, worker: &str, outgoing: Outgoing, command: u64, purpose: CallPurpose) {
-        let Ok(address) = list::address(worker) else {
+    fn send_command(&mut self, worker: &str, outgoing: OutgoingRequest, command: u64, purpose: CallPurpose) {
+        let Ok(address) = list::parse_address(worker) else {
             return self
                 .request_table
                 .command_ended(self.now(), command, NOT_AN_ADDRESS, 0, Vec::new());
@@ -111,17 +111,17 @@
         target: String,
         mut headers: Headers,
         body: Rc<[u8]>,
-    ) -> Outgoing {
+    ) -> OutgoingRequest {
         if let Some(me) = self.settings.scheduler.scheduler_number {
             headers.push("x-quartzdrift-scheduler", &me.to_string());
         }
-        Outgoing {
+        OutgoingRequest {
             method,
             target,
             headers,
             body,
             connect_timeout: self.settings.connect_timeout,
-            streams: false,
+            streams_response: false,
         }
     }
 }
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -1,6 +1,6 @@
-//! Admits clients' requests: their fields are checked, they are submitted to the request table, and abandoned where the client
-//! has left.
-use super::client_connection::client;
+//! Admits clients' requests: checks their fields, submits them to the request table, and abandons those whose
+//! client has disconnected.
+use super::client_connection::find_client;
 use super::{Node, RequestContext};
 use quartzdrift_fastcgi::Params;
 use quartzdrift_http::sockets::SocketId;
@@ -10,14 +10,20 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A scheduler that has not heard the coordinator since its start says for so long that it is not ready: it can send to no worker
-/// yet, and clients are served better by others. After that it says that it is, as a longer start would count as a failed one.
+/// Longest time after the start for which a scheduler reports that it is not ready because the coordinator
+/// has not confirmed the list of workers. Until then it can send to no worker, and other schedulers serve
+/// clients better. After that it reports that it is ready, since the platform counts a longer start as
+/// failed.
 const MAX_UNREADY_START: Duration = Duration::from_secs(5);
-/// Told to clients for whom there is no room at all.
+/// Retry delay that clients receive when the request table is full.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// A parameter that may be left out, but not be given as something that is no text, or twice.
-fn optional<'a>(params: &'a Params, name: &str, invalid: FieldError) -> Result<Option<&'a str>, FieldError> {
+/// Reads an optional parameter: `None` if it is missing, and an error if it is not text or given twice.
+fn optional_param<'a>(
+    params: &'a Params,
+    name: &str,
+    invalid: FieldError,
+) -> Result<Option<&'a str>, FieldError> {
     let is_given = params.iter().any(|(given, _)| given == name.as_bytes());
     if !is_given {
         return Ok(None);
@@ -25,24 +31,25 @@
     params.text(name).map(Some).ok_or(invalid)
 }
 
-fn fields(params: &Params, body: usize) -> Result<RequestFields<'_>, FieldError> {
+/// Collects the fields of a request from its parameters. `body` is the length of the body in bytes.
+fn collect_fields(params: &Params, body: usize) -> Result<RequestFields<'_>, FieldError> {
     Ok(RequestFields {
         path: params.text("SCRIPT_NAME"),
         id: params.text("HTTP_X_REQUEST_ID"),
-        time: params.text("HTTP_X_TIMEOUT_MS"),
+        timeout_ms: params.text("HTTP_X_TIMEOUT_MS"),
         function: params.text("HTTP_X_OBJECT"),
-        idempotency_key: optional(params, "HTTP_IDEMPOTENCY_KEY", FieldError::IdempotencyKey)?,
-        tenant: optional(params, "HTTP_X_TENANT", FieldError::Tenant)?,
-        resource_hints: optional(params, "HTTP_X_SPEC", FieldError::ResourceHints)?,
-        length: optional(params, "CONTENT_LENGTH", FieldError::Length)?,
-        body,
+        idempotency_key: optional_param(params, "HTTP_IDEMPOTENCY_KEY", FieldError::IdempotencyKey)?,
+        tenant: optional_param(params, "HTTP_X_TENANT", FieldError::Tenant)?,
+        resource_hints: optional_param(params, "HTTP_X_SPEC", FieldError::ResourceHints)?,
+        content_length: optional_param(params, "CONTENT_LENGTH", FieldError::Length)?,
+        body_bytes: body,
     })
 }
 
 impl Node {
-    /// Works a whole request of a client: a readiness check is answered, anything else is admitted or refused. `arrived`: when it
-    /// may have come; its time has run since.
-    pub(super) fn request(
+    /// Handles a complete request: answers a readiness check, and admits or refuses any other request.
+    /// `arrived` is the earliest time at which the request may have arrived, from which its deadline counts.
+    pub(super) fn handle_request(
         &mut self,
         client: SocketId,
         request_id: u16,
@@ -53,7 +60,7 @@
         if params.get("SCRIPT_NAME") == Some(b"/check") {
             return self.respond_to_check(client, request_id);
         }
-        let request = fields(params, body.len())
+        let request = collect_fields(params, body.len())
             .and_then(|fields| request_fields::read(&fields, &self.config.settings));
         match request {
             Ok(request) => self.admit(client, request_id, &request, body, arrived),
@@ -84,11 +91,11 @@
         body: Vec<u8>,
         arrived: Instant,
     ) {
-        if let Some(&other) = self.open.get(&request.id) {
-            return self.reject_duplicate_id(socket, request_id, other);
+        if let Some(&open_request) = self.open_by_client_id.get(&request.id) {
+            return self.reject_duplicate_id(socket, request_id, open_request);
         }
         let context = RequestContext {
-            id: request.id,
+            client_request_id: request.id,
             client: socket,
             request_id,
             request_class: request.request_class,
@@ -97,15 +104,15 @@
         };
         let now = self.now();
         let deadline = self.clock.at(arrived) + request.time_remaining;
-        let left = deadline.saturating_sub(now);
+        let time_remaining = deadline.saturating_sub(now);
         match self
             .request_table
-            .submit(now, new_request(request, left, context))
+            .submit(now, new_request(request, time_remaining, context))
         {
             Ok(submitted) => {
                 self.counts.taken += 1;
-                self.open.insert(request.id, submitted);
-                if let Some(client) = client(&mut self.sockets, socket) {
+                self.open_by_client_id.insert(request.id, submitted);
+                if let Some(client) = find_client(&mut self.sockets, socket) {
                     client.requests.insert(request_id, submitted);
                 }
                 self.carry_out();
@@ -114,40 +121,41 @@
         }
     }
 
-    /// Refuses a request under the id of an open one: workers would take the one for the other. Where both came over one
-    /// connection, neither can be trusted.
-    fn reject_duplicate_id(&mut self, id: SocketId, request_id: u16, other: RequestId) {
+    /// Refuses a request with the id of another open request, since workers could not tell the two apart. If
+    /// both arrived on the same connection, the open one is abandoned and answered with an error too.
+    fn reject_duplicate_id(&mut self, socket: SocketId, request_id: u16, open_request: RequestId) {
         self.counts.invalid += 1;
-        self.respond(id, request_id, 409, "this id is open", None);
-        let Some(client) = client(&mut self.sockets, id) else {
+        self.respond(socket, request_id, 409, "this id is open", None);
+        let Some(client) = find_client(&mut self.sockets, socket) else {
             return;
         };
-        let first = client
+        let open_request_id = client
             .requests
             .iter()
-            .find(|(_, request)| **request == other)
+            .find(|(_, request)| **request == open_request)
             .map(|(request_id, _)| *request_id);
-        if let Some(first) = first {
-            client.requests.remove(&first);
-            self.abandon_request(other);
-            self.respond(id, first, 409, "this id came twice", None);
+        if let Some(open_request_id) = open_request_id {
+            client.requests.remove(&open_request_id);
+            self.abandon_request(open_request);
+            self.respond(socket, open_request_id, 409, "this id came twice", None);
         }
     }
 
-    /// Nobody waits for a request any more. Attempts that have not left are recalled whatever the settings say, so that
-    /// nothing of them reaches a worker from now on; those that are in flight are cancelled where the settings allow it.
+    /// Abandons a request for which no client waits any more. Unsent attempts are recalled regardless of the
+    /// settings, so that they never reach a worker; attempts in flight are cancelled if the settings allow
+    /// it.
     pub(super) fn abandon_request(&mut self, request: RequestId) {
         let now = self.now();
         let may_cancel = self.config.settings.limits.cancel;
         let attempts: Vec<u32> = self.request_table.attempts_of(request).collect();
-        self.request_table.client_gone(now, request);
+        self.request_table.client_disconnected(now, request);
         self.carry_out();
         for attempt in attempts {
             if self.recall_unsent(request, attempt) {
                 self.request_table.attempt_recalled(now, request, attempt);
             } else if may_cancel {
                 self.cancel_attempt(request, attempt);
-                let result = AttemptResult::silent(Outcome::Cancelled);
+                let result = AttemptResult::without_response(Outcome::Cancelled);
                 self.request_table.attempt_ended(now, request, attempt, result);
             }
         }
@@ -157,20 +165,20 @@
 
 fn new_request(
     request: &PlatformRequest<'_>,
-    left: Duration,
+    time_remaining: Duration,
     context: RequestContext,
 ) -> NewRequest<Rc<RequestContext>> {
     NewRequest {
         request_class: request.request_class,
         tenant: request.tenant,
         function: request.function.into(),
-        left,
-        work_hint: request.work,
+        time_left: time_remaining,
+        work_hint: request.work_hint,
         memory_mb: request.memory_mb,
         concurrency_slots: request.concurrency_slots,
-        load_hint: request.load,
+        load_hint: request.load_hint,
         is_retry: false,
-        writes: false,
+        has_side_effects: false,
         payload: Rc::new(context),
     }
 }
