--- a/crates/quartzdrift-lab/src/simulation/faults.rs
+++ b/crates/quartzdrift-lab/src/simulation/faults.rs
@@ -23,6 +23,7 @@
         }
     }
 
+    /// Applies a fault; `worker_spec` is used to start a worker, `seed` to start a scheduler.
     pub(super) fn apply_fault(&mut self, fault: &Fault, worker_spec: &WorkerSpec, seed: u64) {
         match *fault {
             Fault::Crash(w) => {
--- a/crates/quartzdrift-lab/src/switch.rs
+++ b/crates/quartzdrift-lab/src/switch.rs
@@ -53,7 +53,7 @@
     ))
 }
 
-/// Faults of the links, and with that of all datagrams between members.
+/// Faults that the switch applies to the datagrams between members.
 #[derive(Clone, Debug, Default)]
 pub struct LinkFaults {
     /// Directions, from member to member by index, in which no datagram is forwarded.
