--- a/crates/quartzdrift-lab/src/naive.rs
+++ b/crates/quartzdrift-lab/src/naive.rs
@@ -144,7 +144,7 @@
                 request: Ok(request),
             } => self.request(exchange, request),
             HttpEvent::Response { call, response } if self.list == Some(call) => {
-                let list = list::read(&response.body, &self.settings.known).unwrap_or_default();
+                let list = list::read(&response.body, &self.settings.configured_names).unwrap_or_default();
                 self.workers = list
                     .workers
                     .iter()
--- a/crates/quartzdrift-lab/src/traffic.rs
+++ b/crates/quartzdrift-lab/src/traffic.rs
@@ -145,7 +145,7 @@
 
 /// Writes a trace; a name that ends in `.gz` is compressed.
 pub fn write(path: &Path, arrivals: &[Arrival]) -> io::Result<()> {
-    let mut out = quartzdrift::record::create(path)?;
+    let mut out = quartzdrift::request_trace::create_file(path)?;
     for arrival in arrivals {
         writeln!(out, "{}", serde_json::to_string(arrival)?)?;
     }
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -1,6 +1,6 @@
 //! A gateway process and fake workers on loopback: the hard cases, seen from the sockets.
 use quartzdrift::gateway::fleet::View;
-use quartzdrift::invoke::{Invoke, invoke};
+use quartzdrift::invoke::{InvokeRequest, invoke};
 use quartzdrift::snapshots;
 use quartzdrift_discovery::DiscoveredEndpoint;
 use quartzdrift_http::Response;
@@ -86,8 +86,8 @@
     fn call(&self, function: &str, payload: &str, asynchronous: bool) -> Response {
         let (to, function, payload) = (self.at, function.to_owned(), payload.as_bytes().to_vec());
         let timeout = Duration::from_secs(15);
-        invoke(&Invoke {
-            to,
+        invoke(&InvokeRequest {
+            gateway: to,
             function,
             payload,
             asynchronous,
@@ -885,8 +885,8 @@
             while !stop.load(std::sync::atomic::Ordering::Relaxed) {
                 let timeout = Duration::from_secs(15);
                 let payload = b"{\"work_ms\":2}".to_vec();
-                let call = Invoke {
-                    to: at,
+                let call = InvokeRequest {
+                    gateway: at,
                     function: "echo".to_owned(),
                     payload,
                     asynchronous: false,
@@ -1074,8 +1074,8 @@
     let payload = format!("{{\"key\":\"{mark}\"}}").into_bytes();
     let (function, idempotency_key) = ("stamp".to_owned(), Some(mark.to_owned()));
     let timeout = Duration::from_secs(15);
-    invoke(&Invoke {
-        to: gateway.at,
+    invoke(&InvokeRequest {
+        gateway: gateway.at,
         function,
         payload,
         asynchronous: false,
--- a/crates/quartzdrift/src/attempts.rs
+++ b/crates/quartzdrift/src/attempts.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether a byte of an attempt may have been sent. True of attempts that are not known here.
-    pub(crate) fn has_left(
+    pub(crate) fn may_have_been_sent(
         &self,
         request: RequestId,
         attempt: u32,
--- a/crates/quartzdrift/src/attempts/tests.rs
+++ b/crates/quartzdrift/src/attempts/tests.rs
@@ -6,8 +6,8 @@
     attempts.insert(7, 0, "sent");
     attempts.insert(7, 1, "unsent");
     let is_unsent = |carrier: &str| carrier == "unsent";
-    assert!(attempts.has_left(7, 0, is_unsent));
-    assert!(!attempts.has_left(7, 1, is_unsent));
+    assert!(attempts.may_have_been_sent(7, 0, is_unsent));
+    assert!(!attempts.may_have_been_sent(7, 1, is_unsent));
     assert_eq!(attempts.get(7, 1), Some("unsent"));
 }
 
@@ -17,5 +17,5 @@
     attempts.insert(7, 0, "unsent");
     assert_eq!(attempts.remove(7, 0), Some("unsent"));
     assert_eq!(attempts.remove(7, 0), None);
-    assert!(attempts.has_left(7, 0, |_| true));
+    assert!(attempts.may_have_been_sent(7, 0, |_| true));
 }
--- a/crates/quartzdrift/src/clock.rs
+++ b/crates/quartzdrift/src/clock.rs
@@ -92,16 +92,16 @@
 
     /// Time since 1970.
     pub fn now(&self) -> Duration {
-        self.at(Instant::now())
+        self.time_at(Instant::now())
     }
 
     /// Time since 1970 at a moment.
-    pub fn at(&self, moment: Instant) -> Duration {
+    pub fn time_at(&self, moment: Instant) -> Duration {
         self.epoch + moment.saturating_duration_since(self.zero)
     }
 
     /// How long an event loop may sleep: until the first of what is `due` by this clock, and of the `sockets`' deadlines.
-    pub fn until(
+    pub fn time_until_next(
         &self,
         due: impl IntoIterator<Item = Option<Duration>>,
         sockets: impl IntoIterator<Item = Option<Instant>>,
--- a/crates/quartzdrift/src/commands/invoke.rs
+++ b/crates/quartzdrift/src/commands/invoke.rs
@@ -1,7 +1,7 @@
 //! `invoke`: one call of a function through a gateway, with an exit code for each kind of response.
 use super::arguments::InvokeArguments;
 use super::outcome::fail;
-use quartzdrift::invoke::{Invoke, invoke as call};
+use quartzdrift::invoke::{InvokeRequest, invoke as call};
 use quartzdrift_discovery::list;
 use quartzdrift_http::Response;
 use std::io::{self, Read, Write};
@@ -24,8 +24,8 @@
         Ok(payload) => payload,
         Err(error) => return fail(format_args!("the payload cannot be read: {error}")),
     };
-    let request = Invoke {
-        to: address,
+    let request = InvokeRequest {
+        gateway: address,
         function: arguments.function,
         payload,
         asynchronous: arguments.event,
--- a/crates/quartzdrift/src/commands/views.rs
+++ b/crates/quartzdrift/src/commands/views.rs
@@ -17,7 +17,7 @@
 /// Prints the state of the recovery, or, if forced, has the running gateway go to full service.
 pub(crate) fn recovery(file: &Path, force: bool) -> ExitCode {
     with_settings(file, |settings| {
-        let Some(folder) = &settings.state else {
+        let Some(folder) = &settings.state_folder else {
             return fail("the settings need gateway.state, where the gateway tells how it starts");
         };
         if force {
@@ -29,7 +29,7 @@
 }
 
 fn print_members(settings: &Settings) -> ExitCode {
-    let (Some(folder), Some(_)) = (&settings.state, &settings.fleet) else {
+    let (Some(folder), Some(_)) = (&settings.state_folder, &settings.fleet) else {
         return fail("the settings need [fleet] and gateway.state, where the gateway tells what it sees");
     };
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/quartzdrift/src/gateway/call_events.rs
+++ b/crates/quartzdrift/src/gateway/call_events.rs
@@ -179,7 +179,7 @@
 
     /// The metrics of a load report that the settings name, in their order.
     fn metrics(&self, report: &LoadReport) -> Vec<Option<f64>> {
-        let names = &self.settings.metrics;
+        let names = &self.settings.report_metrics;
         names.iter().map(|name| report.get(name)).collect()
     }
 }
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -196,7 +196,7 @@
 
     /// The tenant that a call's headers name.
     fn tenant(&self, headers: &Headers) -> Result<CallTenant, ApiError> {
-        let Some(field) = &self.settings.tenant_field else {
+        let Some(field) = &self.settings.tenant_header else {
             return Ok(CallTenant { index: 0, name: None });
         };
         let Some(name) = headers.get(field) else {
@@ -274,12 +274,12 @@
         tenant,
         function: name,
         time_left,
-        work_hint: function.work,
+        work_hint: function.expected_duration,
         memory_mb: function.memory_mb,
         concurrency_slots: function.concurrency_slots,
-        load_hint: function.load,
+        load_hint: function.expected_load_time,
         is_retry,
-        has_side_effects: function.writes,
+        has_side_effects: function.has_side_effects,
         payload,
     }
 }
--- a/crates/quartzdrift/src/gateway/discovery.rs
+++ b/crates/quartzdrift/src/gateway/discovery.rs
@@ -79,7 +79,7 @@
     settings
         .discovery
         .as_ref()
-        .is_some_and(|discovery| discovery.stream)
+        .is_some_and(|discovery| discovery.watch)
 }
 
 impl Gateway {
@@ -103,7 +103,7 @@
             .settings
             .discovery
             .as_ref()
-            .map(|discovery| discovery.timeout)
+            .map(|discovery| discovery.poll_timeout)
         else {
             return self.use_configured_workers();
         };
@@ -227,7 +227,7 @@
             target: discovery.target.clone(),
             headers: Headers::new().with("accept", accept),
             body: Rc::from([]),
-            connect_timeout: discovery.timeout,
+            connect_timeout: discovery.poll_timeout,
             streams_response: streams,
         };
         let call = self.http.call(discovery.address, request);
@@ -257,14 +257,18 @@
     }
 
     fn schedule_poll(&mut self) {
-        let interval = self.settings.discovery.as_ref().map(|discovery| discovery.every);
+        let interval = self
+            .settings
+            .discovery
+            .as_ref()
+            .map(|discovery| discovery.poll_interval);
         self.discovery.poll_at = interval
             .filter(|_| self.discovery.watching)
             .map(|interval| self.now() + interval);
     }
 
     fn receive_full_list(&mut self, body: &[u8]) -> Result<Acceptance, ListError> {
-        let list = list::read(body, &self.settings.known)?;
+        let list = list::read(body, &self.settings.configured_names)?;
         for error in &list.rejected {
             tracing::warn!(
                 why = error.to_string(),
@@ -310,7 +314,7 @@
     }
 
     fn receive_changes(&mut self, body: &[u8]) -> Result<(), ListError> {
-        let list = list::read(body, &self.settings.known)?;
+        let list = list::read(body, &self.settings.configured_names)?;
         for error in &list.rejected {
             tracing::warn!(why = error.to_string(), "a change is left out");
         }
@@ -324,8 +328,8 @@
     /// Saves the accepted endpoints for the next start.
     fn save_endpoints(&self) {
         if let Some(writer) = &self.snapshot_writer {
-            let list = list::write(&self.accepted.workers(), &self.settings.known);
-            writer.write_soon(crate::snapshots::WORKERS, list);
+            let list = list::write(&self.accepted.workers(), &self.settings.configured_names);
+            writer.enqueue(crate::snapshots::WORKERS, list);
         }
     }
 }
--- a/crates/quartzdrift/src/gateway/event_loop.rs
+++ b/crates/quartzdrift/src/gateway/event_loop.rs
@@ -19,7 +19,7 @@
             self.fleet.as_ref().map(fleet::Fleet::next_due),
             self.drain_deadline,
         ];
-        self.clock.until(deadlines, [self.http.next_deadline()])
+        self.clock.time_until_next(deadlines, [self.http.next_deadline()])
     }
 
     /// Handles the events that the last wait of the event loop brought, and everything that is due.
@@ -58,7 +58,7 @@
         let attempts = self.calls.attempts();
         let http = &self.http;
         self.request_table.fire_timers(now, |request, attempt| {
-            attempts.has_left(request, attempt, |call| http.is_unsent(call))
+            attempts.may_have_been_sent(request, attempt, |call| http.is_unsent(call))
         });
         self.carry_out();
     }
--- a/crates/quartzdrift/src/gateway/fleet.rs
+++ b/crates/quartzdrift/src/gateway/fleet.rs
@@ -1,7 +1,7 @@
 //! This scheduler as a member of a fleet: the UDP socket, the saved member list and the log. `quartzdrift-membership`
 //! decides what is believed of other members and how many schedulers are counted.
 use super::Gateway;
-use crate::settings::Fleet as FleetSettings;
+use crate::settings::FleetSettings;
 use crate::snapshots;
 use calloop::generic::{Generic, NoIoDrop};
 use calloop::{Interest, LoopHandle, Mode, PostAction};
@@ -262,7 +262,7 @@
         let Some(FleetSettings {
             mut members,
             listen,
-            silent,
+            max_silence,
         }) = self.settings.fleet.clone()
         else {
             return Ok(());
@@ -273,7 +273,7 @@
             members.address.set_port(socket.local_addr()?.port());
         }
         register_socket(handle, socket.clone())?;
-        let last_view = load_view(self.settings.state.as_deref());
+        let last_view = load_view(self.settings.state_folder.as_deref());
         let count_before = last_view.as_ref().map_or(0, |view| view.schedulers);
         let known_addresses: Vec<SocketAddr> = last_view
             .into_iter()
@@ -294,7 +294,7 @@
         self.fleet = Some(Fleet {
             socket,
             members: Membership::new(members, instance, &known_addresses, rand::random(), now),
-            count: SchedulerCount::new(minimum, count_before, silent),
+            count: SchedulerCount::new(minimum, count_before, max_silence),
             schedulers: 0,
             save_at: now + SAVE_INTERVAL,
             rejections: RejectionLog::default(),
@@ -381,7 +381,7 @@
             return;
         };
         if let Ok(bytes) = serde_json::to_vec_pretty(&fleet.view(now)) {
-            writer.write_soon(snapshots::MEMBERS, bytes);
+            writer.enqueue(snapshots::MEMBERS, bytes);
         }
     }
 
--- a/crates/quartzdrift/src/gateway/outputs.rs
+++ b/crates/quartzdrift/src/gateway/outputs.rs
@@ -59,7 +59,7 @@
 
     fn recall_attempt(&mut self, request: RequestId, attempt: u32) {
         let attempts = self.calls.attempts();
-        if !attempts.has_left(request, attempt, |call| self.http.is_unsent(call)) {
+        if !attempts.may_have_been_sent(request, attempt, |call| self.http.is_unsent(call)) {
             self.cancel_attempt(request, attempt);
             self.request_table.attempt_recalled(self.now(), request, attempt);
         }
--- a/crates/quartzdrift/src/gateway/prefetch.rs
+++ b/crates/quartzdrift/src/gateway/prefetch.rs
@@ -39,8 +39,11 @@
         let now = self.now();
         let mut ahead = PrefetchPlanner::new(settings.settings.clone());
         let otherwise = "the saved forecasts cannot be read; they begin anew";
-        let snapshot =
-            snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::FORECASTS, otherwise);
+        let snapshot = snapshots::read_or_warn(
+            self.settings.state_folder.as_deref(),
+            snapshots::FORECASTS,
+            otherwise,
+        );
         match snapshot.map(|bytes| Forecasts::restore(settings.settings, &bytes, now)) {
             Some(Ok(forecasts)) => {
                 tracing::info!(functions = forecasts.len(), "forecasts go on from what was saved");
@@ -54,7 +57,7 @@
         self.prefetch = Some(Prefetch {
             ahead,
             commands: HashMap::new(),
-            save_at: now + settings.every,
+            save_at: now + settings.snapshot_interval,
         });
     }
 
@@ -62,10 +65,10 @@
     pub(super) fn record_use(&mut self, name: &str, function: &Function, tenant: u32, left: Duration) {
         let now = self.now();
         if let Some(prefetch) = &mut self.prefetch {
-            prefetch.ahead.record_use(now, name, function.load);
+            prefetch.ahead.record_use(now, name, function.expected_load_time);
         }
         if let Some(recorder) = &mut self.recorder {
-            recorder.request(now, name, function.request_class, tenant, left);
+            recorder.record_request(now, name, function.request_class, tenant, left);
         }
     }
 
@@ -127,7 +130,12 @@
     /// Saves the forecasts, and logs what prefetches have cost and spared so far.
     pub(super) fn save_forecasts(&mut self) {
         let now = self.now();
-        let Some(interval) = self.settings.forecasts.as_ref().map(|settings| settings.every) else {
+        let Some(interval) = self
+            .settings
+            .forecasts
+            .as_ref()
+            .map(|settings| settings.snapshot_interval)
+        else {
             return;
         };
         let Some(prefetch) = &mut self.prefetch else {
@@ -136,7 +144,7 @@
         prefetch.save_at = now + interval;
         log_account(&prefetch.ahead);
         if let Some(writer) = &self.snapshot_writer {
-            writer.write_soon(snapshots::FORECASTS, prefetch.ahead.forecasts.save(now));
+            writer.enqueue(snapshots::FORECASTS, prefetch.ahead.forecasts.save(now));
         }
     }
 
@@ -152,7 +160,7 @@
             requests_per_second: expected.requests_per_second,
             memory_mb: function.memory_mb,
             concurrency_slots: function.concurrency_slots,
-            load_hint: function.load,
+            load_hint: function.expected_load_time,
         };
         self.request_table.forecast(now, forecast);
         self.carry_out();
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -63,7 +63,7 @@
 
 /// What the last run left in the state folder; `None` without one.
 pub(super) fn read_evidence(settings: &Settings, now: ClockSample) -> Option<StartupEvidence> {
-    let folder = settings.state.as_deref()?;
+    let folder = settings.state_folder.as_deref()?;
     let known_members = super::fleet::known_members(Some(folder));
     let disk = match snapshots::read(folder, CHECKPOINT) {
         Ok(Some(bytes)) => match serde_json::from_slice::<Checkpoint>(&bytes) {
@@ -137,13 +137,13 @@
     RecoverySettings {
         name: scheduler_name(settings),
         has_fleet: settings.fleet.is_some(),
-        classification_timeout: settings.recovery.ask,
-        max_duration: settings.recovery.longest,
+        classification_timeout: settings.recovery.classification_timeout,
+        max_duration: settings.recovery.max_duration,
         idempotency_keys_on_disk: settings.recovery.idempotency_keys_on_disk,
         load_quota_window: scheduler.cache.load_quota_window.unwrap_or_default(),
         slow_start_window: scheduler.rules.overload_window.unwrap_or_default(),
         max_async_in_flight: settings.asynchronous.max_concurrent_attempts,
-        admission_ramp: settings.recovery.pace,
+        admission_ramp: settings.recovery.admission_ramp,
         store_start,
         instance,
     }
@@ -162,7 +162,7 @@
 impl Gateway {
     /// Begins the recovery, where there is a state folder, and records the start before anything is sent.
     pub(super) fn start_recovery(&mut self, evidence: Option<StartupEvidence>) -> io::Result<()> {
-        let (Some(mut evidence), Some(folder)) = (evidence, self.settings.state.clone()) else {
+        let (Some(mut evidence), Some(folder)) = (evidence, self.settings.state_folder.clone()) else {
             return Ok(());
         };
         let lock = lock(&folder).map_err(|e| {
@@ -170,7 +170,7 @@
             io::Error::new(e.kind(), message)
         })?;
         evidence.predecessor_running = lock.is_none();
-        let store_start = match &self.settings.store {
+        let store_start = match &self.settings.store_folder {
             Some(store) => read_store_start(store, &self.settings)
                 .map_err(|e| io::Error::other(format!("deferred jobs: {e}")))?,
             None => None,
@@ -191,14 +191,14 @@
 
     /// Records this start's number in both folders, the store's first, and returns once it is on disk.
     fn record_start(&mut self) -> io::Result<()> {
-        let (Some(recovery), Some(folder)) = (&mut self.recovery, &self.settings.state) else {
+        let (Some(recovery), Some(folder)) = (&mut self.recovery, &self.settings.state_folder) else {
             return Ok(());
         };
         let starts = recovery.machine.starts();
         if recovery.recorded_start == starts {
             return Ok(());
         }
-        if let Some(store) = &self.settings.store {
+        if let Some(store) = &self.settings.store_folder {
             let name = scheduler_name(&self.settings);
             write_store_owner(store, &StoreOwner { name, starts })?;
         }
@@ -222,16 +222,16 @@
         if !recovery.machine.needs_stored_measurements()
             && let Ok(bytes) = postcard::to_stdvec(self.request_table.measurements())
         {
-            writer.write_soon(MEASUREMENTS, bytes);
+            writer.enqueue(MEASUREMENTS, bytes);
         }
-        if let (None, Some(folder)) = (&recovery.lock, &self.settings.state) {
+        if let (None, Some(folder)) = (&recovery.lock, &self.settings.state_folder) {
             recovery.lock = lock(folder).ok().flatten();
         }
         if let Ok(bytes) = serde_json::to_vec(&recovery.machine.checkpoint(taken_at)) {
-            writer.write_soon(CHECKPOINT, bytes);
+            writer.enqueue(CHECKPOINT, bytes);
         }
         if let Ok(bytes) = serde_json::to_vec_pretty(&recovery.machine.view(now)) {
-            writer.write_soon(RECOVERY_VIEW, bytes);
+            writer.enqueue(RECOVERY_VIEW, bytes);
         }
     }
 
@@ -259,7 +259,7 @@
         let is_full = recovery.machine.phase() == RecoveryPhase::FullService;
         if !is_full && recovery.force_check_at <= now {
             recovery.force_check_at = now + FORCE_CHECK_INTERVAL;
-            if take_force_file(self.settings.state.as_deref()) {
+            if take_force_file(self.settings.state_folder.as_deref()) {
                 tracing::warn!("service is forced by an operator");
                 recovery.machine.force_full_service(now);
             }
@@ -318,7 +318,7 @@
     /// Restores what the scheduler had measured of warm workers; its slow-start budget depends on it.
     fn restore_measurements(&mut self) {
         let warning = "what was measured before cannot be read; it begins anew";
-        let bytes = snapshots::read_or_warn(self.settings.state.as_deref(), MEASUREMENTS, warning);
+        let bytes = snapshots::read_or_warn(self.settings.state_folder.as_deref(), MEASUREMENTS, warning);
         match bytes.map(|bytes| postcard::from_bytes(&bytes)) {
             Some(Ok(measurements)) => {
                 self.request_table.restore_measurements(self.now(), measurements);
@@ -428,7 +428,7 @@
             return;
         };
         let starts = recovery.machine.starts();
-        let recorded = read_recorded_start(self.settings.state.as_deref());
+        let recorded = read_recorded_start(self.settings.state_folder.as_deref());
         if recorded.is_some_and(|recorded| recorded > starts) {
             return;
         }
--- a/crates/quartzdrift/src/gateway/schedules.rs
+++ b/crates/quartzdrift/src/gateway/schedules.rs
@@ -39,7 +39,7 @@
     fn submit_trigger(&mut self, trigger: &Trigger) {
         let payload = self
             .settings
-            .timers
+            .schedules
             .iter()
             .find(|(schedule, _)| schedule.name == trigger.schedule)
             .map_or_else(|| Rc::from([]), |(_, payload)| payload.clone());
--- a/crates/quartzdrift/src/gateway/shutdown.rs
+++ b/crates/quartzdrift/src/gateway/shutdown.rs
@@ -8,13 +8,13 @@
         if self.drain_deadline.is_some() {
             return;
         }
-        let deadline = self.now() + self.settings.drain;
+        let deadline = self.now() + self.settings.drain_timeout;
         self.drain_deadline = Some(deadline);
         self.http.stop_listening();
         tracing::info!(
             open = self.request_table.open_requests(),
             asynchronous = self.asynchronous.len(),
-            drain = ?self.settings.drain,
+            drain = ?self.settings.drain_timeout,
             "draining: no new requests are accepted"
         );
     }
@@ -51,7 +51,7 @@
         let attempts = self.calls.attempts();
         let http = &self.http;
         self.request_table.shut_down(now, |request, attempt| {
-            attempts.has_left(request, attempt, |call| http.is_unsent(call))
+            attempts.may_have_been_sent(request, attempt, |call| http.is_unsent(call))
         });
         self.carry_out();
         self.log_open_invocations();
--- a/crates/quartzdrift/src/gateway/state.rs
+++ b/crates/quartzdrift/src/gateway/state.rs
@@ -3,7 +3,7 @@
 use super::context::{RequestContext, RequestCounts};
 use super::{discovery, fleet, prefetch, recovery, store};
 use crate::clock::Clock;
-use crate::record::Recorder;
+use crate::request_trace::TraceRecorder;
 use crate::settings::Settings;
 use crate::snapshots::{self, SnapshotWriter};
 use calloop::LoopHandle;
@@ -44,7 +44,7 @@
     pub(super) prefetch: Option<prefetch::Prefetch>,
     pub(super) fleet: Option<fleet::Fleet>,
     pub(super) recovery: Option<recovery::RecoveryDriver>,
-    pub(super) recorder: Option<Recorder>,
+    pub(super) recorder: Option<TraceRecorder>,
     pub(super) snapshot_writer: Option<SnapshotWriter>,
     /// When the drain ends, once it has begun.
     pub(super) drain_deadline: Option<Duration>,
@@ -90,10 +90,22 @@
         schedules_since: Duration,
     ) -> io::Result<Gateway> {
         let seed = settings.seed.unwrap_or_else(rand::random);
-        let snapshot_writer = settings.state.clone().map(SnapshotWriter::start).transpose()?;
-        let recorder = settings.record.as_ref().map(Recorder::start).transpose()?;
-        let schedules = settings.timers.iter().map(|(timer, _)| timer.clone()).collect();
-        let changes = ChangeBuffer::new(settings.store.is_some());
+        let snapshot_writer = settings
+            .state_folder
+            .clone()
+            .map(SnapshotWriter::start)
+            .transpose()?;
+        let recorder = settings
+            .request_trace
+            .as_ref()
+            .map(TraceRecorder::start)
+            .transpose()?;
+        let schedules = settings
+            .schedules
+            .iter()
+            .map(|(timer, _)| timer.clone())
+            .collect();
+        let changes = ChangeBuffer::new(settings.store_folder.is_some());
         Ok(Gateway {
             clock,
             identity: rand::random(),
@@ -132,8 +144,12 @@
     /// The endpoint list that was last saved, or else that of the settings.
     fn first_list(&self) -> Vec<DiscoveredEndpoint> {
         let otherwise = "the saved endpoint list cannot be read";
-        let saved = snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::WORKERS, otherwise);
-        match saved.map(|bytes| list::read(&bytes, &self.settings.known)) {
+        let saved = snapshots::read_or_warn(
+            self.settings.state_folder.as_deref(),
+            snapshots::WORKERS,
+            otherwise,
+        );
+        match saved.map(|bytes| list::read(&bytes, &self.settings.configured_names)) {
             Some(Ok(saved)) if !saved.workers.is_empty() => saved.workers,
             Some(Err(error)) => {
                 let why = error.to_string();
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -5,7 +5,7 @@
 //! unknown, and attempts wait on: what was accepted before is still owed.
 use super::Gateway;
 use super::responses::to_http;
-use crate::durable::{self, LogWriter, OpenedLog, WriterEvent};
+use crate::wal_writer::{self, OpenedWal, WalWriter, WriterEvent};
 use calloop::LoopHandle;
 use calloop::channel::Event;
 use quartzdrift_async_queue::{DueAttempt, InvocationId, NextStep, RestoreContext};
@@ -32,7 +32,7 @@
 
 /// The store of asynchronous invocations, and what waits for it.
 pub(super) struct Store {
-    writer: LogWriter,
+    writer: WalWriter,
     /// Waits for the batch that is gathering.
     gathering: PendingEffects,
     /// Waits for submitted batches, by number.
@@ -46,7 +46,7 @@
 }
 
 impl Store {
-    fn new(writer: LogWriter) -> Store {
+    fn new(writer: WalWriter) -> Store {
         Store {
             writer,
             gathering: PendingEffects::default(),
@@ -72,15 +72,15 @@
 impl Gateway {
     /// Opens the store, and restores the invocations that it holds.
     pub(super) fn start_store(&mut self, handle: &LoopHandle<'static, Gateway>) -> io::Result<()> {
-        let Some(path) = self.settings.store.clone() else {
+        let Some(path) = self.settings.store_folder.clone() else {
             return Ok(());
         };
         let start = Instant::now();
-        let OpenedLog {
+        let OpenedWal {
             writer,
             open_invocations,
             events,
-        } = LogWriter::open(&path)
+        } = WalWriter::open(&path)
             .map_err(|error| io::Error::other(format!("deferred jobs in {}: {error}", path.display())))?;
         handle
             .insert_source(events, |event, _, gateway| gateway.writer_event(event))
@@ -126,7 +126,7 @@
         let mut unreadable = 0;
         let now = self.now();
         for record in &records {
-            let Some(mut stored) = durable::stored_invocation(record) else {
+            let Some(mut stored) = wal_writer::stored_invocation(record) else {
                 unreadable += 1;
                 continue;
             };
@@ -150,7 +150,7 @@
 
     /// Leaves the answer to an accepted invocation for when it is durable; `false` where it is to be answered at once.
     pub(super) fn answer_when_durable(&mut self, exchange: Exchange, id: Uuid) -> bool {
-        let answers_early = self.settings.answer_early;
+        let answers_early = self.settings.accept_before_durable;
         match &mut self.store {
             Some(store) if !answers_early => {
                 store.gathering.answers.push((exchange, id));
--- a/crates/quartzdrift/src/invoke.rs
+++ b/crates/quartzdrift/src/invoke.rs
@@ -16,9 +16,9 @@
 
 /// One call.
 #[derive(Clone, Debug)]
-pub struct Invoke {
+pub struct InvokeRequest {
     /// The gateway's address.
-    pub to: SocketAddr,
+    pub gateway: SocketAddr,
     /// A function's name, with or without alias, or its ARN.
     pub function: String,
     /// The function's input.
@@ -62,17 +62,17 @@
 /// # Errors
 ///
 /// The gateway cannot be reached, or its response is incomplete, malformed or too long.
-pub fn invoke(call: &Invoke) -> Result<Response, InvokeError> {
+pub fn invoke(call: &InvokeRequest) -> Result<Response, InvokeError> {
     let request = request_bytes(call);
-    let mut stream = TcpStream::connect_timeout(&call.to, call.timeout)?;
+    let mut stream = TcpStream::connect_timeout(&call.gateway, call.timeout)?;
     stream.set_read_timeout(Some(call.timeout))?;
     stream.write_all(&request)?;
     read_response(&mut stream)
 }
 
-fn request_bytes(call: &Invoke) -> Vec<u8> {
+fn request_bytes(call: &InvokeRequest) -> Vec<u8> {
     let mut headers = Headers::new()
-        .with("host", &call.to.to_string())
+        .with("host", &call.gateway.to_string())
         .with("content-type", "application/json")
         .with("connection", "close");
     if call.asynchronous {
--- a/crates/quartzdrift/src/lib.rs
+++ b/crates/quartzdrift/src/lib.rs
@@ -5,13 +5,13 @@
 //! decide. [`platform`] is the event loop of a scheduler on the operators' platform.
 mod attempts;
 pub mod clock;
-pub mod durable;
 pub mod gateway;
 pub mod invoke;
 pub mod logs;
 pub mod loop_delay;
 pub mod platform;
-pub mod record;
+pub mod request_trace;
 pub mod serve;
 pub mod settings;
 pub mod snapshots;
+pub mod wal_writer;
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -233,7 +233,7 @@
             shutdown,
         ];
         self.clock
-            .until(deadlines, [self.sockets.next_due(), self.http.next_deadline()])
+            .time_until_next(deadlines, [self.sockets.next_due(), self.http.next_deadline()])
     }
 
     /// Processes the events of a wait, and every deadline that has passed.
@@ -330,7 +330,7 @@
         }
         let (attempts, sockets) = (&self.attempts, &self.sockets);
         self.request_table.fire_timers(now, |request, attempt| {
-            attempts.has_left(request, attempt, |id| {
+            attempts.may_have_been_sent(request, attempt, |id| {
                 commands::is_unsent(sockets, id, request, attempt)
             })
         });
@@ -414,7 +414,7 @@
         );
         let (attempts, sockets) = (&self.attempts, &self.sockets);
         self.request_table.shut_down(now, |request, attempt| {
-            attempts.has_left(request, attempt, |id| {
+            attempts.may_have_been_sent(request, attempt, |id| {
                 commands::is_unsent(sockets, id, request, attempt)
             })
         });
--- a/crates/quartzdrift/src/platform/requests.rs
+++ b/crates/quartzdrift/src/platform/requests.rs
@@ -103,7 +103,7 @@
             body,
         };
         let now = self.now();
-        let deadline = self.clock.at(arrived) + request.time_remaining;
+        let deadline = self.clock.time_at(arrived) + request.time_remaining;
         let time_remaining = deadline.saturating_sub(now);
         match self
             .request_table
--- a/crates/quartzdrift/src/record.rs
+++ b/crates/quartzdrift/src/request_trace.rs
@@ -3,7 +3,7 @@
 //! Each line has `at_us` (since the trace began), `workload` (index of the request class in the settings), `function`,
 //! `work_us` (0: unknown), `gateway` (0), `customer` (index of the tenant) and `left_us` (time until the request's deadline).
 //! The simulator and the load generator read it.
-use crate::settings::Record;
+use crate::settings::RequestTrace;
 use flate2::Compression;
 use flate2::write::GzEncoder;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -20,7 +20,7 @@
 const MAX_WAITING_LINES: usize = 10_000;
 
 /// Writes the trace.
-pub struct Recorder {
+pub struct TraceRecorder {
     /// `None` once the trace has ended.
     lines: Option<SyncSender<String>>,
     thread: Option<JoinHandle<()>>,
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// Those of the file system.
-pub fn create(path: &Path) -> io::Result<Box<dyn Write + Send>> {
+pub fn create_file(path: &Path) -> io::Result<Box<dyn Write + Send>> {
     let file = std::fs::File::create(path)?;
     let compressed = path.extension().is_some_and(|extension| extension == "gz");
     Ok(if compressed {
@@ -45,29 +45,29 @@
     })
 }
 
-impl Recorder {
+impl TraceRecorder {
     /// Creates the trace's file and starts the thread that writes it.
     ///
     /// # Errors
     /// Those of the file and of the thread's start.
-    pub fn start(record: &Record) -> io::Result<Recorder> {
-        let file = create(&record.file)?;
+    pub fn start(trace: &RequestTrace) -> io::Result<TraceRecorder> {
+        let file = create_file(&trace.file)?;
         let (lines, received) = sync_channel(MAX_WAITING_LINES);
         let thread = std::thread::Builder::new()
             .name("recorder".to_owned())
             .spawn(move || write_lines(file, received))?;
-        Ok(Recorder {
+        Ok(TraceRecorder {
             lines: Some(lines),
             thread: Some(thread),
             began: None,
-            bytes_left: record.bytes,
-            hash_names: record.hash_names,
+            bytes_left: trace.max_bytes,
+            hash_names: trace.hash_names,
             lines_left_out: 0,
         })
     }
 
     /// Records a request that was accepted at `now`. `left`: time until its deadline.
-    pub fn request(
+    pub fn record_request(
         &mut self,
         now: Duration,
         function: &str,
@@ -99,7 +99,7 @@
     }
 }
 
-impl Drop for Recorder {
+impl Drop for TraceRecorder {
     /// Waits until all lines are written.
     fn drop(&mut self) {
         self.lines = None;
--- a/crates/quartzdrift/src/record/tests.rs
+++ b/crates/quartzdrift/src/request_trace/tests.rs
@@ -1,19 +1,19 @@
-use super::Recorder;
-use crate::settings::Record;
+use super::TraceRecorder;
+use crate::settings::RequestTrace;
 use std::time::Duration;
 
 #[test]
 fn a_trace_is_bounded_and_names_are_hashed() {
     let directory = tempfile::tempdir().unwrap();
     let file = directory.path().join("trace.jsonl");
-    let record = Record {
+    let record = RequestTrace {
         file: file.clone(),
-        bytes: 600,
+        max_bytes: 600,
         hash_names: true,
     };
-    let mut recorder = Recorder::start(&record).unwrap();
+    let mut recorder = TraceRecorder::start(&record).unwrap();
     for n in 0..100 {
-        recorder.request(
+        recorder.record_request(
             Duration::from_millis(1000 + n),
             "secret",
             1,
--- a/crates/quartzdrift/src/settings/check/fleet.rs
+++ b/crates/quartzdrift/src/settings/check/fleet.rs
@@ -1,7 +1,7 @@
 //! Checks of `[fleet]`.
 use super::collector::ErrorCollector;
 use super::key_file::read_key;
-use crate::settings::Fleet;
+use crate::settings::FleetSettings;
 use crate::settings::raw::{self, File};
 use quartzdrift_discovery::list;
 use quartzdrift_membership::{MAX_NAME_LENGTH, Settings as MembershipSettings};
@@ -19,7 +19,7 @@
 const DATAGRAM_BYTES: RangeInclusive<usize> = 512..=2048;
 
 /// Checks and converts the table; `None` where it is absent or lacks a usable address.
-pub(super) fn check(raw: &File, errors: &mut ErrorCollector) -> Option<Fleet> {
+pub(super) fn check(raw: &File, errors: &mut ErrorCollector) -> Option<FleetSettings> {
     let section = raw.fleet.as_ref()?;
     let defaults = MembershipSettings::default();
     check_names(section, errors);
@@ -53,10 +53,10 @@
         max_members,
         ..defaults
     };
-    Some(Fleet {
+    Some(FleetSettings {
         members,
         listen: listen?,
-        silent: section.silent.0,
+        max_silence: section.silent.0,
     })
 }
 
--- a/crates/quartzdrift/src/settings/check/forecasts.rs
+++ b/crates/quartzdrift/src/settings/check/forecasts.rs
@@ -30,7 +30,7 @@
     };
     Some(Forecasts {
         settings,
-        every: section.every.0,
+        snapshot_interval: section.every.0,
     })
 }
 
--- a/crates/quartzdrift/src/settings/check/functions.rs
+++ b/crates/quartzdrift/src/settings/check/functions.rs
@@ -96,9 +96,9 @@
         request_class,
         memory_mb: section.memory_mb,
         concurrency_slots: section.concurrency_slots,
-        load: section.load.map(|duration| duration.0),
-        work: section.work.map(|duration| duration.0),
-        writes: section.writes,
+        expected_load_time: section.load.map(|duration| duration.0),
+        expected_duration: section.work.map(|duration| duration.0),
+        has_side_effects: section.writes,
         on_success,
         on_failure,
     })
--- a/crates/quartzdrift/src/settings/check/recovery.rs
+++ b/crates/quartzdrift/src/settings/check/recovery.rs
@@ -29,9 +29,9 @@
 /// Converts the table.
 pub(super) fn settings(raw: &File) -> Recovery {
     Recovery {
-        ask: raw.recovery.ask.0,
-        longest: raw.recovery.longest.0,
+        classification_timeout: raw.recovery.ask.0,
+        max_duration: raw.recovery.longest.0,
         idempotency_keys_on_disk: raw.recovery.idempotency_keys == IdempotencyKeysIn::Disk,
-        pace: raw.recovery.pace,
+        admission_ramp: raw.recovery.pace,
     }
 }
--- a/crates/quartzdrift/src/settings/check/whole_file.rs
+++ b/crates/quartzdrift/src/settings/check/whole_file.rs
@@ -5,7 +5,7 @@
     rules, schedules, tenants, workers,
 };
 use crate::settings::raw::{Answer, File, LogForm};
-use crate::settings::{Fleet, Forecasts, Function, Log, Record, Settings, SettingsError};
+use crate::settings::{FleetSettings, Forecasts, Function, Log, RequestTrace, Settings, SettingsError};
 use quartzdrift_async_queue::{Destination, QueueSettings};
 use quartzdrift_discovery::ConfiguredNames;
 use quartzdrift_scheduler::interface::Settings as SchedulerSettings;
@@ -20,15 +20,15 @@
     listen: Vec<SocketAddr>,
     functions: HashMap<String, Rc<Function>>,
     default_function: Option<Rc<Function>>,
-    known: ConfiguredNames,
+    configured_names: ConfiguredNames,
     workers: Vec<quartzdrift_discovery::DiscoveredEndpoint>,
     discovery: Option<crate::settings::Discovery>,
-    timers: Vec<(Schedule, Rc<[u8]>)>,
+    schedules: Vec<(Schedule, Rc<[u8]>)>,
     on_success: Option<Destination>,
     on_failure: Option<Destination>,
     asynchronous: QueueSettings,
     forecasts: Option<Forecasts>,
-    fleet: Option<Fleet>,
+    fleet: Option<FleetSettings>,
 }
 
 /// Checks a deserialized file. `file` is its name in errors, `text` its content.
@@ -52,15 +52,15 @@
     tenants::check(raw, errors);
     limits::check(raw, errors);
     let functions = functions::check(raw, &scheduler, errors);
-    let known = ConfiguredNames {
+    let configured_names = ConfiguredNames {
         zones: raw.scheduler.zones.clone(),
         kinds: raw.scheduler.kinds.clone(),
     };
-    let workers = workers::endpoints(raw, &known, errors);
+    let workers = workers::endpoints(raw, &configured_names, errors);
     let discovery = workers::discovery(raw, errors);
     workers::check_any_source(raw, &workers, errors);
     let default_function = functions::default_function(raw, errors);
-    let timers = schedules::check(raw, &functions, default_function.is_some(), errors);
+    let schedules = schedules::check(raw, &functions, default_function.is_some(), errors);
     let deferred = errors.table("deferred");
     let on_success = destinations::check(&raw.asynchronous.on_success, raw, deferred.clone(), errors);
     let on_failure = destinations::check(&raw.asynchronous.on_failure, raw, deferred, errors);
@@ -75,10 +75,10 @@
         listen,
         functions,
         default_function,
-        known,
+        configured_names,
         workers,
         discovery,
-        timers,
+        schedules,
         on_success,
         on_failure,
         asynchronous,
@@ -92,11 +92,11 @@
     let gateway = &raw.gateway;
     Settings {
         listen: parts.listen,
-        state: gateway.state.as_ref().map(Into::into),
+        state_folder: gateway.state.as_ref().map(Into::into),
         seed: gateway.seed,
-        drain: gateway.drain.0,
+        drain_timeout: gateway.drain.0,
         require_json: gateway.require_json,
-        tenant_field: gateway
+        tenant_header: gateway
             .tenant_field
             .as_ref()
             .map(|field| field.to_ascii_lowercase()),
@@ -109,19 +109,19 @@
             filter: raw.log.filter.clone(),
         },
         scheduler: parts.scheduler,
-        metrics: metric_names(raw),
+        report_metrics: metric_names(raw),
         connect_timeout: raw.allowed.connect_timeout.0,
         workers: parts.workers,
-        known: parts.known,
+        configured_names: parts.configured_names,
         discovery: parts.discovery,
         asynchronous: parts.asynchronous,
-        store: raw.asynchronous.store.as_ref().map(Into::into),
-        answer_early: raw.asynchronous.answer == Answer::Early,
+        store_folder: raw.asynchronous.store.as_ref().map(Into::into),
+        accept_before_durable: raw.asynchronous.answer == Answer::Early,
         on_success: parts.on_success,
         on_failure: parts.on_failure,
-        timers: parts.timers,
+        schedules: parts.schedules,
         forecasts: parts.forecasts,
-        record: record(raw),
+        request_trace: request_trace(raw),
         fleet: parts.fleet,
         recovery: recovery::settings(raw),
         share_port: gateway.share_port,
@@ -133,10 +133,10 @@
     fields.map(|field| field.metric.clone()).collect()
 }
 
-fn record(raw: &File) -> Option<Record> {
-    raw.record.as_ref().map(|record| Record {
-        file: record.file.clone().into(),
-        bytes: record.bytes,
-        hash_names: record.hash_names,
+fn request_trace(raw: &File) -> Option<RequestTrace> {
+    raw.record.as_ref().map(|trace| RequestTrace {
+        file: trace.file.clone().into(),
+        max_bytes: trace.bytes,
+        hash_names: trace.hash_names,
     })
 }
--- a/crates/quartzdrift/src/settings/check/workers.rs
+++ b/crates/quartzdrift/src/settings/check/workers.rs
@@ -81,9 +81,9 @@
         Ok((address, target)) => Some(Discovery {
             address,
             target,
-            stream: section.stream,
-            every: section.every.0,
-            timeout: section.timeout.0,
+            watch: section.stream,
+            poll_interval: section.every.0,
+            poll_timeout: section.timeout.0,
         }),
         Err(error) => {
             errors.add(
--- a/crates/quartzdrift/src/settings/mod.rs
+++ b/crates/quartzdrift/src/settings/mod.rs
@@ -14,4 +14,4 @@
 pub use error::SettingsError;
 pub use load::{load, read};
 pub(crate) use types::plain_name;
-pub use types::{Discovery, Fleet, Forecasts, Function, Log, Record, Recovery, Settings};
+pub use types::{Discovery, FleetSettings, Forecasts, Function, Log, Recovery, RequestTrace, Settings};
--- a/crates/quartzdrift/src/settings/types.rs
+++ b/crates/quartzdrift/src/settings/types.rs
@@ -21,11 +21,11 @@
     /// Requests that one cached replica runs at a time, 1 or more; `None`: unknown.
     pub concurrency_slots: Option<f64>,
     /// Expected time to load the function; `None`: unknown.
-    pub load: Option<Duration>,
+    pub expected_load_time: Option<Duration>,
     /// Expected duration of one request; `None`: unknown.
-    pub work: Option<Duration>,
+    pub expected_duration: Option<Duration>,
     /// Whether a request changes state outside the function.
-    pub writes: bool,
+    pub has_side_effects: bool,
     /// Destination of events about succeeded asynchronous invocations; `None`: that of the gateway.
     pub on_success: Option<Destination>,
     /// Destination of events about failed asynchronous invocations; `None`: that of the gateway.
@@ -40,11 +40,11 @@
     /// Path and query of the list.
     pub target: String,
     /// Whether watch events come over server-sent events at the same URL.
-    pub stream: bool,
+    pub watch: bool,
     /// Interval of polls, 50 ms or more.
-    pub every: Duration,
+    pub poll_interval: Duration,
     /// Timeout of one poll.
-    pub timeout: Duration,
+    pub poll_timeout: Duration,
 }
 
 /// Format and filter of the log.
@@ -62,15 +62,15 @@
     /// Addresses to listen at, one or more; port 0 takes a free one.
     pub listen: Vec<SocketAddr>,
     /// Folder for snapshots; `None`: nothing is stored.
-    pub state: Option<PathBuf>,
+    pub state_folder: Option<PathBuf>,
     /// Seed of the random numbers; `None`: a new one at each start.
     pub seed: Option<u64>,
     /// Drain window of a stopping gateway.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Whether payloads must be JSON.
     pub require_json: bool,
     /// Header, in lower case, by which a trusted frontend names the tenant.
-    pub tenant_field: Option<String>,
+    pub tenant_header: Option<String>,
     /// Index of each tenant by its name.
     pub tenants: HashMap<String, u32>,
     /// Functions by name, with the version or alias where the settings name one.
@@ -84,33 +84,33 @@
     /// Settings of the scheduler.
     pub scheduler: SchedulerSettings,
     /// Metrics that hold the fields of load reports, in the order of the scheduler's `report_fields`.
-    pub metrics: Vec<String>,
+    pub report_metrics: Vec<String>,
     /// Timeout of a connection attempt to a worker.
     pub connect_timeout: Duration,
     /// Workers that the file names.
     pub workers: Vec<DiscoveredEndpoint>,
     /// Names of zones and kinds, by which endpoint lists refer to them.
-    pub known: ConfiguredNames,
+    pub configured_names: ConfiguredNames,
     /// The endpoint list; `None`: only the workers above.
     pub discovery: Option<Discovery>,
     /// Settings of the asynchronous queue.
     pub asynchronous: QueueSettings,
     /// Folder of the asynchronous queue's write-ahead log; `None`: in memory only.
-    pub store: Option<PathBuf>,
+    pub store_folder: Option<PathBuf>,
     /// Whether an asynchronous request is answered as accepted before it is durable.
-    pub answer_early: bool,
+    pub accept_before_durable: bool,
     /// Destination of events about succeeded asynchronous invocations.
     pub on_success: Option<Destination>,
     /// Destination of events about failed asynchronous invocations.
     pub on_failure: Option<Destination>,
     /// Schedules, each with the payload of its invocations.
-    pub timers: Vec<(Schedule, Rc<[u8]>)>,
+    pub schedules: Vec<(Schedule, Rc<[u8]>)>,
     /// Forecasts of use; `None`: nothing is loaded ahead.
     pub forecasts: Option<Forecasts>,
     /// The trace of requests; `None`: none is written.
-    pub record: Option<Record>,
+    pub request_trace: Option<RequestTrace>,
     /// The fleet of schedulers; `None`: this one is alone.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetSettings>,
     /// The return to service after a start.
     pub recovery: Recovery,
     /// Whether others may listen at the same addresses, so that a successor takes over before this one stops.
@@ -119,26 +119,26 @@
 
 /// Membership of a fleet of schedulers.
 #[derive(Clone, Debug)]
-pub struct Fleet {
+pub struct FleetSettings {
     /// Settings of the membership protocol.
     pub members: quartzdrift_membership::Settings,
     /// UDP address of the protocol's socket.
     pub listen: SocketAddr,
     /// How long an unreachable scheduler counts as one that may still send.
-    pub silent: Duration,
+    pub max_silence: Duration,
 }
 
 /// The return to service after a start.
 #[derive(Clone, Debug)]
 pub struct Recovery {
     /// Maximum time to poll other schedulers, over zero.
-    pub ask: Duration,
+    pub classification_timeout: Duration,
     /// Maximum time before full service, no shorter than `ask`.
-    pub longest: Duration,
+    pub max_duration: Duration,
     /// Whether workers keep idempotency keys over a loss of power.
     pub idempotency_keys_on_disk: bool,
     /// Whether an admission ramp limits calls while many functions are loaded again.
-    pub pace: bool,
+    pub admission_ramp: bool,
 }
 
 /// Forecasts of use.
@@ -147,16 +147,16 @@
     /// Settings of the forecasts.
     pub settings: quartzdrift_forecast::ForecastSettings,
     /// Interval of snapshots and of the summary in the log, a second or more.
-    pub every: Duration,
+    pub snapshot_interval: Duration,
 }
 
 /// The trace of requests.
 #[derive(Clone, Debug)]
-pub struct Record {
+pub struct RequestTrace {
     /// The trace file; compressed by gzip where the name ends in `.gz`.
     pub file: PathBuf,
     /// Maximum bytes before compression, over 0.
-    pub bytes: u64,
+    pub max_bytes: u64,
     /// Whether names of functions are replaced by hashes.
     pub hash_names: bool,
 }
--- a/crates/quartzdrift/src/snapshots.rs
+++ b/crates/quartzdrift/src/snapshots.rs
@@ -145,7 +145,7 @@
     }
 
     /// Queues a snapshot to be written soon, in place of one of this name that still waits.
-    pub fn write_soon(&self, name: &'static str, bytes: Vec<u8>) {
+    pub fn enqueue(&self, name: &'static str, bytes: Vec<u8>) {
         self.shared.lock().snapshots.insert(name, bytes);
         self.shared.changed.notify_one();
     }
--- a/crates/quartzdrift/src/snapshots/tests.rs
+++ b/crates/quartzdrift/src/snapshots/tests.rs
@@ -30,8 +30,8 @@
     let folder = tempfile::tempdir().unwrap();
     assert!(read(folder.path(), WORKERS).unwrap().is_none());
     let writer = SnapshotWriter::start(folder.path().join("state")).unwrap();
-    (0..100).for_each(|number| writer.write_soon(WORKERS, format!("[{number}]").into_bytes()));
-    writer.write_soon(FORECASTS, b"other".to_vec());
+    (0..100).for_each(|number| writer.enqueue(WORKERS, format!("[{number}]").into_bytes()));
+    writer.enqueue(FORECASTS, b"other".to_vec());
     drop(writer);
     assert_eq!(
         read(&folder.path().join("state"), WORKERS).unwrap().unwrap(),
--- a/crates/quartzdrift/src/durable.rs
+++ b/crates/quartzdrift/src/wal_writer.rs
@@ -1,6 +1,6 @@
 //! Makes changes of the asynchronous queue durable, on a thread of its own: the event loop never waits for the disk.
 //!
-//! The loop submits numbered batches to a [`LogWriter`]. The thread writes all batches that wait with one sync, and reports the
+//! The loop submits numbered batches to a [`WalWriter`]. The thread writes all batches that wait with one sync, and reports the
 //! last batch up to which everything is durable. Where the disk fails, the thread reports it, and tries again until the batch
 //! is durable or the writer is dropped.
 use calloop::channel::{self, Channel, Sender};
@@ -41,7 +41,7 @@
 }
 
 /// The event loop's end of the thread that writes the log.
-pub struct LogWriter {
+pub struct WalWriter {
     /// `None` once the last batch was submitted.
     batches: Option<SyncSender<Batch>>,
     thread: Option<JoinHandle<()>>,
@@ -50,21 +50,21 @@
 }
 
 /// A log that was opened, and the thread that writes it.
-pub struct OpenedLog {
+pub struct OpenedWal {
     /// Takes batches.
-    pub writer: LogWriter,
+    pub writer: WalWriter,
     /// The invocations that have not completed.
     pub open_invocations: Vec<InvocationRecord>,
     /// What the thread reports.
     pub events: Channel<WriterEvent>,
 }
 
-impl LogWriter {
+impl WalWriter {
     /// Opens the log in a directory and starts its thread.
     ///
     /// # Errors
     /// Those of [`Log::open`], of the directory and of the thread's start.
-    pub fn open(directory: &Path) -> Result<OpenedLog, LogError> {
+    pub fn open(directory: &Path) -> Result<OpenedWal, LogError> {
         let (log, open_invocations) = Log::open(DirectoryStorage::open(directory)?)?;
         let (batches, submitted) = sync_channel(MAX_WAITING_BATCHES);
         let (reports, events) = channel::channel();
@@ -80,8 +80,8 @@
                 };
                 writing.write_batches(&submitted);
             })?;
-        Ok(OpenedLog {
-            writer: LogWriter {
+        Ok(OpenedWal {
+            writer: WalWriter {
                 batches: Some(batches),
                 thread: Some(thread),
                 stopping,
@@ -122,7 +122,7 @@
     }
 }
 
-impl Drop for LogWriter {
+impl Drop for WalWriter {
     /// Waits until all submitted batches are written, or were tried for long enough.
     fn drop(&mut self) {
         self.stopping.store(true, Ordering::Relaxed);
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -1,7 +1,7 @@
 //! What earlier releases stored is read, and means the same: files that a gateway of 2026-12-02 left, killed with
 //! invocations of each kind open. Each is written again and compared byte for byte.
 #![allow(clippy::unwrap_used, reason = "a test may stop at what must not be")]
-use quartzdrift::{durable, snapshots};
+use quartzdrift::{snapshots, wal_writer};
 use quartzdrift_async_queue::{Destination, StoredInvocation};
 use quartzdrift_discovery::{ConfiguredNames, list};
 use quartzdrift_forecast::Forecasts;
@@ -68,7 +68,7 @@
 
 /// A logged invocation as the queue restores it; written again it is the same.
 fn restored(record: &InvocationRecord) -> StoredInvocation {
-    let invocation = durable::stored_invocation(record).expect("it is of this release's form");
+    let invocation = wal_writer::stored_invocation(record).expect("it is of this release's form");
     assert_eq!(
         invocation.invocation.to_bytes(),
         record.request,
