--- a/crates/quartzdrift/src/gateway/destinations.rs
+++ b/crates/quartzdrift/src/gateway/destinations.rs
@@ -1,6 +1,6 @@
 //! Destinations: the event of a completed asynchronous invocation goes to a function or a URL.
 use super::{CallPurpose, Gateway};
-use crate::settings::destination;
+use crate::settings::parse_http_url;
 use quartzdrift_async_queue::{CompletedInvocation, Destination, Invocation};
 use quartzdrift_http::{Headers, OutgoingRequest, Response};
 use serde_json::{Value, json};
@@ -88,7 +88,7 @@
     }
 
     fn post_to_destination(&mut self, url: &str, body: Rc<[u8]>) {
-        match destination(url) {
+        match parse_http_url(url) {
             Ok((address, target)) => self.send_event(DestinationEvent {
                 attempts_left: MAX_SEND_ATTEMPTS,
                 address,
--- a/crates/quartzdrift/src/settings/check/destinations.rs
+++ b/crates/quartzdrift/src/settings/check/destinations.rs
@@ -1,6 +1,6 @@
 //! Checks of destinations of asynchronous invocations, in `[deferred]` and in `[[functions]]`.
 use super::collector::ErrorCollector;
-use super::url::destination;
+use super::url::parse_http_url;
 use crate::settings::plain_name;
 use crate::settings::raw::{DestinationEntry, File};
 use quartzdrift_async_queue::Destination;
@@ -50,7 +50,7 @@
 }
 
 fn url_destination(url: &str, position: Range<usize>, errors: &mut ErrorCollector) -> Destination {
-    if let Err(error) = destination(url) {
+    if let Err(error) = parse_http_url(url) {
         errors.add(
             position,
             format!("destination: {error}"),
--- a/crates/quartzdrift/src/settings/check/mod.rs
+++ b/crates/quartzdrift/src/settings/check/mod.rs
@@ -19,5 +19,5 @@
 mod whole_file;
 mod workers;
 
-pub use url::{UrlError, destination};
+pub use url::{UrlError, parse_http_url};
 pub(super) use whole_file::check;
--- a/crates/quartzdrift/src/settings/check/url.rs
+++ b/crates/quartzdrift/src/settings/check/url.rs
@@ -1,4 +1,4 @@
-//! HTTP URLs whose host is a numeric address. Use [`destination`] wherever the settings name a URL to call.
+//! HTTP URLs whose host is a numeric address. Use [`parse_http_url`] wherever the settings name a URL to call.
 use quartzdrift_discovery::{AddressError, list};
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
 /// # Errors
 ///
 /// The URL has another scheme, or a host that is no numeric address with a port.
-pub fn destination(url: &str) -> Result<(SocketAddr, String), UrlError> {
+pub fn parse_http_url(url: &str) -> Result<(SocketAddr, String), UrlError> {
     let rest = url.strip_prefix("http://").ok_or(UrlError::Scheme)?;
     let path_start = rest.find('/').unwrap_or(rest.len());
     let (authority, path) = rest.split_at(path_start);
--- a/crates/quartzdrift/src/settings/check/workers.rs
+++ b/crates/quartzdrift/src/settings/check/workers.rs
@@ -1,6 +1,6 @@
 //! Checks of `[[workers]]` and `[roster]`: the sources of the endpoint list.
 use super::collector::ErrorCollector;
-use super::url::destination;
+use super::url::parse_http_url;
 use crate::settings::Discovery;
 use crate::settings::raw::{File, Worker};
 use quartzdrift_discovery::{ConfiguredNames, DiscoveredEndpoint, list};
@@ -77,7 +77,7 @@
     if section.timeout.0.is_zero() {
         errors.add_at_key("roster", "timeout", "timeout is zero", "write \"2s\" or so");
     }
-    match destination(section.url.get_ref()) {
+    match parse_http_url(section.url.get_ref()) {
         Ok((address, target)) => Some(Discovery {
             address,
             target,
--- a/crates/quartzdrift/src/settings/mod.rs
+++ b/crates/quartzdrift/src/settings/mod.rs
@@ -10,7 +10,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use check::{UrlError, destination};
+pub use check::{UrlError, parse_http_url};
 pub use error::SettingsError;
 pub use load::{load, read};
 pub(crate) use types::plain_name;
