--- a/crates/quartzdrift/src/settings/check/asynchronous.rs
+++ b/crates/quartzdrift/src/settings/check/asynchronous.rs
@@ -1,9 +1,9 @@
-//! Checks of `[deferred]`.
+//! Checks of `[deferred]`, the asynchronous queue.
 use super::collector::ErrorCollector;
 use crate::settings::raw::{Answer, Asynchronous, File};
 use quartzdrift_async_queue::QueueSettings;
 
-/// Checks the table and converts it to the queue's settings.
+/// Checks the table and converts it to the settings of the asynchronous queue.
 pub(super) fn check(raw: &File, errors: &mut ErrorCollector) -> QueueSettings {
     let section = &raw.asynchronous;
     check_counts(section, errors);
@@ -11,16 +11,19 @@
         errors.add_at_key(
             "deferred",
             "answer",
-            "answer says nothing without a store",
-            "name a folder in store, or leave answer out",
+            "answer = \"early\" has no effect without store",
+            "set store to a folder, or remove answer",
         );
     }
     if section.first_retry_delay > section.max_retry_delay {
         errors.add_at_key(
             "deferred",
             "wait",
-            "the first wait is longer than the longest",
-            "make longest_wait no shorter than wait",
+            format!(
+                "wait ({:?}) is longer than longest_wait ({:?})",
+                section.first_retry_delay.0, section.max_retry_delay.0
+            ),
+            "make longest_wait at least as long as wait",
         );
     }
     QueueSettings {
@@ -39,16 +42,16 @@
         errors.add_at_key(
             "deferred",
             "tries",
-            "no try is allowed at all",
-            "write 1 for no further tries",
+            "tries is 0, the minimum is 1",
+            "write 1 for a single attempt without retries",
         );
     }
     if section.max_concurrent_attempts == 0 {
         errors.add_at_key(
             "deferred",
             "out",
-            "no deferred job may be out",
-            "write a number over 0",
+            "out is 0, the minimum is 1",
+            "write the maximum number of concurrent attempts, at least 1",
         );
     }
 }
--- a/crates/quartzdrift/src/settings/check/collector.rs
+++ b/crates/quartzdrift/src/settings/check/collector.rs
@@ -1,10 +1,10 @@
-//! Collects the errors of one settings file. Use [`ErrorCollector`] in each check: a check reports and goes
-//! on, so that one run finds all errors.
+//! Collects the errors of one settings file. Each check adds its errors to the [`ErrorCollector`] and
+//! continues, so that one run finds all errors.
 use crate::settings::SettingsError;
 use crate::settings::load::line_of;
 use std::ops::Range;
 
-/// The errors found so far, and the file's text, in which keys are located.
+/// The errors found so far. Holds the text of the file to locate keys in it.
 pub(super) struct ErrorCollector<'file> {
     file: &'file str,
     text: &'file str,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Reports an error at a range of bytes of the text.
+    /// Adds an error at a byte range of the text. Only the line of its start is kept.
     pub(super) fn add(
         &mut self,
         position: Range<usize>,
@@ -35,7 +35,7 @@
         });
     }
 
-    /// Reports an error at the header of a table.
+    /// Adds an error at the header of a table.
     pub(super) fn add_at_table(
         &mut self,
         table: &str,
@@ -45,7 +45,7 @@
         self.add(self.table(table), problem, remedy);
     }
 
-    /// Reports an error at a key of a table.
+    /// Adds an error at a key of a table.
     pub(super) fn add_at_key(
         &mut self,
         table: &str,
@@ -56,19 +56,19 @@
         self.add(self.key(table, key), problem, remedy);
     }
 
-    /// Position of a table's header; the start of the file where the table is absent.
+    /// Position of a table's header, or of the start of the file if the table is absent.
     pub(super) fn table(&self, name: &str) -> Range<usize> {
         let start = self.text.find(&format!("[{name}]")).unwrap_or(0);
         start..start
     }
 
-    /// All errors, sorted by line; errors of one line stay in the order of the checks.
+    /// All errors, sorted by line. Errors of the same line are in the order in which they were added.
     pub(super) fn into_sorted(mut self) -> Vec<SettingsError> {
         self.errors.sort_by_key(|error| error.line);
         self.errors
     }
 
-    /// Position of a key in a table; the table's header where the key is absent.
+    /// Position of a key in a table, or of the table's header if the key is absent.
     fn key(&self, table: &str, key: &str) -> Range<usize> {
         let header = self.table(table).start;
         let mut position = header;
@@ -89,7 +89,7 @@
     }
 }
 
-/// Whether a line of TOML assigns a value to `key`.
+/// Whether a line of TOML assigns a value to `key`, which must be written without quotes.
 fn is_assignment_of(line: &str, key: &str) -> bool {
     line.trim_start()
         .strip_prefix(key)
--- a/crates/quartzdrift/src/settings/check/destinations.rs
+++ b/crates/quartzdrift/src/settings/check/destinations.rs
@@ -1,4 +1,5 @@
-//! Checks of destinations of asynchronous invocations, in `[deferred]` and in `[[functions]]`.
+//! Checks of `on_success` and `on_failure` in `[deferred]` and `[[functions]]`: the destinations of events
+//! about asynchronous invocations.
 use super::collector::ErrorCollector;
 use super::url::parse_http_url;
 use crate::settings::plain_name;
@@ -6,7 +7,7 @@
 use quartzdrift_async_queue::Destination;
 use std::ops::Range;
 
-/// Checks and converts a destination; errors are reported at `position`.
+/// Checks and converts a destination. Errors are added at `position`, the byte range of the table.
 pub(super) fn check(
     entry: &Option<DestinationEntry>,
     raw: &File,
@@ -20,7 +21,7 @@
         _ => {
             errors.add(
                 position,
-                "a destination is a function or a URL",
+                "a destination must have either function or url",
                 "write either function = \"name\" or url = \"http://...\"",
             );
             None
@@ -42,8 +43,8 @@
     if !is_named && raw.gateway.default_request_class.is_none() {
         errors.add(
             position,
-            format!("the destination '{name}' is no function"),
-            "name one of [[functions]]",
+            format!("the destination function '{name}' is not defined"),
+            "name a function from [[functions]]",
         );
     }
     Destination::Function(name.to_owned())
@@ -53,7 +54,7 @@
     if let Err(error) = parse_http_url(url) {
         errors.add(
             position,
-            format!("destination: {error}"),
+            format!("the destination URL '{url}' is invalid: {error}"),
             "write it like \"http://127.0.0.1:8080/path\"",
         );
     }
--- a/crates/quartzdrift/src/settings/check/fleet.rs
+++ b/crates/quartzdrift/src/settings/check/fleet.rs
@@ -1,4 +1,4 @@
-//! Checks of `[fleet]`.
+//! Checks of `[fleet]`, the membership of a fleet of schedulers.
 use super::collector::ErrorCollector;
 use super::key_file::read_key;
 use crate::settings::FleetSettings;
@@ -10,15 +10,15 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Maximum keys at a time: the new one and the old one while keys are rotated.
+/// Maximum number of keys: during a key rotation both the new and the old key are valid.
 const MAX_KEYS: usize = 2;
 const MIN_PROTOCOL_PERIOD: Duration = Duration::from_millis(10);
-/// Probe timeout as a share of the protocol period, where the file has none.
+/// Default of the probe timeout, as a share of the protocol period.
 const DEFAULT_PROBE_TIMEOUT_SHARE: f64 = 0.3;
-/// Bytes of a datagram that the membership protocol can use.
-const DATAGRAM_BYTES: RangeInclusive<usize> = 512..=2048;
+/// Range of the maximum datagram size that the membership protocol supports, in bytes.
+const MAX_DATAGRAM_SIZES: RangeInclusive<usize> = 512..=2048;
 
-/// Checks and converts the table; `None` where it is absent or lacks a usable address.
+/// Checks and converts the table; `None` if it is absent or one of its addresses is invalid.
 pub(super) fn check(raw: &File, errors: &mut ErrorCollector) -> Option<FleetSettings> {
     let section = raw.fleet.as_ref()?;
     let defaults = MembershipSettings::default();
@@ -28,9 +28,9 @@
         Some(entry) => parse_address(entry, errors),
         None => listen,
     };
-    let seeds = seeds(section, errors);
+    let seeds = parse_seeds(section, errors);
     check_advertised(section, advertise, errors);
-    let keys = keys(section, errors);
+    let keys = read_keys(section, errors);
     let protocol_period = section.period.map_or(defaults.protocol_period, |period| period.0);
     let probe_timeout = section
         .probe_timeout
@@ -65,16 +65,19 @@
         errors.add_at_key(
             "fleet",
             "name",
-            "the scheduler has no usable name",
-            format!("write a name of 1 to {MAX_NAME_LENGTH} bytes that no other scheduler has"),
+            format!(
+                "name has {} bytes, the limit is 1 to {MAX_NAME_LENGTH}",
+                section.name.len()
+            ),
+            format!("write a name of 1 to {MAX_NAME_LENGTH} bytes that no other scheduler of the fleet has"),
         );
     }
     if section.cluster.is_empty() {
         errors.add_at_key(
             "fleet",
             "cluster",
-            "the cluster has no name",
-            "write cluster = \"production\" or so",
+            "cluster is empty",
+            "write the name of the cluster, for example cluster = \"production\"",
         );
     }
 }
@@ -86,14 +89,14 @@
             errors.add(
                 entry.span(),
                 error.to_string(),
-                "write it like \"127.0.0.1:9790\"",
+                "write an IP address and a port, like \"127.0.0.1:9790\"",
             );
             None
         }
     }
 }
 
-fn seeds(section: &raw::Fleet, errors: &mut ErrorCollector) -> Vec<SocketAddr> {
+fn parse_seeds(section: &raw::Fleet, errors: &mut ErrorCollector) -> Vec<SocketAddr> {
     let entries = section.seeds.iter();
     entries.filter_map(|entry| parse_address(entry, errors)).collect()
 }
@@ -102,19 +105,22 @@
     if advertise.is_some_and(|address| address.ip().is_unspecified()) {
         errors.add(
             section.listen.span(),
-            "others cannot reach a member at an unspecified address",
-            "add advertise = with the address that others reach it by",
+            "the advertised address is unspecified (0.0.0.0 or ::), other members cannot reach it",
+            "set advertise to the address at which other members reach this scheduler",
         );
     }
 }
 
-fn keys(section: &raw::Fleet, errors: &mut ErrorCollector) -> Vec<Vec<u8>> {
+fn read_keys(section: &raw::Fleet, errors: &mut ErrorCollector) -> Vec<Vec<u8>> {
     if section.keys.is_empty() || section.keys.len() > MAX_KEYS {
         errors.add_at_key(
             "fleet",
             "keys",
-            format!("{} keys are told", section.keys.len()),
-            "name the file of one key, or of two while keys are changed: the new one and the old one",
+            format!(
+                "keys has {} files, the limit is 1 to {MAX_KEYS}",
+                section.keys.len()
+            ),
+            "name one key file, or two during a key rotation: first the new key, then the old one",
         );
     }
     let mut keys = Vec::new();
@@ -124,7 +130,7 @@
             Err(error) => errors.add(
                 entry.span(),
                 error.to_string(),
-                "write 64 random hexadecimal digits into it, like `openssl rand -hex 32` does",
+                "write 64 random hexadecimal digits to the key file, for example with `openssl rand -hex 32`",
             ),
         }
     }
@@ -137,27 +143,34 @@
         errors.add_at_key(
             "fleet",
             "period",
-            "period and probe_timeout do not fit together",
-            "write a period of 10ms or more, and a probe_timeout of half of it at most",
+            format!(
+                "period ({protocol_period:?}) is under {MIN_PROTOCOL_PERIOD:?}, or probe_timeout \
+                 ({probe_timeout:?}) is zero or over half of period"
+            ),
+            "write a period of at least 10ms, and a probe_timeout of at most half of the period",
         );
     }
 }
 
 fn check_sizes(max_datagram_size: usize, max_members: usize, errors: &mut ErrorCollector) {
-    if !DATAGRAM_BYTES.contains(&max_datagram_size) {
+    if !MAX_DATAGRAM_SIZES.contains(&max_datagram_size) {
         errors.add_at_key(
             "fleet",
             "datagram_bytes",
-            "datagrams are too short or too long",
-            "write 512 to 2048",
+            format!(
+                "datagram_bytes is {max_datagram_size}, the limit is {} to {}",
+                MAX_DATAGRAM_SIZES.start(),
+                MAX_DATAGRAM_SIZES.end()
+            ),
+            "write a number of bytes from 512 to 2048",
         );
     }
     if max_members == 0 {
         errors.add_at_key(
             "fleet",
             "members",
-            "there is no room for any member",
-            "write a number over 0",
+            "members is 0, the minimum is 1",
+            "write the maximum number of members to track",
         );
     }
 }
--- a/crates/quartzdrift/src/settings/check/forecasts.rs
+++ b/crates/quartzdrift/src/settings/check/forecasts.rs
@@ -1,4 +1,4 @@
-//! Checks of `[forecasts]`.
+//! Checks of `[forecasts]`, the forecasts that prefetch is based on.
 use super::collector::ErrorCollector;
 use crate::settings::Forecasts;
 use crate::settings::raw::{self, File};
@@ -9,7 +9,7 @@
 const MAX_SEASONS: usize = 2;
 const MIN_SEASON: Duration = Duration::from_secs(60);
 
-/// Checks and converts the table; `None` where it is absent.
+/// Checks and converts the table; `None` if it is absent.
 pub(super) fn check(raw: &File, errors: &mut ErrorCollector) -> Option<Forecasts> {
     let section = raw.forecasts.as_ref()?;
     check_counts(section, errors);
@@ -17,8 +17,8 @@
     if !raw.copies.load_commands {
         errors.add_at_table(
             "forecasts",
-            "forecasts are kept, but load orders are not allowed",
-            "write orders = true under [copies], or leave [forecasts] out",
+            "[forecasts] requires load commands, but copies.orders is false",
+            "write orders = true in [copies], or remove [forecasts]",
         );
     }
     let defaults = ForecastSettings::default();
@@ -39,16 +39,16 @@
         errors.add_at_key(
             "forecasts",
             "functions",
-            "no function is remembered",
-            "write a number over 0",
+            "functions is 0, the minimum is 1",
+            "write the maximum number of functions to track",
         );
     }
     if section.every.0 < MIN_INTERVAL {
         errors.add_at_key(
             "forecasts",
             "every",
-            "every is under a second",
-            "write \"60s\" or so",
+            format!("every is {:?}, the minimum is {MIN_INTERVAL:?}", section.every.0),
+            "write an interval of at least a second, like \"60s\"",
         );
     }
 }
@@ -59,8 +59,11 @@
         errors.add_at_key(
             "forecasts",
             "seasons",
-            "there are too many seasons, or too short ones",
-            "write two spans of a minute or more at most, like [\"1d\", \"7d\"]",
+            format!(
+                "seasons has more than {MAX_SEASONS} durations, or one under {:?}",
+                MIN_SEASON
+            ),
+            "write at most two durations of a minute or more, like [\"1d\", \"7d\"]",
         );
     }
 }
--- a/crates/quartzdrift/src/settings/check/functions.rs
+++ b/crates/quartzdrift/src/settings/check/functions.rs
@@ -10,7 +10,8 @@
 use std::rc::Rc;
 use toml::Spanned;
 
-/// Checks and converts the functions, by name.
+/// Checks the functions and converts them to a map by name. A function with an unknown request class is left
+/// out.
 pub(super) fn check(
     raw: &File,
     scheduler: &SchedulerSettings,
@@ -29,31 +30,32 @@
         {
             errors.add(
                 entry.span(),
-                format!("function '{}' stands twice", section.name),
-                "remove one of them",
+                format!("function '{}' is defined twice", section.name),
+                "remove one of the definitions",
             );
         }
     }
-    let has_none = raw.functions.is_empty() && raw.gateway.default_request_class.is_none();
-    if has_none && !raw.request_classes.is_empty() {
+    let has_no_function = raw.functions.is_empty() && raw.gateway.default_request_class.is_none();
+    if has_no_function && !raw.request_classes.is_empty() {
         errors.add_at_table(
             "gateway",
-            "no function is known",
-            "add [[functions]], or gateway.default_workload for all that are not named",
+            "no function is defined",
+            "add [[functions]], or set gateway.default_workload for functions that are not listed",
         );
     }
     functions
 }
 
-/// What applies to functions that the settings do not name.
+/// Settings of functions that `[[functions]]` does not list; `None` if `gateway.default_workload` is absent
+/// or unknown.
 pub(super) fn default_function(raw: &File, errors: &mut ErrorCollector) -> Option<Rc<Function>> {
     let entry = raw.gateway.default_request_class.as_ref()?;
     let name = entry.get_ref();
     let Some(request_class) = request_classes::index_of(raw, name) else {
         errors.add(
             entry.span(),
-            format!("there is no workload '{name}'"),
-            format!("name one of: {}", request_classes::names(raw)),
+            format!("workload '{name}' is not defined"),
+            format!("defined workloads: {}", request_classes::names(raw)),
         );
         return None;
     };
@@ -63,10 +65,11 @@
     }))
 }
 
-/// Memory of the largest kind of worker; not a number where no kind has a figure.
+/// Memory of the largest kind of worker, in megabytes; NaN if no kind has a value. Nothing compares as
+/// greater than NaN, so any `memory_mb` is accepted then.
 fn max_memory_mb(scheduler: &SchedulerSettings) -> f64 {
-    let figures = scheduler.cache.memory_mb_by_kind.iter().copied();
-    figures.fold(f64::NAN, f64::max)
+    let memory_by_kind = scheduler.cache.memory_mb_by_kind.iter().copied();
+    memory_by_kind.fold(f64::NAN, f64::max)
 }
 
 fn check_function(
@@ -82,10 +85,10 @@
         errors.add(
             position,
             format!(
-                "function '{}': there is no workload '{}'",
+                "function '{}': workload '{}' is not defined",
                 section.name, section.request_class
             ),
-            format!("name one of: {}", request_classes::names(raw)),
+            format!("defined workloads: {}", request_classes::names(raw)),
         );
         return None;
     };
@@ -108,8 +111,8 @@
     if FunctionName::parse(name).is_err() {
         errors.add(
             position,
-            format!("'{name}' is no function's name"),
-            "use letters, digits, '-' and '_', and ':' before a version",
+            format!("function name '{name}' is invalid"),
+            "use letters, digits, '-' and '_', and ':' before a version or alias",
         );
     }
 }
@@ -121,24 +124,24 @@
     errors: &mut ErrorCollector,
 ) {
     let name = &section.name;
-    if section
-        .memory_mb
-        .is_some_and(|memory_mb| memory_mb > max_memory_mb)
+    if let Some(memory_mb) = section.memory_mb
+        && memory_mb > max_memory_mb
     {
         errors.add(
             position.clone(),
-            format!("function '{name}': no kind of worker has the memory for a copy"),
-            format!("the largest has {max_memory_mb} MB: make memory_mb smaller"),
+            format!(
+                "function '{name}': memory_mb is {memory_mb}, the largest kind of worker has {max_memory_mb}"
+            ),
+            "reduce memory_mb, or correct copies.memory_mb_by_kind",
         );
     }
-    if section
-        .concurrency_slots
-        .is_some_and(|slots| !(slots >= 1.0 && slots.is_finite()))
+    if let Some(slots) = section.concurrency_slots
+        && !(slots >= 1.0 && slots.is_finite())
     {
         errors.add(
             position,
-            format!("function '{name}': lanes is below 1"),
-            "write 1 or more",
+            format!("function '{name}': lanes is {slots}, it must be finite and at least 1"),
+            "write the number of requests that one cached replica runs at a time",
         );
     }
 }
--- a/crates/quartzdrift/src/settings/check/gateway.rs
+++ b/crates/quartzdrift/src/settings/check/gateway.rs
@@ -4,13 +4,13 @@
 use quartzdrift_discovery::list;
 use std::net::SocketAddr;
 
-/// The addresses to listen at.
+/// Checks and parses the addresses to listen on; invalid ones are left out.
 pub(super) fn listen_addresses(raw: &File, errors: &mut ErrorCollector) -> Vec<SocketAddr> {
     if raw.gateway.listen.is_empty() {
         errors.add_at_key(
             "gateway",
             "listen",
-            "there is no address to listen at",
+            "listen is empty",
             "write listen = [\"127.0.0.1:9700\"]",
         );
     }
@@ -21,14 +21,14 @@
             Err(error) => errors.add(
                 entry.span(),
                 error.to_string(),
-                "write it like \"127.0.0.1:9700\"",
+                "write an IP address and a port, like \"127.0.0.1:9700\"",
             ),
         }
     }
     addresses
 }
 
-/// A trace needs a file, and a limit that lets anything be written.
+/// Checks that the trace has a file name and a size limit above zero.
 pub(super) fn check_record(raw: &File, errors: &mut ErrorCollector) {
     let Some(record) = &raw.record else {
         return;
@@ -36,19 +36,19 @@
     if record.file.is_empty() || record.bytes == 0 {
         errors.add_at_table(
             "record",
-            "a trace needs a file and room",
-            "write file = \"trace.jsonl.gz\"",
+            "file is empty or bytes is 0",
+            "write file = \"trace.jsonl.gz\", and a positive size limit in bytes or none",
         );
     }
 }
 
-/// The log filter must be one that tracing-subscriber reads.
+/// Checks that tracing-subscriber can parse the log filter.
 pub(super) fn check_log(raw: &File, errors: &mut ErrorCollector) {
     if let Err(error) = tracing_subscriber::EnvFilter::try_new(&raw.log.filter) {
         errors.add_at_key(
             "log",
             "filter",
-            format!("the log filter cannot be read: {error}"),
+            format!("the log filter '{}' is invalid: {error}", raw.log.filter),
             "write a level like \"info\", or \"info,quartzdrift=debug\"",
         );
     }
--- a/crates/quartzdrift/src/settings/check/key_file.rs
+++ b/crates/quartzdrift/src/settings/check/key_file.rs
@@ -1,21 +1,22 @@
-//! Files with the keys that sign the datagrams of a fleet. Use [`read_key`] for each file of `fleet.keys`.
+//! Files with the keys that authenticate membership datagrams. Use [`read_key`] for each file in
+//! `fleet.keys`.
 use std::io;
 
-/// Minimum bytes of a key; a shorter one can be guessed.
+/// Minimum length of a key, in bytes; a shorter key could be found by trying all keys.
 const MIN_KEY_BYTES: usize = 16;
 
-/// A key file that cannot be used.
+/// Error of a key file.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum KeyFileError {
     #[error("the key file '{path}' cannot be read: {source}")]
     Unreadable { path: String, source: io::Error },
-    #[error("the key file '{path}' holds no key: {source}")]
+    #[error("the key file '{path}' is not hexadecimal: {source}")]
     NotHexadecimal { path: String, source: hex::FromHexError },
-    #[error("the key in '{path}' has {bytes} bytes; it can be guessed")]
+    #[error("the key in '{path}' has {bytes} bytes, the minimum is {MIN_KEY_BYTES}")]
     TooShort { path: String, bytes: usize },
 }
 
-/// Reads a key from a file of hexadecimal digits; white space around them is ignored.
+/// Reads a key from a file of hexadecimal digits. White space before and after the digits is ignored.
 pub(super) fn read_key(path: &str) -> Result<Vec<u8>, KeyFileError> {
     let text = std::fs::read_to_string(path).map_err(|source| KeyFileError::Unreadable {
         path: path.to_owned(),
--- a/crates/quartzdrift/src/settings/check/limits.rs
+++ b/crates/quartzdrift/src/settings/check/limits.rs
@@ -1,10 +1,10 @@
-//! Checks of `[limits]`, and the limits of the HTTP package that come of it.
+//! Checks of `[limits]`, and its conversion to the limits of the HTTP package.
 use super::collector::ErrorCollector;
 use crate::settings::raw::{File, HumanDuration};
 use quartzdrift_http::Limits;
 use std::time::Duration;
 
-/// No limit may be zero.
+/// Checks that no limit is zero, except that of the payload.
 pub(super) fn check(raw: &File, errors: &mut ErrorCollector) {
     let limits = &raw.limits;
     let counts = [
@@ -15,24 +15,29 @@
     ];
     for (key, count) in counts {
         if count == Some(0) {
-            let problem = format!("{key} is 0: nothing could pass");
-            errors.add_at_key("limits", key, problem, "write a number over 0");
+            let problem = format!("{key} is 0, the minimum is 1");
+            errors.add_at_key("limits", key, problem, "write a number of at least 1");
         }
     }
-    let times = [
+    let timeouts = [
         ("receive", limits.receive),
         ("idle", limits.idle),
         ("send", limits.send),
     ];
-    for (key, time) in times {
-        if time.is_some_and(|time| time.0.is_zero()) {
+    for (key, timeout) in timeouts {
+        if timeout.is_some_and(|timeout| timeout.0.is_zero()) {
             let problem = format!("{key} is zero");
-            errors.add_at_key("limits", key, problem, "write a span like \"20s\"");
+            errors.add_at_key(
+                "limits",
+                key,
+                problem,
+                "write a duration above zero, like \"20s\"",
+            );
         }
     }
 }
 
-/// The table's limits, and the HTTP package's defaults for absent keys.
+/// Converts the table; absent keys take the defaults of the HTTP package.
 pub(super) fn http_limits(raw: &File) -> Limits {
     let section = &raw.limits;
     let defaults = Limits::default();
--- a/crates/quartzdrift/src/settings/check/mod.rs
+++ b/crates/quartzdrift/src/settings/check/mod.rs
@@ -1,6 +1,5 @@
-//! Checks of a deserialized settings file, a module for each group of tables. Use [`check`] to turn a
-//! [`super::raw::File`] into [`super::Settings`]; it reports every contradiction, each with its line and a
-//! remedy.
+//! Checks of a deserialized settings file, with one module for each group of tables. Use [`check`] to convert
+//! a [`super::raw::File`] to [`super::Settings`]. It reports all errors, each with its line and a remedy.
 mod asynchronous;
 mod collector;
 mod destinations;
--- a/crates/quartzdrift/src/settings/check/recovery.rs
+++ b/crates/quartzdrift/src/settings/check/recovery.rs
@@ -1,16 +1,20 @@
-//! Checks of `[recovery]`.
+//! Checks of `[recovery]`, and its conversion.
 use super::collector::ErrorCollector;
 use crate::settings::Recovery;
 use crate::settings::raw::{File, Idempotency, IdempotencyKeysIn};
 
-/// The times must leave room for answers, and stored idempotency keys need a request class that has them.
+/// Checks the times of the recovery, and that idempotency keys on disk are set only if a request class uses
+/// idempotency keys.
 pub(super) fn check(raw: &File, errors: &mut ErrorCollector) {
     let section = &raw.recovery;
     if section.ask.0.is_zero() || section.longest.0 < section.ask.0 {
         errors.add_at_table(
             "recovery",
-            "others have no time to answer",
-            "write ask over nothing, and longest no shorter than it",
+            format!(
+                "ask ({:?}) is zero or longer than longest ({:?})",
+                section.ask.0, section.longest.0
+            ),
+            "write an ask above zero, and a longest of at least ask",
         );
     }
     let has_keys = raw
@@ -20,8 +24,8 @@
     if section.idempotency_keys == IdempotencyKeysIn::Disk && !has_keys {
         errors.add_at_table(
             "recovery",
-            "workers are said to keep fingerprints, and no workload has any",
-            "take fingerprints = \"disk\" out, or tell the workload whose effect is \"fingerprinted\"",
+            "fingerprints = \"disk\" has no effect: no workload has effect = \"fingerprinted\"",
+            "remove fingerprints, or correct the effect of the workloads that use idempotency keys",
         );
     }
 }
--- a/crates/quartzdrift/src/settings/check/request_classes.rs
+++ b/crates/quartzdrift/src/settings/check/request_classes.rs
@@ -1,9 +1,9 @@
-//! Checks of `[[workloads]]`, and look-ups of request classes by name.
+//! Checks of `[[workloads]]`, and lookup of request classes by name.
 use super::collector::ErrorCollector;
 use crate::settings::raw::{File, Idempotency, RequestClass};
 use std::ops::Range;
 
-/// The names of all request classes, for remedies.
+/// The names of all request classes, separated by commas.
 pub(super) fn names(raw: &File) -> String {
     let names: Vec<&str> = raw
         .request_classes
@@ -13,7 +13,7 @@
     names.join(", ")
 }
 
-/// Index of the request class with a name.
+/// Index of the request class that has this name.
 pub(super) fn index_of(raw: &File, name: &str) -> Option<u32> {
     let index = raw
         .request_classes
@@ -22,12 +22,12 @@
     Some(index as u32)
 }
 
-/// Checks each request class on its own, and that there is one.
+/// Checks that there is a request class, and checks each of them.
 pub(super) fn check(raw: &File, errors: &mut ErrorCollector) {
     if raw.request_classes.is_empty() {
         errors.add_at_table(
             "gateway",
-            "there is no workload",
+            "no workload is defined",
             "add [[workloads]] with name, effect and time_limit",
         );
     }
@@ -44,7 +44,7 @@
     }
 }
 
-/// Reports errors of one request class, with its name before the problem.
+/// Collects the errors of one request class. Each problem starts with the name of the class.
 struct ClassErrors<'check, 'file> {
     class: &'check RequestClass,
     position: Range<usize>,
@@ -62,7 +62,7 @@
     let name = &errors.class.name;
     let earlier = &raw.request_classes[..index];
     if earlier.iter().any(|class| class.get_ref().name == *name) {
-        errors.add("the name stands twice", "give each workload a name of its own");
+        errors.add("the name is used twice", "give each workload a unique name");
     }
 }
 
@@ -70,42 +70,49 @@
     let class = errors.class;
     if class.timeout.0 <= raw.rules.answer_slack.0 + raw.allowed.connect_timeout.0 {
         errors.add(
-            "its time limit is not longer than the answer slack and a connect time-out together",
-            "make time_limit longer, or rules.answer_slack or allowed.connect_timeout shorter",
+            &format!(
+                "time_limit ({:?}) must be longer than the sum of rules.answer_slack ({:?}) and \
+                 allowed.connect_timeout ({:?})",
+                class.timeout.0, raw.rules.answer_slack.0, raw.allowed.connect_timeout.0
+            ),
+            "increase time_limit, or reduce rules.answer_slack or allowed.connect_timeout",
         );
     }
-    if class
-        .latency_objective
-        .is_some_and(|objective| objective > class.timeout)
+    if let Some(objective) = class.latency_objective
+        && objective > class.timeout
     {
         errors.add(
-            "its start target is past its time limit",
-            "make start_target no longer than time_limit",
+            &format!(
+                "start_target ({:?}) is longer than time_limit ({:?})",
+                objective.0, class.timeout.0
+            ),
+            "make start_target at most as long as time_limit",
         );
     }
 }
 
-/// A request class with idempotency keys needs a deduplication window and scope, and no other may have them.
+/// Checks that a request class has a deduplication window and scope if and only if its requests have
+/// idempotency keys.
 fn check_idempotency(errors: &mut ClassErrors) {
     let class = errors.class;
     if class.idempotency != Idempotency::IdempotentWithKey {
         if class.window.is_some() || class.deduplication_scope.is_some() {
             errors.add(
-                "group and window say nothing unless it is fingerprinted",
-                "remove them, or change effect",
+                "group and window have no effect unless effect is \"fingerprinted\"",
+                "remove group and window, or change effect",
             );
         }
         return;
     }
     if class.window.is_none_or(|window| window.0.is_zero()) {
         errors.add(
-            "it is fingerprinted, but for how long repeats are known is not told",
-            "add window = \"5s\" or so",
+            "effect is \"fingerprinted\", but window is missing or zero",
+            "add the deduplication window, like window = \"5s\"",
         );
     }
     if class.deduplication_scope.is_none() {
         errors.add(
-            "it is fingerprinted, but which workers know a repeat is not told",
+            "effect is \"fingerprinted\", but group is missing",
             "add group = \"all\", \"zone\" or \"cell\"",
         );
     }
@@ -113,16 +120,20 @@
 
 fn check_weights(errors: &mut ClassErrors) {
     let class = errors.class;
-    if class
-        .late_weight
-        .is_some_and(|weight| !(0.0..=1.0).contains(&weight))
+    if let Some(weight) = class.late_weight
+        && !(0.0..=1.0).contains(&weight)
     {
-        errors.add("late_share is no share", "write a number from 0 to 1");
+        errors.add(
+            &format!("late_share is {weight}, the limit is 0 to 1"),
+            "write a number from 0 to 1",
+        );
     }
-    if class
-        .priority_weight
-        .is_some_and(|weight| !weight.is_finite() || weight < 0.0)
+    if let Some(weight) = class.priority_weight
+        && (!weight.is_finite() || weight < 0.0)
     {
-        errors.add("importance is below nothing", "write a number from 0 on");
+        errors.add(
+            &format!("importance is {weight}, it must be finite and at least 0"),
+            "write a number of at least 0",
+        );
     }
 }
--- a/crates/quartzdrift/src/settings/check/rules.rs
+++ b/crates/quartzdrift/src/settings/check/rules.rs
@@ -1,11 +1,11 @@
-//! Checks of what the scheduler decides by: `[rules]`, `[copies]`, `[allowed]`, `[scheduler]` and
+//! Checks of the inputs of scheduling decisions: `[rules]`, `[copies]`, `[allowed]`, `[scheduler]` and
 //! `[reports]`.
 use super::collector::ErrorCollector;
 use crate::settings::raw::{File, ReportSource, Rules};
 
-/// Checks the tables one after the other.
+/// Checks all five tables.
 pub(super) fn check(raw: &File, errors: &mut ErrorCollector) {
-    check_warm_up(&raw.rules, errors);
+    check_slow_start(&raw.rules, errors);
     check_load_quota(raw, errors);
     check_memory(raw, errors);
     check_allowed(raw, errors);
@@ -13,8 +13,8 @@
     check_reports(raw, errors);
 }
 
-/// The keys about workers that warm up are set together or not at all.
-fn check_warm_up(rules: &Rules, errors: &mut ErrorCollector) {
+/// Checks the keys for slow start and overload, which must be set together.
+fn check_slow_start(rules: &Rules, errors: &mut ErrorCollector) {
     let keys = [
         ("cold_from", rules.cold_from.is_some()),
         ("cold_for", rules.cold_for.is_some()),
@@ -29,35 +29,33 @@
     if !missing.is_empty() && missing.len() < keys.len() {
         errors.add_at_table(
             "rules",
-            "the rule for cold workers is told in part",
-            format!("add {}, or leave all four out", missing.join(", ")),
+            "cold_from, cold_for, fall_multiple and fall_window must be set together",
+            format!("add {}, or remove all four", missing.join(", ")),
         );
     }
-    if rules
-        .cold_from
-        .is_some_and(|share| !(share > 0.0 && share <= 1.0))
+    if let Some(share) = rules.cold_from
+        && !(share > 0.0 && share <= 1.0)
     {
         errors.add_at_key(
             "rules",
             "cold_from",
-            "cold_from is no share",
-            "write the share of its work that a worker can do when it has just started, over 0 up to 1",
+            format!("cold_from is {share}, it must be above 0 and at most 1"),
+            "write the share of its capacity that a worker has right after its start",
         );
     }
-    if rules
-        .fall_multiple
-        .is_some_and(|multiple| !multiple.is_finite() || multiple <= 0.0)
+    if let Some(multiple) = rules.fall_multiple
+        && (!multiple.is_finite() || multiple <= 0.0)
     {
         errors.add_at_key(
             "rules",
             "fall_multiple",
-            "fall_multiple is not over 0",
-            "write a number over 0",
+            format!("fall_multiple is {multiple}, it must be finite and above 0"),
+            "write a number above 0",
         );
     }
 }
 
-/// The keys of the load quota are set together or not at all.
+/// Checks the keys of the quota for load commands, which must be set together.
 fn check_load_quota(raw: &File, errors: &mut ErrorCollector) {
     let cache = &raw.copies;
     let is_set = [
@@ -68,21 +66,22 @@
     if is_set.contains(&true) && is_set.contains(&false) {
         errors.add_at_table(
             "copies",
-            "the ration of load orders is told in part",
-            "tell load_free, load_share and load_window, or none of them",
+            "load_free, load_share and load_window must be set together",
+            "write all three keys, or remove them",
         );
     }
 }
 
+/// Checks that `memory_mb_by_kind` has one value for each kind of worker, or is empty.
 fn check_memory(raw: &File, errors: &mut ErrorCollector) {
     let kinds = raw.scheduler.kinds.len().max(1);
-    let figures = raw.copies.memory_mb_by_kind.len();
-    if figures != 0 && figures != kinds {
+    let memory_sizes = raw.copies.memory_mb_by_kind.len();
+    if memory_sizes != 0 && memory_sizes != kinds {
         errors.add_at_key(
             "copies",
             "memory_mb_by_kind",
-            format!("memory is told for {figures} kinds of {kinds}"),
-            "write one figure for each of scheduler.kinds",
+            format!("memory_mb_by_kind has {memory_sizes} values, but there are {kinds} kinds of worker"),
+            "write one value for each entry of scheduler.kinds",
         );
     }
 }
@@ -92,8 +91,8 @@
         errors.add_at_key(
             "allowed",
             "max_executions",
-            "no execution is allowed at all",
-            "write 1 for no further executions",
+            "max_executions is 0, the minimum is 1",
+            "write 1 for a single execution without retries",
         );
     }
     if raw.allowed.connect_timeout.0.is_zero() {
@@ -101,7 +100,7 @@
             "allowed",
             "connect_timeout",
             "connect_timeout is zero",
-            "write \"250ms\" or so",
+            "write a duration above zero, like \"250ms\"",
         );
     }
 }
@@ -114,8 +113,8 @@
         errors.add_at_key(
             "scheduler",
             "me",
-            format!("me is {index} of {count} schedulers"),
-            "number the schedulers from 0 to one less than scheduler.schedulers",
+            format!("me is {index}, but there are only {count} schedulers"),
+            "number the schedulers from 0; me must be less than scheduler.schedulers",
         );
     }
     if let Some(zone) = &section.zone
@@ -123,7 +122,7 @@
     {
         errors.add(
             zone.span(),
-            format!("there is no zone '{}'", zone.get_ref()),
+            format!("zone '{}' is not defined", zone.get_ref()),
             format!("name one of scheduler.zones: {}", section.zones.join(", ")),
         );
     }
@@ -134,8 +133,8 @@
     if matches!(reports.source, ReportSource::Absent) && !reports.fields.is_empty() {
         errors.add_at_table(
             "reports",
-            "fields of reports are told, but no source of them",
-            "write source = \"answers\", or leave the fields out",
+            "fields has no effect, because source is \"silent\"",
+            "write source = \"answers\" or source = \"probes\", or remove fields",
         );
     }
 }
--- a/crates/quartzdrift/src/settings/check/schedules.rs
+++ b/crates/quartzdrift/src/settings/check/schedules.rs
@@ -1,4 +1,4 @@
-//! Checks of `[[timers]]`.
+//! Checks of `[[timers]]`, the schedules of asynchronous invocations.
 use super::collector::ErrorCollector;
 use crate::settings::Function;
 use crate::settings::raw::{File, Missed, Timer};
@@ -8,33 +8,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Checks and converts the schedules, each with its payload. `has_default`: functions that are not named can
-/// be called.
+/// Checks and converts the schedules, each with its payload. `has_default_function` says whether functions
+/// that `[[functions]]` does not list can be called.
 pub(super) fn check(
     raw: &File,
     functions: &HashMap<String, Rc<Function>>,
-    has_default: bool,
+    has_default_function: bool,
     errors: &mut ErrorCollector,
 ) -> Vec<(Schedule, Rc<[u8]>)> {
     let mut schedules: Vec<(Schedule, Rc<[u8]>)> = Vec::new();
     for entry in &raw.timers {
         let position = entry.span();
         let timer = entry.get_ref();
-        if !functions.contains_key(&timer.function) && !has_default {
+        if !functions.contains_key(&timer.function) && !has_default_function {
             errors.add(
                 position.clone(),
                 format!(
-                    "timer '{}': there is no function '{}'",
+                    "timer '{}': function '{}' is not defined",
                     timer.name, timer.function
                 ),
-                "name one of [[functions]]",
+                "name a function from [[functions]]",
             );
         }
         if schedules.iter().any(|(earlier, _)| earlier.name == timer.name) {
             errors.add(
                 position.clone(),
-                format!("timer '{}' stands twice", timer.name),
-                "give each a name of its own",
+                format!("timer '{}' is defined twice", timer.name),
+                "give each timer a unique name",
             );
         }
         check_payload(raw, timer, position.clone(), errors);
@@ -49,22 +49,26 @@
     if raw.gateway.require_json && !quartzdrift_invoke::request::is_json(timer.payload.as_bytes()) {
         errors.add(
             position,
-            format!("timer '{}': its payload is not JSON", timer.name),
-            "write JSON in it",
+            format!("timer '{}': the payload is not JSON", timer.name),
+            "write a JSON payload, or set gateway.require_json to false",
         );
     }
 }
 
-/// Parses the cron expression and the time zone; both are reported where both are wrong.
+/// Parses the cron expression and the time zone. If both are invalid, both errors are added.
 fn parse_schedule(timer: &Timer, position: Range<usize>, errors: &mut ErrorCollector) -> Option<Schedule> {
     let cron = quartzdrift_schedules::parse_cron(&timer.cron).map_err(|error| {
-        errors.add(position.clone(), error.to_string(), "write like \"*/5 * * * *\"");
+        errors.add(
+            position.clone(),
+            error.to_string(),
+            "write a cron expression like \"*/5 * * * *\"",
+        );
     });
     let zone = quartzdrift_schedules::parse_time_zone(&timer.zone).map_err(|error| {
         errors.add(
             position.clone(),
             error.to_string(),
-            "write like \"Europe/Amsterdam\" or \"UTC\"",
+            "write a time zone like \"Europe/Amsterdam\" or \"UTC\"",
         );
     });
     Some(Schedule {
--- a/crates/quartzdrift/src/settings/check/tenants.rs
+++ b/crates/quartzdrift/src/settings/check/tenants.rs
@@ -1,18 +1,18 @@
-//! Checks of `[[customers]]`.
+//! Checks of `[[customers]]`, the tenants.
 use super::collector::ErrorCollector;
 use crate::settings::raw::File;
 use std::collections::HashMap;
 
-/// Maximum sum of the shares; the excess over 1 covers rounding in the file.
+/// Maximum sum of the tenants' shares. The excess over 1 allows for rounded shares in the file.
 const MAX_TOTAL_SHARE: f64 = 1.001;
 
-/// Index of each tenant by its name.
+/// Index of each tenant, by name.
 pub(super) fn indexes(raw: &File) -> HashMap<String, u32> {
     let names = raw.tenants.iter().map(|tenant| tenant.get_ref().name.clone());
     names.zip(0..).collect()
 }
 
-/// Checks each tenant, the sum of the shares, and that a header for tenants has tenants.
+/// Checks each tenant and the sum of the shares. `gateway.customer_field` requires at least one tenant.
 pub(super) fn check(raw: &File, errors: &mut ErrorCollector) {
     check_each(raw, errors);
     check_total(raw, errors);
@@ -20,8 +20,8 @@
         errors.add_at_key(
             "gateway",
             "customer_field",
-            "a field tells customers, but none are named",
-            "add [[customers]], or leave customer_field out",
+            "customer_field is set, but no customer is defined",
+            "add [[customers]], or remove customer_field",
         );
     }
 }
@@ -33,14 +33,19 @@
         if earlier.iter().any(|other| other.get_ref().name == tenant.name) {
             errors.add(
                 entry.span(),
-                format!("customer '{}' stands twice", tenant.name),
-                "give each customer a name of its own",
+                format!("customer '{}' is defined twice", tenant.name),
+                "give each customer a unique name",
             );
         }
-        if tenant.share.is_some_and(|share| !(0.0..=1.0).contains(&share)) {
+        if let Some(share) = tenant.share
+            && !(0.0..=1.0).contains(&share)
+        {
             errors.add(
                 entry.span(),
-                format!("customer '{}': the share is no share", tenant.name),
+                format!(
+                    "customer '{}': share is {share}, the limit is 0 to 1",
+                    tenant.name
+                ),
                 "write a number from 0 to 1",
             );
         }
@@ -57,8 +62,8 @@
         let position = raw.tenants.first().map_or(0..0, |tenant| tenant.span());
         errors.add(
             position,
-            format!("the customers' shares come to {total:.3}"),
-            "make them come to 1 at most",
+            format!("the shares of all customers add up to {total:.3}, the limit is 1"),
+            "reduce the shares to a sum of at most 1",
         );
     }
 }
--- a/crates/quartzdrift/src/settings/check/url.rs
+++ b/crates/quartzdrift/src/settings/check/url.rs
@@ -1,24 +1,25 @@
-//! HTTP URLs whose host is a numeric address. Use [`parse_http_url`] wherever the settings name a URL to call.
+//! Parses HTTP URLs whose host is an IP address. Use [`parse_http_url`] for each URL in the settings that the
+//! gateway calls.
 use quartzdrift_discovery::{AddressError, list};
 use std::net::SocketAddr;
 
-/// A URL that the gateway cannot call.
+/// Error of a URL that the gateway cannot call.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UrlError {
-    /// The scheme is missing or another one.
-    #[error("it does not begin with http://")]
+    /// The scheme is missing, or is not `http`.
+    #[error("the URL does not start with http://")]
     Scheme,
-    /// The host and port are no numeric address.
+    /// The host is not an IP address, or the port is missing or invalid.
     #[error(transparent)]
     Address(#[from] AddressError),
 }
 
 /// Splits a URL like `http://127.0.0.1:8080/path?query` into the address and the request target; the target
-/// is `/` where the URL has no path.
+/// is `/` if the URL has no path.
 ///
 /// # Errors
 ///
-/// The URL has another scheme, or a host that is no numeric address with a port.
+/// The scheme is not `http`, the host is not an IP address, or the port is missing or invalid.
 pub fn parse_http_url(url: &str) -> Result<(SocketAddr, String), UrlError> {
     let rest = url.strip_prefix("http://").ok_or(UrlError::Scheme)?;
     let path_start = rest.find('/').unwrap_or(rest.len());
--- a/crates/quartzdrift/src/settings/check/whole_file.rs
+++ b/crates/quartzdrift/src/settings/check/whole_file.rs
@@ -1,4 +1,4 @@
-//! The checks of all tables in one pass, and the settings that come of them.
+//! Checks all tables in one pass and assembles the checked settings.
 use super::collector::ErrorCollector;
 use super::{
     asynchronous, destinations, fleet, forecasts, functions, gateway, limits, recovery, request_classes,
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The parts of the settings whose checks also convert them.
+/// The parts of the settings that the checks convert.
 struct CheckedParts {
     scheduler: SchedulerSettings,
     listen: Vec<SocketAddr>,
@@ -31,7 +31,7 @@
     fleet: Option<FleetSettings>,
 }
 
-/// Checks a deserialized file. `file` is its name in errors, `text` its content.
+/// Checks a deserialized settings file. `file` is its name in errors, and `text` is its TOML.
 pub(in crate::settings) fn check(file: &str, text: &str, raw: &File) -> Result<Settings, Vec<SettingsError>> {
     let mut errors = ErrorCollector::new(file, text);
     let parts = check_parts(raw, &mut errors);
@@ -43,7 +43,7 @@
     }
 }
 
-/// Runs the checks. Their order decides that of the errors of one line.
+/// Runs all checks. Errors of the same line are reported in the order of the checks.
 fn check_parts(raw: &File, errors: &mut ErrorCollector) -> CheckedParts {
     let scheduler = raw.scheduler();
     let listen = gateway::listen_addresses(raw, errors);
@@ -87,7 +87,7 @@
     }
 }
 
-/// Joins the converted parts with the values that need no conversion.
+/// Assembles the settings from the converted parts and from the values that need no check.
 fn assemble(raw: &File, parts: CheckedParts) -> Settings {
     let gateway = &raw.gateway;
     Settings {
--- a/crates/quartzdrift/src/settings/check/workers.rs
+++ b/crates/quartzdrift/src/settings/check/workers.rs
@@ -1,4 +1,4 @@
-//! Checks of `[[workers]]` and `[roster]`: the sources of the endpoint list.
+//! Checks of `[[workers]]` and `[roster]`: the listed workers and the source of the endpoint list.
 use super::collector::ErrorCollector;
 use super::url::parse_http_url;
 use crate::settings::Discovery;
@@ -10,17 +10,29 @@
 
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The workers that the file names; one whose address cannot be read is left out.
+/// Checks and converts the listed workers. A worker with an invalid address is left out.
 pub(super) fn endpoints(
     raw: &File,
-    known: &ConfiguredNames,
+    configured_names: &ConfiguredNames,
     errors: &mut ErrorCollector,
 ) -> Vec<DiscoveredEndpoint> {
     let mut endpoints: Vec<DiscoveredEndpoint> = Vec::new();
     for entry in &raw.workers {
         let section = entry.get_ref();
-        let zone = index_of(entry, "zone", section.zone.as_deref(), &known.zones, errors);
-        let kind = index_of(entry, "kind", section.kind.as_deref(), &known.kinds, errors);
+        let zone = index_of(
+            entry,
+            "zone",
+            section.zone.as_deref(),
+            &configured_names.zones,
+            errors,
+        );
+        let kind = index_of(
+            entry,
+            "kind",
+            section.kind.as_deref(),
+            &configured_names.kinds,
+            errors,
+        );
         let Some(address) = parse_address(entry, errors) else {
             continue;
         };
@@ -28,8 +40,8 @@
         if endpoints.iter().any(|endpoint| endpoint.worker == worker) {
             errors.add(
                 entry.span(),
-                format!("worker {worker} stands twice"),
-                "remove one of them",
+                format!("worker {worker} is defined twice"),
+                "remove one of the definitions",
             );
         }
         endpoints.push(DiscoveredEndpoint {
@@ -43,26 +55,30 @@
     endpoints
 }
 
-/// Without workers, an endpoint list and a snapshot of one, the gateway would have nothing to send to.
+/// Checks that the gateway can find workers: in `[[workers]]`, in the endpoint list, or in a snapshot of the
+/// list.
 pub(super) fn check_any_source(raw: &File, endpoints: &[DiscoveredEndpoint], errors: &mut ErrorCollector) {
     if endpoints.is_empty() && raw.discovery.is_none() && raw.gateway.state.is_none() {
         errors.add_at_table(
             "gateway",
-            "no worker is named and no roster that names any",
+            "no worker and no roster is defined",
             "add [[workers]] with an address, or [roster] with a url",
         );
     }
 }
 
-/// Checks and converts `[roster]`; `None` where it is absent or its URL cannot be used.
+/// Checks and converts `[roster]`; `None` if it is absent or its URL is invalid.
 pub(super) fn discovery(raw: &File, errors: &mut ErrorCollector) -> Option<Discovery> {
     let section = raw.discovery.as_ref()?;
     if section.every.0 < MIN_POLL_INTERVAL {
         errors.add_at_key(
             "roster",
             "every",
-            "the list is asked for too often",
-            "write 50ms or more",
+            format!(
+                "every is {:?}, the minimum is {MIN_POLL_INTERVAL:?}",
+                section.every.0
+            ),
+            "write an interval of at least 50ms",
         );
     }
     let lease = raw.rules.endpoint_lease.map(|lease| lease.0);
@@ -70,12 +86,17 @@
         errors.add_at_key(
             "rules",
             "endpoint_lease",
-            "the list would run out between two polls of it",
-            "write more than twice [roster] every and its timeout, or leave it out",
+            "endpoint_lease is not longer than twice roster.every plus roster.timeout",
+            "write more than twice roster.every plus roster.timeout, or remove endpoint_lease",
         );
     }
     if section.timeout.0.is_zero() {
-        errors.add_at_key("roster", "timeout", "timeout is zero", "write \"2s\" or so");
+        errors.add_at_key(
+            "roster",
+            "timeout",
+            "timeout is zero",
+            "write a duration above zero, like \"2s\"",
+        );
     }
     match parse_http_url(section.url.get_ref()) {
         Ok((address, target)) => Some(Discovery {
@@ -88,32 +109,35 @@
         Err(error) => {
             errors.add(
                 section.url.span(),
-                error.to_string(),
-                "write it like \"http://127.0.0.1:9800/workers\"",
+                format!("url '{}' is invalid: {error}", section.url.get_ref()),
+                "write a URL like \"http://127.0.0.1:9800/workers\"",
             );
             None
         }
     }
 }
 
-/// Index of a worker's zone or kind among the known names; 0 where it has none or an unknown one.
+/// Index of a worker's zone or kind in the configured names; 0 if the worker has none or an unknown one.
 fn index_of(
     entry: &Spanned<Worker>,
     property: &str,
     name: Option<&str>,
-    known: &[String],
+    configured_names: &[String],
     errors: &mut ErrorCollector,
 ) -> u32 {
     let Some(name) = name else {
         return 0;
     };
-    if let Some(index) = known.iter().position(|known| known == name) {
+    if let Some(index) = configured_names.iter().position(|configured| configured == name) {
         return index as u32;
     }
     errors.add(
         entry.span(),
-        format!("there is no {property} '{name}'"),
-        format!("name one of scheduler.{property}s: {}", known.join(", ")),
+        format!("{property} '{name}' is not defined"),
+        format!(
+            "name one of scheduler.{property}s: {}",
+            configured_names.join(", ")
+        ),
     );
     0
 }
@@ -125,7 +149,7 @@
             errors.add(
                 entry.span(),
                 error.to_string(),
-                "write it like \"127.0.0.1:9801\"",
+                "write an IP address and a port, like \"127.0.0.1:9801\"",
             );
             None
         }
--- a/crates/quartzdrift/src/settings/error.rs
+++ b/crates/quartzdrift/src/settings/error.rs
@@ -1,17 +1,17 @@
-//! The error of a settings file. Print it as it is: its text has the position, the problem and, on a second
-//! line, the remedy.
+//! The error type for settings files. Its `Display` text has the position and the problem, and on a second
+//! line the remedy.
 
 /// A problem in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}{}: {problem}{}", line_suffix(*.line), remedy_suffix(.remedy))]
 pub struct SettingsError {
-    /// The file's name, as it was given.
+    /// Path or name of the settings file, as the caller gave it.
     pub file: String,
-    /// Line of the problem, from 1; 0 where it concerns the file as a whole.
+    /// Line of the problem, counted from 1; 0 if the problem concerns the whole file.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the error: the setting and its value.
     pub problem: String,
-    /// How to correct it; empty where there is no advice.
+    /// How to correct the setting; empty if no correction is known.
     pub remedy: String,
 }
 
@@ -26,5 +26,5 @@
     if remedy.is_empty() {
         return String::new();
     }
-    format!("\n    mend: {remedy}")
+    format!("\n    fix: {remedy}")
 }
--- a/crates/quartzdrift/src/settings/load.rs
+++ b/crates/quartzdrift/src/settings/load.rs
@@ -1,15 +1,15 @@
-//! Reading of a settings file. Use [`load`] for a path, [`read`] for a text that is already in memory.
+//! Reads settings files. Use [`load`] for a path and [`read`] for TOML that is already in memory.
 use super::check::check;
 use super::raw::File;
 use super::{Settings, SettingsError};
 use std::path::Path;
 
-/// Reads and checks a file.
+/// Reads and checks a settings file.
 ///
 /// # Errors
 ///
-/// The file cannot be read or is no TOML of the right form, or its settings contradict each other: then all
-/// problems, in the order of their lines.
+/// The file cannot be read, does not parse, or has invalid or contradictory settings. In the last case all
+/// errors are returned, in the order of their lines.
 pub fn load(path: &Path) -> Result<Settings, Vec<SettingsError>> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -17,18 +17,18 @@
         Err(error) => Err(vec![SettingsError {
             file,
             line: 0,
-            problem: format!("cannot be read: {error}"),
-            remedy: "name a settings file that can be read; 'quartzdrift serve --help' shows a small one"
+            problem: format!("the settings file cannot be read: {error}"),
+            remedy: "give the path of a readable settings file; 'quartzdrift serve --help' shows an example"
                 .to_owned(),
         }]),
     }
 }
 
-/// Reads and checks a text; `file` is its name in errors.
+/// Parses and checks the TOML in `text`. `file` is the file name in errors.
 ///
 /// # Errors
 ///
-/// As for [`load`], except that nothing is read from a disk but the key files of `[fleet]`.
+/// The errors of [`load`], except that the only files read are the key files of `[fleet]`.
 pub fn read(file: &str, text: &str) -> Result<Settings, Vec<SettingsError>> {
     match toml::from_str::<File>(text) {
         Ok(raw) => check(file, text, &raw),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Line of a byte of the text, from 1.
+/// The line, counted from 1, that contains the byte at `position`.
 pub(super) fn line_of(text: &str, position: usize) -> usize {
     let line_breaks = text.bytes().take(position).filter(|byte| *byte == b'\n');
     line_breaks.count() + 1
@@ -52,7 +52,7 @@
     }
 }
 
-/// Splits a message of the deserializer into the problem and the remedy.
+/// Splits an error message of the TOML deserializer into the problem and the remedy.
 fn split_message(message: &str) -> (String, String) {
     if let Some((problem, expected)) = message.split_once(", expected ") {
         return (problem.to_owned(), format!("write {expected}"));
@@ -62,7 +62,7 @@
     }
     let remedy = match message.strip_prefix("missing field ") {
         Some(field) => format!("add {field}"),
-        None => "see docs/operations.md for the form of this setting".to_owned(),
+        None => "see docs/operations.md for the format of this setting".to_owned(),
     };
     (message.to_owned(), remedy)
 }
--- a/crates/quartzdrift/src/settings/raw/asynchronous.rs
+++ b/crates/quartzdrift/src/settings/raw/asynchronous.rs
@@ -1,4 +1,5 @@
-//! The table `[deferred]` and the array `[[timers]]`: the asynchronous queue, and schedules that fill it.
+//! The table `[deferred]` and the array `[[timers]]`: the asynchronous queue, and the schedules that submit
+//! invocations to it.
 use super::duration::HumanDuration;
 use super::functions::DestinationEntry;
 use serde::Deserialize;
@@ -8,32 +9,34 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Asynchronous {
-    /// Maximum attempts, the first included.
+    /// Maximum number of attempts for an invocation, including the first.
     #[serde(rename = "tries")]
     pub(crate) max_attempts: u32,
-    /// Delay before the second attempt; doubles with each further one.
+    /// Delay before the second attempt; doubled for each further attempt.
     #[serde(rename = "wait")]
     pub(crate) first_retry_delay: HumanDuration,
-    /// Maximum delay before a further attempt.
+    /// Upper limit of the delay between two attempts.
     #[serde(rename = "longest_wait")]
     pub(crate) max_retry_delay: HumanDuration,
-    /// Maximum time from acceptance to the last attempt.
+    /// Maximum time from the acceptance of an invocation to its last attempt.
     #[serde(rename = "greatest_age")]
     pub(crate) max_age: HumanDuration,
-    /// Maximum number of invocations held.
+    /// Maximum number of invocations in the queue.
     #[serde(rename = "jobs")]
     pub(crate) max_invocations: usize,
-    /// Maximum bytes held.
+    /// Maximum size of the queue, in bytes.
     #[serde(rename = "bytes")]
     pub(crate) max_bytes: usize,
-    /// Maximum attempts at a time.
+    /// Maximum number of attempts in flight at a time.
     #[serde(rename = "out")]
     pub(crate) max_concurrent_attempts: usize,
+    /// Default destination of events about succeeded invocations.
     pub(crate) on_success: Option<DestinationEntry>,
+    /// Default destination of events about failed invocations.
     pub(crate) on_failure: Option<DestinationEntry>,
-    /// Folder of the write-ahead log; `None`: requests are lost with the process.
+    /// Folder of the write-ahead log; without it, a stop of the process loses all queued invocations.
     pub(crate) store: Option<String>,
-    /// When a request is answered as accepted.
+    /// When the response "accepted" is sent.
     pub(crate) answer: Answer,
 }
 
@@ -55,36 +58,40 @@
     }
 }
 
-/// When an asynchronous request is answered as accepted.
+/// When the response "accepted" to an asynchronous request is sent.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Answer {
-    /// Once it is on the disk.
+    /// After the request is on disk.
     #[default]
     Durable,
-    /// At once: a crash within some milliseconds may lose it.
+    /// Immediately; a crash within the next few milliseconds may lose the request.
     Early,
 }
 
-/// An entry of `[[timers]]`.
+/// An entry of `[[timers]]`: a schedule that submits asynchronous invocations of one function.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Timer {
     pub(crate) name: String,
     pub(crate) function: String,
+    /// Cron expression, evaluated in the time zone `zone`.
     pub(crate) cron: String,
+    /// IANA name of a time zone.
     #[serde(default = "default_zone")]
     pub(crate) zone: String,
+    /// Maximum random delay of each trigger.
     pub(crate) jitter: Option<HumanDuration>,
     #[serde(default)]
     pub(crate) missed: Missed,
+    /// Whether a trigger fires while an earlier invocation has not completed.
     #[serde(default)]
     pub(crate) overlap: bool,
     #[serde(default)]
     pub(crate) payload: String,
 }
 
-/// What becomes of triggers that were missed while the gateway was down.
+/// Misfire policy: how triggers that were due while no gateway ran are handled.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Missed {
--- a/crates/quartzdrift/src/settings/raw/cache.rs
+++ b/crates/quartzdrift/src/settings/raw/cache.rs
@@ -1,8 +1,9 @@
-//! The table `[copies]`: functions cached in the workers' memory, and the commands that load them.
+//! The table `[copies]`: the function caches in the workers' memory, and load commands.
 use super::duration::HumanDuration;
 use serde::Deserialize;
 
 /// The table `[copies]`.
+///
 /// The fields are those of [`quartzdrift_scheduler::interface::CacheSettings`].
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -27,7 +28,7 @@
     pub(crate) load_command_timeout: Option<HumanDuration>,
 }
 
-/// What a worker does with a call of a function that is not cached.
+/// How a worker handles a request for a function that is not cached.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum CacheMissPolicy {
--- a/crates/quartzdrift/src/settings/raw/file.rs
+++ b/crates/quartzdrift/src/settings/raw/file.rs
@@ -1,4 +1,4 @@
-//! The whole settings file: one field for each table or array of tables.
+//! The settings file, with one field for each table or array of tables.
 use super::asynchronous::{Asynchronous, Timer};
 use super::cache::CacheSettings;
 use super::fleet::{Fleet, Recovery};
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-/// A settings file as it is written.
+/// A settings file as deserialized from TOML, before the checks.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct File {
--- a/crates/quartzdrift/src/settings/raw/forecasts.rs
+++ b/crates/quartzdrift/src/settings/raw/forecasts.rs
@@ -1,4 +1,4 @@
-//! The table `[forecasts]`: loads ahead of need by forecasts of use.
+//! The table `[forecasts]`: prefetch of functions based on forecasts of their use.
 use super::duration::HumanDuration;
 use serde::Deserialize;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Forecasts {
-    /// Maximum number of functions whose use is recorded.
+    /// Maximum number of functions whose use is tracked.
     pub(crate) functions: usize,
-    /// Lengths of the seasonal periods.
+    /// Lengths of the seasonal periods of the forecast model.
     pub(crate) seasons: Vec<HumanDuration>,
-    /// Interval of snapshots, where `gateway.state` is set, and of the summary in the log.
+    /// Interval of the forecast summary in the log, and of snapshots if `gateway.state` is set.
     pub(crate) every: HumanDuration,
 }
 
--- a/crates/quartzdrift/src/settings/raw/gateway.rs
+++ b/crates/quartzdrift/src/settings/raw/gateway.rs
@@ -1,5 +1,5 @@
-//! The tables `[gateway]`, `[limits]`, `[log]` and `[record]`: the process itself, its sockets and what it
-//! writes.
+//! The tables `[gateway]`, `[limits]`, `[log]` and `[record]`: settings of the process, limits of its HTTP
+//! connections, the log, and the request trace.
 use super::duration::HumanDuration;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -9,25 +9,28 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Gateway {
-    /// Addresses to listen at; port 0 takes a free one.
+    /// Addresses to listen on; the system chooses the port for port 0.
     pub(crate) listen: Vec<Spanned<String>>,
-    /// Folder for snapshots such as the last endpoint list; `None`: nothing is stored.
+    /// Folder for snapshots such as the last endpoint list; without it no snapshots are written.
     pub(crate) state: Option<String>,
-    /// Seed of the random numbers; `None`: a new one at each start.
+    /// Seed of the random number generators; without it each start draws a new seed.
     pub(crate) seed: Option<u64>,
-    /// Drain window: how long a stopping gateway waits for open requests.
+    /// Maximum time that a stopping gateway waits for open requests.
     #[serde(default = "default_drain")]
     pub(crate) drain: HumanDuration,
-    /// Whether a payload must be JSON, as the Invoke API requires.
+    /// Whether the gateway rejects payloads that are not JSON, as the Invoke API requires.
     #[serde(default = "default_require_json")]
     pub(crate) require_json: bool,
-    /// The header by which a trusted frontend names the tenant; `None`: all requests are the first tenant's.
+    /// Header in which a trusted frontend sends the tenant's name; without it all requests count for the
+    /// first tenant.
     #[serde(rename = "customer_field")]
     pub(crate) tenant_field: Option<String>,
-    /// The request class of functions that the settings do not name; `None`: they are not found.
+    /// Request class of functions that `[[functions]]` does not list; without it calls of those functions are
+    /// rejected.
     #[serde(rename = "default_workload")]
     pub(crate) default_request_class: Option<Spanned<String>>,
-    /// Whether another instance may listen at the same addresses, to take over before this one stops.
+    /// Whether other processes may listen on the same addresses, so that a successor can take over before
+    /// this gateway stops.
     #[serde(default)]
     pub(crate) share_port: bool,
 }
@@ -40,7 +43,7 @@
     true
 }
 
-/// The table `[limits]`; a key that is absent takes the HTTP package's default.
+/// The table `[limits]`. For an absent key the default of the HTTP package applies.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Limits {
@@ -54,7 +57,7 @@
     pub(crate) send: Option<HumanDuration>,
 }
 
-/// Format of the lines of the log.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum LogForm {
@@ -68,7 +71,7 @@
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Log {
     pub(crate) form: LogForm,
-    /// A filter as tracing-subscriber's `EnvFilter` reads it, like "info" or "info,quartzdrift=debug".
+    /// Filter in the syntax of tracing-subscriber's `EnvFilter`, like "info" or "info,quartzdrift=debug".
     pub(crate) filter: String,
 }
 
@@ -81,16 +84,16 @@
     }
 }
 
-/// The table `[record]`: a trace of all requests, for simulations and load tests.
+/// The table `[record]`: the trace of all accepted requests, for simulations and load tests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Record {
-    /// JSON lines, compressed by gzip where the name ends in `.gz`.
+    /// The trace file, in JSON lines; compressed with gzip if its name ends in `.gz`.
     pub(crate) file: String,
-    /// Maximum bytes written, before compression; then the trace ends.
+    /// Maximum size of the trace before compression, in bytes. The trace ends at this size.
     #[serde(default = "default_record_bytes")]
     pub(crate) bytes: u64,
-    /// Names of functions are replaced by hashes.
+    /// Whether the trace has a hash in place of each function name.
     #[serde(default)]
     pub(crate) hash_names: bool,
 }
--- a/crates/quartzdrift/src/settings/raw/mod.rs
+++ b/crates/quartzdrift/src/settings/raw/mod.rs
@@ -1,6 +1,6 @@
-//! The settings file as it is written, a module for each group of tables. Use [`File`] to deserialize a file;
-//! an unknown key, a wrong type or a bad unit is an error with its position. The names of the types appear in
-//! error texts, so they are part of the command line's output.
+//! The settings file as deserialized from TOML, with one module for each group of tables. Use [`File`] to
+//! deserialize a file. An unknown key, a wrong type or an invalid unit is an error with its position. The
+//! names of the types appear in error texts and are therefore part of the command line's output.
 mod asynchronous;
 mod cache;
 mod duration;
--- a/crates/quartzdrift/src/settings/raw/reports.rs
+++ b/crates/quartzdrift/src/settings/raw/reports.rs
@@ -1,4 +1,4 @@
-//! The table `[reports]`: where workers' load reports come from, and which metric holds which figure.
+//! The table `[reports]`: the source of the workers' load reports, and the metric for each field of a report.
 use serde::Deserialize;
 
 /// The table `[reports]`.
@@ -9,20 +9,23 @@
     pub(crate) fields: Vec<Metric>,
 }
 
-/// Where load reports come from.
+/// Source of load reports.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum ReportSource {
+    /// Headers of the workers' responses.
     #[serde(rename = "answers")]
     Responses,
+    /// Responses to health checks.
     #[serde(rename = "probes")]
     HealthChecks,
+    /// Workers send no load reports.
     #[default]
     #[serde(rename = "silent")]
     Absent,
 }
 
-/// A figure, and the metric of the worker's report that holds it.
+/// A field of a load report, and the name of the worker's metric that holds its value.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Metric {
@@ -30,7 +33,7 @@
     pub(crate) metric: String,
 }
 
-/// A figure of a load report.
+/// A field of a load report.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum ReportField {
--- a/crates/quartzdrift/src/settings/raw/request_classes.rs
+++ b/crates/quartzdrift/src/settings/raw/request_classes.rs
@@ -1,9 +1,9 @@
-//! The arrays `[[workloads]]` and `[[customers]]`: classes of requests, and the tenants that share the
-//! capacity.
+//! The arrays `[[workloads]]` and `[[customers]]`: request classes, and the tenants that share the capacity.
 use super::duration::HumanDuration;
 use serde::Deserialize;
 
 /// An entry of `[[workloads]]`.
+///
 /// The fields are those of [`quartzdrift_scheduler::interface::RequestClass`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -28,7 +28,7 @@
     pub(crate) streams: bool,
 }
 
-/// Whether an attempt may be repeated.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Idempotency {
@@ -40,7 +40,7 @@
     NonIdempotent,
 }
 
-/// The workers that recognise a repeated idempotency key.
+/// The set of workers that share idempotency keys and so detect a duplicate request.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum DeduplicationScope {
@@ -50,6 +50,7 @@
 }
 
 /// An entry of `[[customers]]`.
+///
 /// The fields are those of [`quartzdrift_scheduler::interface::Tenant`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/quartzdrift/src/settings/raw/scheduler.rs
+++ b/crates/quartzdrift/src/settings/raw/scheduler.rs
@@ -1,10 +1,12 @@
-//! The tables `[scheduler]`, `[allowed]`, `[rules]`, `[prices]` and `[goal]`: what the scheduler decides by.
+//! The tables `[scheduler]`, `[allowed]`, `[rules]`, `[prices]` and `[goal]`: the inputs of scheduling
+//! decisions.
 use super::duration::HumanDuration;
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
 
 /// The table `[scheduler]`.
+///
 /// The fields are those of [`quartzdrift_scheduler::interface::Settings`].
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -26,7 +28,7 @@
     pub(crate) clients_mark_retries: bool,
 }
 
-/// How the endpoint list reaches the scheduler.
+/// How the scheduler receives the endpoint list.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum DiscoveryMode {
@@ -36,7 +38,7 @@
     Poll,
 }
 
-/// How much the capacities of workers say.
+/// Kind of capacity information in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum CapacityHints {
@@ -50,7 +52,7 @@
     Current,
 }
 
-/// What a tenant's share is counted in.
+/// Unit that a priority weight applies to.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum PriorityUnit {
@@ -60,7 +62,8 @@
     Work,
 }
 
-/// The table `[allowed]`: what the scheduler may do, and to what extent.
+/// The table `[allowed]`: actions that the scheduler may take, and their limits.
+///
 /// The fields are those of [`quartzdrift_scheduler::interface::ActionLimits`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -104,6 +107,7 @@
 }
 
 /// The table `[rules]`: properties of the workers that the scheduler relies on.
+///
 /// The fields are those of [`quartzdrift_scheduler::interface::Rules`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -133,7 +137,8 @@
     }
 }
 
-/// The table `[prices]`: what each action costs in the scheduler's account.
+/// The table `[prices]`: cost of each action in the scheduler's objective.
+///
 /// The fields are those of [`quartzdrift_scheduler::interface::Prices`].
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -151,7 +156,8 @@
     pub(crate) waste: f64,
 }
 
-/// The table `[goal]`: weights of the parts of the objective.
+/// The table `[goal]`: weights of the terms of the scheduler's objective.
+///
 /// The fields are those of [`quartzdrift_scheduler::interface::GoalWeights`].
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
--- a/crates/quartzdrift/src/settings/raw/scheduler_settings.rs
+++ b/crates/quartzdrift/src/settings/raw/scheduler_settings.rs
@@ -1,5 +1,4 @@
-//! The scheduler's own settings, built from the file's tables. Use [`File::scheduler`] once the file is
-//! deserialized.
+//! Converts the deserialized tables to the scheduler's settings. Use [`File::scheduler`].
 use super::{
     Allowed, CacheMissPolicy, CacheSettings, CapacityHints, DeduplicationScope, DiscoveryMode, File, Goal,
     HumanDuration, Idempotency, Prices, PriorityUnit, ReportField, ReportSource, RequestClass, Rules,
@@ -10,7 +9,7 @@
 use toml::Spanned;
 
 impl File {
-    /// The scheduler's part of the settings. A zone that is not one of `scheduler.zones` is left out.
+    /// The settings of the scheduler. Its own zone is `None` if it is not listed in `scheduler.zones`.
     pub(crate) fn scheduler(&self) -> scheduler::Settings {
         let section = self.scheduler.clone();
         scheduler::Settings {
@@ -22,18 +21,21 @@
             tier: section.tier,
             tiers: section.tiers,
             workload: section.family,
-            clock_resolution: duration(section.resolution),
+            clock_resolution: optional_duration(section.resolution),
             discovery_mode: section.discovery.into(),
             capacity_hints: section.weights.into(),
             priority_unit: section.counted_by.into(),
             over_quota_weight: section.over_quota_weight,
             clients_mark_retries: section.clients_mark_retries,
-            request_classes: spanned(&self.request_classes),
-            tenants: spanned(&self.tenants),
+            request_classes: convert_entries(&self.request_classes),
+            tenants: convert_entries(&self.tenants),
             limits: (&self.allowed).into(),
             rules: scheduler::Rules {
-                // Workers that the file names are what it says; a lease is for a list that somebody else keeps.
-                endpoint_lease: duration(self.rules.endpoint_lease.filter(|_| self.discovery.is_some())),
+                // A lease applies only to a list that a discovery server maintains; workers that the settings
+                // file lists never expire.
+                endpoint_lease: optional_duration(
+                    self.rules.endpoint_lease.filter(|_| self.discovery.is_some()),
+                ),
                 ..(&self.rules).into()
             },
             cache: (&self.copies).into(),
@@ -50,18 +52,18 @@
     }
 }
 
-/// Index of the scheduler's own zone among all zones.
+/// Index of the scheduler's own zone in `scheduler.zones`.
 fn own_zone(section: &Scheduler) -> Option<u32> {
     let name = section.zone.as_ref()?.get_ref();
     let index = section.zones.iter().position(|zone| zone == name)?;
     Some(index as u32)
 }
 
-fn duration(value: Option<HumanDuration>) -> Option<Duration> {
+fn optional_duration(value: Option<HumanDuration>) -> Option<Duration> {
     value.map(|duration| duration.0)
 }
 
-fn spanned<'a, Entry, Converted: From<&'a Entry>>(entries: &'a [Spanned<Entry>]) -> Vec<Converted> {
+fn convert_entries<'a, Entry, Converted: From<&'a Entry>>(entries: &'a [Spanned<Entry>]) -> Vec<Converted> {
     entries.iter().map(|entry| entry.get_ref().into()).collect()
 }
 
@@ -70,7 +72,7 @@
         scheduler::RequestClass {
             name: class.name.clone(),
             idempotency: class.idempotency.into(),
-            latency_objective: duration(class.latency_objective),
+            latency_objective: optional_duration(class.latency_objective),
             latency_objective_stretch: class.latency_objective_stretch,
             timeout: Some(class.timeout.0),
             priority_weight: class.priority_weight,
@@ -79,7 +81,7 @@
                 .deduplication_scope
                 .unwrap_or(DeduplicationScope::All)
                 .into(),
-            deduplication_window: duration(class.window),
+            deduplication_window: optional_duration(class.window),
             streams_responses: class.streams,
         }
     }
@@ -103,7 +105,7 @@
             peer_messages: allowed.peers,
             hedging: allowed.hedging,
             retry_after: allowed.retry_after,
-            max_retry_after: duration(allowed.max_retry_after),
+            max_retry_after: optional_duration(allowed.max_retry_after),
             max_attempts: allowed.max_attempts,
             max_open_requests: allowed.max_open,
             connect_timeout: Some(allowed.connect_timeout.0),
@@ -119,13 +121,13 @@
     fn from(rules: &Rules) -> Self {
         scheduler::Rules {
             response_slack: Some(rules.answer_slack.0),
-            endpoint_refresh_limit: duration(rules.ask_within),
+            endpoint_refresh_limit: optional_duration(rules.ask_within),
             slow_start_min_capacity: rules.cold_from,
-            slow_start_duration: duration(rules.cold_for),
+            slow_start_duration: optional_duration(rules.cold_for),
             drain_grace: Some(rules.drain_grace.0),
             endpoint_lease: None,
             overload_multiple: rules.fall_multiple,
-            overload_window: duration(rules.fall_window),
+            overload_window: optional_duration(rules.fall_window),
         }
     }
 }
@@ -137,13 +139,13 @@
             load_commands: cache.load_commands,
             reports_cache_status: cache.reports_cache_status,
             reports_concurrency: cache.reports_concurrency,
-            keep_alive: duration(cache.keep),
+            keep_alive: optional_duration(cache.keep),
             memory_mb_by_kind: cache.memory_mb_by_kind.clone(),
             idle_memory_price: cache.idle_memory_price,
             load_quota_burst: cache.load_quota_burst,
             load_quota_share: cache.load_quota_share,
-            load_quota_window: duration(cache.load_quota_window),
-            load_command_timeout: duration(cache.load_command_timeout),
+            load_quota_window: optional_duration(cache.load_quota_window),
+            load_command_timeout: optional_duration(cache.load_command_timeout),
         }
     }
 }
@@ -176,7 +178,7 @@
     }
 }
 
-/// Converts enums of the file to the scheduler's, variant by variant.
+/// Implements the conversion of enums of the settings file to the scheduler's enums of the same names.
 macro_rules! convert_variants {
     ($($name:ident { $($variant:ident),+ })+) => {
         $(impl From<$name> for scheduler::$name {
--- a/crates/quartzdrift/src/settings/raw/workers.rs
+++ b/crates/quartzdrift/src/settings/raw/workers.rs
@@ -1,5 +1,5 @@
-//! The array `[[workers]]` and the table `[roster]`: the workers by address, or the endpoint list that names
-//! them.
+//! The array `[[workers]]` and the table `[roster]`: the workers listed by address, and the source of the
+//! endpoint list.
 use super::duration::HumanDuration;
 use serde::Deserialize;
 use std::time::Duration;
@@ -9,8 +9,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Worker {
+    /// IP address and port.
     pub(crate) address: String,
+    /// One of `scheduler.zones`; the first if absent.
     pub(crate) zone: Option<String>,
+    /// One of `scheduler.kinds`; the first if absent.
     pub(crate) kind: Option<String>,
     #[serde(default)]
     pub(crate) cell: u32,
@@ -23,10 +26,10 @@
 pub(crate) struct Discovery {
     /// URL of the endpoint list, like "http://127.0.0.1:9800/workers".
     pub(crate) url: Spanned<String>,
-    /// Changes come over server-sent events at the same address.
+    /// Whether the server also sends changes of the list as server-sent events at the same URL.
     #[serde(default)]
     pub(crate) stream: bool,
-    /// Interval at which the whole list is polled.
+    /// Interval between two polls of the whole list.
     #[serde(default = "default_every")]
     pub(crate) every: HumanDuration,
     /// Timeout of one poll.
--- a/crates/quartzdrift/src/settings/tests.rs
+++ b/crates/quartzdrift/src/settings/tests.rs
@@ -1,8 +1,8 @@
-//! Errors of settings that contradict each other or are incomplete.
+//! Tests of errors for settings that must be set together.
 use super::read;
 
-/// The problems of a small settings file that has these lines under its only request class, then these
-/// tables.
+/// Returns the problems that [`read`] reports for a minimal settings file with additional lines in its only
+/// request class, and additional tables.
 fn problems(request_class: &str, tables: &str) -> Vec<String> {
     let text = format!(
         "[gateway]\nlisten = [\"127.0.0.1:0\"]\n[[workloads]]\nname = \"a\"\ntime_limit = \"3s\"\n{request_class}\n\
@@ -13,21 +13,21 @@
 }
 
 #[test]
-fn settings_that_are_only_set_together_are_refused_in_part() {
-    let whole = "effect = \"fingerprinted\"\ngroup = \"zone\"\nwindow = \"5s\"";
-    assert_eq!(problems(whole, ""), Vec::<String>::new());
-    for part in ["group = \"zone\"\n", "window = \"5s\""] {
-        let found = problems(&whole.replace(part, ""), "");
+fn settings_that_must_be_set_together_are_rejected_if_one_is_missing() {
+    let complete = "effect = \"fingerprinted\"\ngroup = \"zone\"\nwindow = \"5s\"";
+    assert_eq!(problems(complete, ""), Vec::<String>::new());
+    for missing in ["group = \"zone\"\n", "window = \"5s\""] {
+        let found = problems(&complete.replace(missing, ""), "");
         assert!(
-            matches!(&found[..], [one] if one.contains("is not told")),
-            "{part}: {found:?}"
+            matches!(&found[..], [one] if one.contains("is missing")),
+            "{missing}: {found:?}"
         );
     }
-    for part in ["[rules]\ncold_for = \"9s\"", "[copies]\nload_free = 6.0"] {
-        let found = problems("effect = \"restartable\"", part);
+    for incomplete_table in ["[rules]\ncold_for = \"9s\"", "[copies]\nload_free = 6.0"] {
+        let found = problems("effect = \"restartable\"", incomplete_table);
         assert!(
-            matches!(&found[..], [one] if one.contains("in part")),
-            "{part}: {found:?}"
+            matches!(&found[..], [one] if one.contains("must be set together")),
+            "{incomplete_table}: {found:?}"
         );
     }
 }
