--- a/crates/quartzdrift/src/commands/arguments.rs
+++ b/crates/quartzdrift/src/commands/arguments.rs
@@ -1,10 +1,10 @@
-//! The arguments of the command line. Their doc comments are the help texts that users read.
+//! The command line arguments. Their doc comments are the help texts.
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A small settings file, shown by `serve --help`.
-const EXAMPLE: &str = r#"A small settings file:
+/// An example of a settings file, shown by `serve --help`.
+const EXAMPLE: &str = r#"Example of a settings file:
 
     [gateway]
     listen = ["127.0.0.1:9700"]
@@ -24,8 +24,9 @@
 Try it with `quartzdrift check FILE`, then `quartzdrift serve FILE`, then
     quartzdrift invoke hello --payload '{"name": "you"}'
 
-SIGTERM or Ctrl-C stops it: nothing new is taken, what is open is ended within gateway.drain. Logs go to standard
-error ([log] form = "json" for one object a line). docs/operations.md explains every setting."#;
+SIGTERM or Ctrl-C stops the gateway: it rejects new requests and waits up to gateway.drain for open ones.
+Logs are written to standard error, as text or (form = "json" in [log]) as one JSON object per line.
+docs/operations.md explains all settings."#;
 
 /// Gateway for functions and models that workers load on demand.
 #[derive(Parser)]
@@ -37,70 +38,72 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Run the gateway by a settings file until it is told to stop
+    /// Run the gateway with a settings file until SIGTERM or SIGINT
     #[command(after_help = EXAMPLE)]
     Serve { file: PathBuf },
-    /// Run as a scheduler on the operators' platform, by the configuration that GW_CONFIG names
+    /// Run a scheduler on the operators' platform, with the configuration that the variable GW_CONFIG names
     #[command(
-        after_help = "SIGHUP reads the configuration again, SIGTERM stops once all is answered. RUST_LOG filters \
-                            what goes to standard error (default info). docs/platform.md has the rest."
+        after_help = "SIGHUP reloads the configuration. SIGTERM stops the scheduler after all requests are \
+                      answered. RUST_LOG filters the logs on standard error (default: info). See \
+                      docs/platform.md."
     )]
     Run,
-    /// Check a settings file and say what is wrong, with line and mend; exit status 1 where something is
+    /// Check a settings file and print its errors with line and fix; exit status 1 if there are errors
     Check { file: PathBuf },
-    /// Show the fleet as the gateway of a settings file last saw it (it needs gateway.state)
+    /// Show the fleet's members as the gateway last saved them (requires gateway.state)
     Members { file: PathBuf },
-    /// Show how service returns since the last start, and what of before is believed (it needs gateway.state)
+    /// Show the phase of the recovery after the last start, and which saved state was restored (requires
+    /// gateway.state)
     Recovery {
         file: PathBuf,
-        /// Go to full service at once; what may not run twice stays as it was judged
+        /// Go to full service immediately; decisions about requests that must not run twice are kept
         #[arg(long)]
         force: bool,
     },
-    /// Look at a store of asynchronous requests, or repair a damaged one
+    /// Inspect or repair a store of asynchronous requests
     Store {
         #[command(subcommand)]
         command: StoreCommand,
     },
-    /// Call a function through a gateway and print its answer
+    /// Call a function through a gateway and print the response
     #[command(
-        after_help = "Exit status: 0 finished or taken, 2 the function failed or the job was killed, \
-                            3 pushed back (trying again is harmless), 4 any other answer, 1 no answer."
+        after_help = "Exit status: 0 succeeded or accepted, 1 no response, 2 the function failed or the \
+                      gateway aborted the attempt, 3 rejected (a retry is safe), 4 any other response."
     )]
     Invoke(InvokeArguments),
 }
 
 #[derive(Subcommand)]
 pub(crate) enum StoreCommand {
-    /// Say what is in it and whether it is whole; exit status 1 where it is not
+    /// Print a summary of the store and its damage; exit status 1 if it is damaged
     Check { folder: PathBuf },
-    /// Print its requests, one JSON object a line
+    /// Print the requests in the store, one JSON object per line
     Dump { folder: PathBuf },
-    /// Keep what can be read of a damaged one; the gateway that uses it must be stopped
+    /// Rewrite a damaged store with the requests that can be read; stop its gateway first
     Repair { folder: PathBuf },
 }
 
-// The arguments of `invoke`. No doc comment here, as clap would add it to the help text.
+// The arguments of `invoke`. This is not a doc comment, because clap would add it to the help text.
 #[derive(Args)]
 pub(crate) struct InvokeArguments {
-    /// A name, name:alias or ARN
+    /// Function name, name:alias or ARN
     pub(crate) function: String,
-    /// The gateway's address
+    /// Address of the gateway
     #[arg(long, default_value = "127.0.0.1:9700")]
     pub(crate) at: String,
-    /// The payload, JSON; `-` reads standard input
+    /// JSON payload; `-` reads it from standard input
     #[arg(long, conflicts_with = "file")]
     pub(crate) payload: Option<String>,
     /// Read the payload from a file
     #[arg(long)]
     pub(crate) file: Option<PathBuf>,
-    /// Deferred: answered once taken, run later
+    /// Invoke asynchronously: the gateway responds once it has queued the request
     #[arg(long)]
     pub(crate) event: bool,
-    /// A mark by which workers know a repeat of a request with an idempotency key
+    /// Idempotency key, by which workers detect a duplicate of the request
     #[arg(long)]
     pub(crate) mark: Option<String>,
-    /// How long to wait for the answer
+    /// Timeout for the connection and for each wait for a part of the response
     #[arg(long, default_value = "30s", value_parser = humantime::parse_duration)]
     pub(crate) timeout: Duration,
 }
--- a/crates/quartzdrift/src/commands/invoke.rs
+++ b/crates/quartzdrift/src/commands/invoke.rs
@@ -1,4 +1,4 @@
-//! `invoke`: one call of a function through a gateway, with an exit code for each kind of response.
+//! `invoke`: calls a function through a gateway, with an exit code for each kind of response.
 use super::arguments::InvokeArguments;
 use super::outcome::fail;
 use quartzdrift::invoke::{InvokeRequest, invoke as call};
@@ -7,14 +7,14 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-/// The function failed, or its attempt did.
+/// Exit code: the function or its attempt failed.
 const FUNCTION_FAILED: u8 = 2;
-/// The gateway rejected the call; a retry is harmless.
+/// Exit code: the gateway rejected the request without executing it, so a retry is safe.
 const REJECTED: u8 = 3;
-/// Any other status.
+/// Exit code: the response has any other status.
 const UNEXPECTED_STATUS: u8 = 4;
 
-/// Calls a function and prints the response.
+/// Calls a function, prints the response and returns the exit code.
 pub(crate) fn invoke(arguments: InvokeArguments) -> ExitCode {
     let address = match list::parse_address(&arguments.at) {
         Ok(address) => address,
@@ -22,7 +22,7 @@
     };
     let payload = match read_payload(&arguments) {
         Ok(payload) => payload,
-        Err(error) => return fail(format_args!("the payload cannot be read: {error}")),
+        Err(error) => return fail(format_args!("cannot read the payload: {error}")),
     };
     let request = InvokeRequest {
         gateway: address,
@@ -34,11 +34,11 @@
     };
     match call(&request) {
         Ok(response) => print_response(&response),
-        Err(error) => fail(format_args!("no answer from {address}: {error}")),
+        Err(error) => fail(format_args!("no response from {address}: {error}")),
     }
 }
 
-/// The payload from the command line, standard input or a file; an empty JSON object where none is given.
+/// Reads the payload from the command line, standard input or a file. The default is an empty JSON object.
 fn read_payload(arguments: &InvokeArguments) -> io::Result<Vec<u8>> {
     match (arguments.payload.as_deref(), &arguments.file) {
         (Some("-"), _) => {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Prints the body, and on standard error what differs from success.
+/// Prints the body on standard output, and a failure on standard error.
 fn print_response(response: &Response) -> ExitCode {
     let mut output = io::stdout().lock();
     let written = output.write_all(&response.body).and_then(|()| writeln!(output));
@@ -64,16 +64,16 @@
     match (response.status, function_error) {
         (200 | 202 | 204, None) => ExitCode::SUCCESS,
         (200, Some(error)) => {
-            eprintln!("function error: {error} (job {id})");
+            eprintln!("function error: {error} (request {id})");
             ExitCode::from(FUNCTION_FAILED)
         }
         (429, _) => {
             let retry_after = response.headers.get("retry-after").unwrap_or("?");
-            eprintln!("pushed back: come back in {retry_after} s (job {id})");
+            eprintln!("rejected: retry after {retry_after} s (request {id})");
             ExitCode::from(REJECTED)
         }
         (status, _) => {
-            eprintln!("status {status} (job {id})");
+            eprintln!("status {status} (request {id})");
             ExitCode::from(UNEXPECTED_STATUS)
         }
     }
--- a/crates/quartzdrift/src/commands/mod.rs
+++ b/crates/quartzdrift/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands of the command line, a module for each group of them.
+//! The subcommands of the command line, with one module for each group of subcommands.
 mod arguments;
 mod invoke;
 mod outcome;
--- a/crates/quartzdrift/src/commands/outcome.rs
+++ b/crates/quartzdrift/src/commands/outcome.rs
@@ -1,17 +1,18 @@
-//! Exit codes and error lines that the subcommands share. Use [`fail`] for one error, [`with_settings`] for a
-//! subcommand that takes a settings file.
+//! Exit codes and error output that the subcommands share. Use [`fail`] for one error, and [`with_settings`]
+//! in a subcommand that takes a settings file.
 use quartzdrift::settings::{self, Settings};
 use std::fmt::Display;
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Prints an error with the program's name, and returns the exit code of a failure.
+/// Prints an error with the program's name to standard error, and returns [`ExitCode::FAILURE`].
 pub(super) fn fail(error: impl Display) -> ExitCode {
     eprintln!("quartzdrift: {error}");
     ExitCode::FAILURE
 }
 
-/// Runs a subcommand by a settings file, or prints the file's errors.
+/// Runs a subcommand with the settings of a file. If the file has errors, prints them and returns
+/// [`ExitCode::FAILURE`].
 pub(super) fn with_settings(file: &Path, command: impl FnOnce(Settings) -> ExitCode) -> ExitCode {
     match settings::load(file) {
         Ok(settings) => command(settings),
--- a/crates/quartzdrift/src/commands/run.rs
+++ b/crates/quartzdrift/src/commands/run.rs
@@ -1,5 +1,5 @@
-//! `serve`, `run` and `check`: a gateway by a settings file, a scheduler on the operators' platform, and the
-//! check of a settings file without a start.
+//! `serve` runs a gateway with a settings file, `run` runs a scheduler on the operators' platform, and
+//! `check` checks a settings file without starting a gateway.
 use super::outcome::{fail, with_settings};
 use quartzdrift::platform::run as platform;
 use quartzdrift::settings::Settings;
@@ -7,19 +7,19 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Runs a gateway until a signal stops it.
+/// Runs a gateway until SIGTERM or SIGINT.
 pub(crate) fn serve(file: &Path) -> ExitCode {
     with_settings(file, |settings| {
         logs::start(&settings.log);
-        let served = server::signals().and_then(|signals| server::run(settings, signals, server::announce));
-        match served {
+        let result = server::signals().and_then(|signals| server::run(settings, signals, server::announce));
+        match result {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => fail(error),
         }
     })
 }
 
-/// Runs a scheduler by the configuration that the environment names.
+/// Runs a scheduler with the configuration file that the environment variable `GW_CONFIG` names.
 pub(crate) fn run() -> ExitCode {
     match platform::start() {
         Ok(()) => ExitCode::SUCCESS,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Checks a settings file and prints what it names.
+/// Checks a settings file and prints a summary of it.
 pub(crate) fn check(file: &Path) -> ExitCode {
     with_settings(file, |settings| {
         print_summary(file, &settings);
@@ -40,7 +40,7 @@
     let functions = settings.functions.len();
     let workers = settings.workers.len();
     println!(
-        "{}: good: {request_classes} workloads, {functions} functions, {workers} workers named",
+        "{}: valid: {request_classes} workloads, {functions} functions, {workers} workers",
         file.display()
     );
 }
--- a/crates/quartzdrift/src/commands/store.rs
+++ b/crates/quartzdrift/src/commands/store.rs
@@ -1,4 +1,5 @@
-//! `store check`, `store dump` and `store repair`: the write-ahead log of asynchronous requests.
+//! `store check`, `store dump` and `store repair` inspect and repair the write-ahead log of asynchronous
+//! requests.
 use super::arguments::StoreCommand;
 use super::outcome::fail;
 use quartzdrift_async_queue::Invocation;
@@ -8,7 +9,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Runs one of the subcommands.
+/// Runs a subcommand of `store`.
 pub(crate) fn store(command: &StoreCommand) -> ExitCode {
     let result = match command {
         StoreCommand::Check { folder } => check(folder),
@@ -20,13 +21,14 @@
 
 fn check(folder: &Path) -> Result<ExitCode, LogError> {
     let inspection = inspect(&DirectoryStorage::open(folder)?)?;
-    let started = inspection
+    let possibly_executed = inspection
         .open_invocations
         .iter()
         .filter(|record| record.attempt_started_us.is_some())
         .count();
     println!(
-        "{} jobs, {started} of them may have run; {} segments, {} bytes, {} cut short by a crash",
+        "{} requests, {possibly_executed} of them may have been executed; {} segments, {} bytes, \
+         {} bytes cut short by a crash",
         inspection.open_invocations.len(),
         inspection.segments,
         inspection.bytes,
@@ -51,7 +53,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// One record as JSON; the request's fields are null where another release wrote it.
+/// Converts a record to JSON. The fields of the request are null if the record is in the format of another
+/// release.
 fn dump_line(record: &InvocationRecord) -> serde_json::Value {
     let request = Invocation::from_bytes(&record.request);
     let request = request.as_ref();
@@ -70,13 +73,13 @@
 fn repair_log(folder: &Path) -> Result<ExitCode, LogError> {
     let inspection = repair(DirectoryStorage::open(folder)?)?;
     for fault in &inspection.faults {
-        println!("was: {fault}");
+        println!("found: {fault}");
     }
-    println!("{} jobs kept", inspection.open_invocations.len());
+    println!("{} requests kept", inspection.open_invocations.len());
     Ok(ExitCode::SUCCESS)
 }
 
-/// The name of an idempotency class in the output of `store dump`, which operators' tools read.
+/// The name of an idempotency class in the output of `store dump`. Operators' tools parse this output.
 fn stored_name(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Idempotent => "Restartable",
--- a/crates/quartzdrift/src/main.rs
+++ b/crates/quartzdrift/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line: parses the arguments and runs one subcommand.
+//! The command line program for operators: parses the arguments and runs the subcommand.
 use clap::Parser;
 use std::process::ExitCode;
 
