--- a/crates/quartzdrift/src/attempts.rs
+++ b/crates/quartzdrift/src/attempts.rs
@@ -1,5 +1,6 @@
-//! What an event loop needs around a [`RequestTable`]: where each attempt in flight is, and carrying out the table's
-//! outputs. Use it wherever attempts are sent over sockets.
+//! Connects a [`RequestTable`] to an event loop that sends attempts over sockets. [`AttemptCarriers`] maps
+//! each attempt in flight to its call or connection; [`CarryOut`] carries out the outputs of the request
+//! table.
 use quartzdrift_lifecycle::{Output, RequestTable};
 use quartzdrift_scheduler::interface::RequestId;
 use std::collections::HashMap;
@@ -7,20 +8,20 @@
 #[cfg(test)]
 mod tests;
 
-/// Identifies one attempt of one request.
+/// Identifies an attempt of a request. Attempts are numbered within their request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct AttemptKey {
     request: RequestId,
     attempt: u32,
 }
 
-/// The carrier of each attempt in flight: the call or the connection, by its id, on which the attempt was sent.
+/// Maps each attempt in flight to its carrier: the id of the call or connection on which it is sent.
 #[derive(Debug)]
-pub(crate) struct AttemptCarriers<C> {
-    carriers: HashMap<AttemptKey, C>,
+pub(crate) struct AttemptCarriers<Carrier> {
+    carriers: HashMap<AttemptKey, Carrier>,
 }
 
-impl<C> Default for AttemptCarriers<C> {
+impl<Carrier> Default for AttemptCarriers<Carrier> {
     fn default() -> Self {
         AttemptCarriers {
             carriers: HashMap::new(),
@@ -28,18 +29,19 @@
     }
 }
 
-impl<C: Copy> AttemptCarriers<C> {
-    /// The carrier of an attempt, unless that has ended.
-    pub(crate) fn get(&self, request: RequestId, attempt: u32) -> Option<C> {
+impl<Carrier: Copy> AttemptCarriers<Carrier> {
+    /// The carrier of an attempt; `None` if the attempt has ended.
+    pub(crate) fn get(&self, request: RequestId, attempt: u32) -> Option<Carrier> {
         self.carriers.get(&AttemptKey { request, attempt }).copied()
     }
 
-    /// Whether a byte of an attempt may have been sent. True of attempts that are not known here.
+    /// Whether any byte of an attempt may have been sent to the worker. `is_unsent` decides for the carrier
+    /// of an attempt in flight; any other attempt is assumed to have been sent.
     pub(crate) fn may_have_been_sent(
         &self,
         request: RequestId,
         attempt: u32,
-        is_unsent: impl FnOnce(C) -> bool,
+        is_unsent: impl FnOnce(Carrier) -> bool,
     ) -> bool {
         self.get(request, attempt)
             .is_none_or(|carrier| !is_unsent(carrier))
@@ -51,12 +53,12 @@
     }
 
     /// Records the carrier of a new attempt.
-    pub(crate) fn insert(&mut self, request: RequestId, attempt: u32, carrier: C) {
+    pub(crate) fn insert(&mut self, request: RequestId, attempt: u32, carrier: Carrier) {
         self.carriers.insert(AttemptKey { request, attempt }, carrier);
     }
 
-    /// Forgets an attempt that has ended, and returns its carrier.
-    pub(crate) fn remove(&mut self, request: RequestId, attempt: u32) -> Option<C> {
+    /// Removes an attempt that has ended, and returns its carrier.
+    pub(crate) fn remove(&mut self, request: RequestId, attempt: u32) -> Option<Carrier> {
         self.carriers.remove(&AttemptKey { request, attempt })
     }
 }
@@ -66,10 +68,10 @@
     /// The request table.
     fn request_table(&mut self) -> &mut RequestTable<P>;
 
-    /// Carries out one output. What that causes in the request table is carried out later.
+    /// Carries out one output. Further outputs that this causes stay in the request table.
     fn carry_out_one(&mut self, output: Output<P>);
 
-    /// Carries out the outputs of the request table until there are none left.
+    /// Carries out the outputs of the request table until it has none left.
     fn carry_out_all(&mut self) {
         loop {
             let outputs = self.request_table().take_outputs();
--- a/crates/quartzdrift/src/attempts/tests.rs
+++ b/crates/quartzdrift/src/attempts/tests.rs
@@ -1,7 +1,7 @@
 use super::AttemptCarriers;
 
 #[test]
-fn an_attempt_has_left_unless_its_carrier_is_unsent() {
+fn an_attempt_may_have_been_sent_unless_its_carrier_is_unsent() {
     let mut attempts = AttemptCarriers::default();
     attempts.insert(7, 0, "sent");
     attempts.insert(7, 1, "unsent");
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn an_attempt_that_ended_counts_as_left() {
+fn an_attempt_that_has_ended_counts_as_sent() {
     let mut attempts = AttemptCarriers::default();
     attempts.insert(7, 0, "unsent");
     assert_eq!(attempts.remove(7, 0), Some("unsent"));
--- a/crates/quartzdrift/src/clock.rs
+++ b/crates/quartzdrift/src/clock.rs
@@ -1,28 +1,31 @@
-//! Time of an event loop's state: since 1970, and steady from its start on.
+//! The clock of an event loop. It counts time since 1970, and does not follow changes of the wall clock
+//! after its start.
 use quartzdrift_recovery::ClockSample;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// An event loop wakes at least this often, to notice that another process has set the clock ahead.
+/// Maximum time that an event loop sleeps, so that it notices when another process has set the clock ahead.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// The clocks that a test has set for this process, and since when. Only the lab's program sets them.
+/// The overridden clocks of this process, and the time of the override. Only the test program of the package
+/// `quartzdrift-lab` overrides clocks.
 static OVERRIDE: OnceLock<(ClockOverride, Instant)> = OnceLock::new();
 
-/// How a test changes the clocks of this process.
+/// Changes of this process's clocks, for tests.
 #[derive(Clone, Debug, Default)]
 pub struct ClockOverride {
-    /// How far the wall clock is ahead.
+    /// Time by which the wall clock is set ahead.
     pub ahead: Duration,
-    /// How far the wall clock is behind.
+    /// Time by which the wall clock is set back.
     pub behind: Duration,
-    /// As if the machine had been rebooted: the boot's name, and how long it is up.
+    /// Simulates a reboot of the machine: the boot id, and the time since that boot.
     pub boot: Option<(String, Duration)>,
 }
 
-/// Sets the clocks of this process, for tests with several processes. Once, before anything starts; later calls do nothing.
-pub fn override_clocks(to: ClockOverride) {
-    drop(OVERRIDE.set((to, Instant::now())));
+/// Overrides the clocks of this process, for tests with several processes. Call it before an event loop
+/// starts; calls after the first have no effect.
+pub fn override_clocks(clocks: ClockOverride) {
+    drop(OVERRIDE.set((clocks, Instant::now())));
 }
 
 fn wall_clock() -> Duration {
@@ -33,7 +36,7 @@
     }
 }
 
-/// What this machine's clocks say; where the system does not tell its boot, none is named.
+/// Reads this machine's clocks. The boot id is empty if the system does not report one.
 pub fn sample() -> ClockSample {
     let (boot_id, since_boot) = overridden_boot().or_else(system_boot).unwrap_or_default();
     ClockSample {
@@ -44,45 +47,46 @@
 }
 
 fn overridden_boot() -> Option<(String, Duration)> {
-    let (clocks, since) = OVERRIDE.get()?;
-    let (boot, up) = clocks.boot.as_ref()?;
-    Some((boot.clone(), *up + since.elapsed()))
+    let (clocks, overridden_at) = OVERRIDE.get()?;
+    let (boot_id, since_boot) = clocks.boot.as_ref()?;
+    Some((boot_id.clone(), *since_boot + overridden_at.elapsed()))
 }
 
-/// The kernel's identifier of this boot, and the time since.
+/// The kernel's id of this boot, and the time since the boot.
 fn system_boot() -> Option<(String, Duration)> {
-    let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
+    let boot_id = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
     let uptime = std::fs::read_to_string("/proc/uptime").unwrap_or_default();
     let seconds = uptime.split_whitespace().next()?.parse::<f64>().ok()?;
     let since_boot = Duration::try_from_secs_f64(seconds).ok()?;
-    Some((boot.trim().to_owned(), since_boot))
+    Some((boot_id.trim().to_owned(), since_boot))
 }
 
-/// A steady clock that tells time since 1970.
+/// A monotonic clock that counts time since 1970.
 pub struct Clock {
-    zero: Instant,
-    /// Time since 1970 at `zero`.
-    epoch: Duration,
+    started: Instant,
+    /// Time since 1970 at `started`.
+    time_at_start: Duration,
 }
 
 impl Clock {
-    /// A clock that starts from the wall clock.
+    /// Starts a clock at the time of the wall clock.
     pub fn start() -> Clock {
         Clock {
-            zero: Instant::now(),
-            epoch: wall_clock(),
+            started: Instant::now(),
+            time_at_start: wall_clock(),
         }
     }
 
-    /// A clock that continues from the last run's sample, whatever the wall clock was set to since.
+    /// Starts a clock that continues from the sample `before` of the previous run, and never runs backwards.
+    /// Without a previous run, it starts at the time of the wall clock.
     pub fn resume(now: &ClockSample, before: Option<&ClockSample>) -> Clock {
         Clock {
-            zero: Instant::now(),
-            epoch: before.map_or(now.wall, |before| now.steady_time(before)),
+            started: Instant::now(),
+            time_at_start: before.map_or(now.wall, |before| now.steady_time(before)),
         }
     }
 
-    /// The sample for the next start to continue from.
+    /// A sample for [`Clock::resume`] in the next run.
     pub fn sample(&self) -> ClockSample {
         ClockSample {
             wall: self.now(),
@@ -95,26 +99,28 @@
         self.time_at(Instant::now())
     }
 
-    /// Time since 1970 at a moment.
-    pub fn time_at(&self, moment: Instant) -> Duration {
-        self.epoch + moment.saturating_duration_since(self.zero)
+    /// Time since 1970 at an instant; the start of this clock for earlier instants.
+    pub fn time_at(&self, instant: Instant) -> Duration {
+        self.time_at_start + instant.saturating_duration_since(self.started)
     }
 
-    /// How long an event loop may sleep: until the first of what is `due` by this clock, and of the `sockets`' deadlines.
+    /// Time until the earliest of the `deadlines`, which are times of this clock, and of the
+    /// `socket_deadlines`. At most `MAX_SLEEP`.
     pub fn time_until_next(
         &self,
-        due: impl IntoIterator<Item = Option<Duration>>,
-        sockets: impl IntoIterator<Item = Option<Instant>>,
+        deadlines: impl IntoIterator<Item = Option<Duration>>,
+        socket_deadlines: impl IntoIterator<Item = Option<Instant>>,
     ) -> Duration {
         let now = self.now();
         let now_instant = Instant::now();
-        let next_due = due.into_iter().flatten().min();
-        let next_deadline = sockets.into_iter().flatten().min();
-        let until_due = next_due.map(|due| due.saturating_sub(now));
-        let until_deadline = next_deadline.map(|at| at.saturating_duration_since(now_instant));
-        until_due
+        let next_deadline = deadlines.into_iter().flatten().min();
+        let next_socket_deadline = socket_deadlines.into_iter().flatten().min();
+        let until_deadline = next_deadline.map(|deadline| deadline.saturating_sub(now));
+        let until_socket_deadline =
+            next_socket_deadline.map(|deadline| deadline.saturating_duration_since(now_instant));
+        until_deadline
             .into_iter()
-            .chain(until_deadline)
+            .chain(until_socket_deadline)
             .fold(MAX_SLEEP, Duration::min)
     }
 }
--- a/crates/quartzdrift/src/invoke.rs
+++ b/crates/quartzdrift/src/invoke.rs
@@ -1,5 +1,5 @@
-//! A blocking client of the Invoke API for one call. Use it in command line tools and tests; the gateway's own calls go
-//! over its event loop.
+//! A blocking client of the Invoke API that makes one call per connection, for command line tools and tests.
+//! The gateway itself sends requests on its event loop.
 use quartzdrift_http::Response;
 use quartzdrift_http::body::{BodyError, BodyReader};
 use quartzdrift_http::head::{self, Framing, Headers, ResponseHead};
@@ -7,61 +7,61 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Bytes of a response's body.
-const MAX_BODY: usize = 64 << 20;
-/// Bytes of a response's head.
-const MAX_HEAD: usize = 64 << 10;
-/// Bytes read from the connection at a time.
-const READ_SIZE: usize = 16 << 10;
+/// Maximum size of a response's body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// Maximum size of a response's head, in bytes.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+/// Maximum number of bytes of one read from the connection.
+const READ_BYTES: usize = 16 << 10;
 
-/// One call.
+/// A call of a function through a gateway.
 #[derive(Clone, Debug)]
 pub struct InvokeRequest {
-    /// The gateway's address.
+    /// Address of the gateway.
     pub gateway: SocketAddr,
-    /// A function's name, with or without alias, or its ARN.
+    /// Name of the function, with or without an alias, or its ARN.
     pub function: String,
-    /// The function's input.
+    /// Input of the function, usually JSON.
     pub payload: Vec<u8>,
-    /// Whether the call is answered once it is queued.
+    /// Whether the gateway responds as soon as it has queued the request.
     pub asynchronous: bool,
-    /// By which workers recognise a repeated call.
+    /// Key by which workers detect a duplicate of the request.
     pub idempotency_key: Option<String>,
-    /// Limit on connecting, and on each wait for a part of the response.
+    /// Timeout for the connection, and for each wait for a part of the response.
     pub timeout: Duration,
 }
 
-/// Why a call got no response.
+/// Error of a call that received no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum InvokeError {
     /// The connection failed or timed out.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The connection ended before the response's head was complete.
-    #[error("the connection ended before an answer")]
-    NoResponse,
-    /// The connection ended within the response's body.
-    #[error("the connection ended within the answer")]
-    Incomplete,
+    /// The connection was closed before the response's head was complete.
+    #[error("the connection was closed before a complete response head")]
+    IncompleteHead,
+    /// The connection was closed before the response's body was complete.
+    #[error("the connection was closed before the end of the response body")]
+    IncompleteBody,
     /// The response's head is longer than 64 KiB.
-    #[error("the answer's head is too long")]
+    #[error("the response head is longer than {MAX_HEAD_BYTES} bytes")]
     HeadTooLong,
-    /// The response's body states a length over 64 MiB.
-    #[error("the answer is too long")]
-    TooLong,
+    /// The response's head declares a body longer than 64 MiB.
+    #[error("the response body is longer than {MAX_BODY_BYTES} bytes")]
+    BodyTooLong,
     /// The response's head is malformed.
-    #[error("the answer cannot be read")]
+    #[error("the response head is malformed")]
     MalformedHead,
     /// The response's body is malformed, or longer than 64 MiB.
-    #[error("the answer's body cannot be read")]
+    #[error("the response body is malformed, or longer than {MAX_BODY_BYTES} bytes")]
     MalformedBody,
 }
 
-/// Sends a call and returns the response, whatever its status.
+/// Calls a function and returns the response with any status.
 ///
 /// # Errors
 ///
-/// The gateway cannot be reached, or its response is incomplete, malformed or too long.
+/// The connection fails, or the response is incomplete, malformed or too long.
 pub fn invoke(call: &InvokeRequest) -> Result<Response, InvokeError> {
     let request = request_bytes(call);
     let mut stream = TcpStream::connect_timeout(&call.gateway, call.timeout)?;
@@ -92,12 +92,12 @@
 fn read_response(stream: &mut TcpStream) -> Result<Response, InvokeError> {
     let mut buffer = Vec::new();
     let head = read_head(stream, &mut buffer)?;
-    let mut body = BodyReader::new(head.framing, MAX_BODY).map_err(|_| InvokeError::TooLong)?;
+    let mut body = BodyReader::new(head.framing, MAX_BODY_BYTES).map_err(|_| InvokeError::BodyTooLong)?;
     loop {
-        let used = body
+        let consumed = body
             .feed(&buffer)
             .map_err(|_: BodyError| InvokeError::MalformedBody)?;
-        buffer.drain(..used);
+        buffer.drain(..consumed);
         if body.is_complete() {
             break;
         }
@@ -105,7 +105,7 @@
             if body.is_complete_at_close() {
                 break;
             }
-            return Err(InvokeError::Incomplete);
+            return Err(InvokeError::IncompleteBody);
         }
     }
     Ok(Response {
@@ -115,7 +115,7 @@
     })
 }
 
-/// Reads the head; what follows it stays in `buffer`.
+/// Reads the response's head. Bytes after the head stay in `buffer`.
 fn read_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Result<ResponseHead, InvokeError> {
     let mut scanned = 0;
     loop {
@@ -125,18 +125,18 @@
             return Ok(head);
         }
         if read_some(stream, buffer)? == 0 {
-            return Err(InvokeError::NoResponse);
+            return Err(InvokeError::IncompleteHead);
         }
-        if buffer.len() > MAX_HEAD {
+        if buffer.len() > MAX_HEAD_BYTES {
             return Err(InvokeError::HeadTooLong);
         }
     }
 }
 
-/// Appends what the connection has next; 0 at its end.
+/// Appends the next bytes of the connection to `buffer` and returns their number; 0 at the end of the stream.
 fn read_some(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
-    let mut part = [0; READ_SIZE];
-    let read = stream.read(&mut part)?;
-    buffer.extend_from_slice(&part[..read]);
+    let mut chunk = [0; READ_BYTES];
+    let read = stream.read(&mut chunk)?;
+    buffer.extend_from_slice(&chunk[..read]);
     Ok(read)
 }
--- a/crates/quartzdrift/src/lib.rs
+++ b/crates/quartzdrift/src/lib.rs
@@ -1,8 +1,9 @@
-//! The gateway daemon: hands calls of clients to workers that load functions on demand.
+//! The gateway daemon: forwards client requests to workers that load functions on demand.
 //!
-//! [`settings`] reads and checks the settings; [`serve`] runs a gateway by them; [`gateway`] is the event loop, which
-//! feeds the request table, and through it the scheduler, with what happens on the sockets, and carries out what they
-//! decide. [`platform`] is the event loop of a scheduler on the operators' platform.
+//! [`settings`] reads and checks the settings. [`serve`] runs a gateway with these settings. [`gateway`] is
+//! the event loop: it passes socket events to the request table, which consults the scheduler, and carries
+//! out the outputs of the request table. [`platform`] is the event loop of a scheduler on the operators'
+//! platform.
 mod attempts;
 pub mod clock;
 pub mod gateway;
--- a/crates/quartzdrift/src/loop_delay.rs
+++ b/crates/quartzdrift/src/loop_delay.rs
@@ -5,7 +5,7 @@
 //! running since. The process may lose its processor while it waits for events, and also after the kernel has
 //! collected the events and before the process receives them, so neither the start nor the end of a wait
 //! shows when the sockets were checked. A wait that ends within its timeout counts as no delay; only the time
-//! beyond the timeout counts. The delay that goes undetected is at most two timeouts, of [`MAX_WAIT`] each.
+//! beyond the timeout counts. The delay that goes undetected is at most two timeouts, of `MAX_WAIT` each.
 use std::time::{Duration, Instant};
 
 /// Longest timeout of a wait whose delay is estimated. Two such waits take two thirds of the slack that the
--- a/crates/quartzdrift/src/request_trace/tests.rs
+++ b/crates/quartzdrift/src/request_trace/tests.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 #[test]
-fn a_trace_is_bounded_and_names_are_hashed() {
+fn a_trace_stays_within_its_size_limit_and_has_hashed_names() {
     let directory = tempfile::tempdir().unwrap();
     let file = directory.path().join("trace.jsonl");
-    let record = RequestTrace {
+    let trace = RequestTrace {
         file: file.clone(),
         max_bytes: 600,
         hash_names: true,
     };
-    let mut recorder = TraceRecorder::start(&record).unwrap();
+    let mut recorder = TraceRecorder::start(&trace).unwrap();
     for n in 0..100 {
         recorder.record_request(
             Duration::from_millis(1000 + n),
--- a/crates/quartzdrift/src/serve.rs
+++ b/crates/quartzdrift/src/serve.rs
@@ -1,4 +1,5 @@
-//! Runs a gateway on its event loop until a signal stops it. Use it from `main`: [`signals`] first, then [`run`].
+//! Runs a gateway on its event loop until SIGTERM or SIGINT. Call [`signals`] before any thread starts, then
+//! [`run`].
 use crate::gateway::Gateway;
 use crate::settings::Settings;
 use calloop::EventLoop;
@@ -7,37 +8,39 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time for the last responses to be sent, once everything has its final answer.
-const FLUSH_TIME: Duration = Duration::from_secs(1);
-/// Longest wait between two looks at what is still to be flushed.
-const FLUSH_POLL: Duration = Duration::from_millis(10);
+/// Maximum time to send the last responses, after all requests have concluded.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest wait for events between two checks for unsent responses.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// SIGTERM and SIGINT as events. Call it before any thread starts, or that thread takes the signals.
+/// Creates an event source for SIGTERM and SIGINT. Call it before any other thread starts: it blocks the
+/// signals in the calling thread, and threads that exist already would still receive them.
 ///
 /// # Errors
 ///
-/// The signals cannot be blocked, or have no descriptor to be read from.
+/// The signals cannot be blocked, or no descriptor can be created to read them from.
 pub fn signals() -> io::Result<Signals> {
     Signals::new(&[Signal::SIGTERM, Signal::SIGINT]).map_err(io::Error::other)
 }
 
-/// Prints the addresses that a gateway listens at, for programs that wait for them on its standard output.
+/// Prints the addresses that a gateway listens on to standard output, for programs that start the gateway and
+/// wait for these lines.
 pub fn announce(addresses: &[SocketAddr]) {
-    let mut out = io::stdout();
-    // Nobody need read them: a closed standard output does not keep the gateway from serving.
+    let mut output = io::stdout();
+    // The gateway serves even if standard output is closed.
     let _ = addresses
         .iter()
-        .try_for_each(|address| writeln!(out, "quartzdrift listens at http://{address}"));
-    let _ = out.flush();
+        .try_for_each(|address| writeln!(output, "quartzdrift listens at http://{address}"));
+    let _ = output.flush();
 }
 
-/// Serves by `settings` until SIGTERM or SIGINT, then drains and returns. `ready` is called with the addresses once the
-/// gateway listens.
+/// Runs a gateway with `settings` until SIGTERM or SIGINT, then drains it and returns. Calls `on_listening`
+/// with the addresses as soon as the gateway accepts connections.
 ///
 /// # Errors
 ///
 /// The gateway cannot start or listen, or the event loop fails.
-pub fn run(settings: Settings, signals: Signals, ready: impl FnOnce(&[SocketAddr])) -> io::Result<()> {
+pub fn run(settings: Settings, signals: Signals, on_listening: impl FnOnce(&[SocketAddr])) -> io::Result<()> {
     let mut event_loop = EventLoop::<Gateway>::try_new().map_err(io::Error::other)?;
     let handle = event_loop.handle();
     let drain = |_, _: &mut (), gateway: &mut Gateway| gateway.start_drain();
@@ -49,7 +52,7 @@
     let mut gateway = Gateway::new(settings, handle)?;
     let addresses = listen(&mut gateway, &listen_addresses, share_port)?;
     tracing::info!(?addresses, "listening");
-    ready(&addresses);
+    on_listening(&addresses);
     while !gateway.is_drained() {
         event_loop
             .dispatch(gateway.poll_timeout(), &mut gateway)
@@ -60,24 +63,24 @@
     flush(&mut event_loop, &mut gateway)
 }
 
-/// Listens at each address, and returns the addresses with the ports that the system chose.
+/// Listens on each address. Returns the addresses with the ports that the system chose for port 0.
 fn listen(gateway: &mut Gateway, addresses: &[SocketAddr], share_port: bool) -> io::Result<Vec<SocketAddr>> {
     let mut bound = Vec::new();
     for &address in addresses {
         let listener = quartzdrift_http::bind(address, share_port)
-            .map_err(|e| io::Error::new(e.kind(), format!("cannot listen at {address}: {e}")))?;
+            .map_err(|e| io::Error::new(e.kind(), format!("cannot listen on {address}: {e}")))?;
         bound.push(listener.local_addr()?);
         gateway.listen(listener)?;
     }
     Ok(bound)
 }
 
-/// Sends the last responses, for [`FLUSH_TIME`] at most.
+/// Sends the last responses. Returns after at most [`FLUSH_TIMEOUT`], even if some are unsent.
 fn flush(event_loop: &mut EventLoop<Gateway>, gateway: &mut Gateway) -> io::Result<()> {
-    let until = Instant::now() + FLUSH_TIME;
-    while gateway.has_unsent_responses() && Instant::now() < until {
+    let deadline = Instant::now() + FLUSH_TIMEOUT;
+    while gateway.has_unsent_responses() && Instant::now() < deadline {
         event_loop
-            .dispatch(FLUSH_POLL, gateway)
+            .dispatch(FLUSH_POLL_INTERVAL, gateway)
             .map_err(io::Error::other)?;
         gateway.discard_events();
     }
--- a/crates/quartzdrift/src/snapshots.rs
+++ b/crates/quartzdrift/src/snapshots.rs
@@ -1,7 +1,9 @@
-//! Snapshots in the state folder: small files, each replaced as a whole, that outlast the process. A snapshot is written
-//! beside its place and then renamed, by a thread of its own, so that neither a crash nor a slow disk leaves a torn file or
-//! blocks the event loop. Use [`SnapshotWriter`] from an event loop, [`write`] where the snapshot has to be on disk before
-//! anything else happens.
+//! Snapshots in the state folder: small files that hold state across restarts of the process.
+//!
+//! A snapshot is written to a temporary file that then replaces the old file, so that a crash leaves either
+//! the old or the new snapshot. Use [`SnapshotWriter`] from an event loop: it writes on a dedicated thread,
+//! so that a slow disk does not block the loop. Use [`write()`] if the snapshot must be on disk before the
+//! caller continues.
 use std::collections::BTreeMap;
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -9,79 +11,82 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 
-/// The last list of workers.
+/// File name of the last endpoint list.
 pub const WORKERS: &str = "workers.json";
-/// What forecasts have learnt.
+/// File name of the state of the forecast model.
 pub const FORECASTS: &str = "forecasts.snapshot";
-/// The other members of the fleet.
+/// File name of the list of the fleet's other members.
 pub const MEMBERS: &str = "members.json";
-/// The checkpoint that a start continues from; in the folder of asynchronous requests, the store's owner.
+/// File name of the checkpoint that recovery continues from. In the folder of the asynchronous queue's
+/// write-ahead log, a file of this name records the log's owner.
 pub const CHECKPOINT: &str = "recovery.json";
-/// What the scheduler has measured of workers.
+/// File name of the scheduler's measurements of workers.
 pub const MEASUREMENTS: &str = "measured.snapshot";
-/// A checkpoint that could not be read.
+/// Name that a checkpoint file is renamed to if it cannot be read.
 pub const DAMAGED_CHECKPOINT: &str = "recovery.aside";
-/// What operators see of a recovery.
+/// File name of the recovery's state, which the subcommand `recovery` prints.
 pub const RECOVERY_VIEW: &str = "stages.json";
-/// Created by an operator: the scheduler goes to full service at once.
+/// Name of the file that an operator creates to make the scheduler go to full service immediately.
 pub const FORCE_FULL_SERVICE: &str = "force";
 
-/// Begins the last line of each file: the CRC-32 of the bytes before it, and their number.
-const SEAL_PREFIX: &[u8] = b"\nquartzdrift seal ";
+/// Start of the last line of each file. CRC-32 and number of the bytes before that line follow.
+const CHECKSUM_PREFIX: &[u8] = b"\nquartzdrift seal ";
 
-fn seal(bytes: &[u8]) -> Vec<u8> {
+/// The line that is appended to a snapshot of these bytes.
+fn checksum_line(bytes: &[u8]) -> Vec<u8> {
     let line = format!("{:08x} {}\n", crc32fast::hash(bytes), bytes.len());
-    [SEAL_PREFIX, line.as_bytes()].concat()
+    [CHECKSUM_PREFIX, line.as_bytes()].concat()
 }
 
-/// Checks and removes the seal. Files of earlier releases have none, which is an error only where one is `required`.
-fn unseal(mut bytes: Vec<u8>, required: bool) -> io::Result<Vec<u8>> {
+/// Verifies and removes the checksum line. Files of earlier releases have none; that is an error only if the
+/// checksum is `required`.
+fn verify_checksum(mut bytes: Vec<u8>, required: bool) -> io::Result<Vec<u8>> {
     let position = bytes
-        .windows(SEAL_PREFIX.len())
-        .rposition(|window| window == SEAL_PREFIX);
+        .windows(CHECKSUM_PREFIX.len())
+        .rposition(|window| window == CHECKSUM_PREFIX);
     match position {
-        Some(position) if seal(&bytes[..position]) == bytes[position..] => {
+        Some(position) if checksum_line(&bytes[..position]) == bytes[position..] => {
             bytes.truncate(position);
             Ok(bytes)
         }
         None if !required => Ok(bytes),
         Some(_) | None => Err(io::Error::new(
             io::ErrorKind::InvalidData,
-            "it is damaged or cut short",
+            "the checksum is missing or wrong: the snapshot is damaged or truncated",
         )),
     }
 }
 
-/// Writes a snapshot and returns once it is on disk.
+/// Writes a snapshot, and returns after it is on disk.
 ///
 /// # Errors
 ///
-/// The folder cannot be written to; the snapshot before it stays.
+/// The folder cannot be written to. The previous snapshot is kept unless only the last sync failed.
 pub fn write(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
     let temporary = folder.join(format!("{name}.new"));
     let mut file = File::create(&temporary)?;
     file.write_all(bytes)?;
-    file.write_all(&seal(bytes))?;
+    file.write_all(&checksum_line(bytes))?;
     file.sync_all()?;
     fs::rename(&temporary, folder.join(name))?;
     File::open(folder)?.sync_all()
 }
 
-/// Reads a snapshot; `None` where there is none.
+/// Reads a snapshot; `None` if the file does not exist.
 ///
 /// # Errors
 ///
-/// It cannot be read, or, with kind `InvalidData`, is not what was written.
+/// The file cannot be read, or its checksum does not match (error kind `InvalidData`).
 pub fn read(folder: &Path, name: &str) -> io::Result<Option<Vec<u8>>> {
     match fs::read(folder.join(name)) {
-        Ok(bytes) => unseal(bytes, name == CHECKPOINT).map(Some),
+        Ok(bytes) => verify_checksum(bytes, name == CHECKPOINT).map(Some),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(e) => Err(e),
     }
 }
 
-/// Reads a snapshot from the folder of the settings, if they name one. Where it cannot be read, logs `warning` and returns
-/// `None`.
+/// Reads a snapshot from the state folder, if there is one. If the snapshot cannot be read, logs `warning`
+/// and returns `None`.
 pub fn read_or_warn(folder: Option<&Path>, name: &str, warning: &str) -> Option<Vec<u8>> {
     read(folder?, name).unwrap_or_else(|e| {
         tracing::warn!(error = %e, "{warning}");
@@ -91,25 +96,27 @@
 
 /// Snapshots that wait to be written.
 #[derive(Default)]
-struct Pending {
-    /// The newest snapshot of each name; older ones are never written.
+struct PendingSnapshots {
+    /// The newest snapshot for each file name. An older snapshot that still waits is replaced and never
+    /// written.
     snapshots: BTreeMap<&'static str, Vec<u8>>,
     stopping: bool,
 }
 
-/// What the event loop and the writing thread share.
+/// Queue of snapshots between the event loop and the writing thread.
 #[derive(Default)]
-struct Shared {
-    pending: Mutex<Pending>,
+struct SnapshotQueue {
+    pending: Mutex<PendingSnapshots>,
+    /// Notified when a snapshot is added or the writer stops.
     changed: Condvar,
 }
 
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Pending> {
+impl SnapshotQueue {
+    fn lock(&self) -> MutexGuard<'_, PendingSnapshots> {
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for the next snapshot; `None` once all are written and the writer stops.
+    /// Waits for the next snapshot; `None` if the writer stops and no snapshot waits.
     fn next(&self) -> Option<(&'static str, Vec<u8>)> {
         let mut pending = self.lock();
         while pending.snapshots.is_empty() && !pending.stopping {
@@ -119,46 +126,47 @@
     }
 }
 
-/// Writes snapshots in a thread of its own.
+/// Writes snapshots on a dedicated thread.
 pub struct SnapshotWriter {
-    shared: Arc<Shared>,
+    queue: Arc<SnapshotQueue>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl SnapshotWriter {
-    /// A writer into this folder, which is created if need be.
+    /// Starts a writer for a folder. Creates the folder if it does not exist.
     ///
     /// # Errors
     ///
     /// The folder cannot be created, or the thread cannot be started.
     pub fn start(folder: PathBuf) -> io::Result<SnapshotWriter> {
         fs::create_dir_all(&folder)?;
-        let shared = Arc::new(Shared::default());
-        let source = shared.clone();
+        let queue = Arc::new(SnapshotQueue::default());
+        let thread_queue = queue.clone();
         let thread = std::thread::Builder::new()
             .name("saver".to_owned())
-            .spawn(move || write_all(&folder, &source))?;
+            .spawn(move || write_all(&folder, &thread_queue))?;
         Ok(SnapshotWriter {
-            shared,
+            queue,
             thread: Some(thread),
         })
     }
 
-    /// Queues a snapshot to be written soon, in place of one of this name that still waits.
+    /// Queues a snapshot for writing. Replaces a waiting snapshot of the same name.
     pub fn enqueue(&self, name: &'static str, bytes: Vec<u8>) {
-        self.shared.lock().snapshots.insert(name, bytes);
-        self.shared.changed.notify_one();
+        self.queue.lock().snapshots.insert(name, bytes);
+        self.queue.changed.notify_one();
     }
 }
 
-fn write_all(folder: &Path, source: &Shared) {
-    while let Some((name, bytes)) = source.next() {
+/// Writes snapshots from the queue until the writer stops. Failures are logged and not retried.
+fn write_all(folder: &Path, queue: &SnapshotQueue) {
+    while let Some((name, bytes)) = queue.next() {
         if let Err(e) = write(folder, name, &bytes) {
             tracing::error!(
                 folder = %folder.display(),
                 name,
                 error = %e,
-                "what is to outlast the process was not saved"
+                "a snapshot could not be written"
             );
         }
     }
@@ -167,8 +175,8 @@
 impl Drop for SnapshotWriter {
     /// Waits until all queued snapshots are written.
     fn drop(&mut self) {
-        self.shared.lock().stopping = true;
-        self.shared.changed.notify_one();
+        self.queue.lock().stopping = true;
+        self.queue.changed.notify_one();
         if let Some(thread) = self.thread.take() {
             drop(thread.join());
         }
--- a/crates/quartzdrift/src/snapshots/tests.rs
+++ b/crates/quartzdrift/src/snapshots/tests.rs
@@ -20,7 +20,7 @@
         fs::write(&path, &whole[..length]).unwrap();
         assert!(read(folder.path(), CHECKPOINT).is_err(), "{length} bytes");
     }
-    // Earlier releases wrote no seal.
+    // Earlier releases wrote no checksum.
     fs::write(folder.path().join(WORKERS), b"[]").unwrap();
     assert_eq!(read(folder.path(), WORKERS).unwrap().unwrap(), b"[]");
 }
--- a/crates/quartzdrift/src/wal_writer.rs
+++ b/crates/quartzdrift/src/wal_writer.rs
@@ -1,8 +1,9 @@
-//! Makes changes of the asynchronous queue durable, on a thread of its own: the event loop never waits for the disk.
+//! Writes changes of the asynchronous queue to the write-ahead log on a dedicated thread, so that the event
+//! loop never waits for the disk.
 //!
-//! The loop submits numbered batches to a [`WalWriter`]. The thread writes all batches that wait with one sync, and reports the
-//! last batch up to which everything is durable. Where the disk fails, the thread reports it, and tries again until the batch
-//! is durable or the writer is dropped.
+//! The event loop submits numbered batches to a [`WalWriter`]. The thread writes all waiting batches with
+//! one sync, and reports the number of the last durable batch. If a write fails, the thread reports the
+//! failure and retries until the batch is durable, or until a time limit after the writer was dropped.
 use calloop::channel::{self, Channel, Sender};
 use quartzdrift_async_queue::{Invocation, InvocationId, StoreChange, StoredInvocation};
 use quartzdrift_wal::{DirectoryStorage, InvocationRecord, Log, LogError, LogRecord};
@@ -13,24 +14,27 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Maximum batches that wait for the disk. Beyond it changes gather in the queue, and new invocations are rejected.
+/// Maximum number of batches that wait for the disk. Further changes stay in the queue, which then rejects
+/// new invocations.
 const MAX_WAITING_BATCHES: usize = 256;
 
-/// Before a batch that failed is tried again; doubled with each further failure, up to [`MAX_RETRY_DELAY`].
-const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait before a batch that failed is tried again.
+/// Delay before the first retry of a failed write; doubled with each further failure, up to
+/// [`MAX_RETRY_DELAY`].
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum delay before a failed write is retried.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// How long a batch is tried after the writer was dropped.
-const MAX_LAST_TRIES: Duration = Duration::from_secs(1);
-/// Between two looks whether the writer was dropped.
-const STOP_CHECK: Duration = Duration::from_millis(20);
+/// How long a failing write is retried after the writer was dropped.
+const SHUTDOWN_RETRY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval at which a waiting thread checks whether the writer was dropped.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the writer's thread reports to the event loop.
+/// Reports of the writer's thread to the event loop.
 #[derive(Debug)]
 pub enum WriterEvent {
-    /// All batches up to this number are durable.
+    /// All batches up to and including this number are durable.
     Durable(u64),
-    /// The disk has failed for this reason; what waits for it is tried again. The next [`WriterEvent::Durable`] ends this.
+    /// A write failed with this error, and is being retried. The next [`WriterEvent::Durable`] reports its
+    /// success.
     Stalled(String),
 }
 
@@ -40,49 +44,50 @@
     changes: Vec<StoreChange>,
 }
 
-/// The event loop's end of the thread that writes the log.
+/// The event loop's handle of the thread that writes the write-ahead log.
 pub struct WalWriter {
-    /// `None` once the last batch was submitted.
+    /// `None` after the last batch was submitted.
     batches: Option<SyncSender<Batch>>,
     thread: Option<JoinHandle<()>>,
     stopping: Arc<AtomicBool>,
+    /// Number of the last submitted batch.
     last_number: u64,
 }
 
-/// A log that was opened, and the thread that writes it.
+/// The result of [`WalWriter::open`].
 pub struct OpenedWal {
-    /// Takes batches.
+    /// Handle to submit batches.
     pub writer: WalWriter,
-    /// The invocations that have not completed.
+    /// The logged invocations that have not completed.
     pub open_invocations: Vec<InvocationRecord>,
-    /// What the thread reports.
+    /// Reports of the writer's thread.
     pub events: Channel<WriterEvent>,
 }
 
 impl WalWriter {
-    /// Opens the log in a directory and starts its thread.
+    /// Opens the write-ahead log in a directory and starts the thread that writes it.
     ///
     /// # Errors
-    /// Those of [`Log::open`], of the directory and of the thread's start.
+    /// Errors of [`Log::open`], of opening the directory, and of starting the thread.
     pub fn open(directory: &Path) -> Result<OpenedWal, LogError> {
         let (log, open_invocations) = Log::open(DirectoryStorage::open(directory)?)?;
-        let (batches, submitted) = sync_channel(MAX_WAITING_BATCHES);
-        let (reports, events) = channel::channel();
+        let (batch_sender, batches) = sync_channel(MAX_WAITING_BATCHES);
+        let (event_sender, events) = channel::channel();
         let stopping = Arc::new(AtomicBool::new(false));
         let thread_stopping = stopping.clone();
         let thread = std::thread::Builder::new()
             .name("deferred".to_owned())
             .spawn(move || {
-                let mut writing = Writing {
+                let mut writer = WriterThread {
                     log,
-                    reports,
+                    events: event_sender,
                     stopping: thread_stopping,
                 };
-                writing.write_batches(&submitted);
+                writer.write_batches(&batches);
             })?;
         Ok(OpenedWal {
             writer: WalWriter {
-                batches: Some(batches),
+                batches: Some(batch_sender),
                 thread: Some(thread),
                 stopping,
                 last_number: 0,
@@ -95,7 +100,7 @@
     /// Submits a batch and returns its number.
     ///
     /// # Errors
-    /// Returns the changes where the disk does not keep up.
+    /// Returns the changes if `MAX_WAITING_BATCHES` batches wait, or the thread has ended.
     pub fn submit(&mut self, changes: Vec<StoreChange>) -> Result<u64, Vec<StoreChange>> {
         let Some(batches) = &self.batches else {
             return Err(changes);
@@ -110,20 +115,21 @@
         }
     }
 
-    /// Submits the last batch, however long the disk takes; one that fails is not tried for long.
+    /// Submits the last batch. Blocks while `MAX_WAITING_BATCHES` batches wait. If writing fails, the
+    /// thread retries for `SHUTDOWN_RETRY_TIMEOUT` only.
     pub fn submit_last(&mut self, changes: Vec<StoreChange>) {
         self.stopping.store(true, Ordering::Relaxed);
         self.last_number += 1;
         let number = self.last_number;
         if let Some(batches) = self.batches.take() {
-            // A thread that has ended has reported why.
+            // Sending fails only if the thread has ended, and the thread reports errors itself.
             drop(batches.send(Batch { number, changes }));
         }
     }
 }
 
 impl Drop for WalWriter {
-    /// Waits until all submitted batches are written, or were tried for long enough.
+    /// Waits until all submitted batches are written, or the retries of a failing write have timed out.
     fn drop(&mut self) {
         self.stopping.store(true, Ordering::Relaxed);
         self.batches = None;
@@ -133,44 +139,41 @@
     }
 }
 
-/// The thread's state.
-struct Writing {
+/// The state of the thread that writes the log.
+struct WriterThread {
     log: Log<DirectoryStorage>,
-    reports: Sender<WriterEvent>,
+    events: Sender<WriterEvent>,
     stopping: Arc<AtomicBool>,
 }
 
-impl Writing {
-    /// Writes batches until the writer is dropped or nobody listens any more.
-    fn write_batches(&mut self, submitted: &Receiver<Batch>) {
-        while let Ok(batch) = submitted.recv() {
+impl WriterThread {
+    /// Writes batches until the writer is dropped, or until its events can no longer be sent.
+    fn write_batches(&mut self, batches: &Receiver<Batch>) {
+        while let Ok(batch) = batches.recv() {
             let mut last_number = batch.number;
             let mut records: Vec<LogRecord> = batch.changes.into_iter().map(log_record).collect();
-            // One sync for all batches that have gathered meanwhile.
-            for batch in submitted.try_iter() {
+            // All batches that wait are written with the same sync.
+            for batch in batches.try_iter() {
                 last_number = batch.number;
                 records.extend(batch.changes.into_iter().map(log_record));
             }
             let is_durable = self.write_until_durable(&records);
-            if !is_durable || self.reports.send(WriterEvent::Durable(last_number)).is_err() {
+            if !is_durable || self.events.send(WriterEvent::Durable(last_number)).is_err() {
                 return;
             }
         }
     }
 
-    /// Commits records, and tries again where the disk fails. Returns `false` where it still fails a while after the writer
-    /// was dropped.
+    /// Commits records, and retries while the commit fails. Returns `false` if it still fails
+    /// [`SHUTDOWN_RETRY_TIMEOUT`] after the writer was dropped, or if the failure cannot be reported.
     fn write_until_durable(&mut self, records: &[LogRecord]) -> bool {
-        let mut delay = RETRY_DELAY;
+        let mut delay = INITIAL_RETRY_DELAY;
         let mut stopping_since = None;
         let mut is_reported = false;
         while let Err(error) = self.try_commit(records) {
-            tracing::debug!(%error, "the log cannot be written");
+            tracing::debug!(%error, "writing to the write-ahead log failed");
             if !std::mem::replace(&mut is_reported, true)
-                && self
-                    .reports
-                    .send(WriterEvent::Stalled(error.to_string()))
-                    .is_err()
+                && self.events.send(WriterEvent::Stalled(error.to_string())).is_err()
             {
                 return false;
             }
@@ -178,7 +181,7 @@
             delay = MAX_RETRY_DELAY.min(delay * 2);
             if self.stopping.load(Ordering::Relaxed) {
                 let since = *stopping_since.get_or_insert_with(Instant::now);
-                if since.elapsed() >= MAX_LAST_TRIES {
+                if since.elapsed() >= SHUTDOWN_RETRY_TIMEOUT {
                     return false;
                 }
             }
@@ -191,12 +194,12 @@
         self.log.commit(records.to_vec())
     }
 
-    /// Waits, but no longer than a moment once the writer was dropped.
+    /// Waits for `delay`, or until [`STOP_CHECK_INTERVAL`] after the writer was dropped.
     fn wait(&self, delay: Duration) {
-        let until = Instant::now() + delay;
+        let deadline = Instant::now() + delay;
         loop {
-            std::thread::sleep(STOP_CHECK);
-            if Instant::now() >= until || self.stopping.load(Ordering::Relaxed) {
+            std::thread::sleep(STOP_CHECK_INTERVAL);
+            if Instant::now() >= deadline || self.stopping.load(Ordering::Relaxed) {
                 return;
             }
         }
@@ -207,7 +210,7 @@
     duration.as_micros() as u64
 }
 
-/// A change of the queue as the log records it.
+/// Converts a change of the queue to a log record.
 fn log_record(change: StoreChange) -> LogRecord {
     match change {
         StoreChange::Accepted { id, at, encoded } => LogRecord::Snapshot(InvocationRecord {
@@ -237,7 +240,8 @@
     }
 }
 
-/// A logged invocation as the queue restores it; `None` where another release wrote it.
+/// Converts a logged invocation to the form that the queue restores; `None` if it is in the format of another
+/// release.
 pub fn stored_invocation(record: &InvocationRecord) -> Option<StoredInvocation> {
     Some(StoredInvocation {
         id: InvocationId(record.id),
