--- a/crates/quartzdrift/src/commands/arguments.rs
+++ b/crates/quartzdrift/src/commands/arguments.rs
@@ -43,9 +43,8 @@
     Serve { file: PathBuf },
     /// Run a scheduler on the operators' platform, with the configuration that the variable GW_CONFIG names
     #[command(
-        after_help = "SIGHUP reloads the configuration. SIGTERM stops the scheduler after all requests are \
-                      answered. RUST_LOG filters the logs on standard error (default: info). See \
-                      docs/platform.md."
+        after_help = "SIGHUP reloads the configuration. SIGTERM drains and stops the scheduler. RUST_LOG filters \
+                      what is logged to standard error (default: info). See docs/platform.md."
     )]
     Run,
     /// Check a settings file and print its errors with line and fix; exit status 1 if there are errors
--- a/crates/quartzdrift/src/settings/check/key_file.rs
+++ b/crates/quartzdrift/src/settings/check/key_file.rs
@@ -2,7 +2,7 @@
 //! `fleet.keys`.
 use std::io;
 
-/// Minimum length of a key, in bytes; a shorter key could be found by trying all keys.
+/// Minimum length of a key, in bytes; a shorter key could be guessed.
 const MIN_KEY_BYTES: usize = 16;
 
 /// Error of a key file.
--- a/crates/quartzdrift/src/settings/raw/fleet.rs
+++ b/crates/quartzdrift/src/settings/raw/fleet.rs
@@ -14,7 +14,7 @@
     pub(crate) cluster: String,
     /// UDP address for membership datagrams; the system chooses the port for port 0.
     pub(crate) listen: Spanned<String>,
-    /// Address at which other members reach this scheduler, if it differs from `listen`.
+    /// Address at which other members reach this scheduler; defaults to `listen`.
     pub(crate) advertise: Option<Spanned<String>>,
     /// Addresses of members to contact at the start.
     #[serde(default)]
--- a/crates/quartzdrift/src/settings/raw/functions.rs
+++ b/crates/quartzdrift/src/settings/raw/functions.rs
@@ -27,7 +27,7 @@
 
 /// A destination of events: either a function or a URL.
 #[derive(Clone, Debug, Deserialize)]
-// The text of the error for a value of another type, unchanged since before the type was renamed.
+// Error text for a value of another type. `To` is an earlier name of this type; the text must not change.
 #[serde(deny_unknown_fields, expecting = "struct To")]
 pub(crate) struct DestinationEntry {
     pub(crate) function: Option<String>,
--- a/crates/quartzdrift/src/wal_writer.rs
+++ b/crates/quartzdrift/src/wal_writer.rs
@@ -3,7 +3,8 @@
 //!
 //! The event loop submits numbered batches to a [`WalWriter`]. The thread writes all waiting batches with
 //! one sync, and reports the number of the last durable batch. If a write fails, the thread reports the
-//! failure and retries until the batch is durable, or until a time limit after the writer was dropped.
+//! failure and retries until the batch is durable. Retries end after a time limit once the writer is
+//! stopping.
 use calloop::channel::{self, Channel, Sender};
 use quartzdrift_async_queue::{Invocation, InvocationId, StoreChange, StoredInvocation};
 use quartzdrift_wal::{DirectoryStorage, InvocationRecord, Log, LogError, LogRecord};
@@ -23,15 +24,16 @@
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Maximum delay before a failed write is retried.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// How long a failing write is retried after the writer was dropped.
+/// Maximum time for which a failing write is retried after [`WalWriter::submit_last`] or the drop of the
+/// writer.
 const SHUTDOWN_RETRY_TIMEOUT: Duration = Duration::from_secs(1);
-/// Interval at which a waiting thread checks whether the writer was dropped.
+/// Interval at which the thread checks, during a retry delay, whether the writer is stopping.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Reports of the writer's thread to the event loop.
 #[derive(Debug)]
 pub enum WriterEvent {
-    /// All batches up to and including this number are durable.
+    /// All batches with a number up to and including this one are durable.
     Durable(u64),
     /// A write failed with this error, and is being retried. The next [`WriterEvent::Durable`] reports its
     /// success.
@@ -116,7 +118,7 @@
     }
 
     /// Submits the last batch. Blocks while `MAX_WAITING_BATCHES` batches wait. If writing fails, the
-    /// thread retries for `SHUTDOWN_RETRY_TIMEOUT` only.
+    /// thread gives up after `SHUTDOWN_RETRY_TIMEOUT`.
     pub fn submit_last(&mut self, changes: Vec<StoreChange>) {
         self.stopping.store(true, Ordering::Relaxed);
         self.last_number += 1;
@@ -165,7 +167,7 @@
     }
 
     /// Commits records, and retries while the commit fails. Returns `false` if it still fails
-    /// [`SHUTDOWN_RETRY_TIMEOUT`] after the writer was dropped, or if the failure cannot be reported.
+    /// [`SHUTDOWN_RETRY_TIMEOUT`] after the writer began to stop, or if the failure cannot be reported.
     fn write_until_durable(&mut self, records: &[LogRecord]) -> bool {
         let mut delay = INITIAL_RETRY_DELAY;
         let mut stopping_since = None;
@@ -177,7 +179,7 @@
             {
                 return false;
             }
-            self.wait(delay);
+            self.wait_before_retry(delay);
             delay = MAX_RETRY_DELAY.min(delay * 2);
             if self.stopping.load(Ordering::Relaxed) {
                 let since = *stopping_since.get_or_insert_with(Instant::now);
@@ -194,8 +196,8 @@
         self.log.commit(records.to_vec())
     }
 
-    /// Waits for `delay`, or until [`STOP_CHECK_INTERVAL`] after the writer was dropped.
-    fn wait(&self, delay: Duration) {
+    /// Waits for `delay`. Returns within [`STOP_CHECK_INTERVAL`] if the writer is stopping.
+    fn wait_before_retry(&self, delay: Duration) {
         let deadline = Instant::now() + delay;
         loop {
             std::thread::sleep(STOP_CHECK_INTERVAL);
