--- a/crates/quartzdrift/src/attempts.rs
+++ b/crates/quartzdrift/src/attempts.rs
@@ -1,5 +1,5 @@
 //! Connects a [`RequestTable`] to an event loop that sends attempts over sockets. [`AttemptCarriers`] maps
-//! each attempt in flight to its call or connection; [`CarryOut`] carries out the outputs of the request
+//! each attempt in flight to its call or connection; [`OutputHandler`] carries out the outputs of the request
 //! table.
 use quartzdrift_lifecycle::{Output, RequestTable};
 use quartzdrift_scheduler::interface::RequestId;
@@ -64,22 +64,22 @@
 }
 
 /// An event loop that carries out the outputs of its request table.
-pub(crate) trait CarryOut<P: Clone> {
+pub(crate) trait OutputHandler<P: Clone> {
     /// The request table.
     fn request_table(&mut self) -> &mut RequestTable<P>;
 
     /// Carries out one output. Further outputs that this causes stay in the request table.
-    fn carry_out_one(&mut self, output: Output<P>);
+    fn handle_output(&mut self, output: Output<P>);
 
     /// Carries out the outputs of the request table until it has none left.
-    fn carry_out_all(&mut self) {
+    fn handle_outputs(&mut self) {
         loop {
             let outputs = self.request_table().take_outputs();
             if outputs.is_empty() {
                 return;
             }
             for output in outputs {
-                self.carry_out_one(output);
+                self.handle_output(output);
             }
         }
     }
--- a/crates/quartzdrift/src/gateway/outputs.rs
+++ b/crates/quartzdrift/src/gateway/outputs.rs
@@ -1,16 +1,16 @@
 //! Carries out what the request table decides.
 use super::{Gateway, Origin, RequestContext};
-use crate::attempts::CarryOut;
+use crate::attempts::OutputHandler;
 use quartzdrift_lifecycle::{FinalResponse, Output, RequestTable};
 use quartzdrift_scheduler::interface::{Outcome, RequestId};
 use std::rc::Rc;
 
-impl CarryOut<Rc<RequestContext>> for Gateway {
+impl OutputHandler<Rc<RequestContext>> for Gateway {
     fn request_table(&mut self) -> &mut RequestTable<Rc<RequestContext>> {
         &mut self.request_table
     }
 
-    fn carry_out_one(&mut self, output: Output<Rc<RequestContext>>) {
+    fn handle_output(&mut self, output: Output<Rc<RequestContext>>) {
         match output {
             Output::StartAttempt {
                 request,
@@ -54,7 +54,7 @@
 impl Gateway {
     /// Carries out the outputs of the request table until there are none left.
     pub(super) fn carry_out(&mut self) {
-        self.carry_out_all();
+        self.handle_outputs();
     }
 
     fn recall_attempt(&mut self, request: RequestId, attempt: u32) {
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -8,7 +8,7 @@
 use super::worker_connection::{Command, WorkerConnection};
 use super::workers::Worker;
 use super::{commands, run};
-use crate::attempts::{AttemptCarriers, CarryOut};
+use crate::attempts::{AttemptCarriers, OutputHandler};
 use crate::clock::Clock;
 use crate::loop_delay::{EventWait, LoopDelay};
 use calloop::LoopHandle;
@@ -100,12 +100,12 @@
     }
 }
 
-impl CarryOut<Rc<RequestContext>> for Node {
+impl OutputHandler<Rc<RequestContext>> for Node {
     fn request_table(&mut self) -> &mut RequestTable<Rc<RequestContext>> {
         &mut self.request_table
     }
 
-    fn carry_out_one(&mut self, output: Output<Rc<RequestContext>>) {
+    fn handle_output(&mut self, output: Output<Rc<RequestContext>>) {
         match output {
             Output::StartAttempt {
                 request,
@@ -364,7 +364,7 @@
 
     /// Carries out the outputs of the request table until none are left.
     pub(super) fn carry_out(&mut self) {
-        self.carry_out_all();
+        self.handle_outputs();
     }
 
     /// Numbers of clients, workers, connections to workers, attempts in flight, and open client request ids.
