--- a/crates/quartzdrift/src/commands/arguments.rs
+++ b/crates/quartzdrift/src/commands/arguments.rs
@@ -43,7 +43,7 @@
     Serve { file: PathBuf },
     /// Run a scheduler on the operators' platform, with the configuration that the variable GW_CONFIG names
     #[command(
-        after_help = "SIGHUP reloads the configuration. SIGTERM drains and stops the scheduler. RUST_LOG filters \
+        after_help = "SIGHUP reloads the configuration. SIGTERM drains requests and stops. RUST_LOG filters \
                       what is logged to standard error (default: info). See docs/platform.md."
     )]
     Run,
--- a/crates/quartzdrift/src/settings/check/fleet.rs
+++ b/crates/quartzdrift/src/settings/check/fleet.rs
@@ -102,10 +102,12 @@
 }
 
 fn check_advertised(section: &raw::Fleet, advertise: Option<SocketAddr>, errors: &mut ErrorCollector) {
-    if advertise.is_some_and(|address| address.ip().is_unspecified()) {
+    if let Some(address) = advertise
+        && address.ip().is_unspecified()
+    {
         errors.add(
             section.listen.span(),
-            "the advertised address is unspecified (0.0.0.0 or ::), other members cannot reach it",
+            format!("the advertised address {address} is unspecified, other members cannot reach it"),
             "set advertise to the address at which other members reach this scheduler",
         );
     }
--- a/crates/quartzdrift/src/settings/check/functions.rs
+++ b/crates/quartzdrift/src/settings/check/functions.rs
@@ -55,7 +55,7 @@
         errors.add(
             entry.span(),
             format!("workload '{name}' is not defined"),
-            format!("defined workloads: {}", request_classes::names(raw)),
+            format!("use a defined workload: {}", request_classes::names(raw)),
         );
         return None;
     };
@@ -88,7 +88,7 @@
                 "function '{}': workload '{}' is not defined",
                 section.name, section.request_class
             ),
-            format!("defined workloads: {}", request_classes::names(raw)),
+            format!("use a defined workload: {}", request_classes::names(raw)),
         );
         return None;
     };
--- a/crates/quartzdrift/src/settings/check/workers.rs
+++ b/crates/quartzdrift/src/settings/check/workers.rs
@@ -2,7 +2,7 @@
 use super::collector::ErrorCollector;
 use super::url::parse_http_url;
 use crate::settings::Discovery;
-use crate::settings::raw::{File, Worker};
+use crate::settings::raw::{self, File, Worker};
 use quartzdrift_discovery::{ConfiguredNames, DiscoveredEndpoint, list};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -70,6 +70,28 @@
 /// Checks and converts `[roster]`; `None` if it is absent or its URL is invalid.
 pub(super) fn discovery(raw: &File, errors: &mut ErrorCollector) -> Option<Discovery> {
     let section = raw.discovery.as_ref()?;
+    check_polling(section, raw, errors);
+    match parse_http_url(section.url.get_ref()) {
+        Ok((address, target)) => Some(Discovery {
+            address,
+            target,
+            watch: section.stream,
+            poll_interval: section.every.0,
+            poll_timeout: section.timeout.0,
+        }),
+        Err(error) => {
+            errors.add(
+                section.url.span(),
+                format!("url '{}' is invalid: {error}", section.url.get_ref()),
+                "write a URL like \"http://127.0.0.1:9800/workers\"",
+            );
+            None
+        }
+    }
+}
+
+/// Checks the poll interval and timeout, and that endpoint leases outlast two polls.
+fn check_polling(section: &raw::Discovery, raw: &File, errors: &mut ErrorCollector) {
     if section.every.0 < MIN_POLL_INTERVAL {
         errors.add_at_key(
             "roster",
@@ -81,13 +103,18 @@
             "write an interval of at least 50ms",
         );
     }
-    let lease = raw.rules.endpoint_lease.map(|lease| lease.0);
-    if lease.is_some_and(|lease| lease <= section.every.0 * 2 + section.timeout.0) {
+    let lease_limit = section.every.0 * 2 + section.timeout.0;
+    if let Some(lease) = raw.rules.endpoint_lease
+        && lease.0 <= lease_limit
+    {
         errors.add_at_key(
             "rules",
             "endpoint_lease",
-            "endpoint_lease is not longer than twice roster.every plus roster.timeout",
-            "write more than twice roster.every plus roster.timeout, or remove endpoint_lease",
+            format!(
+                "endpoint_lease ({:?}) must exceed twice roster.every plus roster.timeout ({lease_limit:?})",
+                lease.0
+            ),
+            "increase endpoint_lease, reduce roster.every or roster.timeout, or remove endpoint_lease",
         );
     }
     if section.timeout.0.is_zero() {
@@ -98,23 +125,6 @@
             "write a duration above zero, like \"2s\"",
         );
     }
-    match parse_http_url(section.url.get_ref()) {
-        Ok((address, target)) => Some(Discovery {
-            address,
-            target,
-            watch: section.stream,
-            poll_interval: section.every.0,
-            poll_timeout: section.timeout.0,
-        }),
-        Err(error) => {
-            errors.add(
-                section.url.span(),
-                format!("url '{}' is invalid: {error}", section.url.get_ref()),
-                "write a URL like \"http://127.0.0.1:9800/workers\"",
-            );
-            None
-        }
-    }
 }
 
 /// Index of a worker's zone or kind in the configured names; 0 if the worker has none or an unknown one.
--- a/crates/quartzdrift/src/settings/mod.rs
+++ b/crates/quartzdrift/src/settings/mod.rs
@@ -1,6 +1,6 @@
 //! Settings of the gateway, read from a TOML file. All tables are checked before the gateway starts. Use
-//! [`load()`] for a file and [`read`] for TOML that is already in memory. Each [`SettingsError`] has the file,
-//! the line, the problem and a remedy.
+//! [`load()`] for a file and [`read`] for TOML that is already in memory. Each [`SettingsError`] has the
+//! file, the line, the problem and a remedy.
 mod check;
 mod error;
 mod load;
--- a/crates/quartzdrift/src/settings/raw/mod.rs
+++ b/crates/quartzdrift/src/settings/raw/mod.rs
@@ -28,4 +28,4 @@
 pub(crate) use scheduler::{
     Allowed, CapacityHints, DiscoveryMode, Goal, Prices, PriorityUnit, Rules, Scheduler,
 };
-pub(crate) use workers::Worker;
+pub(crate) use workers::{Discovery, Worker};
--- a/crates/quartzdrift/src/settings/raw/scheduler_settings.rs
+++ b/crates/quartzdrift/src/settings/raw/scheduler_settings.rs
@@ -200,7 +200,7 @@
     CacheMissPolicy { Load, ReportMiss }
     ReportSource { Responses, HealthChecks, Absent }
     ReportField {
-        InFlight, Queued, CoreUtilization, LatencyMs, SucceededPerSecond, ErrorsPerSecond, UnreclaimableMemory,
-        LoadsInProgress
+        InFlight, Queued, CoreUtilization, LatencyMs, SucceededPerSecond, ErrorsPerSecond,
+        UnreclaimableMemory, LoadsInProgress
     }
 }
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -1,6 +1,6 @@
 //! Compatibility with files that earlier releases stored. The files in `tests/stored` are from a gateway of
-//! 2026-12-02 that was killed while invocations of each kind were open. The tests read each file and check its
-//! content. Most files are also written again and compared with the stored file byte for byte.
+//! 2026-12-02 that was killed while invocations of each kind were open. The tests read each file and check
+//! its content. Most files are also written again and compared with the stored file byte for byte.
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 use quartzdrift::{snapshots, wal_writer};
 use quartzdrift_async_queue::{Destination, StoredInvocation};
