--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -8,7 +8,7 @@
 use super::worker_connection::{Command, WorkerConnection};
 use super::workers::Worker;
 use super::{commands, run};
-use crate::attempts::{AttemptCarriers, CarryOut};
+use crate::attempts::{AttemptCarriers, OutputHandler};
 use crate::clock::Clock;
 use crate::loop_delay::{EventWait, LoopDelay};
 use calloop::LoopHandle;
@@ -100,12 +100,12 @@
     }
 }
 
-impl CarryOut<Rc<RequestContext>> for Node {
+impl OutputHandler<Rc<RequestContext>> for Node {
     fn request_table(&mut self) -> &mut RequestTable<Rc<RequestContext>> {
         &mut self.request_table
     }
 
-    fn carry_out_one(&mut self, output: Output<Rc<RequestContext>>) {
+    fn handle_output(&mut self, output: Output<Rc<RequestContext>>) {
         match output {
             Output::StartAttempt {
                 request,
@@ -233,7 +233,7 @@
             shutdown,
         ];
         self.clock
-            .until(deadlines, [self.sockets.next_due(), self.http.next_deadline()])
+            .time_until_next(deadlines, [self.sockets.next_due(), self.http.next_deadline()])
     }
 
     /// Processes the events of a wait, and every deadline that has passed.
@@ -330,7 +330,7 @@
         }
         let (attempts, sockets) = (&self.attempts, &self.sockets);
         self.request_table.fire_timers(now, |request, attempt| {
-            attempts.has_left(request, attempt, |id| {
+            attempts.may_have_been_sent(request, attempt, |id| {
                 commands::is_unsent(sockets, id, request, attempt)
             })
         });
@@ -364,7 +364,7 @@
 
     /// Carries out the outputs of the request table until none are left.
     pub(super) fn carry_out(&mut self) {
-        self.carry_out_all();
+        self.handle_outputs();
     }
 
     /// Numbers of clients, workers, connections to workers, attempts in flight, and open client request ids.
@@ -414,7 +414,7 @@
         );
         let (attempts, sockets) = (&self.attempts, &self.sockets);
         self.request_table.shut_down(now, |request, attempt| {
-            attempts.has_left(request, attempt, |id| {
+            attempts.may_have_been_sent(request, attempt, |id| {
                 commands::is_unsent(sockets, id, request, attempt)
             })
         });
