--- a/crates/quartzdrift-forecast/src/forecasts/mod.rs
+++ b/crates/quartzdrift-forecast/src/forecasts/mod.rs
@@ -1,4 +1,5 @@
-//! Forecasts for all functions: their histories, within a bound, and when a forecast for each is worthwhile.
+//! Forecasts for all functions: a bounded number of histories, and the time of the next forecast for each
+//! function.
 mod planning;
 mod retention;
 #[cfg(test)]
@@ -8,29 +9,29 @@
 use crate::predictor::Predictor;
 use crate::score::GapScore;
 use crate::season::Season;
-use planning::Timing;
+use planning::CopyTimes;
 use retention::UseOrder;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Least probability that is forecast; what is done with it is decided elsewhere.
+/// Minimum probability of a forecast. The scheduler decides which forecasts it acts on.
 const MIN_PROBABILITY: f64 = 0.15;
-/// Uses from which on a function's seasons are recorded: they take some hundred bytes each.
-const SEASON_USES: u32 = 12;
-/// Share of the keep-alive up to which a gap is short: no copy is unloaded in it, or renewed.
-const SHORT_GAP: f64 = 0.5;
+/// Uses of a function before its seasons are recorded: a season takes some hundred bytes.
+const MIN_USES_FOR_SEASONS: u32 = 12;
+/// Gaps below this share of the keep-alive are short: a copy is neither unloaded nor renewed within them.
+const SHORT_GAP_SHARE: f64 = 0.5;
 
-/// Bounds and times of the forecasts.
+/// Settings of [`Forecasts`].
 #[derive(Clone, Debug)]
 pub struct ForecastSettings {
-    /// Maximum functions with a history.
+    /// Maximum number of functions with a history.
     pub max_functions: usize,
-    /// Least keep-alive of an idle copy.
+    /// Minimum time for which an idle copy stays loaded.
     pub keep_alive: Duration,
-    /// Duration of a load where a function's is not known.
+    /// Load duration of functions for which none was configured or measured.
     pub default_load: Duration,
-    /// Lengths of the seasons, like a day and a week.
+    /// Lengths of the recurring periods, like a day and a week.
     pub seasons: Vec<Duration>,
 }
 
@@ -46,63 +47,63 @@
     }
 }
 
-/// A use that is expected.
+/// An expected use of a function.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExpectedUse {
-    /// The function's name.
+    /// Name of the function.
     pub function: String,
-    /// The span from now on in which the use is expected.
+    /// The use is expected within this time from the forecast on.
     pub within: Duration,
-    /// Probability of a use within the span, from 0 to 1.
+    /// Probability of a use within this time, from 0 to 1.
     pub probability: f64,
-    /// Rate of use just after now, where the predictor has one.
+    /// Expected request rate just after the forecast; `None` where the predictor has no rate.
     pub requests_per_second: Option<f64>,
-    /// The predictor that spoke for the function.
+    /// The predictor that made the forecast.
     pub predictor: Predictor,
 }
 
-/// What is recorded of one function.
+/// History and forecast state of one function.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Track {
+pub(crate) struct FunctionRecord {
     pub(crate) history: History,
-    /// Duration of a load in microseconds, 0 where none is known.
+    /// Duration of a load in microseconds; 0: neither configured nor measured.
     pub(crate) load_us: u64,
-    /// When a forecast is made next.
+    /// Time of the next planned forecast.
     #[serde(skip)]
     forecast_at: Option<Duration>,
-    /// Forecasts planned since the last use.
+    /// Number of forecasts that were planned since the last use.
     #[serde(skip)]
     planned: u32,
-    /// No forecast before this time.
+    /// End of the quiet period: no forecast is made before this time.
     #[serde(skip)]
     quiet_until: Duration,
 }
 
-/// Scores of the forecasts against those of baselines, each gap scored before it was learnt. Means of ranked probability
-/// scores: 0 is best.
+/// Mean ranked probability scores of the forecasts and of two baselines; 0 is best. Each gap is scored before
+/// the predictors learn it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ForecastScores {
-    /// Gaps that were scored.
+    /// Number of scored gaps.
     pub scored_gaps: u64,
-    /// Score of the predictors that spoke for their functions.
+    /// Score of the predictors that made the forecasts.
     pub chosen: f64,
-    /// Score of "as long as the last gap".
+    /// Score of the baseline that predicts a gap as long as the last one.
     pub last_gap_baseline: f64,
-    /// Score of "a use is always near".
+    /// Score of the baseline that always predicts an immediate use.
     pub always_near_baseline: f64,
 }
 
 impl ForecastScores {
-    fn add(&mut self, score: GapScore) {
+    fn add_gap(&mut self, score: GapScore) {
         self.merge(ForecastScores {
             scored_gaps: 1,
             chosen: score.chosen,
-            last_gap_baseline: score.last,
-            always_near_baseline: score.always,
+            last_gap_baseline: score.last_gap_baseline,
+            always_near_baseline: score.always_near_baseline,
         });
     }
 
-    /// Combines the means of both, weighted by their gaps.
+    /// Merges the means of `other` into these, weighted by the number of gaps.
     pub fn merge(&mut self, other: ForecastScores) {
         self.scored_gaps += other.scored_gaps;
         let weight = other.scored_gaps as f64 / self.scored_gaps.max(1) as f64;
@@ -115,123 +116,139 @@
 /// Histories and forecasts of all functions.
 pub struct Forecasts {
     settings: ForecastSettings,
-    /// Scores since the start; not part of a snapshot.
+    /// Scores since the process started; not part of a snapshot.
     pub scores: ForecastScores,
-    pub(crate) tracks: BTreeMap<String, Track>,
-    /// When a forecast is made for which function.
-    planned: BTreeSet<(Duration, String)>,
-    order: UseOrder,
+    /// History and forecast state by function name.
+    pub(crate) functions: BTreeMap<String, FunctionRecord>,
+    /// Time and function of each planned forecast.
+    planned_forecasts: BTreeSet<(Duration, String)>,
+    /// Order of eviction.
+    use_order: UseOrder,
 }
 
 impl Forecasts {
-    /// Forecasts without any history.
+    /// Creates forecasts without any history.
     pub fn new(settings: ForecastSettings) -> Forecasts {
         Forecasts {
             settings,
             scores: ForecastScores::default(),
-            tracks: BTreeMap::new(),
-            planned: BTreeSet::new(),
-            order: UseOrder::default(),
+            functions: BTreeMap::new(),
+            planned_forecasts: BTreeSet::new(),
+            use_order: UseOrder::default(),
         }
     }
 
     /// Number of functions with a history.
     pub fn len(&self) -> usize {
-        self.tracks.len()
+        self.functions.len()
     }
 
     /// Whether no function has a history.
     pub fn is_empty(&self) -> bool {
-        self.tracks.is_empty()
+        self.functions.is_empty()
     }
 
-    /// Functions by the predictor that speaks for them, for reports.
+    /// Number of functions by the predictor that makes their forecasts, for reports.
     pub fn functions_by_predictor(&self) -> BTreeMap<Predictor, usize> {
         let mut counts = BTreeMap::new();
-        for (predictor, _) in self.tracks.values().filter_map(|track| track.history.best()) {
+        for (predictor, _) in self
+            .functions
+            .values()
+            .filter_map(|record| record.history.best_predictor())
+        {
             *counts.entry(predictor).or_insert(0) += 1;
         }
         counts
     }
 
-    /// A request of the function came.
+    /// Records a request to the function, and plans the next forecast.
     pub fn record_use(&mut self, now: Duration, function: &str) {
-        self.unlist(function);
-        let track = self.tracks.entry(function.to_owned()).or_default();
-        if track.history.uses == SEASON_USES {
-            track.history.seasons = self.settings.seasons.iter().copied().map(Season::new).collect();
+        self.remove_from_use_order(function);
+        let record = self.functions.entry(function.to_owned()).or_default();
+        if record.history.uses == MIN_USES_FOR_SEASONS {
+            record.history.seasons = self.settings.seasons.iter().copied().map(Season::new).collect();
         }
-        let short = self.settings.keep_alive.mul_f64(SHORT_GAP);
-        if let Some(score) = track.history.record_use(now, short) {
-            self.scores.add(score);
+        let short_gap = self.settings.keep_alive.mul_f64(SHORT_GAP_SHARE);
+        if let Some(score) = record.history.record_use(now, short_gap) {
+            self.scores.add_gap(score);
         }
-        track.forecast_at = None;
-        track.planned = 0;
-        self.list(function);
-        self.plan(now, function);
+        record.forecast_at = None;
+        record.planned = 0;
+        self.insert_into_use_order(function);
+        self.plan_next_forecast(now, function);
     }
 
-    /// A load of the function took this long.
+    /// Records the measured duration of a load of the function.
     pub fn record_load_duration(&mut self, function: &str, duration: Duration) {
-        if let Some(track) = self.tracks.get_mut(function) {
-            track.load_us = duration.as_micros() as u64;
+        if let Some(record) = self.functions.get_mut(function) {
+            record.load_us = duration.as_micros() as u64;
         }
     }
 
-    /// The configured duration of a load of the function, which applies until one was measured.
+    /// Sets the configured load duration of the function, unless a duration is set already. A measured
+    /// duration replaces it.
     pub fn set_load_hint(&mut self, function: &str, load: Duration) {
-        if let Some(track) = self.tracks.get_mut(function).filter(|track| track.load_us == 0) {
-            track.load_us = load.as_micros() as u64;
+        if let Some(record) = self
+            .functions
+            .get_mut(function)
+            .filter(|record| record.load_us == 0)
+        {
+            record.load_us = load.as_micros() as u64;
         }
     }
 
-    /// Makes no forecast for the function before this time, as earlier ones led to nothing.
+    /// Suppresses forecasts for the function until this time, as too many of its prefetches went unused.
     pub fn start_quiet_period(&mut self, function: &str, until: Duration) {
-        if let Some(track) = self.tracks.get_mut(function) {
-            track.quiet_until = until;
+        if let Some(record) = self.functions.get_mut(function) {
+            record.quiet_until = until;
         }
     }
 
-    /// When [`Forecasts::due`] has the next forecast to make.
+    /// Time of the next planned forecast, when [`Forecasts::due`] has to be called.
     pub fn next_due(&self) -> Option<Duration> {
-        self.planned.first().map(|(at, _)| *at)
+        self.planned_forecasts.first().map(|(at, _)| *at)
     }
 
-    /// Makes the forecasts that are due, and returns those that are probable enough. Each is returned once, until its
-    /// function is used or its span is over.
+    /// Makes the forecasts that are due, and returns those of sufficient probability. Without a use in
+    /// between, a function is not forecast again until most of the renewal delay of a copy has passed.
     pub fn due(&mut self, now: Duration) -> Vec<ExpectedUse> {
         let mut expected = Vec::new();
-        while let Some((at, function)) = self.planned.pop_first() {
+        while let Some((at, function)) = self.planned_forecasts.pop_first() {
             if at > now {
-                self.planned.insert((at, function));
+                self.planned_forecasts.insert((at, function));
                 break;
             }
-            let Some(track) = self.tracks.get_mut(&function) else {
+            let Some(record) = self.functions.get_mut(&function) else {
                 continue;
             };
-            track.forecast_at = None;
-            expected.extend(forecast(&self.settings, track, &function, now));
-            self.plan(now, &function);
+            record.forecast_at = None;
+            expected.extend(forecast_next_use(&self.settings, record, &function, now));
+            self.plan_next_forecast(now, &function);
         }
         expected
     }
 }
 
-/// The forecast for a function, if it is probable enough.
-fn forecast(
+/// Returns the forecast for a function, if its probability is at least [`MIN_PROBABILITY`].
+fn forecast_next_use(
     settings: &ForecastSettings,
-    track: &Track,
+    record: &FunctionRecord,
     function: &str,
     now: Duration,
 ) -> Option<ExpectedUse> {
-    let history = &track.history;
-    let (predictor, _) = history.best()?;
-    if track.quiet_until > now {
+    let history = &record.history;
+    let (predictor, _) = history.best_predictor()?;
+    if record.quiet_until > now {
         return None;
     }
-    let since = now.as_secs_f64() - history.last_use;
-    let within = Duration::from_secs_f64(Timing::of(settings, track).span(since));
-    let probability = planning::probability_between(history, predictor, since, since + within.as_secs_f64());
+    let since_last_use = now.as_secs_f64() - history.last_use;
+    let within = Duration::from_secs_f64(CopyTimes::for_function(settings, record).lifetime(since_last_use));
+    let probability = planning::probability_between(
+        history,
+        predictor,
+        since_last_use,
+        since_last_use + within.as_secs_f64(),
+    );
     if probability < MIN_PROBABILITY {
         return None;
     }
@@ -239,7 +256,7 @@
         function: function.to_owned(),
         within,
         probability,
-        requests_per_second: history.rate(predictor, now),
+        requests_per_second: history.use_rate(predictor, now),
         predictor,
     })
 }
--- a/crates/quartzdrift-forecast/src/forecasts/retention.rs
+++ b/crates/quartzdrift-forecast/src/forecasts/retention.rs
@@ -1,43 +1,44 @@
-//! Which functions are remembered. Beyond the bound the least recently used goes first; functions met once may fill what room
-//! there is, but displace others up to a share only, so that a scan of functions used once does not displace those in use.
-use super::{Forecasts, Track};
+//! Eviction of function records. Beyond the bound the least recently used function is evicted first.
+//! Functions used once may fill free places, but displace functions used again only up to a share of all, so
+//! that a scan of functions that are used once does not evict those in regular use.
+use super::{Forecasts, FunctionRecord};
 use std::collections::BTreeSet;
 
-/// Share of the remembered functions that may have been met once only.
-const NEW_SHARE: f64 = 0.25;
+/// Share of the records up to which functions used once displace functions used again.
+const MAX_USED_ONCE_SHARE: f64 = 0.25;
 
-/// A function by its last use, in microseconds since 1970.
-type LastUse = (u64, String);
+/// The last use in microseconds since 1970, and the name of the function.
+type LastUseKey = (u64, String);
 
-/// Functions in the order of their last use.
+/// Functions in the order of their last use, those used once apart from the others.
 #[derive(Debug, Default)]
 pub(super) struct UseOrder {
-    met_once: BTreeSet<LastUse>,
-    used_again: BTreeSet<LastUse>,
+    used_once: BTreeSet<LastUseKey>,
+    used_again: BTreeSet<LastUseKey>,
 }
 
 impl UseOrder {
     fn len(&self) -> usize {
-        self.met_once.len() + self.used_again.len()
+        self.used_once.len() + self.used_again.len()
     }
 
-    fn insert(&mut self, last_use: LastUse, uses: u32) {
+    fn insert(&mut self, last_use: LastUseKey, uses: u32) {
         if uses > 1 {
             self.used_again.insert(last_use);
         } else {
-            self.met_once.insert(last_use);
+            self.used_once.insert(last_use);
         }
     }
 
-    fn remove(&mut self, last_use: &LastUse) {
-        self.met_once.remove(last_use);
+    fn remove(&mut self, last_use: &LastUseKey) {
+        self.used_once.remove(last_use);
         self.used_again.remove(last_use);
     }
 
-    /// Takes out the function to forget.
-    fn pop_oldest(&mut self, max_met_once: usize) -> Option<LastUse> {
-        if self.met_once.len() > max_met_once || self.used_again.is_empty() {
-            self.met_once.pop_first()
+    /// Removes and returns the function to evict next.
+    fn pop_evicted(&mut self, max_used_once: usize) -> Option<LastUseKey> {
+        if self.used_once.len() > max_used_once || self.used_again.is_empty() {
+            self.used_once.pop_first()
         } else {
             self.used_again.pop_first()
         }
@@ -45,38 +46,39 @@
 }
 
 impl Forecasts {
-    /// Enters a function into the order of use, and forgets those beyond the bound.
-    pub(crate) fn list(&mut self, function: &str) {
-        let Some(track) = self.tracks.get(function) else {
+    /// Inserts a function into the order of use, and evicts functions beyond the bound.
+    pub(crate) fn insert_into_use_order(&mut self, function: &str) {
+        let Some(record) = self.functions.get(function) else {
             return;
         };
-        self.order.insert(last_use(track, function), track.history.uses);
-        let max_met_once = ((self.settings.max_functions as f64 * NEW_SHARE) as usize).max(1);
-        while self.order.len() > self.settings.max_functions.max(1) {
-            if let Some((_, oldest)) = self.order.pop_oldest(max_met_once) {
-                self.forget(&oldest);
+        self.use_order
+            .insert(last_use_key(record, function), record.history.uses);
+        let max_used_once = ((self.settings.max_functions as f64 * MAX_USED_ONCE_SHARE) as usize).max(1);
+        while self.use_order.len() > self.settings.max_functions.max(1) {
+            if let Some((_, function)) = self.use_order.pop_evicted(max_used_once) {
+                self.evict(&function);
             }
         }
     }
 
-    /// Takes a function out of the order of use, and its planned forecast with it.
-    pub(super) fn unlist(&mut self, function: &str) {
-        if let Some(track) = self.tracks.get(function) {
-            self.order.remove(&last_use(track, function));
-            if let Some(at) = track.forecast_at {
-                self.planned.remove(&(at, function.to_owned()));
+    /// Removes a function from the order of use, and cancels its planned forecast.
+    pub(super) fn remove_from_use_order(&mut self, function: &str) {
+        if let Some(record) = self.functions.get(function) {
+            self.use_order.remove(&last_use_key(record, function));
+            if let Some(at) = record.forecast_at {
+                self.planned_forecasts.remove(&(at, function.to_owned()));
             }
         }
     }
 
-    fn forget(&mut self, function: &str) {
-        let forgotten = self.tracks.remove(function);
-        if let Some(at) = forgotten.and_then(|track| track.forecast_at) {
-            self.planned.remove(&(at, function.to_owned()));
+    fn evict(&mut self, function: &str) {
+        let evicted = self.functions.remove(function);
+        if let Some(at) = evicted.and_then(|record| record.forecast_at) {
+            self.planned_forecasts.remove(&(at, function.to_owned()));
         }
     }
 }
 
-fn last_use(track: &Track, function: &str) -> LastUse {
-    ((track.history.last_use * 1e6) as u64, function.to_owned())
+fn last_use_key(record: &FunctionRecord, function: &str) -> LastUseKey {
+    ((record.history.last_use * 1e6) as u64, function.to_owned())
 }
--- a/crates/quartzdrift-forecast/src/forecasts/tests.rs
+++ b/crates/quartzdrift-forecast/src/forecasts/tests.rs
@@ -2,7 +2,7 @@
 use crate::predictor::Predictor;
 use std::time::Duration;
 
-fn forecasts(max_functions: usize) -> Forecasts {
+fn empty_forecasts(max_functions: usize) -> Forecasts {
     Forecasts::new(ForecastSettings {
         max_functions,
         ..ForecastSettings::default()
@@ -12,15 +12,23 @@
 const START: Duration = Duration::from_secs(1_000_000);
 
 #[test]
-fn a_regular_use_is_expected_in_time_to_load_and_not_permanently() {
-    let mut all = forecasts(10);
+fn a_regular_use_is_forecast_before_its_load_has_to_start_and_not_all_the_time() {
+    let mut forecasts = empty_forecasts(10);
     for n in 0..10u32 {
-        all.record_use(START + Duration::from_secs(60) * n, "t");
+        forecasts.record_use(START + Duration::from_secs(60) * n, "t");
     }
     let last = START + Duration::from_secs(540);
     let mut expected = Vec::new();
-    while let Some(at) = all.next_due().filter(|at| *at < last + Duration::from_secs(60)) {
-        expected.extend(all.due(at).into_iter().map(|e| (at - last, e)));
+    while let Some(at) = forecasts
+        .next_due()
+        .filter(|at| *at < last + Duration::from_secs(60))
+    {
+        expected.extend(
+            forecasts
+                .due(at)
+                .into_iter()
+                .map(|expected_use| (at - last, expected_use)),
+        );
     }
     assert!(!expected.is_empty() && expected.len() <= 3, "{expected:?}");
     let (at, first) = &expected[0];
@@ -28,13 +36,19 @@
         *at > Duration::from_secs(45) && *at <= Duration::from_millis(58_500),
         "{at:?}"
     );
-    assert!(expected.iter().any(|(_, e)| e.probability > 0.8), "{expected:?}");
+    assert!(
+        expected
+            .iter()
+            .any(|(_, expected_use)| expected_use.probability > 0.8),
+        "{expected:?}"
+    );
     assert_eq!(
         (first.function.as_str(), first.predictor),
         ("t", Predictor::Regular)
     );
-    // For regular gaps "as long as the last gap" is nearly right, and "a use is always near" is not.
-    let scores = all.scores;
+    // For regular gaps the baseline of the last gap is nearly right; the baseline of an immediate use is
+    // wrong.
+    let scores = forecasts.scores;
     assert!(
         scores.scored_gaps > 4 && scores.chosen < 0.1 * scores.always_near_baseline,
         "{scores:?}"
@@ -46,48 +60,49 @@
 }
 
 #[test]
-fn a_scan_of_functions_used_once_displaces_none_that_is_in_use() {
-    let mut all = forecasts(40);
+fn a_scan_of_functions_used_once_evicts_no_function_in_use() {
+    let mut forecasts = empty_forecasts(40);
     for n in 0..5 {
-        (0..20).for_each(|f| all.record_use(START + Duration::from_secs(n), &format!("f{f}")));
+        (0..20).for_each(|f| forecasts.record_use(START + Duration::from_secs(n), &format!("f{f}")));
     }
-    (0..1000).for_each(|n| all.record_use(START + Duration::from_secs(10 + n), &format!("scan{n}")));
-    assert!((0..20).all(|f| all.tracks.contains_key(&format!("f{f}"))));
-    assert!(all.len() <= 40 && all.planned.len() <= 40);
+    (0..1000).for_each(|n| forecasts.record_use(START + Duration::from_secs(10 + n), &format!("scan{n}")));
+    assert!((0..20).all(|f| forecasts.functions.contains_key(&format!("f{f}"))));
+    assert!(forecasts.len() <= 40 && forecasts.planned_forecasts.len() <= 40);
 }
 
 #[test]
-fn a_quiet_function_is_not_forecast() {
-    let mut all = forecasts(10);
+fn no_forecast_is_made_in_a_quiet_period() {
+    let mut forecasts = empty_forecasts(10);
     for n in 0..10u32 {
-        all.record_use(START + Duration::from_secs(60) * n, "t");
+        forecasts.record_use(START + Duration::from_secs(60) * n, "t");
     }
-    all.start_quiet_period("t", START + Duration::from_secs(3600));
-    while let Some(at) = all
+    forecasts.start_quiet_period("t", START + Duration::from_secs(3600));
+    while let Some(at) = forecasts
         .next_due()
         .filter(|at| *at < START + Duration::from_secs(3000))
     {
-        assert_eq!(all.due(at), []);
+        assert_eq!(forecasts.due(at), []);
     }
 }
 
 proptest::proptest! {
-    /// With any uses, clock steps included: bounds hold, probabilities lie from 0 to 1, and the forecasts end.
+    /// With random uses, also at times that go back: the bounds hold, probabilities lie from 0 to 1, and the
+    /// number of forecasts is finite.
     #[test]
-    fn bounds_hold_with_any_uses(uses in proptest::collection::vec((0u64..100_000, 0u8..30), 1..200)) {
-        let mut all = forecasts(8);
+    fn bounds_hold_with_random_uses(uses in proptest::collection::vec((0u64..100_000, 0u8..30), 1..200)) {
+        let mut forecasts = empty_forecasts(8);
         for (ms, function) in uses {
             let now = START + Duration::from_millis(ms);
-            all.record_use(now, &format!("f{function}"));
+            forecasts.record_use(now, &format!("f{function}"));
             let mut turns = 0;
-            while let Some(at) = all.next_due().filter(|at| *at < now + Duration::from_secs(20)) {
-                for use_expected in all.due(at) {
-                    proptest::prop_assert!((0.0..=1.0).contains(&use_expected.probability));
+            while let Some(at) = forecasts.next_due().filter(|at| *at < now + Duration::from_secs(20)) {
+                for expected in forecasts.due(at) {
+                    proptest::prop_assert!((0.0..=1.0).contains(&expected.probability));
                 }
                 turns += 1;
-                proptest::prop_assert!(turns < 2000, "it never ends");
+                proptest::prop_assert!(turns < 2000, "forecasts do not end: turn {turns}, limit 2000");
             }
-            proptest::prop_assert!(all.len() <= 8 && all.planned.len() <= 8);
+            proptest::prop_assert!(forecasts.len() <= 8 && forecasts.planned_forecasts.len() <= 8);
         }
     }
 }
--- a/crates/quartzdrift-forecast/src/lib.rs
+++ b/crates/quartzdrift-forecast/src/lib.rs
@@ -1,23 +1,26 @@
-//! Forecasts of when functions are used next, and a ledger of the prefetches that they led to. No I/O, no clock: times are since
-//! 1970 and come from the caller.
+//! Forecasts of when functions are used next, and statistics of the prefetches that the forecasts led to.
 //!
-//! Call [`Forecasts::record_use`] for each use. When [`Forecasts::next_due`] has come, [`Forecasts::due`] returns which uses are
-//! expected, with which probability and within which span; whether a function is loaded for it, and where, is up to the
-//! scheduler. [`PrefetchTracker`] takes the results: a function whose prefetches go unused is not forecast for a while. [`PrefetchPlanner`]
-//! combines both, as a gateway needs them.
+//! The crate performs no I/O and reads no clock. Callers pass each time as the duration since 1970 (UTC).
 //!
-//! The next use of a function is a distribution over the gap to it. Each [`Predictor`] gives one, and is scored at each gap
-//! by the ranked probability score (Epstein 1969), a proper score: stating another distribution than the believed one gains
-//! nothing. The predictor with the best recent score speaks for the function.
+//! Call [`Forecasts::record_use`] for each use of a function. At the time [`Forecasts::next_due`], call
+//! [`Forecasts::due`]: it returns the expected uses, each with its probability and time span. The scheduler
+//! decides whether and where to load a function. [`PrefetchTracker`] records the results of the load commands
+//! and starts a quiet period, without forecasts, for a function whose prefetches mostly go unused.
+//! [`PrefetchPlanner`] combines both for a gateway.
+//!
+//! A forecast is a probability distribution over the gap between the last use and the next one. Each
+//! [`Predictor`] gives a distribution, and is scored at each gap by the ranked probability score (Epstein
+//! 1969). This score is proper: a predictor gets its best expected score by stating the distribution that it
+//! believes. The predictor with the best recent score makes the forecasts of the function.
 //!
 //! * `predictor`: the predictors.
 //! * `season`: uses by the time of day or week.
-//! * `history`: the gaps of one function, and what each predictor makes of them.
+//! * `history`: the gaps of one function, and the predictions and scores of each predictor.
 //! * `score`: the score of a predicted gap.
-//! * `forecasts`: all functions, and when each is worth a look.
-//! * `prefetch_tracker`: what prefetches cost and saved.
-//! * `snapshot`: forecasts as bytes that outlast the process.
-//! * `prefetch_planner`: forecasts and ledger together.
+//! * `forecasts`: the forecasts of all functions, and the times at which they are made.
+//! * `prefetch_tracker`: costs and benefits of prefetches.
+//! * `snapshot`: serialization of forecasts, to keep them over a restart.
+//! * `prefetch_planner`: forecasts and prefetch statistics combined.
 mod forecasts;
 mod history;
 mod predictor;
--- a/crates/quartzdrift-forecast/src/prefetch_planner.rs
+++ b/crates/quartzdrift-forecast/src/prefetch_planner.rs
@@ -1,21 +1,22 @@
-//! Forecasts and ledger together, as a gateway uses them: one call for each use and each load command.
+//! Forecasts and prefetch statistics combined for a gateway, which calls this module for each use and load
+//! command.
 use crate::forecasts::{ExpectedUse, ForecastSettings, Forecasts};
 use crate::prefetch_tracker::PrefetchTracker;
 use std::time::Duration;
 
-/// A load command that is answered sooner found its copy cached: no load is so short.
+/// Minimum duration of a load. A load command that ends sooner found the function cached.
 const MIN_FETCH_DURATION: Duration = Duration::from_millis(25);
 
-/// What a gateway needs to load functions ahead of their use.
+/// Forecasts the uses of functions, and tracks the prefetches that follow.
 pub struct PrefetchPlanner {
-    /// When functions are used next.
+    /// Forecasts of the next uses.
     pub forecasts: Forecasts,
-    /// What became of the loads.
+    /// Costs and benefits of the prefetches.
     pub tracker: PrefetchTracker,
 }
 
 impl PrefetchPlanner {
-    /// Without any history.
+    /// Creates a planner without any history.
     pub fn new(settings: ForecastSettings) -> PrefetchPlanner {
         let tracker = PrefetchTracker::new(settings.keep_alive);
         PrefetchPlanner {
@@ -24,7 +25,7 @@
         }
     }
 
-    /// A request of the function came; `load`: the configured duration of its load.
+    /// Records a request to the function. `load` is the configured duration of a load of the function.
     pub fn record_use(&mut self, now: Duration, function: &str, load: Option<Duration>) {
         self.tracker.record_use(now, function);
         self.forecasts.record_use(now, function);
@@ -33,12 +34,12 @@
         }
     }
 
-    /// A load command was sent for the function, which takes `memory_mb` of a worker's memory.
+    /// Records that a load command was sent for the function. `memory_mb` is the memory of its copy.
     pub fn record_load_command(&mut self, now: Duration, function: &str, memory_mb: f64) {
         self.tracker.record_load_command(now, function, memory_mb);
     }
 
-    /// A load command was answered after `duration`.
+    /// Records that a load command ended `duration` after it was sent.
     pub fn record_load_end(&mut self, now: Duration, function: &str, succeeded: bool, duration: Duration) {
         let fetched = succeeded && duration >= MIN_FETCH_DURATION;
         self.tracker.record_load_end(now, function, succeeded, fetched);
@@ -47,14 +48,14 @@
         }
     }
 
-    /// When [`PrefetchPlanner::due`] has something to do.
+    /// Time of the next forecast or expiry of a prefetch, when [`PrefetchPlanner::due`] has to be called.
     pub fn next_due(&self) -> Option<Duration> {
         let forecast_at = self.forecasts.next_due();
         let expiry_at = self.tracker.next_due();
         forecast_at.into_iter().chain(expiry_at).min()
     }
 
-    /// Closes prefetches that expired, and returns the uses that are expected.
+    /// Closes expired prefetches, starts the quiet periods that result, and returns the expected uses.
     pub fn due(&mut self, now: Duration) -> Vec<ExpectedUse> {
         for quiet in self.tracker.due(now) {
             self.forecasts.start_quiet_period(&quiet.function, quiet.until);
--- a/crates/quartzdrift-forecast/src/prefetch_tracker/tests.rs
+++ b/crates/quartzdrift-forecast/src/prefetch_tracker/tests.rs
@@ -4,7 +4,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn a_used_prefetch_avoids_waiting_and_an_unused_one_only_costs_memory() {
+fn a_used_prefetch_saves_waiting_time_and_an_unused_one_only_costs_memory() {
     let mut tracker = PrefetchTracker::new(8 * SECOND);
     tracker.record_load_command(SECOND, "f", 100.0);
     tracker.record_load_end(2 * SECOND, "f", true, true);
--- a/crates/quartzdrift-forecast/src/snapshot.rs
+++ b/crates/quartzdrift-forecast/src/snapshot.rs
@@ -1,54 +1,58 @@
-//! Forecasts as bytes that outlast the process: a header, then JSON.
+//! Snapshots of forecasts, which keep them over a restart: a header, then JSON.
 //!
 //! ```text
-//! "QDFORECA" | version: u32 | checksum of the JSON: u32 | [time of the snapshot, histories by function]
+//! "QDFORECA" | version: u32 | checksum of the JSON: u32 | [time of the snapshot, records by function name]
 //! ```
 //!
 //! Numbers are little-endian, the checksum is CRC-32 (ISO-HDLC).
-use crate::forecasts::{ForecastSettings, Forecasts, Track};
+use crate::forecasts::{ForecastSettings, Forecasts, FunctionRecord};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 #[cfg(test)]
 mod tests;
 
+/// Signature at the start of a snapshot.
 const MAGIC: &[u8; 8] = b"QDFORECA";
+/// Version of the snapshot format.
 const VERSION: u32 = 1;
-/// Offset of the format version.
+/// Offset of the format version in the header, in bytes.
 const VERSION_OFFSET: usize = 8;
-/// Offset of the checksum.
+/// Offset of the checksum in the header, in bytes.
 const CHECKSUM_OFFSET: usize = 12;
-/// Bytes of the header.
+/// Length of the header, in bytes.
 const HEADER_LENGTH: usize = 16;
-/// Age beyond which a snapshot says nothing of today.
-const MAX_AGE: Duration = Duration::from_secs(14 * 86_400);
-/// How far in the future a snapshot may lie, as the clock may have been set back.
+/// Days after which a snapshot no longer predicts current uses.
+const MAX_AGE_DAYS: u64 = 14;
+/// Maximum age of a snapshot.
+const MAX_AGE: Duration = Duration::from_secs(MAX_AGE_DAYS * 86_400);
+/// Maximum time by which a snapshot may be newer than the current time, as after a clock was set back.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(300);
 
-/// Why a snapshot is not used.
+/// The reason for which a snapshot cannot be restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// The bytes are not a snapshot.
-    #[error("it is no snapshot of forecasts")]
+    /// The header is incomplete, or does not start with the signature of a snapshot.
+    #[error("not a forecast snapshot: no header of {HEADER_LENGTH} bytes with the signature QDFORECA")]
     NotASnapshot,
-    /// A release with this other format version wrote it.
-    #[error("it is of version {0}, and {VERSION} is read here")]
+    /// Another release wrote the snapshot in this format version.
+    #[error("snapshot format version {0} is not supported, only version {VERSION}")]
     UnsupportedVersion(u32),
-    /// The content is damaged.
-    #[error("its checksum does not fit")]
+    /// The checksum does not match, or the content cannot be parsed.
+    #[error("the snapshot is damaged: its checksum or its JSON is invalid")]
     Corrupt,
-    /// It is older than fourteen days.
-    #[error("it is too old to say anything of today")]
+    /// The snapshot is older than 14 days.
+    #[error("the snapshot is older than {MAX_AGE_DAYS} days")]
     TooOld,
-    /// It is more than five minutes newer than now.
-    #[error("it was written later than now")]
-    FromTheFuture,
+    /// The snapshot is newer than the current time by more than five minutes.
+    #[error("the snapshot is more than {} seconds newer than the current time", MAX_CLOCK_SKEW.as_secs())]
+    FromFuture,
 }
 
 impl Forecasts {
-    /// The histories as bytes for [`Forecasts::restore`].
+    /// Serializes the function records to a snapshot for [`Forecasts::restore`].
     pub fn save(&self, now: Duration) -> Vec<u8> {
-        let body = serde_json::to_vec(&(now, &self.tracks)).unwrap_or_default();
+        let body = serde_json::to_vec(&(now, &self.functions)).unwrap_or_default();
         let mut bytes = Vec::with_capacity(HEADER_LENGTH + body.len());
         bytes.extend_from_slice(MAGIC);
         bytes.extend_from_slice(&VERSION.to_le_bytes());
@@ -57,35 +61,35 @@
         bytes
     }
 
-    /// Forecasts from a snapshot. Histories beyond the bound of the settings are dropped.
+    /// Restores forecasts from a snapshot. Records beyond `max_functions` of the settings are dropped.
     ///
     /// # Errors
-    /// The reason for which the snapshot cannot be used.
+    /// Returns the reason for which the snapshot cannot be restored.
     pub fn restore(
         settings: ForecastSettings,
         bytes: &[u8],
         now: Duration,
     ) -> Result<Forecasts, SnapshotError> {
         let body = checked_body(bytes)?;
-        let (written_at, tracks): (Duration, BTreeMap<String, Track>) =
+        let (written_at, records): (Duration, BTreeMap<String, FunctionRecord>) =
             serde_json::from_slice(body).map_err(|_| SnapshotError::Corrupt)?;
         if written_at > now + MAX_CLOCK_SKEW {
-            return Err(SnapshotError::FromTheFuture);
+            return Err(SnapshotError::FromFuture);
         }
         if written_at + MAX_AGE < now {
             return Err(SnapshotError::TooOld);
         }
         let mut forecasts = Forecasts::new(settings);
-        let functions: Vec<String> = tracks.keys().cloned().collect();
-        forecasts.tracks = tracks;
-        for function in &functions {
-            forecasts.list(function);
+        let names: Vec<String> = records.keys().cloned().collect();
+        forecasts.functions = records;
+        for function in &names {
+            forecasts.insert_into_use_order(function);
         }
         Ok(forecasts)
     }
 }
 
-/// The body of a snapshot whose header and checksum are right.
+/// Checks the header and the checksum of a snapshot, and returns its JSON.
 fn checked_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     let (header, body) = bytes
         .split_at_checked(HEADER_LENGTH)
@@ -103,7 +107,7 @@
     Ok(body)
 }
 
-/// The number at an offset, which has to lie within the bytes.
+/// Reads a little-endian number. Panics where fewer than four bytes follow the offset.
 fn read_u32(bytes: &[u8], offset: usize) -> u32 {
     u32::from_le_bytes([
         bytes[offset],
--- a/crates/quartzdrift-forecast/src/snapshot/tests.rs
+++ b/crates/quartzdrift-forecast/src/snapshot/tests.rs
@@ -35,13 +35,13 @@
     assert_eq!(read(&bytes, now + MAX_AGE * 2), Some(SnapshotError::TooOld));
     assert_eq!(
         read(&bytes, now - MAX_CLOCK_SKEW * 2),
-        Some(SnapshotError::FromTheFuture)
+        Some(SnapshotError::FromFuture)
     );
 }
 
 proptest::proptest! {
     #[test]
-    fn any_damage_is_detected(at: proptest::sample::Index, bit in 0u8..8) {
+    fn any_flipped_bit_is_detected(at: proptest::sample::Index, bit in 0u8..8) {
         let (mut bytes, now) = snapshot();
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
@@ -49,7 +49,7 @@
     }
 
     #[test]
-    fn any_bytes_are_restored_or_rejected(bytes: Vec<u8>) {
+    fn arbitrary_bytes_cause_no_panic(bytes: Vec<u8>) {
         let mut snapshot = MAGIC.to_vec();
         snapshot.extend(bytes);
         let _ = Forecasts::restore(ForecastSettings::default(), &snapshot, Duration::ZERO);
