--- a/crates/quartzdrift-schedules/src/lib.rs
+++ b/crates/quartzdrift-schedules/src/lib.rs
@@ -1,16 +1,22 @@
-//! When schedules trigger their functions. No I/O, no clock: times are since 1970 and come from the caller.
+//! Cron schedules that trigger functions.
 //!
-//! [`Schedules::new`] takes the schedules of the settings, and the time up to which an earlier process has triggered them or
-//! that of this start. [`Schedules::take_due`] returns what triggers now. A trigger becomes an ordinary invocation;
-//! [`Schedules::record_completion`] reports its end, for schedules that may not overlap.
+//! The crate performs no I/O and reads no clock. Callers pass each time as the duration since 1970 (UTC).
 //!
-//! A trigger *misfires* where it is taken later than [`MISFIRE_THRESHOLD`]: the process was busy, asleep or down, or the clock
-//! was set forward. In the hour that a time zone repeats in autumn a time of day occurs once; in the hour that it skips in
-//! spring, the trigger is at the first instant that exists. Both are as the cron library has them.
+//! [`Schedules::new`] takes the configured schedules and a start time: the time up to which an earlier
+//! process handled the triggers, or the current time. [`Schedules::take_due`] returns the triggers that are
+//! due. The caller submits an ordinary invocation for each, and reports its end with
+//! [`Schedules::record_completion`], so that a schedule without overlap can trigger again.
 //!
-//! * `schedule`: a schedule, its cron expression and its time zone.
-//! * `trigger`: what triggers, and what does not although it was due.
-//! * `schedules`: all schedules together.
+//! A trigger *misfires* where it is taken more than [`MISFIRE_THRESHOLD`] after it was due: the process was
+//! busy, suspended or down, or the clock was set forward.
+//!
+//! The cron library decides the times of triggers at changes of daylight saving time. A time of day in the
+//! hour that a time zone repeats in autumn occurs once. A time of day in the hour that it skips in spring
+//! occurs at the first instant after the gap.
+//!
+//! * `schedule`: a schedule with its cron expression and time zone.
+//! * `trigger`: due triggers, and warnings about misfired or omitted ones.
+//! * `schedules`: the triggers of all schedules.
 mod schedule;
 mod schedules;
 mod trigger;
--- a/crates/quartzdrift-schedules/src/schedule.rs
+++ b/crates/quartzdrift-schedules/src/schedule.rs
@@ -1,61 +1,61 @@
-//! One schedule: its cron expression, its time zone, and what applies to its triggers.
+//! One schedule: its cron expression, its time zone, and its rules for jitter, misfires and overlap.
 use chrono::{DateTime, Utc};
 use chrono_tz::Tz;
 use croner::Cron;
 use croner::errors::CronError;
 use std::time::Duration;
 
-/// What to do about triggers that misfired.
+/// How misfired triggers of a schedule are handled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum MisfirePolicy {
-    /// They are left out.
+    /// Misfired triggers are omitted.
     #[default]
     Skip,
-    /// One trigger makes up for all of them.
+    /// The latest misfired trigger is caught up, the others are omitted.
     Once,
-    /// Each is made up for, up to a limit.
+    /// The latest misfired triggers are caught up, at most 100.
     All,
 }
 
-/// A function that is triggered by a cron expression.
+/// A schedule that triggers a function at the times of a cron expression.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// Unique among the schedules.
+    /// Name of the schedule, unique among the schedules.
     pub name: String,
-    /// The function's name.
+    /// Name of the function.
     pub function: String,
-    /// The expression, of five fields, or six with seconds first.
+    /// Cron expression of five fields, or of six fields with seconds first.
     pub cron: Cron,
-    /// The time zone of the expression.
+    /// Time zone of the cron expression.
     pub time_zone: Tz,
-    /// Each trigger is delayed by a random part of this.
+    /// Maximum random delay of each trigger.
     pub jitter: Duration,
-    /// What to do about triggers that misfired.
+    /// How misfired triggers are handled.
     pub misfire_policy: MisfirePolicy,
-    /// Whether it may trigger while an earlier invocation has not completed.
+    /// Whether the schedule may trigger before its earlier invocations have completed.
     pub allow_overlap: bool,
 }
 
-/// Why a schedule's text cannot be read.
+/// Errors in the configured text of a schedule.
 #[derive(Debug, thiserror::Error)]
 pub enum ScheduleError {
-    /// The text is not a cron expression.
-    #[error("'{expression}' is no cron expression: {reason}")]
+    /// The text is not a valid cron expression.
+    #[error("'{expression}' is not a valid cron expression: {reason}")]
     InvalidCron {
-        /// The text.
+        /// The configured text.
         expression: String,
-        /// What the cron library says of it.
+        /// The error of the cron library.
         reason: CronError,
     },
-    /// The text is not the name of a time zone.
-    #[error("'{0}' is no time zone of the tz database, like Europe/Amsterdam")]
+    /// The text is not the name of a time zone in the tz database.
+    #[error("time zone '{0}' is not in the tz database; an example of a valid name is Europe/Amsterdam")]
     UnknownTimeZone(String),
 }
 
-/// Parses a cron expression of five fields, or six with seconds first.
+/// Parses a cron expression of five fields, or of six fields with seconds first.
 ///
 /// # Errors
-/// [`ScheduleError::InvalidCron`].
+/// [`ScheduleError::InvalidCron`] where the expression is invalid.
 pub fn parse_cron(expression: &str) -> Result<Cron, ScheduleError> {
     expression.parse().map_err(|reason| ScheduleError::InvalidCron {
         expression: expression.to_owned(),
@@ -66,14 +66,15 @@
 /// Parses the name of a time zone of the tz database, like `Europe/Amsterdam`.
 ///
 /// # Errors
-/// [`ScheduleError::UnknownTimeZone`].
+/// [`ScheduleError::UnknownTimeZone`] where the tz database has no time zone of this name.
 pub fn parse_time_zone(name: &str) -> Result<Tz, ScheduleError> {
     name.parse()
         .map_err(|_| ScheduleError::UnknownTimeZone(name.to_owned()))
 }
 
 impl Schedule {
-    /// The first occurrence after a time, in whole seconds and without jitter; `None` where there is none.
+    /// First occurrence of the cron expression after a time, in whole seconds and without jitter; `None`
+    /// where there is none.
     pub(crate) fn next_after(&self, after: Duration) -> Option<Duration> {
         let seconds = after.as_secs().try_into().ok()?;
         let after = DateTime::<Utc>::from_timestamp(seconds, after.subsec_nanos())?;
--- a/crates/quartzdrift-schedules/src/schedules/tests.rs
+++ b/crates/quartzdrift-schedules/src/schedules/tests.rs
@@ -33,10 +33,10 @@
         1,
         start,
     );
-    let mut seen = Vec::new();
+    let mut scheduled_times = Vec::new();
     for _ in 0..3 {
         let now = schedules.next_due().unwrap();
-        seen.extend(
+        scheduled_times.extend(
             schedules
                 .take_due(now)
                 .triggers
@@ -44,13 +44,13 @@
                 .map(|trigger| trigger.scheduled_for),
         );
     }
-    // On the 29th there is no half past two there: clocks go from two to three.
+    // In Amsterdam 02:30 does not exist on 29 March 2026: clocks go from 02:00 to 03:00.
     let expected = [
         "2026-03-28T01:30:00Z",
         "2026-03-29T01:00:00Z",
         "2026-03-30T00:30:00Z",
     ];
-    assert_eq!(seen, expected.map(at));
+    assert_eq!(scheduled_times, expected.map(at));
     let autumn = at("2026-10-24T12:00:00Z");
     let mut schedules = Schedules::new(
         vec![schedule(
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn misfired_triggers_follow_the_policy() {
+fn misfired_triggers_are_handled_by_the_policy() {
     let start = at("2026-06-01T00:00:30Z");
     for (policy, expected) in [
         (MisfirePolicy::Skip, 0),
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_schedule_without_overlap_waits_for_its_last_invocation() {
+fn a_schedule_without_overlap_is_not_triggered_before_its_last_invocation_completes() {
     let start = at("2026-06-01T00:00:30Z");
     let mut schedules = Schedules::new(
         vec![schedule("* * * * *", "UTC", MisfirePolicy::Skip, false)],
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_clock_set_back_triggers_nothing_twice() {
+fn no_trigger_repeats_after_the_clock_is_set_back() {
     let start = at("2026-06-01T00:00:30Z");
     let mut schedules = Schedules::new(
         vec![schedule("* * * * *", "UTC", MisfirePolicy::All, true)],
@@ -140,13 +140,18 @@
 
 proptest::proptest! {
     #[test]
-    fn jitter_delays_by_no_more_than_its_limit(seed: u64, minutes in 0u64..100_000) {
+    fn jitter_delays_a_trigger_by_at_most_its_maximum(seed: u64, minutes in 0u64..100_000) {
         let mut jittered = schedule("*/7 * * * *", "America/New_York", MisfirePolicy::Skip, true);
         jittered.jitter = Duration::from_secs(30);
         let start = Duration::from_secs(1_780_000_000 + minutes * 60);
         let mut schedules = Schedules::new(vec![jittered], seed, start);
         let due_at = schedules.next_due().unwrap();
         let trigger = schedules.take_due(due_at).triggers.remove(0);
-        proptest::prop_assert!(trigger.scheduled_for > start && trigger.scheduled_for <= due_at && due_at - trigger.scheduled_for <= Duration::from_secs(30));
+        let scheduled_for = trigger.scheduled_for;
+        proptest::prop_assert!(
+            scheduled_for > start
+                && scheduled_for <= due_at
+                && due_at - scheduled_for <= Duration::from_secs(30)
+        );
     }
 }
--- a/crates/quartzdrift-schedules/src/trigger.rs
+++ b/crates/quartzdrift-schedules/src/trigger.rs
@@ -1,41 +1,41 @@
-//! What triggers, and what does not although it was due.
+//! Due triggers, and warnings about misfired or omitted triggers.
 use std::time::Duration;
 
-/// A function that is to be invoked now.
+/// A trigger of a schedule: the function is to be invoked now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trigger {
-    /// The schedule's name.
+    /// Name of the schedule.
     pub schedule: String,
-    /// The function's name.
+    /// Name of the function.
     pub function: String,
-    /// The time that it was scheduled for, without jitter.
+    /// Time of the trigger by the cron expression, without jitter.
     pub scheduled_for: Duration,
 }
 
-/// Why a due schedule did not trigger as planned, for the log.
+/// Reason for which a due schedule did not trigger on time, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScheduleWarning {
-    /// Triggers misfired, and were treated by the schedule's policy.
+    /// Triggers misfired, and were handled by the misfire policy.
     Misfired {
-        /// The schedule's name.
+        /// Name of the schedule.
         schedule: String,
-        /// How many, up to the limit on those that are made up for.
+        /// Number of misfired triggers; at most 100 are counted.
         count: usize,
     },
-    /// A trigger was left out, as an earlier invocation has not completed.
+    /// A trigger was omitted, as an earlier invocation has not completed.
     Overlapped {
-        /// The schedule's name.
+        /// Name of the schedule.
         schedule: String,
-        /// The time that it was scheduled for.
+        /// Time of the trigger by the cron expression, without jitter.
         scheduled_for: Duration,
     },
 }
 
-/// What is due at a time.
+/// Triggers and warnings of all schedules that were due.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DueTriggers {
-    /// What triggers now.
+    /// Triggers to invoke now.
     pub triggers: Vec<Trigger>,
-    /// What does not trigger as planned.
+    /// Warnings about triggers that misfired or were omitted.
     pub warnings: Vec<ScheduleWarning>,
 }
