--- a/crates/quartzdrift-lab/src/emulate/clients.rs
+++ b/crates/quartzdrift-lab/src/emulate/clients.rs
@@ -51,7 +51,7 @@
                     let retry_after = Some(wait);
                     return self.answered(
                         client,
-                        FinalAnswer::Rejected {
+                        FinalResponse::Rejected {
                             retry_after,
                             may_have_executed: None,
                             reason: RejectReason::NoCapacity,
@@ -69,13 +69,13 @@
             request_class: arrival.request_class as u32,
             tenant: 0,
             function: Rc::from(arrival.function.as_str()),
-            left: request_class.limit,
+            time_left: request_class.limit,
             work_hint: None,
             memory_mb: Some(request_class.memory_mb),
             concurrency_slots: Some(request_class.slots as f64),
             load_hint: Some(request_class.load),
             is_retry: turn > 1,
-            writes: false,
+            has_side_effects: false,
             payload: client,
         };
         if let Some(request_table) = &mut scheduler.request_table
@@ -128,18 +128,18 @@
             self.figures.no_answer += 1;
             if let Some((s, request)) = of.request {
                 if let Some(request_table) = &mut self.schedulers[s].request_table {
-                    request_table.client_gone(self.now, request);
+                    request_table.client_disconnected(self.now, request);
                 }
                 self.outputs(s);
             }
         }
     }
 
-    pub(super) fn answered(&mut self, client: usize, answer: FinalAnswer) {
+    pub(super) fn answered(&mut self, client: usize, answer: FinalResponse) {
         if !std::mem::take(&mut self.clients[client].open) {
             return;
         }
-        let finished = answer == FinalAnswer::Succeeded;
+        let finished = answer == FinalResponse::Succeeded;
         let (took, of) = (
             self.now - self.clients[client].first,
             self.clients[client].arrival,
@@ -149,7 +149,7 @@
         let of = &self.clients[client];
         let arrival = &self.arrivals[of.arrival];
         match answer {
-            FinalAnswer::Succeeded => {
+            FinalResponse::Succeeded => {
                 self.figures.finished += 1;
                 self.waits
                     .push((took.as_secs_f64() * 1000.0 - arrival.work_us as f64 / 1000.0).max(0.0));
@@ -157,15 +157,15 @@
                     self.in_time.insert(of.arrival);
                 }
             }
-            FinalAnswer::Rejected { retry_after, .. } => {
+            FinalResponse::Rejected { retry_after, .. } => {
                 self.figures.rejected += 1;
                 self.figures.power_rejected += u64::from(self.power.off.is_some());
                 let told = retry_after.unwrap_or(Duration::from_millis(100));
                 let wait = told.mul_f64(self.script.haste * self.chance.random_range(1.0..2.0));
                 self.again(client, wait);
             }
-            FinalAnswer::Failed { .. } => self.figures.killed += 1,
-            FinalAnswer::Cancelled => {}
+            FinalResponse::Failed { .. } => self.figures.killed += 1,
+            FinalResponse::Cancelled => {}
         }
     }
 }
--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -4,7 +4,7 @@
 impl Sim<'_> {
     pub(super) fn start_scheduler(&mut self, s: usize, seed: u64) {
         let mut settings = self.settings.clone();
-        settings.me = Some(s as u32);
+        settings.scheduler_number = Some(s as u32);
         let incarnation = self.schedulers[s].incarnation + 1;
         let mut request_table = RequestTable::new(
             &settings,
@@ -52,7 +52,7 @@
         }
         let (now, scheduler) = (self.now, &mut self.schedulers[s]);
         if let Some(request_table) = &mut scheduler.request_table {
-            request_table.due(now, |_, _| true);
+            request_table.fire_timers(now, |_, _| true);
             let expected = scheduler
                 .ahead
                 .as_mut()
@@ -118,7 +118,7 @@
             let Some(request_table) = &mut self.schedulers[s].request_table else {
                 return;
             };
-            let outputs = request_table.outputs();
+            let outputs = request_table.take_outputs();
             if outputs.is_empty() {
                 break;
             }
@@ -180,7 +180,9 @@
                     self.later(Ev::Cancel { worker, call });
                 }
             }
-            Output::Respond { payload, answer, .. } => self.answered(payload, answer),
+            Output::Respond {
+                payload, response, ..
+            } => self.answered(payload, response),
             Output::Load {
                 command: order,
                 worker,
@@ -224,9 +226,9 @@
             | Output::AbandonCommand { .. }
             | Output::CheckHealth { .. }
             | Output::Unload { .. }
-            | Output::CloseIdle { .. }
+            | Output::CloseIdleConnections { .. }
             | Output::SendToPeer { .. }
-            | Output::Watch { .. }
+            | Output::WatchEndpoints { .. }
             | Output::PollEndpoints
             | Output::Notice(_)
             | Output::Log { .. } => {}
@@ -292,7 +294,7 @@
     let entry = |(worker, &(state, started)): (&'a String, &(EndpointState, Option<Duration>))| Endpoint {
         worker,
         state,
-        started,
+        started_at: started,
         ..Endpoint::default()
     };
     there.map(entry).collect()
@@ -309,7 +311,7 @@
     UsageForecast {
         function,
         request_class: request_class as u32,
-        within,
+        horizon: within,
         probability,
         requests_per_second,
         memory_mb: Some(of.memory_mb),
--- a/crates/quartzdrift-lab/src/naive.rs
+++ b/crates/quartzdrift-lab/src/naive.rs
@@ -80,7 +80,7 @@
 
     fn request(&mut self, exchange: Exchange, request: Request) {
         self.drawn += 1;
-        let me = self.settings.scheduler.me.unwrap_or(0);
+        let me = self.settings.scheduler.scheduler_number.unwrap_or(0);
         let mut headers = Headers::new()
             .with("x-amzn-requestid", &format!("naive-{me}-{}", self.drawn))
             .with("x-quartzdrift-scheduler", &me.to_string());
@@ -142,7 +142,7 @@
                 self.workers = list
                     .workers
                     .iter()
-                    .filter_map(|w| list::address(&w.worker).ok())
+                    .filter_map(|w| list::parse_address(&w.worker).ok())
                     .collect();
             }
             HttpEvent::Response { call, response } => self.ended(call, Some(response)),
--- a/crates/quartzdrift-platform/src/settings.rs
+++ b/crates/quartzdrift-platform/src/settings.rs
@@ -4,8 +4,9 @@
 //! A number of a rule that cannot be read is an error, since the rule would otherwise not be enforced. A
 //! missing or unknown value counts as the most restrictive one.
 use quartzdrift_scheduler::interface::{
-    Allowed, CacheSettings, CountedBy, DeduplicationScope, DiscoveryMode, Goal, Idempotency, OnMiss, Prices,
-    ReportField, ReportSource, RequestClass, Rules, Settings, Tenant, Weights,
+    ActionLimits, CacheMissPolicy, CacheSettings, CapacityHints, DeduplicationScope, DiscoveryMode,
+    GoalWeights, Idempotency, Prices, PriorityUnit, ReportField, ReportSource, RequestClass, Rules, Settings,
+    Tenant,
 };
 use serde_json::Value;
 use std::time::Duration;
@@ -132,22 +133,22 @@
             // A missing or unknown value is read as the narrowest scope.
             _ => DeduplicationScope::Cell,
         },
-        window: duration(object, "window-ns"),
-        streams: boolean(object, "stream"),
+        deduplication_window: duration(object, "window-ns"),
+        streams_responses: boolean(object, "stream"),
     }
 }
 
 /// The field of a load report with this name in the settings; [`ReportField::Unknown`] for any other name.
 pub fn report_field(name: &str) -> ReportField {
     match name {
-        "rif" => ReportField::Held,
+        "rif" => ReportField::InFlight,
         "q" => ReportField::Queued,
-        "busy" => ReportField::Busy,
+        "busy" => ReportField::CoreUtilization,
         "lat_ms" => ReportField::LatencyMs,
         "rate" => ReportField::SucceededPerSecond,
         "fail_rate" => ReportField::ErrorsPerSecond,
-        "x0" => ReportField::MemoryTaken,
-        "x1" => ReportField::Loads,
+        "x0" => ReportField::UnreclaimableMemory,
+        "x1" => ReportField::LoadsInProgress,
         _ => ReportField::Unknown,
     }
 }
@@ -163,25 +164,25 @@
         return Err(error);
     }
     Ok(Settings {
-        me: count(object, "me"),
-        schedulers: count(object, "replicas-of-me"),
+        scheduler_number: count(object, "me"),
+        scheduler_count: count(object, "replicas-of-me"),
         zone: count(object, "zone"),
         zones: strings(object, "zones"),
-        kinds: strings(object, "skus"),
+        machine_kinds: strings(object, "skus"),
         tier: count(object, "tier"),
         tiers: strings(object, "tiers"),
-        family: text(object, "workload").to_owned(),
-        resolution: duration(object, "resolution-ns"),
-        discovery: discovery_mode(object),
-        weights: weights(object),
-        counted_by: counted_by(object),
+        workload: text(object, "workload").to_owned(),
+        clock_resolution: duration(object, "resolution-ns"),
+        discovery_mode: discovery_mode(object),
+        capacity_hints: weights(object),
+        priority_unit: counted_by(object),
         over_quota_weight: number(object, "over-share-worth"),
         clients_mark_retries: boolean(section(object, "clients"), "marks-retry"),
         request_classes: list(object, "classes").map(request_class).collect(),
         tenants: list(object, "tenants").map(tenant).collect(),
-        allowed: allowed(section(object, "allowed")),
+        limits: allowed(section(object, "allowed")),
         rules: rules(section(object, "safety")),
-        copies: cache_settings(section(object, "family-info")),
+        cache: cache_settings(section(object, "family-info")),
         report_source: report_source(section(object, "stats")),
         report_fields: report_fields(section(object, "stats")),
         prices: prices(section(object, "fees")),
@@ -203,19 +204,19 @@
     }
 }
 
-fn weights(object: &Value) -> Weights {
+fn weights(object: &Value) -> CapacityHints {
     match text(object, "weight-kind") {
-        "nominal" => Weights::Nominal,
-        "rough" => Weights::Rough,
-        "live" => Weights::Live,
-        _ => Weights::Silent,
+        "nominal" => CapacityHints::Nominal,
+        "rough" => CapacityHints::Approximate,
+        "live" => CapacityHints::Current,
+        _ => CapacityHints::Absent,
     }
 }
 
-fn counted_by(object: &Value) -> CountedBy {
+fn counted_by(object: &Value) -> PriorityUnit {
     match text(object, "worth-by") {
-        "work" => CountedBy::Work,
-        _ => CountedBy::Request,
+        "work" => PriorityUnit::Work,
+        _ => PriorityUnit::Request,
     }
 }
 
@@ -227,18 +228,18 @@
     }
 }
 
-fn allowed(object: &Value) -> Allowed {
-    Allowed {
+fn allowed(object: &Value) -> ActionLimits {
+    ActionLimits {
         cancel: boolean(object, "cancel"),
-        probes: boolean(object, "may-probe"),
-        peers: boolean(object, "peers"),
+        health_checks: boolean(object, "may-probe"),
+        peer_messages: boolean(object, "peers"),
         hedging: boolean(object, "second-copies"),
         retry_after: boolean(object, "retry-after"),
         max_retry_after: duration(object, "max-retry-after-ns"),
         max_attempts: count(object, "max-attempts"),
-        max_open: count(object, "max-open"),
+        max_open_requests: count(object, "max-open"),
         connect_timeout: duration(object, "connect-timeout-ns"),
-        keepalive: duration(object, "keepalive-ns"),
+        connection_keep_alive: duration(object, "keepalive-ns"),
         cpu_us_per_second: number(object, "cpu-us-per-s"),
         cpu_us_per_request: number(object, "cpu-us-per-request"),
         streams_per_connection: count(object, "streams-per-conn"),
@@ -247,27 +248,27 @@
 
 fn rules(object: &Value) -> Rules {
     Rules {
-        answer_slack: duration(object, "answer-slack-ns"),
-        ask_within: duration(object, "ask-within-ns"),
-        cold_from: number(object, "cold-from"),
-        cold_for: duration(object, "cold-ns"),
+        response_slack: duration(object, "answer-slack-ns"),
+        endpoint_refresh_limit: duration(object, "ask-within-ns"),
+        slow_start_min_capacity: number(object, "cold-from"),
+        slow_start_duration: duration(object, "cold-ns"),
         drain_grace: duration(object, "drain-grace-ns"),
         endpoint_lease: None,
-        fall_multiple: number(object, "fall-multiple"),
-        fall_window: duration(object, "fall-ns"),
+        overload_multiple: number(object, "fall-multiple"),
+        overload_window: duration(object, "fall-ns"),
     }
 }
 
 fn cache_settings(object: &Value) -> CacheSettings {
     CacheSettings {
         on_miss: match text(object, "on-miss") {
-            "miss" => OnMiss::Miss,
-            _ => OnMiss::Load,
+            "miss" => CacheMissPolicy::ReportMiss,
+            _ => CacheMissPolicy::Load,
         },
         load_commands: boolean(object, "may-order"),
         reports_cache_status: boolean(object, "tells-warm"),
         reports_concurrency: boolean(object, "tells-crowd"),
-        keep: duration(object, "stays-loaded-ns"),
+        keep_alive: duration(object, "stays-loaded-ns"),
         memory_mb_by_kind: list(object, "memory-mb-by-kind")
             .filter_map(Value::as_f64)
             .collect(),
@@ -281,9 +282,9 @@
 
 fn report_source(object: &Value) -> ReportSource {
     match text(object, "source") {
-        "piggyback" => ReportSource::Answers,
-        "pull" => ReportSource::Probes,
-        _ => ReportSource::Silent,
+        "piggyback" => ReportSource::Responses,
+        "pull" => ReportSource::HealthChecks,
+        _ => ReportSource::Absent,
     }
 }
 
@@ -301,19 +302,19 @@
         cross_zone: price("cross-zone"),
         handshake: price("handshake"),
         late_failure: price("late-fail"),
-        moves: price("moves"),
-        origin: price("origin"),
-        peer: price("peer"),
-        probe: price("probe"),
-        discovery: price("registry-mode"),
-        waste: price("waste"),
+        function_move: price("moves"),
+        origin_fetch: price("origin"),
+        peer_message: price("peer"),
+        health_check: price("probe"),
+        endpoint_list_request: price("registry-mode"),
+        wasted_work: price("waste"),
     }
 }
 
-fn goal(object: &Value) -> Goal {
+fn goal(object: &Value) -> GoalWeights {
     let weight = |key: &str| number(object, key).unwrap_or(0.0);
-    Goal {
-        whole: weight("whole"),
+    GoalWeights {
+        all_requests: weight("whole"),
         worst_window: weight("worst-window"),
         worst_request_class: weight("worst-class"),
         worst_tenant: weight("worst-tenant"),
--- a/crates/quartzdrift-platform/src/settings/tests.rs
+++ b/crates/quartzdrift-platform/src/settings/tests.rs
@@ -69,19 +69,19 @@
             Idempotency::NonIdempotent
         );
         assert_eq!(
-            read_with("/registry-mode", text).unwrap().discovery,
+            read_with("/registry-mode", text).unwrap().discovery_mode,
             DiscoveryMode::Poll
         );
     }
     let max_attempts = |configured| {
         read_with("/allowed/max-attempts", configured)
             .unwrap()
-            .allowed
+            .limits
             .max_attempts
     };
     assert_eq!(
         (max_attempts(None), max_attempts(Some(json!(1e12)))),
         (None, Some(u32::MAX))
     );
-    assert_eq!(class_with("window-ns", None).window, None);
+    assert_eq!(class_with("window-ns", None).deduplication_window, None);
 }
--- a/crates/quartzdrift-scheduler/src/state/mod.rs
+++ b/crates/quartzdrift-scheduler/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! State that the decisions read and write. Types only; they decide nothing by themselves.
+//! State that the scheduling decisions read and write. The decisions themselves are in [`crate::scheduler`].
 mod class;
 mod lease;
 mod request;
@@ -7,8 +7,8 @@
 mod worker;
 
 pub(crate) use class::ClassState;
-pub(crate) use lease::{EndpointLease, LeaseView, Proof};
+pub(crate) use lease::{ActivityProof, EndpointLease, LeaseView};
 pub(crate) use request::{OpenRequest, PendingQuery, UncertainAttempt};
 pub use scheduler::{Scheduler, TableSizes};
 pub(crate) use settings::DerivedSettings;
-pub(crate) use worker::{CacheEntry, Context, Health, RemoteLoad, Worker};
+pub(crate) use worker::{CacheEntry, DecisionContext, Health, RemoteLoad, Worker};
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -6,7 +6,7 @@
     self, CHECKPOINT, DAMAGED_CHECKPOINT, FORCE_FULL_SERVICE, MEASUREMENTS, RECOVERY_VIEW,
 };
 use quartzdrift_async_queue::RestoreContext;
-use quartzdrift_lifecycle::FinalAnswer;
+use quartzdrift_lifecycle::FinalResponse;
 use quartzdrift_recovery::{
     Checkpoint, ClockSample, DiskState, LoadResult, RECOVERY_TOPIC, Recovery, RecoveryOutput, RecoveryPhase,
     RecoverySettings, RestartClassification, RestartKind, StartupEvidence,
@@ -140,8 +140,8 @@
         classification_timeout: settings.recovery.ask,
         max_duration: settings.recovery.longest,
         idempotency_keys_on_disk: settings.recovery.idempotency_keys_on_disk,
-        load_quota_window: scheduler.copies.load_quota_window.unwrap_or_default(),
-        slow_start_window: scheduler.rules.fall_window.unwrap_or_default(),
+        load_quota_window: scheduler.cache.load_quota_window.unwrap_or_default(),
+        slow_start_window: scheduler.rules.overload_window.unwrap_or_default(),
         max_async_in_flight: settings.asynchronous.max_concurrent_attempts,
         admission_ramp: settings.recovery.pace,
         store_start,
@@ -381,7 +381,7 @@
         let Some(recovery) = self.recovery.as_ref().filter(|_| may_repeat) else {
             return Ok(());
         };
-        let window = class.window.unwrap_or_default();
+        let window = class.deduplication_window.unwrap_or_default();
         match recovery.machine.repeat_retry_after(self.now(), window) {
             Some(retry_after) => Err(retry_after),
             None => Ok(()),
@@ -399,7 +399,7 @@
     }
 
     /// A request had its final answer.
-    pub(super) fn request_answered(&mut self, context: &RequestContext, answer: FinalAnswer) {
+    pub(super) fn request_answered(&mut self, context: &RequestContext, answer: FinalResponse) {
         let now = self.now();
         let load_failed = self.load_failed;
         let Some(recovery) = &mut self.recovery else {
@@ -411,13 +411,13 @@
         }
         let is_synchronous = matches!(context.origin, Origin::Client(_));
         let is_full = recovery.machine.phase() == RecoveryPhase::FullService;
-        if is_full || !is_synchronous || answer == FinalAnswer::Cancelled {
+        if is_full || !is_synchronous || answer == FinalResponse::Cancelled {
             return;
         }
         let class = &self.settings.scheduler.request_classes[context.request_class as usize];
         let objective = class.latency_objective.unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
         let is_in_time = now.saturating_sub(context.accepted_at) <= objective;
-        let on_time = answer == FinalAnswer::Succeeded && is_in_time;
+        let on_time = answer == FinalResponse::Succeeded && is_in_time;
         recovery.machine.request_answered(on_time);
     }
 
@@ -451,10 +451,10 @@
     Some(checkpoint.starts)
 }
 
-fn load_result(answer: FinalAnswer, load_failed: bool) -> LoadResult {
+fn load_result(answer: FinalResponse, load_failed: bool) -> LoadResult {
     match answer {
-        FinalAnswer::Succeeded => LoadResult::Cached,
-        FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. } | FinalAnswer::Cancelled => {
+        FinalResponse::Succeeded => LoadResult::Cached,
+        FinalResponse::Rejected { .. } | FinalResponse::Failed { .. } | FinalResponse::Cancelled => {
             if load_failed {
                 LoadResult::Rejected
             } else {
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -44,7 +44,7 @@
     /// # Errors
     /// The kind of loss as which an attempt without a connection counts.
     pub(super) fn connection_for(&mut self, worker: &Rc<str>, id: u64) -> Result<SocketId, ConnectionLoss> {
-        let streams = self.config.settings.allowed.streams_per_connection;
+        let streams = self.config.settings.limits.streams_per_connection;
         let streams = streams.map_or(DEFAULT_STREAMS, |streams| streams.max(1) as usize);
         loop {
             let entry = self.workers.get(worker).ok_or(ConnectionLoss::NotConnected)?;
@@ -113,7 +113,7 @@
     /// The connect timeout of the settings, or the default one. Zero counts as unset, since every connection
     /// would time out.
     fn connect_timeout(&self) -> Duration {
-        let configured = self.config.settings.allowed.connect_timeout;
+        let configured = self.config.settings.limits.connect_timeout;
         configured
             .filter(|timeout| !timeout.is_zero())
             .unwrap_or(DEFAULT_CONNECT_TIMEOUT)
@@ -190,7 +190,7 @@
             self.close_connection(id);
             return;
         }
-        let keepalive = self.config.settings.allowed.keepalive;
+        let keepalive = self.config.settings.limits.connection_keep_alive;
         let keepalive = keepalive.unwrap_or(DEFAULT_KEEPALIVE);
         self.sockets
             .set_deadline(id, Some(keepalive.mul_f64(KEEPALIVE_FRACTION)));
@@ -264,7 +264,7 @@
     /// Reports the attempt of a command to the request table as ended by the loss of its connection.
     fn end_lost_attempt(&mut self, worker: &str, command: &Command, loss: ConnectionLoss) {
         tracing::debug!(request = command.request, %worker, ?loss, "attempt ended: connection lost");
-        let result = AttemptResult::silent(attempt_outcome::from_loss(loss));
+        let result = AttemptResult::without_response(attempt_outcome::from_loss(loss));
         self.request_table
             .attempt_ended(self.now(), command.request, command.attempt, result);
     }
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -340,7 +340,7 @@
             &answer.body,
             poll.follow_from,
             &settings.zones,
-            &settings.kinds,
+            &settings.machine_kinds,
         );
         match result {
             Ok(reading) => {
@@ -376,7 +376,7 @@
         let applied = self
             .coordinator
             .watch
-            .apply(known, &settings.zones, &settings.kinds);
+            .apply(known, &settings.zones, &settings.machine_kinds);
         match applied {
             Ok(changes) => self.apply_changes(changes),
             Err(error) => tracing::warn!(?error, "cannot apply the list of workers in the configuration"),
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -112,7 +112,7 @@
                 attempt,
                 worker,
                 function,
-                wait,
+                timeout,
                 send_by,
                 payload,
             } => {
@@ -122,7 +122,7 @@
                     function,
                     // Counted from the table's time of the decision: the process may have had no processor
                     // since then.
-                    deadline: self.request_table.now() + wait,
+                    deadline: self.request_table.now() + timeout,
                     context: payload,
                     send_by,
                     lost_connections: 0,
@@ -135,9 +135,9 @@
             Output::Respond {
                 request,
                 payload,
-                answer,
-            } => self.send_final_answer(request, &payload, answer),
-            Output::CloseIdle { worker } => self.close_idle_connections(&worker),
+                response,
+            } => self.send_final_answer(request, &payload, response),
+            Output::CloseIdleConnections { worker } => self.close_idle_connections(&worker),
             Output::Notice(notice) => self.log_notice(notice),
             Output::Log { text } => tracing::info!(text, "decision"),
             // The platform's settings allow neither load commands nor health checks.
@@ -151,7 +151,7 @@
             | Output::AbandonCommand { .. }
             | Output::Unload { .. }
             | Output::SendToPeer { .. }
-            | Output::Watch { .. }
+            | Output::WatchEndpoints { .. }
             | Output::PollEndpoints => {}
         }
     }
@@ -329,7 +329,7 @@
             return;
         }
         let (attempts, sockets) = (&self.attempts, &self.sockets);
-        self.request_table.due(now, |request, attempt| {
+        self.request_table.fire_timers(now, |request, attempt| {
             attempts.has_left(request, attempt, |id| {
                 commands::is_unsent(sockets, id, request, attempt)
             })
@@ -346,7 +346,7 @@
         }
         self.table_sizes_logged_at = now;
         let [clients, workers, connections, attempts_on_sockets, open_ids] = self.table_sizes();
-        let (worker_names, function_names, scheduler_requests) = self.request_table.sizes();
+        let (worker_names, function_names, scheduler_requests) = self.request_table.scheduler_table_sizes();
         tracing::debug!(
             clients,
             workers,
