--- a/crates/quartzdrift-async-queue/src/lib.rs
+++ b/crates/quartzdrift-async-queue/src/lib.rs
@@ -34,7 +34,7 @@
 mod store;
 
 pub use invocation::{Destination, Invocation, InvocationId, StoredInvocation};
-pub use outcome::{AttemptOutcome, CompletedInvocation, Condition, NextStep};
+pub use outcome::{AttemptOutcome, CompletedInvocation, CompletionCondition, NextStep};
 pub use queue::{DueAttempt, InvocationQueue, OpenInvocation, RestoreContext};
 pub use settings::{QueueFull, QueueSettings};
 pub use store::{ChangeBuffer, InvocationStore, NoStore, StoreChange};
--- a/crates/quartzdrift-async-queue/src/outcome.rs
+++ b/crates/quartzdrift-async-queue/src/outcome.rs
@@ -23,7 +23,7 @@
 
 /// Why an invocation needs no further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Condition {
+pub enum CompletionCondition {
     /// The function ran without an error.
     Success,
     /// No attempt is left, or none that could not execute twice.
@@ -32,13 +32,13 @@
     EventAgeExceeded,
 }
 
-impl Condition {
+impl CompletionCondition {
     /// Its name in a destination event, as AWS Lambda publishes it.
     pub fn as_str(self) -> &'static str {
         match self {
-            Condition::Success => "Success",
-            Condition::RetriesExhausted => "RetriesExhausted",
-            Condition::EventAgeExceeded => "EventAgeExceeded",
+            CompletionCondition::Success => "Success",
+            CompletionCondition::RetriesExhausted => "RetriesExhausted",
+            CompletionCondition::EventAgeExceeded => "EventAgeExceeded",
         }
     }
 }
@@ -55,7 +55,7 @@
     /// Where its event goes.
     pub destination: Option<Destination>,
     /// Why it is completed.
-    pub condition: Condition,
+    pub condition: CompletionCondition,
 }
 
 /// What follows from the outcome of an attempt.
--- a/crates/quartzdrift-async-queue/src/queue/restore.rs
+++ b/crates/quartzdrift-async-queue/src/queue/restore.rs
@@ -2,7 +2,7 @@
 //! retried where that is harmless, and completed elsewhere.
 use super::{Entry, InvocationQueue};
 use crate::invocation::{Invocation, InvocationId, StoredInvocation};
-use crate::outcome::{AttemptOutcome, Condition, NextStep};
+use crate::outcome::{AttemptOutcome, CompletionCondition, NextStep};
 use crate::store::InvocationStore;
 use quartzdrift_scheduler::interface::Idempotency;
 use std::time::Duration;
@@ -65,7 +65,7 @@
         let idempotent = entry.invocation.idempotency == Idempotency::Idempotent;
         self.entries.insert(id, entry);
         if context.earlier_copy && !idempotent {
-            return self.complete(id, Condition::RetriesExhausted);
+            return self.complete(id, CompletionCondition::RetriesExhausted);
         }
         self.due.insert(tenant, due_at, id);
         None
--- a/crates/quartzdrift-async-queue/src/queue/retry.rs
+++ b/crates/quartzdrift-async-queue/src/queue/retry.rs
@@ -1,7 +1,7 @@
 //! Retries: whether another attempt follows, and when.
 use super::{Entry, InvocationQueue};
 use crate::invocation::InvocationId;
-use crate::outcome::{AttemptOutcome, Condition, NextStep};
+use crate::outcome::{AttemptOutcome, CompletionCondition, NextStep};
 use crate::store::InvocationStore;
 use quartzdrift_scheduler::interface::Idempotency;
 use rand::RngExt;
@@ -46,12 +46,12 @@
         let delay = match outcome {
             AttemptOutcome::Succeeded {
                 function_error: false,
-            } => return self.complete(id, Condition::Success),
+            } => return self.complete(id, CompletionCondition::Success),
             AttemptOutcome::Succeeded { function_error: true } | AttemptOutcome::Failed => {
                 let attempts = entry.attempts;
                 let idempotent = entry.invocation.idempotency == Idempotency::Idempotent;
                 if !idempotent || attempts >= self.settings.max_attempts {
-                    return self.complete(id, Condition::RetriesExhausted);
+                    return self.complete(id, CompletionCondition::RetriesExhausted);
                 }
                 self.delay_after_failure(attempts)
             }
@@ -96,13 +96,13 @@
     fn schedule_retry(&mut self, id: InvocationId, due_at: Duration) -> Option<NextStep> {
         let entry = self.entries.get_mut(&id)?;
         if due_at > entry.accepted_at + self.settings.max_age {
-            return self.complete(id, Condition::EventAgeExceeded);
+            return self.complete(id, CompletionCondition::EventAgeExceeded);
         }
         if entry
             .deduplication_deadline
             .is_some_and(|deadline| due_at >= deadline)
         {
-            return self.complete(id, Condition::RetriesExhausted);
+            return self.complete(id, CompletionCondition::RetriesExhausted);
         }
         entry.due_at = due_at;
         self.store
--- a/crates/quartzdrift/src/gateway/asynchronous.rs
+++ b/crates/quartzdrift/src/gateway/asynchronous.rs
@@ -4,7 +4,8 @@
 use super::{Gateway, Origin, RequestContext};
 use crate::settings::Function;
 use quartzdrift_async_queue::{
-    AttemptOutcome, Condition, Destination, DueAttempt, Invocation, InvocationId, NextStep, QueueFull,
+    AttemptOutcome, CompletionCondition, Destination, DueAttempt, Invocation, InvocationId, NextStep,
+    QueueFull,
 };
 use quartzdrift_http::Response;
 use quartzdrift_lifecycle::FinalResponse;
@@ -155,7 +156,7 @@
                 if let Some(schedule) = &completed.invocation.schedule {
                     self.schedules.record_completion(schedule);
                 }
-                if completed.condition != Condition::Success {
+                if completed.condition != CompletionCondition::Success {
                     let function = &completed.invocation.function;
                     let condition = completed.condition.as_str();
                     tracing::warn!(id = id.0, %function, condition, "deferred job is dead");
