--- a/crates/quartzdrift-async-queue/src/queue/dispatch.rs
+++ b/crates/quartzdrift-async-queue/src/queue/dispatch.rs
@@ -19,7 +19,7 @@
 
 impl<S: InvocationStore> InvocationQueue<S> {
     /// Limits the attempts under way at a time, within the limit of the settings. Those under way are not affected.
-    pub fn allow_attempts(&mut self, limit: usize) {
+    pub fn set_attempt_limit(&mut self, limit: usize) {
         self.allowed_attempts = limit.min(self.settings.max_concurrent_attempts);
     }
 
--- a/crates/quartzdrift-async-queue/src/queue/tests.rs
+++ b/crates/quartzdrift-async-queue/src/queue/tests.rs
@@ -252,15 +252,15 @@
         );
     }
     let now = Duration::from_secs(1);
-    queue.allow_attempts(0);
+    queue.set_attempt_limit(0);
     assert!(queue.next_due().is_none());
     assert!(queue.take_due(now).is_none());
-    queue.allow_attempts(9);
+    queue.set_attempt_limit(9);
     let tenants: Vec<u32> = std::iter::from_fn(|| queue.take_due(now))
         .map(|attempt| attempt.invocation.tenant)
         .collect();
     assert_eq!(tenants, [0, 1, 2, 0, 1, 2, 0, 1, 2]);
-    queue.allow_attempts(1000);
+    queue.set_attempt_limit(1000);
     assert_eq!(std::iter::from_fn(|| queue.take_due(now)).count(), 21);
 }
 
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -363,7 +363,7 @@
         let recovery = self.recovery.as_ref();
         let limit = recovery.and_then(|recovery| recovery.machine.async_limit());
         self.asynchronous
-            .allow_attempts(limit.unwrap_or(self.settings.asynchronous.max_concurrent_attempts));
+            .set_attempt_limit(limit.unwrap_or(self.settings.asynchronous.max_concurrent_attempts));
     }
 
     /// Whether a call that may repeat a request of the last run is admitted; `Err`: when to retry. `has_key`: its client
