--- a/crates/quartzdrift-async-queue/src/queue/restore.rs
+++ b/crates/quartzdrift-async-queue/src/queue/restore.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RestoreContext {
     /// Whether workers still remember the idempotency keys of what they ran.
-    pub keys_remembered: bool,
+    pub keys_retained: bool,
     /// Whether the store is an earlier copy: an invocation that waits in it may have executed since.
-    pub earlier_copy: bool,
+    pub store_is_outdated: bool,
 }
 
 impl<S: InvocationStore> InvocationQueue<S> {
@@ -64,7 +64,7 @@
         let due_at = entry.due_at;
         let idempotent = entry.invocation.idempotency == Idempotency::Idempotent;
         self.entries.insert(id, entry);
-        if context.earlier_copy && !idempotent {
+        if context.store_is_outdated && !idempotent {
             return self.complete(id, CompletionCondition::RetriesExhausted);
         }
         self.due.insert(tenant, due_at, id);
@@ -81,7 +81,7 @@
 ) -> AttemptOutcome {
     let deduplicated = invocation.idempotency == Idempotency::IdempotentWithKey
         && invocation.deduplicated_by_all
-        && context.keys_remembered
+        && context.keys_retained
         && now < started_at + invocation.deduplication_window;
     if deduplicated {
         AttemptOutcome::Rejected {
--- a/crates/quartzdrift-async-queue/src/queue/tests.rs
+++ b/crates/quartzdrift-async-queue/src/queue/tests.rs
@@ -154,16 +154,16 @@
 
 /// A restart that the workers did not share, with the newest copy of the store.
 const PLAIN: RestoreContext = RestoreContext {
-    keys_remembered: true,
-    earlier_copy: false,
+    keys_retained: true,
+    store_is_outdated: false,
 };
 const KEYS_FORGOTTEN: RestoreContext = RestoreContext {
-    keys_remembered: false,
-    earlier_copy: false,
+    keys_retained: false,
+    store_is_outdated: false,
 };
 const EARLIER_COPY: RestoreContext = RestoreContext {
-    keys_remembered: true,
-    earlier_copy: true,
+    keys_retained: true,
+    store_is_outdated: true,
 };
 
 /// A queue that has restored invocation 7 at second 100, and the condition that the restore led to. `started`: the second at
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -352,8 +352,8 @@
         let requests = std::mem::take(&mut recovery.held_requests);
         let machine = &recovery.machine;
         let context = RestoreContext {
-            keys_remembered: machine.repeats_are_detected(),
-            earlier_copy: machine.waiting_requests_may_have_run(),
+            keys_retained: machine.repeats_are_detected(),
+            store_is_outdated: machine.waiting_requests_may_have_run(),
         };
         let unproven_downtime = machine.unproven_downtime();
         self.restore(requests, context, unproven_downtime);
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -95,8 +95,8 @@
             Some(recovery) => recovery.held_requests = open_invocations,
             None => {
                 let context = RestoreContext {
-                    keys_remembered: true,
-                    earlier_copy: false,
+                    keys_retained: true,
+                    store_is_outdated: false,
                 };
                 self.restore(open_invocations, context, Duration::ZERO);
             }
