--- a/crates/quartzdrift-invoke/src/request.rs
+++ b/crates/quartzdrift-invoke/src/request.rs
@@ -54,21 +54,21 @@
     /// Invoke a function.
     Invoke(InvokeRequest),
     /// Is the gateway ready?
-    Ready,
+    ReadinessCheck,
 }
 
 /// Reads a request's line and headers. `header` looks a header up by its name in lower case.
 ///
 /// # Errors
 /// [`ApiError`] says why the request is not admitted.
-pub fn read<'a>(
+pub fn parse<'a>(
     method: &str,
     target: &str,
     header: impl Fn(&str) -> Option<&'a str>,
 ) -> Result<ApiRequest, ApiError> {
     let (path, query) = split_target(target);
     if models::is_health_check(path) {
-        return Ok(ApiRequest::Ready);
+        return Ok(ApiRequest::ReadinessCheck);
     }
     let name = path
         .strip_prefix(PATH_PREFIX)
@@ -174,7 +174,7 @@
 }
 
 /// The target of a call, for a function by its [qualified name](FunctionName::qualified_name).
-pub fn target(function: &str) -> String {
+pub fn invoke_target(function: &str) -> String {
     let (name, qualifier) = function.split_once(':').unwrap_or((function, ""));
     match qualifier {
         "" => format!("{PATH_PREFIX}{name}{PATH_SUFFIX}"),
--- a/crates/quartzdrift-invoke/src/request/tests.rs
+++ b/crates/quartzdrift-invoke/src/request/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn read_post(target: &str, fields: &[(&str, &'static str)]) -> Result<ApiRequest, ApiError> {
-    read("POST", target, |name| {
+    parse("POST", target, |name| {
         fields.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
     })
 }
@@ -16,7 +16,7 @@
         (call.function.qualified_name().as_str(), call.invocation_type),
         ("quote:v1", InvocationType::Asynchronous)
     );
-    let again = super::target(&call.function.qualified_name());
+    let again = super::invoke_target(&call.function.qualified_name());
     let Ok(ApiRequest::Invoke(second)) = read_post(&again, &[]) else {
         panic!()
     };
@@ -39,7 +39,7 @@
         read_post(path, &[("x-amz-client-context", "&")]),
         Err(ApiError::InvalidContent(_))
     ));
-    assert!(matches!(read("GET", path, |_| None), Err(ApiError::WrongMethod)));
+    assert!(matches!(parse("GET", path, |_| None), Err(ApiError::WrongMethod)));
     assert!(is_json(b" {\"a\": [1]} ") && is_json(b"") && !is_json(b"{") && !is_json(b"1 2"));
 }
 
--- a/crates/quartzdrift-lab/src/clients.rs
+++ b/crates/quartzdrift-lab/src/clients.rs
@@ -173,7 +173,7 @@
         }
         let request = Outgoing {
             method: "POST",
-            target: request::target(&of.function),
+            target: request::invoke_target(&of.function),
             headers,
             body: payload.into_bytes().into(),
             connect_timeout: Duration::from_secs(1),
--- a/crates/quartzdrift-lab/src/load.rs
+++ b/crates/quartzdrift-lab/src/load.rs
@@ -105,7 +105,7 @@
         let mut sum = 0.0;
         let targets = plan.mix.iter().map(|(function, share)| {
             sum += share / all;
-            (request::target(function), sum)
+            (request::invoke_target(function), sum)
         });
         Load {
             http: Http::new(
@@ -140,7 +140,7 @@
         if let Some(trace) = &self.plan.trace {
             let target = trace
                 .get(self.left)
-                .map(|arrival| request::target(&arrival.function));
+                .map(|arrival| request::invoke_target(&arrival.function));
             self.left += 1;
             return (target.unwrap_or_default(), trace.get(self.left).map(traffic::at));
         }
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -195,7 +195,7 @@
             let gateway = scheduler(&head.headers);
             return self.repository(exchange, asked, &body, gateway);
         }
-        let asked = request::read(&head.method, &head.target, |name| head.headers.get(name));
+        let asked = request::parse(&head.method, &head.target, |name| head.headers.get(name));
         let Ok(ApiRequest::Invoke(asked)) = asked else {
             return self.say(exchange, 404, Headers::new(), Vec::new());
         };
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -65,8 +65,8 @@
 
     fn handle_request(&mut self, exchange: Exchange, id: Uuid, request: Request) -> Result<Reply, ApiError> {
         let Request { head, body, .. } = request;
-        match request::read(&head.method, &head.target, |name| head.headers.get(name))? {
-            ApiRequest::Ready => {
+        match request::parse(&head.method, &head.target, |name| head.headers.get(name))? {
+            ApiRequest::ReadinessCheck => {
                 let is_ready = !self.is_draining() && self.request_table.workers_up() > 0;
                 Ok(Reply::Now(response::readiness(is_ready)))
             }
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -37,7 +37,7 @@
         };
         let headers = attempt_headers(attempt, &context);
         let payload = context.payload.clone();
-        let mut outgoing = self.worker_request("POST", request::target(&function), headers, payload);
+        let mut outgoing = self.worker_request("POST", request::invoke_target(&function), headers, payload);
         if let Some(send_by) = send_by {
             // A connection that comes up later would carry the attempt too late.
             outgoing.connect_timeout = outgoing.connect_timeout.min(send_by - now);
--- a/crates/quartzdrift/src/invoke.rs
+++ b/crates/quartzdrift/src/invoke.rs
@@ -81,7 +81,7 @@
     if let Some(key) = &call.idempotency_key {
         headers.push("idempotency-key", key);
     }
-    let target = quartzdrift_invoke::request::target(&call.function);
+    let target = quartzdrift_invoke::request::invoke_target(&call.function);
     let framing = Framing::Length(call.payload.len() as u64);
     let mut request = Vec::new();
     head::write_request(&mut request, "POST", &target, &headers, framing);
