--- a/crates/quartzdrift-invoke/src/models.rs
+++ b/crates/quartzdrift-invoke/src/models.rs
@@ -38,7 +38,7 @@
     /// Is the worker ready, or alive?
     ServerReady,
     /// Which functions are loaded?
-    Index,
+    RepositoryIndex,
 }
 
 impl ModelRequest {
@@ -48,7 +48,7 @@
             return Some(ModelRequest::ServerReady);
         }
         if path == INDEX_PATH {
-            return Some(ModelRequest::Index);
+            return Some(ModelRequest::RepositoryIndex);
         }
         if let Some(rest) = path.strip_prefix(REPOSITORY_PREFIX) {
             let (function, command) = rest.rsplit_once('/')?;
@@ -89,14 +89,14 @@
 }
 
 /// The body of a load command, or of its response, for this many replicas.
-pub fn write_replicas(replicas: u32) -> Vec<u8> {
+pub fn encode_replicas(replicas: u32) -> Vec<u8> {
     let parameters = Parameters { copies: replicas };
     // A number cannot fail to be written.
     serde_json::to_vec(&LoadBody { parameters }).unwrap_or_default()
 }
 
 /// The replicas that a load command or its response names; `None` for a body that cannot be read.
-pub fn read_replicas(body: &[u8]) -> Option<u32> {
+pub fn decode_replicas(body: &[u8]) -> Option<u32> {
     let body: LoadBody = serde_json::from_slice(body).ok()?;
     Some(body.parameters.copies)
 }
--- a/crates/quartzdrift-invoke/src/models/tests.rs
+++ b/crates/quartzdrift-invoke/src/models/tests.rs
@@ -12,9 +12,9 @@
     );
     assert_eq!(
         (
-            read_replicas(&write_replicas(3)),
-            read_replicas(b"{}"),
-            read_replicas(b"x")
+            decode_replicas(&encode_replicas(3)),
+            decode_replicas(b"{}"),
+            decode_replicas(b"x")
         ),
         (Some(3), Some(0), None)
     );
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -301,13 +301,13 @@
                     Vec::new(),
                 );
             }
-            ModelRequest::Index => self.say(exchange, 200, Headers::new(), b"[]".to_vec()),
+            ModelRequest::RepositoryIndex => self.say(exchange, 200, Headers::new(), b"[]".to_vec()),
             ModelRequest::Unload(function) => {
                 self.model.unload(now, &function);
                 self.say(exchange, 200, Headers::new(), Vec::new());
             }
             ModelRequest::Load(function) => {
-                let copies = models::read_replicas(body).unwrap_or(1);
+                let copies = models::decode_replicas(body).unwrap_or(1);
                 if copies > 0 {
                     self.see(Seen::Ordered {
                         worker: self.address.to_string(),
@@ -399,7 +399,7 @@
                     if let Some(exchange) = self.orders.remove(&order) {
                         let status = if enough { 200 } else { 429 };
                         let headers = Headers::new().with("content-type", "application/json");
-                        self.say(exchange, status, headers, models::write_replicas(copies as u32));
+                        self.say(exchange, status, headers, models::encode_replicas(copies as u32));
                     }
                 }
                 Say::Fell => {
--- a/crates/quartzdrift/src/gateway/call_events.rs
+++ b/crates/quartzdrift/src/gateway/call_events.rs
@@ -34,7 +34,7 @@
             }
             Some(CallPurpose::HealthCheck { command }) => self.health_checked(command, &response),
             Some(CallPurpose::Load { command }) => {
-                let copies = models::read_replicas(&response.body).unwrap_or(0);
+                let copies = models::decode_replicas(&response.body).unwrap_or(0);
                 self.load_ended(command, outcome);
                 self.command_ended(command, outcome, copies, Vec::new());
             }
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -71,7 +71,7 @@
 
     pub(super) fn load(&mut self, command: u64, worker: &str, function: &str, copies: u32) {
         let headers = Headers::new().with("content-type", "application/json");
-        let body = models::write_replicas(copies).into();
+        let body = models::encode_replicas(copies).into();
         self.load_sent(command, function);
         let outgoing = self.worker_request("POST", models::load_target(function), headers, body);
         self.send_command(worker, outgoing, command, CallPurpose::Load { command });
