--- a/crates/quartzdrift-invoke/src/outcome.rs
+++ b/crates/quartzdrift-invoke/src/outcome.rs
@@ -46,7 +46,7 @@
 }
 
 /// The outcome of an attempt by how its call ended.
-pub fn outcome(result: CallResult) -> Outcome {
+pub fn call_outcome(result: CallResult) -> Outcome {
     match result {
         CallResult::Response { status, error_type } => response_outcome(status, error_type),
         CallResult::InvalidResponse => Outcome::Error,
@@ -75,13 +75,13 @@
 }
 
 /// The metric in which workers report the request's cache result.
-pub const CACHE_RESULT: &str = "named_metrics.found";
+pub const CACHE_RESULT_METRIC: &str = "named_metrics.found";
 /// The metric in which workers report how many requests of the function they are executing.
-pub const CONCURRENCY: &str = "named_metrics.crowd";
+pub const CONCURRENCY_METRIC: &str = "named_metrics.crowd";
 
 /// The cache result in a report: 1 warm, 2 this request started the load, 3 it awaited one, 4 the load failed.
-pub fn cache_result(report: &LoadReport) -> CacheResult {
-    match report.get(CACHE_RESULT).map(|code| code as i64) {
+pub fn reported_cache_result(report: &LoadReport) -> CacheResult {
+    match report.get(CACHE_RESULT_METRIC).map(|code| code as i64) {
         Some(1) => CacheResult::Warm,
         Some(2) => CacheResult::StartedLoad,
         Some(3) => CacheResult::AwaitedLoad,
@@ -91,7 +91,7 @@
 }
 
 /// The concurrency in a report, in requests.
-pub fn concurrency(report: &LoadReport) -> Option<u32> {
-    let concurrency = report.get(CONCURRENCY).filter(|count| *count >= 0.0);
+pub fn reported_concurrency(report: &LoadReport) -> Option<u32> {
+    let concurrency = report.get(CONCURRENCY_METRIC).filter(|count| *count >= 0.0);
     concurrency.map(|count| count as u32)
 }
--- a/crates/quartzdrift-invoke/src/outcome/tests.rs
+++ b/crates/quartzdrift-invoke/src/outcome/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn only_proof_counts_as_never_ran() {
-    let answered = |status, error_type| outcome(CallResult::Response { status, error_type });
+    let answered = |status, error_type| call_outcome(CallResult::Response { status, error_type });
     assert_eq!(answered(200, None), Outcome::Succeeded);
     assert_eq!(answered(429, None), Outcome::AtCapacity);
     assert_eq!(
@@ -18,6 +18,6 @@
     ] {
         assert_eq!(answered(status, kind), Outcome::Error, "{status}");
     }
-    assert_eq!(outcome(CallResult::ConnectionClosed), Outcome::Reset);
-    assert_eq!(outcome(CallResult::ConnectFailed), Outcome::ConnectFailed);
+    assert_eq!(call_outcome(CallResult::ConnectionClosed), Outcome::Reset);
+    assert_eq!(call_outcome(CallResult::ConnectFailed), Outcome::ConnectFailed);
 }
--- a/crates/quartzdrift/src/gateway/call_events.rs
+++ b/crates/quartzdrift/src/gateway/call_events.rs
@@ -105,7 +105,7 @@
 
     /// A call ended without a complete response.
     pub(super) fn call_failed(&mut self, call: CallId, failure: Failure) {
-        let outcome = outcome::outcome(observed(failure));
+        let outcome = outcome::call_outcome(observed(failure));
         match self.calls.remove(&call) {
             Some(CallPurpose::Attempt(failed)) => self.attempt_failed(&failed, failure, outcome),
             Some(CallPurpose::HealthCheck { command } | CallPurpose::Load { command }) => {
@@ -143,11 +143,11 @@
         response: Option<Response>,
     ) {
         let report = response.as_ref().map(load_report).unwrap_or_default();
-        let cache_result = outcome::cache_result(&report);
+        let cache_result = outcome::reported_cache_result(&report);
         let result = AttemptResult {
             outcome,
             cache_result,
-            concurrency: outcome::concurrency(&report),
+            concurrency: outcome::reported_concurrency(&report),
             report: self.metrics(&report),
         };
         tracing::trace!(request, attempt, ?outcome, "attempt ended");
@@ -190,7 +190,7 @@
 }
 
 fn outcome(response: &Response) -> Outcome {
-    outcome::outcome(CallResult::Response {
+    outcome::call_outcome(CallResult::Response {
         status: response.status,
         error_type: response.headers.get("x-amzn-errortype"),
     })
