--- a/crates/quartzdrift-async-queue/src/due_index.rs
+++ b/crates/quartzdrift-async-queue/src/due_index.rs
@@ -1,5 +1,5 @@
-//! Which waiting invocation is attempted next. Tenants take turns, so that one with many invocations does not hold up the
-//! others; within a tenant the earliest due time goes first.
+//! Order of the waiting invocations: round robin among the tenants, so that a tenant with many invocations
+//! does not delay those of other tenants, and by due time within a tenant.
 use crate::invocation::InvocationId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,9 +8,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct DueIndex {
     by_tenant: BTreeMap<u32, BTreeSet<(Duration, InvocationId)>>,
-    /// Number of each tenant's last turn: the tenant with the lowest one is next.
+    /// Number of the last turn of each tenant. Of the tenants with due invocations, the one with the lowest
+    /// number is next.
     last_turns: BTreeMap<u32, u64>,
-    turns: u64,
+    /// Number of turns so far, of all tenants.
+    turn_count: u64,
 }
 
 impl DueIndex {
@@ -27,23 +29,24 @@
         }
     }
 
-    /// The earliest due time of all.
+    /// The earliest due time of all waiting invocations.
     pub(crate) fn next_due(&self) -> Option<Duration> {
         self.earliest_by_tenant().map(|(_, (due_at, _))| due_at).min()
     }
 
-    /// Removes the next invocation that is due, and gives its tenant a turn.
+    /// Removes and returns the next invocation that is due at `now`, and counts a turn for its tenant.
     pub(crate) fn take_next(&mut self, now: Duration) -> Option<InvocationId> {
         let (tenant, (due_at, id)) = self
             .earliest_by_tenant()
             .filter(|(_, (due_at, _))| *due_at <= now)
             .min_by_key(|(tenant, earliest)| (self.last_turn(*tenant), *earliest))?;
-        self.turns += 1;
-        self.last_turns.insert(tenant, self.turns);
+        self.turn_count += 1;
+        self.last_turns.insert(tenant, self.turn_count);
         self.remove(tenant, due_at, id);
         Some(id)
     }
 
+    /// Tenant, due time and id of the earliest waiting invocation of each tenant.
     fn earliest_by_tenant(&self) -> impl Iterator<Item = (u32, (Duration, InvocationId))> {
         self.by_tenant
             .iter()
--- a/crates/quartzdrift-async-queue/src/encoding.rs
+++ b/crates/quartzdrift-async-queue/src/encoding.rs
@@ -1,4 +1,4 @@
-//! An invocation as bytes that outlast the process: a version, then postcard's published wire format.
+//! Binary format of invocations in a store: a version byte, then the invocation in postcard's wire format.
 use crate::invocation::{Destination, Invocation};
 use quartzdrift_scheduler::interface::Idempotency;
 use serde::{Deserialize, Serialize};
@@ -8,9 +8,10 @@
 #[cfg(test)]
 mod tests;
 
-const VERSION: u8 = 1;
+/// First byte of each encoded invocation.
+const FORMAT_VERSION: u8 = 1;
 
-/// What is encoded. Postcard is positional: fields may be renamed, but never reordered.
+/// Fields of an encoded invocation. Postcard is positional: fields may be renamed, but never reordered.
 #[derive(Serialize, Deserialize)]
 struct EncodedInvocation {
     function: String,
@@ -35,7 +36,7 @@
     }
 }
 
-/// Unknown numbers are taken for the strictest kind.
+/// Unknown codes decode to `NonIdempotent`, the class with the strictest rules for retries.
 fn decode_idempotency(encoded: u8) -> Idempotency {
     match encoded {
         0 => Idempotency::Idempotent,
@@ -45,7 +46,7 @@
 }
 
 impl Invocation {
-    /// Encodes the invocation for [`Invocation::from_bytes`].
+    /// Encodes the invocation in the current format, which [`Invocation::from_bytes`] decodes.
     pub fn to_bytes(&self) -> Vec<u8> {
         let encoded = EncodedInvocation {
             function: self.function.clone(),
@@ -61,15 +62,15 @@
             schedule: self.schedule.clone(),
             hops: self.hops,
         };
-        let mut bytes = vec![VERSION];
+        let mut bytes = vec![FORMAT_VERSION];
         bytes.extend(postcard::to_stdvec(&encoded).unwrap_or_default());
         bytes
     }
 
-    /// Decodes an invocation; `None` where another release encoded it, or it is not an invocation at all.
+    /// Decodes an invocation; `None` if the format version is not supported or the bytes are malformed.
     pub fn from_bytes(bytes: &[u8]) -> Option<Invocation> {
         let (&version, body) = bytes.split_first()?;
-        if version != VERSION {
+        if version != FORMAT_VERSION {
             return None;
         }
         let encoded: EncodedInvocation = postcard::from_bytes(body).ok()?;
--- a/crates/quartzdrift-async-queue/src/encoding/tests.rs
+++ b/crates/quartzdrift-async-queue/src/encoding/tests.rs
@@ -5,7 +5,12 @@
 
 proptest::proptest! {
     #[test]
-    fn an_encoded_invocation_is_decoded(payload: Vec<u8>, context: Option<String>, idempotency in 0u8..3, hops: u32) {
+    fn decoding_an_encoded_invocation_returns_the_same_invocation(
+        payload: Vec<u8>,
+        context: Option<String>,
+        idempotency in 0u8..3,
+        hops: u32,
+    ) {
         let idempotency = [
             Idempotency::Idempotent,
             Idempotency::IdempotentWithKey,
--- a/crates/quartzdrift-async-queue/src/invocation.rs
+++ b/crates/quartzdrift-async-queue/src/invocation.rs
@@ -1,66 +1,68 @@
-//! What is queued: an invocation with all that its attempts need, and the state in which a store restores it.
+//! Queued invocations, and the state of an invocation as a store restores it.
 use quartzdrift_scheduler::interface::Idempotency;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Identifies an invocation within its queue and its store. Later invocations have greater numbers.
+/// Identifies an invocation within its queue and its store. Ids increase in the order of acceptance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InvocationId(pub u64);
 
-/// Where the event of a completed invocation goes.
+/// Receiver of the event of a completed invocation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Destination {
-    /// Invokes the function with this name, asynchronously.
+    /// Function that is invoked asynchronously with the event, by its name.
     Function(String),
-    /// Posts to this URL.
+    /// URL that receives the event in a POST request.
     Url(String),
 }
 
-/// An invocation as it was accepted.
+/// An accepted invocation. It does not change while it is queued.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Invocation {
-    /// The function's name.
+    /// Name of the function to execute.
     pub function: String,
-    /// The tenant's index in the settings.
+    /// Index of the tenant in the settings.
     pub tenant: u32,
-    /// Whether it may execute more than once.
+    /// Whether the invocation may execute more than once.
     pub idempotency: Idempotency,
-    /// Whether all workers drop repeats of its idempotency key, rather than some group of them only.
+    /// Whether all workers drop duplicates of the idempotency key; if false, only a group of the workers
+    /// does.
     pub deduplicated_by_all: bool,
-    /// For how long workers remember its idempotency key.
+    /// Time for which workers keep the idempotency key.
     pub deduplication_window: Duration,
-    /// The payload.
+    /// Input of the function.
     pub payload: Rc<[u8]>,
-    /// The client context, passed on to the function.
+    /// Client context that the function receives, in base64.
     pub context: Option<String>,
-    /// By which workers recognise a further attempt.
+    /// Key by which workers detect a repeated attempt of the invocation.
     pub idempotency_key: Option<String>,
-    /// Where the event of a success goes.
+    /// Destination of the event if the invocation succeeds.
     pub on_success: Option<Destination>,
-    /// Where the event of a dead invocation goes.
+    /// Destination of the event if the invocation is dead-lettered.
     pub on_failure: Option<Destination>,
-    /// The schedule that triggered it.
+    /// Name of the schedule that triggered the invocation.
     pub schedule: Option<String>,
-    /// Number of destinations in a row that led to it.
+    /// Number of function destinations in the chain that led to the invocation; 0 for one of a client or a
+    /// schedule.
     pub hops: u32,
 }
 
-/// An invocation as a store restores it after a restart. Times are since 1970.
+/// State of an open invocation as a store restores it after a restart. Times are since the Unix epoch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredInvocation {
-    /// The number that it was accepted under.
+    /// Id that the queue assigned on acceptance.
     pub id: InvocationId,
-    /// What was accepted.
+    /// The accepted invocation.
     pub invocation: Invocation,
-    /// When it was accepted.
+    /// Time of acceptance.
     pub accepted_at: Duration,
-    /// When its next attempt is due.
+    /// Time at which the next attempt is due.
     pub due_at: Duration,
-    /// Attempts that ran or may be running.
+    /// Number of attempts that were executed or may have been; rejected ones do not count.
     pub attempts: u32,
-    /// No attempt may start after this time.
+    /// End of the deduplication window: further attempts have to start before it.
     pub deduplication_deadline: Option<Duration>,
-    /// Start of an attempt whose outcome is unknown.
+    /// Start of the last attempt, if its outcome is not in the store.
     pub attempt_started_at: Option<Duration>,
 }
--- a/crates/quartzdrift-async-queue/src/lib.rs
+++ b/crates/quartzdrift-async-queue/src/lib.rs
@@ -1,29 +1,32 @@
-//! Asynchronous invocations: accepted now, run later. No I/O, no clock.
+//! Queue of asynchronous invocations: the client gets a response on acceptance, and the function is executed
+//! later. The queue does no I/O and reads no clock.
 //!
-//! [`InvocationQueue`] holds accepted invocations and decides when each is attempted. [`InvocationQueue::take_due`] returns the
-//! next attempt that is due, and [`InvocationQueue::attempt_ended`] takes its outcome and decides whether the invocation is
-//! retried, succeeded or is dead-lettered. The queue does not choose a worker: each attempt is an ordinary request to the
-//! request table. Changes go to an [`InvocationStore`], which may make them durable.
+//! [`InvocationQueue`] holds accepted invocations and schedules their attempts. [`InvocationQueue::take_due`]
+//! returns the next attempt that is due. [`InvocationQueue::attempt_ended`] takes the outcome of an attempt
+//! and then retries or completes the invocation. The queue does not select a worker: the caller submits each
+//! attempt to the request table as an ordinary request. The queue reports each change to an
+//! [`InvocationStore`], which may make it durable.
 //!
 //! Whether an invocation is retried depends on its request class and on the outcome of the attempt:
 //!
 //! | outcome | idempotent | idempotent with key | non-idempotent |
 //! | --- | --- | --- | --- |
-//! | succeeded | done | done | done |
-//! | succeeded with an error of the function | retried while attempts are left | dead | dead |
-//! | rejected, did not execute | retried | retried | retried |
-//! | rejected, may have executed | retried | retried within its deduplication window | does not occur: failed instead |
-//! | failed | retried while attempts are left | dead | dead |
+//! | succeeded | completed | completed | completed |
+//! | succeeded with a function error | retried while attempts are left | dead-lettered | dead-lettered |
+//! | rejected, not executed | retried | retried | retried |
+//! | rejected, may have executed | retried | retried within the window | does not occur: failed instead |
+//! | failed | retried while attempts are left | dead-lettered | dead-lettered |
 //!
-//! A rejected attempt does not count as an attempt; the maximum age alone bounds such retries. The event of a dead
-//! invocation goes to its destination on failure.
+//! A rejected attempt does not count towards the maximum number of attempts. Its retries are limited only by
+//! the maximum age and, with an idempotency key, by the deduplication window. The event of a dead-lettered
+//! invocation goes to its failure destination.
 //!
-//! * `invocation`: what is queued, and what a store restores.
-//! * `outcome`: how an attempt ends, and what follows from it.
+//! * `invocation`: queued invocations, and their state in a store.
+//! * `outcome`: outcomes of attempts, and the resulting retry or completion.
 //! * `settings`: limits and delays.
-//! * `store`: where changes go.
-//! * `encoding`: an invocation as bytes that outlast the process.
-//! * `due_index`: which invocation is due next, with tenants taking turns.
+//! * `store`: receivers of the queue's changes.
+//! * `encoding`: binary format of invocations in a store.
+//! * `due_index`: order of waiting invocations, round robin by tenant.
 //! * `queue`: the queue itself.
 mod due_index;
 mod encoding;
--- a/crates/quartzdrift-async-queue/src/outcome.rs
+++ b/crates/quartzdrift-async-queue/src/outcome.rs
@@ -1,39 +1,39 @@
-//! How an attempt ends, and what follows from it.
+//! Outcomes of attempts, and the retry or the completion that results from an outcome.
 use crate::invocation::{Destination, Invocation, InvocationId};
 use std::time::Duration;
 
-/// The final answer to an attempt.
+/// Final result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The function ran to its end.
+    /// The function was executed and returned a result or an error.
     Succeeded {
-        /// Whether the function returned an error of its own.
+        /// Whether the function returned an error.
         function_error: bool,
     },
-    /// No worker took the attempt.
+    /// No worker admitted the attempt.
     Rejected {
-        /// No further attempt may start before this time has passed.
+        /// Minimum delay before the next attempt.
         retry_after: Option<Duration>,
-        /// When the attempt was sent, where it may have executed all the same.
+        /// Time at which the attempt was sent, if it may have executed despite the rejection.
         may_have_executed: Option<Duration>,
     },
-    /// The attempt was lost, and the function may have run.
+    /// The attempt ended without a response; the function may have been executed.
     Failed,
 }
 
-/// Why an invocation needs no further attempt.
+/// Reason why no further attempt of an invocation is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionCondition {
-    /// The function ran without an error.
+    /// The function was executed and returned no error.
     Success,
-    /// No attempt is left, or none that could not execute twice.
+    /// The maximum number of attempts is reached, or a retry could execute the invocation twice.
     RetriesExhausted,
-    /// The next attempt would have started after the maximum age.
+    /// The next attempt would start after the maximum age of the invocation.
     EventAgeExceeded,
 }
 
 impl CompletionCondition {
-    /// Its name in a destination event, as AWS Lambda publishes it.
+    /// The name of the condition in a destination event, as in AWS Lambda's invocation records.
     pub fn as_str(self) -> &'static str {
         match self {
             CompletionCondition::Success => "Success",
@@ -43,29 +43,29 @@
     }
 }
 
-/// An invocation that needs no further attempt, for its destination.
+/// A completed invocation, with the content of the event for its destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletedInvocation {
-    /// The number that it was accepted under.
+    /// Id that the queue assigned on acceptance.
     pub id: InvocationId,
-    /// What was accepted.
+    /// The accepted invocation.
     pub invocation: Invocation,
-    /// Attempts that ran.
+    /// Number of attempts that were executed or may have been; rejected ones do not count.
     pub attempts: u32,
-    /// Where its event goes.
+    /// Receiver of the event.
     pub destination: Option<Destination>,
-    /// Why it is completed.
+    /// Reason for the completion.
     pub condition: CompletionCondition,
 }
 
-/// What follows from the outcome of an attempt.
+/// The queue's decision after the outcome of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NextStep {
-    /// Another attempt.
+    /// The invocation waits for another attempt.
     Retry {
-        /// When it is due.
+        /// Time at which the next attempt is due.
         at: Duration,
     },
-    /// No further attempt.
+    /// The invocation has left the queue.
     Completed(Box<CompletedInvocation>),
 }
--- a/crates/quartzdrift-async-queue/src/queue/admission.rs
+++ b/crates/quartzdrift-async-queue/src/queue/admission.rs
@@ -1,29 +1,29 @@
-//! Acceptance of new invocations, within the limits of the settings.
-use super::{Entry, InvocationQueue, size};
+//! Admission of new invocations within the limits of the settings.
+use super::{InvocationQueue, QueueEntry, charged_bytes};
 use crate::invocation::{Invocation, InvocationId};
 use crate::settings::QueueFull;
 use crate::store::InvocationStore;
 use std::time::Duration;
 
 impl<S: InvocationStore> InvocationQueue<S> {
-    /// Accepts an invocation, which is due at once.
+    /// Accepts an invocation. Its first attempt is due at once.
     ///
     /// # Errors
-    /// The limit that it would exceed; nothing has changed then.
+    /// The limit that the invocation would exceed. The queue is unchanged then.
     pub fn submit(&mut self, now: Duration, invocation: Invocation) -> Result<InvocationId, QueueFull> {
-        let size = size(&invocation);
+        let bytes = charged_bytes(&invocation);
         if self.entries.len() >= self.settings.max_invocations {
             return Err(QueueFull::Requests);
         }
-        if self.bytes + size > self.settings.max_bytes {
+        if self.bytes + bytes > self.settings.max_bytes {
             return Err(QueueFull::Bytes);
         }
         let id = InvocationId(self.last_id.0 + 1);
         self.last_id = id;
         self.store.accepted(id, now, &invocation);
-        self.bytes += size;
+        self.bytes += bytes;
         self.due.insert(invocation.tenant, now, id);
-        let entry = Entry {
+        let entry = QueueEntry {
             invocation,
             accepted_at: now,
             due_at: now,
--- a/crates/quartzdrift-async-queue/src/queue/completion.rs
+++ b/crates/quartzdrift-async-queue/src/queue/completion.rs
@@ -1,18 +1,18 @@
-//! Completion: an invocation leaves the queue, and its event goes to a destination.
+//! Completion of invocations, and the choice of the destination for their event.
 use super::InvocationQueue;
 use crate::invocation::InvocationId;
 use crate::outcome::{CompletedInvocation, CompletionCondition, NextStep};
 use crate::store::InvocationStore;
 
-/// Maximum destinations in a row, each invoked by the one before: it ends a cycle of them.
+/// Number of hops from which on an invocation sends no event. The limit ends cycles of destinations.
 pub(super) const MAX_HOPS: u32 = 4;
 
 impl<S: InvocationStore> InvocationQueue<S> {
-    /// Removes the invocation.
+    /// Removes the invocation from the queue and selects the destination of its event.
     pub(super) fn complete(&mut self, id: InvocationId, condition: CompletionCondition) -> Option<NextStep> {
         let entry = self.entries.remove(&id)?;
         self.due.remove(entry.invocation.tenant, entry.due_at, id);
-        self.bytes -= entry.size();
+        self.bytes -= entry.charged_bytes();
         self.store.completed(id);
         let destination = match condition {
             CompletionCondition::Success => entry.invocation.on_success.clone(),
--- a/crates/quartzdrift-async-queue/src/queue/mod.rs
+++ b/crates/quartzdrift-async-queue/src/queue/mod.rs
@@ -1,4 +1,4 @@
-//! The queue: all open invocations, with the attempts that are under way.
+//! The queue: open invocations, those that wait for an attempt and those with a running attempt.
 mod admission;
 mod completion;
 mod dispatch;
@@ -19,67 +19,69 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes that one invocation takes beside its payload: names, keys and its entries in the tables.
-const OVERHEAD: usize = 512;
+/// Estimated memory of an invocation without its payload: its names and keys, and its entries in the queue's
+/// maps.
+const OVERHEAD_BYTES: usize = 512;
 
-/// An open invocation. Times are since 1970.
+/// An open invocation and the state of its attempts. Times are since the Unix epoch.
 #[derive(Debug)]
-struct Entry {
+struct QueueEntry {
     invocation: Invocation,
     accepted_at: Duration,
     due_at: Duration,
-    /// Attempts that ran or are under way; a rejected one does not count.
+    /// Number of attempts that were executed, may have been, or are running; rejected ones do not count.
     attempts: u32,
+    /// Number of rejected attempts since the invocation was accepted or restored.
     rejections: u32,
     attempt_running: bool,
-    /// An invocation with an idempotency key that may have executed is attempted only until then.
+    /// End of the deduplication window of an invocation with an idempotency key that may have executed.
+    /// Further attempts have to start before it.
     deduplication_deadline: Option<Duration>,
 }
 
-impl Entry {
-    /// Bytes that the invocation counts for.
-    fn size(&self) -> usize {
-        size(&self.invocation)
+impl QueueEntry {
+    fn charged_bytes(&self) -> usize {
+        charged_bytes(&self.invocation)
     }
 }
 
-/// Bytes that an invocation counts for.
-fn size(invocation: &Invocation) -> usize {
-    invocation.payload.len() + OVERHEAD
+/// Bytes that an invocation adds to the size of the queue.
+fn charged_bytes(invocation: &Invocation) -> usize {
+    invocation.payload.len() + OVERHEAD_BYTES
 }
 
-/// An invocation that is not completed.
+/// An invocation that is not completed, as listed by [`InvocationQueue::open_invocations`].
 #[derive(Clone, Copy, Debug)]
 pub struct OpenInvocation<'a> {
-    /// The number that it was accepted under.
+    /// Id that the queue assigned on acceptance.
     pub id: InvocationId,
-    /// What was accepted.
+    /// The accepted invocation.
     pub invocation: &'a Invocation,
-    /// Whether an attempt is under way.
+    /// Whether an attempt is running.
     pub attempt_running: bool,
 }
 
-/// Accepted invocations that are not completed.
+/// Queue of the accepted invocations that are not completed. Times are since the Unix epoch.
 pub struct InvocationQueue<S: InvocationStore> {
     settings: QueueSettings,
     store: S,
-    entries: BTreeMap<InvocationId, Entry>,
+    entries: BTreeMap<InvocationId, QueueEntry>,
     due: DueIndex,
-    /// Attempts allowed at a time for now, at most those of the settings.
-    allowed_attempts: usize,
+    /// Current limit on running attempts, at most `max_concurrent_attempts` of the settings.
+    attempt_limit: usize,
     running_attempts: usize,
-    /// Bytes of all entries.
+    /// Charged bytes of all entries.
     bytes: usize,
-    /// The greatest id used so far.
+    /// The greatest id that was assigned or reserved.
     last_id: InvocationId,
     random: StdRng,
 }
 
 impl<S: InvocationStore> InvocationQueue<S> {
-    /// An empty queue; `seed` decides the jitter of its retries.
+    /// Creates an empty queue. `seed` seeds the jitter of the retry delays.
     pub fn new(settings: QueueSettings, store: S, seed: u64) -> InvocationQueue<S> {
         InvocationQueue {
-            allowed_attempts: settings.max_concurrent_attempts,
+            attempt_limit: settings.max_concurrent_attempts,
             settings,
             store,
             entries: BTreeMap::new(),
@@ -101,12 +103,12 @@
         self.entries.is_empty()
     }
 
-    /// Bytes held, with a fixed overhead for each invocation.
+    /// Size of all open invocations in bytes: their payloads and a fixed overhead for each.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// All open invocations, by id.
+    /// All open invocations, in the order of their ids.
     pub fn open_invocations(&self) -> impl Iterator<Item = OpenInvocation<'_>> {
         self.entries.iter().map(|(id, entry)| OpenInvocation {
             id: *id,
@@ -115,7 +117,7 @@
         })
     }
 
-    /// Where changes go.
+    /// The store that receives the changes of the queue.
     pub fn store_mut(&mut self) -> &mut S {
         &mut self.store
     }
--- a/crates/quartzdrift-async-queue/src/queue/restore.rs
+++ b/crates/quartzdrift-async-queue/src/queue/restore.rs
@@ -1,29 +1,32 @@
-//! Restoring of invocations from a store after a restart. An attempt that was under way may have executed: the invocation is
-//! retried where that is harmless, and completed elsewhere.
-use super::{Entry, InvocationQueue};
+//! Restores invocations from a store after a restart. An attempt that the restart interrupted may have
+//! executed: its invocation is retried if that is safe, and completed otherwise.
+use super::{InvocationQueue, QueueEntry};
 use crate::invocation::{Invocation, InvocationId, StoredInvocation};
 use crate::outcome::{AttemptOutcome, CompletionCondition, NextStep};
 use crate::store::InvocationStore;
 use quartzdrift_scheduler::interface::Idempotency;
 use std::time::Duration;
 
-/// What has happened between a store's last change and now.
+/// State of the workers and of the store after a restart, which decides what may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RestoreContext {
-    /// Whether workers still remember the idempotency keys of what they ran.
+    /// Whether the workers still have the idempotency keys of the invocations that they executed before the
+    /// restart.
     pub keys_retained: bool,
-    /// Whether the store is an earlier copy: an invocation that waits in it may have executed since.
+    /// Whether the store is in an earlier state than before the restart, for example from a backup. An
+    /// invocation that waits in it may have executed after that state.
     pub store_is_outdated: bool,
 }
 
 impl<S: InvocationStore> InvocationQueue<S> {
-    /// Reserves all ids up to this one for invocations that are still to be restored.
+    /// Reserves all ids up to and including `last` for invocations that are restored later.
     pub fn reserve_ids(&mut self, last: InvocationId) {
         self.last_id = self.last_id.max(last);
     }
 
-    /// Restores an invocation. `None` where it waits for the time at which it was due, else what follows from an attempt
-    /// that may have executed. The limits of the settings applied when it was accepted, and are not checked again.
+    /// Restores an invocation. `None` if it keeps its due time and waits; otherwise the decision for an
+    /// invocation that may have executed. The capacity limits of the settings applied on acceptance and are
+    /// not checked again.
     pub fn restore(
         &mut self,
         now: Duration,
@@ -33,7 +36,7 @@
         let id = stored.id;
         let started_at = stored.attempt_started_at;
         self.reserve_ids(id);
-        let entry = Entry {
+        let entry = QueueEntry {
             invocation: stored.invocation,
             accepted_at: stored.accepted_at,
             due_at: stored.due_at,
@@ -42,7 +45,7 @@
             attempt_running: started_at.is_some(),
             deduplication_deadline: stored.deduplication_deadline,
         };
-        self.bytes += entry.size();
+        self.bytes += entry.charged_bytes();
         match started_at {
             Some(started_at) => {
                 let outcome = interrupted_outcome(&entry.invocation, started_at, now, context);
@@ -57,7 +60,7 @@
     fn restore_waiting(
         &mut self,
         id: InvocationId,
-        entry: Entry,
+        entry: QueueEntry,
         context: RestoreContext,
     ) -> Option<NextStep> {
         let tenant = entry.invocation.tenant;
@@ -72,7 +75,8 @@
     }
 }
 
-/// The outcome to assume for an attempt that a restart interrupted.
+/// Outcome that is assumed for an attempt that a restart interrupted: rejected, and therefore retried, if all
+/// workers would drop a duplicate of it now; otherwise failed.
 fn interrupted_outcome(
     invocation: &Invocation,
     started_at: Duration,
--- a/crates/quartzdrift-async-queue/src/queue/retry.rs
+++ b/crates/quartzdrift-async-queue/src/queue/retry.rs
@@ -1,5 +1,5 @@
-//! Retries: whether another attempt follows, and when.
-use super::{Entry, InvocationQueue};
+//! Retries: decides after each attempt whether and when the invocation is attempted again.
+use super::{InvocationQueue, QueueEntry};
 use crate::invocation::InvocationId;
 use crate::outcome::{AttemptOutcome, CompletionCondition, NextStep};
 use crate::store::InvocationStore;
@@ -7,23 +7,26 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Maximum doublings of the first delay.
+/// Maximum number of times that the first retry delay is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 
-impl Entry {
-    /// A rejected attempt did not execute, or executing it again is harmless: it does not count as an attempt.
+impl QueueEntry {
+    /// Counts a rejection instead of an attempt, since a rejected attempt was not executed or may be executed
+    /// again.
     fn record_rejection(&mut self, may_have_executed: Option<Duration>) {
         self.attempts -= 1;
         self.rejections += 1;
         if self.invocation.idempotency == Idempotency::IdempotentWithKey
             && let Some(executed_at) = may_have_executed
         {
-            self.restrict_to_window(executed_at);
+            self.limit_to_deduplication_window(executed_at);
         }
     }
 
-    /// Workers remember the key for one window from the first attempt that may have executed.
-    fn restrict_to_window(&mut self, executed_at: Duration) {
+    /// Moves the deduplication deadline to the end of the window that starts at `executed_at`, unless it is
+    /// earlier already: workers keep the idempotency key for one window from the first attempt that may have
+    /// executed.
+    fn limit_to_deduplication_window(&mut self, executed_at: Duration) {
         let deadline = executed_at + self.invocation.deduplication_window;
         self.deduplication_deadline = Some(match self.deduplication_deadline {
             Some(earlier) => earlier.min(deadline),
@@ -33,7 +36,8 @@
 }
 
 impl<S: InvocationStore> InvocationQueue<S> {
-    /// Takes the outcome of an attempt. `None` where no attempt of this invocation is under way.
+    /// Retries or completes an invocation according to the outcome of its attempt. `None` if no attempt of
+    /// the invocation is running.
     pub fn attempt_ended(
         &mut self,
         now: Duration,
@@ -67,32 +71,35 @@
         self.schedule_retry(id, now + delay)
     }
 
-    /// Exponential backoff with equal jitter: at least half of the delay, so that invocations that failed together do not
-    /// come back together.
+    /// Exponential backoff with equal jitter: between half of the delay and the whole delay, so that
+    /// invocations that failed at the same time are not retried at the same time.
     fn delay_after_failure(&mut self, attempts: u32) -> Duration {
         let doublings = (attempts - 1).min(MAX_DOUBLINGS);
         let delay = self.backoff(doublings);
-        delay / 2 + self.random_part(delay / 2)
+        delay / 2 + self.random_up_to(delay / 2)
     }
 
-    /// Exponential backoff with full jitter (M. Brooker, "Exponential backoff and jitter"), added to the time that the
-    /// rejection asked for.
+    /// Exponential backoff with full jitter (M. Brooker, "Exponential backoff and jitter"), added to the
+    /// delay that the rejection requires.
     fn delay_after_rejection(&mut self, rejections: u32, retry_after: Duration) -> Duration {
         let doublings = rejections.min(MAX_DOUBLINGS);
         let delay = self.backoff(doublings);
-        retry_after + self.random_part(delay)
+        retry_after + self.random_up_to(delay)
     }
 
+    /// The first retry delay after a number of doublings, up to the maximum retry delay.
     fn backoff(&self, doublings: u32) -> Duration {
         let delay = self.settings.first_retry_delay * (1 << doublings);
         delay.min(self.settings.max_retry_delay)
     }
 
-    fn random_part(&mut self, delay: Duration) -> Duration {
+    /// A random duration between zero and `delay`.
+    fn random_up_to(&mut self, delay: Duration) -> Duration {
         delay.mul_f64(self.random.random_range(0.0..1.0))
     }
 
-    /// Lets the invocation wait until `due_at`, unless that is after its maximum age or its deduplication deadline.
+    /// Schedules the next attempt at `due_at`. If that is later than the maximum age or not before the
+    /// deduplication deadline, completes the invocation instead.
     fn schedule_retry(&mut self, id: InvocationId, due_at: Duration) -> Option<NextStep> {
         let entry = self.entries.get_mut(&id)?;
         if due_at > entry.accepted_at + self.settings.max_age {
--- a/crates/quartzdrift-async-queue/src/queue/tests.rs
+++ b/crates/quartzdrift-async-queue/src/queue/tests.rs
@@ -43,7 +43,7 @@
     InvocationQueue::new(settings(), NoStore, 1)
 }
 
-fn condition(step: Option<NextStep>) -> &'static str {
+fn step_name(step: Option<NextStep>) -> &'static str {
     match step {
         Some(NextStep::Completed(completed)) => completed.condition.as_str(),
         Some(NextStep::Retry { .. }) => "retry",
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_attempt_that_may_have_executed_is_retried_only_if_its_request_class_allows() {
+fn an_attempt_that_may_have_executed_is_retried_only_if_its_request_class_allows_it() {
     let error = AttemptOutcome::Succeeded { function_error: true };
     for (idempotency, outcome, expected) in [
         (Idempotency::Idempotent, error, "retry"),
@@ -84,7 +84,7 @@
         let id = queue.submit(Duration::ZERO, invocation(idempotency)).unwrap();
         queue.take_due(Duration::ZERO).unwrap();
         let step = queue.attempt_ended(Duration::ZERO, id, outcome);
-        assert_eq!(condition(step), expected, "{idempotency:?} {outcome:?}");
+        assert_eq!(step_name(step), expected, "{idempotency:?} {outcome:?}");
     }
 }
 
@@ -105,15 +105,18 @@
     };
     let attempt = queue.take_due(at).unwrap();
     assert_eq!(attempt.time_left, Some(start + Duration::from_secs(5) - at));
-    let later = AttemptOutcome::Rejected {
+    let rejected_after_window = AttemptOutcome::Rejected {
         retry_after: Some(Duration::from_secs(5)),
         may_have_executed: Some(at),
     };
-    assert_eq!(condition(queue.attempt_ended(at, id, later)), "RetriesExhausted");
+    assert_eq!(
+        step_name(queue.attempt_ended(at, id, rejected_after_window)),
+        "RetriesExhausted"
+    );
 }
 
 #[test]
-fn rejections_are_bounded_by_age_and_not_by_attempts() {
+fn rejected_attempts_are_limited_by_age_and_not_by_number() {
     let mut queue = queue();
     let id = queue
         .submit(Duration::ZERO, invocation(Idempotency::NonIdempotent))
@@ -152,23 +155,23 @@
     assert!(rejections > 3 && queue.is_empty() && queue.bytes() == 0);
 }
 
-/// A restart that the workers did not share, with the newest copy of the store.
-const PLAIN: RestoreContext = RestoreContext {
+/// A restart of the gateway alone, with the current store.
+const WORKERS_KEPT_RUNNING: RestoreContext = RestoreContext {
     keys_retained: true,
     store_is_outdated: false,
 };
-const KEYS_FORGOTTEN: RestoreContext = RestoreContext {
+const KEYS_LOST: RestoreContext = RestoreContext {
     keys_retained: false,
     store_is_outdated: false,
 };
-const EARLIER_COPY: RestoreContext = RestoreContext {
+const OUTDATED_STORE: RestoreContext = RestoreContext {
     keys_retained: true,
     store_is_outdated: true,
 };
 
-/// A queue that has restored invocation 7 at second 100, and the condition that the restore led to. `started`: the second at
-/// which its attempt started.
-fn restored(
+/// Restores invocation 7 at second 100. Returns the queue, and the condition of the completion, `retry` or
+/// `none`. `started`: the second at which the interrupted attempt started.
+fn queue_after_restore(
     idempotency: Idempotency,
     deduplicated_by_all: bool,
     started: Option<u64>,
@@ -188,34 +191,46 @@
         attempt_started_at: started.map(Duration::from_secs),
     };
     let step = queue.restore(Duration::from_secs(100), stored, context);
-    (queue, condition(step))
+    (queue, step_name(step))
 }
 
 #[test]
-fn an_attempt_interrupted_by_a_restart_is_retried_only_where_that_is_safe() {
+fn an_attempt_interrupted_by_a_restart_is_retried_only_if_that_is_safe() {
     use Idempotency::{Idempotent, IdempotentWithKey, NonIdempotent};
     for (idempotency, deduplicated_by_all, started, context, expected) in [
-        (NonIdempotent, true, None, PLAIN, "none"),
-        (NonIdempotent, true, Some(99), PLAIN, "RetriesExhausted"),
-        (Idempotent, true, Some(99), PLAIN, "retry"),
-        (IdempotentWithKey, true, Some(99), PLAIN, "retry"),
-        (IdempotentWithKey, true, Some(90), PLAIN, "RetriesExhausted"),
-        (IdempotentWithKey, false, Some(99), PLAIN, "RetriesExhausted"),
+        (NonIdempotent, true, None, WORKERS_KEPT_RUNNING, "none"),
+        (
+            NonIdempotent,
+            true,
+            Some(99),
+            WORKERS_KEPT_RUNNING,
+            "RetriesExhausted",
+        ),
+        (Idempotent, true, Some(99), WORKERS_KEPT_RUNNING, "retry"),
+        (IdempotentWithKey, true, Some(99), WORKERS_KEPT_RUNNING, "retry"),
         (
             IdempotentWithKey,
             true,
+            Some(90),
+            WORKERS_KEPT_RUNNING,
+            "RetriesExhausted",
+        ),
+        (
+            IdempotentWithKey,
+            false,
             Some(99),
-            KEYS_FORGOTTEN,
+            WORKERS_KEPT_RUNNING,
             "RetriesExhausted",
         ),
-        (IdempotentWithKey, true, None, KEYS_FORGOTTEN, "none"),
-        (NonIdempotent, true, None, EARLIER_COPY, "RetriesExhausted"),
-        (IdempotentWithKey, true, None, EARLIER_COPY, "RetriesExhausted"),
-        (Idempotent, true, None, EARLIER_COPY, "none"),
+        (IdempotentWithKey, true, Some(99), KEYS_LOST, "RetriesExhausted"),
+        (IdempotentWithKey, true, None, KEYS_LOST, "none"),
+        (NonIdempotent, true, None, OUTDATED_STORE, "RetriesExhausted"),
+        (IdempotentWithKey, true, None, OUTDATED_STORE, "RetriesExhausted"),
+        (Idempotent, true, None, OUTDATED_STORE, "none"),
     ] {
-        let (mut queue, condition) = restored(idempotency, deduplicated_by_all, started, context);
+        let (mut queue, step) = queue_after_restore(idempotency, deduplicated_by_all, started, context);
         assert_eq!(
-            condition, expected,
+            step, expected,
             "{idempotency:?} {deduplicated_by_all} {started:?}"
         );
         assert_eq!(queue.store_mut().take().len(), usize::from(expected != "none"));
@@ -229,7 +244,7 @@
 }
 
 #[test]
-fn tenants_take_turns_and_no_more_attempts_run_than_are_allowed() {
+fn tenants_are_served_round_robin_within_the_attempt_limit() {
     let mut queue = InvocationQueue::new(
         QueueSettings {
             max_invocations: 100,
@@ -265,7 +280,7 @@
 }
 
 #[test]
-fn a_cycle_of_destinations_ends() {
+fn a_cycle_of_destinations_ends_after_the_maximum_chain_length() {
     let mut queue = queue();
     let id = queue
         .submit(
@@ -286,9 +301,11 @@
 }
 
 proptest! {
-    /// In any order of events the limits hold, and each invocation has at most one attempt under way.
+    /// In any order of events the limits hold, and each invocation has at most one running attempt.
     #[test]
-    fn limits_hold_in_any_order_of_events(steps in proptest::collection::vec((0u8..4, 0u64..12, 0u64..3000), 1..200)) {
+    fn limits_hold_in_any_order_of_events(
+        steps in proptest::collection::vec((0u8..4, 0u64..12, 0u64..3000), 1..200),
+    ) {
         let mut queue = queue();
         let mut now = Duration::ZERO;
         let mut running = BTreeSet::new();
@@ -297,7 +314,7 @@
             match event {
                 0 => drop(queue.submit(now, invocation(Idempotency::Idempotent))),
                 1 => while let Some(attempt) = queue.take_due(now) {
-                    prop_assert!(running.insert(attempt.id), "two attempts at a time");
+                    prop_assert!(running.insert(attempt.id), "two attempts run: {:?}", attempt.id);
                 },
                 _ => {
                     let outcome = match event {
--- a/crates/quartzdrift-async-queue/src/store.rs
+++ b/crates/quartzdrift-async-queue/src/store.rs
@@ -1,18 +1,22 @@
-//! Where changes go. The queue works on what it holds in memory and reports each change to its store before the change takes
-//! effect; a store that makes changes durable delays their effect until they are.
+//! Stores of the queue's changes. The queue keeps its invocations in memory and reports each change to its
+//! store. If the store makes changes durable, its caller delays responses and attempts until their changes
+//! are durable.
 use crate::invocation::{Invocation, InvocationId};
 use std::time::Duration;
 
-/// Takes the changes of a queue, in order. Times are since 1970.
+/// Receives the changes of a queue, in order. Times are since the Unix epoch.
 pub trait InvocationStore {
-    /// An invocation was accepted. The client may be told so once this is durable.
+    /// Records the acceptance of an invocation, which is due at once. The acceptance may be sent to the
+    /// client once this change is durable.
     fn accepted(&mut self, id: InvocationId, at: Duration, invocation: &Invocation);
 
-    /// An attempt is about to start: after a crash it may have executed. Unless the invocation is idempotent, the attempt may
-    /// start only once this is durable.
+    /// Records that an attempt is about to start, so that it counts as possibly executed after a crash.
+    /// Unless the invocation is idempotent, the attempt may start only once this change is durable.
+    /// `attempts` includes this attempt.
     fn attempt_started(&mut self, id: InvocationId, at: Duration, attempts: u32);
 
-    /// The next attempt is due at `due_at`, and none may start after `deduplication_deadline`.
+    /// Records that the next attempt is due at `due_at`, and that it has to start before
+    /// `deduplication_deadline`.
     fn retry_scheduled(
         &mut self,
         id: InvocationId,
@@ -21,11 +25,11 @@
         deduplication_deadline: Option<Duration>,
     );
 
-    /// No further attempt will be made.
+    /// Records that no further attempt is made.
     fn completed(&mut self, id: InvocationId);
 }
 
-/// Stores nothing: open invocations are lost with the process.
+/// Discards all changes: open invocations are lost when the process ends.
 #[derive(Debug, Default)]
 pub struct NoStore;
 
@@ -36,41 +40,41 @@
     fn completed(&mut self, _: InvocationId) {}
 }
 
-/// One change of the queue. Times are since 1970.
+/// One change of the queue. Times are since the Unix epoch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreChange {
     /// An invocation was accepted and is due at once.
     Accepted {
-        /// The invocation.
+        /// Id of the invocation.
         id: InvocationId,
-        /// When it was accepted.
+        /// Time of acceptance.
         at: Duration,
         /// The encoded invocation; [`Invocation::from_bytes`] decodes it.
         encoded: Vec<u8>,
     },
     /// An attempt is about to start.
     AttemptStarted {
-        /// The invocation.
+        /// Id of the invocation.
         id: InvocationId,
-        /// When it starts.
+        /// Start of the attempt.
         at: Duration,
-        /// Attempts so far, this one included.
+        /// Number of attempts so far, including this one; rejected ones do not count.
         attempts: u32,
     },
-    /// The next attempt is due later.
+    /// The invocation waits for its next attempt.
     RetryScheduled {
-        /// The invocation.
+        /// Id of the invocation.
         id: InvocationId,
-        /// When it is due.
+        /// Time at which the next attempt is due.
         due_at: Duration,
-        /// Attempts that count so far.
+        /// Number of attempts so far; rejected ones do not count.
         attempts: u32,
-        /// No attempt may start after this time.
+        /// End of the deduplication window: further attempts have to start before it.
         deduplication_deadline: Option<Duration>,
     },
-    /// No further attempt will be made.
+    /// No further attempt is made.
     Completed {
-        /// The invocation.
+        /// Id of the invocation.
         id: InvocationId,
     },
 }
@@ -83,7 +87,7 @@
 }
 
 impl ChangeBuffer {
-    /// An empty buffer; one that is not enabled drops all changes.
+    /// Creates an empty buffer. If it is not enabled, it discards all changes.
     pub fn new(enabled: bool) -> ChangeBuffer {
         ChangeBuffer {
             enabled,
@@ -91,12 +95,12 @@
         }
     }
 
-    /// Takes all changes since the last call. They have to become durable together or not at all.
+    /// Removes and returns all buffered changes. The caller has to make them durable as one atomic batch.
     pub fn take(&mut self) -> Vec<StoreChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns changes that could not be written yet, before all later ones.
+    /// Inserts changes that could not be written yet before all later ones.
     pub fn put_back(&mut self, mut changes: Vec<StoreChange>) {
         changes.append(&mut self.changes);
         self.changes = changes;
