--- a/crates/quartzdrift-invoke/src/function_name/tests.rs
+++ b/crates/quartzdrift-invoke/src/function_name/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn all_published_forms_are_read() {
+fn all_published_formats_are_parsed() {
     let cases = [
         ("quote", ("quote", None, None)),
         ("quote:v1", ("quote", Some("v1"), None)),
@@ -16,13 +16,13 @@
         ),
     ];
     for (text, (name, qualifier, account)) in cases {
-        let read = FunctionName::parse(text).unwrap();
+        let parsed = FunctionName::parse(text).unwrap();
         assert_eq!(
-            (read.name.as_str(), read.qualifier.as_deref()),
+            (parsed.name.as_str(), parsed.qualifier.as_deref()),
             (name, qualifier),
             "{text}"
         );
-        assert_eq!(read.account.as_deref(), account, "{text}");
+        assert_eq!(parsed.account.as_deref(), account, "{text}");
     }
     assert_eq!(
         FunctionName::parse("quote:$LATEST").unwrap().qualified_name(),
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn others_are_refused() {
-    let bad = [
+fn invalid_function_names_are_rejected() {
+    let invalid = [
         "",
         "a b",
         "a:b:c",
@@ -48,7 +48,8 @@
         "arn:aws:s3:x:123456789012:function:q",
         "1:function:q",
     ];
-    bad.iter()
+    invalid
+        .iter()
         .for_each(|text| assert!(FunctionName::parse(text).is_err(), "{text}"));
     assert!(FunctionName::parse("arn:aws:lambda:eu:x:layer:q").is_err());
     assert!(
@@ -61,10 +62,10 @@
 
 proptest::proptest! {
     #[test]
-    fn any_text_is_read_or_refused(text: String) {
-        if let Ok(read) = FunctionName::parse(&text) {
-            let again = FunctionName::parse(&read.qualified_name()).unwrap();
-            proptest::prop_assert_eq!(again.qualified_name(), read.qualified_name());
+    fn any_text_is_parsed_or_rejected(text: String) {
+        if let Ok(parsed) = FunctionName::parse(&text) {
+            let reparsed = FunctionName::parse(&parsed.qualified_name()).unwrap();
+            proptest::prop_assert_eq!(reparsed.qualified_name(), parsed.qualified_name());
         }
     }
 }
--- a/crates/quartzdrift-invoke/src/load_report/tests.rs
+++ b/crates/quartzdrift-invoke/src/load_report/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn both_forms_are_read() {
+fn text_and_json_reports_are_parsed() {
     let text = LoadReport::parse("TEXT cpu_utilization=0.3, named_metrics.queue=4,bad,nan=NaN");
     assert_eq!(
         (text.get("cpu_utilization"), text.get("named_metrics.queue")),
@@ -16,7 +16,7 @@
 
 proptest::proptest! {
     #[test]
-    fn any_value_is_read_within_bounds(value: String) {
+    fn any_header_value_stays_within_the_metric_limit(value: String) {
         proptest::prop_assert!(LoadReport::parse(&["TEXT ", &value].concat()).0.len() <= MAX_METRICS);
         LoadReport::parse(&["JSON ", &value].concat());
     }
--- a/crates/quartzdrift-invoke/src/models.rs
+++ b/crates/quartzdrift-invoke/src/models.rs
@@ -1,12 +1,13 @@
-//! Load and unload commands, and health checks: the model repository extension and the readiness calls of the Open
-//! Inference Protocol v2. The number of replicas is a parameter, which the extension leaves open.
+//! Load and unload commands, and health checks: the model repository extension and the health endpoints of
+//! the Open Inference Protocol v2. Load commands have the number of replicas as a parameter, since the
+//! extension allows implementation-specific parameters.
 use percent_encoding::{NON_ALPHANUMERIC, percent_decode_str, utf8_percent_encode};
 use serde::{Deserialize, Serialize};
 
 #[cfg(test)]
 mod tests;
 
-/// The path of the server's readiness check.
+/// Path of a server's readiness check.
 pub const READY_PATH: &str = "/v2/health/ready";
 const LIVE_PATH: &str = "/v2/health/live";
 const INDEX_PATH: &str = "/v2/repository/index";
@@ -15,8 +16,9 @@
 
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 struct Parameters {
-    #[serde(default)]
-    copies: u32,
+    /// Number of replicas of the function.
+    #[serde(default, rename = "copies")]
+    replicas: u32,
 }
 
 /// The body of a load command and of its response.
@@ -26,23 +28,23 @@
     parameters: Parameters,
 }
 
-/// A request to a worker other than an invocation.
+/// A request to a worker that is not an invocation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ModelRequest {
-    /// Load a function.
+    /// Load command for the function with this name.
     Load(String),
-    /// Unload a function.
+    /// Unload command for the function with this name.
     Unload(String),
-    /// Is a function loaded?
+    /// Query whether the function with this name is loaded.
     ModelReady(String),
-    /// Is the worker ready, or alive?
+    /// Health check of the worker: readiness or liveness.
     ServerReady,
-    /// Which functions are loaded?
+    /// Query for the list of loaded functions.
     RepositoryIndex,
 }
 
 impl ModelRequest {
-    /// Reads a request's path; `None` for other paths.
+    /// Parses the path of a request; `None` if the path is not one of this API.
     pub fn parse(path: &str) -> Option<ModelRequest> {
         if is_health_check(path) {
             return Some(ModelRequest::ServerReady);
@@ -53,22 +55,22 @@
         if let Some(rest) = path.strip_prefix(REPOSITORY_PREFIX) {
             let (function, command) = rest.rsplit_once('/')?;
             return match command {
-                "load" => decode(function).map(ModelRequest::Load),
-                "unload" => decode(function).map(ModelRequest::Unload),
+                "load" => percent_decode(function).map(ModelRequest::Load),
+                "unload" => percent_decode(function).map(ModelRequest::Unload),
                 _ => None,
             };
         }
         let function = path.strip_prefix(MODEL_PREFIX)?.strip_suffix("/ready")?;
-        decode(function).map(ModelRequest::ModelReady)
+        percent_decode(function).map(ModelRequest::ModelReady)
     }
 }
 
-/// Whether a path is that of a server's readiness or liveness check.
+/// Whether a path is that of a readiness or liveness check of a server.
 pub(crate) fn is_health_check(path: &str) -> bool {
     path == READY_PATH || path == LIVE_PATH
 }
 
-fn decode(text: &str) -> Option<String> {
+fn percent_decode(text: &str) -> Option<String> {
     let text = percent_decode_str(text).decode_utf8().ok()?;
     Some(text.into_owned())
 }
@@ -78,25 +80,26 @@
     format!("{REPOSITORY_PREFIX}{function}/{command}")
 }
 
-/// The target of a load command.
+/// The request target of the command that loads a function.
 pub fn load_target(function: &str) -> String {
     command_target(function, "load")
 }
 
-/// The target of an unload command.
+/// The request target of the command that unloads a function.
 pub fn unload_target(function: &str) -> String {
     command_target(function, "unload")
 }
 
-/// The body of a load command, or of its response, for this many replicas.
+/// Encodes the body of a load command or of its response, with the number of replicas.
 pub fn encode_replicas(replicas: u32) -> Vec<u8> {
-    let parameters = Parameters { copies: replicas };
-    // A number cannot fail to be written.
+    let parameters = Parameters { replicas };
+    // Serialization cannot fail: the body contains only a number.
     serde_json::to_vec(&LoadBody { parameters }).unwrap_or_default()
 }
 
-/// The replicas that a load command or its response names; `None` for a body that cannot be read.
+/// Decodes the number of replicas from the body of a load command or of its response; `None` if the body is
+/// malformed.
 pub fn decode_replicas(body: &[u8]) -> Option<u32> {
     let body: LoadBody = serde_json::from_slice(body).ok()?;
-    Some(body.parameters.copies)
+    Some(body.parameters.replicas)
 }
--- a/crates/quartzdrift-invoke/src/models/tests.rs
+++ b/crates/quartzdrift-invoke/src/models/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn orders_are_read_as_written() {
+fn formatted_commands_are_parsed() {
     assert_eq!(
         ModelRequest::parse(&load_target("a:v1")),
         Some(ModelRequest::Load("a:v1".to_owned()))
--- a/crates/quartzdrift-invoke/src/outcome.rs
+++ b/crates/quartzdrift-invoke/src/outcome.rs
@@ -1,18 +1,18 @@
-//! What the end of a call to a worker proves about the attempt: the one table from results on a worker's socket to the
-//! scheduler's outcomes. Doubt counts as "may have executed".
+//! Classification of the results of calls to workers: maps each result to an outcome of the scheduler.
+//! Without proof to the contrary, a request counts as possibly executed.
 //!
 //! | result of the call | outcome | proves that the request was not executed |
 //! | --- | --- | --- |
 //! | 200, with or without `X-Amz-Function-Error` | succeeded | no: it was executed |
-//! | 429, with or without `TooManyRequestsException` | at capacity | yes: the status says that the call was not admitted |
+//! | 429, with or without `TooManyRequestsException` | at capacity | yes: the worker did not admit the call |
 //! | 404 `ResourceNotFoundException` | cache miss | yes |
 //! | 503 of type `NotTaken` | at capacity | yes |
 //! | any other status | error | no |
-//! | a response that cannot be read or is over the limit | error | no |
+//! | response malformed or over the size limit | error | no |
 //! | connection refused, unreachable, or not established in time | connect failed | yes |
 //! | all connections in use that the settings allow | at capacity | yes |
 //! | connection closed or reset after bytes were sent | reset | no |
-//! | connection found closed before a byte was sent | sent again on another one | yes |
+//! | connection found closed before a byte was sent | sent again on another connection | yes |
 //! | timeout, cancelled | timed out, cancelled | no |
 use crate::load_report::LoadReport;
 use quartzdrift_scheduler::interface::{CacheResult, Outcome};
@@ -20,24 +20,24 @@
 #[cfg(test)]
 mod tests;
 
-/// The error type of a worker that does not have the function.
-const NOT_FOUND: &str = "ResourceNotFoundException";
-/// The error type of a worker that did not admit the call.
+/// Error type in the response of a worker that does not have the function.
+const FUNCTION_NOT_FOUND: &str = "ResourceNotFoundException";
+/// Error type in the response of a worker that did not admit the call.
 const NOT_ADMITTED: &str = "NotTaken";
 
-/// How a call to a worker ended on its socket.
+/// Result of a call to a worker, as observed on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResult<'a> {
-    /// A response was received.
+    /// A complete response was received.
     Response {
-        /// Its HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// Its header `x-amzn-errortype`.
+        /// Value of the header `x-amzn-errortype`.
         error_type: Option<&'a str>,
     },
-    /// The response cannot be read, or is over the limit.
+    /// The response is malformed or exceeds the size limit.
     InvalidResponse,
-    /// No connection could be established.
+    /// No connection could be established, so no byte was sent.
     ConnectFailed,
     /// All connections that the settings allow are in use.
     NoConnectionAvailable,
@@ -45,7 +45,7 @@
     ConnectionClosed,
 }
 
-/// The outcome of an attempt by how its call ended.
+/// Maps the result of a call to the outcome of its attempt, according to the table of this module.
 pub fn call_outcome(result: CallResult) -> Outcome {
     match result {
         CallResult::Response { status, error_type } => response_outcome(status, error_type),
@@ -57,29 +57,30 @@
 }
 
 fn response_outcome(status: u16, error_type: Option<&str>) -> Outcome {
-    match (status, plain_type(error_type)) {
+    match (status, base_error_type(error_type)) {
         (200, _) => Outcome::Succeeded,
         (429, _) => Outcome::AtCapacity,
-        (404, NOT_FOUND) => Outcome::CacheMiss,
+        (404, FUNCTION_NOT_FOUND) => Outcome::CacheMiss,
         (503, NOT_ADMITTED) => Outcome::AtCapacity,
         _ => Outcome::Error,
     }
 }
 
-/// An error type without the namespace or link that may follow a colon.
-fn plain_type(error_type: Option<&str>) -> &str {
+/// An error type without the namespace or link that may follow after a colon; empty if there is none.
+fn base_error_type(error_type: Option<&str>) -> &str {
     error_type
         .and_then(|text| text.split(':').next())
         .unwrap_or("")
         .trim()
 }
 
-/// The metric in which workers report the request's cache result.
+/// Metric in which workers report the cache result of a request.
 pub const CACHE_RESULT_METRIC: &str = "named_metrics.found";
-/// The metric in which workers report how many requests of the function they are executing.
+/// Metric in which workers report how many requests of the function they are executing.
 pub const CONCURRENCY_METRIC: &str = "named_metrics.crowd";
 
-/// The cache result in a report: 1 warm, 2 this request started the load, 3 it awaited one, 4 the load failed.
+/// The cache result in a load report. Its codes are: 1 warm, 2 the request started the load, 3 the request
+/// waited for a load that another one had started, 4 the load failed.
 pub fn reported_cache_result(report: &LoadReport) -> CacheResult {
     match report.get(CACHE_RESULT_METRIC).map(|code| code as i64) {
         Some(1) => CacheResult::Warm,
@@ -90,7 +91,8 @@
     }
 }
 
-/// The concurrency in a report, in requests.
+/// The number of requests of the function that the worker is executing, from a load report; `None` if it is
+/// missing or negative.
 pub fn reported_concurrency(report: &LoadReport) -> Option<u32> {
     let concurrency = report.get(CONCURRENCY_METRIC).filter(|count| *count >= 0.0);
     concurrency.map(|count| count as u32)
--- a/crates/quartzdrift-invoke/src/request.rs
+++ b/crates/quartzdrift-invoke/src/request.rs
@@ -1,4 +1,5 @@
-//! A client's request: `POST /2015-03-31/functions/{FunctionName}/invocations` (API reference, Invoke).
+//! Parser for requests of clients: `POST /2015-03-31/functions/{FunctionName}/invocations` (API reference,
+//! Invoke).
 use crate::function_name::FunctionName;
 use crate::models;
 use crate::response::ApiError;
@@ -10,11 +11,11 @@
 
 const PATH_PREFIX: &str = "/2015-03-31/functions/";
 const PATH_SUFFIX: &str = "/invocations";
-/// Maximum bytes of the decoded client context (API reference).
-const MAX_CLIENT_CONTEXT: usize = 3583;
-/// Maximum bytes of an idempotency key, which is stored with the request.
-const MAX_IDEMPOTENCY_KEY: usize = 256;
-/// Content types that common clients send by default with a JSON body.
+/// Maximum size of the decoded client context (API reference).
+const MAX_CLIENT_CONTEXT_BYTES: usize = 3583;
+/// Maximum size of an idempotency key. The limit bounds what is stored with each request.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
+/// Media types that common clients send by default with a JSON body.
 const DEFAULT_MEDIA_TYPES: [&str; 4] = [
     "",
     "application/octet-stream",
@@ -22,45 +23,46 @@
     "binary/octet-stream",
 ];
 
-/// How a function is to be invoked.
+/// Invocation type of a request, from the header `X-Amz-Invocation-Type`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvocationType {
     /// The client waits for the function's response.
     Synchronous,
-    /// Accepted now, executed later.
+    /// The client gets a response on acceptance, and the function is executed later.
     Asynchronous,
-    /// The request is only checked.
+    /// The request is validated, but the function is not executed.
     DryRun,
 }
 
 /// A request to invoke a function.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvokeRequest {
-    /// The function.
+    /// Name of the function to invoke.
     pub function: FunctionName,
-    /// How it is to be invoked.
+    /// Synchronous or asynchronous invocation, or dry run.
     pub invocation_type: InvocationType,
-    /// The client context in base64; workers get it unchanged.
+    /// The client context in base64, which workers get unchanged (header `X-Amz-Client-Context`).
     pub client_context: Option<String>,
-    /// The key by which workers recognise a repeated request (header `Idempotency-Key`).
+    /// The key by which workers detect a repeated request (header `Idempotency-Key`).
     pub idempotency_key: Option<String>,
-    /// The time that the client still waits, in milliseconds.
+    /// Time for which the client will still wait for a response (header `X-Quartzdrift-Time-Left-Ms`).
     pub time_left_ms: Option<u64>,
 }
 
 /// A request to one of the API's paths.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApiRequest {
-    /// Invoke a function.
+    /// Invocation of a function.
     Invoke(InvokeRequest),
-    /// Is the gateway ready?
+    /// Health check of the gateway: readiness or liveness.
     ReadinessCheck,
 }
 
-/// Reads a request's line and headers. `header` looks a header up by its name in lower case.
+/// Parses the method, target and headers of a request. `header` returns the value of a header by its
+/// lower-case name.
 ///
 /// # Errors
-/// [`ApiError`] says why the request is not admitted.
+/// The [`ApiError`] to send to the client if the request is invalid.
 pub fn parse<'a>(
     method: &str,
     target: &str,
@@ -91,10 +93,10 @@
     }))
 }
 
-/// Path and query of a target, which may be in absolute form.
+/// Path and query of a request target in origin or absolute form.
 fn split_target(target: &str) -> (&str, &str) {
     let path = match target.split_once("://") {
-        Some((_, rest)) => rest.find('/').map_or("/", |at| &rest[at..]),
+        Some((_, rest)) => rest.find('/').map_or("/", |path_start| &rest[path_start..]),
         None => target,
     };
     path.split_once('?').unwrap_or((path, ""))
@@ -134,7 +136,9 @@
     };
     let decoded = base64::engine::general_purpose::STANDARD.decode(context);
     match decoded {
-        Ok(bytes) if bytes.len() <= MAX_CLIENT_CONTEXT && is_json(&bytes) => Ok(Some(context.to_owned())),
+        Ok(bytes) if bytes.len() <= MAX_CLIENT_CONTEXT_BYTES && is_json(&bytes) => {
+            Ok(Some(context.to_owned()))
+        }
         Ok(_) | Err(_) => Err(ApiError::InvalidContent(
             "X-Amz-Client-Context is not base64 of JSON, or too long",
         )),
@@ -143,7 +147,7 @@
 
 fn idempotency_key(value: Option<&str>) -> Result<Option<String>, ApiError> {
     match value {
-        Some(key) if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY => {
+        Some(key) if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES => {
             Err(ApiError::InvalidParameter("Idempotency-Key is empty or too long"))
         }
         Some(_) | None => Ok(value.map(str::to_owned)),
@@ -156,7 +160,7 @@
         .map_err(|_| ApiError::InvalidParameter("X-Quartzdrift-Time-Left-Ms is no count of milliseconds"))
 }
 
-/// The API accepts JSON; the content types that common clients send by default are accepted as well.
+/// Whether a `Content-Type` is JSON, is missing, or is a default of common clients.
 fn is_accepted_media_type(value: Option<&str>) -> bool {
     let Some(value) = value else {
         return true;
@@ -168,12 +172,12 @@
         || DEFAULT_MEDIA_TYPES.contains(&media_type.as_str())
 }
 
-/// Whether a payload is JSON, or empty, which clients send for "no input".
+/// Whether a payload is JSON or blank. Clients send an empty payload if the function has no input.
 pub fn is_json(payload: &[u8]) -> bool {
     payload.trim_ascii().is_empty() || serde_json::from_slice::<serde::de::IgnoredAny>(payload).is_ok()
 }
 
-/// The target of a call, for a function by its [qualified name](FunctionName::qualified_name).
+/// The request target that invokes a function, by its [qualified name](FunctionName::qualified_name).
 pub fn invoke_target(function: &str) -> String {
     let (name, qualifier) = function.split_once(':').unwrap_or((function, ""));
     match qualifier {
--- a/crates/quartzdrift-invoke/src/request/tests.rs
+++ b/crates/quartzdrift-invoke/src/request/tests.rs
@@ -1,42 +1,48 @@
 use super::*;
 
-fn read_post(target: &str, fields: &[(&str, &'static str)]) -> Result<ApiRequest, ApiError> {
+fn parse_post(target: &str, headers: &[(&str, &'static str)]) -> Result<ApiRequest, ApiError> {
     parse("POST", target, |name| {
-        fields.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
+        headers
+            .iter()
+            .find(|(header, _)| *header == name)
+            .map(|(_, value)| *value)
     })
 }
 
 #[test]
-fn calls_are_read() {
+fn invocations_are_parsed() {
     let target = "/2015-03-31/functions/quote%3Av1/invocations?x=1&Qualifier=v1";
-    let Ok(ApiRequest::Invoke(call)) = read_post(target, &[("x-amz-invocation-type", "Event")]) else {
+    let Ok(ApiRequest::Invoke(invoke)) = parse_post(target, &[("x-amz-invocation-type", "Event")]) else {
         panic!()
     };
     assert_eq!(
-        (call.function.qualified_name().as_str(), call.invocation_type),
+        (invoke.function.qualified_name().as_str(), invoke.invocation_type),
         ("quote:v1", InvocationType::Asynchronous)
     );
-    let again = super::invoke_target(&call.function.qualified_name());
-    let Ok(ApiRequest::Invoke(second)) = read_post(&again, &[]) else {
+    let qualified_target = super::invoke_target(&invoke.function.qualified_name());
+    let Ok(ApiRequest::Invoke(reparsed)) = parse_post(&qualified_target, &[]) else {
         panic!()
     };
-    assert_eq!(second.function.qualified_name(), "quote:v1");
+    assert_eq!(reparsed.function.qualified_name(), "quote:v1");
 }
 
 #[test]
-fn others_get_the_published_errors() {
+fn invalid_requests_get_the_published_errors() {
     let path = "/2015-03-31/functions/quote/invocations";
-    assert!(matches!(read_post("/elsewhere", &[]), Err(ApiError::UnknownPath)));
     assert!(matches!(
-        read_post(path, &[("content-type", "text/html")]),
+        parse_post("/elsewhere", &[]),
+        Err(ApiError::UnknownPath)
+    ));
+    assert!(matches!(
+        parse_post(path, &[("content-type", "text/html")]),
         Err(ApiError::UnsupportedMediaType)
     ));
     assert!(matches!(
-        read_post(path, &[("x-amz-invocation-type", "x")]),
+        parse_post(path, &[("x-amz-invocation-type", "x")]),
         Err(ApiError::InvalidParameter(_))
     ));
     assert!(matches!(
-        read_post(path, &[("x-amz-client-context", "&")]),
+        parse_post(path, &[("x-amz-client-context", "&")]),
         Err(ApiError::InvalidContent(_))
     ));
     assert!(matches!(parse("GET", path, |_| None), Err(ApiError::WrongMethod)));
@@ -45,7 +51,7 @@
 
 proptest::proptest! {
     #[test]
-    fn any_target_is_read_or_refused(target: String) {
-        let _ = read_post(&target, &[]);
+    fn any_target_is_parsed_or_rejected(target: String) {
+        let _ = parse_post(&target, &[]);
     }
 }
--- a/crates/quartzdrift-invoke/src/response.rs
+++ b/crates/quartzdrift-invoke/src/response.rs
@@ -1,14 +1,14 @@
-//! Final answers and errors in the Invoke API's form.
+//! Final responses and errors in the format of the Invoke API.
 //!
-//! | final answer | status | reason |
+//! | final response | status | reason |
 //! | --- | --- | --- |
-//! | succeeded | 200 (the worker's own), with `X-Amz-Function-Error` where the function failed | the request was executed |
-//! | rejected | 429 `TooManyRequestsException` with `Retry-After` | client libraries retry it, and that is harmless |
-//! | failed | 200 with `X-Amz-Function-Error: Unhandled` | it may have been executed: no status that libraries retry |
-//! | accepted, asynchronous | 202 | |
+//! | succeeded | 200 of the worker; `X-Amz-Function-Error` if the function failed | executed |
+//! | rejected | 429 `TooManyRequestsException` with `Retry-After` | client libraries retry it, which is safe |
+//! | failed | 200 with `X-Amz-Function-Error: Unhandled` | may have been executed: must not be retried |
+//! | accepted, asynchronous | 202 | the request is queued |
 //!
-//! Client libraries retry 408, 429 and all of 5xx by themselves; a failed request may have been executed, so it gets none of
-//! these.
+//! Client libraries retry 408, 429 and every 5xx status automatically. A failed request may have been
+//! executed, so its response has none of these statuses.
 use crate::function_name::FunctionNameError;
 use serde::Serialize;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 #[cfg(test)]
 mod tests;
 
-/// A response of the gateway's own.
+/// A response that the gateway generates itself, rather than passes on from a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApiResponse {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Header names, in lower case, and values.
+    /// Header names in lower case, with their values.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// Body, empty or JSON.
     pub body: Vec<u8>,
 }
 
@@ -37,41 +37,42 @@
     }
 }
 
-/// Why a request is not admitted. Messages are the texts that clients get.
+/// Reason why the gateway does not admit a request. The messages are sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApiError {
-    /// No resource has this path.
+    /// The API has no resource at the path.
     UnknownPath,
     /// The method is not POST.
     WrongMethod,
-    /// A parameter or header is invalid; with the message.
+    /// A parameter or header is invalid, for the reason in the message.
     InvalidParameter(&'static str),
-    /// The function's name is invalid.
+    /// The function name is invalid.
     InvalidFunctionName(FunctionNameError),
-    /// The payload or the client context is invalid; with the message.
+    /// The payload or the client context is invalid, for the reason in the message.
     InvalidContent(&'static str),
-    /// No such function is configured.
+    /// The settings have no function of this name.
     UnknownFunction,
-    /// The payload is over the limit.
+    /// The payload exceeds the size limit.
     PayloadTooLarge,
     /// The content type is not accepted.
     UnsupportedMediaType,
-    /// The header fields are over the limit.
+    /// The request line and the header fields exceed the size limit.
     HeadersTooLarge,
-    /// This is no HTTP/1.1 request.
+    /// The bytes are not a valid HTTP/1.1 request.
     MalformedRequest,
     /// The transfer coding is not supported.
     UnsupportedTransferCoding,
-    /// The request was not complete in time.
+    /// The client did not send the complete request in time.
     RequestTimeout,
-    /// Nothing is admitted now; retrying is harmless, since nothing was executed. With the time after which to retry.
+    /// The request was not executed and may be retried, after the delay if there is one.
     Rejected(Option<Duration>),
-    /// It is unknown whether an asynchronous invocation is durable: the disk has failed.
+    /// The disk failed before an asynchronous invocation was confirmed as durable, so it may be lost.
     DurabilityUnknown,
 }
 
 #[derive(Serialize)]
 struct ErrorBody<'a> {
+    /// `User` or `Service`: the side that caused the error.
     #[serde(rename = "Type")]
     fault: &'a str,
     message: &'a str,
@@ -87,7 +88,7 @@
 }
 
 fn to_json(body: &impl Serialize) -> Vec<u8> {
-    // These types have no map and no number that JSON cannot hold.
+    // Serialization cannot fail: the bodies consist of strings only.
     serde_json::to_vec(body).unwrap_or_default()
 }
 
@@ -159,23 +160,24 @@
     }
 }
 
-/// Whole seconds for `Retry-After`, rounded up, and at least one.
-fn whole_seconds(retry_after: Option<Duration>) -> u64 {
+/// The value of `Retry-After` in seconds: rounded up, and at least 1.
+fn retry_after_seconds(retry_after: Option<Duration>) -> u64 {
     let retry_after = retry_after.unwrap_or_default();
     let rounded_up = retry_after.as_secs() + u64::from(retry_after.subsec_nanos() > 0);
     rounded_up.max(1)
 }
 
-/// The response to a rejected request: it was not executed, and retrying is harmless.
+/// The response to a rejected request, which is safe to retry.
 pub fn rejected(retry_after: Option<Duration>) -> ApiResponse {
     let error = ApiError::Rejected(retry_after);
     let (status, error_type) = error.status();
     let reason = Some("ConcurrentInvocationLimitExceeded");
     let mut response = error_response(status, error_type, &error.message(), reason);
-    let seconds = whole_seconds(retry_after).to_string();
+    let seconds = retry_after_seconds(retry_after).to_string();
     response.headers.push(("retry-after", seconds));
     if let Some(retry_after) = retry_after {
-        // Whole seconds are coarse beside attempts of some milliseconds; our own clients read this one.
+        // Attempts take milliseconds, so `Retry-After` in seconds is too coarse. Quartzdrift's own clients
+        // read this header.
         let milliseconds = retry_after.as_nanos().div_ceil(1_000_000).to_string();
         response
             .headers
@@ -184,14 +186,14 @@
     response
 }
 
-/// Why a request failed that may have been executed.
+/// Reason why a request failed that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// Its deadline passed before a response.
+    /// The request's deadline passed before a response arrived.
     DeadlineExceeded,
     /// An attempt ended without a response.
     OutcomeUnknown,
-    /// The gateway stops and cannot wait for the response.
+    /// The gateway shut down before the response arrived.
     ShuttingDown,
 }
 
@@ -224,17 +226,17 @@
     }
 }
 
-/// The response to an asynchronous invocation that was accepted.
+/// The response to an accepted asynchronous invocation.
 pub fn accepted() -> ApiResponse {
     ApiResponse::empty(202)
 }
 
-/// The response to a dry run that found no error.
+/// The response to a valid request of the type `DryRun`.
 pub fn dry_run() -> ApiResponse {
     ApiResponse::empty(204)
 }
 
-/// The response to a readiness check.
+/// The response to a health check.
 pub fn readiness(is_ready: bool) -> ApiResponse {
     ApiResponse::empty(if is_ready { 200 } else { 503 })
 }
--- a/crates/quartzdrift-invoke/src/response/tests.rs
+++ b/crates/quartzdrift-invoke/src/response/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn a_time_to_come_back_is_never_cut() {
+fn retry_delays_are_rounded_up() {
     for (milliseconds, seconds) in [(0, 1), (1, 1), (1000, 1), (1001, 2), (61_000, 61)] {
         assert_eq!(
-            whole_seconds(Some(Duration::from_millis(milliseconds))),
+            retry_after_seconds(Some(Duration::from_millis(milliseconds))),
             seconds,
             "{milliseconds} ms"
         );
@@ -18,13 +18,13 @@
 }
 
 #[test]
-fn a_kill_has_no_status_that_libraries_repeat() {
-    for why in [
+fn failed_requests_get_a_status_that_client_libraries_do_not_retry() {
+    for kind in [
         FailureKind::DeadlineExceeded,
         FailureKind::OutcomeUnknown,
         FailureKind::ShuttingDown,
     ] {
-        let response = failed(why);
+        let response = failed(kind);
         assert_eq!(response.status, 200);
         assert!(
             response
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn errors_carry_type_and_message() {
+fn errors_have_a_type_and_a_message() {
     let response = ApiError::PayloadTooLarge.response();
     let body: serde_json::Value = serde_json::from_slice(&response.body).unwrap();
     assert_eq!((response.status, body["Type"].as_str()), (413, Some("User")));
