--- a/crates/quartzdrift-http/src/limits.rs
+++ b/crates/quartzdrift-http/src/limits.rs
@@ -1,41 +1,43 @@
-//! Limits on what a peer may make the process hold or wait for.
+//! Limits on connections, message sizes and times.
 use std::time::Duration;
 
-/// What a peer may make the process hold or wait for.
+/// Limits on the memory and the time that a peer can consume.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Maximum bytes of the head of a request or response.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Maximum bytes of a request's body.
-    pub request_body: usize,
-    /// Maximum bytes of a response's body, as a client.
-    pub response_body: usize,
-    /// Maximum connections of clients.
+    pub request_body_bytes: usize,
+    /// Maximum bytes of the body of a response from a server.
+    pub response_body_bytes: usize,
+    /// Maximum open connections from clients.
     pub connections: usize,
-    /// Maximum connections to one server.
+    /// Maximum open connections to one server address.
     pub connections_per_server: usize,
-    /// From the first byte of a request to the end of its head, and from there to the end of its body.
-    pub receive: Duration,
-    /// Between two requests on a connection.
-    pub idle: Duration,
-    /// Without a byte of a response taken by the client.
-    pub send: Duration,
-    /// An idle connection to a server is closed after this time, which is less than servers allow.
-    pub keepalive: Duration,
+    /// Maximum time from the first byte of a request to the end of its head, and again from there to the end
+    /// of its body.
+    pub receive_timeout: Duration,
+    /// Maximum time that a client's connection stays open without a request.
+    pub idle_timeout: Duration,
+    /// Maximum time to send the bytes that wait for a client; then the connection is closed.
+    pub send_timeout: Duration,
+    /// Time after which an idle connection to a server is closed. It should be shorter than the servers' own
+    /// idle timeout, so that no request is sent on a connection that the server is closing.
+    pub keep_alive_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            head: 16 << 10,
-            request_body: 6 << 20,
-            response_body: 6 << 20,
+            head_bytes: 16 << 10,
+            request_body_bytes: 6 << 20,
+            response_body_bytes: 6 << 20,
             connections: 4096,
             connections_per_server: 1024,
-            receive: Duration::from_secs(20),
-            idle: Duration::from_secs(60),
-            send: Duration::from_secs(20),
-            keepalive: Duration::from_secs(15),
+            receive_timeout: Duration::from_secs(20),
+            idle_timeout: Duration::from_secs(60),
+            send_timeout: Duration::from_secs(20),
+            keep_alive_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -59,7 +59,7 @@
             http: Http::new(
                 handle,
                 Limits {
-                    idle: Duration::from_secs(300),
+                    idle_timeout: Duration::from_secs(300),
                     ..Limits::default()
                 },
             ),
@@ -178,11 +178,11 @@
                     },
                 ),
             },
-            HttpEvent::Gone { exchange } => self.streams.retain(|(of, _)| *of != exchange),
+            HttpEvent::ClientDisconnected { exchange } => self.streams.retain(|(of, _)| *of != exchange),
             HttpEvent::Response { .. }
-            | HttpEvent::Part { .. }
-            | HttpEvent::End { .. }
-            | HttpEvent::Failed { .. } => {}
+            | HttpEvent::ResponsePart { .. }
+            | HttpEvent::ResponseEnd { .. }
+            | HttpEvent::CallFailed { .. } => {}
         }
     }
 
--- a/crates/quartzdrift/src/platform/accept.rs
+++ b/crates/quartzdrift/src/platform/accept.rs
@@ -48,7 +48,7 @@
             if self.client_count < self.budget.clients {
                 return;
             }
-            let Some(evicted) = self.sockets.longest_silent(is_evictable) else {
+            let Some(evicted) = self.sockets.longest_idle(is_evictable) else {
                 return;
             };
             if !self.read_pending_input(evicted) {
@@ -65,9 +65,9 @@
             return true;
         };
         let before = socket.input.len();
-        self.sockets.look(id);
+        self.sockets.try_read(id);
         let socket = self.sockets.get(id);
-        let has_arrived = socket.is_none_or(|socket| socket.ended() || socket.input.len() > before);
+        let has_arrived = socket.is_none_or(|socket| socket.is_read_closed() || socket.input.len() > before);
         if has_arrived {
             self.drive_client(id);
         }
--- a/crates/quartzdrift/src/platform/answers.rs
+++ b/crates/quartzdrift/src/platform/answers.rs
@@ -45,7 +45,7 @@
         let fields = &self.config.settings.report_fields;
         let received = ReceivedAnswers::read(&socket.input, connection, sent, fields);
         socket.consume(received.consumed_bytes);
-        let is_unusable = socket.ended() || received.unreadable.is_some();
+        let is_unusable = socket.is_read_closed() || received.unreadable.is_some();
         self.counts.unmatched += received.unmatched;
         for attempt in received.attempts {
             self.end_answered_attempt(id, attempt, is_unusable);
--- a/crates/quartzdrift/src/platform/closing.rs
+++ b/crates/quartzdrift/src/platform/closing.rs
@@ -42,7 +42,7 @@
     /// uses another scheduler. Closing a listener resets its waiting connections, so it is closed right after
     /// none was found waiting.
     fn accept_last_clients(&mut self) {
-        self.sockets.look_for_connections();
+        self.sockets.mark_listeners_ready();
         self.accept_clients();
         if self.sockets.accepted_all() {
             self.sockets.stop_listening();
@@ -52,7 +52,7 @@
     fn close_client_if_idle(&mut self, id: SocketId) {
         for _ in 0..MAX_READS_PER_CLIENT {
             let has_arrived = self.read_pending_input(id);
-            self.sockets.flush_one(id);
+            self.sockets.flush_socket(id);
             if !has_arrived {
                 if self.is_client_idle(id) {
                     self.close_client(id);
--- a/crates/quartzdrift/src/platform/commands.rs
+++ b/crates/quartzdrift/src/platform/commands.rs
@@ -108,7 +108,7 @@
     /// Writes a command to the connection's output, and records the position of its frame in the connection's
     /// byte stream.
     pub(super) fn write_command(&mut self, id: SocketId, command: &mut Command, now: Duration) {
-        let Some(from) = self.sockets.get(id).map(Socket::end_position) else {
+        let Some(from) = self.sockets.get(id).map(Socket::write_position) else {
             return;
         };
         let context = &command.context;
@@ -127,7 +127,7 @@
         );
         command.frame_span = self.sockets.get(id).map(|socket| FrameSpan {
             from,
-            to: socket.end_position(),
+            to: socket.write_position(),
         });
         if let Some(connection) = find_worker_connection(&mut self.sockets, id) {
             connection.remember_id(command.context.client_request_id);
@@ -137,7 +137,10 @@
     /// Rewrites each unsent command with its current remaining time.
     pub(super) fn rewrite_unsent_commands(&mut self) {
         let now = self.now();
-        let unsent = self.sockets.iter().filter(|(_, socket)| socket.unsent() > 0);
+        let unsent = self
+            .sockets
+            .iter()
+            .filter(|(_, socket)| socket.unsent_bytes() > 0);
         let sockets: Vec<SocketId> = unsent.map(|(id, _)| id).collect();
         for id in sockets {
             for (request, attempt) in self.unsent_commands(id) {
@@ -194,7 +197,7 @@
         let is_removed = self
             .sockets
             .get_mut(id)
-            .is_some_and(|socket| socket.recall(span.from, span.to));
+            .is_some_and(|socket| socket.remove_unsent(span.from, span.to));
         if is_removed && let Some(connection) = find_worker_connection(&mut self.sockets, id) {
             connection.shift_frames_after(span);
         }
@@ -247,7 +250,7 @@
         };
         let is_only_command = connection.commands.len() == 1;
         let span = connection.commands[index].frame_span;
-        if span.is_some_and(|span| !socket.recall(span.from, span.to)) {
+        if span.is_some_and(|span| !socket.remove_unsent(span.from, span.to)) {
             let is_partly_sent = span.is_some_and(|span| socket.sent_position() < span.to);
             if is_partly_sent && is_only_command {
                 self.close_connection(id);
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -89,9 +89,9 @@
     /// Whether a worker has closed an idle connection, or sent data on it unexpectedly. The socket is still
     /// writable then, but the outcome of a command written to it would be unknown.
     fn is_closed_by_worker(&mut self, id: SocketId) -> bool {
-        self.sockets.look(id);
+        self.sockets.try_read(id);
         let socket = self.sockets.get(id);
-        socket.is_none_or(|socket| socket.ended() || !socket.input.is_empty())
+        socket.is_none_or(|socket| socket.is_read_closed() || !socket.input.is_empty())
     }
 
     fn connect(&mut self, worker: &Rc<str>) -> Result<SocketId, ConnectionLoss> {
@@ -186,7 +186,7 @@
         let worker = self.workers.get(&connection.worker);
         let is_listed = worker.is_some_and(|worker| worker.connections.contains(&id));
         if !is_listed {
-            self.sockets.flush_one(id);
+            self.sockets.flush_socket(id);
             self.close_connection(id);
             return;
         }
@@ -275,7 +275,7 @@
             return;
         };
         if connection.phase == ConnectionPhase::Connecting {
-            match self.sockets.connected(id) {
+            match self.sockets.connect_result(id) {
                 Some(Ok(())) => self.connection_established(id),
                 Some(Err(error)) => return self.connection_lost(id, loss_while_connecting(&error)),
                 None => return,
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -1,7 +1,7 @@
 //! Follows the list of workers with consecutive long polls of the coordinator, whose responses update the
 //! list.
 use super::Node;
-use quartzdrift_http::{CallId, Failure, Headers, Outgoing, Response};
+use quartzdrift_http::{CallFailure, CallId, Headers, OutgoingRequest, Response};
 use quartzdrift_platform::coordinator::{
     AppliedResponse, EndpointChange, EndpointUpdate, EndpointWatch, WatchError, WatchResponse,
 };
@@ -89,7 +89,7 @@
     #[error("unexpected status {0}, expected 200")]
     Status(u16),
     #[error("connection failed or ended before the response was complete: {0:?}")]
-    Disconnected(Failure),
+    Disconnected(CallFailure),
     #[error("timed out without a response")]
     TimedOut,
 }
@@ -214,7 +214,7 @@
 
     fn poll(&mut self) {
         let follow_from = self.coordinator.next_follow_index(self.now());
-        let request = Outgoing {
+        let request = OutgoingRequest {
             method: "GET",
             target: format!(
                 "/v2/stream?follow={}&wait_ms={}",
@@ -224,7 +224,7 @@
             headers: Headers::new(),
             body: Rc::from([]),
             connect_timeout: POLL_GRACE,
-            streams: false,
+            streams_response: false,
         };
         let call = self.http.call(self.coordinator.address, request);
         let sent_at = self.now();
@@ -364,7 +364,7 @@
     }
 
     /// Handles the failure of an HTTP call. Only polls make HTTP calls.
-    pub(super) fn poll_error(&mut self, call: CallId, failure: Failure) {
+    pub(super) fn poll_error(&mut self, call: CallId, failure: CallFailure) {
         if self.coordinator.is_poll(call) {
             self.poll_failed(PollFailure::Disconnected(failure));
         }
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -269,7 +269,7 @@
     pub(super) fn flush_in_time(&mut self, id: SocketId) -> bool {
         self.recall_overdue_commands(id, self.now());
         let limit = self.loop_delay.last_socket_check() + MAX_SOCKET_CHECK_AGE;
-        self.sockets.flush_one_by(id, Some(limit))
+        self.sockets.flush_socket_until(id, Some(limit))
     }
 
     /// Processes changes since the turn began: clients that have disconnected, deadlines that have passed,
@@ -282,16 +282,16 @@
     }
 
     fn process_poll_results(&mut self) {
-        self.http.expire(Instant::now());
+        self.http.expire_connections(Instant::now());
         for event in self.http.take_events() {
             match event {
                 HttpEvent::Response { call, response } => self.poll_answered(call, &response),
-                HttpEvent::Failed { call, failure } => self.poll_error(call, failure),
+                HttpEvent::CallFailed { call, failure } => self.poll_error(call, failure),
                 // The scheduler serves no HTTP, and no response is streamed.
                 HttpEvent::Request { .. }
-                | HttpEvent::Gone { .. }
-                | HttpEvent::Part { .. }
-                | HttpEvent::End { .. } => {}
+                | HttpEvent::ClientDisconnected { .. }
+                | HttpEvent::ResponsePart { .. }
+                | HttpEvent::ResponseEnd { .. } => {}
             }
         }
     }
--- a/crates/quartzdrift/src/platform/responses.rs
+++ b/crates/quartzdrift/src/platform/responses.rs
@@ -54,21 +54,26 @@
             fields: field.as_slice(),
             body,
         };
-        let has_unsent = self.sockets.get(socket).is_some_and(|socket| socket.unsent() > 0);
+        let has_unsent = self
+            .sockets
+            .get(socket)
+            .is_some_and(|socket| socket.unsent_bytes() > 0);
         let Some(client) = find_client(&mut self.sockets, socket) else {
             return;
         };
         let mut output = Vec::with_capacity(body.len() + HEAD_CAPACITY);
-        let connection_fate = client.responder.respond(request_id, &response, &mut output);
+        let outcome = client.responder.respond(request_id, &response, &mut output);
         self.write(socket, &output);
-        match connection_fate {
-            fastcgi::ConnectionFate::Close => self.close_when_flushed(socket),
+        match outcome {
+            fastcgi::ResponseOutcome::CloseConnection => self.close_when_flushed(socket),
             // No further event may come from a client that does not read its answers, so its deadline is set
             // here.
-            fastcgi::ConnectionFate::KeepOpen | fastcgi::ConnectionFate::UnknownRequest if has_unsent => {
+            fastcgi::ResponseOutcome::KeepConnection | fastcgi::ResponseOutcome::UnknownRequest
+                if has_unsent =>
+            {
                 self.update_client_deadline(socket);
             }
-            fastcgi::ConnectionFate::KeepOpen | fastcgi::ConnectionFate::UnknownRequest => {}
+            fastcgi::ResponseOutcome::KeepConnection | fastcgi::ResponseOutcome::UnknownRequest => {}
         }
     }
 
