--- a/crates/quartzdrift-lab/src/audit.rs
+++ b/crates/quartzdrift-lab/src/audit.rs
@@ -1,5 +1,5 @@
 //! Judges a day from its record alone: the five rules, and never two attempts of a request at once.
-use crate::record::{Line, Seen};
+use crate::record::{Observation, RecordLine};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -112,14 +112,14 @@
     end: u64,
 }
 
-fn join(lines: &[Line]) -> Day<'_> {
+fn join(lines: &[RecordLine]) -> Day<'_> {
     let mut day = Day::default();
     let mut open: BTreeMap<(&str, u64, u64), usize> = BTreeMap::new();
-    for Line { at_us, seen } in lines {
+    for RecordLine { at_us, seen } in lines {
         let at = *at_us;
         day.end = day.end.max(at);
         match seen {
-            Seen::Asked {
+            Observation::CallSent {
                 call,
                 gateway,
                 key,
@@ -140,10 +140,12 @@
                     },
                 );
             }
-            Seen::Answered { call, status, .. } => day.answers.entry(*call).or_default().push((at, *status)),
-            Seen::Left { call } => drop(day.left.insert(*call, at)),
-            Seen::Cut { call } => drop(day.cut.insert(*call, at)),
-            Seen::Came {
+            Observation::ResponseReceived { call, status, .. } => {
+                day.answers.entry(*call).or_default().push((at, *status))
+            }
+            Observation::ClientDisconnected { call } => drop(day.left.insert(*call, at)),
+            Observation::ConnectionLost { call } => drop(day.cut.insert(*call, at)),
+            Observation::AttemptReceived {
                 worker,
                 incarnation,
                 call,
@@ -165,7 +167,7 @@
                     began: false,
                 });
             }
-            Seen::Began {
+            Observation::AttemptExecuted {
                 worker,
                 incarnation,
                 call,
@@ -175,7 +177,7 @@
                     day.attempts[of].began = true;
                 }
             }
-            Seen::Refused {
+            Observation::AttemptRejected {
                 worker,
                 incarnation,
                 call,
@@ -184,7 +186,7 @@
                     day.attempts[of].refused = true;
                 }
             }
-            Seen::Over {
+            Observation::AttemptEnded {
                 worker,
                 incarnation,
                 call,
@@ -193,28 +195,30 @@
                     day.attempts[of].to.get_or_insert(at);
                 }
             }
-            Seen::GatewayKilled { gateway } => day.down.entry(*gateway).or_default().push((at, u64::MAX)),
-            Seen::GatewayUp { gateway } => {
+            Observation::GatewayKilled { gateway } => {
+                day.down.entry(*gateway).or_default().push((at, u64::MAX))
+            }
+            Observation::GatewayStarted { gateway } => {
                 if let Some(last) = day.down.get_mut(gateway).and_then(|times| times.last_mut()) {
                     last.1 = last.1.min(at);
                 }
             }
-            Seen::WorkersLost => day.forgot.push(at),
-            Seen::DiskLost { gateway } => day.disks.push((*gateway, at)),
-            Seen::Ordered { .. }
-            | Seen::ToldAway { .. }
-            | Seen::ToldUp { .. }
-            | Seen::Started { .. }
-            | Seen::Fell { .. }
-            | Seen::Fetch { .. }
-            | Seen::FetchRefused { .. } => {}
+            Observation::WorkersLostPower => day.forgot.push(at),
+            Observation::GatewayDiskLost { gateway } => day.disks.push((*gateway, at)),
+            Observation::LoadCommandReceived { .. }
+            | Observation::EndpointDownSent { .. }
+            | Observation::EndpointUpSent { .. }
+            | Observation::WorkerStarted { .. }
+            | Observation::WorkerOverloaded { .. }
+            | Observation::FetchRequested { .. }
+            | Observation::FetchRefused { .. } => {}
         }
     }
     day
 }
 
 /// All that is broken, in the order of time.
-pub fn audit(lines: &[Line], terms: &Terms) -> Vec<Broken> {
+pub fn audit(lines: &[RecordLine], terms: &Terms) -> Vec<Broken> {
     let day = join(lines);
     let mut broken = Vec::new();
     lost(&day, terms, &mut broken);
@@ -373,16 +377,19 @@
     }
 }
 
-fn drains(lines: &[Line], terms: &Terms, broken: &mut Vec<Broken>) {
+fn drains(lines: &[RecordLine], terms: &Terms, broken: &mut Vec<Broken>) {
     let mut away: BTreeMap<(u64, &str), u64> = BTreeMap::new();
-    for Line { at_us, seen } in lines {
+    for RecordLine { at_us, seen } in lines {
         match seen {
-            Seen::ToldAway { gateway, worker } => {
+            Observation::EndpointDownSent { gateway, worker } => {
                 away.entry((*gateway, worker)).or_insert(*at_us);
             }
-            Seen::ToldUp { gateway, worker } => drop(away.remove(&(*gateway, worker.as_str()))),
-            Seen::GatewayUp { gateway } => away.retain(|(of, _), _| of != gateway),
-            Seen::Came { worker, gateway, .. } | Seen::Ordered { worker, gateway } => {
+            Observation::EndpointUpSent { gateway, worker } => {
+                away.remove(&(*gateway, worker.as_str()));
+            }
+            Observation::GatewayStarted { gateway } => away.retain(|(of, _), _| of != gateway),
+            Observation::AttemptReceived { worker, gateway, .. }
+            | Observation::LoadCommandReceived { worker, gateway } => {
                 let told = away.get(&(*gateway, worker.as_str()));
                 if let Some(told) = told.filter(|told| *at_us > **told + terms.drain_grace_us + LAG_US) {
                     let late = (at_us - told) / 1000;
@@ -399,11 +406,11 @@
     }
 }
 
-fn cold(lines: &[Line], day: &Day, terms: &Terms, broken: &mut Vec<Broken>) {
+fn cold(lines: &[RecordLine], day: &Day, terms: &Terms, broken: &mut Vec<Broken>) {
     let mut starts: BTreeMap<(&str, u64), (u64, f64, f64, u64)> = BTreeMap::new();
-    for Line { at_us, seen } in lines {
+    for RecordLine { at_us, seen } in lines {
         match seen {
-            Seen::Started {
+            Observation::WorkerStarted {
                 worker,
                 incarnation,
                 cores,
@@ -412,7 +419,7 @@
             } => {
                 starts.insert((worker, *incarnation), (*at_us, *cores, *cold_from, *cold_us));
             }
-            Seen::Fell { worker } => {
+            Observation::WorkerOverloaded { worker } => {
                 let what = format!("{worker} fell over");
                 broken.push(Broken {
                     rule: Rule::ColdWorker,
@@ -458,15 +465,15 @@
     }
 }
 
-fn loads(lines: &[Line], terms: &Terms, broken: &mut Vec<Broken>) {
+fn loads(lines: &[RecordLine], terms: &Terms, broken: &mut Vec<Broken>) {
     if terms.load_window_us == 0 {
         return;
     }
     let mut of: BTreeMap<u64, (Vec<u64>, Vec<u64>)> = BTreeMap::new();
-    for Line { at_us, seen } in lines {
+    for RecordLine { at_us, seen } in lines {
         match seen {
-            Seen::Asked { gateway, .. } => of.entry(*gateway).or_default().0.push(*at_us),
-            Seen::Ordered { gateway, .. } => {
+            Observation::CallSent { gateway, .. } => of.entry(*gateway).or_default().0.push(*at_us),
+            Observation::LoadCommandReceived { gateway, .. } => {
                 let (requests, orders) = of.entry(*gateway).or_default();
                 orders.push(*at_us);
                 let since = at_us.saturating_sub(terms.load_window_us);
@@ -511,16 +518,16 @@
         }
     }
 
-    fn line(ms: u64, seen: Seen) -> Line {
-        Line {
+    fn line(ms: u64, seen: Observation) -> RecordLine {
+        RecordLine {
             at_us: ms * 1000,
             seen,
         }
     }
 
-    fn asked(call: u64, request_class: &str, asynchronous: bool) -> Seen {
+    fn asked(call: u64, request_class: &str, asynchronous: bool) -> Observation {
         let (key, request_class) = (format!("k{call}"), request_class.to_owned());
-        Seen::Asked {
+        Observation::CallSent {
             call,
             gateway: 0,
             key,
@@ -530,8 +537,8 @@
         }
     }
 
-    fn answered(call: u64, status: u16) -> Seen {
-        Seen::Answered {
+    fn answered(call: u64, status: u16) -> Observation {
+        Observation::ResponseReceived {
             call,
             status,
             killed: false,
@@ -539,9 +546,9 @@
         }
     }
 
-    fn came(worker: &str, call: u64, key: &str) -> Seen {
+    fn came(worker: &str, call: u64, key: &str) -> Observation {
         let (worker, key, request) = (worker.to_owned(), key.to_owned(), "j".to_owned());
-        Seen::Came {
+        Observation::AttemptReceived {
             worker,
             incarnation: 1,
             call,
@@ -553,16 +560,16 @@
         }
     }
 
-    fn over(worker: &str, call: u64) -> Seen {
-        Seen::Over {
+    fn over(worker: &str, call: u64) -> Observation {
+        Observation::AttemptEnded {
             worker: worker.to_owned(),
             incarnation: 1,
             call,
         }
     }
 
-    fn began(worker: &str, call: u64) -> Seen {
-        Seen::Began {
+    fn began(worker: &str, call: u64) -> Observation {
+        Observation::AttemptExecuted {
             worker: worker.to_owned(),
             incarnation: 1,
             call,
@@ -571,12 +578,12 @@
     }
 
     /// A day on which all is kept.
-    fn good() -> Vec<Line> {
+    fn good() -> Vec<RecordLine> {
         vec![
-            line(0, Seen::GatewayUp { gateway: 0 }),
+            line(0, Observation::GatewayStarted { gateway: 0 }),
             line(
                 0,
-                Seen::Started {
+                Observation::WorkerStarted {
                     worker: "a".into(),
                     incarnation: 1,
                     cores: 1.0,
@@ -591,21 +598,21 @@
             line(16, answered(1, 200)),
             line(
                 20,
-                Seen::ToldAway {
+                Observation::EndpointDownSent {
                     gateway: 0,
                     worker: "a".into(),
                 },
             ),
             line(
                 30,
-                Seen::Ordered {
+                Observation::LoadCommandReceived {
                     worker: "b".into(),
                     gateway: 0,
                 },
             ),
             line(
                 9000,
-                Seen::ToldUp {
+                Observation::EndpointUpSent {
                     gateway: 0,
                     worker: "a".into(),
                 },
@@ -613,7 +620,7 @@
         ]
     }
 
-    fn rules(extra: Vec<Line>) -> Vec<Rule> {
+    fn rules(extra: Vec<RecordLine>) -> Vec<Rule> {
         let mut lines = good();
         lines.extend(extra);
         lines.sort_by_key(|line| line.at_us);
@@ -660,11 +667,11 @@
         assert_eq!(rules(at_once), [Rule::TwoAtOnce]);
         let drain = vec![line(400, came("a", 2, "")), line(401, over("a", 2))];
         assert_eq!(rules(drain), [Rule::Drain]);
-        let fell = vec![line(400, Seen::Fell { worker: "a".into() })];
+        let fell = vec![line(400, Observation::WorkerOverloaded { worker: "a".into() })];
         assert_eq!(rules(fell), [Rule::ColdWorker]);
         let loads = vec![line(
             400,
-            Seen::Ordered {
+            Observation::LoadCommandReceived {
                 worker: "b".into(),
                 gateway: 0,
             },
@@ -676,7 +683,7 @@
     fn too_much_work_for_a_cold_worker_is_seen_without_its_fall() {
         let push = |n: u64| {
             let (worker, key, request) = ("a".to_owned(), String::new(), String::new());
-            let seen = Seen::Came {
+            let seen = Observation::AttemptReceived {
                 worker,
                 incarnation: 1,
                 call: 100 + n,
@@ -696,9 +703,9 @@
     fn a_killed_gateway_owes_nothing_and_its_successor_was_told_nothing() {
         let killed = vec![
             line(100, asked(2, "any", false)),
-            line(150, Seen::Cut { call: 2 }),
-            line(149, Seen::GatewayKilled { gateway: 0 }),
-            line(300, Seen::GatewayUp { gateway: 0 }),
+            line(150, Observation::ConnectionLost { call: 2 }),
+            line(149, Observation::GatewayKilled { gateway: 0 }),
+            line(300, Observation::GatewayStarted { gateway: 0 }),
             line(400, came("a", 2, "")),
             line(401, over("a", 2)),
         ];
--- a/crates/quartzdrift-lab/src/badday.rs
+++ b/crates/quartzdrift-lab/src/badday.rs
@@ -4,7 +4,7 @@
 use crate::clients::{self, Clients, Tally};
 use crate::discovery::{self, Discovery};
 use crate::model::{Machine, Spec};
-use crate::record::{Line, Recorder, Seen};
+use crate::record::{Observation, RecordLine, Recorder};
 use crate::relay::Relay;
 use crate::script::{Fault, Script, Spoil};
 use crate::store::{self, Store};
@@ -35,7 +35,7 @@
 
 /// How a day went.
 pub struct Day {
-    pub lines: Vec<Line>,
+    pub lines: Vec<RecordLine>,
     pub terms: Terms,
     pub broken: Vec<Broken>,
     pub tally: Tally,
@@ -346,7 +346,8 @@
             }
             return Err(io::Error::other(format!("gateway {n} did not start: {e}")));
         }
-        self.recorder.see(Seen::GatewayUp { gateway: n as u64 });
+        self.recorder
+            .record(Observation::GatewayStarted { gateway: n as u64 });
         Ok(())
     }
 
@@ -393,7 +394,8 @@
             Fault::KillGateway(n) => {
                 if let Some(mut child) = self.gateways[n].child.take() {
                     // The moment before counts: what comes back after it was sent before it.
-                    self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
+                    self.recorder
+                        .record(Observation::GatewayKilled { gateway: n as u64 });
                     child.kill()?;
                     child.wait()?;
                 }
@@ -420,7 +422,8 @@
             Fault::LateDatagrams(late) => self.switch()?.change(|links| links.late = late),
             Fault::StopGateways(first, last) => {
                 for n in first..=last {
-                    self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
+                    self.recorder
+                        .record(Observation::GatewayKilled { gateway: n as u64 });
                 }
                 self.stop(first..=last)?;
             }
@@ -463,7 +466,8 @@
         self.boots += 1;
         for n in first..=last {
             if let Some(child) = &mut self.gateways[n].child {
-                self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
+                self.recorder
+                    .record(Observation::GatewayKilled { gateway: n as u64 });
                 child.kill()?;
             }
         }
@@ -473,7 +477,7 @@
                 .for_each(|worker| worker.tell(worker::Command::Crash));
             self.discovery.tell(discovery::Command::Stop(true));
             self.marks.lock().unwrap_or_else(PoisonError::into_inner).clear();
-            self.recorder.see(Seen::WorkersLost);
+            self.recorder.record(Observation::WorkersLostPower);
         }
         let gap = start.elapsed();
         for n in first..=last {
@@ -508,7 +512,8 @@
             }
             Spoil::Older | Spoil::Other => {
                 if how == Spoil::Older {
-                    self.recorder.see(Seen::DiskLost { gateway: n as u64 });
+                    self.recorder
+                        .record(Observation::GatewayDiskLost { gateway: n as u64 });
                 }
                 let from = match how {
                     Spoil::Older => state.with_extension("copy"),
@@ -528,7 +533,8 @@
                 }
             }
             Spoil::Empty => {
-                self.recorder.see(Seen::DiskLost { gateway: n as u64 });
+                self.recorder
+                    .record(Observation::GatewayDiskLost { gateway: n as u64 });
                 std::fs::remove_dir_all(&state)?;
             }
             Spoil::Unreadable => {
@@ -754,11 +760,11 @@
     stopped?;
     let lines = recorder.lines();
     let broken = audit::audit(&lines, &terms);
-    let count = |of: fn(&Seen) -> bool| lines.iter().filter(|line| of(&line.seen)).count();
-    let attempts = count(|seen| matches!(seen, Seen::Came { .. }));
-    let waited_for_load = count(|seen| matches!(seen, Seen::Began { warm: false, .. }));
-    let fetches = count(|seen| matches!(seen, Seen::Fetch { .. }));
-    let refused = count(|seen| matches!(seen, Seen::FetchRefused { .. }));
+    let count = |of: fn(&Observation) -> bool| lines.iter().filter(|line| of(&line.seen)).count();
+    let attempts = count(|seen| matches!(seen, Observation::AttemptReceived { .. }));
+    let waited_for_load = count(|seen| matches!(seen, Observation::AttemptExecuted { warm: false, .. }));
+    let fetches = count(|seen| matches!(seen, Observation::FetchRequested { .. }));
+    let refused = count(|seen| matches!(seen, Observation::FetchRefused { .. }));
     let tally = tally.lock().unwrap_or_else(PoisonError::into_inner).clone();
     Ok(Day {
         lines,
@@ -784,12 +790,12 @@
 }
 
 /// Reads what [`save`] wrote.
-pub fn load(path: &Path) -> io::Result<(Terms, Vec<Line>)> {
+pub fn load(path: &Path) -> io::Result<(Terms, Vec<RecordLine>)> {
     let text = std::fs::read_to_string(path)?;
     let mut lines = text.lines();
     let terms = serde_json::from_str(lines.next().unwrap_or(""))?;
     let lines = lines
         .map(serde_json::from_str)
-        .collect::<Result<Vec<Line>, _>>()?;
+        .collect::<Result<Vec<RecordLine>, _>>()?;
     Ok((terms, lines))
 }
--- a/crates/quartzdrift-lab/src/clients.rs
+++ b/crates/quartzdrift-lab/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients of a day: they call gateways at random moments, wait no longer than their limit, sometimes hang up, and
 //! come back where they were rejected or found nobody, as client libraries do.
 use crate::actor::Fake;
-use crate::record::{Recorder, Seen};
+use crate::record::{Observation, Recorder};
 use crate::script::RequestClass;
 use crate::traffic::{self, Arrival};
 use calloop::LoopHandle;
@@ -187,7 +187,7 @@
             true => now + request_class.limit.mul_f64(self.chance.random_range(0.0..0.2)),
             false => now + request_class.limit + LISTEN_ON,
         };
-        self.recorder.see(Seen::Asked {
+        self.recorder.record(Observation::CallSent {
             call: of.call,
             gateway: of.gateway as u64,
             key: of.key.clone(),
@@ -219,7 +219,7 @@
         let function_error = answer.headers.get("x-amz-function-error").is_some();
         let killed = function_error && answer.body.windows(11).any(|part| part == b"Quartzdrift");
         let status = answer.status;
-        self.recorder.see(Seen::Answered {
+        self.recorder.record(Observation::ResponseReceived {
             call: of.call,
             status,
             killed,
@@ -256,7 +256,8 @@
             }
             HttpEvent::CallFailed { call, failure } => {
                 let Some(of) = self.out.remove(&call) else { return };
-                self.recorder.see(Seen::Cut { call: of.call });
+                self.recorder
+                    .record(Observation::ConnectionLost { call: of.call });
                 self.count(|tally| tally.no_answer += 1);
                 // Nobody was there: the call never reached a gateway, so that trying another is harmless.
                 if failure == CallFailure::Connect {
@@ -315,7 +316,8 @@
         for call in over {
             if let Some(of) = self.out.remove(&call) {
                 self.http.cancel(call);
-                self.recorder.see(Seen::Left { call: of.call });
+                self.recorder
+                    .record(Observation::ClientDisconnected { call: of.call });
                 self.count(|tally| tally.no_answer += 1);
                 self.open.fetch_sub(1, Ordering::Relaxed);
             }
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -1,7 +1,7 @@
 //! A fake for the roster: HTTP service discovery JSON at `/workers/GATEWAY`, with changes pushed over
 //! server-sent events to those who accept them, as late as told.
 use crate::actor::Fake;
-use crate::record::{Recorder, Seen};
+use crate::record::{Observation, Recorder};
 use calloop::LoopHandle;
 use quartzdrift_discovery::{ConfiguredNames, DiscoveredEndpoint, event_stream, list};
 use quartzdrift_http::{Exchange, HasHttp, Headers, Http, HttpEvent, Limits, Response};
@@ -85,8 +85,12 @@
             let Some(recorder) = &self.recorder else { continue };
             let worker = one.worker.clone();
             match (before, up) {
-                (Some(true) | None, false) => recorder.see(Seen::ToldAway { gateway, worker }),
-                (Some(false) | None, true) => recorder.see(Seen::ToldUp { gateway, worker }),
+                (Some(true) | None, false) => {
+                    recorder.record(Observation::EndpointDownSent { gateway, worker })
+                }
+                (Some(false) | None, true) => {
+                    recorder.record(Observation::EndpointUpSent { gateway, worker })
+                }
                 (Some(true), true) | (Some(false), false) => {}
             }
         }
--- a/crates/quartzdrift-lab/src/losses.rs
+++ b/crates/quartzdrift-lab/src/losses.rs
@@ -1,6 +1,6 @@
 //! Days of power loss drawn from a seed: who is back when, what is spoilt, cut off, set wrong or lost again meanwhile.
 use crate::badday::{self, Day, Program};
-use crate::record::Seen;
+use crate::record::Observation;
 use crate::script::{self, Fault, Script};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -121,12 +121,12 @@
     let start = day
         .lines
         .iter()
-        .find(|line| matches!(line.seen, Seen::Asked { .. }))?
+        .find(|line| matches!(line.seen, Observation::CallSent { .. }))?
         .at_us as f64
         / 1e6;
     for line in &day.lines {
         let at = line.at_us as f64 / 1e6 - start;
-        if let Seen::Asked {
+        if let Observation::CallSent {
             call,
             key,
             request_class,
@@ -143,7 +143,7 @@
             keys.entry(key).or_insert((at, target, false));
             calls.insert(*call, key);
         }
-        if let Seen::Answered {
+        if let Observation::ResponseReceived {
             call,
             status: 200,
             killed: false,
--- a/crates/quartzdrift-lab/src/record.rs
+++ b/crates/quartzdrift-lab/src/record.rs
@@ -7,9 +7,10 @@
 /// Times are microseconds since the record began, on one clock for all of a day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum Seen {
+pub enum Observation {
     /// A client's call left; `key` is the same for its repeats. `limit_us` is its time limit.
-    Asked {
+    #[serde(rename = "asked")]
+    CallSent {
         call: u64,
         gateway: u64,
         key: String,
@@ -20,22 +21,26 @@
         limit_us: u64,
     },
     /// The client has its answer.
-    Answered {
+    #[serde(rename = "answered")]
+    ResponseReceived {
         call: u64,
         status: u16,
         killed: bool,
         function_error: bool,
     },
     /// The client hung up.
-    Left {
+    #[serde(rename = "left")]
+    ClientDisconnected {
         call: u64,
     },
     /// The connection ended without an answer.
-    Cut {
+    #[serde(rename = "cut")]
+    ConnectionLost {
         call: u64,
     },
     /// A call reached a worker; `incarnation` counts its starts, `request` is the gateway's name for the request.
-    Came {
+    #[serde(rename = "came")]
+    AttemptReceived {
         worker: String,
         #[serde(rename = "life")]
         incarnation: u64,
@@ -49,7 +54,8 @@
         work_us: u64,
     },
     /// Its work had its effect; `warm`: it found its copy loaded.
-    Began {
+    #[serde(rename = "began")]
+    AttemptExecuted {
         worker: String,
         #[serde(rename = "life")]
         incarnation: u64,
@@ -57,7 +63,8 @@
         warm: bool,
     },
     /// A worker asked the store for a function.
-    Fetch {
+    #[serde(rename = "fetch")]
+    FetchRequested {
         worker: String,
     },
     /// The store turned it away.
@@ -65,36 +72,42 @@
         worker: String,
     },
     /// Nothing more is under way between gateway and worker: answered or closed.
-    Over {
+    #[serde(rename = "over")]
+    AttemptEnded {
         worker: String,
         #[serde(rename = "life")]
         incarnation: u64,
         call: u64,
     },
     /// A worker answered that it did not take the call.
-    Refused {
+    #[serde(rename = "refused")]
+    AttemptRejected {
         worker: String,
         #[serde(rename = "life")]
         incarnation: u64,
         call: u64,
     },
     /// A load order for more than nothing reached a worker.
-    Ordered {
+    #[serde(rename = "ordered")]
+    LoadCommandReceived {
         worker: String,
         gateway: u64,
     },
     /// The roster sent a gateway the news that a worker drains or is gone.
-    ToldAway {
+    #[serde(rename = "told_away")]
+    EndpointDownSent {
         gateway: u64,
         worker: String,
     },
     /// And that it is up again.
-    ToldUp {
+    #[serde(rename = "told_up")]
+    EndpointUpSent {
         gateway: u64,
         worker: String,
     },
     /// A worker started, with so much capacity, cold for so long.
-    Started {
+    #[serde(rename = "started")]
+    WorkerStarted {
         worker: String,
         #[serde(rename = "life")]
         incarnation: u64,
@@ -102,17 +115,21 @@
         cold_from: f64,
         cold_us: u64,
     },
-    Fell {
+    #[serde(rename = "fell")]
+    WorkerOverloaded {
         worker: String,
     },
     /// What a gateway kept on disk is gone, or older than what it did.
-    DiskLost {
+    #[serde(rename = "disk_lost")]
+    GatewayDiskLost {
         gateway: u64,
     },
     /// Workers lost power: what they remembered is gone.
-    WorkersLost,
+    #[serde(rename = "workers_lost")]
+    WorkersLostPower,
     /// A gateway process runs from here on, and is killed outright there.
-    GatewayUp {
+    #[serde(rename = "gateway_up")]
+    GatewayStarted {
         gateway: u64,
     },
     GatewayKilled {
@@ -121,17 +138,17 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct RecordLine {
     pub at_us: u64,
     #[serde(flatten)]
-    pub seen: Seen,
+    pub seen: Observation,
 }
 
 /// Shared by all threads of a day.
 #[derive(Clone)]
 pub struct Recorder {
     start: Instant,
-    lines: Arc<Mutex<Vec<Line>>>,
+    lines: Arc<Mutex<Vec<RecordLine>>>,
 }
 
 impl Default for Recorder {
@@ -144,19 +161,22 @@
 }
 
 impl Recorder {
-    pub fn see(&self, seen: Seen) {
+    pub fn record(&self, observation: Observation) {
         let at_us = self.start.elapsed().as_micros() as u64;
         self.lines
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push(Line { at_us, seen });
+            .push(RecordLine {
+                at_us,
+                seen: observation,
+            });
     }
 
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn lines(&self) -> Vec<RecordLine> {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone();
         lines.sort_by_key(|line| line.at_us);
         lines
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -2,7 +2,7 @@
 use crate::actor::Fake;
 use crate::functions;
 use crate::model::{Found, Machine, Say, Spec, Worker};
-use crate::record::{Recorder, Seen};
+use crate::record::{Observation, Recorder};
 use calloop::LoopHandle;
 use quartzdrift_http::{
     CallId, Exchange, HasHttp, Headers, Http, HttpEvent, Limits, OutgoingRequest, Request, Response,
@@ -169,9 +169,9 @@
         worker
     }
 
-    fn see(&self, seen: Seen) {
+    fn record(&self, observation: Observation) {
         if let Some(recorder) = &self.config.recorder {
-            recorder.see(seen);
+            recorder.record(observation);
         }
     }
 
@@ -179,7 +179,7 @@
         self.incarnation += 1;
         let Machine { cores, cold_from, .. } = self.config.machine;
         let cold_us = cold_for.as_micros() as u64;
-        self.see(Seen::Started {
+        self.record(Observation::WorkerStarted {
             worker: self.address.to_string(),
             incarnation: self.incarnation,
             cores,
@@ -205,7 +205,7 @@
         let work = functions::work(&body).unwrap_or(self.model.spec(&function).work);
         if self.config.recorder.is_some() {
             let told: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-            self.see(Seen::Came {
+            self.record(Observation::AttemptReceived {
                 worker: self.address.to_string(),
                 incarnation: self.incarnation,
                 call: id,
@@ -261,7 +261,7 @@
     }
 
     fn not_taken(&mut self, id: u64) {
-        self.see(Seen::Refused {
+        self.record(Observation::AttemptRejected {
             worker: self.address.to_string(),
             incarnation: self.incarnation,
             call: id,
@@ -309,7 +309,7 @@
             ModelRequest::Load(function) => {
                 let copies = models::decode_replicas(body).unwrap_or(1);
                 if copies > 0 {
-                    self.see(Seen::Ordered {
+                    self.record(Observation::LoadCommandReceived {
                         worker: self.address.to_string(),
                         gateway,
                     });
@@ -403,7 +403,7 @@
                     }
                 }
                 Say::Fell => {
-                    self.see(Seen::Fell {
+                    self.record(Observation::WorkerOverloaded {
                         worker: self.address.to_string(),
                     });
                     self.crash();
@@ -415,7 +415,7 @@
 
     fn may_have_executed(&mut self, call: u64, found: Found, crowd: usize, wanted: bool) {
         let (worker, incarnation, warm) = (self.address.to_string(), self.incarnation, found == Found::Warm);
-        self.see(Seen::Began {
+        self.record(Observation::AttemptExecuted {
             worker,
             incarnation,
             call,
@@ -436,7 +436,7 @@
     }
 
     fn fetch(&mut self, load: u64, function: &str, takes: Duration) {
-        self.see(Seen::Fetch {
+        self.record(Observation::FetchRequested {
             worker: self.address.to_string(),
         });
         let Some(store) = self.config.store else {
@@ -481,7 +481,7 @@
 
     fn over(&mut self, id: u64, exchange: Exchange) {
         if self.by_exchange.remove(&exchange).is_some() {
-            self.see(Seen::Over {
+            self.record(Observation::AttemptEnded {
                 worker: self.address.to_string(),
                 incarnation: self.incarnation,
                 call: id,
@@ -504,7 +504,7 @@
         self.up = false;
         let open: Vec<(Exchange, u64)> = self.by_exchange.drain().collect();
         for (_, id) in open {
-            self.see(Seen::Over {
+            self.record(Observation::AttemptEnded {
                 worker: self.address.to_string(),
                 incarnation: self.incarnation,
                 call: id,
@@ -562,7 +562,7 @@
                 if let Some(load) = self.fetches.remove(&call) {
                     let now = self.now();
                     if response.status != 200 {
-                        self.see(Seen::FetchRefused {
+                        self.record(Observation::FetchRefused {
                             worker: self.address.to_string(),
                         });
                     }
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -10,7 +10,7 @@
 use quartzdrift_lab::discovery::{self, Discovery};
 use quartzdrift_lab::load;
 use quartzdrift_lab::model::Machine;
-use quartzdrift_lab::record::{Recorder, Seen};
+use quartzdrift_lab::record::{Observation, Recorder};
 use quartzdrift_lab::script;
 use quartzdrift_lab::stage::failing;
 use quartzdrift_lab::traffic::Arrival;
@@ -218,10 +218,10 @@
     }
 
     /// Waits until the record shows what is asked for.
-    fn wait<T>(&self, what: &str, find: impl Fn(&[Seen]) -> Option<T>) -> T {
+    fn wait<T>(&self, what: &str, find: impl Fn(&[Observation]) -> Option<T>) -> T {
         let until = Instant::now() + Duration::from_secs(15);
         loop {
-            let seen: Vec<Seen> = self.recorder.lines().into_iter().map(|line| line.seen).collect();
+            let seen: Vec<Observation> = self.recorder.lines().into_iter().map(|line| line.seen).collect();
             if let Some(found) = find(&seen) {
                 return found;
             }
@@ -231,14 +231,16 @@
     }
 
     fn came(&self, key: &str) -> usize {
-        let of = |line: &quartzdrift_lab::record::Line| matches!(&line.seen, Seen::Came { key: of, .. } if of == key);
-        self.recorder.lines().iter().filter(|line| of(line)).count()
+        let has_key =
+            |seen: &Observation| matches!(seen, Observation::AttemptReceived { key: k, .. } if k == key);
+        let lines = self.recorder.lines();
+        lines.iter().filter(|line| has_key(&line.seen)).count()
     }
 }
 
-fn came(seen: &[Seen], wanted: &str) -> Option<String> {
-    seen.iter().find_map(|seen| match seen {
-        Seen::Came { key, worker, .. } if key == wanted => Some(worker.clone()),
+fn came(seen: &[Observation], wanted: &str) -> Option<String> {
+    seen.iter().find_map(|observation| match observation {
+        Observation::AttemptReceived { key, worker, .. } if key == wanted => Some(worker.clone()),
         _ => None,
     })
 }
@@ -381,7 +383,7 @@
     stage.wait("the job", |seen| came(seen, "left"));
     drop(client);
     stage.wait("its end", |seen| {
-        let over = |seen: &&Seen| matches!(seen, Seen::Over { .. });
+        let over = |seen: &&Observation| matches!(seen, Observation::AttemptEnded { .. });
         seen.iter().find(over).map(drop)
     });
     assert_eq!(gateway.invoke("pay", r#"{"key": "next"}"#).status, 200);
@@ -482,7 +484,7 @@
     stage.wait("the end of the doubtful job", |seen| {
         let over = seen
             .iter()
-            .filter(|seen| matches!(seen, Seen::Over { .. }))
+            .filter(|seen| matches!(seen, Observation::AttemptEnded { .. }))
             .count();
         came(seen, "doubt").filter(|_| over >= 2)
     });
@@ -511,7 +513,8 @@
     let timer = "[[timers]]\nname = \"tick\"\nfunction = \"echo\"\ncron = \"* * * * * *\"\npayload = '{\"key\": \"tick\"}'\n";
     let _gateway = stage.gateway_with("", timer);
     stage.wait("two firings", |seen| {
-        let fired = |seen: &&Seen| matches!(seen, Seen::Came { key, .. } if key == "tick");
+        let fired =
+            |seen: &&Observation| matches!(seen, Observation::AttemptReceived { key, .. } if key == "tick");
         (seen.iter().filter(fired).count() >= 2).then_some(())
     });
 }
@@ -584,7 +587,7 @@
     );
     std::fs::write(&file, text).unwrap();
     let mut gateway = Gateway::start(&file);
-    let ordered = |seen: &Seen| matches!(seen, Seen::Ordered { .. });
+    let ordered = |seen: &Observation| matches!(seen, Observation::LoadCommandReceived { .. });
     let start = Instant::now();
     let mut calls = 0;
     while !stage.recorder.lines().iter().any(|line| ordered(&line.seen)) {
@@ -658,7 +661,9 @@
     let draining = quartzdrift_scheduler::interface::EndpointState::Draining;
     discovery.tell(discovery::Command::Set(state_of(&workers[0], draining)));
     stage.wait("the drain", |seen| {
-        seen.iter().find(|s| matches!(s, Seen::ToldAway { .. })).map(drop)
+        seen.iter()
+            .find(|s| matches!(s, Observation::EndpointDownSent { .. }))
+            .map(drop)
     });
     // The news is on the gateway's socket; give it the grace that the rule gives.
     std::thread::sleep(Duration::from_millis(250));
@@ -667,7 +672,7 @@
     }
     let lines = stage.recorder.lines();
     let after = lines.iter().filter_map(|line| match &line.seen {
-        Seen::Came { key, worker, .. } if key.starts_with("after-") => Some(worker.clone()),
+        Observation::AttemptReceived { key, worker, .. } if key.starts_with("after-") => Some(worker.clone()),
         _ => None,
     });
     assert!(after.clone().count() >= 30 && after.into_iter().all(|worker| worker == workers[1]));
@@ -1301,6 +1306,9 @@
         gateway.invoke("echo", &format!("{{\"key\": \"after-{n}\"}}"));
     }
     let lines = stage.recorder.lines();
-    let after = |seen: &Seen| matches!(seen, Seen::Came { key, worker, .. } if key.starts_with("after-") && *worker != workers[0]);
+    let after = |seen: &Observation| {
+        matches!(seen, Observation::AttemptReceived { key, worker, .. }
+            if key.starts_with("after-") && *worker != workers[0])
+    };
     assert!(!lines.iter().any(|line| after(&line.seen)));
 }
--- a/crates/quartzdrift-lab/tests/recovery.rs
+++ b/crates/quartzdrift-lab/tests/recovery.rs
@@ -2,7 +2,7 @@
 //! each day by what passed on the sockets; what each gateway took its start for is read from its own state.
 use quartzdrift_lab::badday::{Day, Program, play};
 use quartzdrift_lab::losses;
-use quartzdrift_lab::record::Seen;
+use quartzdrift_lab::record::Observation;
 use quartzdrift_lab::script;
 use quartzdrift_recovery::{DiskState, RecoveryPhase, RestartKind};
 use std::path::Path;
@@ -40,10 +40,10 @@
 /// Calls that finished after the moment, in seconds.
 fn finished_after(day: &Day, from: f64) -> usize {
     let late = |at_us: u64| at_us as f64 / 1e6 >= from;
-    let of = |seen: &Seen| {
+    let of = |seen: &Observation| {
         matches!(
             seen,
-            Seen::Answered {
+            Observation::ResponseReceived {
                 status: 200,
                 killed: false,
                 ..
@@ -230,9 +230,12 @@
 /// Fetches after the moment in seconds, and how many of them the store turned away.
 fn fetches_after(day: &Day, from: f64) -> (usize, usize) {
     let late = day.lines.iter().filter(|line| line.at_us as f64 / 1e6 >= from);
-    let count = |of: fn(&Seen) -> bool| late.clone().filter(|line| of(&line.seen)).count();
-    let refused = count(|seen| matches!(seen, Seen::FetchRefused { .. }));
-    (count(|seen| matches!(seen, Seen::Fetch { .. })), refused)
+    let count = |of: fn(&Observation) -> bool| late.clone().filter(|line| of(&line.seen)).count();
+    let refused = count(|seen| matches!(seen, Observation::FetchRefused { .. }));
+    (
+        count(|seen| matches!(seen, Observation::FetchRequested { .. })),
+        refused,
+    )
 }
 
 #[test]
