--- a/crates/quartzdrift-lab/src/badday.rs
+++ b/crates/quartzdrift-lab/src/badday.rs
@@ -104,7 +104,7 @@
     switch: Option<Switch>,
     /// Links from gateways to workers, where the day has faults on some.
     relays: BTreeMap<(usize, usize), Relay>,
-    marks: worker::Marks,
+    marks: worker::SharedIdempotencyKeys,
     boots: u32,
 }
 
@@ -353,7 +353,7 @@
 
     fn set_faults(&mut self, n: usize, change: impl FnOnce(&mut Faults)) {
         change(&mut self.faults[n]);
-        self.workers[n].tell(worker::Command::Faults(self.faults[n].clone()));
+        self.workers[n].tell(worker::Command::SetFaults(self.faults[n].clone()));
     }
 
     fn list(&self, n: usize, state: EndpointState) {
@@ -382,10 +382,10 @@
             Fault::Silent(n) => self.set_faults(n, |faults| faults.silent = true),
             Fault::Hang(n) => self.set_faults(n, |faults| faults.hang = true),
             Fault::Well(n) => self.set_faults(n, |faults| *faults = Faults::default()),
-            Fault::Errors(n, share) => self.set_faults(n, |faults| faults.errors = share),
-            Fault::Lose(n, share) => self.set_faults(n, |faults| faults.lost = share),
-            Fault::Slow(n, by) => self.set_faults(n, |faults| faults.slow = by),
-            Fault::Late(n, by) => self.set_faults(n, |faults| faults.late_reports = by),
+            Fault::Errors(n, share) => self.set_faults(n, |faults| faults.error_share = share),
+            Fault::Lose(n, share) => self.set_faults(n, |faults| faults.lost_response_share = share),
+            Fault::Slow(n, by) => self.set_faults(n, |faults| faults.response_delay = by),
+            Fault::Late(n, by) => self.set_faults(n, |faults| faults.report_delay = by),
             Fault::DiscoveryLag(lag) => self.discovery.tell(discovery::Command::Lag(lag)),
             Fault::DiscoveryStop(on) => self.discovery.tell(discovery::Command::Stop(on)),
             Fault::DiscoveryEmpty(on) => self.discovery.tell(discovery::Command::Empty(on)),
@@ -440,7 +440,7 @@
             }
             Fault::Link(gateway, worker, link) => {
                 if let Some(relay) = self.relays.get(&(gateway, worker)) {
-                    relay.set(link);
+                    relay.set_state(link);
                 }
             }
             Fault::DiscoveryStall(n, on) => self.discovery.tell(discovery::Command::Stall(n as u64, on)),
@@ -612,7 +612,7 @@
     let recorder = Recorder::default();
     let store_config = store_config(script);
     let store = actor::spawn(any(), move |handle, _| Store::new(handle, store_config))?;
-    let marks: worker::Marks = Arc::default();
+    let marks: worker::SharedIdempotencyKeys = Arc::default();
     let window = script
         .request_classes
         .iter()
@@ -625,8 +625,8 @@
             machine: machine(script),
             specs: specs(script),
             store: Some(store.address),
-            marks: Some(marks.clone()),
-            window,
+            idempotency_keys: Some(marks.clone()),
+            deduplication_window: window,
             recorder: Some(recorder.clone()),
             seed: seed ^ n as u64,
             ..worker::Config::default()
@@ -713,7 +713,7 @@
     );
     let of = recorder.clone();
     let (open_too, tally_too) = (open.clone(), tally.clone());
-    let arrivals = traffic::arrivals(script, seed);
+    let arrivals = traffic::generate_arrivals(script, seed);
     let (repeats, haste) = (script.repeats, script.haste);
     let plan = clients::Plan {
         request_classes: script.request_classes.clone(),
--- a/crates/quartzdrift-lab/src/clients.rs
+++ b/crates/quartzdrift-lab/src/clients.rs
@@ -143,7 +143,7 @@
         let hangs_up = self.chance.random_range(0.0..1.0) < of.hang_up;
         self.drawn += 1;
         let key = format!("{}-{}", of.name, self.drawn);
-        let gateway = arrival.gateway_of(self.gateways.len());
+        let gateway = arrival.gateway_index(self.gateways.len());
         let (repeats, until, call, first) = (0, Duration::ZERO, 0, now);
         self.send(
             Try {
@@ -282,7 +282,7 @@
         let arrivals = self
             .arrivals
             .get(self.next)
-            .map(|arrival| self.start + traffic::at(arrival))
+            .map(|arrival| self.start + traffic::arrival_time(arrival))
             .into_iter();
         let later = self.later.iter().map(|(at, _)| *at);
         let until = self.out.values().map(|of| of.until);
@@ -293,7 +293,7 @@
         while let Some(arrival) = self
             .arrivals
             .get(self.next)
-            .filter(|a| self.start + traffic::at(a) <= now)
+            .filter(|a| self.start + traffic::arrival_time(a) <= now)
         {
             let arrival = arrival.clone();
             self.next += 1;
--- a/crates/quartzdrift-lab/src/emulate/clients.rs
+++ b/crates/quartzdrift-lab/src/emulate/clients.rs
@@ -5,9 +5,9 @@
 impl Sim<'_> {
     pub(super) fn arrive(&mut self, n: usize) {
         if let Some(next) = self.arrivals.get(n + 1) {
-            self.put(START + traffic::at(next), Ev::Arrive(n + 1));
+            self.put(START + traffic::arrival_time(next), Ev::Arrive(n + 1));
         }
-        let gateway = self.arrivals[n].gateway_of(self.schedulers.len());
+        let gateway = self.arrivals[n].gateway_index(self.schedulers.len());
         let client = Client {
             arrival: n,
             repeats: 0,
--- a/crates/quartzdrift-lab/src/emulate/faults.rs
+++ b/crates/quartzdrift-lab/src/emulate/faults.rs
@@ -51,10 +51,10 @@
                 }
                 self.act(w);
             }
-            Fault::Errors(w, share) => self.workers[w].faults.errors = share,
-            Fault::Lose(w, share) => self.workers[w].faults.lost = share,
-            Fault::Slow(w, by) => self.workers[w].faults.slow = by,
-            Fault::Late(w, by) => self.workers[w].faults.late_reports = by,
+            Fault::Errors(w, share) => self.workers[w].faults.error_share = share,
+            Fault::Lose(w, share) => self.workers[w].faults.lost_response_share = share,
+            Fault::Slow(w, by) => self.workers[w].faults.response_delay = by,
+            Fault::Late(w, by) => self.workers[w].faults.report_delay = by,
             Fault::DiscoveryLag(lag) => self.lag = lag,
             Fault::DiscoveryStop(on) => {
                 self.discovery_stopped = on;
--- a/crates/quartzdrift-lab/src/emulate/fleet.rs
+++ b/crates/quartzdrift-lab/src/emulate/fleet.rs
@@ -329,12 +329,12 @@
         let gateways = self.schedulers.len();
         let first = self
             .arrivals
-            .partition_point(|a| START + crate::traffic::at(a) < from);
+            .partition_point(|a| START + crate::traffic::arrival_time(a) < from);
         let of = self.arrivals[first..]
             .iter()
             .enumerate()
-            .take_while(|(_, a)| START + crate::traffic::at(a) < to);
-        let own = of.filter(|(_, a)| s.is_none_or(|s| a.gateway_of(gateways) == s));
+            .take_while(|(_, a)| START + crate::traffic::arrival_time(a) < to);
+        let own = of.filter(|(_, a)| s.is_none_or(|s| a.gateway_index(gateways) == s));
         let (mut all, mut good) = (0u32, 0u32);
         for (n, _) in own {
             all += 1;
--- a/crates/quartzdrift-lab/src/emulate/mod.rs
+++ b/crates/quartzdrift-lab/src/emulate/mod.rs
@@ -449,7 +449,7 @@
             self.put(START + *at, Ev::Fault(n));
         }
         if let Some(first) = self.arrivals.first() {
-            self.put(START + traffic::at(first), Ev::Arrive(0));
+            self.put(START + traffic::arrival_time(first), Ev::Arrive(0));
         }
         if self.variant.forecasting == Forecasting::Foresight {
             self.put(START, Ev::Foresee(0));
@@ -675,7 +675,7 @@
     #[test]
     fn a_day_is_the_same_for_a_seed_and_nobody_falls_over() {
         let script = day();
-        let arrivals = traffic::arrivals(&script, 1);
+        let arrivals = traffic::generate_arrivals(&script, 1);
         let first = run(&script, &arrivals, &Variant::default(), 1);
         assert_eq!(first, run(&script, &arrivals, &Variant::default(), 1));
         assert!(first.finished as f64 > 0.95 * arrivals.len() as f64, "{first:?}");
@@ -687,7 +687,7 @@
     #[test]
     fn timers_are_loaded_ahead_and_the_ration_holds() {
         let script = day();
-        let arrivals = traffic::arrivals(&script, 2);
+        let arrivals = traffic::generate_arrivals(&script, 2);
         let off = run(&script, &arrivals, &Variant::default(), 2);
         let on = Variant {
             forecasting: Forecasting::On,
--- a/crates/quartzdrift-lab/src/emulate/power.rs
+++ b/crates/quartzdrift-lab/src/emulate/power.rs
@@ -62,7 +62,8 @@
 
     /// Calls a second of this time that were in time.
     fn goodput(&self, from: Duration, to: Duration) -> f64 {
-        let of = |a: &crate::traffic::Arrival| (from..to).contains(&(START + crate::traffic::at(a)));
+        let of =
+            |a: &crate::traffic::Arrival| (from..to).contains(&(START + crate::traffic::arrival_time(a)));
         let good = self.in_time.iter().filter(|n| of(&self.arrivals[**n])).count();
         good as f64 / to.saturating_sub(from).as_secs_f64().max(1.0)
     }
@@ -89,7 +90,8 @@
     fn power_bound(&self, off: Duration) -> Duration {
         let from = off.saturating_sub(BEFORE);
         let mut asked: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        let of = |a: &&crate::traffic::Arrival| (from..off).contains(&(START + crate::traffic::at(a)));
+        let of =
+            |a: &&crate::traffic::Arrival| (from..off).contains(&(START + crate::traffic::arrival_time(a)));
         for arrival in self.arrivals.iter().filter(of) {
             asked
                 .entry(&arrival.function)
--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -88,12 +88,12 @@
         let early = loads.max().unwrap_or_default().mul_f64(1.5);
         if let Some(next) = self.arrivals.get(n + 1) {
             self.put(
-                (START + traffic::at(next)).saturating_sub(early),
+                (START + traffic::arrival_time(next)).saturating_sub(early),
                 Ev::Foresee(n + 1),
             );
         }
         let arrival = &self.arrivals[n];
-        let s = arrival.gateway_of(self.schedulers.len());
+        let s = arrival.gateway_index(self.schedulers.len());
         let request_class = &self.script.request_classes[arrival.request_class];
         let within = early.max(self.script.keep / 2);
         if let Some(request_table) = &mut self.schedulers[s].request_table {
--- a/crates/quartzdrift-lab/src/emulate/workers.rs
+++ b/crates/quartzdrift-lab/src/emulate/workers.rs
@@ -22,7 +22,7 @@
         if worker.faults.silent || worker.faults.hang {
             return;
         }
-        if worker.faults.errors > 0.0 && self.chance.random_range(0.0..1.0) < worker.faults.errors {
+        if worker.faults.error_share > 0.0 && self.chance.random_range(0.0..1.0) < worker.faults.error_share {
             worker.calls.remove(&call);
             return self.later(back(Outcome::Error));
         }
@@ -58,10 +58,10 @@
             worker
                 .reports
                 .push((now, vec![Some(load.held as f64), Some(load.memory_taken)]));
-            let oldest = now.saturating_sub(worker.faults.late_reports + REPORT_EVERY * 4);
+            let oldest = now.saturating_sub(worker.faults.report_delay + REPORT_EVERY * 4);
             worker.reports.retain(|(at, _)| *at >= oldest);
         }
-        let told = now.saturating_sub(worker.faults.late_reports);
+        let told = now.saturating_sub(worker.faults.report_delay);
         let of = worker
             .reports
             .iter()
@@ -157,7 +157,8 @@
                 .insert(call, (scheduler, incarnation, request, attempt));
             return;
         }
-        let lost = faults.lost > 0.0 && self.chance.random_range(0.0..1.0) < faults.lost;
+        let lost = faults.lost_response_share > 0.0
+            && self.chance.random_range(0.0..1.0) < faults.lost_response_share;
         let told = match found {
             Found::Warm => CacheResult::Warm,
             Found::StartedLoad => CacheResult::StartedLoad,
@@ -173,7 +174,9 @@
                 report: self.report(w),
             },
         };
-        let at = self.now + faults.slow + Duration::from_secs_f64(self.chance.random_range(0.0002..0.0006));
+        let at = self.now
+            + faults.response_delay
+            + Duration::from_secs_f64(self.chance.random_range(0.0002..0.0006));
         self.put(
             at,
             Ev::Back {
--- a/crates/quartzdrift-lab/src/experiment.rs
+++ b/crates/quartzdrift-lab/src/experiment.rs
@@ -90,7 +90,7 @@
                     let Some(&(day, variant, seed)) = plan.get(at) else {
                         return;
                     };
-                    let arrivals = traffic::arrivals(&scripts[day], seed);
+                    let arrivals = traffic::generate_arrivals(&scripts[day], seed);
                     let of = &experiment.variants[variant];
                     let figures = emulate::run(&scripts[day], &arrivals, &of.is, seed);
                     let (day, variant) = (experiment.days[day].name.clone(), of.name.clone());
--- a/crates/quartzdrift-lab/src/load.rs
+++ b/crates/quartzdrift-lab/src/load.rs
@@ -19,18 +19,18 @@
 
 #[derive(Clone, Debug)]
 pub struct Plan {
-    pub to: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// Functions and how often each is called against the others.
     pub mix: Vec<(String, f64)>,
-    pub rate: f64,
-    pub length: Duration,
+    pub requests_per_s: f64,
+    pub duration: Duration,
     pub payload: String,
     pub asynchronous: bool,
     /// Calls out at a time at most; those that should leave meanwhile are counted as not sent.
-    pub out_most: usize,
+    pub max_in_flight: usize,
     pub timeout: Duration,
     /// Evenly spaced in place of random arrivals.
-    pub even: bool,
+    pub evenly_spaced: bool,
     /// Calls of a trace, each at its moment, in place of mix, rate and length.
     pub trace: Option<Vec<Arrival>>,
     pub seed: u64,
@@ -38,14 +38,14 @@
 
 /// What came of a plan, by outcome.
 pub struct Report {
-    pub times: BTreeMap<&'static str, Histogram<u64>>,
+    pub latencies_us: BTreeMap<&'static str, Histogram<u64>>,
     pub not_sent: u64,
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 impl Report {
     pub fn count(&self) -> u64 {
-        self.times.values().map(Histogram::len).sum()
+        self.latencies_us.values().map(Histogram::len).sum()
     }
 }
 
@@ -56,7 +56,7 @@
             "{:<12} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9}",
             "outcome", "calls", "p50 ms", "p90", "p99", "p99.9", "max"
         )?;
-        for (outcome, times) in &self.times {
+        for (outcome, times) in &self.latencies_us {
             let ms = |share| times.value_at_quantile(share) as f64 / 1000.0;
             writeln!(
                 f,
@@ -69,7 +69,7 @@
                 times.max() as f64 / 1000.0
             )?;
         }
-        let rate = self.count() as f64 / self.took.as_secs_f64();
+        let rate = self.count() as f64 / self.duration.as_secs_f64();
         write!(
             f,
             "{rate:.0} answers a second; {} calls not sent, as too many were out",
@@ -111,7 +111,7 @@
             http: Http::new(
                 handle,
                 Limits {
-                    connections_per_server: plan.out_most,
+                    connections_per_server: plan.max_in_flight,
                     ..Limits::default()
                 },
             ),
@@ -119,16 +119,16 @@
             targets: targets.collect(),
             payload: Rc::from(plan.payload.as_bytes()),
             next: match &plan.trace {
-                Some(trace) => trace.first().map(traffic::at),
+                Some(trace) => trace.first().map(traffic::arrival_time),
                 None => Some(Duration::ZERO),
             },
             left: 0,
             sent: 0,
             out: HashMap::new(),
             report: Report {
-                times: BTreeMap::new(),
+                latencies_us: BTreeMap::new(),
                 not_sent: 0,
-                took: plan.length,
+                duration: plan.duration,
             },
             chance: StdRng::seed_from_u64(plan.seed),
             plan,
@@ -142,13 +142,16 @@
                 .get(self.left)
                 .map(|arrival| request::invoke_target(&arrival.function));
             self.left += 1;
-            return (target.unwrap_or_default(), trace.get(self.left).map(traffic::at));
+            return (
+                target.unwrap_or_default(),
+                trace.get(self.left).map(traffic::arrival_time),
+            );
         }
-        let gap = match self.plan.even {
-            true => 1.0 / self.plan.rate,
-            false => traffic::gap(&mut self.chance, self.plan.rate),
+        let gap = match self.plan.evenly_spaced {
+            true => 1.0 / self.plan.requests_per_s,
+            false => traffic::interarrival_s(&mut self.chance, self.plan.requests_per_s),
         };
-        let next = Some(at + Duration::from_secs_f64(gap)).filter(|next| *next < self.plan.length);
+        let next = Some(at + Duration::from_secs_f64(gap)).filter(|next| *next < self.plan.duration);
         let drawn = self.chance.random_range(0.0..1.0);
         let target = self
             .targets
@@ -159,7 +162,7 @@
     }
 
     fn send(&mut self, at: Duration, target: String) {
-        if self.out.len() >= self.plan.out_most {
+        if self.out.len() >= self.plan.max_in_flight {
             self.report.not_sent += 1;
             return;
         }
@@ -175,7 +178,7 @@
             connect_timeout: self.plan.timeout,
             streams_response: false,
         };
-        let to = self.plan.to[self.sent % self.plan.to.len()];
+        let to = self.plan.addresses[self.sent % self.plan.addresses.len()];
         self.sent += 1;
         let call = self.http.call(to, request);
         self.out.insert(call, (at, at + self.plan.timeout));
@@ -186,7 +189,7 @@
             return;
         };
         let took = (self.now().saturating_sub(at).as_micros() as u64).clamp(1, LONGEST_US);
-        let times = self.report.times.entry(outcome).or_insert_with(|| {
+        let times = self.report.latencies_us.entry(outcome).or_insert_with(|| {
             // The bounds are constants that the library takes.
             Histogram::new_with_bounds(1, LONGEST_US, DIGITS).unwrap_or_else(|_| unreachable!("good bounds"))
         });
--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -134,7 +134,7 @@
     /// Measure what a gateway costs: calls a second, time added, memory
     Measure {
         /// All of them, where none is named
-        what: Vec<measure::What>,
+        what: Vec<measure::Measurement>,
         /// Requests over which memory must stay flat
         #[arg(long, alias = "jobs", default_value_t = 1_000_000.0)]
         requests: f64,
@@ -312,22 +312,26 @@
             seed,
         } => {
             let (asynchronous, out_most) = (event, out);
-            trace.as_deref().map(traffic::read).transpose().and_then(|trace| {
-                let plan = load::Plan {
-                    to,
-                    mix,
-                    rate,
-                    length,
-                    payload,
-                    asynchronous,
-                    out_most,
-                    timeout,
-                    even,
-                    trace,
-                    seed,
-                };
-                load::run(plan).map(|report| println!("{report}"))
-            })
+            trace
+                .as_deref()
+                .map(traffic::read_trace)
+                .transpose()
+                .and_then(|trace| {
+                    let plan = load::Plan {
+                        addresses: to,
+                        mix,
+                        requests_per_s: rate,
+                        duration: length,
+                        payload,
+                        asynchronous,
+                        max_in_flight: out_most,
+                        timeout,
+                        evenly_spaced: even,
+                        trace,
+                        seed,
+                    };
+                    load::run(plan).map(|report| println!("{report}"))
+                })
         }
         Command::Emulate {
             script,
@@ -561,8 +565,8 @@
 ) -> std::io::Result<()> {
     let script = day_of(script)?;
     let arrivals = match trace {
-        Some(path) => traffic::read(path)?,
-        None => traffic::arrivals(&script, seed),
+        Some(path) => traffic::read_trace(path)?,
+        None => traffic::generate_arrivals(&script, seed),
     };
     if let Some(arrival) = arrivals
         .iter()
@@ -574,7 +578,7 @@
         )));
     }
     if let Some(path) = write {
-        traffic::write(path, &arrivals)?;
+        traffic::write_trace(path, &arrivals)?;
     }
     let start = std::time::Instant::now();
     let figures = emulate::run(&script, &arrivals, variant, seed);
@@ -602,7 +606,12 @@
         members: true,
         ..Default::default()
     };
-    let modelled = emulate::run(&script, &traffic::arrivals(&script, seed), &variant, seed);
+    let modelled = emulate::run(
+        &script,
+        &traffic::generate_arrivals(&script, seed),
+        &variant,
+        seed,
+    );
     let percent = |part: u64, all: u64| 100.0 * part as f64 / all.max(1) as f64;
     println!(
         "{:<9} {:>7} {:>10} {:>13} {:>8} {:>10} {:>12}",
--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -1,4 +1,4 @@
-//! What a gateway costs: calls a second, time added, memory. Each measure is one run against workers that only
+//! Measurement a gateway costs: calls a second, time added, memory. Each measure is one run against workers that only
 //! answer, beside the same load sent straight to one of them.
 use crate::actor;
 use crate::badday::listens_at;
@@ -105,15 +105,15 @@
 
 fn plan(to: SocketAddr, rate: f64, seconds: f64, out_most: usize) -> Plan {
     Plan {
-        to: vec![to],
+        addresses: vec![to],
         mix: (0..20).map(|n| (format!("f{n}"), 1.0)).collect(),
-        rate,
-        length: Duration::from_secs_f64(seconds),
+        requests_per_s: rate,
+        duration: Duration::from_secs_f64(seconds),
         payload: "{\"a\":1}".to_owned(),
         asynchronous: false,
-        out_most,
+        max_in_flight: out_most,
         timeout: Duration::from_secs(30),
-        even: false,
+        evenly_spaced: false,
         trace: None,
         seed: 1,
     }
@@ -127,7 +127,7 @@
 }
 
 fn times(report: &Report) -> [f64; 3] {
-    let finished = report.times.get("finished");
+    let finished = report.latencies_us.get("finished");
     [0.5, 0.99, 0.999].map(|share| finished.map_or(f64::NAN, |h| h.value_at_quantile(share) as f64 / 1000.0))
 }
 
@@ -149,7 +149,7 @@
         let (cpu, start) = (gateway.cpu()?, Instant::now());
         let report = load::run(plan(gateway.at, 100_000.0, 5.0, 64))?;
         let (cpu, took) = (gateway.cpu()? - cpu, start.elapsed().as_secs_f64());
-        let calls = report.times.get("finished").map_or(0, |h| h.len()) as f64;
+        let calls = report.latencies_us.get("finished").map_or(0, |h| h.len()) as f64;
         writeln!(
             out,
             "{count:>8} {:>10.0} {:>16.1} {:>10.2}",
@@ -202,14 +202,14 @@
         let at = gateway.at;
         load::run(Plan {
             asynchronous: true,
-            even: true,
+            evenly_spaced: true,
             ..plan(at, 1000.0, 1.0, 100)
         })?;
         let load = std::thread::spawn(move || load::run(plan(at, 5000.0, 2.0, 9000)));
         std::thread::sleep(Duration::from_secs(5));
         writeln!(out, "{:<34} {:>8.1}", "with 10,000 jobs out", gateway.memory()?)?;
         let report = load.join().map_err(|_| io::Error::other("the load broke"))??;
-        let finished = report.times.get("finished").map_or(0, |h| h.len());
+        let finished = report.latencies_us.get("finished").map_or(0, |h| h.len());
         writeln!(out, "{:<34} {:>8}", "  of them finished", finished)?;
     }
     let (_running, addresses) = workers(30, Duration::ZERO)?;
@@ -258,7 +258,7 @@
             ..plan(at, 100_000.0, 5.0, 64)
         })?;
         let beside = times(&beside.join().map_err(|_| io::Error::other("the load broke"))??);
-        let taken = report.times.get("taken");
+        let taken = report.latencies_us.get("taken");
         let ms = |share| taken.map_or(f64::NAN, |h| h.value_at_quantile(share) as f64 / 1000.0);
         writeln!(
             out,
@@ -452,7 +452,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum What {
+pub enum Measurement {
     Busiest,
     Added,
     Memory,
@@ -463,25 +463,25 @@
     Recovery,
 }
 
-pub fn run(lab: &Path, what: &[What], requests: f64, out: &mut impl Write) -> io::Result<()> {
+pub fn run(lab: &Path, what: &[Measurement], requests: f64, out: &mut impl Write) -> io::Result<()> {
     let all = [
-        What::Forecasts,
-        What::Replaced,
-        What::Busiest,
-        What::Added,
-        What::Memory,
-        What::Asynchronous,
-        What::Recovery,
+        Measurement::Forecasts,
+        Measurement::Replaced,
+        Measurement::Busiest,
+        Measurement::Added,
+        Measurement::Memory,
+        Measurement::Asynchronous,
+        Measurement::Recovery,
     ];
     for one in if what.is_empty() { &all[..] } else { what } {
         match one {
-            What::Busiest => busiest(lab, out)?,
-            What::Added => added(lab, 10.0, out)?,
-            What::Memory => memory(lab, requests, out)?,
-            What::Replaced => replaced(out)?,
-            What::Forecasts => forecasts(out)?,
-            What::Asynchronous => asynchronous(lab, out)?,
-            What::Recovery => recovery(lab, out)?,
+            Measurement::Busiest => busiest(lab, out)?,
+            Measurement::Added => added(lab, 10.0, out)?,
+            Measurement::Memory => memory(lab, requests, out)?,
+            Measurement::Replaced => replaced(out)?,
+            Measurement::Forecasts => forecasts(out)?,
+            Measurement::Asynchronous => asynchronous(lab, out)?,
+            Measurement::Recovery => recovery(lab, out)?,
         }
         writeln!(out)?;
     }
--- a/crates/quartzdrift-lab/src/relay.rs
+++ b/crates/quartzdrift-lab/src/relay.rs
@@ -12,7 +12,7 @@
 
 /// What a link does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Link {
+pub enum LinkState {
     Well,
     /// Nothing passes, and nothing ends.
     Stalled,
@@ -22,9 +22,14 @@
     Cut,
 }
 
-impl Link {
-    fn read(told: &AtomicU8) -> Link {
-        [Link::Well, Link::Stalled, Link::Deaf, Link::Cut][usize::from(told.load(Ordering::Relaxed)) % 4]
+impl LinkState {
+    fn read(told: &AtomicU8) -> LinkState {
+        [
+            LinkState::Well,
+            LinkState::Stalled,
+            LinkState::Deaf,
+            LinkState::Cut,
+        ][usize::from(told.load(Ordering::Relaxed)) % 4]
     }
 }
 
@@ -41,7 +46,7 @@
         let address = listener.local_addr()?;
         listener.set_nonblocking(true)?;
         let (link, stop) = (
-            Arc::new(AtomicU8::new(Link::Well as u8)),
+            Arc::new(AtomicU8::new(LinkState::Well as u8)),
             Arc::new(AtomicBool::new(false)),
         );
         let (of, ends) = (link.clone(), stop.clone());
@@ -55,7 +60,7 @@
         })
     }
 
-    pub fn set(&self, link: Link) {
+    pub fn set_state(&self, link: LinkState) {
         self.link.store(link as u8, Ordering::Relaxed);
     }
 }
@@ -75,7 +80,7 @@
             std::thread::sleep(LOOK);
             continue;
         };
-        if Link::read(link) == Link::Cut {
+        if LinkState::read(link) == LinkState::Cut {
             continue;
         }
         // Nobody there: the near end is closed, as a refused one would be a moment later.
@@ -96,11 +101,11 @@
         .set_nonblocking(false)
         .and_then(|()| from.set_read_timeout(Some(LOOK)));
     while set.is_ok() && !stop.load(Ordering::Relaxed) {
-        match Link::read(link) {
-            Link::Cut => break,
-            Link::Stalled => std::thread::sleep(LOOK),
-            Link::Deaf if back => std::thread::sleep(LOOK),
-            Link::Well | Link::Deaf => match from.read(&mut buffer) {
+        match LinkState::read(link) {
+            LinkState::Cut => break,
+            LinkState::Stalled => std::thread::sleep(LOOK),
+            LinkState::Deaf if back => std::thread::sleep(LOOK),
+            LinkState::Well | LinkState::Deaf => match from.read(&mut buffer) {
                 Ok(0) => break,
                 Ok(length) if into.write_all(&buffer[..length]).is_ok() => {}
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
@@ -141,21 +146,21 @@
             (pass(true, b"a"), pass(false, b"b")),
             (Some(b"a".to_vec()), Some(b"b".to_vec()))
         );
-        relay.set(Link::Deaf);
+        relay.set_state(LinkState::Deaf);
         // What is being read at that moment may still pass.
         std::thread::sleep(LOOK * 4);
         assert_eq!((pass(true, b"c"), pass(false, b"d")), (Some(b"c".to_vec()), None));
-        relay.set(Link::Stalled);
+        relay.set_state(LinkState::Stalled);
         std::thread::sleep(LOOK * 4);
         assert_eq!((pass(true, b"e"), pass(false, b"f")), (None, None));
-        relay.set(Link::Well);
+        relay.set_state(LinkState::Well);
         std::thread::sleep(LOOK * 8);
         assert_eq!(
             pass(true, b"g"),
             Some(b"e".to_vec()),
             "held back, and there first"
         );
-        relay.set(Link::Cut);
+        relay.set_state(LinkState::Cut);
         let mut rest = Vec::new();
         near.read_to_end(&mut rest).unwrap();
         assert_eq!(rest, b"df", "what was held back came before the end");
--- a/crates/quartzdrift-lab/src/script.rs
+++ b/crates/quartzdrift-lab/src/script.rs
@@ -31,7 +31,7 @@
 //! clients repeats=6 haste=0.3   a call that was pushed back comes so often again, after such a part of the time that was told
 //! fleet 50ms                    gateways are members of a fleet with this period, and keep deferred jobs on disk
 //! ```
-use crate::relay::Link;
+use crate::relay::LinkState;
 use quartzdrift_scheduler::interface::Idempotency;
 use std::time::Duration;
 
@@ -131,7 +131,7 @@
     Clock(usize, Duration, bool),
     CopyState(usize),
     /// Between a gateway and a worker.
-    Link(usize, usize, Link),
+    Link(usize, usize, LinkState),
     /// Whether a gateway's stream of lists stalls.
     DiscoveryStall(usize, bool),
     Spoil(usize, Spoil),
@@ -459,10 +459,10 @@
             },
             ("link", "gateway") if words.at(5)? == "worker" => {
                 let link = match words.at(7)? {
-                    "well" => Link::Well,
-                    "stalled" => Link::Stalled,
-                    "deaf" => Link::Deaf,
-                    "cut" => Link::Cut,
+                    "well" => LinkState::Well,
+                    "stalled" => LinkState::Stalled,
+                    "deaf" => LinkState::Deaf,
+                    "cut" => LinkState::Cut,
                     other => return Err(format!("no link is '{other}'")),
                 };
                 Fault::Link(index(4)?, index(6)?, link)
--- a/crates/quartzdrift-lab/src/traffic.rs
+++ b/crates/quartzdrift-lab/src/traffic.rs
@@ -27,13 +27,13 @@
 
 impl Arrival {
     /// Its gateway, of so many.
-    pub fn gateway_of(&self, gateways: usize) -> usize {
+    pub fn gateway_index(&self, gateways: usize) -> usize {
         ((self.gateway * gateways as f64) as usize).min(gateways - 1)
     }
 }
 
 /// Seconds between two arrivals of independent clients.
-pub fn gap(chance: &mut StdRng, rate: f64) -> f64 {
+pub fn interarrival_s(chance: &mut StdRng, rate: f64) -> f64 {
     -(1.0 - chance.random_range(0.0..1.0f64)).ln() / rate
 }
 
@@ -69,7 +69,7 @@
 }
 
 /// All calls of a day in the order of time; the same for the same script and seed.
-pub fn arrivals(script: &Script, seed: u64) -> Vec<Arrival> {
+pub fn generate_arrivals(script: &Script, seed: u64) -> Vec<Arrival> {
     let length = script.length.as_secs_f64();
     let mut all = Vec::new();
     for (n, request_class) in script.request_classes.iter().enumerate() {
@@ -113,7 +113,7 @@
         };
         let (mut at, mut drawn) = (0.0, 0usize);
         loop {
-            at += gap(&mut chance, request_class.rate * most);
+            at += interarrival_s(&mut chance, request_class.rate * most);
             if at >= length {
                 break;
             }
@@ -144,7 +144,7 @@
 }
 
 /// Writes a trace; a name that ends in `.gz` is compressed.
-pub fn write(path: &Path, arrivals: &[Arrival]) -> io::Result<()> {
+pub fn write_trace(path: &Path, arrivals: &[Arrival]) -> io::Result<()> {
     let mut out = quartzdrift::record::create(path)?;
     for arrival in arrivals {
         writeln!(out, "{}", serde_json::to_string(arrival)?)?;
@@ -153,7 +153,7 @@
 }
 
 /// Reads a trace; `Err` names the line that is no call.
-pub fn read(path: &Path) -> io::Result<Vec<Arrival>> {
+pub fn read_trace(path: &Path) -> io::Result<Vec<Arrival>> {
     let file = std::fs::File::open(path)?;
     let plain: Box<dyn Read> = match path.extension().is_some_and(|end| end == "gz") {
         true => Box::new(GzDecoder::new(file)),
@@ -171,7 +171,7 @@
 }
 
 /// A day's moment as a span.
-pub fn at(arrival: &Arrival) -> Duration {
+pub fn arrival_time(arrival: &Arrival) -> Duration {
     Duration::from_micros(arrival.at_us)
 }
 
@@ -187,14 +187,14 @@
              workload t restartable functions=3 pattern=timers period=4s\nworkload s restartable rate=5 pattern=scan",
         )
         .unwrap();
-        let first = arrivals(&script, 7);
-        assert_eq!(first, arrivals(&script, 7));
-        assert_ne!(first, arrivals(&script, 8));
+        let first = generate_arrivals(&script, 7);
+        assert_eq!(first, generate_arrivals(&script, 7));
+        assert_ne!(first, generate_arrivals(&script, 8));
         assert!(first.is_sorted_by_key(|a| a.at_us) && first.iter().any(|a| a.function == "t-2"));
         let week =
             script::read("length 70s\nworkload w restartable rate=20 pattern=weekly period=10s most=6")
                 .unwrap();
-        let week = arrivals(&week, 7);
+        let week = generate_arrivals(&week, 7);
         let count = |from: u64| {
             week.iter()
                 .filter(|a| (from..from + 10).contains(&(a.at_us / 1_000_000)))
@@ -203,12 +203,12 @@
         assert!((0..5).all(|day| count(day * 10) > 2 * count(50).max(count(60))));
         let folder = tempfile::tempdir().unwrap();
         for name in ["trace.jsonl", "trace.jsonl.gz"] {
-            write(&folder.path().join(name), &first).unwrap();
-            assert_eq!(read(&folder.path().join(name)).unwrap(), first);
+            write_trace(&folder.path().join(name), &first).unwrap();
+            assert_eq!(read_trace(&folder.path().join(name)).unwrap(), first);
         }
         std::fs::write(folder.path().join("bad"), "{\"at_us\": 1}\n").unwrap();
         assert!(
-            read(&folder.path().join("bad"))
+            read_trace(&folder.path().join("bad"))
                 .unwrap_err()
                 .to_string()
                 .contains("line 1")
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -18,8 +18,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Marks of requests with an idempotency key that a group of workers remembers, each with the time it was first met.
-pub type Marks = Arc<Mutex<HashMap<String, Instant>>>;
+/// SharedIdempotencyKeys of requests with an idempotency key that a group of workers remembers, each with the time it was first met.
+pub type SharedIdempotencyKeys = Arc<Mutex<HashMap<String, Instant>>>;
 
 #[derive(Clone)]
 pub struct Config {
@@ -27,13 +27,13 @@
     pub specs: BTreeMap<String, Spec>,
     pub store: Option<SocketAddr>,
     /// Reports are made anew this often.
-    pub report_every: Duration,
-    pub marks: Option<Marks>,
-    pub window: Duration,
+    pub report_interval: Duration,
+    pub idempotency_keys: Option<SharedIdempotencyKeys>,
+    pub deduplication_window: Duration,
     pub recorder: Option<Recorder>,
     pub seed: u64,
     /// Whether the first process is warm, as one that has run for long.
-    pub warm: bool,
+    pub starts_warm: bool,
 }
 
 impl Default for Config {
@@ -42,12 +42,12 @@
             machine: Machine::default(),
             specs: BTreeMap::new(),
             store: None,
-            report_every: Duration::from_millis(100),
-            marks: None,
-            window: Duration::from_secs(5),
+            report_interval: Duration::from_millis(100),
+            idempotency_keys: None,
+            deduplication_window: Duration::from_secs(5),
             recorder: None,
             seed: 0,
-            warm: true,
+            starts_warm: true,
         }
     }
 }
@@ -60,17 +60,17 @@
     /// Works on nothing and answers nothing.
     pub hang: bool,
     /// Share of calls that fail at once.
-    pub errors: f64,
+    pub error_share: f64,
     /// Share of answers that are lost: the connection is closed in their place.
-    pub lost: f64,
+    pub lost_response_share: f64,
     /// Answers are held back so long.
-    pub slow: Duration,
+    pub response_delay: Duration,
     /// Reports are so much older than they should be.
-    pub late_reports: Duration,
+    pub report_delay: Duration,
 }
 
 pub enum Command {
-    Faults(Faults),
+    SetFaults(Faults),
     /// As if killed outright.
     Crash,
     /// A new process at the same address.
@@ -137,7 +137,7 @@
             idle_timeout: Duration::from_secs(300),
             ..Limits::default()
         };
-        let cold_for = if config.warm {
+        let cold_for = if config.starts_warm {
             Duration::ZERO
         } else {
             config.machine.cold_for
@@ -231,7 +231,7 @@
         if self.faults.silent || self.faults.hang {
             return;
         }
-        if self.faults.errors > 0.0 && self.chance.random_range(0.0..1.0) < self.faults.errors {
+        if self.faults.error_share > 0.0 && self.chance.random_range(0.0..1.0) < self.faults.error_share {
             let headers = Headers::new().with("x-amzn-errortype", "ServiceException");
             return self.finish(id, 500, headers, b"{}".to_vec());
         }
@@ -247,13 +247,13 @@
     /// Whether the group has met this mark within its window.
     fn repeats(&mut self, id: u64) -> bool {
         let (Some(marks), Some(mark)) = (
-            &self.config.marks,
+            &self.config.idempotency_keys,
             self.open.get(&id).and_then(|o| o.mark.clone()),
         ) else {
             return false;
         };
         let mut marks = marks.lock().unwrap_or_else(PoisonError::into_inner);
-        let window = self.config.window;
+        let window = self.config.deduplication_window;
         marks.retain(|_, met| met.elapsed() < window);
         let met = marks.contains_key(&mark);
         marks.entry(mark).or_insert_with(Instant::now);
@@ -272,7 +272,7 @@
     /// What did not run has no mark: it is met the next time.
     fn forget(&mut self, id: u64) {
         let mark = self.open.get(&id).and_then(|open| open.mark.as_ref());
-        if let (Some(marks), Some(mark)) = (&self.config.marks, mark) {
+        if let (Some(marks), Some(mark)) = (&self.config.idempotency_keys, mark) {
             marks.lock().unwrap_or_else(PoisonError::into_inner).remove(mark);
         }
     }
@@ -327,7 +327,7 @@
         let fresh = self
             .reports
             .last()
-            .is_some_and(|(at, _)| *at + self.config.report_every > now);
+            .is_some_and(|(at, _)| *at + self.config.report_interval > now);
         if !fresh {
             let load = self.model.load();
             let mut report = LoadReport::default();
@@ -337,10 +337,10 @@
             report.push("named_metrics.queue", load.queued as f64);
             report.push("named_metrics.loads", load.loads as f64);
             self.reports.push((now, report));
-            let oldest = now.saturating_sub(self.faults.late_reports + self.config.report_every * 4);
+            let oldest = now.saturating_sub(self.faults.report_delay + self.config.report_interval * 4);
             self.reports.retain(|(at, _)| *at >= oldest);
         }
-        let told = now.saturating_sub(self.faults.late_reports);
+        let told = now.saturating_sub(self.faults.report_delay);
         let report = self
             .reports
             .iter()
@@ -467,12 +467,14 @@
             self.open.insert(id, open);
             return;
         }
-        if self.faults.lost > 0.0 && self.chance.random_range(0.0..1.0) < self.faults.lost {
+        if self.faults.lost_response_share > 0.0
+            && self.chance.random_range(0.0..1.0) < self.faults.lost_response_share
+        {
             self.http.abort(open.exchange);
             return self.over(id, open.exchange);
         }
-        if self.faults.slow > Duration::ZERO {
-            let at = self.now() + self.faults.slow;
+        if self.faults.response_delay > Duration::ZERO {
+            let at = self.now() + self.faults.response_delay;
             return self.held_back.push((at, id, open.exchange, answer));
         }
         self.http.respond(open.exchange, &answer);
@@ -583,7 +585,7 @@
 
     fn command(&mut self, command: Command) {
         match command {
-            Command::Faults(faults) => {
+            Command::SetFaults(faults) => {
                 let woke = self.faults.silent && !faults.silent || self.faults.hang && !faults.hang;
                 self.faults = faults;
                 // Calls that came meanwhile were never worked on and never will be; their callers time out.
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -199,7 +199,7 @@
     }
 
     fn faults(&self, worker: usize, faults: Faults) {
-        self.workers[worker].tell(Command::Faults(faults));
+        self.workers[worker].tell(Command::SetFaults(faults));
     }
 
     fn all(&self, faults: &Faults) {
@@ -371,7 +371,7 @@
     let stage = Stage::new(2);
     let gateway = stage.gateway();
     stage.all(&Faults {
-        slow: 200 * MS,
+        response_delay: 200 * MS,
         ..Faults::default()
     });
     let body = r#"{"key": "left"}"#;
@@ -476,7 +476,7 @@
     stage.faults(
         0,
         Faults {
-            lost: 1.0,
+            lost_response_share: 1.0,
             ..Faults::default()
         },
     );
@@ -531,21 +531,21 @@
         gateway: 0.0,
     };
     let plan = load::Plan {
-        to: vec![gateway.at],
+        addresses: vec![gateway.at],
         mix: Vec::new(),
-        rate: 0.0,
-        length: Duration::ZERO,
+        requests_per_s: 0.0,
+        duration: Duration::ZERO,
         payload: "{}".to_owned(),
         asynchronous: false,
-        out_most: 100,
+        max_in_flight: 100,
         timeout: Duration::from_secs(15),
-        even: false,
+        evenly_spaced: false,
         trace: Some((0..40).map(arrival).collect()),
         seed: 1,
     };
     let report = load::run(plan).unwrap();
     assert_eq!((report.count(), report.not_sent), (40, 0));
-    assert_eq!(report.times["finished"].len(), 40);
+    assert_eq!(report.latencies_us["finished"].len(), 40);
 }
 
 #[test]
@@ -604,7 +604,7 @@
         .unwrap();
     let again = quartzdrift_forecast::Forecasts::restore(Default::default(), &bytes, now).unwrap();
     assert_eq!(again.len(), 1);
-    let traced = quartzdrift_lab::traffic::read(&trace).unwrap();
+    let traced = quartzdrift_lab::traffic::read_trace(&trace).unwrap();
     assert!(traced.len() == calls as usize && traced.iter().all(|arrival| arrival.function == "echo"));
 }
 
@@ -614,7 +614,7 @@
     let mut gateway = stage.gateway_with("drain = \"5s\"", "");
     gateway.invoke("echo", "{}");
     stage.all(&Faults {
-        slow: 400 * MS,
+        response_delay: 400 * MS,
         ..Faults::default()
     });
     let body = r#"{"key": "held"}"#;
@@ -1009,7 +1009,7 @@
     let store = stage.folder.path().join("deferred");
     let more = format!("[deferred]\nstore = \"{}\"\n", store.display());
     stage.all(&Faults {
-        errors: 1.0,
+        error_share: 1.0,
         ..Faults::default()
     });
     let mut gateway = stage.gateway_with("drain = \"200ms\"", &more);
@@ -1164,7 +1164,7 @@
     };
     // Nothing is taken by the only worker: the request waits, and is copied as it waits.
     stage.all(&Faults {
-        errors: 1.0,
+        error_share: 1.0,
         ..Faults::default()
     });
     stage.workers[0].tell(Command::Crash);
--- a/crates/quartzdrift-lab/tests/stored.rs
+++ b/crates/quartzdrift-lab/tests/stored.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_recorded_trace_is_read() {
-    let trace = traffic::read(&folder("tests/stored/trace.jsonl")).unwrap();
+    let trace = traffic::read_trace(&folder("tests/stored/trace.jsonl")).unwrap();
     let read: Vec<_> = trace
         .iter()
         .map(|of| (of.at_us, of.request_class, &*of.function, of.work_us, of.gateway))
