--- a/crates/quartzdrift-lab/src/platform.rs
+++ b/crates/quartzdrift-lab/src/platform.rs
@@ -23,23 +23,23 @@
 /// The answer to one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
-    pub number: u16,
+    pub fastcgi_id: u16,
     /// 0 where END_REQUEST came without a response.
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
     /// Protocol status of END_REQUEST.
-    pub protocol: u8,
+    pub protocol_status: u8,
 }
 
 /// Fields of a request that any scheduler takes.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct RequestFields<'a> {
     pub path: &'a str,
     pub id: &'a str,
-    pub time: &'a str,
+    pub timeout_ms: &'a str,
     pub function: &'a str,
-    pub figures: &'a str,
+    pub spec: &'a str,
     /// None is sent where it is empty.
     pub idempotency_key: &'a str,
     /// None is sent where it is empty.
@@ -60,14 +60,14 @@
     }
 
     /// The bytes of a request.
-    pub fn request(number: u16, asked: &Asked) -> Vec<u8> {
+    pub fn encode_request(number: u16, asked: &RequestFields) -> Vec<u8> {
         let (mut out, mut pairs) = (Vec::new(), Vec::new());
         for (name, value) in [
             ("SCRIPT_NAME", asked.path),
             ("HTTP_X_REQUEST_ID", asked.id),
-            ("HTTP_X_TIMEOUT_MS", asked.time),
+            ("HTTP_X_TIMEOUT_MS", asked.timeout_ms),
             ("HTTP_X_OBJECT", asked.function),
-            ("HTTP_X_SPEC", asked.figures),
+            ("HTTP_X_SPEC", asked.spec),
         ] {
             write_pair(&mut pairs, name.as_bytes(), value.as_bytes());
         }
@@ -93,14 +93,14 @@
     }
 
     /// The bytes of a request after whose answer the client wants the connection closed.
-    pub fn last_request(number: u16, asked: &Asked) -> Vec<u8> {
-        let mut out = Frontend::request(number, asked);
+    pub fn encode_last_request(number: u16, asked: &RequestFields) -> Vec<u8> {
+        let mut out = Frontend::encode_request(number, asked);
         out[fastcgi::HEADER_LENGTH + 2] = 0;
         out
     }
 
     /// The bytes by which a client says that it waits no longer.
-    pub fn abort(number: u16) -> Vec<u8> {
+    pub fn encode_abort(number: u16) -> Vec<u8> {
         let mut out = Vec::new();
         write_record(&mut out, fastcgi::ABORT_REQUEST, number, b"");
         out
@@ -115,18 +115,18 @@
     }
 
     /// Sends nothing more, and goes on reading.
-    pub fn finish(&mut self) -> io::Result<()> {
+    pub fn shutdown_write(&mut self) -> io::Result<()> {
         self.stream.shutdown(std::net::Shutdown::Write)
     }
 
     /// Takes a connection that the test has made in its own way.
-    pub fn of(stream: TcpStream) -> io::Result<Frontend> {
+    pub fn from_stream(stream: TcpStream) -> io::Result<Frontend> {
         stream.set_read_timeout(Some(PATIENCE))?;
         Ok(Frontend { stream })
     }
 
     /// The next answer to end, whole; an error once the connection has ended.
-    pub fn reply(&mut self) -> io::Result<Reply> {
+    pub fn read_reply(&mut self) -> io::Result<Reply> {
         let mut replies: Vec<Reply> = Vec::new();
         loop {
             let mut head = [0; fastcgi::HEADER_LENGTH];
@@ -140,10 +140,10 @@
             content.truncate(head.content_length);
             let at = replies
                 .iter()
-                .position(|reply| reply.number == head.request_id)
+                .position(|reply| reply.fastcgi_id == head.request_id)
                 .unwrap_or_else(|| {
                     replies.push(Reply {
-                        number: head.request_id,
+                        fastcgi_id: head.request_id,
                         ..Reply::default()
                     });
                     replies.len() - 1
@@ -153,7 +153,7 @@
                 continue;
             }
             let mut reply = replies.swap_remove(at);
-            reply.protocol = content.get(4).copied().unwrap_or(u8::MAX);
+            reply.protocol_status = content.get(4).copied().unwrap_or(u8::MAX);
             let said = std::mem::take(&mut reply.body);
             if let Some(mid) = said.windows(4).position(|four| four == b"\r\n\r\n") {
                 reply.head = String::from_utf8_lossy(&said[..mid]).into_owned();
@@ -167,22 +167,22 @@
 }
 
 /// A command as it reached a worker: its connection, code, id, fields and body.
-pub type Received = (usize, u8, u64, String, Vec<u8>);
+pub type ReceivedCommand = (usize, u8, u64, String, Vec<u8>);
 
 /// What reached a fake worker.
 #[derive(Debug)]
-pub enum Reached {
+pub enum WorkerEvent {
     Connected(usize),
-    Command(Received),
-    /// Asked whether this connection works.
-    Asked(usize),
+    Command(ReceivedCommand),
+    /// A ping asked whether this connection works.
+    Ping(usize),
     Closed(usize),
 }
 
 /// A worker that answers no command on its own, only whether a connection works.
 pub struct Worker {
-    pub at: SocketAddr,
-    reached: Receiver<(Reached, Option<TcpStream>)>,
+    pub address: SocketAddr,
+    reached: Receiver<(WorkerEvent, Option<TcpStream>)>,
     connections: Vec<TcpStream>,
     cut_idle: Arc<AtomicBool>,
     hold_proofs: Arc<AtomicBool>,
@@ -190,7 +190,7 @@
     open: usize,
 }
 
-fn command(stream: &mut TcpStream, connection: usize) -> io::Result<Received> {
+fn command(stream: &mut TcpStream, connection: usize) -> io::Result<ReceivedCommand> {
     let mut head = [0; frame::HEADER_BYTES];
     stream.read_exact(&mut head)?;
     let [mark, code, f1, f0, b3, b2, b1, b0, id @ ..] = head;
@@ -218,11 +218,11 @@
     /// # Errors
     /// The system grants no socket.
     pub fn start() -> io::Result<Worker> {
-        Worker::take(TcpListener::bind(("127.0.0.1", 0))?)
+        Worker::from_listener(TcpListener::bind(("127.0.0.1", 0))?)
     }
 
     /// A worker that takes what waits at `listener`.
-    pub fn take(listener: TcpListener) -> io::Result<Worker> {
+    pub fn from_listener(listener: TcpListener) -> io::Result<Worker> {
         let at = listener.local_addr()?;
         let (sender, reached) = channel();
         let (cut_idle, hold_proofs) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
@@ -231,7 +231,7 @@
             for (connection, stream) in listener.incoming().enumerate() {
                 let Ok(mut stream) = stream else { return };
                 if sender
-                    .send((Reached::Connected(connection), stream.try_clone().ok()))
+                    .send((WorkerEvent::Connected(connection), stream.try_clone().ok()))
                     .is_err()
                 {
                     return;
@@ -244,9 +244,9 @@
                         let held = hold.load(Ordering::SeqCst);
                         // The test may have seen enough.
                         let said = if asked {
-                            Reached::Asked(connection)
+                            WorkerEvent::Ping(connection)
                         } else {
-                            Reached::Command(received)
+                            WorkerEvent::Command(received)
                         };
                         let _ = sender.send((said, None));
                         let mut alive = Vec::new();
@@ -257,12 +257,12 @@
                         }
                     }
                     let _ = stream.shutdown(std::net::Shutdown::Both);
-                    let _ = sender.send((Reached::Closed(connection), None));
+                    let _ = sender.send((WorkerEvent::Closed(connection), None));
                 });
             }
         });
         Ok(Worker {
-            at,
+            address: at,
             reached,
             connections: Vec::new(),
             cut_idle,
@@ -272,55 +272,55 @@
     }
 
     /// Whether from now on nobody hears whether a connection works, but by [`Worker::prove`].
-    pub fn hold_proofs(&self, hold: bool) {
+    pub fn hold_ping_answers(&self, hold: bool) {
         self.hold_proofs.store(hold, Ordering::SeqCst);
     }
 
     /// All commands that reached it and were not yet taken, once its scheduler is no more: none can follow.
-    pub fn last_commands(&mut self) -> Vec<Received> {
+    pub fn drain_commands(&mut self) -> Vec<ReceivedCommand> {
         // Connections are taken in turn: when this one is, all before it have been.
-        let last = TcpStream::connect(self.at).expect("the worker takes connections");
+        let last = TcpStream::connect(self.address).expect("the worker takes connections");
         let from = last.local_addr().expect("an address");
         let (mut last, mut commands) = (Some(last), Vec::new());
         while last.is_some() || self.open > 0 {
-            match self.reached() {
-                Reached::Connected(connection)
+            match self.next_event() {
+                WorkerEvent::Connected(connection)
                     if self.connections[connection]
                         .peer_addr()
                         .is_ok_and(|peer| peer == from) =>
                 {
                     last = None;
                 }
-                Reached::Command(received) => commands.push(received),
-                Reached::Connected(_) | Reached::Asked(_) | Reached::Closed(_) => {}
+                WorkerEvent::Command(received) => commands.push(received),
+                WorkerEvent::Connected(_) | WorkerEvent::Ping(_) | WorkerEvent::Closed(_) => {}
             }
         }
         commands
     }
 
     /// Says that a connection works, under this id.
-    pub fn prove(&mut self, connection: usize, id: u64) {
+    pub fn answer_ping(&mut self, connection: usize, id: u64) {
         let mut alive = Vec::new();
         frame::write(&mut alive, frame::FROM_WORKER, ALIVE, id, b"", b"");
         self.send(connection, &alive);
     }
 
     /// The connection that is asked next whether it works.
-    pub fn asked(&mut self) -> usize {
+    pub fn next_ping(&mut self) -> usize {
         loop {
-            if let Reached::Asked(connection) = self.reached() {
+            if let WorkerEvent::Ping(connection) = self.next_event() {
                 return connection;
             }
         }
     }
 
     /// From now on a connection that is asked whether it works is cut, as one that was forgotten while idle.
-    pub fn cut_idle_connections(&self) {
+    pub fn close_on_ping(&self) {
         self.cut_idle.store(true, Ordering::SeqCst);
     }
 
     /// The next thing that reaches it.
-    pub fn reached(&mut self) -> Reached {
+    pub fn next_event(&mut self) -> WorkerEvent {
         let reached = self
             .reached
             .recv_timeout(PATIENCE)
@@ -328,18 +328,18 @@
         self.take_note(reached)
     }
 
-    fn take_note(&mut self, (reached, stream): (Reached, Option<TcpStream>)) -> Reached {
+    fn take_note(&mut self, (reached, stream): (WorkerEvent, Option<TcpStream>)) -> WorkerEvent {
         self.connections.extend(stream);
         match reached {
-            Reached::Connected(_) => self.open += 1,
-            Reached::Closed(_) => self.open -= 1,
-            Reached::Command(_) | Reached::Asked(_) => {}
+            WorkerEvent::Connected(_) => self.open += 1,
+            WorkerEvent::Closed(_) => self.open -= 1,
+            WorkerEvent::Command(_) | WorkerEvent::Ping(_) => {}
         }
         reached
     }
 
     /// Whether nothing has reached it that was not yet taken.
-    pub fn untouched(&mut self) -> bool {
+    pub fn has_no_event(&mut self) -> bool {
         self.reached
             .try_recv()
             .map(|reached| self.take_note(reached))
@@ -347,9 +347,9 @@
     }
 
     /// A command, if one has reached it by now.
-    pub fn command_now(&mut self) -> Option<Received> {
+    pub fn try_next_command(&mut self) -> Option<ReceivedCommand> {
         while let Ok(reached) = self.reached.try_recv() {
-            if let Reached::Command(received) = self.take_note(reached) {
+            if let WorkerEvent::Command(received) = self.take_note(reached) {
                 return Some(received);
             }
         }
@@ -357,9 +357,9 @@
     }
 
     /// The next command.
-    pub fn command(&mut self) -> Received {
+    pub fn next_command(&mut self) -> ReceivedCommand {
         loop {
-            if let Reached::Command(received) = self.reached() {
+            if let WorkerEvent::Command(received) = self.next_event() {
                 return received;
             }
         }
@@ -391,7 +391,7 @@
 /// A coordinator: tells of each poll. Whoever takes a poll answers it; one that nobody takes is answered at the end of its wait
 /// that there is nothing new, and one that asks for a known event again is answered with it at once.
 pub struct Coordinator {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     desk: Arc<Desk>,
 }
 
@@ -540,26 +540,26 @@
                 }
             }
         });
-        Ok(Coordinator { at, desk })
+        Ok(Coordinator { address: at, desk })
     }
 
     /// A coordinator that has these events already, as a configuration states them.
     ///
     /// # Errors
     /// The system grants no socket.
-    pub fn knowing(events: &str) -> io::Result<Coordinator> {
+    pub fn with_events(events: &str) -> io::Result<Coordinator> {
         let coordinator = Coordinator::start()?;
         coordinator.desk.polls().remember(events);
         Ok(coordinator)
     }
 
     /// Has these events from now on, as a configuration states them.
-    pub fn knows(&self, events: &str) {
+    pub fn add_events(&self, events: &str) {
         self.desk.polls().remember(events);
     }
 
     /// How many polls so far have asked for the last event again.
-    pub fn repeated(&self) -> u64 {
+    pub fn repeated_polls(&self) -> u64 {
         self.desk.polls().repeated
     }
 
@@ -577,7 +577,7 @@
     }
 
     /// The first line of the poll that is out, once all answers so far were sent.
-    pub fn poll(&self) -> String {
+    pub fn next_poll(&self) -> String {
         let is_none = |polls: &mut Polls| polls.out.is_none() || !polls.answers.is_empty();
         let waited = self
             .desk
@@ -588,13 +588,13 @@
     }
 
     /// Answers a poll with events.
-    pub fn tell(&self, news: &str) {
+    pub fn answer_with_events(&self, news: &str) {
         self.desk.polls().remember(news);
-        self.send(whole(news));
+        self.answer_raw(whole(news));
     }
 
     /// Answers a poll with these bytes; what does not begin as an answer ends the connection.
-    pub fn send(&self, bytes: Vec<u8>) {
+    pub fn answer_raw(&self, bytes: Vec<u8>) {
         self.desk.polls().answers.push_back(bytes);
         self.desk.changed.notify_all();
     }
--- a/crates/quartzdrift-lab/src/stage.rs
+++ b/crates/quartzdrift-lab/src/stage.rs
@@ -1,6 +1,6 @@
 //! A scheduler process on the platform's sockets with its fakes, as tests set it up.
 use crate::badday::listens_at;
-use crate::platform::{Asked, Coordinator, Frontend, Received, Reply, Worker};
+use crate::platform::{Coordinator, Frontend, ReceivedCommand, Reply, RequestFields, Worker};
 use std::io::{self, BufReader, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -132,13 +132,13 @@
         let targets: Vec<String> = workers
             .iter()
             .enumerate()
-            .map(|(n, w)| target(&format!("w{n}"), w.at, "Ready"))
+            .map(|(n, w)| target(&format!("w{n}"), w.address, "Ready"))
             .collect();
         let known = event(1, true, &targets);
-        let coordinator = Coordinator::knowing(&known).expect("a coordinator");
+        let coordinator = Coordinator::with_events(&known).expect("a coordinator");
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("config.json");
-        let mut text = config(coordinator.at, &known);
+        let mut text = config(coordinator.address, &known);
         for (old, new) in changes {
             assert!(text.contains(old), "{old}");
             text = text.replace(old, new);
@@ -246,23 +246,23 @@
         let text = std::fs::read_to_string(&self.file).expect("its configuration");
         let text = text.replace("127.0.0.1:0", &self.at.to_string());
         std::fs::write(&self.file, text).expect("the configuration is written");
-        let repeated = self.coordinator.repeated();
+        let repeated = self.coordinator.repeated_polls();
         (self.child, self.out, self.at) = started(scheduler(lab, &self.file), &self.file);
         self.coordinator.wait_until_followed(repeated);
     }
 
     /// All commands that reached a worker and were not yet taken; the scheduler is killed first.
-    pub fn last_commands(&mut self, worker: usize) -> Vec<Received> {
+    pub fn last_commands(&mut self, worker: usize) -> Vec<ReceivedCommand> {
         self.kill();
-        self.workers[worker].last_commands()
+        self.workers[worker].drain_commands()
     }
 
     /// The worker that the next command reaches, and the command. Workers not met are asked in turn.
-    pub fn command(&mut self) -> (usize, Received) {
+    pub fn command(&mut self) -> (usize, ReceivedCommand) {
         let mut frontend = self.frontend();
         loop {
             for n in 0..self.workers.len() {
-                if let Some(command) = self.workers[n].command_now() {
+                if let Some(command) = self.workers[n].try_next_command() {
                     return (n, command);
                 }
             }
@@ -280,9 +280,9 @@
     pub fn say(&self, index: u64, news: &str) {
         let next = format!("follow={index}&");
         loop {
-            self.coordinator.tell(news);
+            self.coordinator.answer_with_events(news);
             // A poll that had ended meanwhile was answered for nothing; the next one asks the same again.
-            if self.coordinator.poll().contains(&next) {
+            if self.coordinator.next_poll().contains(&next) {
                 return;
             }
         }
@@ -301,19 +301,19 @@
 }
 
 /// Codes and ids of commands.
-pub fn ids(commands: &[Received]) -> Vec<(u8, u64)> {
+pub fn ids(commands: &[ReceivedCommand]) -> Vec<(u8, u64)> {
     commands.iter().map(|(_, code, id, ..)| (*code, *id)).collect()
 }
 
 /// A request that any scheduler takes.
-pub fn asked<'a>(path: &'a str, id: &'a str) -> Asked<'a> {
+pub fn asked<'a>(path: &'a str, id: &'a str) -> RequestFields<'a> {
     let (function, figures) = ("7f3a9c21e0b4d655", "memory_mb:512;lanes:2;load_ms:640");
-    Asked {
+    RequestFields {
         path,
         id,
-        time: "50000",
+        timeout_ms: "50000",
         function,
-        figures,
+        spec: figures,
         idempotency_key: "",
         tenant: "",
         body: b"the body",
@@ -321,23 +321,23 @@
 }
 
 /// Sends a request under a FastCGI number.
-pub fn ask(frontend: &mut Frontend, number: u16, asked: &Asked) {
+pub fn ask(frontend: &mut Frontend, number: u16, asked: &RequestFields) {
     frontend
-        .send(&Frontend::request(number, asked))
+        .send(&Frontend::encode_request(number, asked))
         .expect("the scheduler takes a request");
 }
 
 /// Sends a request and returns its answer.
-pub fn ask_and_reply(frontend: &mut Frontend, asked: &Asked) -> Reply {
+pub fn ask_and_reply(frontend: &mut Frontend, asked: &RequestFields) -> Reply {
     ask(frontend, 1, asked);
-    frontend.reply().expect("a reply")
+    frontend.read_reply().expect("a reply")
 }
 
 /// Answers the next command that reaches a worker, and returns its connection, code and id once the client has the answer.
 pub fn serve(worker: &mut Worker, frontend: &mut Frontend, body: &[u8]) -> (usize, u8, u64) {
-    let (connection, code, id, ..) = worker.command();
+    let (connection, code, id, ..) = worker.next_command();
     worker.answer(connection, DONE, id, body);
-    let reply = frontend.reply().expect("a reply");
+    let reply = frontend.read_reply().expect("a reply");
     assert_eq!((reply.status, &reply.body[..]), (200, body));
     (connection, code, id)
 }
@@ -384,6 +384,6 @@
         }
         // The queue was short so that it could be filled.
         socket2::SockRef::from(&listener).listen(64)?;
-        Worker::take(listener)
+        Worker::from_listener(listener)
     }
 }
--- a/crates/quartzdrift-lab/tests/closes.rs
+++ b/crates/quartzdrift-lab/tests/closes.rs
@@ -1,7 +1,7 @@
 //! Ill-timed closes: clients, workers' connections and readers of the log that close, fall silent or stop reading while
 //! something is under way. A scheduler process on loopback, against fakes that make the order certain.
 use quartzdrift_lab::badday::listens_at;
-use quartzdrift_lab::platform::{Asked, Coordinator, Frontend, Worker};
+use quartzdrift_lab::platform::{Coordinator, Frontend, RequestFields, Worker};
 use quartzdrift_lab::stage::{
     DONE, ID, NO_CANCEL, OTHER, SCARCE, Stage, THIRD, ask, asked, check, config, event, ids, number,
     scheduler, serve, signal, target,
@@ -37,15 +37,15 @@
         let (mut frontend, mut leaves, mut checks) = (stage.frontend(), stage.frontend(), stage.frontend());
         assert_eq!((check(&mut leaves), check(&mut checks)), (200, 200));
         ask(&mut frontend, 1, &asked("/do/once", ID));
-        let (connection, _, id, ..) = stage.workers[0].command();
+        let (connection, _, id, ..) = stage.workers[0].next_command();
         stage.pause();
         // The answer frees a connection that has just worked: what is put on it now leaves in this turn.
         stage.workers[0].answer(connection, DONE, id, b"");
         ask(&mut leaves, 1, &asked("/do/once", OTHER));
-        leaves.finish().unwrap();
+        leaves.shutdown_write().unwrap();
         let kept = half.then_some(leaves);
         stage.go_on();
-        assert_eq!(frontend.reply().unwrap().status, 200);
+        assert_eq!(frontend.read_reply().unwrap().status, 200);
         assert_eq!(check(&mut checks), 200);
         assert_eq!(ids(&stage.last_commands(0)), [], "half closed: {half}");
         drop(kept);
@@ -57,7 +57,7 @@
     let stage = Stage::start(LAB, 1);
     let mut frontend = stage.frontend();
     let requests: Vec<Vec<u8>> = (1..=12)
-        .map(|n| Frontend::request(n, &asked("/check", ID)))
+        .map(|n| Frontend::encode_request(n, &asked("/check", ID)))
         .collect();
     let half = requests[0].len() / 2;
     frontend.send(&requests[0][..half]).unwrap();
@@ -67,19 +67,19 @@
         frontend
             .send(&[&both[0][half..], &both[1][..half]].concat())
             .unwrap();
-        let reply = frontend.reply().unwrap();
-        assert_eq!((reply.number, reply.status), (n, 200));
+        let reply = frontend.read_reply().unwrap();
+        assert_eq!((reply.fastcgi_id, reply.status), (n, 200));
     }
     // One that stays half is not kept by others that come whole beside it.
     let (mut other, began) = (stage.frontend(), Instant::now());
     assert_eq!(check(&mut other), 200);
     // Its first record alone: what comes behind it is whole, and in step.
-    let begun = &Frontend::request(99, &asked("/check", ID))[..quartzdrift_fastcgi::HEADER_LENGTH + 8];
+    let begun = &Frontend::encode_request(99, &asked("/check", ID))[..quartzdrift_fastcgi::HEADER_LENGTH + 8];
     other.send(begun).unwrap();
     let mut served = 0;
     while other.send(&requests[0]).is_ok() {
-        let Ok(reply) = other.reply() else { break };
-        assert_eq!((reply.number, reply.status), (1, 200));
+        let Ok(reply) = other.read_reply() else { break };
+        assert_eq!((reply.fastcgi_id, reply.status), (1, 200));
         served += 1;
         assert!(
             began.elapsed() < Duration::from_secs(4),
@@ -102,19 +102,19 @@
     frontend
         .send(
             &[
-                Frontend::request(1, &asked("/check", ID)),
-                Frontend::request(2, &asked("/do/once", ID)),
+                Frontend::encode_request(1, &asked("/check", ID)),
+                Frontend::encode_request(2, &asked("/do/once", ID)),
             ]
             .concat(),
         )
         .unwrap();
-    assert_eq!(frontend.reply().unwrap().status, 200);
-    let (connection, _, id, ..) = stage.workers[0].command();
+    assert_eq!(frontend.read_reply().unwrap().status, 200);
+    let (connection, _, id, ..) = stage.workers[0].next_command();
     // Longer than a client may take to read what waits for it: nothing does.
     std::thread::sleep(Duration::from_millis(5500));
     assert_eq!(check(&mut stage.frontend()), 200);
     stage.workers[0].answer(connection, DONE, id, b"long");
-    assert_eq!(frontend.reply().unwrap().body, b"long");
+    assert_eq!(frontend.read_reply().unwrap().body, b"long");
 }
 
 #[test]
@@ -123,10 +123,10 @@
     // A client that takes nothing of what it is answered.
     let socket = narrow();
     socket.connect(&stage.at.into()).unwrap();
-    let mut deaf = Frontend::of(TcpStream::from(socket)).unwrap();
+    let mut deaf = Frontend::from_stream(TcpStream::from(socket)).unwrap();
     for n in 1..=17 {
         ask(&mut deaf, n, &asked("/do/once", &format!("{n:016x}")));
-        let (connection, _, id, ..) = stage.workers[0].command();
+        let (connection, _, id, ..) = stage.workers[0].next_command();
         stage.workers[0].answer(connection, DONE, id, &[7; 60_000]);
     }
     // Checks, then a request that is withdrawn at once. Past what may wait for a client it is cut off, among the checks of
@@ -134,9 +134,9 @@
     // checks are so long that few of them exceed what may be open.
     let body = vec![7; 1000];
     let check_of = |n| {
-        Frontend::request(
+        Frontend::encode_request(
             n,
-            &Asked {
+            &RequestFields {
                 body: &body,
                 ..asked("/check", ID)
             },
@@ -144,10 +144,10 @@
     };
     let unit = |first: u16| {
         let checks = (first..first + 7).flat_map(check_of);
-        let request = Frontend::request(first + 7, &asked("/do/once", OTHER));
+        let request = Frontend::encode_request(first + 7, &asked("/do/once", OTHER));
         checks
             .chain(request)
-            .chain(Frontend::abort(first + 7))
+            .chain(Frontend::encode_abort(first + 7))
             .collect::<Vec<u8>>()
     };
     let units: Vec<Vec<u8>> = (1..=64_000).step_by(8).map(unit).collect();
@@ -170,21 +170,21 @@
     let mut frontend = stage.frontend();
     for n in 1..=8 {
         ask(&mut frontend, n, &asked("/do/once", &format!("{n:016x}")));
-        stage.workers[0].command();
+        stage.workers[0].next_command();
     }
     ask(&mut frontend, 9, &asked("/do/once", ID));
     assert_eq!(
-        frontend.reply().unwrap().status,
+        frontend.read_reply().unwrap().status,
         503,
         "there is no lane for it, and it never ran"
     );
     // Half of them are withdrawn: there are connections again, and nothing has been measured of the worker.
     frontend
-        .send(&(1..=4).flat_map(Frontend::abort).collect::<Vec<u8>>())
+        .send(&(1..=4).flat_map(Frontend::encode_abort).collect::<Vec<u8>>())
         .unwrap();
     for _ in 1..=4 {
-        assert_eq!(frontend.reply().unwrap().status, 0);
-        assert_eq!(stage.workers[0].command().1, frame::CANCEL);
+        assert_eq!(frontend.read_reply().unwrap().status, 0);
+        assert_eq!(stage.workers[0].next_command().1, frame::CANCEL);
     }
     // The worker was not down, so it has not come back cold.
     ask(&mut frontend, 10, &asked("/do/once", OTHER));
@@ -222,12 +222,12 @@
     clients
         .iter_mut()
         .for_each(|frontend| assert_eq!(check(frontend), 200));
-    stage.coordinator.poll();
+    stage.coordinator.next_poll();
     // It polls over the connection that it has.
     limit_descriptors(process, next_descriptor(process));
     let mut newcomer = stage.frontend();
     assert_eq!(check(&mut newcomer), 200);
-    let ended = clients[0].reply().unwrap_err().kind();
+    let ended = clients[0].read_reply().unwrap_err().kind();
     assert_eq!(
         ended,
         ErrorKind::UnexpectedEof,
@@ -235,7 +235,7 @@
     );
     // There is none for a connection either.
     ask(&mut newcomer, 1, &asked("/do/once", ID));
-    assert_eq!(newcomer.reply().unwrap().status, 503);
+    assert_eq!(newcomer.read_reply().unwrap().status, 503);
     limit_descriptors(process, 1000);
     ask(&mut newcomer, 1, &asked("/do/once", OTHER));
     serve(&mut stage.workers[0], &mut newcomer, b"");
@@ -246,9 +246,9 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let mut worker = Worker::start().unwrap();
-    let known = event(1, true, &[target("w0", worker.at, "Ready")]);
-    let coordinator = Coordinator::knowing(&known).unwrap();
-    let text = config(coordinator.at, &known);
+    let known = event(1, true, &[target("w0", worker.address, "Ready")]);
+    let coordinator = Coordinator::with_events(&known).unwrap();
+    let text = config(coordinator.address, &known);
     std::fs::write(&file, text).unwrap();
     let mut child = Command::new("sh")
         .args(["-c", "ulimit -n 48; exec \"$0\" scheduler", LAB])
@@ -285,7 +285,7 @@
         for (n, worker) in stage.workers.iter_mut().enumerate() {
             commands.extend(
                 worker
-                    .command_now()
+                    .try_next_command()
                     .map(|(connection, _, id, ..)| (n, connection, id)),
             );
         }
@@ -299,20 +299,20 @@
     let (worker, connection, id) = commands[0];
     stage.workers[worker].answer(connection, DONE, id, b"first");
     assert_eq!(
-        busy[usize::try_from(id).unwrap() - 1].reply().unwrap().body,
+        busy[usize::try_from(id).unwrap() - 1].read_reply().unwrap().body,
         b"first"
     );
     let since = Instant::now();
     let (worker, (connection, _, id, ..)) = loop {
         let mut workers = stage.workers.iter_mut().enumerate();
-        if let Some(came) = workers.find_map(|(n, worker)| Some((n, worker.command_now()?))) {
+        if let Some(came) = workers.find_map(|(n, worker)| Some((n, worker.try_next_command()?))) {
             break came;
         }
         assert!(since.elapsed() < Duration::from_secs(20), "it is not served");
         std::thread::yield_now();
     };
     stage.workers[worker].answer(connection, DONE, id, b"after all");
-    assert_eq!(newcomer.reply().unwrap().body, b"after all");
+    assert_eq!(newcomer.read_reply().unwrap().body, b"after all");
 }
 
 /// All that was sent on a connection, as whole frames, and what is left over.
@@ -341,7 +341,7 @@
         let (mut holds, mut frontend, mut checks) = (stage.frontend(), stage.frontend(), stage.frontend());
         for n in 1..=7 {
             ask(&mut holds, n, &asked("/do/once", &format!("{n:016x}")));
-            stage.workers[0].command();
+            stage.workers[0].next_command();
         }
         let socket = narrow();
         socket
@@ -350,11 +350,11 @@
         socket.listen(8).unwrap();
         let clogged = TcpListener::from(socket);
         let at = clogged.local_addr().unwrap();
-        stage.coordinator.poll();
+        stage.coordinator.next_poll();
         stage.tell(
             2,
             &[
-                target("w0", stage.workers[0].at, "Terminating"),
+                target("w0", stage.workers[0].address, "Terminating"),
                 target("w1", at, "Ready"),
             ],
         );
@@ -365,7 +365,7 @@
             ask(
                 &mut frontend,
                 n,
-                &Asked {
+                &RequestFields {
                     body: &body,
                     ..asked("/do/once", &of(n))
                 },
@@ -373,7 +373,7 @@
         }
         // All of them are placed once what came behind them is answered.
         ask(&mut frontend, ALL + 1, &asked("/check", ID));
-        assert_eq!(frontend.reply().unwrap().number, ALL + 1);
+        assert_eq!(frontend.read_reply().unwrap().fastcgi_id, ALL + 1);
         let (mut connection, _) = clogged.accept().unwrap();
         // Nothing is read of it: it takes some of the commands, and one of them in part.
         for _ in 0..3 {
@@ -395,21 +395,21 @@
         // Those that had left are answered before this check.
         ask(&mut frontend, ALL + 1, &asked("/check", ID));
         let mut left = 0;
-        for reply in std::iter::repeat_with(|| frontend.reply().unwrap()) {
-            if reply.number == ALL + 1 {
+        for reply in std::iter::repeat_with(|| frontend.read_reply().unwrap()) {
+            if reply.fastcgi_id == ALL + 1 {
                 break;
             }
             left += 1;
-            assert_eq!((reply.number, reply.status), (left, 200));
+            assert_eq!((reply.fastcgi_id, reply.status), (left, 200));
         }
         assert!((1..ALL - 2).contains(&left), "{left} have left whole");
-        let aborts = |from: u16, to: u16| (from..=to).flat_map(Frontend::abort).collect::<Vec<u8>>();
+        let aborts = |from: u16, to: u16| (from..=to).flat_map(Frontend::encode_abort).collect::<Vec<u8>>();
         let first = if alone { left + 2 } else { left + 1 };
         frontend.send(&aborts(first, ALL)).unwrap();
-        (first..=ALL).for_each(|_| assert_eq!(frontend.reply().unwrap().status, 0));
+        (first..=ALL).for_each(|_| assert_eq!(frontend.read_reply().unwrap().status, 0));
         if alone {
             frontend.send(&aborts(left + 1, left + 1)).unwrap();
-            assert_eq!(frontend.reply().unwrap().status, 0);
+            assert_eq!(frontend.read_reply().unwrap().status, 0);
         }
         assert_eq!(check(&mut checks), 200);
         // A further one: on the same connection behind what goes on, or on a new one where that connection was ended.
@@ -459,9 +459,9 @@
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("config.json");
         let mut worker = Worker::start().unwrap();
-        let known = event(1, true, &[target("w0", worker.at, "Ready")]);
-        let coordinator = Coordinator::knowing(&known).unwrap();
-        let text = config(coordinator.at, &known);
+        let known = event(1, true, &[target("w0", worker.address, "Ready")]);
+        let coordinator = Coordinator::with_events(&known).unwrap();
+        let text = config(coordinator.address, &known);
         std::fs::write(&file, &text).unwrap();
         let mut child = scheduler(LAB, &file)
             .env("RUST_LOG", "quartzdrift=trace")
--- a/crates/quartzdrift-lab/tests/crossings.rs
+++ b/crates/quartzdrift-lab/tests/crossings.rs
@@ -1,6 +1,6 @@
 //! What crosses: requests, answers, closes, aborts, news and signals that come in the same moment, or in the other
 //! order. A scheduler process on loopback, against fakes that make the order certain.
-use quartzdrift_lab::platform::{Asked, Coordinator, Frontend, Reached, Worker};
+use quartzdrift_lab::platform::{Coordinator, Frontend, RequestFields, Worker, WorkerEvent};
 use quartzdrift_lab::stage::{
     DONE, ID, NO_CANCEL, OTHER, PATIENT, SCARCE, Stage, THIRD, Vanished, ask, asked, check, config, event,
     ids, number, serve, target,
@@ -21,20 +21,20 @@
         let mut stage = Stage::with(LAB, 1, &[NO_CANCEL]);
         let mut frontend = stage.frontend();
         let connection = stage.rested(&mut frontend, ID);
-        stage.workers[0].hold_proofs(true);
+        stage.workers[0].hold_ping_answers(true);
         ask(&mut frontend, 1, &asked("/do/once", OTHER));
-        assert_eq!(stage.workers[0].asked(), connection);
-        frontend.send(&Frontend::abort(1)).unwrap();
-        assert_eq!(frontend.reply().unwrap().status, 0);
-        stage.workers[0].hold_proofs(false);
+        assert_eq!(stage.workers[0].next_ping(), connection);
+        frontend.send(&Frontend::encode_abort(1)).unwrap();
+        assert_eq!(frontend.read_reply().unwrap().status, 0);
+        stage.workers[0].hold_ping_answers(false);
         match proved {
-            true => stage.workers[0].prove(connection, number(OTHER)),
+            true => stage.workers[0].answer_ping(connection, number(OTHER)),
             false => stage.workers[0].close(connection),
         }
         // The connection's news was there before this check: the loop has worked it.
         assert_eq!(check(&mut frontend), 200);
         ask(&mut frontend, 1, &asked("/do/once", THIRD));
-        let (_, code, id, ..) = stage.workers[0].command();
+        let (_, code, id, ..) = stage.workers[0].next_command();
         assert_eq!((code, id), (48, number(THIRD)), "proved: {proved}");
         assert_eq!(ids(&stage.last_commands(0)), [], "proved: {proved}");
     }
@@ -45,15 +45,15 @@
     let mut stage = Stage::with(LAB, 0, &[NO_CANCEL, PATIENT]);
     let mut frontend = stage.frontend();
     let vanished = Vanished::start().unwrap();
-    stage.coordinator.poll();
+    stage.coordinator.next_poll();
     stage.tell(2, &[target("w0", vanished.at, "Ready")]);
     ask(&mut frontend, 1, &asked("/do/once", ID));
-    frontend.send(&Frontend::abort(1)).unwrap();
-    assert_eq!(frontend.reply().unwrap().status, 0);
+    frontend.send(&Frontend::encode_abort(1)).unwrap();
+    assert_eq!(frontend.read_reply().unwrap().status, 0);
     ask(&mut frontend, 1, &asked("/do/once", OTHER));
     check(&mut stage.frontend());
     stage.workers.push(vanished.returns().unwrap());
-    let (_, code, id, ..) = stage.workers[0].command();
+    let (_, code, id, ..) = stage.workers[0].next_command();
     assert_eq!((code, id), (48, number(OTHER)));
     assert_eq!(ids(&stage.last_commands(0)), []);
 }
@@ -63,19 +63,19 @@
     let mut stage = Stage::with(LAB, 1, &[NO_CANCEL, PATIENT]);
     let mut frontend = stage.frontend();
     let connection = stage.rested(&mut frontend, ID);
-    stage.workers[0].hold_proofs(true);
+    stage.workers[0].hold_ping_answers(true);
     ask(
         &mut frontend,
         1,
-        &Asked {
-            time: "300",
+        &RequestFields {
+            timeout_ms: "300",
             ..asked("/do/once", OTHER)
         },
     );
-    assert_eq!(stage.workers[0].asked(), connection);
+    assert_eq!(stage.workers[0].next_ping(), connection);
     // It never ran, so trying again is harmless, and it has its final answer within its time.
-    assert_eq!(frontend.reply().unwrap().status, 503);
-    stage.workers[0].prove(connection, number(OTHER));
+    assert_eq!(frontend.read_reply().unwrap().status, 503);
+    stage.workers[0].answer_ping(connection, number(OTHER));
     assert_eq!(check(&mut frontend), 200);
     assert_eq!(ids(&stage.last_commands(0)), []);
 }
@@ -85,17 +85,17 @@
     let stage = Stage::with(LAB, 0, &[NO_CANCEL, PATIENT]);
     let mut frontend = stage.frontend();
     let vanished = Vanished::start().unwrap();
-    stage.coordinator.poll();
+    stage.coordinator.next_poll();
     stage.tell(2, &[target("w0", vanished.at, "Ready")]);
     ask(
         &mut frontend,
         1,
-        &Asked {
-            time: "300",
+        &RequestFields {
+            timeout_ms: "300",
             ..asked("/do/once", ID)
         },
     );
-    assert_eq!(frontend.reply().unwrap().status, 503);
+    assert_eq!(frontend.read_reply().unwrap().status, 503);
 }
 
 #[test]
@@ -103,9 +103,13 @@
     for change in [&[][..], &[NO_CANCEL]] {
         let mut stage = Stage::with(LAB, 1, change);
         let mut frontend = stage.frontend();
-        let both = [Frontend::request(1, &asked("/do/once", ID)), Frontend::abort(1)].concat();
+        let both = [
+            Frontend::encode_request(1, &asked("/do/once", ID)),
+            Frontend::encode_abort(1),
+        ]
+        .concat();
         frontend.send(&both).unwrap();
-        assert_eq!(frontend.reply().unwrap().status, 0);
+        assert_eq!(frontend.read_reply().unwrap().status, 0);
         assert_eq!(check(&mut frontend), 200);
         assert_eq!(ids(&stage.last_commands(0)), []);
     }
@@ -119,7 +123,7 @@
         assert_eq!((check(&mut leaves), check(&mut checks)), (200, 200));
         stage.pause();
         ask(&mut leaves, 1, &asked("/do/once", ID));
-        leaves.finish().unwrap();
+        leaves.shutdown_write().unwrap();
         let kept = half.then_some(leaves);
         stage.go_on();
         assert_eq!(check(&mut checks), 200);
@@ -134,22 +138,22 @@
         let mut stage = Stage::start(LAB, 1);
         let mut frontend = stage.frontend();
         ask(&mut frontend, 2, &asked("/do/once", OTHER));
-        let (other, ..) = stage.workers[0].command();
+        let (other, ..) = stage.workers[0].next_command();
         frontend
-            .send(&Frontend::last_request(1, &asked("/do/once", ID)))
+            .send(&Frontend::encode_last_request(1, &asked("/do/once", ID)))
             .unwrap();
         serve(&mut stage.workers[0], &mut frontend, b"first");
         if aborted {
             // Its withdrawal is heard, though nothing new is taken any more.
-            frontend.send(&Frontend::abort(2)).unwrap();
-            let (_, code, id, ..) = stage.workers[0].command();
+            frontend.send(&Frontend::encode_abort(2)).unwrap();
+            let (_, code, id, ..) = stage.workers[0].next_command();
             assert_eq!((code, id), (GIVE_UP, number(OTHER)));
         } else {
             assert_eq!(check(&mut stage.frontend()), 200);
             stage.workers[0].answer(other, DONE, number(OTHER), b"second");
-            assert_eq!(frontend.reply().unwrap().body, b"second");
+            assert_eq!(frontend.read_reply().unwrap().body, b"second");
         }
-        assert!(frontend.reply().is_err() || aborted);
+        assert!(frontend.read_reply().is_err() || aborted);
     }
 }
 
@@ -166,12 +170,12 @@
         for n in 1..=9 {
             let (path, id) = ("/do/once", format!("{n:016x}"));
             let bytes = if last && n == 9 {
-                Frontend::last_request
+                Frontend::encode_last_request
             } else {
-                Frontend::request
+                Frontend::encode_request
             };
             frontend.send(&bytes(n, &asked(path, &id))).unwrap();
-            at.push(stage.workers[0].command().0);
+            at.push(stage.workers[0].next_command().0);
         }
         let shared = at[8];
         let first = at.iter().position(|connection| *connection == shared).unwrap() as u64 + 1;
@@ -182,10 +186,10 @@
         }
         stage.workers[0].send(shared, &both);
         for _ in 0..2 {
-            let reply = frontend.reply().unwrap();
+            let reply = frontend.read_reply().unwrap();
             assert_eq!(
                 String::from_utf8_lossy(&reply.body),
-                format!("of {}", reply.number)
+                format!("of {}", reply.fastcgi_id)
             );
         }
     }
@@ -198,7 +202,7 @@
     ask(&mut frontend, 1, &asked("/do/once", ID));
     let (connection, _, id) = serve(&mut stage.workers[0], &mut frontend, b"first");
     ask(&mut frontend, 1, &asked("/do/once", ID));
-    let (next, ..) = stage.workers[0].command();
+    let (next, ..) = stage.workers[0].next_command();
     assert_ne!(
         next, connection,
         "a late answer on a lane that has carried the id could not be told from the next"
@@ -206,7 +210,7 @@
     stage.workers[0].answer(connection, DONE, id, b"first");
     assert_eq!(check(&mut stage.frontend()), 200);
     stage.workers[0].answer(next, DONE, id, b"second");
-    assert_eq!(frontend.reply().unwrap().body, b"second");
+    assert_eq!(frontend.read_reply().unwrap().body, b"second");
 }
 
 #[test]
@@ -214,16 +218,16 @@
     let mut stage = Stage::start(LAB, 1);
     let mut frontend = stage.frontend();
     let connection = stage.rested(&mut frontend, ID);
-    stage.workers[0].hold_proofs(true);
+    stage.workers[0].hold_ping_answers(true);
     ask(&mut frontend, 1, &asked("/do/once", OTHER));
-    assert_eq!(stage.workers[0].asked(), connection);
+    assert_eq!(stage.workers[0].next_ping(), connection);
     stage.workers[0].answer(connection, DONE, number(OTHER), b"of nothing");
     assert_eq!(check(&mut stage.frontend()), 200);
-    stage.workers[0].prove(connection, number(OTHER));
-    let (connection, code, id, ..) = stage.workers[0].command();
+    stage.workers[0].answer_ping(connection, number(OTHER));
+    let (connection, code, id, ..) = stage.workers[0].next_command();
     assert_eq!((code, id), (48, number(OTHER)));
     stage.workers[0].answer(connection, DONE, id, b"its own");
-    assert_eq!(frontend.reply().unwrap().body, b"its own");
+    assert_eq!(frontend.read_reply().unwrap().body, b"its own");
 }
 
 // --- Connections ---
@@ -231,7 +235,7 @@
 #[test]
 fn what_waits_for_a_worker_that_is_replaced_or_moves_goes_to_the_one_that_is_there() {
     let mut there = Worker::start().unwrap();
-    let at = there.at;
+    let at = there.address;
     for way in [
         "gone, then another",
         "another, then gone",
@@ -241,7 +245,7 @@
         let mut stage = Stage::with(LAB, 0, &[PATIENT]);
         let mut frontend = stage.frontend();
         let vanished = Vanished::start().unwrap();
-        stage.coordinator.poll();
+        stage.coordinator.next_poll();
         stage.tell(2, &[target("w0", vanished.at, "Ready")]);
         ask(&mut frontend, 1, &asked("/do/once", ID));
         assert_eq!(check(&mut stage.frontend()), 200);
@@ -260,8 +264,8 @@
         // Whoever stands at the old address later gets nothing of it.
         let mut old = vanished.returns().unwrap();
         stage.kill();
-        assert_eq!(ids(&old.last_commands()), [], "{way}");
-        while !matches!(there.reached(), Reached::Closed(_)) {}
+        assert_eq!(ids(&old.drain_commands()), [], "{way}");
+        while !matches!(there.next_event(), WorkerEvent::Closed(_)) {}
     }
 }
 
@@ -270,7 +274,7 @@
     let mut stage = Stage::with(LAB, 0, &[PATIENT]);
     let mut frontend = stage.frontend();
     let vanished = Vanished::start().unwrap();
-    stage.coordinator.poll();
+    stage.coordinator.next_poll();
     stage.tell(2, &[target("w0", vanished.at, "Ready")]);
     ask(&mut frontend, 1, &asked("/do/once", ID));
     assert_eq!(check(&mut stage.frontend()), 200);
@@ -291,15 +295,15 @@
 fn what_waits_for_the_proof_of_a_worker_that_was_restarted_is_placed_anew() {
     let mut stage = Stage::with(LAB, 1, &[PATIENT]);
     let mut frontend = stage.frontend();
-    stage.coordinator.poll();
+    stage.coordinator.next_poll();
     let connection = stage.rested(&mut frontend, ID);
-    stage.workers[0].hold_proofs(true);
+    stage.workers[0].hold_ping_answers(true);
     ask(&mut frontend, 1, &asked("/do/once", OTHER));
-    assert_eq!(stage.workers[0].asked(), connection);
+    assert_eq!(stage.workers[0].next_ping(), connection);
     let again =
-        target("w0", stage.workers[0].at, "Ready").replace("\"boot_ms\":0", "\"boot_ms\":1700000000000");
+        target("w0", stage.workers[0].address, "Ready").replace("\"boot_ms\":0", "\"boot_ms\":1700000000000");
     // A request is not placed twice at one worker: another one, which stands at the same address here, gets it.
-    stage.tell(2, &[again, target("w1", stage.workers[0].at, "Ready")]);
+    stage.tell(2, &[again, target("w1", stage.workers[0].address, "Ready")]);
     let (new, code, id) = serve(&mut stage.workers[0], &mut frontend, b"done");
     assert_eq!((code, id), (48, number(OTHER)));
     assert_ne!(new, connection);
@@ -324,22 +328,22 @@
     let mut stage = Stage::with(LAB, 1, &[PATIENT, ("15000000000", "100000000")]);
     let mut frontend = stage.frontend();
     let connection = stage.rested(&mut frontend, ID);
-    stage.workers[0].hold_proofs(true);
+    stage.workers[0].hold_ping_answers(true);
     ask(&mut frontend, 1, &asked("/do/once", OTHER));
     // Where the machine was slow the connection has ended before, and there is nothing to prove.
     let sent = loop {
-        match stage.workers[0].reached() {
-            Reached::Asked(asked) => {
+        match stage.workers[0].next_event() {
+            WorkerEvent::Ping(asked) => {
                 assert_eq!(asked, connection);
                 std::thread::sleep(Duration::from_millis(200));
-                stage.workers[0].prove(connection, number(OTHER));
+                stage.workers[0].answer_ping(connection, number(OTHER));
             }
-            Reached::Command((connection, ..)) => break connection,
-            Reached::Connected(_) | Reached::Closed(_) => {}
+            WorkerEvent::Command((connection, ..)) => break connection,
+            WorkerEvent::Connected(_) | WorkerEvent::Closed(_) => {}
         }
     };
     stage.workers[0].answer(sent, DONE, number(OTHER), b"done");
-    assert_eq!(frontend.reply().unwrap().body, b"done");
+    assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
@@ -355,11 +359,11 @@
     ask(&mut newcomer, 1, &asked("/do/once", OTHER));
     stage.go_on();
     for _ in 0..2 {
-        let (connection, _, id, ..) = stage.workers[0].command();
+        let (connection, _, id, ..) = stage.workers[0].next_command();
         stage.workers[0].answer(connection, DONE, id, &id.to_be_bytes());
     }
-    assert_eq!(held[0].reply().unwrap().body, number(ID).to_be_bytes());
-    assert_eq!(newcomer.reply().unwrap().body, number(OTHER).to_be_bytes());
+    assert_eq!(held[0].read_reply().unwrap().body, number(ID).to_be_bytes());
+    assert_eq!(newcomer.read_reply().unwrap().body, number(OTHER).to_be_bytes());
 }
 
 #[test]
@@ -367,16 +371,16 @@
     let mut stage = Stage::start(LAB, 1);
     let mut frontend = stage.frontend();
     ask(&mut frontend, 1, &asked("/do/once", ID));
-    let (connection, _, id, ..) = stage.workers[0].command();
-    let half = Frontend::request(2, &asked("/do/once", OTHER));
+    let (connection, _, id, ..) = stage.workers[0].next_command();
+    let half = Frontend::encode_request(2, &asked("/do/once", OTHER));
     frontend.send(&half[..half.len() / 2]).unwrap();
     // Past the time for a request to be whole.
     std::thread::sleep(Duration::from_millis(2500));
     assert_eq!(check(&mut stage.frontend()), 200);
     stage.workers[0].answer(connection, DONE, id, b"whole");
-    assert_eq!(frontend.reply().unwrap().body, b"whole");
+    assert_eq!(frontend.read_reply().unwrap().body, b"whole");
     assert!(
-        frontend.reply().is_err(),
+        frontend.read_reply().is_err(),
         "the half one cannot be answered, and its connection ends"
     );
 }
@@ -418,7 +422,7 @@
         stage.hang_up(at, r#"{"index":0,"updates":[]}"#);
         let (mut silent, first) = poll_at(&listener);
         assert!(first.contains("follow=1&"));
-        let news = event(2, false, &[target("w0", stage.workers[0].at, "Terminating")]);
+        let news = event(2, false, &[target("w0", stage.workers[0].address, "Terminating")]);
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", news.len() + 1000);
         let asked_at = Instant::now();
         listener.set_nonblocking(true).unwrap();
@@ -470,14 +474,16 @@
     let stage = Stage::start(LAB, 1);
     let (began, mut polls) = (Instant::now(), 0);
     while began.elapsed() < Duration::from_secs(1) {
-        stage.coordinator.poll();
-        stage.coordinator.tell(r#"{"index":1,"updates":[]}"#);
+        stage.coordinator.next_poll();
+        stage
+            .coordinator
+            .answer_with_events(r#"{"index":1,"updates":[]}"#);
         polls += 1;
     }
     assert!((2..=100).contains(&polls), "{polls} polls in a second");
     // And news still counts.
-    stage.coordinator.poll();
-    stage.tell(2, &[target("w0", stage.workers[0].at, "Terminating")]);
+    stage.coordinator.next_poll();
+    stage.tell(2, &[target("w0", stage.workers[0].address, "Terminating")]);
     assert_eq!(check(&mut stage.frontend()), 503);
 }
 
@@ -485,8 +491,8 @@
 fn numbers_that_repeat_or_start_over_bring_back_no_worker_that_drains() {
     let stage = Stage::start(LAB, 1);
     let mut frontend = stage.frontend();
-    let at = stage.workers[0].at;
-    stage.coordinator.poll();
+    let at = stage.workers[0].address;
+    stage.coordinator.next_poll();
     stage.tell(2, &[target("w0", at, "Terminating")]);
     assert_eq!(check(&mut frontend), 503);
     let ready = target("w0", at, "Ready");
@@ -507,8 +513,8 @@
 #[test]
 fn two_events_for_one_worker_in_one_answer_count_in_their_order() {
     let stage = Stage::start(LAB, 1);
-    let (mut frontend, at) = (stage.frontend(), stage.workers[0].at);
-    stage.coordinator.poll();
+    let (mut frontend, at) = (stage.frontend(), stage.workers[0].address);
+    stage.coordinator.next_poll();
     let of = |index: u64, state: &str| {
         format!(
             r#"{{"index":{index},"endpoints":{{"all":false,"targets":[{}]}}}}"#,
@@ -534,27 +540,27 @@
 fn a_hang_up_signal_takes_a_newer_list_and_no_older_one() {
     let mut stage = Stage::start(LAB, 2);
     let mut frontend = stage.frontend();
-    let (w0, w1) = (stage.workers[0].at, stage.workers[1].at);
-    stage.coordinator.poll();
+    let (w0, w1) = (stage.workers[0].address, stage.workers[1].address);
+    stage.coordinator.next_poll();
     stage.tell(2, &[target("w0", w0, "Terminating")]);
     // Older than what is known: a whole list in which the worker that drains is up.
     let older = event(1, true, &[target("w0", w0, "Ready")]);
-    let next = Coordinator::knowing(&older).unwrap();
-    next.knows(&event(2, false, &[target("w0", w0, "Terminating")]));
-    stage.hang_up(next.at, &older);
-    assert!(next.poll().contains("follow=2&"));
+    let next = Coordinator::with_events(&older).unwrap();
+    next.add_events(&event(2, false, &[target("w0", w0, "Terminating")]));
+    stage.hang_up(next.address, &older);
+    assert!(next.next_poll().contains("follow=2&"));
     ask(&mut frontend, 1, &asked("/do/again", ID));
     let (at, (connection, _, id, ..)) = stage.command();
     assert_eq!(at, 1);
     stage.workers[1].answer(connection, DONE, id, b"");
-    assert_eq!(frontend.reply().unwrap().status, 200);
+    assert_eq!(frontend.read_reply().unwrap().status, 200);
     // Newer: taken at once, and followed from.
     let newer = event(3, false, &[target("w1", w1, "Gone"), target("w2", w0, "Ready")]);
-    let third = Coordinator::knowing(&older).unwrap();
-    third.knows(&event(2, false, &[target("w0", w0, "Terminating")]));
-    third.knows(&newer);
-    stage.hang_up(third.at, &newer);
-    assert!(third.poll().contains("follow=3&"));
+    let third = Coordinator::with_events(&older).unwrap();
+    third.add_events(&event(2, false, &[target("w0", w0, "Terminating")]));
+    third.add_events(&newer);
+    stage.hang_up(third.address, &newer);
+    assert!(third.next_poll().contains("follow=3&"));
     ask(&mut frontend, 1, &asked("/do/again", OTHER));
     let (at, (_, _, id, ..)) = stage.command();
     assert_eq!((at, id), (0, number(OTHER)));
@@ -566,18 +572,18 @@
     let mut frontend = stage.frontend();
     assert_eq!(check(&mut frontend), 200);
     let unused: Vec<Coordinator> = (0..4).map(|_| Coordinator::start().unwrap()).collect();
-    let last = Coordinator::knowing(&event(1, true, &[])).unwrap();
+    let last = Coordinator::with_events(&event(1, true, &[])).unwrap();
     let nothing = r#"{"index":0,"updates":[]}"#;
     for coordinator in &unused {
-        stage.hang_up(coordinator.at, nothing);
+        stage.hang_up(coordinator.address, nothing);
         // Half of the next file may be there in the moment of a signal.
-        std::fs::write(&stage.file, &config(coordinator.at, nothing)[..80]).unwrap();
+        std::fs::write(&stage.file, &config(coordinator.address, nothing)[..80]).unwrap();
         stage.signal("-HUP");
     }
-    stage.hang_up(last.at, nothing);
-    assert!(last.poll().contains("follow=1&"));
+    stage.hang_up(last.address, nothing);
+    assert!(last.next_poll().contains("follow=1&"));
     stage.coordinator = last;
-    stage.tell(2, &[target("w0", stage.workers[0].at, "Terminating")]);
+    stage.tell(2, &[target("w0", stage.workers[0].address, "Terminating")]);
     for n in 1..=20 {
         ask(&mut frontend, 1, &asked("/do/again", &format!("{n:016x}")));
         serve(&mut stage.workers[1], &mut frontend, b"");
@@ -588,18 +594,18 @@
 #[test]
 fn an_answer_of_the_old_coordinator_in_the_moment_of_a_hang_up_loses_no_drain() {
     let mut stage = Stage::start(LAB, 2);
-    stage.coordinator.poll();
-    let drains = event(2, false, &[target("w0", stage.workers[0].at, "Terminating")]);
-    let next = Coordinator::knowing(&event(1, true, &[])).unwrap();
+    stage.coordinator.next_poll();
+    let drains = event(2, false, &[target("w0", stage.workers[0].address, "Terminating")]);
+    let next = Coordinator::with_events(&event(1, true, &[])).unwrap();
     stage.pause();
-    std::fs::write(&stage.file, config(next.at, r#"{"index":0,"updates":[]}"#)).unwrap();
-    stage.coordinator.tell(&drains);
+    std::fs::write(&stage.file, config(next.address, r#"{"index":0,"updates":[]}"#)).unwrap();
+    stage.coordinator.answer_with_events(&drains);
     stage.signal("-HUP");
     stage.go_on();
     // Whichever came first, the numbers go on: what was not taken from the one is asked of the other.
-    if next.poll().contains("follow=1&") {
-        next.tell(&drains);
-        assert!(next.poll().contains("follow=2&"));
+    if next.next_poll().contains("follow=1&") {
+        next.answer_with_events(&drains);
+        assert!(next.next_poll().contains("follow=2&"));
     }
     let mut frontend = stage.frontend();
     for id in [ID, OTHER, THIRD] {
@@ -607,7 +613,7 @@
         let (at, (connection, _, id, ..)) = stage.command();
         assert_eq!(at, 1);
         stage.workers[1].answer(connection, DONE, id, b"");
-        assert_eq!(frontend.reply().unwrap().status, 200);
+        assert_eq!(frontend.read_reply().unwrap().status, 200);
     }
 }
 
@@ -627,21 +633,21 @@
         std::thread::sleep(Duration::from_millis(130 * n));
         stage.pause();
         let id = format!("{n:016x}");
-        let request = Asked {
-            time: "5000",
+        let request = RequestFields {
+            timeout_ms: "5000",
             ..asked("/do/once", &id)
         };
         ask(&mut frontend, 1, &request);
         let written = Instant::now();
         std::thread::sleep(Duration::from_millis(700));
         stage.go_on();
-        let (connection, _, id, fields, _) = stage.workers[0].command();
+        let (connection, _, id, fields, _) = stage.workers[0].next_command();
         let left = TIMEOUT.saturating_sub(written.elapsed());
         let told = fields.split(',').find_map(|field| field.strip_prefix("max="));
         let told = Duration::from_millis(told.unwrap().parse().unwrap());
         assert!(told <= left + SLACK, "told {told:?} with {left:?} left");
         stage.workers[0].answer(connection, DONE, id, b"");
-        assert_eq!(frontend.reply().unwrap().status, 200);
+        assert_eq!(frontend.read_reply().unwrap().status, 200);
     }
 }
 
@@ -662,18 +668,18 @@
     let connection = stage.rested(&mut frontend, ID);
     // Out at a worker that answers no more: one that may run again, and one that may not.
     ask(&mut frontend, 1, &asked("/do/once", OTHER));
-    stage.workers[0].hold_proofs(true);
-    stage.workers[0].asked();
-    stage.workers[0].prove(connection, number(OTHER));
-    stage.workers[0].command();
+    stage.workers[0].hold_ping_answers(true);
+    stage.workers[0].next_ping();
+    stage.workers[0].answer_ping(connection, number(OTHER));
+    stage.workers[0].next_command();
     ask(&mut frontend, 2, &asked("/do/again", THIRD));
-    stage.workers[0].command();
+    stage.workers[0].next_command();
     let told = stop(&stage, &mut checks);
     // The longest time limit counts as 3 s, and SIGKILL comes 0.7 s after it.
     let kill = Duration::from_millis(3700);
-    let mut replies = [frontend.reply().unwrap(), frontend.reply().unwrap()];
+    let mut replies = [frontend.read_reply().unwrap(), frontend.read_reply().unwrap()];
     assert!(told.elapsed() < kill, "{:?}", told.elapsed());
-    replies.sort_by_key(|reply| reply.number);
+    replies.sort_by_key(|reply| reply.fastcgi_id);
     assert_eq!(replies.map(|reply| reply.status), [500, 503]);
     assert!(stage.ends().success());
     assert!(told.elapsed() < kill, "{:?}", told.elapsed());
@@ -684,18 +690,18 @@
     let mut stage = Stage::with(LAB, 0, &[PATIENT]);
     let (mut frontend, mut checks) = (stage.frontend(), stage.frontend());
     let vanished = Vanished::start().unwrap();
-    stage.coordinator.poll();
+    stage.coordinator.next_poll();
     stage.tell(2, &[target("w0", vanished.at, "Ready")]);
     ask(&mut frontend, 1, &asked("/do/once", ID));
     let told = stop(&stage, &mut checks);
     // Whoever comes during the stop has just the time that it leaves.
     ask(&mut frontend, 2, &asked("/do/once", OTHER));
     for _ in 0..2 {
-        let reply = frontend.reply().unwrap();
+        let reply = frontend.read_reply().unwrap();
         assert_eq!(
             reply.status, 503,
             "{} never ran, so trying again is harmless",
-            reply.number
+            reply.fastcgi_id
         );
     }
     assert!(
@@ -717,16 +723,19 @@
     ask(&mut frontend, 1, &asked("/do/once", ID));
     let mut late = stage.frontend();
     ask(&mut late, 1, &asked("/do/once", OTHER));
-    let (mut half, bytes) = (stage.frontend(), Frontend::request(1, &asked("/do/once", THIRD)));
+    let (mut half, bytes) = (
+        stage.frontend(),
+        Frontend::encode_request(1, &asked("/do/once", THIRD)),
+    );
     half.send(&bytes[..40]).unwrap();
     std::thread::sleep(Duration::from_millis(1300));
     stage.go_on();
     for _ in 0..2 {
-        let (connection, _, id, ..) = stage.workers[0].command();
+        let (connection, _, id, ..) = stage.workers[0].next_command();
         stage.workers[0].answer(connection, DONE, id, &id.to_be_bytes());
     }
-    assert_eq!(frontend.reply().unwrap().body, number(ID).to_be_bytes());
-    assert_eq!(late.reply().unwrap().body, number(OTHER).to_be_bytes());
+    assert_eq!(frontend.read_reply().unwrap().body, number(ID).to_be_bytes());
+    assert_eq!(late.read_reply().unwrap().body, number(OTHER).to_be_bytes());
     half.send(&bytes[40..]).unwrap();
     serve(&mut stage.workers[0], &mut half, b"whole");
     assert!(stage.ends().success());
@@ -740,9 +749,9 @@
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4 << 10).unwrap();
     socket.connect(&stage.at.into()).unwrap();
-    let mut slow = Frontend::of(TcpStream::from(socket)).unwrap();
+    let mut slow = Frontend::from_stream(TcpStream::from(socket)).unwrap();
     ask(&mut slow, 1, &asked("/do/once", ID));
-    let (connection, _, id, ..) = stage.workers[0].command();
+    let (connection, _, id, ..) = stage.workers[0].next_command();
     stop(&stage, &mut checks);
     std::thread::sleep(Duration::from_millis(1300));
     stage.pause();
@@ -758,7 +767,7 @@
     stage.go_on();
     // Read only once the process is no more: what it had written is with its system.
     assert!(stage.ends().success());
-    assert_eq!(slow.reply().unwrap().body, body);
+    assert_eq!(slow.read_reply().unwrap().body, body);
 }
 
 #[test]
@@ -768,9 +777,9 @@
     let made = std::process::Command::new("mkfifo").arg(&file).status().unwrap();
     assert!(made.success());
     let mut worker = Worker::start().unwrap();
-    let known = event(1, true, &[target("w0", worker.at, "Ready")]);
-    let coordinator = Coordinator::knowing(&known).unwrap();
-    let text = config(coordinator.at, &known);
+    let known = event(1, true, &[target("w0", worker.address, "Ready")]);
+    let coordinator = Coordinator::with_events(&known).unwrap();
+    let text = config(coordinator.address, &known);
     let mut child = quartzdrift_lab::stage::scheduler(LAB, &file).spawn().unwrap();
     // Opened for writing once it reads its configuration: before it listens, and after it has taken its signals.
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&file).unwrap();
@@ -795,7 +804,7 @@
     let mut stage = Stage::start(LAB, 1);
     let (mut frontend, mut checks) = (stage.frontend(), stage.frontend());
     ask(&mut frontend, 1, &asked("/do/once", ID));
-    let (connection, _, id, ..) = stage.workers[0].command();
+    let (connection, _, id, ..) = stage.workers[0].next_command();
     stop(&stage, &mut checks);
     let whole = std::fs::read(&stage.file).unwrap();
     for cut in [0, 1, whole.len() / 2, whole.len() - 1] {
@@ -804,7 +813,7 @@
         assert_eq!(check(&mut checks), 503);
     }
     stage.workers[0].answer(connection, DONE, id, b"done");
-    assert_eq!(frontend.reply().unwrap().body, b"done");
+    assert_eq!(frontend.read_reply().unwrap().body, b"done");
     assert!(stage.ends().success());
 }
 
@@ -815,10 +824,10 @@
     let mut stage = Stage::start(LAB, 1);
     let mut frontend = stage.frontend();
     ask(&mut frontend, 1, &asked("/do/once", ID));
-    let (connection, ..) = stage.workers[0].command();
+    let (connection, ..) = stage.workers[0].next_command();
     stage.restart(LAB);
     assert!(
-        frontend.reply().is_err(),
+        frontend.read_reply().is_err(),
         "what a killed process had taken is over"
     );
     // The client asks again under a new id, while the worker still has the attempt of the earlier life.
--- a/crates/quartzdrift-lab/tests/floods.rs
+++ b/crates/quartzdrift-lab/tests/floods.rs
@@ -1,6 +1,6 @@
 //! A scheduler process on the platform's sockets under floods, very slow peers, answers that break off, repeats after a
 //! short window, and a start with a long list of workers.
-use quartzdrift_lab::platform::{Asked, Coordinator, Frontend};
+use quartzdrift_lab::platform::{Coordinator, Frontend, RequestFields};
 use quartzdrift_lab::stage::{
     DONE, ID, OTHER, Stage, ask, ask_and_reply, asked, check, config, event, scheduler, target,
 };
@@ -25,15 +25,15 @@
             let bytes: Vec<u8> = (1..=OPEN_EACH)
                 .flat_map(|number| {
                     let id = format!("{:016x}", u64::from(connection) << 16 | u64::from(number));
-                    Frontend::request(number, &asked("/do/again", &id))
+                    Frontend::encode_request(number, &asked("/do/again", &id))
                 })
                 .collect();
             thread::spawn(move || {
                 frontend.send(&bytes).unwrap();
                 let mut statuses = BTreeMap::new();
                 for _ in 0..OPEN_EACH {
-                    let reply = frontend.reply().unwrap();
-                    let before = statuses.insert(reply.number, reply.status);
+                    let reply = frontend.read_reply().unwrap();
+                    let before = statuses.insert(reply.fastcgi_id, reply.status);
                     assert_eq!(before, None, "a second answer");
                 }
                 statuses
@@ -41,7 +41,7 @@
         })
         .collect();
     while clients.iter().any(|client| !client.is_finished()) {
-        if let Some((connection, _, id, ..)) = stage.workers[0].command_now() {
+        if let Some((connection, _, id, ..)) = stage.workers[0].try_next_command() {
             stage.workers[0].answer(connection, DONE, id, b"");
         }
     }
@@ -77,14 +77,14 @@
         stage.workers[first].send(connection, &answer[..frame::HEADER_BYTES]);
         stage.workers[first].close(connection);
         if path == "/do/once" {
-            let reply = frontend.reply().unwrap();
+            let reply = frontend.read_reply().unwrap();
             assert_eq!(reply.status, 500, "it may have run, and may not run twice");
             continue;
         }
         let (second, (connection, _, id, ..)) = stage.command();
         assert_ne!(second, first);
         stage.workers[second].answer(connection, DONE, id, b"whole");
-        assert_eq!(frontend.reply().unwrap().body, b"whole");
+        assert_eq!(frontend.read_reply().unwrap().body, b"whole");
     }
 }
 
@@ -92,12 +92,12 @@
 fn a_client_and_a_worker_that_drip_a_byte_at_a_time_are_heard() {
     let mut stage = Stage::start(LAB, 1);
     let (mut dripping, mut checks) = (stage.frontend(), stage.frontend());
-    for byte in Frontend::request(1, &asked("/do/once", ID)) {
+    for byte in Frontend::encode_request(1, &asked("/do/once", ID)) {
         dripping.send(&[byte]).unwrap();
         // An answered check is a turn of the scheduler's loop, in which the byte is read.
         assert_eq!(check(&mut checks), 200);
     }
-    let (connection, _, id, ..) = stage.workers[0].command();
+    let (connection, _, id, ..) = stage.workers[0].next_command();
     let mut answer = Vec::new();
     frame::write(
         &mut answer,
@@ -111,7 +111,7 @@
         stage.workers[0].send(connection, &[byte]);
         assert_eq!(check(&mut checks), 200);
     }
-    assert_eq!(dripping.reply().unwrap().body, b"done");
+    assert_eq!(dripping.read_reply().unwrap().body, b"done");
 }
 
 #[test]
@@ -120,7 +120,7 @@
         let keyed = format!("\"effect\":\"dedup\",\"key-scope\":\"all\",\"window-ns\":{window}");
         let mut stage = Stage::with(LAB, 2, &[("\"effect\":\"fragile\"", &keyed)]);
         let mut frontend = stage.frontend();
-        let request = Asked {
+        let request = RequestFields {
             idempotency_key: "0f3a",
             ..asked("/do/once", ID)
         };
@@ -136,9 +136,9 @@
             let (second, (connection, _, id, ..)) = stage.command();
             assert_ne!(second, first);
             stage.workers[second].answer(connection, DONE, id, b"done");
-            assert_eq!(frontend.reply().unwrap().body, b"done");
+            assert_eq!(frontend.read_reply().unwrap().body, b"done");
         } else {
-            let reply = frontend.reply().unwrap();
+            let reply = frontend.read_reply().unwrap();
             assert_ne!(reply.status, 200);
             assert_eq!(
                 stage.last_commands(1 - first).len(),
@@ -152,7 +152,7 @@
             let (at, (connection, _, id, fields, _)) = stage.command();
             assert!(fields.contains(",replay=0f3a,"), "{fields}");
             stage.workers[at].answer(connection, DONE, id, b"done");
-            assert_eq!(frontend.reply().unwrap().body, b"done");
+            assert_eq!(frontend.read_reply().unwrap().body, b"done");
         }
     }
 }
@@ -171,8 +171,8 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let known = event(1, true, &targets);
-    let coordinator = Coordinator::knowing(&known).unwrap();
-    std::fs::write(&file, config(coordinator.at, &known)).unwrap();
+    let coordinator = Coordinator::with_events(&known).unwrap();
+    std::fs::write(&file, config(coordinator.address, &known)).unwrap();
     let began = Instant::now();
     let mut child = scheduler(LAB, &file).spawn().unwrap();
     let mut out = BufReader::new(child.stdout.take().unwrap());
--- a/crates/quartzdrift-lab/tests/outage/clients.rs
+++ b/crates/quartzdrift-lab/tests/outage/clients.rs
@@ -1,5 +1,5 @@
 //! Clients of a scheduler: requests at drawn times whatever became of the earlier ones, each recorded.
-use quartzdrift_lab::platform::{Asked, Frontend};
+use quartzdrift_lab::platform::{Frontend, RequestFields};
 use quartzdrift_lab::stage::asked;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -118,13 +118,13 @@
         } else {
             "/do/again"
         };
-        let request = Asked {
-            time: TIMEOUT_MS,
+        let request = RequestFields {
+            timeout_ms: TIMEOUT_MS,
             function: &function,
             ..asked(path, &id)
         };
-        frontend.send(&Frontend::request(1, &request)).ok()?;
-        let reply = frontend.reply().ok()?;
+        frontend.send(&Frontend::encode_request(1, &request)).ok()?;
+        let reply = frontend.read_reply().ok()?;
         let is_right = reply.status != 200 || reply.body == self.next_id.to_be_bytes();
         is_right.then_some(reply.status)
     }
--- a/crates/quartzdrift-lab/tests/platform.rs
+++ b/crates/quartzdrift-lab/tests/platform.rs
@@ -1,6 +1,6 @@
 //! A scheduler process on the platform's sockets, against fakes on loopback: the hard cases.
 use quartzdrift::platform::Node;
-use quartzdrift_lab::platform::{Asked, Coordinator, Frontend, Reached, Worker};
+use quartzdrift_lab::platform::{Coordinator, Frontend, RequestFields, Worker, WorkerEvent};
 use quartzdrift_lab::stage::{
     DONE, ID, OTHER, Stage, Vanished, ask, ask_and_reply, asked, config, event, target,
 };
@@ -18,7 +18,7 @@
     let mut stage = Stage::start(LAB, 1);
     let mut frontend = stage.frontend();
     ask(&mut frontend, 5, &asked("/do/again", ID));
-    let (connection, code, id, fields, body) = stage.workers[0].command();
+    let (connection, code, id, fields, body) = stage.workers[0].next_command();
     assert_eq!(
         (code, id, &body[..]),
         (48, 0x9b1f_03aa_5c7e_2d41, &b"the body"[..])
@@ -31,13 +31,13 @@
     let said: Vec<u8> = (0..=255).collect();
     stage.workers[0].answer(connection, DONE, id, &said);
     stage.workers[0].answer(connection, DONE, id, b"second copy");
-    let reply = frontend.reply().unwrap();
-    assert_eq!((reply.number, reply.status, &reply.body), (5, 200, &said));
+    let reply = frontend.read_reply().unwrap();
+    assert_eq!((reply.fastcgi_id, reply.status, &reply.body), (5, 200, &said));
     ask(&mut frontend, 5, &asked("/do/again", OTHER));
-    let (again, _, id, ..) = stage.workers[0].command();
+    let (again, _, id, ..) = stage.workers[0].next_command();
     assert_eq!(again, connection);
     stage.workers[0].answer(connection, DONE, id, b"next");
-    assert_eq!(frontend.reply().unwrap().body, b"next");
+    assert_eq!(frontend.read_reply().unwrap().body, b"next");
 }
 
 #[test]
@@ -49,7 +49,7 @@
     ask(
         &mut frontend,
         1,
-        &Asked {
+        &RequestFields {
             idempotency_key: "0f3a-77",
             ..asked("/do/once", ID)
         },
@@ -61,7 +61,7 @@
     let (second, (connection, _, id, again, _)) = stage.command();
     assert!(second != first && again.contains(",replay=0f3a-77,"), "{again}");
     stage.workers[second].answer(connection, DONE, id, b"done");
-    assert_eq!(frontend.reply().unwrap().body, b"done");
+    assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
@@ -73,7 +73,7 @@
     ask(
         &mut frontend,
         1,
-        &Asked {
+        &RequestFields {
             tenant: "a",
             ..asked("/do/once", ID)
         },
@@ -82,7 +82,7 @@
     stage.workers[turns].answer(connection, FULL, id, b"");
     let (other, (connection, ..)) = stage.command();
     stage.workers[other].answer(connection, DONE, id, b"");
-    assert_eq!(frontend.reply().unwrap().status, 200);
+    assert_eq!(frontend.read_reply().unwrap().status, 200);
     // Functions that nobody has loaded are at home at one of the two by chance.
     let mut met = |tenant, from| {
         let requests = (from..from + 12).map(|n| {
@@ -90,7 +90,7 @@
             ask(
                 &mut frontend,
                 1,
-                &Asked {
+                &RequestFields {
                     tenant,
                     function: &function,
                     ..asked("/do/once", &id)
@@ -98,7 +98,7 @@
             );
             let (at, (connection, _, id, ..)) = stage.command();
             stage.workers[at].answer(connection, DONE, id, b"");
-            assert_eq!(frontend.reply().unwrap().status, 200);
+            assert_eq!(frontend.read_reply().unwrap().status, 200);
             at
         });
         requests.filter(|at| *at == turns).count()
@@ -115,51 +115,57 @@
     let good = asked("/do/again", ID);
     for (bad, status) in [
         (
-            Asked {
+            RequestFields {
                 path: "/do/none",
                 ..good
             },
             404,
         ),
         (
-            Asked {
+            RequestFields {
                 path: "/elsewhere",
                 ..good
             },
             404,
         ),
-        (Asked { id: "", ..good }, 400),
+        (RequestFields { id: "", ..good }, 400),
         (
-            Asked {
+            RequestFields {
                 id: "9b1f03aa5c7e2d4,",
                 ..good
             },
             400,
         ),
         (
-            Asked {
+            RequestFields {
                 function: "7f3a9c21e0b4,x=1",
                 ..good
             },
             400,
         ),
-        (Asked { time: "-1", ..good }, 400),
         (
-            Asked {
-                time: "99999999999",
+            RequestFields {
+                timeout_ms: "-1",
                 ..good
             },
             400,
         ),
         (
-            Asked {
-                figures: "lanes:nan",
+            RequestFields {
+                timeout_ms: "99999999999",
                 ..good
             },
             400,
         ),
         (
-            Asked {
+            RequestFields {
+                spec: "lanes:nan",
+                ..good
+            },
+            400,
+        ),
+        (
+            RequestFields {
                 idempotency_key: "a,x=1",
                 ..good
             },
@@ -171,15 +177,15 @@
     // Too large a body is refused from its head, and ends its connection.
     let body = vec![0; 20 << 10];
     assert_eq!(
-        ask_and_reply(&mut frontend, &Asked { body: &body, ..good }).status,
+        ask_and_reply(&mut frontend, &RequestFields { body: &body, ..good }).status,
         413
     );
-    assert!(frontend.reply().is_err());
+    assert!(frontend.read_reply().is_err());
     // What is not FastCGI is closed.
     let mut other = stage.frontend();
     other.send(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    assert!(other.reply().is_err());
-    assert!(stage.workers[0].untouched());
+    assert!(other.read_reply().is_err());
+    assert!(stage.workers[0].has_no_event());
 }
 
 #[test]
@@ -187,11 +193,11 @@
     let mut stage = Stage::start(LAB, 1);
     let (mut first, mut second) = (stage.frontend(), stage.frontend());
     ask(&mut first, 1, &asked("/do/once", ID));
-    let (connection, _, id, ..) = stage.workers[0].command();
+    let (connection, _, id, ..) = stage.workers[0].next_command();
     assert_eq!(
         ask_and_reply(
             &mut second,
-            &Asked {
+            &RequestFields {
                 body: b"other",
                 ..asked("/do/once", ID)
             }
@@ -200,14 +206,17 @@
         409
     );
     stage.workers[0].answer(connection, DONE, id, b"done");
-    assert_eq!(first.reply().unwrap().body, b"done");
+    assert_eq!(first.read_reply().unwrap().body, b"done");
     // Where both come over one connection, neither is trusted, and the worker is told.
     ask(&mut first, 1, &asked("/do/once", OTHER));
-    stage.workers[0].command();
+    stage.workers[0].next_command();
     ask(&mut first, 2, &asked("/do/once", OTHER));
-    let statuses = [first.reply().unwrap().status, first.reply().unwrap().status];
+    let statuses = [
+        first.read_reply().unwrap().status,
+        first.read_reply().unwrap().status,
+    ];
     assert_eq!(statuses, [409, 409]);
-    assert_eq!(stage.workers[0].command().1, GIVE_UP);
+    assert_eq!(stage.workers[0].next_command().1, GIVE_UP);
 }
 
 /// Ways to spoil an answer. After each the connection is of no further use.
@@ -239,19 +248,19 @@
         let (at, (connection, ..)) = stage.command();
         stage.workers[at].send(connection, &bytes);
         // Killed: it may have run, so neither a further attempt nor a rejection may follow.
-        assert_eq!(frontend.reply().unwrap().status, 500, "{what}");
+        assert_eq!(frontend.read_reply().unwrap().status, 500, "{what}");
         assert!(
             stage
                 .workers
                 .iter_mut()
-                .all(|worker| worker.command_now().is_none()),
+                .all(|worker| worker.try_next_command().is_none()),
             "{what}"
         );
     }
     ask(&mut frontend, 1, &asked("/do/once", ID));
     let (at, (connection, ..)) = stage.command();
     stage.workers[at].close(connection);
-    assert_eq!(frontend.reply().unwrap().status, 500);
+    assert_eq!(frontend.read_reply().unwrap().status, 500);
 }
 
 #[test]
@@ -264,7 +273,7 @@
     let (second, (connection, _, again, ..)) = stage.command();
     assert!(second != first && again == id);
     stage.workers[second].answer(connection, DONE, id, b"done");
-    assert_eq!(frontend.reply().unwrap().body, b"done");
+    assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
@@ -278,7 +287,7 @@
         let (second, (connection, ..)) = stage.command();
         assert_ne!(first, second);
         stage.workers[second].answer(connection, DONE, id, b"done");
-        assert_eq!(frontend.reply().unwrap().status, 200);
+        assert_eq!(frontend.read_reply().unwrap().status, 200);
     }
 }
 
@@ -289,12 +298,12 @@
     let gone = TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap();
     // Without a worker no request can be taken, and the check says so.
     assert_eq!(ask_and_reply(&mut frontend, &asked("/check", ID)).status, 503);
-    stage.coordinator.poll();
+    stage.coordinator.next_poll();
     stage
         .coordinator
-        .tell(&event(2, false, &[target("w9", gone, "Ready")]));
+        .answer_with_events(&event(2, false, &[target("w9", gone, "Ready")]));
     // The next poll follows from there: the news has been taken.
-    assert!(stage.coordinator.poll().contains("follow=2"));
+    assert!(stage.coordinator.next_poll().contains("follow=2"));
     assert_eq!(ask_and_reply(&mut frontend, &asked("/check", ID)).status, 200);
     let reply = ask_and_reply(&mut frontend, &asked("/do/once", ID));
     assert_eq!(reply.status, 503);
@@ -306,14 +315,14 @@
     let mut stage = Stage::start(LAB, 1);
     let mut frontend = stage.frontend();
     let connection = stage.rested(&mut frontend, ID);
-    stage.workers[0].cut_idle_connections();
-    // Asked first, so that nothing that may run once is written to a connection in doubt.
+    stage.workers[0].close_on_ping();
+    // RequestFields first, so that nothing that may run once is written to a connection in doubt.
     ask(&mut frontend, 1, &asked("/do/once", OTHER));
-    assert!(matches!(stage.workers[0].reached(), Reached::Asked(asked) if asked == connection));
-    let (other, _, id, ..) = stage.workers[0].command();
+    assert!(matches!(stage.workers[0].next_event(), WorkerEvent::Ping(asked) if asked == connection));
+    let (other, _, id, ..) = stage.workers[0].next_command();
     assert_ne!(other, connection);
     stage.workers[0].answer(other, DONE, id, b"done");
-    assert_eq!(frontend.reply().unwrap().body, b"done");
+    assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
@@ -322,11 +331,11 @@
     let mut frontend = stage.frontend();
     let vanished = Vanished::start().unwrap();
     let at = vanished.at;
-    stage.coordinator.poll();
+    stage.coordinator.next_poll();
     stage
         .coordinator
-        .tell(&event(2, false, &[target("w0", at, "Ready")]));
-    assert!(stage.coordinator.poll().contains("follow=2&"));
+        .answer_with_events(&event(2, false, &[target("w0", at, "Ready")]));
+    assert!(stage.coordinator.next_poll().contains("follow=2&"));
     let reply = ask_and_reply(&mut frontend, &asked("/do/once", ID));
     assert!(
         reply.status == 503 && reply.head.contains("Retry-After-Ms: "),
@@ -340,25 +349,25 @@
     let mut frontend = stage.frontend();
     let vanished = Vanished::start().unwrap();
     let at = vanished.at;
-    stage.coordinator.poll();
+    stage.coordinator.next_poll();
     stage
         .coordinator
-        .tell(&event(2, false, &[target("w0", at, "Ready")]));
-    assert!(stage.coordinator.poll().contains("follow=2&"));
+        .answer_with_events(&event(2, false, &[target("w0", at, "Ready")]));
+    assert!(stage.coordinator.next_poll().contains("follow=2&"));
     ask(&mut frontend, 1, &asked("/do/once", ID));
     // The request has been taken once a later one on the same connection is answered.
     ask(&mut frontend, 2, &asked("/check", OTHER));
-    assert_eq!(frontend.reply().unwrap().number, 2);
+    assert_eq!(frontend.read_reply().unwrap().fastcgi_id, 2);
     stage.workers.push(Worker::start().unwrap());
-    let there = stage.workers[0].at;
-    stage.coordinator.tell(&event(
+    let there = stage.workers[0].address;
+    stage.coordinator.answer_with_events(&event(
         3,
         false,
         &[target("w0", at, "Terminating"), target("w1", there, "Ready")],
     ));
-    let (connection, _, id, ..) = stage.workers[0].command();
+    let (connection, _, id, ..) = stage.workers[0].next_command();
     stage.workers[0].answer(connection, DONE, id, b"elsewhere");
-    assert_eq!(frontend.reply().unwrap().body, b"elsewhere");
+    assert_eq!(frontend.read_reply().unwrap().body, b"elsewhere");
 }
 
 #[test]
@@ -366,18 +375,18 @@
     let mut stage = Stage::start(LAB, 1);
     let mut frontend = stage.frontend();
     ask(&mut frontend, 1, &asked("/do/once", ID));
-    let (_, _, id, ..) = stage.workers[0].command();
+    let (_, _, id, ..) = stage.workers[0].next_command();
     let mut abort = Vec::new();
     quartzdrift_fastcgi::write_record(&mut abort, quartzdrift_fastcgi::ABORT_REQUEST, 1, b"");
     frontend.send(&abort).unwrap();
-    let (_, code, of, ..) = stage.workers[0].command();
+    let (_, code, of, ..) = stage.workers[0].next_command();
     assert_eq!((code, of), (GIVE_UP, id));
     ask(&mut frontend, 1, &asked("/do/once", OTHER));
     // The end of the aborted one comes without a response, then nothing of it.
-    assert_eq!(frontend.reply().unwrap().status, 0);
-    let (_, _, id, ..) = stage.workers[0].command();
+    assert_eq!(frontend.read_reply().unwrap().status, 0);
+    let (_, _, id, ..) = stage.workers[0].next_command();
     drop(frontend);
-    let (_, code, of, ..) = stage.workers[0].command();
+    let (_, code, of, ..) = stage.workers[0].next_command();
     assert_eq!((code, of), (GIVE_UP, id));
 }
 
@@ -386,54 +395,54 @@
     let mut stage = Stage::start(LAB, 1);
     let mut frontend = stage.frontend();
     ask(&mut frontend, 1, &asked("/do/again", ID));
-    let (connection, _, id, ..) = stage.workers[0].command();
+    let (connection, _, id, ..) = stage.workers[0].next_command();
     stage.workers[0].answer(connection, DONE, id, b"old");
-    frontend.reply().unwrap();
-    let at = stage.workers[0].at;
-    stage.coordinator.poll();
-    stage.coordinator.tell(&event(
+    frontend.read_reply().unwrap();
+    let at = stage.workers[0].address;
+    stage.coordinator.next_poll();
+    stage.coordinator.answer_with_events(&event(
         2,
         false,
         &[target("w0", at, "Gone"), target("new", at, "Ready")],
     ));
     // The connection to the one that has gone is closed, and the newcomer gets one of its own.
     loop {
-        if let Reached::Closed(closed) = stage.workers[0].reached() {
+        if let WorkerEvent::Closed(closed) = stage.workers[0].next_event() {
             assert_eq!(closed, connection);
             break;
         }
     }
     ask(&mut frontend, 1, &asked("/do/again", OTHER));
-    let (new, _, id, ..) = stage.workers[0].command();
+    let (new, _, id, ..) = stage.workers[0].next_command();
     assert_ne!(new, connection);
     stage.workers[0].answer(new, DONE, id, b"new");
-    assert_eq!(frontend.reply().unwrap().body, b"new");
+    assert_eq!(frontend.read_reply().unwrap().body, b"new");
 }
 
 #[test]
 fn the_list_stands_through_a_coordinator_that_breaks_off() {
     let mut stage = Stage::start(LAB, 2);
-    let cut = event(2, false, &[target("w0", stage.workers[0].at, "Terminating")]);
+    let cut = event(2, false, &[target("w0", stage.workers[0].address, "Terminating")]);
     let half = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
         cut.len(),
         &cut[..cut.len() / 2]
     );
     for answer in ["", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "noise", &half] {
-        assert!(stage.coordinator.poll().contains("follow=1&"), "{answer}");
-        stage.coordinator.send(answer.as_bytes().to_vec());
+        assert!(stage.coordinator.next_poll().contains("follow=1&"), "{answer}");
+        stage.coordinator.answer_raw(answer.as_bytes().to_vec());
     }
     // Half an answer is found out by the time that was asked for; then the whole one counts.
-    assert!(stage.coordinator.poll().contains("follow=1&"));
-    stage.coordinator.tell(&cut);
-    assert!(stage.coordinator.poll().contains("follow=2&"));
+    assert!(stage.coordinator.next_poll().contains("follow=1&"));
+    stage.coordinator.answer_with_events(&cut);
+    assert!(stage.coordinator.next_poll().contains("follow=2&"));
     let mut frontend = stage.frontend();
     for id in [ID, OTHER] {
         ask(&mut frontend, 1, &asked("/do/again", id));
         let (at, (connection, _, id, ..)) = stage.command();
         assert_eq!(at, 1, "a draining worker gets nothing new");
         stage.workers[at].answer(connection, DONE, id, b"");
-        assert_eq!(frontend.reply().unwrap().status, 200);
+        assert_eq!(frontend.read_reply().unwrap().status, 200);
     }
 }
 
@@ -442,14 +451,14 @@
     let mut stage = Stage::start(LAB, 1);
     let mut frontend = stage.frontend();
     ask(&mut frontend, 1, &asked("/do/once", ID));
-    let (connection, _, id, ..) = stage.workers[0].command();
+    let (connection, _, id, ..) = stage.workers[0].next_command();
     std::fs::write(&stage.file, "{ half a file").unwrap();
     stage.signal("-HUP");
-    let next = Coordinator::knowing(&event(1, true, &[])).unwrap();
-    stage.hang_up(next.at, r#"{"index":0,"updates":[]}"#);
-    assert!(next.poll().contains("follow=1&"));
+    let next = Coordinator::with_events(&event(1, true, &[])).unwrap();
+    stage.hang_up(next.address, r#"{"index":0,"updates":[]}"#);
+    assert!(next.next_poll().contains("follow=1&"));
     stage.workers[0].answer(connection, DONE, id, b"done");
-    assert_eq!(frontend.reply().unwrap().body, b"done");
+    assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
@@ -457,21 +466,21 @@
     let mut stage = Stage::start(LAB, 1);
     let mut frontend = stage.frontend();
     ask(&mut frontend, 1, &asked("/do/once", ID));
-    let (connection, _, id, ..) = stage.workers[0].command();
+    let (connection, _, id, ..) = stage.workers[0].next_command();
     stage.signal("-TERM");
     let mut late = stage.frontend();
     loop {
         ask(&mut late, 1, &asked("/check", OTHER));
-        if late.reply().unwrap().status == 503 {
+        if late.read_reply().unwrap().status == 503 {
             break;
         }
     }
     ask(&mut late, 1, &asked("/do/once", OTHER));
-    let (other, _, late_id, ..) = stage.workers[0].command();
+    let (other, _, late_id, ..) = stage.workers[0].next_command();
     stage.workers[0].answer(other, DONE, late_id, b"late");
-    assert_eq!(late.reply().unwrap().body, b"late");
+    assert_eq!(late.read_reply().unwrap().body, b"late");
     stage.workers[0].answer(connection, DONE, id, b"done");
-    assert_eq!(frontend.reply().unwrap().body, b"done");
+    assert_eq!(frontend.read_reply().unwrap().body, b"done");
     assert!(stage.ends().success());
 }
 
@@ -485,7 +494,7 @@
     while requests < 2000 && idle < 1000 {
         if idle == 0
             && deaf
-                .send(&Frontend::request(
+                .send(&Frontend::encode_request(
                     1,
                     &asked("/do/again", &format!("{requests:016x}")),
                 ))
@@ -493,7 +502,7 @@
         {
             break;
         }
-        match stage.workers[0].command_now() {
+        match stage.workers[0].try_next_command() {
             Some((connection, _, id, ..)) => {
                 stage.workers[0].answer(connection, DONE, id, &said);
                 (requests, idle) = (requests + 1, 0);
@@ -505,7 +514,7 @@
     }
     assert!(requests < 2000, "nothing stopped it");
     let mut whole = 0;
-    while deaf.reply().is_ok() {
+    while deaf.read_reply().is_ok() {
         whole += 1;
     }
     assert!(
@@ -520,23 +529,23 @@
     let mut silent: Vec<Frontend> = (0..300).map(|_| stage.frontend()).collect();
     let mut frontend = stage.frontend();
     ask(&mut frontend, 1, &asked("/do/once", ID));
-    let (connection, _, id, ..) = stage.workers[0].command();
+    let (connection, _, id, ..) = stage.workers[0].next_command();
     stage.workers[0].answer(connection, DONE, id, b"done");
-    assert_eq!(frontend.reply().unwrap().body, b"done");
-    assert!(silent.iter_mut().all(|silent| silent.reply().is_err()));
+    assert_eq!(frontend.read_reply().unwrap().body, b"done");
+    assert!(silent.iter_mut().all(|silent| silent.read_reply().is_err()));
     // One that has been answered may be held for good.
     ask(&mut frontend, 1, &asked("/check", ID));
-    assert_eq!(frontend.reply().unwrap().status, 200);
+    assert_eq!(frontend.read_reply().unwrap().status, 200);
 }
 
 #[test]
 fn a_thousand_workers_and_clients_leave_nothing_behind() {
     const REPLACED: u64 = 1000;
     let mut worker = Worker::start().unwrap();
-    let at = worker.at;
+    let at = worker.address;
     let known = event(1, true, &[target("w1", at, "Ready")]);
-    let coordinator = Coordinator::knowing(&known).unwrap();
-    let text = config(coordinator.at, &known);
+    let coordinator = Coordinator::with_events(&known).unwrap();
+    let text = config(coordinator.address, &known);
     let config = quartzdrift_platform::config::parse(text.as_bytes()).unwrap();
     let mut event_loop = calloop::EventLoop::<Node>::try_new().unwrap();
     let mut node = Node::new(config, PathBuf::new(), event_loop.handle());
@@ -545,19 +554,19 @@
     node.listen(listener).unwrap();
     let replacing = std::thread::spawn(move || {
         for n in 2..=REPLACED {
-            coordinator.poll();
+            coordinator.next_poll();
             let (old, new) = (format!("w{}", n - 1), format!("w{n}"));
-            coordinator.tell(&event(
+            coordinator.answer_with_events(&event(
                 n,
                 false,
                 &[target(&old, at, "Gone"), target(&new, at, "Ready")],
             ));
         }
-        assert!(coordinator.poll().contains(&format!("follow={REPLACED}&")));
+        assert!(coordinator.next_poll().contains(&format!("follow={REPLACED}&")));
     });
     std::thread::spawn(move || {
         loop {
-            let (connection, code, id, ..) = worker.command();
+            let (connection, code, id, ..) = worker.next_command();
             if code != GIVE_UP {
                 worker.answer(connection, DONE, id, b"");
             }
--- a/crates/quartzdrift-lab/tests/soak/client.rs
+++ b/crates/quartzdrift-lab/tests/soak/client.rs
@@ -1,5 +1,5 @@
 //! A client that sends on without pause until nobody listens any more, and records what became of each request.
-use quartzdrift_lab::platform::{Asked, Frontend, Reply};
+use quartzdrift_lab::platform::{Frontend, Reply, RequestFields};
 use quartzdrift_lab::stage::asked;
 use rand::RngExt;
 use rand::rngs::StdRng;
@@ -136,11 +136,11 @@
             "/do/again"
         };
         let (id, time) = (format!("{id:016x}"), self.manner.timeout.as_millis().to_string());
-        let request = Asked {
-            time: &time,
+        let request = RequestFields {
+            timeout_ms: &time,
             ..asked(path, &id)
         };
-        Frontend::request(number, &request)
+        Frontend::encode_request(number, &request)
     }
 
     fn take(&mut self, frontend: &mut Frontend, first: usize) -> io::Result<bool> {
@@ -156,7 +156,7 @@
                 }
                 return Ok(false);
             }
-            let aborts: Vec<u8> = (1..=self.manner.batch).flat_map(Frontend::abort).collect();
+            let aborts: Vec<u8> = (1..=self.manner.batch).flat_map(Frontend::encode_abort).collect();
             let left = Instant::now();
             frontend.send(&aborts)?;
             for request in &mut self.requests[first..] {
@@ -164,14 +164,14 @@
             }
         }
         for _ in 0..self.manner.batch {
-            let reply = frontend.reply()?;
+            let reply = frontend.read_reply()?;
             self.answered(first, &reply, withdraws);
         }
         Ok(true)
     }
 
     fn answered(&mut self, first: usize, reply: &Reply, withdrawn: bool) {
-        let request = &mut self.requests[first + usize::from(reply.number) - 1];
+        let request = &mut self.requests[first + usize::from(reply.fastcgi_id) - 1];
         if !withdrawn {
             request.ended = Instant::now();
         }
--- a/crates/quartzdrift-lab/tests/soak/worker.rs
+++ b/crates/quartzdrift-lab/tests/soak/worker.rs
@@ -78,7 +78,7 @@
 
     fn turn(&mut self) {
         let mut idle = true;
-        while let Some((connection, code, id, fields, _)) = self.worker.command_now() {
+        while let Some((connection, code, id, fields, _)) = self.worker.try_next_command() {
             idle = false;
             match code {
                 frame::EXECUTE => self.execute(connection, id, &fields),
--- a/crates/quartzdrift-lab/tests/system_calls.rs
+++ b/crates/quartzdrift-lab/tests/system_calls.rs
@@ -23,7 +23,7 @@
         let stop = over.clone();
         let thread = thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
-                match worker.command_now() {
+                match worker.try_next_command() {
                     Some((connection, frame::EXECUTE, id, ..)) => {
                         worker.try_answer(connection, DONE, id, &id.to_be_bytes());
                     }
@@ -51,10 +51,10 @@
     let statuses = (1..=NEWCOMERS)
         .map(|id| {
             let mut newcomer = stage.frontend();
-            let request = Frontend::request(1, &asked("/do/again", &format!("{id:016x}")));
+            let request = Frontend::encode_request(1, &asked("/do/again", &format!("{id:016x}")));
             newcomer.send(&request).unwrap();
             let reply = newcomer
-                .reply()
+                .read_reply()
                 .unwrap_or_else(|error| panic!("{failures:?}: no answer: {error}"));
             assert!(reply.status != 200 || reply.body == id.to_be_bytes());
             reply.status
