--- a/crates/quartzdrift-lab/src/stage.rs
+++ b/crates/quartzdrift-lab/src/cluster_harness.rs
@@ -8,29 +8,29 @@
 use std::time::{Duration, Instant};
 
 /// Code of a worker's answer with a body.
-pub const DONE: u8 = 64;
+pub const SUCCEEDED: u8 = 64;
 /// Ids of requests.
-pub const ID: &str = "9b1f03aa5c7e2d41";
+pub const REQUEST_ID: &str = "9b1f03aa5c7e2d41";
 /// Another id.
-pub const OTHER: &str = "9b1f03aa5c7e2d42";
+pub const SECOND_REQUEST_ID: &str = "9b1f03aa5c7e2d42";
 /// A third id.
-pub const THIRD: &str = "9b1f03aa5c7e2d43";
+pub const THIRD_REQUEST_ID: &str = "9b1f03aa5c7e2d43";
 /// The settings forbid to give up what is out.
 pub const NO_CANCEL: (&str, &str) = ("\"cancel\":true", "\"cancel\":false");
 /// Connections may take as long as they like.
-pub const PATIENT: (&str, &str) = (
+pub const LONG_CONNECT_TIMEOUT: (&str, &str) = (
     "\"connect-timeout-ns\":250000000",
     "\"connect-timeout-ns\":60000000000",
 );
 /// Room for eight clients and eight connections.
-pub const SCARCE: (&str, &str) = ("\"sockets\":128", "\"sockets\":40");
+pub const FEW_SOCKETS: (&str, &str) = ("\"sockets\":128", "\"sockets\":40");
 /// How long a listener whose queue is full is tried before it counts as full.
-const FULL: Duration = Duration::from_millis(200);
+const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A scheduler that runs, and all that it talks to.
-pub struct Stage {
+pub struct ClusterHarness {
     child: Child,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     out: BufReader<ChildStdout>,
     /// Its configuration, to be replaced before SIGHUP.
     pub file: PathBuf,
@@ -40,12 +40,12 @@
 }
 
 /// A worker as an event tells of it.
-pub fn target(uid: &str, at: SocketAddr, state: &str) -> String {
+pub fn endpoint_json(uid: &str, at: SocketAddr, state: &str) -> String {
     format!(r#"{{"uid":"{uid}","endpoint":"{at}","state":"{state}","boot_ms":0}}"#)
 }
 
 /// An answer of the coordinator with one event.
-pub fn event(index: u64, all: bool, targets: &[String]) -> String {
+pub fn endpoint_event(index: u64, all: bool, targets: &[String]) -> String {
     let targets = targets.join(",");
     format!(
         r#"{{"index":{index},"updates":[{{"index":{index},"endpoints":{{"all":{all},"targets":[{targets}]}}}}]}}"#
@@ -53,7 +53,7 @@
 }
 
 /// A configuration with an idempotent request class `again` and a non-idempotent one `once`.
-pub fn config(coordinator: SocketAddr, known: &str) -> String {
+pub fn config_json(coordinator: SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"7","limits":{{"sockets":128}},"coordinator":"{coordinator}",
         "known":{known},"settings":{{
@@ -67,7 +67,7 @@
 }
 
 /// The lab's program as a scheduler with a configuration.
-pub fn scheduler(lab: &str, file: &Path) -> Command {
+pub fn scheduler_command(lab: &str, file: &Path) -> Command {
     let mut command = Command::new(lab);
     command
         .arg("scheduler")
@@ -79,7 +79,7 @@
 
 /// A program some of whose system calls fail. `failures`: each as strace(1) takes it after `inject=`. The process that is
 /// started is the program's own, and strace follows it from beside.
-pub fn failing(program: &str, failures: &[&str]) -> Command {
+pub fn with_failing_system_calls(program: &str, failures: &[&str]) -> Command {
     let mut command = Command::new("strace");
     command.args(["-D", "-f", "-qq", "-o", "/dev/null"]);
     for failure in failures {
@@ -90,7 +90,7 @@
 }
 
 /// Starts a scheduler that logs to a file beside its configuration.
-fn started(mut command: Command, file: &Path) -> (Child, BufReader<ChildStdout>, SocketAddr) {
+fn spawn_logged(mut command: Command, file: &Path) -> (Child, BufReader<ChildStdout>, SocketAddr) {
     let log = std::fs::File::create(file.with_extension("log")).expect("a file for its log");
     let mut child = command.stderr(log).spawn().expect("the scheduler starts");
     let mut out = BufReader::new(child.stdout.take().expect("its output"));
@@ -99,26 +99,26 @@
 }
 
 /// Sends a signal by its name to a process.
-pub fn signal(name: &str, process: u32) {
+pub fn send_signal(name: &str, process: u32) {
     let status = Command::new("kill").args([name, &process.to_string()]).status();
     assert!(status.expect("kill can be called").success());
 }
 
-impl Stage {
+impl ClusterHarness {
     /// With the fakes' usual settings.
-    pub fn start(lab: &str, workers: usize) -> Stage {
-        Stage::with(lab, workers, &[])
+    pub fn start(lab: &str, workers: usize) -> ClusterHarness {
+        ClusterHarness::with_config_changes(lab, workers, &[])
     }
 
     /// `changes`: parts of the configuration and what stands in their place.
-    pub fn with(lab: &str, workers: usize, changes: &[(&str, &str)]) -> Stage {
-        Stage::launched(workers, changes, &|file| scheduler(lab, file))
+    pub fn with_config_changes(lab: &str, workers: usize, changes: &[(&str, &str)]) -> ClusterHarness {
+        ClusterHarness::launched(workers, changes, &|file| scheduler_command(lab, file))
     }
 
     /// A scheduler some of whose system calls fail. `failures`: each as strace(1) takes it after `inject=`.
-    pub fn failing(lab: &str, workers: usize, failures: &[&str]) -> Stage {
-        Stage::launched(workers, &[], &|file| {
-            let mut command = failing(lab, failures);
+    pub fn with_failing_system_calls(lab: &str, workers: usize, failures: &[&str]) -> ClusterHarness {
+        ClusterHarness::launched(workers, &[], &|file| {
+            let mut command = with_failing_system_calls(lab, failures);
             command
                 .arg("scheduler")
                 .env("GW_CONFIG", file)
@@ -127,28 +127,32 @@
         })
     }
 
-    fn launched(workers: usize, changes: &[(&str, &str)], launch: &dyn Fn(&Path) -> Command) -> Stage {
+    fn launched(
+        workers: usize,
+        changes: &[(&str, &str)],
+        launch: &dyn Fn(&Path) -> Command,
+    ) -> ClusterHarness {
         let workers: Vec<Worker> = (0..workers).map(|_| Worker::start().expect("a worker")).collect();
         let targets: Vec<String> = workers
             .iter()
             .enumerate()
-            .map(|(n, w)| target(&format!("w{n}"), w.address, "Ready"))
+            .map(|(n, w)| endpoint_json(&format!("w{n}"), w.address, "Ready"))
             .collect();
-        let known = event(1, true, &targets);
+        let known = endpoint_event(1, true, &targets);
         let coordinator = Coordinator::with_events(&known).expect("a coordinator");
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("config.json");
-        let mut text = config(coordinator.address, &known);
+        let mut text = config_json(coordinator.address, &known);
         for (old, new) in changes {
             assert!(text.contains(old), "{old}");
             text = text.replace(old, new);
         }
         std::fs::write(&file, text).expect("the configuration is written");
-        let (child, out, at) = started(launch(&file), &file);
+        let (child, out, at) = spawn_logged(launch(&file), &file);
         coordinator.wait_until_followed(0);
-        Stage {
+        ClusterHarness {
             child,
-            at,
+            address: at,
             out,
             file,
             _folder: folder,
@@ -159,22 +163,22 @@
 
     /// A connection of a client to the scheduler.
     pub fn frontend(&self) -> Frontend {
-        Frontend::connect(self.at).expect("the scheduler takes connections")
+        Frontend::connect(self.address).expect("the scheduler takes connections")
     }
 
     /// Its number among processes.
-    pub fn process(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
     /// Sends the scheduler a signal by its name.
-    pub fn signal(&self, name: &str) {
-        signal(name, self.child.id());
+    pub fn send_signal(&self, name: &str) {
+        send_signal(name, self.child.id());
     }
 
     /// Sends SIGSTOP, and waits until the process has stopped.
     pub fn pause(&self) {
-        self.signal("-STOP");
+        self.send_signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         // The state comes after the name, which is in brackets.
         let stopped = |text: String| text.rsplit(')').next().is_some_and(|rest| rest.starts_with(" T"));
@@ -184,12 +188,12 @@
     }
 
     /// Sends SIGCONT.
-    pub fn go_on(&self) {
-        self.signal("-CONT");
+    pub fn resume(&self) {
+        self.send_signal("-CONT");
     }
 
     /// Waits for its end.
-    pub fn ends(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut rest = String::new();
         self.out
             .read_to_string(&mut rest)
@@ -198,7 +202,7 @@
     }
 
     /// Waits for its end until `at`; returns whether it has ended well by then.
-    pub fn ends_by(&mut self, at: Instant) -> bool {
+    pub fn has_succeeded_by(&mut self, at: Instant) -> bool {
         loop {
             if let Some(status) = self.child.try_wait().expect("it can be waited for") {
                 return status.success();
@@ -216,19 +220,19 @@
     }
 
     /// Has it read a configuration with this coordinator and these known events, by SIGHUP.
-    pub fn hang_up(&self, coordinator: SocketAddr, known: &str) {
-        std::fs::write(&self.file, config(coordinator, known)).expect("the configuration is written");
-        self.signal("-HUP");
+    pub fn reload_config(&self, coordinator: SocketAddr, known: &str) {
+        std::fs::write(&self.file, config_json(coordinator, known)).expect("the configuration is written");
+        self.send_signal("-HUP");
     }
 
     /// A connection of the first worker on which a request has ended, and which has rested for so long that it must prove that
     /// it works.
-    pub fn rested(&mut self, frontend: &mut Frontend, id: &str) -> usize {
-        ask(frontend, 1, &asked("/do/once", id));
-        let (connection, ..) = serve(&mut self.workers[0], frontend, b"");
+    pub fn idle_connection(&mut self, frontend: &mut Frontend, id: &str) -> usize {
+        send_request(frontend, 1, &request_fields("/do/once", id));
+        let (connection, ..) = serve_next_command(&mut self.workers[0], frontend, b"");
         let answered = Instant::now();
         while answered.elapsed() < quartzdrift_platform::connection_choice::MAX_UNVERIFIED_IDLE * 2 {
-            assert_eq!(check(frontend), 200);
+            assert_eq!(check_status(frontend), 200);
         }
         connection
     }
@@ -244,21 +248,21 @@
     pub fn restart(&mut self, lab: &str) {
         self.kill();
         let text = std::fs::read_to_string(&self.file).expect("its configuration");
-        let text = text.replace("127.0.0.1:0", &self.at.to_string());
+        let text = text.replace("127.0.0.1:0", &self.address.to_string());
         std::fs::write(&self.file, text).expect("the configuration is written");
         let repeated = self.coordinator.repeated_polls();
-        (self.child, self.out, self.at) = started(scheduler(lab, &self.file), &self.file);
+        (self.child, self.out, self.address) = spawn_logged(scheduler_command(lab, &self.file), &self.file);
         self.coordinator.wait_until_followed(repeated);
     }
 
     /// All commands that reached a worker and were not yet taken; the scheduler is killed first.
-    pub fn last_commands(&mut self, worker: usize) -> Vec<ReceivedCommand> {
+    pub fn drain_commands(&mut self, worker: usize) -> Vec<ReceivedCommand> {
         self.kill();
         self.workers[worker].drain_commands()
     }
 
     /// The worker that the next command reaches, and the command. Workers not met are asked in turn.
-    pub fn command(&mut self) -> (usize, ReceivedCommand) {
+    pub fn next_command(&mut self) -> (usize, ReceivedCommand) {
         let mut frontend = self.frontend();
         loop {
             for n in 0..self.workers.len() {
@@ -267,17 +271,17 @@
                 }
             }
             // An answered check is a turn of the scheduler's loop, in which a command may have left.
-            assert_eq!(check(&mut frontend), 200);
+            assert_eq!(check_status(&mut frontend), 200);
         }
     }
 
     /// Has the scheduler take news of workers, and returns once it has. A poll must be out, and known to be.
-    pub fn tell(&self, index: u64, targets: &[String]) {
-        self.say(index, &event(index, false, targets));
+    pub fn announce_endpoints(&self, index: u64, targets: &[String]) {
+        self.send_events(index, &endpoint_event(index, false, targets));
     }
 
     /// Answers the poll that is out with `news`, and returns once the scheduler follows from event `index`.
-    pub fn say(&self, index: u64, news: &str) {
+    pub fn send_events(&self, index: u64, news: &str) {
         let next = format!("follow={index}&");
         loop {
             self.coordinator.answer_with_events(news);
@@ -289,24 +293,24 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for ClusterHarness {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
 /// An id as workers are told it.
-pub fn number(id: &str) -> u64 {
+pub fn id_number(id: &str) -> u64 {
     u64::from_str_radix(id, 16).expect("an id is a number")
 }
 
 /// Codes and ids of commands.
-pub fn ids(commands: &[ReceivedCommand]) -> Vec<(u8, u64)> {
+pub fn codes_and_ids(commands: &[ReceivedCommand]) -> Vec<(u8, u64)> {
     commands.iter().map(|(_, code, id, ..)| (*code, *id)).collect()
 }
 
 /// A request that any scheduler takes.
-pub fn asked<'a>(path: &'a str, id: &'a str) -> RequestFields<'a> {
+pub fn request_fields<'a>(path: &'a str, id: &'a str) -> RequestFields<'a> {
     let (function, figures) = ("7f3a9c21e0b4d655", "memory_mb:512;lanes:2;load_ms:640");
     RequestFields {
         path,
@@ -321,46 +325,46 @@
 }
 
 /// Sends a request under a FastCGI number.
-pub fn ask(frontend: &mut Frontend, number: u16, asked: &RequestFields) {
+pub fn send_request(frontend: &mut Frontend, number: u16, asked: &RequestFields) {
     frontend
         .send(&Frontend::encode_request(number, asked))
         .expect("the scheduler takes a request");
 }
 
 /// Sends a request and returns its answer.
-pub fn ask_and_reply(frontend: &mut Frontend, asked: &RequestFields) -> Reply {
-    ask(frontend, 1, asked);
+pub fn request_and_reply(frontend: &mut Frontend, asked: &RequestFields) -> Reply {
+    send_request(frontend, 1, asked);
     frontend.read_reply().expect("a reply")
 }
 
 /// Answers the next command that reaches a worker, and returns its connection, code and id once the client has the answer.
-pub fn serve(worker: &mut Worker, frontend: &mut Frontend, body: &[u8]) -> (usize, u8, u64) {
+pub fn serve_next_command(worker: &mut Worker, frontend: &mut Frontend, body: &[u8]) -> (usize, u8, u64) {
     let (connection, code, id, ..) = worker.next_command();
-    worker.answer(connection, DONE, id, body);
+    worker.answer(connection, SUCCEEDED, id, body);
     let reply = frontend.read_reply().expect("a reply");
     assert_eq!((reply.status, &reply.body[..]), (200, body));
     (connection, code, id)
 }
 
 /// Status of an answered check. It is also a turn of the scheduler's loop.
-pub fn check(frontend: &mut Frontend) -> u16 {
-    ask_and_reply(frontend, &asked("/check", "0000000000000000")).status
+pub fn check_status(frontend: &mut Frontend) -> u16 {
+    request_and_reply(frontend, &request_fields("/check", "0000000000000000")).status
 }
 
 /// A listener that answers no new connection, as a machine that has vanished: its queue of one is full, and stays
 /// so until somebody takes what waits in it.
-pub struct Vanished {
+pub struct UnresponsiveListener {
     socket: socket2::Socket,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     held: Vec<TcpStream>,
 }
 
-impl Vanished {
+impl UnresponsiveListener {
     /// A listener whose queue is full.
     ///
     /// # Errors
     /// The system grants no socket.
-    pub fn start() -> io::Result<Vanished> {
+    pub fn start() -> io::Result<UnresponsiveListener> {
         use socket2::{Domain, Socket, Type};
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
@@ -370,14 +374,18 @@
             .as_socket()
             .ok_or_else(|| io::Error::other("no address"))?;
         let mut held = Vec::new();
-        while let Ok(stream) = TcpStream::connect_timeout(&at, FULL) {
+        while let Ok(stream) = TcpStream::connect_timeout(&at, QUEUE_FULL_TIMEOUT) {
             held.push(stream);
         }
-        Ok(Vanished { socket, at, held })
+        Ok(UnresponsiveListener {
+            socket,
+            address: at,
+            held,
+        })
     }
 
     /// It comes back: whoever still tries to connect gets through, and this is the worker that they meet.
-    pub fn returns(self) -> io::Result<Worker> {
+    pub fn into_worker(self) -> io::Result<Worker> {
         let listener = TcpListener::from(self.socket);
         for _ in &self.held {
             listener.accept()?;
--- a/crates/quartzdrift-lab/src/lib.rs
+++ b/crates/quartzdrift-lab/src/lib.rs
@@ -8,13 +8,14 @@
 //!   [`experiment`], which compares variants over days and seeds.
 //! * [`day`]: days of the decision module's bench, scaled down to scripts.
 //! * [`measure`], with [`light`] workers: what a gateway costs.
-//! * [`platform`]: fakes for the operators' platform; [`stage`]: a scheduler between them.
+//! * [`platform`]: fakes for the operators' platform; [`cluster_harness`]: a scheduler between them.
 //! * [`actor`]: the event loop that fakes run on.
 //! * [`naive`]: a gateway that breaks the rules, to prove that the auditor sees it.
 pub mod actor;
 pub mod audit;
 pub mod badday;
 pub mod clients;
+pub mod cluster_harness;
 pub mod day;
 pub mod discovery;
 pub mod emulate;
@@ -30,7 +31,6 @@
 pub mod record;
 pub mod relay;
 pub mod script;
-pub mod stage;
 pub mod store;
 pub mod switch;
 pub mod traffic;
--- a/crates/quartzdrift-lab/tests/closes.rs
+++ b/crates/quartzdrift-lab/tests/closes.rs
@@ -1,11 +1,12 @@
 //! Ill-timed closes: clients, workers' connections and readers of the log that close, fall silent or stop reading while
 //! something is under way. A scheduler process on loopback, against fakes that make the order certain.
 use quartzdrift_lab::badday::listens_at;
-use quartzdrift_lab::platform::{Coordinator, Frontend, RequestFields, Worker};
-use quartzdrift_lab::stage::{
-    DONE, ID, NO_CANCEL, OTHER, SCARCE, Stage, THIRD, ask, asked, check, config, event, ids, number,
-    scheduler, serve, signal, target,
+use quartzdrift_lab::cluster_harness::{
+    ClusterHarness, FEW_SOCKETS, NO_CANCEL, REQUEST_ID, SECOND_REQUEST_ID, SUCCEEDED, THIRD_REQUEST_ID,
+    check_status, codes_and_ids, config_json, endpoint_event, endpoint_json, id_number, request_fields,
+    scheduler_command, send_request, send_signal, serve_next_command,
 };
+use quartzdrift_lab::platform::{Coordinator, Frontend, RequestFields, Worker};
 use quartzdrift_platform::frame;
 use rustix::process::{Pid, Resource, Rlimit, getrlimit, prlimit};
 use socket2::{Domain, Socket, Type};
@@ -33,31 +34,31 @@
 #[test]
 fn a_request_whose_client_has_closed_by_then_reaches_no_connection_that_is_at_hand() {
     for half in [true, false] {
-        let mut stage = Stage::with(LAB, 1, &[NO_CANCEL]);
+        let mut stage = ClusterHarness::with_config_changes(LAB, 1, &[NO_CANCEL]);
         let (mut frontend, mut leaves, mut checks) = (stage.frontend(), stage.frontend(), stage.frontend());
-        assert_eq!((check(&mut leaves), check(&mut checks)), (200, 200));
-        ask(&mut frontend, 1, &asked("/do/once", ID));
+        assert_eq!((check_status(&mut leaves), check_status(&mut checks)), (200, 200));
+        send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
         let (connection, _, id, ..) = stage.workers[0].next_command();
         stage.pause();
         // The answer frees a connection that has just worked: what is put on it now leaves in this turn.
-        stage.workers[0].answer(connection, DONE, id, b"");
-        ask(&mut leaves, 1, &asked("/do/once", OTHER));
+        stage.workers[0].answer(connection, SUCCEEDED, id, b"");
+        send_request(&mut leaves, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
         leaves.shutdown_write().unwrap();
         let kept = half.then_some(leaves);
-        stage.go_on();
+        stage.resume();
         assert_eq!(frontend.read_reply().unwrap().status, 200);
-        assert_eq!(check(&mut checks), 200);
-        assert_eq!(ids(&stage.last_commands(0)), [], "half closed: {half}");
+        assert_eq!(check_status(&mut checks), 200);
+        assert_eq!(codes_and_ids(&stage.drain_commands(0)), [], "half closed: {half}");
         drop(kept);
     }
 }
 
 #[test]
 fn requests_that_overlap_on_a_connection_do_not_end_it() {
-    let stage = Stage::start(LAB, 1);
+    let stage = ClusterHarness::start(LAB, 1);
     let mut frontend = stage.frontend();
     let requests: Vec<Vec<u8>> = (1..=12)
-        .map(|n| Frontend::encode_request(n, &asked("/check", ID)))
+        .map(|n| Frontend::encode_request(n, &request_fields("/check", REQUEST_ID)))
         .collect();
     let half = requests[0].len() / 2;
     frontend.send(&requests[0][..half]).unwrap();
@@ -72,9 +73,10 @@
     }
     // One that stays half is not kept by others that come whole beside it.
     let (mut other, began) = (stage.frontend(), Instant::now());
-    assert_eq!(check(&mut other), 200);
+    assert_eq!(check_status(&mut other), 200);
     // Its first record alone: what comes behind it is whole, and in step.
-    let begun = &Frontend::encode_request(99, &asked("/check", ID))[..quartzdrift_fastcgi::HEADER_LENGTH + 8];
+    let begun = &Frontend::encode_request(99, &request_fields("/check", REQUEST_ID))
+        [..quartzdrift_fastcgi::HEADER_LENGTH + 8];
     other.send(begun).unwrap();
     let mut served = 0;
     while other.send(&requests[0]).is_ok() {
@@ -96,14 +98,14 @@
 
 #[test]
 fn whoever_has_taken_all_answers_may_stay_silent_while_a_request_runs() {
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let mut frontend = stage.frontend();
     // One is answered in the turn in which it came, the other one takes its time.
     frontend
         .send(
             &[
-                Frontend::encode_request(1, &asked("/check", ID)),
-                Frontend::encode_request(2, &asked("/do/once", ID)),
+                Frontend::encode_request(1, &request_fields("/check", REQUEST_ID)),
+                Frontend::encode_request(2, &request_fields("/do/once", REQUEST_ID)),
             ]
             .concat(),
         )
@@ -112,22 +114,22 @@
     let (connection, _, id, ..) = stage.workers[0].next_command();
     // Longer than a client may take to read what waits for it: nothing does.
     std::thread::sleep(Duration::from_millis(5500));
-    assert_eq!(check(&mut stage.frontend()), 200);
-    stage.workers[0].answer(connection, DONE, id, b"long");
+    assert_eq!(check_status(&mut stage.frontend()), 200);
+    stage.workers[0].answer(connection, SUCCEEDED, id, b"long");
     assert_eq!(frontend.read_reply().unwrap().body, b"long");
 }
 
 #[test]
 fn nothing_is_begun_for_a_client_that_was_cut_off_in_the_same_read() {
-    let mut stage = Stage::with(LAB, 1, &[NO_CANCEL]);
+    let mut stage = ClusterHarness::with_config_changes(LAB, 1, &[NO_CANCEL]);
     // A client that takes nothing of what it is answered.
     let socket = narrow();
-    socket.connect(&stage.at.into()).unwrap();
+    socket.connect(&stage.address.into()).unwrap();
     let mut deaf = Frontend::from_stream(TcpStream::from(socket)).unwrap();
     for n in 1..=17 {
-        ask(&mut deaf, n, &asked("/do/once", &format!("{n:016x}")));
+        send_request(&mut deaf, n, &request_fields("/do/once", &format!("{n:016x}")));
         let (connection, _, id, ..) = stage.workers[0].next_command();
-        stage.workers[0].answer(connection, DONE, id, &[7; 60_000]);
+        stage.workers[0].answer(connection, SUCCEEDED, id, &[7; 60_000]);
     }
     // Checks, then a request that is withdrawn at once. Past what may wait for a client it is cut off, among the checks of
     // a read, and requests behind them are still there. A number is used again when it has long been answered, and the
@@ -138,13 +140,13 @@
             n,
             &RequestFields {
                 body: &body,
-                ..asked("/check", ID)
+                ..request_fields("/check", REQUEST_ID)
             },
         )
     };
     let unit = |first: u16| {
         let checks = (first..first + 7).flat_map(check_of);
-        let request = Frontend::encode_request(first + 7, &asked("/do/once", OTHER));
+        let request = Frontend::encode_request(first + 7, &request_fields("/do/once", SECOND_REQUEST_ID));
         checks
             .chain(request)
             .chain(Frontend::encode_abort(first + 7))
@@ -159,20 +161,24 @@
             .any(|unit| deaf.send(unit).is_err()),
         "it is cut off"
     );
-    assert_eq!(check(&mut stage.frontend()), 200);
-    assert_eq!(ids(&stage.last_commands(0)), []);
+    assert_eq!(check_status(&mut stage.frontend()), 200);
+    assert_eq!(codes_and_ids(&stage.drain_commands(0)), []);
 }
 
 #[test]
 fn a_worker_is_no_worse_for_a_connection_that_we_have_not_left() {
     let one = ("\"streams-per-conn\":32", "\"streams-per-conn\":1");
-    let mut stage = Stage::with(LAB, 1, &[SCARCE, one, COLD]);
+    let mut stage = ClusterHarness::with_config_changes(LAB, 1, &[FEW_SOCKETS, one, COLD]);
     let mut frontend = stage.frontend();
     for n in 1..=8 {
-        ask(&mut frontend, n, &asked("/do/once", &format!("{n:016x}")));
+        send_request(
+            &mut frontend,
+            n,
+            &request_fields("/do/once", &format!("{n:016x}")),
+        );
         stage.workers[0].next_command();
     }
-    ask(&mut frontend, 9, &asked("/do/once", ID));
+    send_request(&mut frontend, 9, &request_fields("/do/once", REQUEST_ID));
     assert_eq!(
         frontend.read_reply().unwrap().status,
         503,
@@ -187,8 +193,8 @@
         assert_eq!(stage.workers[0].next_command().1, frame::CANCEL);
     }
     // The worker was not down, so it has not come back cold.
-    ask(&mut frontend, 10, &asked("/do/once", OTHER));
-    serve(&mut stage.workers[0], &mut frontend, b"");
+    send_request(&mut frontend, 10, &request_fields("/do/once", SECOND_REQUEST_ID));
+    serve_next_command(&mut stage.workers[0], &mut frontend, b"");
 }
 
 /// The lowest descriptor that a process does not hold: with this limit it can have no other.
@@ -216,17 +222,17 @@
 
 #[test]
 fn without_a_descriptor_left_a_silent_client_makes_room_and_no_worker_counts_as_down() {
-    let mut stage = Stage::with(LAB, 1, &[COLD]);
-    let process = stage.process();
+    let mut stage = ClusterHarness::with_config_changes(LAB, 1, &[COLD]);
+    let process = stage.process_id();
     let mut clients: Vec<Frontend> = (0..3).map(|_| stage.frontend()).collect();
     clients
         .iter_mut()
-        .for_each(|frontend| assert_eq!(check(frontend), 200));
+        .for_each(|frontend| assert_eq!(check_status(frontend), 200));
     stage.coordinator.next_poll();
     // It polls over the connection that it has.
     limit_descriptors(process, next_descriptor(process));
     let mut newcomer = stage.frontend();
-    assert_eq!(check(&mut newcomer), 200);
+    assert_eq!(check_status(&mut newcomer), 200);
     let ended = clients[0].read_reply().unwrap_err().kind();
     assert_eq!(
         ended,
@@ -234,11 +240,11 @@
         "the one that was silent longest has made room"
     );
     // There is none for a connection either.
-    ask(&mut newcomer, 1, &asked("/do/once", ID));
+    send_request(&mut newcomer, 1, &request_fields("/do/once", REQUEST_ID));
     assert_eq!(newcomer.read_reply().unwrap().status, 503);
     limit_descriptors(process, 1000);
-    ask(&mut newcomer, 1, &asked("/do/once", OTHER));
-    serve(&mut stage.workers[0], &mut newcomer, b"");
+    send_request(&mut newcomer, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
+    serve_next_command(&mut stage.workers[0], &mut newcomer, b"");
 }
 
 #[test]
@@ -246,9 +252,9 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let mut worker = Worker::start().unwrap();
-    let known = event(1, true, &[target("w0", worker.address, "Ready")]);
+    let known = endpoint_event(1, true, &[endpoint_json("w0", worker.address, "Ready")]);
     let coordinator = Coordinator::with_events(&known).unwrap();
-    let text = config(coordinator.address, &known);
+    let text = config_json(coordinator.address, &known);
     std::fs::write(&file, text).unwrap();
     let mut child = Command::new("sh")
         .args(["-c", "ulimit -n 48; exec \"$0\" scheduler", LAB])
@@ -263,22 +269,22 @@
     let mut clients: Vec<Frontend> = Vec::new();
     for _ in 0..60 {
         let mut frontend = Frontend::connect(at).unwrap();
-        assert_eq!(check(&mut frontend), 200);
+        assert_eq!(check_status(&mut frontend), 200);
         clients.push(frontend);
     }
     let frontend = clients.last_mut().unwrap();
-    ask(frontend, 1, &asked("/do/once", ID));
-    serve(&mut worker, frontend, b"");
+    send_request(frontend, 1, &request_fields("/do/once", REQUEST_ID));
+    serve_next_command(&mut worker, frontend, b"");
     child.kill().unwrap();
     child.wait().unwrap();
 }
 
 #[test]
 fn a_newcomer_waits_where_all_clients_have_requests_open() {
-    let mut stage = Stage::with(LAB, 2, &[SCARCE]);
+    let mut stage = ClusterHarness::with_config_changes(LAB, 2, &[FEW_SOCKETS]);
     let mut busy: Vec<Frontend> = (0..8).map(|_| stage.frontend()).collect();
     for (frontend, n) in busy.iter_mut().zip(1_u64..) {
-        ask(frontend, 1, &asked("/do/once", &format!("{n:016x}")));
+        send_request(frontend, 1, &request_fields("/do/once", &format!("{n:016x}")));
     }
     let mut commands = Vec::new();
     while commands.len() < busy.len() {
@@ -293,11 +299,11 @@
     }
     // There is no room for it, and none of the others is silent.
     let mut newcomer = stage.frontend();
-    ask(&mut newcomer, 1, &asked("/do/once", ID));
+    send_request(&mut newcomer, 1, &request_fields("/do/once", REQUEST_ID));
     // Longer than any turn of the loop.
     std::thread::sleep(Duration::from_millis(300));
     let (worker, connection, id) = commands[0];
-    stage.workers[worker].answer(connection, DONE, id, b"first");
+    stage.workers[worker].answer(connection, SUCCEEDED, id, b"first");
     assert_eq!(
         busy[usize::try_from(id).unwrap() - 1].read_reply().unwrap().body,
         b"first"
@@ -311,7 +317,7 @@
         assert!(since.elapsed() < Duration::from_secs(20), "it is not served");
         std::thread::yield_now();
     };
-    stage.workers[worker].answer(connection, DONE, id, b"after all");
+    stage.workers[worker].answer(connection, SUCCEEDED, id, b"after all");
     assert_eq!(newcomer.read_reply().unwrap().body, b"after all");
 }
 
@@ -337,10 +343,10 @@
 fn of_what_has_left_in_part_nothing_else_is_lost_or_sent() {
     for alone in [false, true] {
         // Seven connections are held by a worker that then drains, so the other one has a single connection.
-        let mut stage = Stage::with(LAB, 1, &[SCARCE, NO_CANCEL]);
+        let mut stage = ClusterHarness::with_config_changes(LAB, 1, &[FEW_SOCKETS, NO_CANCEL]);
         let (mut holds, mut frontend, mut checks) = (stage.frontend(), stage.frontend(), stage.frontend());
         for n in 1..=7 {
-            ask(&mut holds, n, &asked("/do/once", &format!("{n:016x}")));
+            send_request(&mut holds, n, &request_fields("/do/once", &format!("{n:016x}")));
             stage.workers[0].next_command();
         }
         let socket = narrow();
@@ -351,49 +357,49 @@
         let clogged = TcpListener::from(socket);
         let at = clogged.local_addr().unwrap();
         stage.coordinator.next_poll();
-        stage.tell(
+        stage.announce_endpoints(
             2,
             &[
-                target("w0", stage.workers[0].address, "Terminating"),
-                target("w1", at, "Ready"),
+                endpoint_json("w0", stage.workers[0].address, "Terminating"),
+                endpoint_json("w1", at, "Ready"),
             ],
         );
         let body = vec![7; 16 << 10];
         let of = |n: u16| format!("{:016x}", 100 + n);
         const ALL: u16 = 20;
         for n in 1..=ALL {
-            ask(
+            send_request(
                 &mut frontend,
                 n,
                 &RequestFields {
                     body: &body,
-                    ..asked("/do/once", &of(n))
+                    ..request_fields("/do/once", &of(n))
                 },
             );
         }
         // All of them are placed once what came behind them is answered.
-        ask(&mut frontend, ALL + 1, &asked("/check", ID));
+        send_request(&mut frontend, ALL + 1, &request_fields("/check", REQUEST_ID));
         assert_eq!(frontend.read_reply().unwrap().fastcgi_id, ALL + 1);
         let (mut connection, _) = clogged.accept().unwrap();
         // Nothing is read of it: it takes some of the commands, and one of them in part.
         for _ in 0..3 {
-            assert_eq!(check(&mut checks), 200);
+            assert_eq!(check_status(&mut checks), 200);
         }
         let mut answers = Vec::new();
         for n in 1..=ALL {
             frame::write(
                 &mut answers,
                 frame::FROM_WORKER,
-                DONE,
-                number(&of(n)),
+                SUCCEEDED,
+                id_number(&of(n)),
                 b"report=queue:0",
                 b"",
             );
         }
         connection.write_all(&answers).unwrap();
-        assert_eq!(check(&mut checks), 200);
+        assert_eq!(check_status(&mut checks), 200);
         // Those that had left are answered before this check.
-        ask(&mut frontend, ALL + 1, &asked("/check", ID));
+        send_request(&mut frontend, ALL + 1, &request_fields("/check", REQUEST_ID));
         let mut left = 0;
         for reply in std::iter::repeat_with(|| frontend.read_reply().unwrap()) {
             if reply.fastcgi_id == ALL + 1 {
@@ -411,12 +417,12 @@
             frontend.send(&aborts(left + 1, left + 1)).unwrap();
             assert_eq!(frontend.read_reply().unwrap().status, 0);
         }
-        assert_eq!(check(&mut checks), 200);
+        assert_eq!(check_status(&mut checks), 200);
         // A further one: on the same connection behind what goes on, or on a new one where that connection was ended.
-        ask(&mut frontend, 1, &asked("/do/once", THIRD));
-        assert_eq!(check(&mut checks), 200);
+        send_request(&mut frontend, 1, &request_fields("/do/once", THIRD_REQUEST_ID));
+        assert_eq!(check_status(&mut checks), 200);
         let (mut sent, mut further) = (Vec::new(), Vec::new());
-        let third = (frame::EXECUTE, number(THIRD));
+        let third = (frame::EXECUTE, id_number(THIRD_REQUEST_ID));
         if alone {
             read_until(&mut clogged.accept().unwrap().0, &mut further, third);
             connection.read_to_end(&mut sent).unwrap();
@@ -426,7 +432,7 @@
         let (sent, over) = frames(&sent);
         let expected = |n: u16| {
             (1..=n)
-                .map(|n| (frame::EXECUTE, number(&of(n))))
+                .map(|n| (frame::EXECUTE, id_number(&of(n))))
                 .collect::<Vec<_>>()
         };
         if alone {
@@ -459,11 +465,11 @@
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("config.json");
         let mut worker = Worker::start().unwrap();
-        let known = event(1, true, &[target("w0", worker.address, "Ready")]);
+        let known = endpoint_event(1, true, &[endpoint_json("w0", worker.address, "Ready")]);
         let coordinator = Coordinator::with_events(&known).unwrap();
-        let text = config(coordinator.address, &known);
+        let text = config_json(coordinator.address, &known);
         std::fs::write(&file, &text).unwrap();
-        let mut child = scheduler(LAB, &file)
+        let mut child = scheduler_command(LAB, &file)
             .env("RUST_LOG", "quartzdrift=trace")
             .stderr(Stdio::piped())
             .spawn()
@@ -476,17 +482,21 @@
         let mut frontend = Frontend::connect(at).unwrap();
         // Its lines are far more than a pipe holds.
         for n in 1..=1000 {
-            ask(&mut frontend, 1, &asked("/do/once", &format!("{n:016x}")));
-            serve(&mut worker, &mut frontend, b"");
+            send_request(
+                &mut frontend,
+                1,
+                &request_fields("/do/once", &format!("{n:016x}")),
+            );
+            serve_next_command(&mut worker, &mut frontend, b"");
         }
         if let Some(log) = &mut log {
             // Whoever reads it wakes up.
             log.read_exact(&mut [0; 32 << 10]).unwrap();
         }
         std::fs::write(&file, &text[..20]).unwrap();
-        signal("-HUP", child.id());
-        assert_eq!(check(&mut frontend), 200);
-        signal("-TERM", child.id());
+        send_signal("-HUP", child.id());
+        assert_eq!(check_status(&mut frontend), 200);
+        send_signal("-TERM", child.id());
         assert!(child.wait().unwrap().success(), "leaves: {leaves}");
         if let Some(mut log) = log {
             let mut said = String::new();
@@ -507,18 +517,18 @@
     let coordinator = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     std::fs::write(
         &file,
-        config(coordinator.local_addr().unwrap(), r#"{"index":0,"updates":[]}"#),
+        config_json(coordinator.local_addr().unwrap(), r#"{"index":0,"updates":[]}"#),
     )
     .unwrap();
     let (reader, writer) = std::io::pipe().unwrap();
     drop(reader);
-    let mut child = scheduler(LAB, &file).stdout(writer).spawn().unwrap();
+    let mut child = scheduler_command(LAB, &file).stdout(writer).spawn().unwrap();
     // It follows its coordinator, so it has started.
     coordinator.set_nonblocking(true).unwrap();
     while coordinator.accept().is_err() {
         assert_eq!(child.try_wait().unwrap(), None, "it has ended");
         std::thread::yield_now();
     }
-    signal("-TERM", child.id());
+    send_signal("-TERM", child.id());
     assert!(child.wait().unwrap().success());
 }
--- a/crates/quartzdrift-lab/tests/floods.rs
+++ b/crates/quartzdrift-lab/tests/floods.rs
@@ -1,9 +1,10 @@
 //! A scheduler process on the platform's sockets under floods, very slow peers, answers that break off, repeats after a
 //! short window, and a start with a long list of workers.
-use quartzdrift_lab::platform::{Coordinator, Frontend, RequestFields};
-use quartzdrift_lab::stage::{
-    DONE, ID, OTHER, Stage, ask, ask_and_reply, asked, check, config, event, scheduler, target,
+use quartzdrift_lab::cluster_harness::{
+    ClusterHarness, REQUEST_ID, SECOND_REQUEST_ID, SUCCEEDED, check_status, config_json, endpoint_event,
+    endpoint_json, request_and_reply, request_fields, scheduler_command, send_request,
 };
+use quartzdrift_lab::platform::{Coordinator, Frontend, RequestFields};
 use quartzdrift_platform::frame;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -18,14 +19,14 @@
 #[test]
 fn each_request_of_a_flood_has_one_final_answer() {
     const CONNECTIONS: u16 = 12;
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let clients: Vec<_> = (0..CONNECTIONS)
         .map(|connection| {
             let mut frontend = stage.frontend();
             let bytes: Vec<u8> = (1..=OPEN_EACH)
                 .flat_map(|number| {
                     let id = format!("{:016x}", u64::from(connection) << 16 | u64::from(number));
-                    Frontend::encode_request(number, &asked("/do/again", &id))
+                    Frontend::encode_request(number, &request_fields("/do/again", &id))
                 })
                 .collect();
             thread::spawn(move || {
@@ -42,7 +43,7 @@
         .collect();
     while clients.iter().any(|client| !client.is_finished()) {
         if let Some((connection, _, id, ..)) = stage.workers[0].try_next_command() {
-            stage.workers[0].answer(connection, DONE, id, b"");
+            stage.workers[0].answer(connection, SUCCEEDED, id, b"");
         }
     }
     let mut served = 0;
@@ -55,21 +56,21 @@
         served += statuses.values().filter(|status| **status == 200).count();
     }
     assert!(served > 0);
-    assert_eq!(check(&mut stage.frontend()), 200);
+    assert_eq!(check_status(&mut stage.frontend()), 200);
 }
 
 #[test]
 fn an_answer_that_breaks_off_after_its_head_is_no_answer() {
-    let mut stage = Stage::start(LAB, 2);
+    let mut stage = ClusterHarness::start(LAB, 2);
     let mut frontend = stage.frontend();
-    for (path, id) in [("/do/once", ID), ("/do/again", OTHER)] {
-        ask(&mut frontend, 1, &asked(path, id));
-        let (first, (connection, _, id, ..)) = stage.command();
+    for (path, id) in [("/do/once", REQUEST_ID), ("/do/again", SECOND_REQUEST_ID)] {
+        send_request(&mut frontend, 1, &request_fields(path, id));
+        let (first, (connection, _, id, ..)) = stage.next_command();
         let mut answer = Vec::new();
         frame::write(
             &mut answer,
             frame::FROM_WORKER,
-            DONE,
+            SUCCEEDED,
             id,
             b"report=queue:1",
             b"half of it",
@@ -81,35 +82,35 @@
             assert_eq!(reply.status, 500, "it may have run, and may not run twice");
             continue;
         }
-        let (second, (connection, _, id, ..)) = stage.command();
+        let (second, (connection, _, id, ..)) = stage.next_command();
         assert_ne!(second, first);
-        stage.workers[second].answer(connection, DONE, id, b"whole");
+        stage.workers[second].answer(connection, SUCCEEDED, id, b"whole");
         assert_eq!(frontend.read_reply().unwrap().body, b"whole");
     }
 }
 
 #[test]
 fn a_client_and_a_worker_that_drip_a_byte_at_a_time_are_heard() {
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let (mut dripping, mut checks) = (stage.frontend(), stage.frontend());
-    for byte in Frontend::encode_request(1, &asked("/do/once", ID)) {
+    for byte in Frontend::encode_request(1, &request_fields("/do/once", REQUEST_ID)) {
         dripping.send(&[byte]).unwrap();
         // An answered check is a turn of the scheduler's loop, in which the byte is read.
-        assert_eq!(check(&mut checks), 200);
+        assert_eq!(check_status(&mut checks), 200);
     }
     let (connection, _, id, ..) = stage.workers[0].next_command();
     let mut answer = Vec::new();
     frame::write(
         &mut answer,
         frame::FROM_WORKER,
-        DONE,
+        SUCCEEDED,
         id,
         b"report=queue:1",
         b"done",
     );
     for byte in answer {
         stage.workers[0].send(connection, &[byte]);
-        assert_eq!(check(&mut checks), 200);
+        assert_eq!(check_status(&mut checks), 200);
     }
     assert_eq!(dripping.read_reply().unwrap().body, b"done");
 }
@@ -118,40 +119,40 @@
 fn a_keyed_request_is_sent_again_within_its_window_and_not_after_a_short_one() {
     for (window, again) in [("8000000000", true), ("100000000", false)] {
         let keyed = format!("\"effect\":\"dedup\",\"key-scope\":\"all\",\"window-ns\":{window}");
-        let mut stage = Stage::with(LAB, 2, &[("\"effect\":\"fragile\"", &keyed)]);
+        let mut stage = ClusterHarness::with_config_changes(LAB, 2, &[("\"effect\":\"fragile\"", &keyed)]);
         let mut frontend = stage.frontend();
         let request = RequestFields {
             idempotency_key: "0f3a",
-            ..asked("/do/once", ID)
+            ..request_fields("/do/once", REQUEST_ID)
         };
-        ask(&mut frontend, 1, &request);
-        let (first, (connection, ..)) = stage.command();
+        send_request(&mut frontend, 1, &request);
+        let (first, (connection, ..)) = stage.next_command();
         let sent = Instant::now();
         let mut checks = stage.frontend();
         while sent.elapsed() < Duration::from_millis(150) {
-            assert_eq!(check(&mut checks), 200);
+            assert_eq!(check_status(&mut checks), 200);
         }
         stage.workers[first].close(connection);
         if again {
-            let (second, (connection, _, id, ..)) = stage.command();
+            let (second, (connection, _, id, ..)) = stage.next_command();
             assert_ne!(second, first);
-            stage.workers[second].answer(connection, DONE, id, b"done");
+            stage.workers[second].answer(connection, SUCCEEDED, id, b"done");
             assert_eq!(frontend.read_reply().unwrap().body, b"done");
         } else {
             let reply = frontend.read_reply().unwrap();
             assert_ne!(reply.status, 200);
             assert_eq!(
-                stage.last_commands(1 - first).len(),
+                stage.drain_commands(1 - first).len(),
                 0,
                 "workers may have forgotten its key"
             );
         }
         // The same request by its client: within the window workers know it, and after it they run it anew.
         if again {
-            ask(&mut frontend, 1, &request);
-            let (at, (connection, _, id, fields, _)) = stage.command();
+            send_request(&mut frontend, 1, &request);
+            let (at, (connection, _, id, fields, _)) = stage.next_command();
             assert!(fields.contains(",replay=0f3a,"), "{fields}");
-            stage.workers[at].answer(connection, DONE, id, b"done");
+            stage.workers[at].answer(connection, SUCCEEDED, id, b"done");
             assert_eq!(frontend.read_reply().unwrap().body, b"done");
         }
     }
@@ -161,7 +162,7 @@
 fn with_three_hundred_workers_listed_the_first_check_is_ready() {
     let targets: Vec<String> = (0..300)
         .map(|n| {
-            target(
+            endpoint_json(
                 &format!("w{n}"),
                 format!("127.0.1.{}:{}", n % 250, 20_000 + n).parse().unwrap(),
                 "Ready",
@@ -170,11 +171,11 @@
         .collect();
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
-    let known = event(1, true, &targets);
+    let known = endpoint_event(1, true, &targets);
     let coordinator = Coordinator::with_events(&known).unwrap();
-    std::fs::write(&file, config(coordinator.address, &known)).unwrap();
+    std::fs::write(&file, config_json(coordinator.address, &known)).unwrap();
     let began = Instant::now();
-    let mut child = scheduler(LAB, &file).spawn().unwrap();
+    let mut child = scheduler_command(LAB, &file).spawn().unwrap();
     let mut out = BufReader::new(child.stdout.take().unwrap());
     let mut line = String::new();
     out.read_line(&mut line).unwrap();
@@ -182,7 +183,7 @@
         .split_whitespace()
         .find_map(|word| word.trim_matches(|c: char| !c.is_ascii_digit()).parse().ok());
     let mut frontend = Frontend::connect(at.unwrap_or_else(|| panic!("no address in {line:?}"))).unwrap();
-    let status = ask_and_reply(&mut frontend, &asked("/check", ID)).status;
+    let status = request_and_reply(&mut frontend, &request_fields("/check", REQUEST_ID)).status;
     let ready = began.elapsed();
     // Killed before the verdict, which may end the test.
     let _ = child.kill();
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -7,12 +7,12 @@
 use quartzdrift_lab::actor::{Running, spawn};
 use quartzdrift_lab::audit::{Rule, audit};
 use quartzdrift_lab::badday::{self, Program, listens_at};
+use quartzdrift_lab::cluster_harness::with_failing_system_calls;
 use quartzdrift_lab::discovery::{self, Discovery};
 use quartzdrift_lab::load;
 use quartzdrift_lab::model::Machine;
 use quartzdrift_lab::record::{Observation, Recorder};
 use quartzdrift_lab::script;
-use quartzdrift_lab::stage::failing;
 use quartzdrift_lab::traffic::Arrival;
 use quartzdrift_lab::worker::{Command, Config, FakeWorker, Faults};
 use quartzdrift_membership::MemberState;
@@ -49,7 +49,7 @@
 
     /// One some of whose system calls fail, as strace(1) takes it after `inject=`.
     fn start_failing(file: &Path, failure: &str) -> Gateway {
-        let mut command = failing(LAB, &[failure]);
+        let mut command = with_failing_system_calls(LAB, &[failure]);
         command.arg("gateway").arg(file);
         Gateway::of(command)
     }
--- a/crates/quartzdrift-lab/tests/outage/clients.rs
+++ b/crates/quartzdrift-lab/tests/outage/clients.rs
@@ -1,6 +1,6 @@
 //! Clients of a scheduler: requests at drawn times whatever became of the earlier ones, each recorded.
+use quartzdrift_lab::cluster_harness::request_fields;
 use quartzdrift_lab::platform::{Frontend, RequestFields};
-use quartzdrift_lab::stage::asked;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::net::SocketAddr;
@@ -121,7 +121,7 @@
         let request = RequestFields {
             timeout_ms: TIMEOUT_MS,
             function: &function,
-            ..asked(path, &id)
+            ..request_fields(path, &id)
         };
         frontend.send(&Frontend::encode_request(1, &request)).ok()?;
         let reply = frontend.read_reply().ok()?;
--- a/crates/quartzdrift-lab/tests/outage/fleet.rs
+++ b/crates/quartzdrift-lab/tests/outage/fleet.rs
@@ -5,8 +5,10 @@
 use super::stalls::StallMeter;
 use super::worker::{Phase, Worker};
 use quartzdrift_lab::badday::listens_at;
+use quartzdrift_lab::cluster_harness::{
+    check_status, config_json, endpoint_json, scheduler_command, send_signal,
+};
 use quartzdrift_lab::platform::Frontend;
-use quartzdrift_lab::stage::{check, config, scheduler, signal, target};
 use std::io::BufReader;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -63,7 +65,7 @@
 
 impl Scheduler {
     fn start(file: PathBuf) -> Scheduler {
-        let mut command = scheduler(LAB, &file);
+        let mut command = scheduler_command(LAB, &file);
         let log = std::fs::File::options()
             .create(true)
             .append(true)
@@ -94,7 +96,7 @@
         let text = std::fs::read_to_string(&self.file).expect("its configuration");
         let text = text.replace(&before.to_string(), &after.to_string());
         std::fs::write(&self.file, text).expect("the configuration is written");
-        signal("-HUP", self.child.id());
+        send_signal("-HUP", self.child.id());
     }
 
     fn kill(&mut self) {
@@ -138,7 +140,7 @@
         let targets: Vec<String> = workers
             .iter()
             .enumerate()
-            .map(|(n, worker)| target(&name(n), worker.at, "Ready"))
+            .map(|(n, worker)| endpoint_json(&name(n), worker.at, "Ready"))
             .collect();
         let discovery = Discovery::start(&targets).expect("a coordinator");
         let folder = tempfile::tempdir().expect("a folder");
@@ -171,7 +173,7 @@
     fn wait_until_ready(&self) {
         for scheduler in &self.schedulers {
             let mut frontend = Frontend::connect(scheduler.at).expect("it takes connections");
-            while check(&mut frontend) != 200 {
+            while check_status(&mut frontend) != 200 {
                 thread::sleep(Duration::from_millis(5));
             }
         }
@@ -208,7 +210,7 @@
 
     fn signal_all(&self, name: &str) {
         for scheduler in &self.schedulers {
-            signal(name, scheduler.child.id());
+            send_signal(name, scheduler.child.id());
         }
     }
 
@@ -220,7 +222,7 @@
         let busiest: Vec<usize> = up.into_iter().take(count).collect();
         let targets: Vec<String> = busiest
             .iter()
-            .map(|worker| target(&name(*worker), self.workers[*worker].at, "Terminating"))
+            .map(|worker| endpoint_json(&name(*worker), self.workers[*worker].at, "Terminating"))
             .collect();
         self.discovery.event(&targets);
         for worker in busiest {
@@ -241,9 +243,9 @@
         let (worker, began) = (first.worker, Instant::now());
         let at = self.workers[worker].at;
         self.workers[worker].enter(Phase::Down);
-        self.discovery.event(&[target(&name(worker), at, "Gone")]);
+        self.discovery.event(&[endpoint_json(&name(worker), at, "Gone")]);
         thread::sleep(Duration::from_millis(50));
-        self.discovery.event(&[target(&name(worker), at, "Ready")]);
+        self.discovery.event(&[endpoint_json(&name(worker), at, "Ready")]);
         self.workers[worker].enter(Phase::Up);
         let drains = self.drains.iter_mut();
         drains
@@ -256,7 +258,7 @@
     let grace = format!("\"drain-grace-ns\":{}", scenario.grace.as_nanos());
     let deadline = format!("\"deadline-ns\":{TIMEOUT_MS}000000");
     let schedulers = format!("\"settings\":{{\"replicas-of-me\":{},", scenario.schedulers);
-    let mut text = config(discovery.at, &discovery.known());
+    let mut text = config_json(discovery.at, &discovery.known());
     for (old, new) in [
         ("\"drain-grace-ns\":2000000000", grace.as_str()),
         ("\"deadline-ns\":60000000000", &deadline),
--- a/crates/quartzdrift-lab/tests/platform.rs
+++ b/crates/quartzdrift-lab/tests/platform.rs
@@ -1,9 +1,10 @@
 //! A scheduler process on the platform's sockets, against fakes on loopback: the hard cases.
 use quartzdrift::platform::Node;
-use quartzdrift_lab::platform::{Coordinator, Frontend, RequestFields, Worker, WorkerEvent};
-use quartzdrift_lab::stage::{
-    DONE, ID, OTHER, Stage, Vanished, ask, ask_and_reply, asked, config, event, target,
+use quartzdrift_lab::cluster_harness::{
+    ClusterHarness, REQUEST_ID, SECOND_REQUEST_ID, SUCCEEDED, UnresponsiveListener, config_json,
+    endpoint_event, endpoint_json, request_and_reply, request_fields, send_request,
 };
+use quartzdrift_lab::platform::{Coordinator, Frontend, RequestFields, Worker, WorkerEvent};
 use std::net::TcpListener;
 use std::path::PathBuf;
 
@@ -15,9 +16,9 @@
 
 #[test]
 fn a_request_goes_out_as_it_came_and_its_answer_comes_back_unchanged() {
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let mut frontend = stage.frontend();
-    ask(&mut frontend, 5, &asked("/do/again", ID));
+    send_request(&mut frontend, 5, &request_fields("/do/again", REQUEST_ID));
     let (connection, code, id, fields, body) = stage.workers[0].next_command();
     assert_eq!(
         (code, id, &body[..]),
@@ -27,77 +28,80 @@
     assert_eq!(fields, "profile=again,thing=7f3a9c21e0b4d655");
     assert!((1..=50000).contains(&max.parse::<u32>().unwrap()));
     // Before it, an answer under an unknown id; after it, a second copy. Both are dropped, and the connection lives.
-    stage.workers[0].answer(connection, DONE, 99, b"not asked for");
+    stage.workers[0].answer(connection, SUCCEEDED, 99, b"not asked for");
     let said: Vec<u8> = (0..=255).collect();
-    stage.workers[0].answer(connection, DONE, id, &said);
-    stage.workers[0].answer(connection, DONE, id, b"second copy");
+    stage.workers[0].answer(connection, SUCCEEDED, id, &said);
+    stage.workers[0].answer(connection, SUCCEEDED, id, b"second copy");
     let reply = frontend.read_reply().unwrap();
     assert_eq!((reply.fastcgi_id, reply.status, &reply.body), (5, 200, &said));
-    ask(&mut frontend, 5, &asked("/do/again", OTHER));
+    send_request(&mut frontend, 5, &request_fields("/do/again", SECOND_REQUEST_ID));
     let (again, _, id, ..) = stage.workers[0].next_command();
     assert_eq!(again, connection);
-    stage.workers[0].answer(connection, DONE, id, b"next");
+    stage.workers[0].answer(connection, SUCCEEDED, id, b"next");
     assert_eq!(frontend.read_reply().unwrap().body, b"next");
 }
 
 #[test]
 fn a_keyed_request_carries_its_idempotency_key_to_every_worker_and_none_goes_without() {
     let dedup = "\"effect\":\"dedup\",\"key-scope\":\"all\",\"window-ns\":8000000000";
-    let mut stage = Stage::with(LAB, 2, &[("\"effect\":\"fragile\"", dedup)]);
+    let mut stage = ClusterHarness::with_config_changes(LAB, 2, &[("\"effect\":\"fragile\"", dedup)]);
     let mut frontend = stage.frontend();
-    assert_eq!(ask_and_reply(&mut frontend, &asked("/do/once", ID)).status, 400);
-    ask(
+    assert_eq!(
+        request_and_reply(&mut frontend, &request_fields("/do/once", REQUEST_ID)).status,
+        400
+    );
+    send_request(
         &mut frontend,
         1,
         &RequestFields {
             idempotency_key: "0f3a-77",
-            ..asked("/do/once", ID)
+            ..request_fields("/do/once", REQUEST_ID)
         },
     );
     // The first may have run it; the second can tell the repeat, as it hears the same.
-    let (first, (connection, _, _, fields, _)) = stage.command();
+    let (first, (connection, _, _, fields, _)) = stage.next_command();
     assert!(fields.contains(",replay=0f3a-77,"), "{fields}");
     stage.workers[first].close(connection);
-    let (second, (connection, _, id, again, _)) = stage.command();
+    let (second, (connection, _, id, again, _)) = stage.next_command();
     assert!(second != first && again.contains(",replay=0f3a-77,"), "{again}");
-    stage.workers[second].answer(connection, DONE, id, b"done");
+    stage.workers[second].answer(connection, SUCCEEDED, id, b"done");
     assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
 fn a_worker_that_turns_one_tenant_away_stays_open_to_the_others() {
     let tenants = r#""tenants":[{"name":"a","quota-rps":10},{"name":"b","quota-rps":10}],"stats""#;
-    let mut stage = Stage::with(LAB, 2, &[("\"stats\"", tenants)]);
+    let mut stage = ClusterHarness::with_config_changes(LAB, 2, &[("\"stats\"", tenants)]);
     let mut frontend = stage.frontend();
     // Full for this request, though by its report it has room: it has no more for this tenant.
-    ask(
+    send_request(
         &mut frontend,
         1,
         &RequestFields {
             tenant: "a",
-            ..asked("/do/once", ID)
+            ..request_fields("/do/once", REQUEST_ID)
         },
     );
-    let (turns, (connection, _, id, ..)) = stage.command();
+    let (turns, (connection, _, id, ..)) = stage.next_command();
     stage.workers[turns].answer(connection, FULL, id, b"");
-    let (other, (connection, ..)) = stage.command();
-    stage.workers[other].answer(connection, DONE, id, b"");
+    let (other, (connection, ..)) = stage.next_command();
+    stage.workers[other].answer(connection, SUCCEEDED, id, b"");
     assert_eq!(frontend.read_reply().unwrap().status, 200);
     // Functions that nobody has loaded are at home at one of the two by chance.
     let mut met = |tenant, from| {
         let requests = (from..from + 12).map(|n| {
             let (id, function) = (format!("{n:016x}"), format!("{n:016x}"));
-            ask(
+            send_request(
                 &mut frontend,
                 1,
                 &RequestFields {
                     tenant,
                     function: &function,
-                    ..asked("/do/once", &id)
+                    ..request_fields("/do/once", &id)
                 },
             );
-            let (at, (connection, _, id, ..)) = stage.command();
-            stage.workers[at].answer(connection, DONE, id, b"");
+            let (at, (connection, _, id, ..)) = stage.next_command();
+            stage.workers[at].answer(connection, SUCCEEDED, id, b"");
             assert_eq!(frontend.read_reply().unwrap().status, 200);
             at
         });
@@ -110,9 +114,9 @@
 
 #[test]
 fn what_is_wrong_is_told_at_the_door_and_reaches_no_worker() {
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let mut frontend = stage.frontend();
-    let good = asked("/do/again", ID);
+    let good = request_fields("/do/again", REQUEST_ID);
     for (bad, status) in [
         (
             RequestFields {
@@ -172,12 +176,12 @@
             400,
         ),
     ] {
-        assert_eq!(ask_and_reply(&mut frontend, &bad).status, status, "{bad:?}");
+        assert_eq!(request_and_reply(&mut frontend, &bad).status, status, "{bad:?}");
     }
     // Too large a body is refused from its head, and ends its connection.
     let body = vec![0; 20 << 10];
     assert_eq!(
-        ask_and_reply(&mut frontend, &RequestFields { body: &body, ..good }).status,
+        request_and_reply(&mut frontend, &RequestFields { body: &body, ..good }).status,
         413
     );
     assert!(frontend.read_reply().is_err());
@@ -190,27 +194,27 @@
 
 #[test]
 fn the_id_of_an_open_request_is_refused_and_the_open_one_goes_on() {
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let (mut first, mut second) = (stage.frontend(), stage.frontend());
-    ask(&mut first, 1, &asked("/do/once", ID));
+    send_request(&mut first, 1, &request_fields("/do/once", REQUEST_ID));
     let (connection, _, id, ..) = stage.workers[0].next_command();
     assert_eq!(
-        ask_and_reply(
+        request_and_reply(
             &mut second,
             &RequestFields {
                 body: b"other",
-                ..asked("/do/once", ID)
+                ..request_fields("/do/once", REQUEST_ID)
             }
         )
         .status,
         409
     );
-    stage.workers[0].answer(connection, DONE, id, b"done");
+    stage.workers[0].answer(connection, SUCCEEDED, id, b"done");
     assert_eq!(first.read_reply().unwrap().body, b"done");
     // Where both come over one connection, neither is trusted, and the worker is told.
-    ask(&mut first, 1, &asked("/do/once", OTHER));
+    send_request(&mut first, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
     stage.workers[0].next_command();
-    ask(&mut first, 2, &asked("/do/once", OTHER));
+    send_request(&mut first, 2, &request_fields("/do/once", SECOND_REQUEST_ID));
     let statuses = [
         first.read_reply().unwrap().status,
         first.read_reply().unwrap().status,
@@ -222,13 +226,17 @@
 /// Ways to spoil an answer. After each the connection is of no further use.
 fn spoilt(id: u64) -> Vec<(&'static str, Vec<u8>)> {
     let mut good = Vec::new();
-    quartzdrift_platform::frame::write(&mut good, 193, DONE, id, b"", b"spoilt");
+    quartzdrift_platform::frame::write(&mut good, 193, SUCCEEDED, id, b"", b"spoilt");
     let with = |at: usize, byte: u8| {
         let mut bytes = good.clone();
         bytes[at] = byte;
         bytes
     };
-    let huge = [&[193, DONE, 0, 0, 0xb2, 0xd0, 0x5e, 0][..], &id.to_be_bytes()].concat();
+    let huge = [
+        &[193, SUCCEEDED, 0, 0, 0xb2, 0xd0, 0x5e, 0][..],
+        &id.to_be_bytes(),
+    ]
+    .concat();
     vec![
         ("mark", with(0, 0)),
         ("code", with(1, 65)),
@@ -241,11 +249,11 @@
 
 #[test]
 fn nothing_spoilt_is_passed_on_and_what_may_have_run_runs_once() {
-    let mut stage = Stage::start(LAB, 2);
+    let mut stage = ClusterHarness::start(LAB, 2);
     let mut frontend = stage.frontend();
     for (what, bytes) in spoilt(0x9b1f_03aa_5c7e_2d41) {
-        ask(&mut frontend, 1, &asked("/do/once", ID));
-        let (at, (connection, ..)) = stage.command();
+        send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
+        let (at, (connection, ..)) = stage.next_command();
         stage.workers[at].send(connection, &bytes);
         // Killed: it may have run, so neither a further attempt nor a rejection may follow.
         assert_eq!(frontend.read_reply().unwrap().status, 500, "{what}");
@@ -257,86 +265,92 @@
             "{what}"
         );
     }
-    ask(&mut frontend, 1, &asked("/do/once", ID));
-    let (at, (connection, ..)) = stage.command();
+    send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
+    let (at, (connection, ..)) = stage.next_command();
     stage.workers[at].close(connection);
     assert_eq!(frontend.read_reply().unwrap().status, 500);
 }
 
 #[test]
 fn an_idempotent_request_runs_elsewhere_after_a_spoilt_answer() {
-    let mut stage = Stage::start(LAB, 2);
+    let mut stage = ClusterHarness::start(LAB, 2);
     let mut frontend = stage.frontend();
-    ask(&mut frontend, 1, &asked("/do/again", ID));
-    let (first, (connection, _, id, ..)) = stage.command();
+    send_request(&mut frontend, 1, &request_fields("/do/again", REQUEST_ID));
+    let (first, (connection, _, id, ..)) = stage.next_command();
     stage.workers[first].send(connection, b"\xc1\x41 what is this");
-    let (second, (connection, _, again, ..)) = stage.command();
+    let (second, (connection, _, again, ..)) = stage.next_command();
     assert!(second != first && again == id);
-    stage.workers[second].answer(connection, DONE, id, b"done");
+    stage.workers[second].answer(connection, SUCCEEDED, id, b"done");
     assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
 fn what_never_ran_goes_elsewhere_also_where_it_may_run_only_once() {
-    let mut stage = Stage::start(LAB, 2);
+    let mut stage = ClusterHarness::start(LAB, 2);
     let mut frontend = stage.frontend();
     for code in [MISS, FULL, OVER] {
-        ask(&mut frontend, 1, &asked("/do/once", ID));
-        let (first, (connection, _, id, ..)) = stage.command();
+        send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
+        let (first, (connection, _, id, ..)) = stage.next_command();
         stage.workers[first].answer(connection, code, id, b"");
-        let (second, (connection, ..)) = stage.command();
+        let (second, (connection, ..)) = stage.next_command();
         assert_ne!(first, second);
-        stage.workers[second].answer(connection, DONE, id, b"done");
+        stage.workers[second].answer(connection, SUCCEEDED, id, b"done");
         assert_eq!(frontend.read_reply().unwrap().status, 200);
     }
 }
 
 #[test]
 fn a_refused_connection_is_no_attempt_and_without_a_worker_left_there_is_a_time_to_come_back() {
-    let stage = Stage::start(LAB, 0);
+    let stage = ClusterHarness::start(LAB, 0);
     let mut frontend = stage.frontend();
     let gone = TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap();
     // Without a worker no request can be taken, and the check says so.
-    assert_eq!(ask_and_reply(&mut frontend, &asked("/check", ID)).status, 503);
+    assert_eq!(
+        request_and_reply(&mut frontend, &request_fields("/check", REQUEST_ID)).status,
+        503
+    );
     stage.coordinator.next_poll();
     stage
         .coordinator
-        .answer_with_events(&event(2, false, &[target("w9", gone, "Ready")]));
+        .answer_with_events(&endpoint_event(2, false, &[endpoint_json("w9", gone, "Ready")]));
     // The next poll follows from there: the news has been taken.
     assert!(stage.coordinator.next_poll().contains("follow=2"));
-    assert_eq!(ask_and_reply(&mut frontend, &asked("/check", ID)).status, 200);
-    let reply = ask_and_reply(&mut frontend, &asked("/do/once", ID));
+    assert_eq!(
+        request_and_reply(&mut frontend, &request_fields("/check", REQUEST_ID)).status,
+        200
+    );
+    let reply = request_and_reply(&mut frontend, &request_fields("/do/once", REQUEST_ID));
     assert_eq!(reply.status, 503);
     assert!(reply.head.contains("Retry-After-Ms: "), "{}", reply.head);
 }
 
 #[test]
 fn a_connection_that_was_forgotten_while_idle_costs_no_request() {
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let mut frontend = stage.frontend();
-    let connection = stage.rested(&mut frontend, ID);
+    let connection = stage.idle_connection(&mut frontend, REQUEST_ID);
     stage.workers[0].close_on_ping();
-    // RequestFields first, so that nothing that may run once is written to a connection in doubt.
-    ask(&mut frontend, 1, &asked("/do/once", OTHER));
+    // Asked first, so that nothing that may run once is written to a connection in doubt.
+    send_request(&mut frontend, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
     assert!(matches!(stage.workers[0].next_event(), WorkerEvent::Ping(asked) if asked == connection));
     let (other, _, id, ..) = stage.workers[0].next_command();
     assert_ne!(other, connection);
-    stage.workers[0].answer(other, DONE, id, b"done");
+    stage.workers[0].answer(other, SUCCEEDED, id, b"done");
     assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
 fn a_machine_that_has_vanished_costs_the_connect_timeout_and_no_request() {
-    let stage = Stage::start(LAB, 0);
+    let stage = ClusterHarness::start(LAB, 0);
     let mut frontend = stage.frontend();
-    let vanished = Vanished::start().unwrap();
-    let at = vanished.at;
+    let vanished = UnresponsiveListener::start().unwrap();
+    let at = vanished.address;
     stage.coordinator.next_poll();
     stage
         .coordinator
-        .answer_with_events(&event(2, false, &[target("w0", at, "Ready")]));
+        .answer_with_events(&endpoint_event(2, false, &[endpoint_json("w0", at, "Ready")]));
     assert!(stage.coordinator.next_poll().contains("follow=2&"));
-    let reply = ask_and_reply(&mut frontend, &asked("/do/once", ID));
+    let reply = request_and_reply(&mut frontend, &request_fields("/do/once", REQUEST_ID));
     assert!(
         reply.status == 503 && reply.head.contains("Retry-After-Ms: "),
         "it never ran: {reply:?}"
@@ -345,43 +359,46 @@
 
 #[test]
 fn what_waits_for_a_slow_connection_goes_elsewhere_once_its_worker_drains() {
-    let mut stage = Stage::with(LAB, 0, &[("250000000", "60000000000")]);
+    let mut stage = ClusterHarness::with_config_changes(LAB, 0, &[("250000000", "60000000000")]);
     let mut frontend = stage.frontend();
-    let vanished = Vanished::start().unwrap();
-    let at = vanished.at;
+    let vanished = UnresponsiveListener::start().unwrap();
+    let at = vanished.address;
     stage.coordinator.next_poll();
     stage
         .coordinator
-        .answer_with_events(&event(2, false, &[target("w0", at, "Ready")]));
+        .answer_with_events(&endpoint_event(2, false, &[endpoint_json("w0", at, "Ready")]));
     assert!(stage.coordinator.next_poll().contains("follow=2&"));
-    ask(&mut frontend, 1, &asked("/do/once", ID));
+    send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
     // The request has been taken once a later one on the same connection is answered.
-    ask(&mut frontend, 2, &asked("/check", OTHER));
+    send_request(&mut frontend, 2, &request_fields("/check", SECOND_REQUEST_ID));
     assert_eq!(frontend.read_reply().unwrap().fastcgi_id, 2);
     stage.workers.push(Worker::start().unwrap());
     let there = stage.workers[0].address;
-    stage.coordinator.answer_with_events(&event(
+    stage.coordinator.answer_with_events(&endpoint_event(
         3,
         false,
-        &[target("w0", at, "Terminating"), target("w1", there, "Ready")],
+        &[
+            endpoint_json("w0", at, "Terminating"),
+            endpoint_json("w1", there, "Ready"),
+        ],
     ));
     let (connection, _, id, ..) = stage.workers[0].next_command();
-    stage.workers[0].answer(connection, DONE, id, b"elsewhere");
+    stage.workers[0].answer(connection, SUCCEEDED, id, b"elsewhere");
     assert_eq!(frontend.read_reply().unwrap().body, b"elsewhere");
 }
 
 #[test]
 fn whoever_leaves_has_its_attempt_given_up() {
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let mut frontend = stage.frontend();
-    ask(&mut frontend, 1, &asked("/do/once", ID));
+    send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
     let (_, _, id, ..) = stage.workers[0].next_command();
     let mut abort = Vec::new();
     quartzdrift_fastcgi::write_record(&mut abort, quartzdrift_fastcgi::ABORT_REQUEST, 1, b"");
     frontend.send(&abort).unwrap();
     let (_, code, of, ..) = stage.workers[0].next_command();
     assert_eq!((code, of), (GIVE_UP, id));
-    ask(&mut frontend, 1, &asked("/do/once", OTHER));
+    send_request(&mut frontend, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
     // The end of the aborted one comes without a response, then nothing of it.
     assert_eq!(frontend.read_reply().unwrap().status, 0);
     let (_, _, id, ..) = stage.workers[0].next_command();
@@ -392,18 +409,18 @@
 
 #[test]
 fn a_worker_is_known_by_its_uid_whoever_stood_at_its_address() {
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let mut frontend = stage.frontend();
-    ask(&mut frontend, 1, &asked("/do/again", ID));
+    send_request(&mut frontend, 1, &request_fields("/do/again", REQUEST_ID));
     let (connection, _, id, ..) = stage.workers[0].next_command();
-    stage.workers[0].answer(connection, DONE, id, b"old");
+    stage.workers[0].answer(connection, SUCCEEDED, id, b"old");
     frontend.read_reply().unwrap();
     let at = stage.workers[0].address;
     stage.coordinator.next_poll();
-    stage.coordinator.answer_with_events(&event(
+    stage.coordinator.answer_with_events(&endpoint_event(
         2,
         false,
-        &[target("w0", at, "Gone"), target("new", at, "Ready")],
+        &[endpoint_json("w0", at, "Gone"), endpoint_json("new", at, "Ready")],
     ));
     // The connection to the one that has gone is closed, and the newcomer gets one of its own.
     loop {
@@ -412,17 +429,21 @@
             break;
         }
     }
-    ask(&mut frontend, 1, &asked("/do/again", OTHER));
+    send_request(&mut frontend, 1, &request_fields("/do/again", SECOND_REQUEST_ID));
     let (new, _, id, ..) = stage.workers[0].next_command();
     assert_ne!(new, connection);
-    stage.workers[0].answer(new, DONE, id, b"new");
+    stage.workers[0].answer(new, SUCCEEDED, id, b"new");
     assert_eq!(frontend.read_reply().unwrap().body, b"new");
 }
 
 #[test]
 fn the_list_stands_through_a_coordinator_that_breaks_off() {
-    let mut stage = Stage::start(LAB, 2);
-    let cut = event(2, false, &[target("w0", stage.workers[0].address, "Terminating")]);
+    let mut stage = ClusterHarness::start(LAB, 2);
+    let cut = endpoint_event(
+        2,
+        false,
+        &[endpoint_json("w0", stage.workers[0].address, "Terminating")],
+    );
     let half = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
         cut.len(),
@@ -437,56 +458,56 @@
     stage.coordinator.answer_with_events(&cut);
     assert!(stage.coordinator.next_poll().contains("follow=2&"));
     let mut frontend = stage.frontend();
-    for id in [ID, OTHER] {
-        ask(&mut frontend, 1, &asked("/do/again", id));
-        let (at, (connection, _, id, ..)) = stage.command();
+    for id in [REQUEST_ID, SECOND_REQUEST_ID] {
+        send_request(&mut frontend, 1, &request_fields("/do/again", id));
+        let (at, (connection, _, id, ..)) = stage.next_command();
         assert_eq!(at, 1, "a draining worker gets nothing new");
-        stage.workers[at].answer(connection, DONE, id, b"");
+        stage.workers[at].answer(connection, SUCCEEDED, id, b"");
         assert_eq!(frontend.read_reply().unwrap().status, 200);
     }
 }
 
 #[test]
 fn a_hang_up_signal_brings_another_coordinator_and_touches_no_request() {
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let mut frontend = stage.frontend();
-    ask(&mut frontend, 1, &asked("/do/once", ID));
+    send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
     let (connection, _, id, ..) = stage.workers[0].next_command();
     std::fs::write(&stage.file, "{ half a file").unwrap();
-    stage.signal("-HUP");
-    let next = Coordinator::with_events(&event(1, true, &[])).unwrap();
-    stage.hang_up(next.address, r#"{"index":0,"updates":[]}"#);
+    stage.send_signal("-HUP");
+    let next = Coordinator::with_events(&endpoint_event(1, true, &[])).unwrap();
+    stage.reload_config(next.address, r#"{"index":0,"updates":[]}"#);
     assert!(next.next_poll().contains("follow=1&"));
-    stage.workers[0].answer(connection, DONE, id, b"done");
+    stage.workers[0].answer(connection, SUCCEEDED, id, b"done");
     assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
 fn told_to_stop_it_serves_those_that_still_come_and_ends_well() {
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let mut frontend = stage.frontend();
-    ask(&mut frontend, 1, &asked("/do/once", ID));
+    send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
     let (connection, _, id, ..) = stage.workers[0].next_command();
-    stage.signal("-TERM");
+    stage.send_signal("-TERM");
     let mut late = stage.frontend();
     loop {
-        ask(&mut late, 1, &asked("/check", OTHER));
+        send_request(&mut late, 1, &request_fields("/check", SECOND_REQUEST_ID));
         if late.read_reply().unwrap().status == 503 {
             break;
         }
     }
-    ask(&mut late, 1, &asked("/do/once", OTHER));
+    send_request(&mut late, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
     let (other, _, late_id, ..) = stage.workers[0].next_command();
-    stage.workers[0].answer(other, DONE, late_id, b"late");
+    stage.workers[0].answer(other, SUCCEEDED, late_id, b"late");
     assert_eq!(late.read_reply().unwrap().body, b"late");
-    stage.workers[0].answer(connection, DONE, id, b"done");
+    stage.workers[0].answer(connection, SUCCEEDED, id, b"done");
     assert_eq!(frontend.read_reply().unwrap().body, b"done");
-    assert!(stage.ends().success());
+    assert!(stage.wait_for_exit().success());
 }
 
 #[test]
 fn a_client_that_reads_nothing_is_cut_and_others_go_on() {
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let (mut deaf, mut checks) = (stage.frontend(), stage.frontend());
     let said = vec![7; 60 << 10];
     let (mut requests, mut idle) = (0_u64, 0);
@@ -496,7 +517,7 @@
             && deaf
                 .send(&Frontend::encode_request(
                     1,
-                    &asked("/do/again", &format!("{requests:016x}")),
+                    &request_fields("/do/again", &format!("{requests:016x}")),
                 ))
                 .is_err()
         {
@@ -504,13 +525,16 @@
         }
         match stage.workers[0].try_next_command() {
             Some((connection, _, id, ..)) => {
-                stage.workers[0].answer(connection, DONE, id, &said);
+                stage.workers[0].answer(connection, SUCCEEDED, id, &said);
                 (requests, idle) = (requests + 1, 0);
             }
             // Each answered check is a turn of the scheduler's loop.
             None => idle += 1,
         }
-        assert_eq!(ask_and_reply(&mut checks, &asked("/check", ID)).status, 200);
+        assert_eq!(
+            request_and_reply(&mut checks, &request_fields("/check", REQUEST_ID)).status,
+            200
+        );
     }
     assert!(requests < 2000, "nothing stopped it");
     let mut whole = 0;
@@ -525,16 +549,16 @@
 
 #[test]
 fn hundreds_of_silent_connections_leave_room_and_are_closed() {
-    let mut stage = Stage::start(LAB, 1);
+    let mut stage = ClusterHarness::start(LAB, 1);
     let mut silent: Vec<Frontend> = (0..300).map(|_| stage.frontend()).collect();
     let mut frontend = stage.frontend();
-    ask(&mut frontend, 1, &asked("/do/once", ID));
+    send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
     let (connection, _, id, ..) = stage.workers[0].next_command();
-    stage.workers[0].answer(connection, DONE, id, b"done");
+    stage.workers[0].answer(connection, SUCCEEDED, id, b"done");
     assert_eq!(frontend.read_reply().unwrap().body, b"done");
     assert!(silent.iter_mut().all(|silent| silent.read_reply().is_err()));
     // One that has been answered may be held for good.
-    ask(&mut frontend, 1, &asked("/check", ID));
+    send_request(&mut frontend, 1, &request_fields("/check", REQUEST_ID));
     assert_eq!(frontend.read_reply().unwrap().status, 200);
 }
 
@@ -543,9 +567,9 @@
     const REPLACED: u64 = 1000;
     let mut worker = Worker::start().unwrap();
     let at = worker.address;
-    let known = event(1, true, &[target("w1", at, "Ready")]);
+    let known = endpoint_event(1, true, &[endpoint_json("w1", at, "Ready")]);
     let coordinator = Coordinator::with_events(&known).unwrap();
-    let text = config(coordinator.address, &known);
+    let text = config_json(coordinator.address, &known);
     let config = quartzdrift_platform::config::parse(text.as_bytes()).unwrap();
     let mut event_loop = calloop::EventLoop::<Node>::try_new().unwrap();
     let mut node = Node::new(config, PathBuf::new(), event_loop.handle());
@@ -556,10 +580,10 @@
         for n in 2..=REPLACED {
             coordinator.next_poll();
             let (old, new) = (format!("w{}", n - 1), format!("w{n}"));
-            coordinator.answer_with_events(&event(
+            coordinator.answer_with_events(&endpoint_event(
                 n,
                 false,
-                &[target(&old, at, "Gone"), target(&new, at, "Ready")],
+                &[endpoint_json(&old, at, "Gone"), endpoint_json(&new, at, "Ready")],
             ));
         }
         assert!(coordinator.next_poll().contains(&format!("follow={REPLACED}&")));
@@ -568,14 +592,17 @@
         loop {
             let (connection, code, id, ..) = worker.next_command();
             if code != GIVE_UP {
-                worker.answer(connection, DONE, id, b"");
+                worker.answer(connection, SUCCEEDED, id, b"");
             }
         }
     });
     let asking = std::thread::spawn(move || {
         for n in 0..REPLACED {
             let id = format!("{n:016x}");
-            let reply = ask_and_reply(&mut Frontend::connect(door).unwrap(), &asked("/do/again", &id));
+            let reply = request_and_reply(
+                &mut Frontend::connect(door).unwrap(),
+                &request_fields("/do/again", &id),
+            );
             assert!([200, 503].contains(&reply.status), "{reply:?}");
         }
     });
--- a/crates/quartzdrift-lab/tests/soak/client.rs
+++ b/crates/quartzdrift-lab/tests/soak/client.rs
@@ -1,6 +1,6 @@
 //! A client that sends on without pause until nobody listens any more, and records what became of each request.
+use quartzdrift_lab::cluster_harness::request_fields;
 use quartzdrift_lab::platform::{Frontend, Reply, RequestFields};
-use quartzdrift_lab::stage::asked;
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::io;
@@ -138,7 +138,7 @@
         let (id, time) = (format!("{id:016x}"), self.manner.timeout.as_millis().to_string());
         let request = RequestFields {
             timeout_ms: &time,
-            ..asked(path, &id)
+            ..request_fields(path, &id)
         };
         Frontend::encode_request(number, &request)
     }
--- a/crates/quartzdrift-lab/tests/soak/run.rs
+++ b/crates/quartzdrift-lab/tests/soak/run.rs
@@ -3,7 +3,7 @@
 use super::judge::{self, Seen};
 use super::stalls::StallMeter;
 use super::worker::{self, Attempt, WorkerThread};
-use quartzdrift_lab::stage::{Stage, signal};
+use quartzdrift_lab::cluster_harness::{ClusterHarness, send_signal};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::net::TcpStream;
@@ -118,18 +118,18 @@
 }
 
 /// Performs acts, and returns when the process was paused.
-fn perform(stage: &Stage, acts: &[(Duration, Act)]) -> Vec<(Instant, Instant)> {
+fn perform(stage: &ClusterHarness, acts: &[(Duration, Act)]) -> Vec<(Instant, Instant)> {
     let mut pauses = Vec::new();
     for (after, act) in acts {
         thread::sleep(*after);
         match act {
-            Act::Signal(name) => signal(name, stage.process()),
+            Act::Signal(name) => send_signal(name, stage.process_id()),
             Act::Pause(length) => {
                 let begun = Instant::now();
                 stage.pause();
                 thread::sleep(*length);
                 let ended = Instant::now();
-                stage.go_on();
+                stage.resume();
                 pauses.push((begun, ended));
             }
         }
@@ -140,7 +140,7 @@
 /// Plays a scenario to its end and judges it.
 pub fn play(scenario: &Scenario, seed: u64) -> Report {
     let deadline = format!("\"deadline-ns\":{}", scenario.deadline.as_nanos());
-    let mut stage = Stage::with(
+    let mut stage = ClusterHarness::with_config_changes(
         env!("CARGO_BIN_EXE_quartzdrift-lab"),
         WORKERS,
         &[("\"deadline-ns\":60000000000", &deadline), SHORT_SLACK],
@@ -152,17 +152,18 @@
         .map(|(fake, seed)| WorkerThread::start(fake, scenario.workers, seed))
         .collect();
     let crowd: Vec<TcpStream> = (0..scenario.crowd)
-        .filter_map(|_| TcpStream::connect(stage.at).ok())
+        .filter_map(|_| TcpStream::connect(stage.address).ok())
         .collect();
     let clients = start_clients(&stage, scenario, seed);
     thread::sleep(Duration::from_millis(300));
     let pauses = perform(&stage, &scenario.before);
-    signal("-TERM", stage.process());
+    send_signal("-TERM", stage.process_id());
     let terminated = Instant::now();
     perform(&stage, &scenario.after);
     let kill_at = terminated + scenario.deadline.min(Duration::from_secs(3)) + KILL;
     // A machine that lets the test stand still may do so to the process.
-    let has_ended = stage.ends_by(kill_at) || stage.ends_by(kill_at + stalls.between(terminated, kill_at));
+    let has_ended = stage.has_succeeded_by(kill_at)
+        || stage.has_succeeded_by(kill_at + stalls.between(terminated, kill_at));
     stage.kill();
     let requests: Vec<Request> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
     let attempts: Vec<Attempt> = workers.into_iter().flat_map(WorkerThread::stop).collect();
@@ -183,7 +184,7 @@
     }
 }
 
-fn start_clients(stage: &Stage, scenario: &Scenario, seed: u64) -> Vec<JoinHandle<Vec<Request>>> {
+fn start_clients(stage: &ClusterHarness, scenario: &Scenario, seed: u64) -> Vec<JoinHandle<Vec<Request>>> {
     let numbered = scenario.clients.iter().zip(1..);
     numbered
         .map(|(manner, n)| client_of(stage, *manner, seed, n))
@@ -191,9 +192,9 @@
         .collect()
 }
 
-fn client_of(stage: &Stage, manner: client::Manner, seed: u64, n: u64) -> Client {
+fn client_of(stage: &ClusterHarness, manner: client::Manner, seed: u64, n: u64) -> Client {
     Client {
-        at: stage.at,
+        at: stage.address,
         manner,
         random: StdRng::seed_from_u64(seed ^ n << 32),
         first_id: n * IDS,
--- a/crates/quartzdrift-lab/tests/soak/worker.rs
+++ b/crates/quartzdrift-lab/tests/soak/worker.rs
@@ -1,6 +1,6 @@
 //! A worker that answers by itself, each request after a drawn delay, and records what reached it and when.
+use quartzdrift_lab::cluster_harness::SUCCEEDED;
 use quartzdrift_lab::platform::Worker;
-use quartzdrift_lab::stage::DONE;
 use quartzdrift_platform::frame;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -123,7 +123,8 @@
                 answered.over = Some(Instant::now());
                 let id = answered.id;
                 // Its connection may have ended meanwhile.
-                self.worker.try_answer(connection, DONE, id, &id.to_be_bytes());
+                self.worker
+                    .try_answer(connection, SUCCEEDED, id, &id.to_be_bytes());
             }
         }
     }
--- a/crates/quartzdrift-lab/tests/system_calls.rs
+++ b/crates/quartzdrift-lab/tests/system_calls.rs
@@ -1,6 +1,6 @@
 //! A scheduler process whose system calls fail now and then, as their manual pages say they may. strace(1) makes them fail.
+use quartzdrift_lab::cluster_harness::{ClusterHarness, SUCCEEDED, check_status, request_fields};
 use quartzdrift_lab::platform::{Frontend, Worker};
-use quartzdrift_lab::stage::{DONE, Stage, asked, check};
 use quartzdrift_platform::frame;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -25,7 +25,7 @@
             while !stop.load(Ordering::Relaxed) {
                 match worker.try_next_command() {
                     Some((connection, frame::EXECUTE, id, ..)) => {
-                        worker.try_answer(connection, DONE, id, &id.to_be_bytes());
+                        worker.try_answer(connection, SUCCEEDED, id, &id.to_be_bytes());
                     }
                     Some(_) => {}
                     None => thread::sleep(Duration::from_millis(1)),
@@ -44,14 +44,14 @@
 /// Statuses of the answers to clients that come one after the other while these system calls fail. A client that has been
 /// silent since before is still connected afterwards.
 fn statuses_with(failures: &[&str]) -> Vec<u16> {
-    let mut stage = Stage::failing(LAB, 2, failures);
+    let mut stage = ClusterHarness::with_failing_system_calls(LAB, 2, failures);
     let serving: Vec<Serving> = stage.workers.drain(..).map(Serving::start).collect();
     let mut silent = stage.frontend();
-    assert_eq!(check(&mut silent), 200, "{failures:?}");
+    assert_eq!(check_status(&mut silent), 200, "{failures:?}");
     let statuses = (1..=NEWCOMERS)
         .map(|id| {
             let mut newcomer = stage.frontend();
-            let request = Frontend::encode_request(1, &asked("/do/again", &format!("{id:016x}")));
+            let request = Frontend::encode_request(1, &request_fields("/do/again", &format!("{id:016x}")));
             newcomer.send(&request).unwrap();
             let reply = newcomer
                 .read_reply()
@@ -60,7 +60,7 @@
             reply.status
         })
         .collect();
-    assert_eq!(check(&mut silent), 200, "{failures:?}");
+    assert_eq!(check_status(&mut silent), 200, "{failures:?}");
     serving.into_iter().for_each(Serving::stop);
     statuses
 }
@@ -99,13 +99,14 @@
 #[test]
 fn connections_that_fail_without_end_do_not_hold_up_the_others() {
     // Each try fails for half a minute's worth of newcomers, and the clients that are connected are served all the while.
-    let mut stage = Stage::failing(LAB, 1, &["accept4:error=ECONNABORTED:when=3+"]);
+    let mut stage =
+        ClusterHarness::with_failing_system_calls(LAB, 1, &["accept4:error=ECONNABORTED:when=3+"]);
     let serving = Serving::start(stage.workers.remove(0));
     let mut served = stage.frontend();
-    assert_eq!(check(&mut served), 200);
+    assert_eq!(check_status(&mut served), 200);
     let waiting = stage.frontend();
     for _ in 0..5 {
-        assert_eq!(check(&mut served), 200);
+        assert_eq!(check_status(&mut served), 200);
     }
     drop(waiting);
     serving.stop();
--- a/crates/quartzdrift-lab/tests/wire.rs
+++ b/crates/quartzdrift-lab/tests/wire.rs
@@ -1,7 +1,7 @@
 //! What passes on the sockets of both programs, byte for byte but for what is drawn or measured anew in each run: those
 //! places are replaced by words in angle brackets. A change of names or structure must not move a byte.
 use quartzdrift_lab::badday::listens_at;
-use quartzdrift_lab::stage::scheduler;
+use quartzdrift_lab::cluster_harness::scheduler_command;
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
@@ -188,7 +188,7 @@
 }
 
 fn platform_config(coordinator: SocketAddr, worker: SocketAddr) -> String {
-    quartzdrift_lab::stage::config(coordinator, &platform_known(worker))
+    quartzdrift_lab::cluster_harness::config_json(coordinator, &platform_known(worker))
 }
 
 /// A FastCGI record as published: version, type, request, content, no padding.
@@ -261,7 +261,7 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     std::fs::write(&file, platform_config(coordinator_at, worker_at)).unwrap();
-    let node = Process::start(scheduler(LAB, Path::new(&file)));
+    let node = Process::start(scheduler_command(LAB, Path::new(&file)));
     let mut watch = accept(&coordinator);
     let poll = read_until(&mut watch, |all| all.ends_with(b"\r\n\r\n"));
     let mut all = http_normal(&poll);
