--- a/crates/quartzdrift-lab/src/record.rs
+++ b/crates/quartzdrift-lab/src/record.rs
@@ -1,14 +1,18 @@
-//! What passed at the sockets of fakes and clients, with the time: the auditor's only source. One JSON object
-//! a line.
+//! The record of a scenario run: each event at the sockets of clients and fakes, with its time. It is the
+//! only input of the auditor, and is stored as one JSON object a line.
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Times are microseconds since the record began, on one clock for all of a day.
+/// An event at the socket of a client or a fake, or a fault that the scenario injected.
+///
+/// `call` is an id that the recording client or worker assigns, `gateway` the index of a gateway process, and
+/// `worker` the address of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Observation {
-    /// A client's call left; `key` is the same for its repeats. `limit_us` is its time limit.
+    /// A client sent a call. Retries of the call have the same `key`; `limit_us` is its time limit, in
+    /// microseconds.
     #[serde(rename = "asked")]
     CallSent {
         call: u64,
@@ -20,7 +24,7 @@
         asynchronous: bool,
         limit_us: u64,
     },
-    /// The client has its answer.
+    /// The client received the response to a call.
     #[serde(rename = "answered")]
     ResponseReceived {
         call: u64,
@@ -28,17 +32,14 @@
         killed: bool,
         function_error: bool,
     },
-    /// The client hung up.
+    /// The client closed the connection before the response.
     #[serde(rename = "left")]
-    ClientDisconnected {
-        call: u64,
-    },
-    /// The connection ended without an answer.
+    ClientDisconnected { call: u64 },
+    /// The connection of a call ended without a response, and the client had not closed it.
     #[serde(rename = "cut")]
-    ConnectionLost {
-        call: u64,
-    },
-    /// A call reached a worker; `incarnation` counts its starts, `request` is the gateway's name for the request.
+    ConnectionLost { call: u64 },
+    /// A worker received an attempt. `incarnation` counts the starts of the worker, `request` is the id that
+    /// the gateway gave the request, and `work_us` the work that the attempt takes, in microseconds.
     #[serde(rename = "came")]
     AttemptReceived {
         worker: String,
@@ -53,7 +54,7 @@
         key: String,
         work_us: u64,
     },
-    /// Its work had its effect; `warm`: it found its copy loaded.
+    /// A worker executed an attempt. `warm`: the function was loaded when the attempt arrived.
     #[serde(rename = "began")]
     AttemptExecuted {
         worker: String,
@@ -62,16 +63,12 @@
         call: u64,
         warm: bool,
     },
-    /// A worker asked the store for a function.
+    /// A worker sent a request for a function to the store.
     #[serde(rename = "fetch")]
-    FetchRequested {
-        worker: String,
-    },
-    /// The store turned it away.
-    FetchRefused {
-        worker: String,
-    },
-    /// Nothing more is under way between gateway and worker: answered or closed.
+    FetchRequested { worker: String },
+    /// The store rejected a worker's request for a function.
+    FetchRefused { worker: String },
+    /// An attempt ended for its worker: the worker responded, or the connection was closed.
     #[serde(rename = "over")]
     AttemptEnded {
         worker: String,
@@ -79,7 +76,7 @@
         incarnation: u64,
         call: u64,
     },
-    /// A worker answered that it did not take the call.
+    /// A worker rejected an attempt without executing it.
     #[serde(rename = "refused")]
     AttemptRejected {
         worker: String,
@@ -87,25 +84,17 @@
         incarnation: u64,
         call: u64,
     },
-    /// A load order for more than nothing reached a worker.
+    /// A worker received a load command for at least one copy.
     #[serde(rename = "ordered")]
-    LoadCommandReceived {
-        worker: String,
-        gateway: u64,
-    },
-    /// The roster sent a gateway the news that a worker drains or is gone.
+    LoadCommandReceived { worker: String, gateway: u64 },
+    /// Service discovery sent a gateway an endpoint list in which a worker now drains or is missing.
     #[serde(rename = "told_away")]
-    EndpointDownSent {
-        gateway: u64,
-        worker: String,
-    },
-    /// And that it is up again.
+    EndpointDownSent { gateway: u64, worker: String },
+    /// Service discovery sent a gateway an endpoint list in which a worker is up again.
     #[serde(rename = "told_up")]
-    EndpointUpSent {
-        gateway: u64,
-        worker: String,
-    },
-    /// A worker started, with so much capacity, cold for so long.
+    EndpointUpSent { gateway: u64, worker: String },
+    /// A worker started with `cores` cores. For `cold_us` microseconds it warms up, at first at the share
+    /// `cold_from` of its full speed.
     #[serde(rename = "started")]
     WorkerStarted {
         worker: String,
@@ -115,36 +104,32 @@
         cold_from: f64,
         cold_us: u64,
     },
+    /// A worker got more load than its overload bound and crashed.
     #[serde(rename = "fell")]
-    WorkerOverloaded {
-        worker: String,
-    },
-    /// What a gateway kept on disk is gone, or older than what it did.
+    WorkerOverloaded { worker: String },
+    /// The stored data of a gateway was lost, or replaced by an older state.
     #[serde(rename = "disk_lost")]
-    GatewayDiskLost {
-        gateway: u64,
-    },
-    /// Workers lost power: what they remembered is gone.
+    GatewayDiskLost { gateway: u64 },
+    /// All workers lost power, and with it the idempotency keys that they remembered.
     #[serde(rename = "workers_lost")]
     WorkersLostPower,
-    /// A gateway process runs from here on, and is killed outright there.
+    /// A gateway process started.
     #[serde(rename = "gateway_up")]
-    GatewayStarted {
-        gateway: u64,
-    },
-    GatewayKilled {
-        gateway: u64,
-    },
+    GatewayStarted { gateway: u64 },
+    /// A gateway process ended without a shutdown: it was killed or lost power.
+    GatewayKilled { gateway: u64 },
 }
 
+/// One line of a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordLine {
+    /// Time since the start of the record, in microseconds, on one clock for all clients and fakes.
     pub at_us: u64,
     #[serde(flatten)]
     pub seen: Observation,
 }
 
-/// Shared by all threads of a day.
+/// Collects the observations of all threads of a scenario run. Clones share the collected lines.
 #[derive(Clone)]
 pub struct Recorder {
     start: Instant,
@@ -161,6 +146,7 @@
 }
 
 impl Recorder {
+    /// Adds an observation with the current time.
     pub fn record(&self, observation: Observation) {
         let at_us = self.start.elapsed().as_micros() as u64;
         self.lines
@@ -172,10 +158,12 @@
             });
     }
 
+    /// Time since the start of the record.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
+    /// The lines so far, sorted by time.
     pub fn lines(&self) -> Vec<RecordLine> {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone();
         lines.sort_by_key(|line| line.at_us);
--- a/crates/quartzdrift-lab/src/relay.rs
+++ b/crates/quartzdrift-lab/src/relay.rs
@@ -1,5 +1,5 @@
-//! A relay on loopback for the byte streams of one link, from a gateway to a worker: they can stall without an end, in both
-//! directions or only on the way back, or be cut.
+//! A TCP relay on loopback for the connections of one gateway to one worker. It can hold back the bytes of
+//! both directions or of the responses alone, without closing a connection, or close all connections.
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -7,33 +7,37 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// How long one look at a socket waits: a change of the link is noticed that late at most.
-const LOOK: Duration = Duration::from_millis(5);
+/// Longest wait in one read of a socket, and so the longest delay until a change of the link's state takes
+/// effect.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a link does.
+/// How a relay treats the connections of its link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
+    /// Bytes pass in both directions.
     Well,
-    /// Nothing passes, and nothing ends.
+    /// No bytes pass; connections stay open.
     Stalled,
-    /// Calls pass, answers do not.
+    /// Requests pass; responses are held back.
     Deaf,
-    /// Each connection is closed, and each new one too.
+    /// Open connections are closed, and new ones right after they are accepted.
     Cut,
 }
 
 impl LinkState {
-    fn read(told: &AtomicU8) -> LinkState {
+    fn load(state: &AtomicU8) -> LinkState {
         [
             LinkState::Well,
             LinkState::Stalled,
             LinkState::Deaf,
             LinkState::Cut,
-        ][usize::from(told.load(Ordering::Relaxed)) % 4]
+        ][usize::from(state.load(Ordering::Relaxed)) % 4]
     }
 }
 
+/// A running relay; dropping it stops its threads.
 pub struct Relay {
+    /// Address that the gateway connects to in place of the worker's.
     pub address: SocketAddr,
     link: Arc<AtomicU8>,
     stop: Arc<AtomicBool>,
@@ -41,7 +45,8 @@
 }
 
 impl Relay {
-    pub fn start(to: SocketAddr) -> io::Result<Relay> {
+    /// Starts a relay to the worker at `worker`.
+    pub fn start(worker: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.local_addr()?;
         listener.set_nonblocking(true)?;
@@ -49,9 +54,11 @@
             Arc::new(AtomicU8::new(LinkState::Well as u8)),
             Arc::new(AtomicBool::new(false)),
         );
-        let (of, ends) = (link.clone(), stop.clone());
-        let work = move || accept(&listener, to, &of, &ends);
-        let thread = std::thread::Builder::new().name("relay".to_owned()).spawn(work)?;
+        let (accept_link, accept_stop) = (link.clone(), stop.clone());
+        let accept = move || accept_connections(&listener, worker, &accept_link, &accept_stop);
+        let thread = std::thread::Builder::new()
+            .name("relay".to_owned())
+            .spawn(accept)?;
         Ok(Relay {
             address,
             link,
@@ -60,6 +67,7 @@
         })
     }
 
+    /// Changes the state of the link; it takes effect within a few milliseconds.
     pub fn set_state(&self, link: LinkState) {
         self.link.store(link as u8, Ordering::Relaxed);
     }
@@ -74,47 +82,60 @@
     }
 }
 
-fn accept(listener: &TcpListener, to: SocketAddr, link: &Arc<AtomicU8>, stop: &Arc<AtomicBool>) {
+fn accept_connections(
+    listener: &TcpListener,
+    worker: SocketAddr,
+    link: &Arc<AtomicU8>,
+    stop: &Arc<AtomicBool>,
+) {
     while !stop.load(Ordering::Relaxed) {
-        let Ok((near, _)) = listener.accept() else {
-            std::thread::sleep(LOOK);
+        let Ok((gateway, _)) = listener.accept() else {
+            std::thread::sleep(POLL_INTERVAL);
             continue;
         };
-        if LinkState::read(link) == LinkState::Cut {
+        if LinkState::load(link) == LinkState::Cut {
             continue;
         }
-        // Nobody there: the near end is closed, as a refused one would be a moment later.
-        let Ok(far) = TcpStream::connect(to) else { continue };
-        for (from, into, back) in [(&near, &far, false), (&far, &near, true)] {
-            let (Ok(from), Ok(into)) = (from.try_clone(), into.try_clone()) else {
+        // If the worker refuses the connection, the gateway's connection is dropped here and so closed.
+        let Ok(worker) = TcpStream::connect(worker) else {
+            continue;
+        };
+        for (from, to, carries_responses) in [(&gateway, &worker, false), (&worker, &gateway, true)] {
+            let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else {
                 continue;
             };
             let (link, stop) = (link.clone(), stop.clone());
-            std::thread::spawn(move || pass(from, into, back, &link, &stop));
+            std::thread::spawn(move || copy_bytes(from, to, carries_responses, &link, &stop));
         }
     }
 }
 
-fn pass(mut from: TcpStream, mut into: TcpStream, back: bool, link: &AtomicU8, stop: &AtomicBool) {
+fn copy_bytes(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    carries_responses: bool,
+    link: &AtomicU8,
+    stop: &AtomicBool,
+) {
     let mut buffer = [0; 16 << 10];
-    let set = from
+    let prepared = from
         .set_nonblocking(false)
-        .and_then(|()| from.set_read_timeout(Some(LOOK)));
-    while set.is_ok() && !stop.load(Ordering::Relaxed) {
-        match LinkState::read(link) {
+        .and_then(|()| from.set_read_timeout(Some(POLL_INTERVAL)));
+    while prepared.is_ok() && !stop.load(Ordering::Relaxed) {
+        match LinkState::load(link) {
             LinkState::Cut => break,
-            LinkState::Stalled => std::thread::sleep(LOOK),
-            LinkState::Deaf if back => std::thread::sleep(LOOK),
+            LinkState::Stalled => std::thread::sleep(POLL_INTERVAL),
+            LinkState::Deaf if carries_responses => std::thread::sleep(POLL_INTERVAL),
             LinkState::Well | LinkState::Deaf => match from.read(&mut buffer) {
                 Ok(0) => break,
-                Ok(length) if into.write_all(&buffer[..length]).is_ok() => {}
+                Ok(length) if to.write_all(&buffer[..length]).is_ok() => {}
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
                 Ok(_) | Err(_) => break,
             },
         }
     }
-    // Both ends hear of it; one that is closed already needs no more.
-    let _ = (from.shutdown(Shutdown::Both), into.shutdown(Shutdown::Both));
+    // Fails where the peer has closed the connection already, which needs no further action.
+    let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
 }
 
 #[cfg(test)]
@@ -122,48 +143,46 @@
     use super::*;
 
     #[test]
-    fn bytes_pass_as_the_link_lets_them() {
+    fn relay_holds_back_and_closes_by_the_state_of_the_link() {
         let worker = TcpListener::bind("127.0.0.1:0").unwrap();
         let relay = Relay::start(worker.local_addr().unwrap()).unwrap();
-        let mut near = TcpStream::connect(relay.address).unwrap();
-        let (mut far, _) = worker.accept().unwrap();
-        for end in [&near, &far] {
+        let mut gateway_end = TcpStream::connect(relay.address).unwrap();
+        let (mut worker_end, _) = worker.accept().unwrap();
+        for end in [&gateway_end, &worker_end] {
             end.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
         }
-        let mut pass = |there: bool, text: &[u8]| {
-            let (from, into) = if there {
-                (&mut near, &mut far)
+        let mut pass = |is_request: bool, text: &[u8]| {
+            let (from, to) = if is_request {
+                (&mut gateway_end, &mut worker_end)
             } else {
-                (&mut far, &mut near)
+                (&mut worker_end, &mut gateway_end)
             };
             from.write_all(text).unwrap();
             let mut buffer = [0; 8];
-            into.read(&mut buffer)
-                .ok()
-                .map(|length| buffer[..length].to_vec())
+            to.read(&mut buffer).ok().map(|length| buffer[..length].to_vec())
         };
         assert_eq!(
             (pass(true, b"a"), pass(false, b"b")),
             (Some(b"a".to_vec()), Some(b"b".to_vec()))
         );
         relay.set_state(LinkState::Deaf);
-        // What is being read at that moment may still pass.
-        std::thread::sleep(LOOK * 4);
+        // A read that has begun may still pass its bytes on.
+        std::thread::sleep(POLL_INTERVAL * 4);
         assert_eq!((pass(true, b"c"), pass(false, b"d")), (Some(b"c".to_vec()), None));
         relay.set_state(LinkState::Stalled);
-        std::thread::sleep(LOOK * 4);
+        std::thread::sleep(POLL_INTERVAL * 4);
         assert_eq!((pass(true, b"e"), pass(false, b"f")), (None, None));
         relay.set_state(LinkState::Well);
-        std::thread::sleep(LOOK * 8);
+        std::thread::sleep(POLL_INTERVAL * 8);
         assert_eq!(
             pass(true, b"g"),
             Some(b"e".to_vec()),
-            "held back, and there first"
+            "bytes held back arrive before later ones"
         );
         relay.set_state(LinkState::Cut);
         let mut rest = Vec::new();
-        near.read_to_end(&mut rest).unwrap();
-        assert_eq!(rest, b"df", "what was held back came before the end");
+        gateway_end.read_to_end(&mut rest).unwrap();
+        assert_eq!(rest, b"df", "bytes held back arrive before the end of the stream");
         assert_eq!(
             TcpStream::connect(relay.address)
                 .unwrap()
