--- a/crates/quartzdrift-lab/src/cluster_harness.rs
+++ b/crates/quartzdrift-lab/src/cluster_harness.rs
@@ -1,4 +1,7 @@
-//! A scheduler process on the platform's sockets with its fakes, as tests set it up.
+//! The cluster harness of the tests: runs a scheduler process between fakes of the platform, on loopback.
+//!
+//! [`ClusterHarness`] starts the process with a fake coordinator and fake workers, and tests send requests
+//! through [`Frontend`] connections.
 use crate::badday::listens_at;
 use crate::platform::{Coordinator, Frontend, ReceivedCommand, Reply, RequestFields, Worker};
 use std::io::{self, BufReader, Read};
@@ -7,44 +10,45 @@
 use std::process::{Child, ChildStdout, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// Code of a worker's answer with a body.
+/// Code of a worker's answer that the request was executed; its body is the response.
 pub const SUCCEEDED: u8 = 64;
-/// Ids of requests.
+/// Id of a request, as the frontend states it.
 pub const REQUEST_ID: &str = "9b1f03aa5c7e2d41";
-/// Another id.
+/// Id of a second request.
 pub const SECOND_REQUEST_ID: &str = "9b1f03aa5c7e2d42";
-/// A third id.
+/// Id of a third request.
 pub const THIRD_REQUEST_ID: &str = "9b1f03aa5c7e2d43";
-/// The settings forbid to give up what is out.
+/// Change of the configuration that forbids the scheduler to cancel commands.
 pub const NO_CANCEL: (&str, &str) = ("\"cancel\":true", "\"cancel\":false");
-/// Connections may take as long as they like.
+/// Change of the configuration that gives connection attempts 60 s.
 pub const LONG_CONNECT_TIMEOUT: (&str, &str) = (
     "\"connect-timeout-ns\":250000000",
     "\"connect-timeout-ns\":60000000000",
 );
-/// Room for eight clients and eight connections.
+/// Change of the configuration that leaves sockets for eight clients and eight connections to workers.
 pub const FEW_SOCKETS: (&str, &str) = ("\"sockets\":128", "\"sockets\":40");
-/// How long a listener whose queue is full is tried before it counts as full.
+/// Longest connection attempt to a listener; its queue counts as full after that.
 const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A scheduler that runs, and all that it talks to.
+/// A running scheduler process, its fake coordinator and its fake workers. Dropping it kills the process.
 pub struct ClusterHarness {
     child: Child,
+    /// Address at which the scheduler takes connections of frontends.
     pub address: SocketAddr,
-    out: BufReader<ChildStdout>,
-    /// Its configuration, to be replaced before SIGHUP.
+    stdout: BufReader<ChildStdout>,
+    /// Configuration file of the scheduler, which it reads at its start and at SIGHUP.
     pub file: PathBuf,
     _folder: tempfile::TempDir,
     pub coordinator: Coordinator,
     pub workers: Vec<Worker>,
 }
 
-/// A worker as an event tells of it.
-pub fn endpoint_json(uid: &str, at: SocketAddr, state: &str) -> String {
-    format!(r#"{{"uid":"{uid}","endpoint":"{at}","state":"{state}","boot_ms":0}}"#)
+/// The JSON entry of a worker in an endpoint event.
+pub fn endpoint_json(uid: &str, address: SocketAddr, state: &str) -> String {
+    format!(r#"{{"uid":"{uid}","endpoint":"{address}","state":"{state}","boot_ms":0}}"#)
 }
 
-/// An answer of the coordinator with one event.
+/// The coordinator's answer to a poll, with one endpoint event. `all`: the event lists every worker.
 pub fn endpoint_event(index: u64, all: bool, targets: &[String]) -> String {
     let targets = targets.join(",");
     format!(
@@ -52,7 +56,8 @@
     )
 }
 
-/// A configuration with an idempotent request class `again` and a non-idempotent one `once`.
+/// A scheduler's configuration with an idempotent request class `again` and a non-idempotent one `once`.
+/// `known` is an answer of the coordinator with the events that the scheduler starts from.
 pub fn config_json(coordinator: SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"7","limits":{{"sockets":128}},"coordinator":"{coordinator}",
@@ -66,9 +71,9 @@
     )
 }
 
-/// The lab's program as a scheduler with a configuration.
-pub fn scheduler_command(lab: &str, file: &Path) -> Command {
-    let mut command = Command::new(lab);
+/// The command that runs the binary `quartzdrift-lab` as a scheduler with a configuration file.
+pub fn scheduler_command(program: &str, file: &Path) -> Command {
+    let mut command = Command::new(program);
     command
         .arg("scheduler")
         .env("GW_CONFIG", file)
@@ -77,8 +82,9 @@
     command
 }
 
-/// A program some of whose system calls fail. `failures`: each as strace(1) takes it after `inject=`. The process that is
-/// started is the program's own, and strace follows it from beside.
+/// The command that runs a program under strace(1), which makes some of its system calls fail. Each of
+/// `failures` is an argument of strace's `inject=`. The spawned process is the program itself; strace runs as
+/// its grandchild (`-D`).
 pub fn with_failing_system_calls(program: &str, failures: &[&str]) -> Command {
     let mut command = Command::new("strace");
     command.args(["-D", "-f", "-qq", "-o", "/dev/null"]);
@@ -89,36 +95,37 @@
     command
 }
 
-/// Starts a scheduler that logs to a file beside its configuration.
+/// Starts a scheduler that logs to a file beside its configuration, and waits until it listens.
 fn spawn_logged(mut command: Command, file: &Path) -> (Child, BufReader<ChildStdout>, SocketAddr) {
-    let log = std::fs::File::create(file.with_extension("log")).expect("a file for its log");
+    let log = std::fs::File::create(file.with_extension("log")).expect("the log file is created");
     let mut child = command.stderr(log).spawn().expect("the scheduler starts");
-    let mut out = BufReader::new(child.stdout.take().expect("its output"));
-    let at = listens_at(&mut out).expect("the scheduler says where it listens");
-    (child, out, at)
+    let mut stdout = BufReader::new(child.stdout.take().expect("stdout is piped"));
+    let address = listens_at(&mut stdout).expect("the scheduler prints its address");
+    (child, stdout, address)
 }
 
-/// Sends a signal by its name to a process.
+/// Sends a signal to a process. `name` is an option of kill(1), as `-HUP`.
 pub fn send_signal(name: &str, process: u32) {
     let status = Command::new("kill").args([name, &process.to_string()]).status();
-    assert!(status.expect("kill can be called").success());
+    assert!(status.expect("kill(1) runs").success());
 }
 
 impl ClusterHarness {
-    /// With the fakes' usual settings.
-    pub fn start(lab: &str, workers: usize) -> ClusterHarness {
-        ClusterHarness::with_config_changes(lab, workers, &[])
+    /// Starts a scheduler with the default configuration and so many fake workers.
+    pub fn start(program: &str, workers: usize) -> ClusterHarness {
+        ClusterHarness::with_config_changes(program, workers, &[])
     }
 
-    /// `changes`: parts of the configuration and what stands in their place.
-    pub fn with_config_changes(lab: &str, workers: usize, changes: &[(&str, &str)]) -> ClusterHarness {
-        ClusterHarness::launched(workers, changes, &|file| scheduler_command(lab, file))
+    /// Starts a scheduler with a changed configuration. Each of `changes` is a text of it and its
+    /// replacement.
+    pub fn with_config_changes(program: &str, workers: usize, changes: &[(&str, &str)]) -> ClusterHarness {
+        ClusterHarness::launch(workers, changes, &|file| scheduler_command(program, file))
     }
 
-    /// A scheduler some of whose system calls fail. `failures`: each as strace(1) takes it after `inject=`.
-    pub fn with_failing_system_calls(lab: &str, workers: usize, failures: &[&str]) -> ClusterHarness {
-        ClusterHarness::launched(workers, &[], &|file| {
-            let mut command = with_failing_system_calls(lab, failures);
+    /// Starts a scheduler some of whose system calls fail, see [`with_failing_system_calls`].
+    pub fn with_failing_system_calls(program: &str, workers: usize, failures: &[&str]) -> ClusterHarness {
+        ClusterHarness::launch(workers, &[], &|file| {
+            let mut command = with_failing_system_calls(program, failures);
             command
                 .arg("scheduler")
                 .env("GW_CONFIG", file)
@@ -127,33 +134,35 @@
         })
     }
 
-    fn launched(
+    fn launch(
         workers: usize,
         changes: &[(&str, &str)],
-        launch: &dyn Fn(&Path) -> Command,
+        command: &dyn Fn(&Path) -> Command,
     ) -> ClusterHarness {
-        let workers: Vec<Worker> = (0..workers).map(|_| Worker::start().expect("a worker")).collect();
+        let workers: Vec<Worker> = (0..workers)
+            .map(|_| Worker::start().expect("a fake worker starts"))
+            .collect();
         let targets: Vec<String> = workers
             .iter()
             .enumerate()
             .map(|(n, w)| endpoint_json(&format!("w{n}"), w.address, "Ready"))
             .collect();
         let known = endpoint_event(1, true, &targets);
-        let coordinator = Coordinator::with_events(&known).expect("a coordinator");
-        let folder = tempfile::tempdir().expect("a folder");
+        let coordinator = Coordinator::with_events(&known).expect("a fake coordinator starts");
+        let folder = tempfile::tempdir().expect("a temporary folder is created");
         let file = folder.path().join("config.json");
         let mut text = config_json(coordinator.address, &known);
         for (old, new) in changes {
-            assert!(text.contains(old), "{old}");
+            assert!(text.contains(old), "the configuration does not contain {old}");
             text = text.replace(old, new);
         }
         std::fs::write(&file, text).expect("the configuration is written");
-        let (child, out, at) = spawn_logged(launch(&file), &file);
+        let (child, stdout, address) = spawn_logged(command(&file), &file);
         coordinator.wait_until_followed(0);
         ClusterHarness {
             child,
-            address: at,
-            out,
+            address,
+            stdout,
             file,
             _folder: folder,
             coordinator,
@@ -161,72 +170,74 @@
         }
     }
 
-    /// A connection of a client to the scheduler.
+    /// Opens a frontend's connection to the scheduler.
     pub fn frontend(&self) -> Frontend {
         Frontend::connect(self.address).expect("the scheduler takes connections")
     }
 
-    /// Its number among processes.
+    /// Process id of the scheduler.
     pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends the scheduler a signal by its name.
+    /// Sends a signal to the scheduler, see [`send_signal`].
     pub fn send_signal(&self, name: &str) {
         send_signal(name, self.child.id());
     }
 
-    /// Sends SIGSTOP, and waits until the process has stopped.
+    /// Sends SIGSTOP to the scheduler and waits until the process has stopped.
     pub fn pause(&self) {
         self.send_signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        // The state comes after the name, which is in brackets.
+        // The state follows the program's name, which is in parentheses.
         let stopped = |text: String| text.rsplit(')').next().is_some_and(|rest| rest.starts_with(" T"));
         while !std::fs::read_to_string(&stat).is_ok_and(stopped) {
             std::thread::yield_now();
         }
     }
 
-    /// Sends SIGCONT.
+    /// Sends SIGCONT to the scheduler.
     pub fn resume(&self) {
         self.send_signal("-CONT");
     }
 
-    /// Waits for its end.
+    /// Waits until the scheduler has exited.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut rest = String::new();
-        self.out
+        self.stdout
             .read_to_string(&mut rest)
-            .expect("what it says can be read");
-        self.child.wait().expect("it ends")
+            .expect("stdout of the scheduler is text");
+        self.child.wait().expect("the scheduler exits")
     }
 
-    /// Waits for its end until `at`; returns whether it has ended well by then.
-    pub fn has_succeeded_by(&mut self, at: Instant) -> bool {
+    /// Waits for the exit of the scheduler until `deadline`; returns whether it has exited successfully by
+    /// then.
+    pub fn has_succeeded_by(&mut self, deadline: Instant) -> bool {
         loop {
-            if let Some(status) = self.child.try_wait().expect("it can be waited for") {
+            if let Some(status) = self.child.try_wait().expect("waitpid(2) succeeds") {
                 return status.success();
             }
-            if Instant::now() >= at {
+            if Instant::now() >= deadline {
                 return false;
             }
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// What it has logged since its last start.
+    /// The scheduler's log since its last start.
     pub fn log(&self) -> String {
-        std::fs::read_to_string(self.file.with_extension("log")).expect("its log can be read")
+        std::fs::read_to_string(self.file.with_extension("log")).expect("the log file is read")
     }
 
-    /// Has it read a configuration with this coordinator and these known events, by SIGHUP.
+    /// Writes a configuration with this coordinator and these known events, and has the scheduler read it by
+    /// SIGHUP.
     pub fn reload_config(&self, coordinator: SocketAddr, known: &str) {
         std::fs::write(&self.file, config_json(coordinator, known)).expect("the configuration is written");
         self.send_signal("-HUP");
     }
 
-    /// A connection of the first worker on which a request has ended, and which has rested for so long that it must prove that
-    /// it works.
+    /// Completes a request on the first worker, and keeps its connection idle for twice as long as the
+    /// scheduler uses one without a ping. Returns the number of the connection.
     pub fn idle_connection(&mut self, frontend: &mut Frontend, id: &str) -> usize {
         send_request(frontend, 1, &request_fields("/do/once", id));
         let (connection, ..) = serve_next_command(&mut self.workers[0], frontend, b"");
@@ -237,31 +248,33 @@
         connection
     }
 
-    /// Kills it.
+    /// Kills the scheduler.
     pub fn kill(&mut self) {
-        // It may have ended already.
+        // Fails if the scheduler has exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Kills it and starts it anew at the same address, by the same configuration.
-    pub fn restart(&mut self, lab: &str) {
+    /// Kills the scheduler and starts it again at the same address with the same configuration.
+    pub fn restart(&mut self, program: &str) {
         self.kill();
-        let text = std::fs::read_to_string(&self.file).expect("its configuration");
+        let text = std::fs::read_to_string(&self.file).expect("the configuration is read");
         let text = text.replace("127.0.0.1:0", &self.address.to_string());
         std::fs::write(&self.file, text).expect("the configuration is written");
         let repeated = self.coordinator.repeated_polls();
-        (self.child, self.out, self.address) = spawn_logged(scheduler_command(lab, &self.file), &self.file);
+        (self.child, self.stdout, self.address) =
+            spawn_logged(scheduler_command(program, &self.file), &self.file);
         self.coordinator.wait_until_followed(repeated);
     }
 
-    /// All commands that reached a worker and were not yet taken; the scheduler is killed first.
+    /// Kills the scheduler and returns the commands of a worker that the test has not read yet.
     pub fn drain_commands(&mut self, worker: usize) -> Vec<ReceivedCommand> {
         self.kill();
         self.workers[worker].drain_commands()
     }
 
-    /// The worker that the next command reaches, and the command. Workers not met are asked in turn.
+    /// Waits for the next command at any worker; returns the worker's index and the command. Of several
+    /// commands, the one at the lowest index is returned.
     pub fn next_command(&mut self) -> (usize, ReceivedCommand) {
         let mut frontend = self.frontend();
         loop {
@@ -270,22 +283,24 @@
                     return (n, command);
                 }
             }
-            // An answered check is a turn of the scheduler's loop, in which a command may have left.
+            // A completed check is an iteration of the scheduler's event loop, which may have sent a command.
             assert_eq!(check_status(&mut frontend), 200);
         }
     }
 
-    /// Has the scheduler take news of workers, and returns once it has. A poll must be out, and known to be.
+    /// Answers the open poll with an event about these workers, and returns once the scheduler has applied
+    /// it. A poll must be open, as after [`Coordinator::next_poll`].
     pub fn announce_endpoints(&self, index: u64, targets: &[String]) {
         self.send_events(index, &endpoint_event(index, false, targets));
     }
 
-    /// Answers the poll that is out with `news`, and returns once the scheduler follows from event `index`.
-    pub fn send_events(&self, index: u64, news: &str) {
+    /// Answers the open poll with `events`, and returns once the scheduler polls for the events after
+    /// `index`.
+    pub fn send_events(&self, index: u64, events: &str) {
         let next = format!("follow={index}&");
         loop {
-            self.coordinator.answer_with_events(news);
-            // A poll that had ended meanwhile was answered for nothing; the next one asks the same again.
+            self.coordinator.answer_with_events(events);
+            // If the poll timed out before the answer, the next poll asks for the same events again.
             if self.coordinator.next_poll().contains(&next) {
                 return;
             }
@@ -299,98 +314,105 @@
     }
 }
 
-/// An id as workers are told it.
+/// The id of a request as it is encoded in frames to workers.
 pub fn id_number(id: &str) -> u64 {
-    u64::from_str_radix(id, 16).expect("an id is a number")
+    u64::from_str_radix(id, 16).expect("an id is a hexadecimal number")
 }
 
-/// Codes and ids of commands.
+/// The code and request id of each command.
 pub fn codes_and_ids(commands: &[ReceivedCommand]) -> Vec<(u8, u64)> {
     commands.iter().map(|(_, code, id, ..)| (*code, *id)).collect()
 }
 
-/// A request that any scheduler takes.
+/// Fields of a valid request with this path and id.
 pub fn request_fields<'a>(path: &'a str, id: &'a str) -> RequestFields<'a> {
-    let (function, figures) = ("7f3a9c21e0b4d655", "memory_mb:512;lanes:2;load_ms:640");
+    let (function, spec) = ("7f3a9c21e0b4d655", "memory_mb:512;lanes:2;load_ms:640");
     RequestFields {
         path,
         id,
         timeout_ms: "50000",
         function,
-        spec: figures,
+        spec,
         idempotency_key: "",
         tenant: "",
         body: b"the body",
     }
 }
 
-/// Sends a request under a FastCGI number.
-pub fn send_request(frontend: &mut Frontend, number: u16, asked: &RequestFields) {
+/// Sends a request with a FastCGI request id.
+pub fn send_request(frontend: &mut Frontend, fastcgi_id: u16, fields: &RequestFields) {
     frontend
-        .send(&Frontend::encode_request(number, asked))
+        .send(&Frontend::encode_request(fastcgi_id, fields))
         .expect("the scheduler takes a request");
 }
 
-/// Sends a request and returns its answer.
-pub fn request_and_reply(frontend: &mut Frontend, asked: &RequestFields) -> Reply {
-    send_request(frontend, 1, asked);
-    frontend.read_reply().expect("a reply")
+/// Sends a request and waits for its reply.
+pub fn request_and_reply(frontend: &mut Frontend, fields: &RequestFields) -> Reply {
+    send_request(frontend, 1, fields);
+    frontend.read_reply().expect("the scheduler replies")
 }
 
-/// Answers the next command that reaches a worker, and returns its connection, code and id once the client has the answer.
+/// Answers the next command of a worker with `body`, and returns the command's connection, code and id once
+/// the frontend has the reply.
 pub fn serve_next_command(worker: &mut Worker, frontend: &mut Frontend, body: &[u8]) -> (usize, u8, u64) {
     let (connection, code, id, ..) = worker.next_command();
     worker.answer(connection, SUCCEEDED, id, body);
-    let reply = frontend.read_reply().expect("a reply");
+    let reply = frontend.read_reply().expect("the scheduler replies");
     assert_eq!((reply.status, &reply.body[..]), (200, body));
     (connection, code, id)
 }
 
-/// Status of an answered check. It is also a turn of the scheduler's loop.
+/// Sends a health check and returns the status of its reply. The scheduler's event loop has then completed an
+/// iteration.
 pub fn check_status(frontend: &mut Frontend) -> u16 {
     request_and_reply(frontend, &request_fields("/check", "0000000000000000")).status
 }
 
-/// A listener that answers no new connection, as a machine that has vanished: its queue of one is full, and stays
-/// so until somebody takes what waits in it.
+/// A listener that leaves new connection attempts unanswered, as an unreachable machine does. Its accept
+/// queue of one stays full until [`UnresponsiveListener::into_worker`] empties it.
 pub struct UnresponsiveListener {
     socket: socket2::Socket,
+    /// Address of the listener.
     pub address: SocketAddr,
-    held: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
 impl UnresponsiveListener {
-    /// A listener whose queue is full.
+    /// Starts a listener and fills its accept queue.
     ///
     /// # Errors
-    /// The system grants no socket.
+    /// Fails if the system provides no socket.
     pub fn start() -> io::Result<UnresponsiveListener> {
         use socket2::{Domain, Socket, Type};
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
         socket.listen(0)?;
-        let at = socket
+        let address = socket
             .local_addr()?
             .as_socket()
-            .ok_or_else(|| io::Error::other("no address"))?;
-        let mut held = Vec::new();
-        while let Ok(stream) = TcpStream::connect_timeout(&at, QUEUE_FULL_TIMEOUT) {
-            held.push(stream);
+            .ok_or_else(|| io::Error::other("the listener's address is not an IP address"))?;
+        let mut queued = Vec::new();
+        while let Ok(stream) = TcpStream::connect_timeout(&address, QUEUE_FULL_TIMEOUT) {
+            queued.push(stream);
         }
         Ok(UnresponsiveListener {
             socket,
-            address: at,
-            held,
+            address,
+            queued,
         })
     }
 
-    /// It comes back: whoever still tries to connect gets through, and this is the worker that they meet.
+    /// Makes the listener reachable as a fake worker. Connection attempts that are still open reach the
+    /// worker.
+    ///
+    /// # Errors
+    /// Fails if the system cannot accept the queued connections.
     pub fn into_worker(self) -> io::Result<Worker> {
         let listener = TcpListener::from(self.socket);
-        for _ in &self.held {
+        for _ in &self.queued {
             listener.accept()?;
         }
-        // The queue was short so that it could be filled.
+        // The queue was opened at its shortest, so that few connections fill it.
         socket2::SockRef::from(&listener).listen(64)?;
         Worker::from_listener(listener)
     }
--- a/crates/quartzdrift-lab/src/platform.rs
+++ b/crates/quartzdrift-lab/src/platform.rs
@@ -1,5 +1,7 @@
-//! Fakes for the operators' platform: a frontend's connection, a worker and a coordinator. Each does only what its
-//! test says, and tells through a channel what reached it: a test waits for events, never for time.
+//! Fakes of the platform that a scheduler runs on: a frontend's connection, a worker and a coordinator.
+//!
+//! A fake does only what its test commands, and reports through a channel what it received, so that tests
+//! wait for events and not for fixed times.
 use quartzdrift_fastcgi::{self as fastcgi, RecordHeader, write_pair, write_record, write_stream};
 use quartzdrift_platform::frame;
 use std::collections::{BTreeMap, VecDeque};
@@ -11,28 +13,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait for any event; a test that meets it has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for an event; a test fails when it expires.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Code of a worker's answer to a ping, see [`frame::AnswerCode::Alive`].
 const ALIVE: u8 = 70;
 
-/// A front's connection to a scheduler.
+/// A frontend's FastCGI connection to a scheduler.
 pub struct Frontend {
     stream: TcpStream,
 }
 
-/// The answer to one request.
+/// A scheduler's reply to one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
+    /// FastCGI request id.
     pub fastcgi_id: u16,
-    /// 0 where END_REQUEST came without a response.
+    /// HTTP status, or 0 if the request ended without a response.
     pub status: u16,
+    /// Header lines of the response.
     pub head: String,
     pub body: Vec<u8>,
-    /// Protocol status of END_REQUEST.
+    /// Protocol status in the FastCGI record END_REQUEST.
     pub protocol_status: u8,
 }
 
-/// Fields of a request that any scheduler takes.
+/// Fields of a request, from which [`Frontend::encode_request`] makes FastCGI parameters.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestFields<'a> {
     pub path: &'a str,
@@ -40,9 +45,9 @@
     pub timeout_ms: &'a str,
     pub function: &'a str,
     pub spec: &'a str,
-    /// None is sent where it is empty.
+    /// Idempotency key; if empty, the parameter is left out.
     pub idempotency_key: &'a str,
-    /// None is sent where it is empty.
+    /// Tenant; if empty, the parameter is left out.
     pub tenant: &'a str,
     pub body: &'a [u8],
 }
@@ -51,29 +56,29 @@
     /// Connects to a scheduler.
     ///
     /// # Errors
-    /// Those of the system.
-    pub fn connect(at: SocketAddr) -> io::Result<Frontend> {
-        let stream = TcpStream::connect(at)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+    /// Fails if the connection cannot be opened.
+    pub fn connect(address: SocketAddr) -> io::Result<Frontend> {
+        let stream = TcpStream::connect(address)?;
+        stream.set_read_timeout(Some(EVENT_TIMEOUT))?;
         stream.set_nodelay(true)?;
         Ok(Frontend { stream })
     }
 
-    /// The bytes of a request.
-    pub fn encode_request(number: u16, asked: &RequestFields) -> Vec<u8> {
+    /// Encodes a request as FastCGI records.
+    pub fn encode_request(fastcgi_id: u16, fields: &RequestFields) -> Vec<u8> {
         let (mut out, mut pairs) = (Vec::new(), Vec::new());
         for (name, value) in [
-            ("SCRIPT_NAME", asked.path),
-            ("HTTP_X_REQUEST_ID", asked.id),
-            ("HTTP_X_TIMEOUT_MS", asked.timeout_ms),
-            ("HTTP_X_OBJECT", asked.function),
-            ("HTTP_X_SPEC", asked.spec),
+            ("SCRIPT_NAME", fields.path),
+            ("HTTP_X_REQUEST_ID", fields.id),
+            ("HTTP_X_TIMEOUT_MS", fields.timeout_ms),
+            ("HTTP_X_OBJECT", fields.function),
+            ("HTTP_X_SPEC", fields.spec),
         ] {
             write_pair(&mut pairs, name.as_bytes(), value.as_bytes());
         }
         for (name, value) in [
-            ("HTTP_IDEMPOTENCY_KEY", asked.idempotency_key),
-            ("HTTP_X_TENANT", asked.tenant),
+            ("HTTP_IDEMPOTENCY_KEY", fields.idempotency_key),
+            ("HTTP_X_TENANT", fields.tenant),
         ] {
             if !value.is_empty() {
                 write_pair(&mut pairs, name.as_bytes(), value.as_bytes());
@@ -82,82 +87,91 @@
         write_record(
             &mut out,
             fastcgi::BEGIN_REQUEST,
-            number,
+            fastcgi_id,
             &[0, 1, 1, 0, 0, 0, 0, 0],
         );
-        write_stream(&mut out, fastcgi::PARAMS, number, &pairs);
-        write_record(&mut out, fastcgi::PARAMS, number, b"");
-        write_stream(&mut out, fastcgi::STDIN, number, asked.body);
-        write_record(&mut out, fastcgi::STDIN, number, b"");
+        write_stream(&mut out, fastcgi::PARAMS, fastcgi_id, &pairs);
+        write_record(&mut out, fastcgi::PARAMS, fastcgi_id, b"");
+        write_stream(&mut out, fastcgi::STDIN, fastcgi_id, fields.body);
+        write_record(&mut out, fastcgi::STDIN, fastcgi_id, b"");
         out
     }
 
-    /// The bytes of a request after whose answer the client wants the connection closed.
-    pub fn encode_last_request(number: u16, asked: &RequestFields) -> Vec<u8> {
-        let mut out = Frontend::encode_request(number, asked);
+    /// Encodes a request whose reply shall be the last on its connection: the flag FCGI_KEEP_CONN is not set.
+    pub fn encode_last_request(fastcgi_id: u16, fields: &RequestFields) -> Vec<u8> {
+        let mut out = Frontend::encode_request(fastcgi_id, fields);
         out[fastcgi::HEADER_LENGTH + 2] = 0;
         out
     }
 
-    /// The bytes by which a client says that it waits no longer.
-    pub fn encode_abort(number: u16) -> Vec<u8> {
+    /// Encodes the record by which a frontend withdraws a request.
+    pub fn encode_abort(fastcgi_id: u16) -> Vec<u8> {
         let mut out = Vec::new();
-        write_record(&mut out, fastcgi::ABORT_REQUEST, number, b"");
+        write_record(&mut out, fastcgi::ABORT_REQUEST, fastcgi_id, b"");
         out
     }
 
-    /// Sends bytes as they are.
+    /// Sends bytes unchanged.
     ///
     /// # Errors
-    /// The connection has ended.
+    /// Fails if the connection has ended.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
 
-    /// Sends nothing more, and goes on reading.
+    /// Closes the sending side of the connection; replies can still be read.
+    ///
+    /// # Errors
+    /// Fails if the connection has ended.
     pub fn shutdown_write(&mut self) -> io::Result<()> {
         self.stream.shutdown(std::net::Shutdown::Write)
     }
 
-    /// Takes a connection that the test has made in its own way.
+    /// Wraps a connection that the test has opened.
+    ///
+    /// # Errors
+    /// Fails if the system refuses the read timeout.
     pub fn from_stream(stream: TcpStream) -> io::Result<Frontend> {
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(EVENT_TIMEOUT))?;
         Ok(Frontend { stream })
     }
 
-    /// The next answer to end, whole; an error once the connection has ended.
+    /// Reads until a reply is complete, and returns it.
+    ///
+    /// # Errors Fails if the connection ends, or sends bytes that are not a FastCGI record, or after
+    /// [`EVENT_TIMEOUT`].
     pub fn read_reply(&mut self) -> io::Result<Reply> {
         let mut replies: Vec<Reply> = Vec::new();
         loop {
-            let mut head = [0; fastcgi::HEADER_LENGTH];
-            self.stream.read_exact(&mut head)?;
-            let head = RecordHeader::read(&head)
+            let mut header = [0; fastcgi::HEADER_LENGTH];
+            self.stream.read_exact(&mut header)?;
+            let header = RecordHeader::read(&header)
                 .ok()
                 .flatten()
-                .ok_or_else(|| io::Error::other("no record"))?;
-            let mut content = vec![0; head.content_length + head.padding_length];
+                .ok_or_else(|| io::Error::other("the received bytes are not a FastCGI record"))?;
+            let mut content = vec![0; header.content_length + header.padding_length];
             self.stream.read_exact(&mut content)?;
-            content.truncate(head.content_length);
-            let at = replies
+            content.truncate(header.content_length);
+            let index = replies
                 .iter()
-                .position(|reply| reply.fastcgi_id == head.request_id)
+                .position(|reply| reply.fastcgi_id == header.request_id)
                 .unwrap_or_else(|| {
                     replies.push(Reply {
-                        fastcgi_id: head.request_id,
+                        fastcgi_id: header.request_id,
                         ..Reply::default()
                     });
                     replies.len() - 1
                 });
-            if head.record_type != fastcgi::END_REQUEST {
-                replies[at].body.append(&mut content);
+            if header.record_type != fastcgi::END_REQUEST {
+                replies[index].body.append(&mut content);
                 continue;
             }
-            let mut reply = replies.swap_remove(at);
+            let mut reply = replies.swap_remove(index);
             reply.protocol_status = content.get(4).copied().unwrap_or(u8::MAX);
-            let said = std::mem::take(&mut reply.body);
-            if let Some(mid) = said.windows(4).position(|four| four == b"\r\n\r\n") {
-                reply.head = String::from_utf8_lossy(&said[..mid]).into_owned();
-                reply.body = said[mid + 4..].to_vec();
+            let response = std::mem::take(&mut reply.body);
+            if let Some(head_length) = response.windows(4).position(|four| four == b"\r\n\r\n") {
+                reply.head = String::from_utf8_lossy(&response[..head_length]).into_owned();
+                reply.body = response[head_length + 4..].to_vec();
                 let status = reply.head.strip_prefix("Status: ").and_then(|rest| rest.get(..3));
                 reply.status = status.and_then(|digits| digits.parse().ok()).unwrap_or(0);
             }
@@ -166,36 +180,42 @@
     }
 }
 
-/// A command as it reached a worker: its connection, code, id, fields and body.
+/// A command that a worker received: number of the connection, code, request id, fields and body.
 pub type ReceivedCommand = (usize, u8, u64, String, Vec<u8>);
 
-/// What reached a fake worker.
+/// An event at a fake worker. The number counts the worker's connections from 0.
 #[derive(Debug)]
 pub enum WorkerEvent {
+    /// The scheduler opened this connection.
     Connected(usize),
+    /// The scheduler sent a command other than a ping.
     Command(ReceivedCommand),
-    /// A ping asked whether this connection works.
+    /// The scheduler sent a ping on this connection.
     Ping(usize),
+    /// This connection ended.
     Closed(usize),
 }
 
-/// A worker that answers no command on its own, only whether a connection works.
+/// A fake worker. It answers pings on its own, and commands when its test says so.
 pub struct Worker {
     pub address: SocketAddr,
-    reached: Receiver<(WorkerEvent, Option<TcpStream>)>,
+    events: Receiver<(WorkerEvent, Option<TcpStream>)>,
     connections: Vec<TcpStream>,
-    cut_idle: Arc<AtomicBool>,
-    hold_proofs: Arc<AtomicBool>,
-    /// Lanes that are open, as far as it was asked.
-    open: usize,
+    closes_on_ping: Arc<AtomicBool>,
+    holds_ping_answers: Arc<AtomicBool>,
+    /// Open connections, by the events that the test has read.
+    open_connections: usize,
 }
 
-fn command(stream: &mut TcpStream, connection: usize) -> io::Result<ReceivedCommand> {
-    let mut head = [0; frame::HEADER_BYTES];
-    stream.read_exact(&mut head)?;
-    let [mark, code, f1, f0, b3, b2, b1, b0, id @ ..] = head;
-    if mark != frame::FROM_SCHEDULER {
-        return Err(io::Error::other("no frame of a scheduler"));
+fn read_command(stream: &mut TcpStream, connection: usize) -> io::Result<ReceivedCommand> {
+    let mut header = [0; frame::HEADER_BYTES];
+    stream.read_exact(&mut header)?;
+    let [magic, code, f1, f0, b3, b2, b1, b0, id @ ..] = header;
+    if magic != frame::FROM_SCHEDULER {
+        return Err(io::Error::other(format!(
+            "the first byte of a frame is {magic}, a scheduler's is {}",
+            frame::FROM_SCHEDULER
+        )));
     }
     let fields = usize::from(u16::from_be_bytes([f1, f0]));
     let mut rest = vec![0; fields + u32::from_be_bytes([b3, b2, b1, b0]) as usize + frame::CHECKSUM_BYTES];
@@ -205,7 +225,7 @@
     Ok((connection, code, u64::from_be_bytes(id), fields, body))
 }
 
-/// An answer that carries a load report.
+/// Encodes an answer with a load report.
 fn answer_frame(code: u8, id: u64, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
     frame::write(&mut out, frame::FROM_WORKER, code, id, b"report=queue:0", body);
@@ -213,20 +233,24 @@
 }
 
 impl Worker {
-    /// A worker at an address of its own.
+    /// Starts a worker at a free port.
     ///
     /// # Errors
-    /// The system grants no socket.
+    /// Fails if the system provides no socket.
     pub fn start() -> io::Result<Worker> {
         Worker::from_listener(TcpListener::bind(("127.0.0.1", 0))?)
     }
 
-    /// A worker that takes what waits at `listener`.
+    /// Starts a worker that accepts the connections of `listener`.
+    ///
+    /// # Errors
+    /// Fails if the listener has no address.
     pub fn from_listener(listener: TcpListener) -> io::Result<Worker> {
-        let at = listener.local_addr()?;
-        let (sender, reached) = channel();
-        let (cut_idle, hold_proofs) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        let (cut, hold) = (cut_idle.clone(), hold_proofs.clone());
+        let address = listener.local_addr()?;
+        let (sender, events) = channel();
+        let (closes_on_ping, holds_ping_answers) =
+            (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        let (closes, holds) = (closes_on_ping.clone(), holds_ping_answers.clone());
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
                 let Ok(mut stream) = stream else { return };
@@ -236,22 +260,24 @@
                 {
                     return;
                 }
-                let (sender, cut, hold) = (sender.clone(), cut.clone(), hold.clone());
+                let (sender, closes, holds) = (sender.clone(), closes.clone(), holds.clone());
                 thread::spawn(move || {
-                    while let Ok(received) = command(&mut stream, connection) {
-                        let (_, code, id, ..) = received;
-                        let asked = code == frame::PING;
-                        let held = hold.load(Ordering::SeqCst);
-                        // The test may have seen enough.
-                        let said = if asked {
+                    while let Ok(command) = read_command(&mut stream, connection) {
+                        let (_, code, id, ..) = command;
+                        let is_ping = code == frame::PING;
+                        let is_held = holds.load(Ordering::SeqCst);
+                        let event = if is_ping {
                             WorkerEvent::Ping(connection)
                         } else {
-                            WorkerEvent::Command(received)
+                            WorkerEvent::Command(command)
                         };
-                        let _ = sender.send((said, None));
+                        // Fails if the test has dropped the worker.
+                        let _ = sender.send((event, None));
                         let mut alive = Vec::new();
                         frame::write(&mut alive, frame::FROM_WORKER, ALIVE, id, b"", b"");
-                        if asked && !held && (cut.load(Ordering::SeqCst) || stream.write_all(&alive).is_err())
+                        if is_ping
+                            && !is_held
+                            && (closes.load(Ordering::SeqCst) || stream.write_all(&alive).is_err())
                         {
                             break;
                         }
@@ -262,27 +288,28 @@
             }
         });
         Ok(Worker {
-            address: at,
-            reached,
+            address,
+            events,
             connections: Vec::new(),
-            cut_idle,
-            hold_proofs,
-            open: 0,
+            closes_on_ping,
+            holds_ping_answers,
+            open_connections: 0,
         })
     }
 
-    /// Whether from now on nobody hears whether a connection works, but by [`Worker::prove`].
+    /// With `hold`, pings stay unanswered until the test calls [`Worker::answer_ping`].
     pub fn hold_ping_answers(&self, hold: bool) {
-        self.hold_proofs.store(hold, Ordering::SeqCst);
+        self.holds_ping_answers.store(hold, Ordering::SeqCst);
     }
 
-    /// All commands that reached it and were not yet taken, once its scheduler is no more: none can follow.
+    /// Waits until all connections have ended, and returns the commands that the test has not read yet. The
+    /// scheduler must have been killed before, so that no command can follow.
     pub fn drain_commands(&mut self) -> Vec<ReceivedCommand> {
-        // Connections are taken in turn: when this one is, all before it have been.
-        let last = TcpStream::connect(self.address).expect("the worker takes connections");
-        let from = last.local_addr().expect("an address");
+        // Connections are accepted in order: once this one is, all earlier ones have been.
+        let last = TcpStream::connect(self.address).expect("the fake worker accepts connections");
+        let from = last.local_addr().expect("a connection has a local address");
         let (mut last, mut commands) = (Some(last), Vec::new());
-        while last.is_some() || self.open > 0 {
+        while last.is_some() || self.open_connections > 0 {
             match self.next_event() {
                 WorkerEvent::Connected(connection)
                     if self.connections[connection]
@@ -291,21 +318,21 @@
                 {
                     last = None;
                 }
-                WorkerEvent::Command(received) => commands.push(received),
+                WorkerEvent::Command(command) => commands.push(command),
                 WorkerEvent::Connected(_) | WorkerEvent::Ping(_) | WorkerEvent::Closed(_) => {}
             }
         }
         commands
     }
 
-    /// Says that a connection works, under this id.
+    /// Answers a ping on a connection, with the id of the ping.
     pub fn answer_ping(&mut self, connection: usize, id: u64) {
         let mut alive = Vec::new();
         frame::write(&mut alive, frame::FROM_WORKER, ALIVE, id, b"", b"");
         self.send(connection, &alive);
     }
 
-    /// The connection that is asked next whether it works.
+    /// Waits for the next ping and returns its connection. Other events before it are dropped.
     pub fn next_ping(&mut self) -> usize {
         loop {
             if let WorkerEvent::Ping(connection) = self.next_event() {
@@ -314,139 +341,147 @@
         }
     }
 
-    /// From now on a connection that is asked whether it works is cut, as one that was forgotten while idle.
+    /// From now on a ping closes its connection, as if a middlebox had dropped the idle connection.
     pub fn close_on_ping(&self) {
-        self.cut_idle.store(true, Ordering::SeqCst);
+        self.closes_on_ping.store(true, Ordering::SeqCst);
     }
 
-    /// The next thing that reaches it.
+    /// Waits for the next event.
     pub fn next_event(&mut self) -> WorkerEvent {
-        let reached = self
-            .reached
-            .recv_timeout(PATIENCE)
-            .expect("something reaches the worker");
-        self.take_note(reached)
+        let received = self
+            .events
+            .recv_timeout(EVENT_TIMEOUT)
+            .expect("the fake worker has an event in time");
+        self.apply(received)
     }
 
-    fn take_note(&mut self, (reached, stream): (WorkerEvent, Option<TcpStream>)) -> WorkerEvent {
+    /// Updates the connections by an event that was read.
+    fn apply(&mut self, (event, stream): (WorkerEvent, Option<TcpStream>)) -> WorkerEvent {
         self.connections.extend(stream);
-        match reached {
-            WorkerEvent::Connected(_) => self.open += 1,
-            WorkerEvent::Closed(_) => self.open -= 1,
+        match event {
+            WorkerEvent::Connected(_) => self.open_connections += 1,
+            WorkerEvent::Closed(_) => self.open_connections -= 1,
             WorkerEvent::Command(_) | WorkerEvent::Ping(_) => {}
         }
-        reached
+        event
     }
 
-    /// Whether nothing has reached it that was not yet taken.
+    /// Whether no event is unread. An unread event is dropped.
     pub fn has_no_event(&mut self) -> bool {
-        self.reached
+        self.events
             .try_recv()
-            .map(|reached| self.take_note(reached))
+            .map(|received| self.apply(received))
             .is_err()
     }
 
-    /// A command, if one has reached it by now.
+    /// The next command, if one has been received by now. Other events before it are dropped.
     pub fn try_next_command(&mut self) -> Option<ReceivedCommand> {
-        while let Ok(reached) = self.reached.try_recv() {
-            if let WorkerEvent::Command(received) = self.take_note(reached) {
-                return Some(received);
+        while let Ok(received) = self.events.try_recv() {
+            if let WorkerEvent::Command(command) = self.apply(received) {
+                return Some(command);
             }
         }
         None
     }
 
-    /// The next command.
+    /// Waits for the next command. Other events before it are dropped.
     pub fn next_command(&mut self) -> ReceivedCommand {
         loop {
-            if let WorkerEvent::Command(received) = self.next_event() {
-                return received;
+            if let WorkerEvent::Command(command) = self.next_event() {
+                return command;
             }
         }
     }
 
-    /// Sends bytes as they are on one of its connections, by number.
+    /// Sends bytes unchanged on a connection.
     pub fn send(&mut self, connection: usize, bytes: &[u8]) {
         self.connections[connection]
             .write_all(bytes)
-            .expect("the lane takes what the worker says");
+            .expect("the connection to the scheduler is open");
     }
 
-    /// Answers a command with a code and a body.
+    /// Answers a command with a code, a load report and a body.
     pub fn answer(&mut self, connection: usize, code: u8, id: u64, body: &[u8]) {
         self.send(connection, &answer_frame(code, id, body));
     }
 
-    /// Answers on a connection that may have ended.
+    /// As [`Worker::answer`], on a connection that may have ended.
     pub fn try_answer(&mut self, connection: usize, code: u8, id: u64, body: &[u8]) {
         let _ = self.connections[connection].write_all(&answer_frame(code, id, body));
     }
 
-    /// Closes one of its connections.
+    /// Closes a connection.
     pub fn close(&mut self, connection: usize) {
         let _ = self.connections[connection].shutdown(std::net::Shutdown::Both);
     }
 }
 
-/// A coordinator: tells of each poll. Whoever takes a poll answers it; one that nobody takes is answered at the end of its wait
-/// that there is nothing new, and one that asks for a known event again is answered with it at once.
+/// A fake coordinator, whose events a scheduler follows by long polls.
+///
+/// A test takes a poll by [`Coordinator::next_poll`] and answers it. A poll that the test does not take is
+/// answered without events when its wait ends. A poll for the last event, which the scheduler repeats, is
+/// answered with that event at once.
 pub struct Coordinator {
     pub address: SocketAddr,
-    desk: Arc<Desk>,
+    state: Arc<SharedPolls>,
 }
 
-/// How often a coordinator looks whether the caller of a poll is still there.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which an open poll's connection is checked for its end.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
+/// State of a coordinator that its connections and its test share.
 #[derive(Default)]
-struct Desk {
+struct SharedPolls {
     polls: Mutex<Polls>,
     changed: Condvar,
 }
 
 #[derive(Default)]
 struct Polls {
-    /// The first line of the poll that is out, unless it was taken.
-    out: Option<String>,
-    /// Answers to the next polls.
+    /// Request line of the open poll, unless the test has taken it.
+    open: Option<String>,
+    /// Answers that the test has given for the next polls.
     answers: VecDeque<Vec<u8>>,
-    /// Each event that the coordinator has, by its index.
+    /// The coordinator's events, by index.
     events: BTreeMap<u64, String>,
-    /// Polls so far that asked for the last event again.
+    /// Number of polls that asked for the last event again.
     repeated: u64,
 }
 
 impl Polls {
-    /// Remembers the events of an answer.
-    fn remember(&mut self, text: &str) {
-        let read: Option<serde_json::Value> = serde_json::from_str(text).ok();
-        let updates = read.as_ref().and_then(|answer| answer["updates"].as_array());
+    /// Adds the events of an answer.
+    fn add_events(&mut self, text: &str) {
+        let answer: Option<serde_json::Value> = serde_json::from_str(text).ok();
+        let updates = answer.as_ref().and_then(|answer| answer["updates"].as_array());
         for update in updates.into_iter().flatten() {
             let last = self.events.last_key_value().map_or(0, |(index, _)| *index);
-            let is_whole = update["endpoints"]["all"] == true;
+            let lists_all = update["endpoints"]["all"] == true;
             match update["index"].as_u64() {
-                Some(index) if index == last + 1 || is_whole && index > last => {
+                Some(index) if index == last + 1 || lists_all && index > last => {
                     self.events.insert(index, update.to_string());
                 }
-                // One that it has, or one behind a gap: it would tell neither as its last one.
+                // An event that is known already, or that follows a gap, cannot become the last event.
                 _ => {}
             }
         }
     }
 
-    /// The answer to a poll that asks for the last event again.
-    fn repeated(&self, follow: u64) -> Option<String> {
+    /// The answer to a poll for the events after `follow`, if that is the last event alone.
+    fn answer_with_last_event(&self, follow: u64) -> Option<String> {
         let (last, event) = self.events.last_key_value()?;
         (*last == follow + 1).then(|| format!(r#"{{"index":{last},"updates":[{event}]}}"#))
     }
 }
 
-impl Desk {
+impl SharedPolls {
     fn polls(&self) -> MutexGuard<'_, Polls> {
-        self.polls.lock().expect("no thread of the coordinator panics")
+        self.polls
+            .lock()
+            .expect("no thread of the fake coordinator panics")
     }
 
-    /// The answer to a poll, whole or what else the test wants sent; `None`: its caller has left.
+    /// Waits for the bytes that answer a poll: an HTTP response, or any bytes that the test wants sent.
+    /// `None` if the poll's connection has ended.
     fn answer(&self, line: &str, stream: &TcpStream) -> Option<Vec<u8>> {
         let value = |name: &str| {
             let (_, after) = line.split_once(name)?;
@@ -455,65 +490,66 @@
         };
         let follow = value("follow=").unwrap_or(0);
         let wait = Duration::from_millis(value("wait_ms=").unwrap_or(0));
-        let began = Instant::now();
+        let start = Instant::now();
         let mut polls = self.polls();
         if polls.answers.is_empty()
-            && let Some(text) = polls.repeated(follow)
+            && let Some(text) = polls.answer_with_last_event(follow)
         {
             polls.repeated += 1;
-            return Some(whole(&text));
+            return Some(http_response(&text));
         }
-        polls.out = Some(line.to_owned());
+        polls.open = Some(line.to_owned());
         self.changed.notify_all();
         loop {
             if let Some(answer) = polls.answers.pop_front() {
-                polls.out = None;
+                polls.open = None;
                 self.changed.notify_all();
                 return Some(answer);
             }
-            if polls.out.is_some() && began.elapsed() >= wait {
-                polls.out = None;
-                return Some(whole(&format!(r#"{{"index":{follow},"updates":[]}}"#)));
+            if polls.open.is_some() && start.elapsed() >= wait {
+                polls.open = None;
+                return Some(http_response(&format!(r#"{{"index":{follow},"updates":[]}}"#)));
             }
             if has_ended(stream) {
-                polls.out = None;
+                polls.open = None;
                 return None;
             }
-            let waited = self.changed.wait_timeout(polls, LOOK);
-            polls = waited.expect("no thread of the coordinator panics").0;
+            let waited = self.changed.wait_timeout(polls, DISCONNECT_CHECK_INTERVAL);
+            polls = waited.expect("no thread of the fake coordinator panics").0;
         }
     }
 }
 
-/// Whether the other side of a connection has ended it.
+/// Whether the peer has closed a connection.
 fn has_ended(stream: &TcpStream) -> bool {
     if stream.set_nonblocking(true).is_err() {
         return true;
     }
-    let seen = stream.peek(&mut [0]);
+    let peeked = stream.peek(&mut [0]);
     let is_open = stream.set_nonblocking(false).is_ok();
-    match seen {
+    match peeked {
         Ok(0) => true,
         Ok(_) => !is_open,
         Err(error) => error.kind() != io::ErrorKind::WouldBlock,
     }
 }
 
-fn whole(text: &str) -> Vec<u8> {
+/// An HTTP response with this body.
+fn http_response(text: &str) -> Vec<u8> {
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
     (head + text).into_bytes()
 }
 
 impl Coordinator {
-    /// A coordinator at an address of its own.
+    /// Starts a coordinator without events at a free port.
     ///
     /// # Errors
-    /// The system grants no socket.
+    /// Fails if the system provides no socket.
     pub fn start() -> io::Result<Coordinator> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
-        let at = listener.local_addr()?;
-        let desk = Arc::new(Desk::default());
-        let answering = desk.clone();
+        let address = listener.local_addr()?;
+        let state = Arc::new(SharedPolls::default());
+        let shared = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(stream) = stream else { return };
@@ -525,77 +561,79 @@
                     if !line.starts_with("GET ") {
                         continue;
                     }
-                    // The rest of its head has to be read before its end can be seen.
+                    // The other header lines are read first, as unread bytes would hide the connection's end.
                     while lines
                         .next()
                         .is_some_and(|line| line.is_ok_and(|line| !line.is_empty()))
                     {}
-                    let Some(said) = answering.answer(&line, &writer) else {
+                    let Some(answer) = shared.answer(&line, &writer) else {
                         break;
                     };
-                    let whole = said.starts_with(b"HTTP");
-                    if writer.write_all(&said).is_err() || !whole {
+                    let is_response = answer.starts_with(b"HTTP");
+                    if writer.write_all(&answer).is_err() || !is_response {
                         break;
                     }
                 }
             }
         });
-        Ok(Coordinator { address: at, desk })
+        Ok(Coordinator { address, state })
     }
 
-    /// A coordinator that has these events already, as a configuration states them.
+    /// Starts a coordinator with events in the format of its answers.
     ///
     /// # Errors
-    /// The system grants no socket.
+    /// Fails if the system provides no socket.
     pub fn with_events(events: &str) -> io::Result<Coordinator> {
         let coordinator = Coordinator::start()?;
-        coordinator.desk.polls().remember(events);
+        coordinator.state.polls().add_events(events);
         Ok(coordinator)
     }
 
-    /// Has these events from now on, as a configuration states them.
+    /// Adds events in the format of the coordinator's answers, without answering a poll.
     pub fn add_events(&self, events: &str) {
-        self.desk.polls().remember(events);
+        self.state.polls().add_events(events);
     }
 
-    /// How many polls so far have asked for the last event again.
+    /// Number of polls so far that asked for the last event again.
     pub fn repeated_polls(&self) -> u64 {
-        self.desk.polls().repeated
+        self.state.polls().repeated
     }
 
-    /// Waits until more than so many polls have asked for the last event again, and one is out that waits for the next event:
-    /// whoever follows the coordinator knows that its list is current.
+    /// Waits until more than `repeated` polls have asked for the last event again and a poll for the next
+    /// event is open: the follower then knows that its endpoint list is current.
     pub fn wait_until_followed(&self, repeated: u64) {
-        let is_not = |polls: &mut Polls| polls.repeated <= repeated || polls.out.is_none();
+        let is_behind = |polls: &mut Polls| polls.repeated <= repeated || polls.open.is_none();
         let waited = self
-            .desk
+            .state
             .changed
-            .wait_timeout_while(self.desk.polls(), PATIENCE, is_not);
-        let (polls, result) = waited.expect("no thread of the coordinator panics");
+            .wait_timeout_while(self.state.polls(), EVENT_TIMEOUT, is_behind);
+        let (polls, result) = waited.expect("no thread of the fake coordinator panics");
         drop(polls);
-        assert!(!result.timed_out(), "nobody follows the coordinator");
+        assert!(!result.timed_out(), "no scheduler follows the fake coordinator");
     }
 
-    /// The first line of the poll that is out, once all answers so far were sent.
+    /// Waits until all answers so far were sent and a poll is open, and returns the request line of that
+    /// poll.
     pub fn next_poll(&self) -> String {
-        let is_none = |polls: &mut Polls| polls.out.is_none() || !polls.answers.is_empty();
+        let is_missing = |polls: &mut Polls| polls.open.is_none() || !polls.answers.is_empty();
         let waited = self
-            .desk
+            .state
             .changed
-            .wait_timeout_while(self.desk.polls(), PATIENCE, is_none);
-        let (mut polls, _) = waited.expect("no thread of the coordinator panics");
-        polls.out.take().expect("a poll")
+            .wait_timeout_while(self.state.polls(), EVENT_TIMEOUT, is_missing);
+        let (mut polls, _) = waited.expect("no thread of the fake coordinator panics");
+        polls.open.take().expect("a poll is open")
     }
 
-    /// Answers a poll with events.
-    pub fn answer_with_events(&self, news: &str) {
-        self.desk.polls().remember(news);
-        self.answer_raw(whole(news));
+    /// Answers the next poll with events, and adds them to the coordinator's.
+    pub fn answer_with_events(&self, events: &str) {
+        self.state.polls().add_events(events);
+        self.answer_raw(http_response(events));
     }
 
-    /// Answers a poll with these bytes; what does not begin as an answer ends the connection.
+    /// Answers the next poll with these bytes. If they do not start an HTTP response, the connection is
+    /// closed after them.
     pub fn answer_raw(&self, bytes: Vec<u8>) {
-        self.desk.polls().answers.push_back(bytes);
-        self.desk.changed.notify_all();
+        self.state.polls().answers.push_back(bytes);
+        self.state.changed.notify_all();
     }
 }
