--- a/crates/quartzdrift-lab/src/badday.rs
+++ b/crates/quartzdrift-lab/src/badday.rs
@@ -4,7 +4,7 @@
 use crate::clients::{self, Clients, Tally};
 use crate::discovery::{self, Discovery};
 use crate::model::{Machine, Spec};
-use crate::record::{Line, Recorder, Seen};
+use crate::record::{Observation, RecordLine, Recorder};
 use crate::relay::Relay;
 use crate::script::{Fault, Script, Spoil};
 use crate::store::{self, Store};
@@ -35,7 +35,7 @@
 
 /// How a day went.
 pub struct Day {
-    pub lines: Vec<Line>,
+    pub lines: Vec<RecordLine>,
     pub terms: Terms,
     pub broken: Vec<Broken>,
     pub tally: Tally,
@@ -104,7 +104,7 @@
     switch: Option<Switch>,
     /// Links from gateways to workers, where the day has faults on some.
     relays: BTreeMap<(usize, usize), Relay>,
-    marks: worker::Marks,
+    marks: worker::SharedIdempotencyKeys,
     boots: u32,
 }
 
@@ -346,13 +346,14 @@
             }
             return Err(io::Error::other(format!("gateway {n} did not start: {e}")));
         }
-        self.recorder.see(Seen::GatewayUp { gateway: n as u64 });
+        self.recorder
+            .record(Observation::GatewayStarted { gateway: n as u64 });
         Ok(())
     }
 
     fn set_faults(&mut self, n: usize, change: impl FnOnce(&mut Faults)) {
         change(&mut self.faults[n]);
-        self.workers[n].tell(worker::Command::Faults(self.faults[n].clone()));
+        self.workers[n].tell(worker::Command::SetFaults(self.faults[n].clone()));
     }
 
     fn list(&self, n: usize, state: EndpointState) {
@@ -381,10 +382,10 @@
             Fault::Silent(n) => self.set_faults(n, |faults| faults.silent = true),
             Fault::Hang(n) => self.set_faults(n, |faults| faults.hang = true),
             Fault::Well(n) => self.set_faults(n, |faults| *faults = Faults::default()),
-            Fault::Errors(n, share) => self.set_faults(n, |faults| faults.errors = share),
-            Fault::Lose(n, share) => self.set_faults(n, |faults| faults.lost = share),
-            Fault::Slow(n, by) => self.set_faults(n, |faults| faults.slow = by),
-            Fault::Late(n, by) => self.set_faults(n, |faults| faults.late_reports = by),
+            Fault::Errors(n, share) => self.set_faults(n, |faults| faults.error_share = share),
+            Fault::Lose(n, share) => self.set_faults(n, |faults| faults.lost_response_share = share),
+            Fault::Slow(n, by) => self.set_faults(n, |faults| faults.response_delay = by),
+            Fault::Late(n, by) => self.set_faults(n, |faults| faults.report_delay = by),
             Fault::DiscoveryLag(lag) => self.discovery.tell(discovery::Command::Lag(lag)),
             Fault::DiscoveryStop(on) => self.discovery.tell(discovery::Command::Stop(on)),
             Fault::DiscoveryEmpty(on) => self.discovery.tell(discovery::Command::Empty(on)),
@@ -393,7 +394,8 @@
             Fault::KillGateway(n) => {
                 if let Some(mut child) = self.gateways[n].child.take() {
                     // The moment before counts: what comes back after it was sent before it.
-                    self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
+                    self.recorder
+                        .record(Observation::GatewayKilled { gateway: n as u64 });
                     child.kill()?;
                     child.wait()?;
                 }
@@ -420,7 +422,8 @@
             Fault::LateDatagrams(late) => self.switch()?.change(|links| links.late = late),
             Fault::StopGateways(first, last) => {
                 for n in first..=last {
-                    self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
+                    self.recorder
+                        .record(Observation::GatewayKilled { gateway: n as u64 });
                 }
                 self.stop(first..=last)?;
             }
@@ -437,7 +440,7 @@
             }
             Fault::Link(gateway, worker, link) => {
                 if let Some(relay) = self.relays.get(&(gateway, worker)) {
-                    relay.set(link);
+                    relay.set_state(link);
                 }
             }
             Fault::DiscoveryStall(n, on) => self.discovery.tell(discovery::Command::Stall(n as u64, on)),
@@ -463,7 +466,8 @@
         self.boots += 1;
         for n in first..=last {
             if let Some(child) = &mut self.gateways[n].child {
-                self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
+                self.recorder
+                    .record(Observation::GatewayKilled { gateway: n as u64 });
                 child.kill()?;
             }
         }
@@ -473,7 +477,7 @@
                 .for_each(|worker| worker.tell(worker::Command::Crash));
             self.discovery.tell(discovery::Command::Stop(true));
             self.marks.lock().unwrap_or_else(PoisonError::into_inner).clear();
-            self.recorder.see(Seen::WorkersLost);
+            self.recorder.record(Observation::WorkersLostPower);
         }
         let gap = start.elapsed();
         for n in first..=last {
@@ -508,7 +512,8 @@
             }
             Spoil::Older | Spoil::Other => {
                 if how == Spoil::Older {
-                    self.recorder.see(Seen::DiskLost { gateway: n as u64 });
+                    self.recorder
+                        .record(Observation::GatewayDiskLost { gateway: n as u64 });
                 }
                 let from = match how {
                     Spoil::Older => state.with_extension("copy"),
@@ -528,7 +533,8 @@
                 }
             }
             Spoil::Empty => {
-                self.recorder.see(Seen::DiskLost { gateway: n as u64 });
+                self.recorder
+                    .record(Observation::GatewayDiskLost { gateway: n as u64 });
                 std::fs::remove_dir_all(&state)?;
             }
             Spoil::Unreadable => {
@@ -606,7 +612,7 @@
     let recorder = Recorder::default();
     let store_config = store_config(script);
     let store = actor::spawn(any(), move |handle, _| Store::new(handle, store_config))?;
-    let marks: worker::Marks = Arc::default();
+    let marks: worker::SharedIdempotencyKeys = Arc::default();
     let window = script
         .request_classes
         .iter()
@@ -619,8 +625,8 @@
             machine: machine(script),
             specs: specs(script),
             store: Some(store.address),
-            marks: Some(marks.clone()),
-            window,
+            idempotency_keys: Some(marks.clone()),
+            deduplication_window: window,
             recorder: Some(recorder.clone()),
             seed: seed ^ n as u64,
             ..worker::Config::default()
@@ -707,7 +713,7 @@
     );
     let of = recorder.clone();
     let (open_too, tally_too) = (open.clone(), tally.clone());
-    let arrivals = traffic::arrivals(script, seed);
+    let arrivals = traffic::generate_arrivals(script, seed);
     let (repeats, haste) = (script.repeats, script.haste);
     let plan = clients::Plan {
         request_classes: script.request_classes.clone(),
@@ -754,11 +760,11 @@
     stopped?;
     let lines = recorder.lines();
     let broken = audit::audit(&lines, &terms);
-    let count = |of: fn(&Seen) -> bool| lines.iter().filter(|line| of(&line.seen)).count();
-    let attempts = count(|seen| matches!(seen, Seen::Came { .. }));
-    let waited_for_load = count(|seen| matches!(seen, Seen::Began { warm: false, .. }));
-    let fetches = count(|seen| matches!(seen, Seen::Fetch { .. }));
-    let refused = count(|seen| matches!(seen, Seen::FetchRefused { .. }));
+    let count = |of: fn(&Observation) -> bool| lines.iter().filter(|line| of(&line.seen)).count();
+    let attempts = count(|seen| matches!(seen, Observation::AttemptReceived { .. }));
+    let waited_for_load = count(|seen| matches!(seen, Observation::AttemptExecuted { warm: false, .. }));
+    let fetches = count(|seen| matches!(seen, Observation::FetchRequested { .. }));
+    let refused = count(|seen| matches!(seen, Observation::FetchRefused { .. }));
     let tally = tally.lock().unwrap_or_else(PoisonError::into_inner).clone();
     Ok(Day {
         lines,
@@ -784,12 +790,12 @@
 }
 
 /// Reads what [`save`] wrote.
-pub fn load(path: &Path) -> io::Result<(Terms, Vec<Line>)> {
+pub fn load(path: &Path) -> io::Result<(Terms, Vec<RecordLine>)> {
     let text = std::fs::read_to_string(path)?;
     let mut lines = text.lines();
     let terms = serde_json::from_str(lines.next().unwrap_or(""))?;
     let lines = lines
         .map(serde_json::from_str)
-        .collect::<Result<Vec<Line>, _>>()?;
+        .collect::<Result<Vec<RecordLine>, _>>()?;
     Ok((terms, lines))
 }
--- a/crates/quartzdrift-lab/tests/soak/worker.rs
+++ b/crates/quartzdrift-lab/tests/soak/worker.rs
@@ -1,6 +1,6 @@
 //! A worker that answers by itself, each request after a drawn delay, and records what reached it and when.
+use quartzdrift_lab::cluster_harness::SUCCEEDED;
 use quartzdrift_lab::platform::Worker;
-use quartzdrift_lab::stage::DONE;
 use quartzdrift_platform::frame;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -78,7 +78,7 @@
 
     fn turn(&mut self) {
         let mut idle = true;
-        while let Some((connection, code, id, fields, _)) = self.worker.command_now() {
+        while let Some((connection, code, id, fields, _)) = self.worker.try_next_command() {
             idle = false;
             match code {
                 frame::EXECUTE => self.execute(connection, id, &fields),
@@ -123,7 +123,8 @@
                 answered.over = Some(Instant::now());
                 let id = answered.id;
                 // Its connection may have ended meanwhile.
-                self.worker.try_answer(connection, DONE, id, &id.to_be_bytes());
+                self.worker
+                    .try_answer(connection, SUCCEEDED, id, &id.to_be_bytes());
             }
         }
     }
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -352,8 +352,8 @@
         let requests = std::mem::take(&mut recovery.held_requests);
         let machine = &recovery.machine;
         let context = RestoreContext {
-            keys_remembered: machine.repeats_are_detected(),
-            earlier_copy: machine.waiting_requests_may_have_run(),
+            keys_retained: machine.repeats_are_detected(),
+            store_is_outdated: machine.waiting_requests_may_have_run(),
         };
         let unproven_downtime = machine.unproven_downtime();
         self.restore(requests, context, unproven_downtime);
@@ -363,7 +363,7 @@
         let recovery = self.recovery.as_ref();
         let limit = recovery.and_then(|recovery| recovery.machine.async_limit());
         self.asynchronous
-            .allow_attempts(limit.unwrap_or(self.settings.asynchronous.max_concurrent_attempts));
+            .set_attempt_limit(limit.unwrap_or(self.settings.asynchronous.max_concurrent_attempts));
     }
 
     /// Whether a call that may repeat a request of the last run is admitted; `Err`: when to retry. `has_key`: its client
