--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -1,7 +1,7 @@
 //! The lab's command line.
 use quartzdrift_lab::{
-    actor, audit, badday, day, discovery, emulate, experiment, load, losses, measure, naive, script, store,
-    traffic, worker,
+    actor, audit, badday, day, discovery, experiment, load, losses, measure, naive, script, simulation,
+    store, traffic, worker,
 };
 
 use clap::{Parser, Subcommand};
@@ -343,18 +343,18 @@
             write_trace,
         } => {
             let forecasting = if forecasts {
-                emulate::Forecasting::On
+                simulation::Forecasting::On
             } else {
-                emulate::Forecasting::Off
+                simulation::Forecasting::Off
             };
-            let variant = emulate::Variant {
+            let variant = simulation::Variant {
                 forecasting,
-                members,
+                membership: members,
                 recovery,
-                pace: recovery,
+                admission_ramp: recovery,
                 ..Default::default()
             };
-            emulated(
+            simulate(
                 script.as_deref(),
                 seed,
                 &variant,
@@ -384,10 +384,10 @@
             };
         }
         Command::Experiment { file, out } => std::fs::read_to_string(&file).and_then(|text| {
-            let (experiment, scripts) = experiment::read(&text).map_err(std::io::Error::other)?;
-            let rows = experiment::play(&experiment, &scripts, true);
-            println!("{}", experiment::table(&experiment, &rows));
-            experiment::save(&experiment, &rows, &out)?;
+            let (experiment, scripts) = experiment::parse(&text).map_err(std::io::Error::other)?;
+            let rows = experiment::run(&experiment, &scripts, true);
+            println!("{}", experiment::markdown_table(&experiment, &rows));
+            experiment::write_results(&experiment, &rows, &out)?;
             println!("rows and plots: {}", out.display());
             Ok(())
         }),
@@ -416,10 +416,12 @@
             println!("store at {address}");
             let config = store::Config {
                 capacity: config.capacity,
-                limit: config.limit,
+                max_concurrent_fetches: config.limit,
                 ..store::Config::default()
             };
-            actor::run(Some(listener), None, |handle| store::Store::new(handle, config))
+            actor::run(Some(listener), None, |handle| {
+                store::FakeStore::new(handle, config)
+            })
         }),
         Command::Discovery { listen, workers } => bind(listen).and_then(|(listener, address)| {
             println!("roster at http://{address}/workers/0");
@@ -556,10 +558,10 @@
     code
 }
 
-fn emulated(
+fn simulate(
     script: Option<&std::path::Path>,
     seed: u64,
-    variant: &emulate::Variant,
+    variant: &simulation::Variant,
     trace: Option<&std::path::Path>,
     write: Option<&std::path::Path>,
 ) -> std::io::Result<()> {
@@ -581,7 +583,7 @@
         traffic::write_trace(path, &arrivals)?;
     }
     let start = std::time::Instant::now();
-    let figures = emulate::run(&script, &arrivals, variant, seed);
+    let figures = simulation::run(&script, &arrivals, variant, seed);
     println!("{}", serde_json::to_string_pretty(&figures)?);
     eprintln!(
         "{:.1?} of simulated time in {:.1?}",
@@ -602,11 +604,11 @@
             some => some.join(", "),
         }
     );
-    let variant = emulate::Variant {
-        members: true,
+    let variant = simulation::Variant {
+        membership: true,
         ..Default::default()
     };
-    let modelled = emulate::run(
+    let modelled = simulation::run(
         &script,
         &traffic::generate_arrivals(&script, seed),
         &variant,
@@ -626,18 +628,18 @@
     let f = &modelled;
     line(
         "emulator",
-        f.calls,
-        [f.finished, f.rejected, f.killed, f.no_answer],
+        f.requests,
+        [f.succeeded, f.rejected, f.failed, f.unanswered],
         f.attempts,
     );
-    if f.fell_over > 0 {
+    if f.overload_crashes > 0 {
         println!(
             "BROKEN {} cold workers were pushed over in the emulator",
-            f.fell_over
+            f.overload_crashes
         );
     }
     if emulator {
-        return Ok(if f.fell_over == 0 {
+        return Ok(if f.overload_crashes == 0 {
             ExitCode::SUCCESS
         } else {
             ExitCode::FAILURE
@@ -649,7 +651,11 @@
     let of = [tally.finished, tally.rejected, tally.killed, tally.no_answer];
     line("sockets", tally.asked, of, played.attempts as u64);
     let code = judged(&played.broken);
-    Ok(if f.fell_over == 0 { code } else { ExitCode::FAILURE })
+    Ok(if f.overload_crashes == 0 {
+        code
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 /// The settings of the demo; its workers are put in.
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -10,11 +10,11 @@
 use quartzdrift_lab::cluster_harness::with_failing_system_calls;
 use quartzdrift_lab::discovery::{self, Discovery};
 use quartzdrift_lab::load;
-use quartzdrift_lab::model::Machine;
 use quartzdrift_lab::record::{Observation, Recorder};
 use quartzdrift_lab::script;
 use quartzdrift_lab::traffic::Arrival;
 use quartzdrift_lab::worker::{Command, Config, FakeWorker, Faults};
+use quartzdrift_lab::worker_model::WorkerSpec;
 use quartzdrift_membership::MemberState;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -154,9 +154,9 @@
         let recorder = Recorder::default();
         let folder = tempfile::tempdir().unwrap();
         let workers = (0..workers).map(|_| {
-            let machine = Machine {
+            let machine = WorkerSpec {
                 cores: 4.0,
-                ..Machine::default()
+                ..WorkerSpec::default()
             };
             let config = Config {
                 machine,
@@ -551,9 +551,9 @@
 #[test]
 fn a_function_used_at_regular_times_is_loaded_ahead() {
     let recorder = Recorder::default();
-    let machine = Machine {
-        keep: 400 * MS,
-        ..Machine::default()
+    let machine = WorkerSpec {
+        keep_alive: 400 * MS,
+        ..WorkerSpec::default()
     };
     let config = Config {
         machine,
