--- a/crates/quartzdrift-lab/src/actor.rs
+++ b/crates/quartzdrift-lab/src/actor.rs
@@ -9,10 +9,10 @@
 
 pub trait Fake: HasHttp {
     type Command: Send + 'static;
-    fn event(&mut self, event: HttpEvent);
-    fn command(&mut self, command: Self::Command);
+    fn handle_event(&mut self, event: HttpEvent);
+    fn handle_command(&mut self, command: Self::Command);
     fn next_due(&self) -> Option<Duration>;
-    fn due(&mut self, now: Duration);
+    fn run_due(&mut self, now: Duration);
     /// Time since the fake's own start.
     fn now(&self) -> Duration;
     fn stopped(&self) -> bool {
@@ -26,11 +26,11 @@
     commands: Option<Channel<A::Command>>,
     make: impl FnOnce(LoopHandle<'static, A>) -> A,
 ) -> io::Result<()> {
-    run_to_end(listener, commands, make, drop)
+    run_and_finish(listener, commands, make, drop)
 }
 
 /// The same, and hands the fake over at the end.
-pub fn run_to_end<A: Fake>(
+pub fn run_and_finish<A: Fake>(
     listener: Option<TcpListener>,
     commands: Option<Channel<A::Command>>,
     make: impl FnOnce(LoopHandle<'static, A>) -> A,
@@ -45,7 +45,7 @@
     if let Some(commands) = commands {
         let gone = gone.clone();
         let told = move |told, _: &mut (), actor: &mut A| match told {
-            Told::Msg(command) => actor.command(command),
+            Told::Msg(command) => actor.handle_command(command),
             Told::Closed => gone.set(true),
         };
         event_loop
@@ -65,24 +65,24 @@
         event_loop.dispatch(wait, &mut actor).map_err(io::Error::other)?;
         actor.http().expire_connections(Instant::now());
         for event in actor.http().take_events() {
-            actor.event(event);
+            actor.handle_event(event);
         }
         let now = actor.now();
-        actor.due(now);
+        actor.run_due(now);
     }
     end(actor);
     Ok(())
 }
 
 /// A fake in its thread.
-pub struct Running<C> {
+pub struct RunningFake<C> {
     pub address: SocketAddr,
     sender: Option<Sender<C>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl<C: Send + 'static> Running<C> {
-    pub fn tell(&self, command: C) {
+impl<C: Send + 'static> RunningFake<C> {
+    pub fn send(&self, command: C) {
         if let Some(sender) = &self.sender {
             // A fake that is gone already has nothing left to be told.
             let _ = sender.send(command);
@@ -90,7 +90,7 @@
     }
 }
 
-impl<C> Drop for Running<C> {
+impl<C> Drop for RunningFake<C> {
     fn drop(&mut self) {
         self.sender.take();
         if let Some(thread) = self.thread.take() {
@@ -103,7 +103,7 @@
 pub fn spawn<A: Fake>(
     at: SocketAddr,
     make: impl FnOnce(LoopHandle<'static, A>, SocketAddr) -> A + Send + 'static,
-) -> io::Result<Running<A::Command>> {
+) -> io::Result<RunningFake<A::Command>> {
     let listener = quartzdrift_http::bind(at, false)?;
     let address = listener.local_addr()?;
     let (sender, commands) = channel::channel();
@@ -115,7 +115,7 @@
     let thread = std::thread::Builder::new()
         .name("stand-in".to_owned())
         .spawn(work)?;
-    Ok(Running {
+    Ok(RunningFake {
         address,
         sender: Some(sender),
         thread: Some(thread),
--- a/crates/quartzdrift-lab/src/audit.rs
+++ b/crates/quartzdrift-lab/src/audit.rs
@@ -6,15 +6,16 @@
 
 /// How much later one fake may see something than another saw its cause, in microseconds: they are threads
 /// that share a few cores with the gateways, and a closed connection is seen when its thread is next run.
-pub const LAG_US: u64 = 75_000;
+pub const OBSERVATION_LAG_US: u64 = 75_000;
 
 /// What is promised to whom.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Terms {
+pub struct Guarantees {
     /// Request classes that must never run twice, and those that may within a window (microseconds).
     #[serde(rename = "run_once")]
     pub non_idempotent: BTreeSet<String>,
-    pub windows_us: BTreeMap<String, u64>,
+    #[serde(rename = "windows_us")]
+    pub deduplication_windows_us: BTreeMap<String, u64>,
     pub drain_grace_us: u64,
     pub fall_multiple: f64,
     pub fall_window_us: u64,
@@ -26,7 +27,7 @@
     pub load_window_us: u64,
     /// Asynchronous requests are over by the end of the record.
     #[serde(rename = "deferred_over")]
-    pub asynchronous_over: bool,
+    pub asynchronous_completes: bool,
     /// And those too that a gateway held when it was killed, unless it never came back.
     #[serde(default)]
     pub durable: bool,
@@ -35,41 +36,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     RequestLost,
-    EffectTwice,
-    Drain,
-    ColdWorker,
-    Loads,
-    TwoAtOnce,
+    DuplicateEffect,
+    DrainGrace,
+    ColdWorkerOverload,
+    LoadQuota,
+    ConcurrentAttempts,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     pub at_us: u64,
-    pub what: String,
+    pub description: String,
 }
 
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             Rule::RequestLost => "no job lost",
-            Rule::EffectTwice => "no effect twice",
-            Rule::Drain => "drains kept",
-            Rule::ColdWorker => "no cold worker pushed over",
-            Rule::Loads => "loads rationed",
-            Rule::TwoAtOnce => "never two executions at once",
+            Rule::DuplicateEffect => "no effect twice",
+            Rule::DrainGrace => "drains kept",
+            Rule::ColdWorkerOverload => "no cold worker pushed over",
+            Rule::LoadQuota => "loads rationed",
+            Rule::ConcurrentAttempts => "never two executions at once",
         })
     }
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
             f,
             "{:.3} s: {}: {}",
             self.at_us as f64 / 1e6,
             self.rule,
-            self.what
+            self.description
         )
     }
 }
@@ -214,7 +215,7 @@
 }
 
 /// All that is broken, in the order of time.
-pub fn audit(lines: &[Line], terms: &Terms) -> Vec<Broken> {
+pub fn audit(lines: &[Line], terms: &Guarantees) -> Vec<Violation> {
     let day = join(lines);
     let mut broken = Vec::new();
     lost(&day, terms, &mut broken);
@@ -229,19 +230,19 @@
 
 /// Each request that a running gateway took gets one final answer, within its limit; what it held when it was killed
 /// is no longer its duty, nor is an answer to a client that left.
-fn lost(day: &Day, terms: &Terms, broken: &mut Vec<Broken>) {
+fn lost(day: &Day, terms: &Guarantees, broken: &mut Vec<Violation>) {
     let handled: BTreeSet<&str> = day.attempts.iter().filter(|e| e.began).map(|e| e.key).collect();
     for (call, asked) in &day.asked {
-        let until = asked.at + asked.limit + LAG_US;
+        let until = asked.at + asked.limit + OBSERVATION_LAG_US;
         let killed = |by: u64| {
             let times = day.down.get(&asked.gateway);
             times.is_some_and(|times| times.iter().any(|(from, to)| *from <= by && asked.at <= *to))
         };
-        let mut add = |at_us: u64, what: String| {
-            broken.push(Broken {
+        let mut add = |at_us: u64, description: String| {
+            broken.push(Violation {
                 rule: Rule::RequestLost,
                 at_us,
-                what,
+                description,
             })
         };
         let answers = day.answers.get(call).map_or(&[][..], Vec::as_slice);
@@ -265,14 +266,14 @@
                     *at,
                     format!(
                         "call {call} was answered {} ms past its limit",
-                        (at - until + LAG_US) / 1000
+                        (at - until + OBSERVATION_LAG_US) / 1000
                     ),
                 );
             }
             [_] => {}
             [_, (at, _), ..] => add(*at, format!("call {call} was answered twice")),
         }
-        if let (true, true, [(at, 202)]) = (asked.asynchronous, terms.asynchronous_over, answers) {
+        if let (true, true, [(at, 202)]) = (asked.asynchronous, terms.asynchronous_completes, answers) {
             let dead = format!("dead:{}", asked.key);
             let seen = handled.contains(asked.key) || day.attempts.iter().any(|e| e.key == dead);
             let never_back = day
@@ -301,7 +302,7 @@
 
 /// By request class: non-idempotent requests are not sent again unless every earlier attempt is known not to have run, and
 /// fingerprinted ones only within the window of the first.
-fn twice(day: &Day, terms: &Terms, broken: &mut Vec<Broken>) {
+fn twice(day: &Day, terms: &Guarantees, broken: &mut Vec<Violation>) {
     let request_class: BTreeMap<&str, &str> = day.asked.values().map(|a| (a.key, a.request_class)).collect();
     let mut first: BTreeMap<&str, u64> = BTreeMap::new();
     for attempt in day.attempts.iter().filter(|e| !e.refused && !e.key.is_empty()) {
@@ -314,44 +315,44 @@
         };
         let (at_us, key) = (attempt.from, attempt.key);
         if terms.non_idempotent.contains(*request_class) {
-            let what = format!(
+            let description = format!(
                 "run-once job {key} came to {} after it may have run",
                 attempt.worker
             );
-            broken.push(Broken {
-                rule: Rule::EffectTwice,
+            broken.push(Violation {
+                rule: Rule::DuplicateEffect,
                 at_us,
-                what,
+                description,
             });
         }
-        let window = terms.windows_us.get(*request_class);
+        let window = terms.deduplication_windows_us.get(*request_class);
         let forgot = day.forgot.iter().any(|at| began < *at && *at < at_us);
         if window.is_some() && forgot {
-            let what = format!(
+            let description = format!(
                 "fingerprinted job {key} came to {} after workers forgot it",
                 attempt.worker
             );
-            broken.push(Broken {
-                rule: Rule::EffectTwice,
+            broken.push(Violation {
+                rule: Rule::DuplicateEffect,
                 at_us,
-                what,
+                description,
             });
         }
-        if window.is_some_and(|window| at_us > began + window + LAG_US) {
-            let what = format!(
+        if window.is_some_and(|window| at_us > began + window + OBSERVATION_LAG_US) {
+            let description = format!(
                 "fingerprinted job {key} came to {} past its window",
                 attempt.worker
             );
-            broken.push(Broken {
-                rule: Rule::EffectTwice,
+            broken.push(Violation {
+                rule: Rule::DuplicateEffect,
                 at_us,
-                what,
+                description,
             });
         }
     }
 }
 
-fn at_once(day: &Day, broken: &mut Vec<Broken>) {
+fn at_once(day: &Day, broken: &mut Vec<Violation>) {
     let mut of: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
     day.attempts
         .iter()
@@ -360,20 +361,20 @@
     for (request, mut all) in of {
         all.sort_by_key(|e| e.from);
         for pair in all.windows(2) {
-            if pair[0].to.is_none_or(|to| to > pair[1].from + LAG_US) {
+            if pair[0].to.is_none_or(|to| to > pair[1].from + OBSERVATION_LAG_US) {
                 let (first, second) = (pair[0].worker, pair[1].worker);
-                let what = format!("job {request} came to {second} while it was out at {first}");
-                broken.push(Broken {
-                    rule: Rule::TwoAtOnce,
+                let description = format!("job {request} came to {second} while it was out at {first}");
+                broken.push(Violation {
+                    rule: Rule::ConcurrentAttempts,
                     at_us: pair[1].from,
-                    what,
+                    description,
                 });
             }
         }
     }
 }
 
-fn drains(lines: &[Line], terms: &Terms, broken: &mut Vec<Broken>) {
+fn drains(lines: &[Line], terms: &Guarantees, broken: &mut Vec<Violation>) {
     let mut away: BTreeMap<(u64, &str), u64> = BTreeMap::new();
     for Line { at_us, seen } in lines {
         match seen {
@@ -384,13 +385,16 @@
             Seen::GatewayUp { gateway } => away.retain(|(of, _), _| of != gateway),
             Seen::Came { worker, gateway, .. } | Seen::Ordered { worker, gateway } => {
                 let told = away.get(&(*gateway, worker.as_str()));
-                if let Some(told) = told.filter(|told| *at_us > **told + terms.drain_grace_us + LAG_US) {
+                if let Some(told) =
+                    told.filter(|told| *at_us > **told + terms.drain_grace_us + OBSERVATION_LAG_US)
+                {
                     let late = (at_us - told) / 1000;
-                    let what = format!("gateway {gateway} sent {worker} work {late} ms after it was told");
-                    broken.push(Broken {
-                        rule: Rule::Drain,
+                    let description =
+                        format!("gateway {gateway} sent {worker} work {late} ms after it was told");
+                    broken.push(Violation {
+                        rule: Rule::DrainGrace,
                         at_us: *at_us,
-                        what,
+                        description,
                     });
                 }
             }
@@ -399,7 +403,7 @@
     }
 }
 
-fn cold(lines: &[Line], day: &Day, terms: &Terms, broken: &mut Vec<Broken>) {
+fn cold(lines: &[Line], day: &Day, terms: &Guarantees, broken: &mut Vec<Violation>) {
     let mut starts: BTreeMap<(&str, u64), (u64, f64, f64, u64)> = BTreeMap::new();
     for Line { at_us, seen } in lines {
         match seen {
@@ -413,11 +417,11 @@
                 starts.insert((worker, *incarnation), (*at_us, *cores, *cold_from, *cold_us));
             }
             Seen::Fell { worker } => {
-                let what = format!("{worker} fell over");
-                broken.push(Broken {
-                    rule: Rule::ColdWorker,
+                let description = format!("{worker} fell over");
+                broken.push(Violation {
+                    rule: Rule::ColdWorkerOverload,
                     at_us: *at_us,
-                    what,
+                    description,
                 });
             }
             _ => {}
@@ -443,14 +447,14 @@
             let sum: u64 = came[from..=n].iter().map(|(_, work)| work).sum();
             let warmth = cold_from + (1.0 - cold_from) * (at - start) as f64 / cold_us as f64;
             if sum as f64 > terms.fall_multiple * cores * warmth * terms.fall_window_us as f64 {
-                let what = format!(
+                let description = format!(
                     "{worker} was sent {} ms of work in a window while cold",
                     sum / 1000
                 );
-                broken.push(Broken {
-                    rule: Rule::ColdWorker,
+                broken.push(Violation {
+                    rule: Rule::ColdWorkerOverload,
                     at_us: *at,
-                    what,
+                    description,
                 });
                 break;
             }
@@ -458,7 +462,7 @@
     }
 }
 
-fn loads(lines: &[Line], terms: &Terms, broken: &mut Vec<Broken>) {
+fn loads(lines: &[Line], terms: &Guarantees, broken: &mut Vec<Violation>) {
     if terms.load_window_us == 0 {
         return;
     }
@@ -474,16 +478,16 @@
                     |times: &[u64], since: u64| times.iter().filter(|at| **at >= since).count() as f64;
                 // Requests that came a moment before the window count for the doubt that clocks leave.
                 let most = terms.load_quota_burst
-                    + terms.load_quota_share * count(requests, since.saturating_sub(LAG_US));
+                    + terms.load_quota_share * count(requests, since.saturating_sub(OBSERVATION_LAG_US));
                 let ordered = count(orders, since);
                 if ordered > most {
-                    let what = format!(
+                    let description = format!(
                         "gateway {gateway} gave {ordered} orders to load where {most:.1} are allowed"
                     );
-                    broken.push(Broken {
-                        rule: Rule::Loads,
+                    broken.push(Violation {
+                        rule: Rule::LoadQuota,
                         at_us: *at_us,
-                        what,
+                        description,
                     });
                 }
             }
@@ -496,17 +500,17 @@
 mod tests {
     use super::*;
 
-    fn terms() -> Terms {
-        Terms {
+    fn terms() -> Guarantees {
+        Guarantees {
             non_idempotent: BTreeSet::from(["once".to_owned()]),
-            windows_us: BTreeMap::from([("marked".to_owned(), 1_000_000)]),
+            deduplication_windows_us: BTreeMap::from([("marked".to_owned(), 1_000_000)]),
             drain_grace_us: 250_000,
             fall_multiple: 3.0,
             fall_window_us: 1_000_000,
             load_quota_burst: 1.0,
             load_quota_share: 0.0,
             load_window_us: 1_000_000,
-            asynchronous_over: true,
+            asynchronous_completes: true,
             durable: false,
         }
     }
@@ -639,7 +643,7 @@
         let forgotten = vec![line(100, asked(2, "any", true)), line(101, answered(2, 202))];
         assert_eq!(rules(forgotten), [Rule::RequestLost]);
         let twice = vec![line(500, came("b", 2, "k1")), line(501, over("b", 2))];
-        assert_eq!(rules(twice), [Rule::EffectTwice]);
+        assert_eq!(rules(twice), [Rule::DuplicateEffect]);
         let window = vec![
             line(100, asked(2, "marked", false)),
             line(101, came("b", 2, "k2")),
@@ -648,7 +652,7 @@
             line(2001, over("c", 3)),
             line(2002, answered(2, 200)),
         ];
-        assert_eq!(rules(window), [Rule::EffectTwice]);
+        assert_eq!(rules(window), [Rule::DuplicateEffect]);
         let at_once = vec![
             line(100, asked(2, "any", false)),
             line(101, came("b", 2, "k2")),
@@ -657,11 +661,11 @@
             line(901, over("c", 3)),
             line(902, answered(2, 200)),
         ];
-        assert_eq!(rules(at_once), [Rule::TwoAtOnce]);
+        assert_eq!(rules(at_once), [Rule::ConcurrentAttempts]);
         let drain = vec![line(400, came("a", 2, "")), line(401, over("a", 2))];
-        assert_eq!(rules(drain), [Rule::Drain]);
+        assert_eq!(rules(drain), [Rule::DrainGrace]);
         let fell = vec![line(400, Seen::Fell { worker: "a".into() })];
-        assert_eq!(rules(fell), [Rule::ColdWorker]);
+        assert_eq!(rules(fell), [Rule::ColdWorkerOverload]);
         let loads = vec![line(
             400,
             Seen::Ordered {
@@ -669,7 +673,7 @@
                 gateway: 0,
             },
         )];
-        assert_eq!(rules(loads), [Rule::Loads]);
+        assert_eq!(rules(loads), [Rule::LoadQuota]);
     }
 
     #[test]
@@ -688,7 +692,7 @@
             };
             line(500 + n, seen)
         };
-        assert_eq!(rules((0..5).map(push).collect()), [Rule::ColdWorker]);
+        assert_eq!(rules((0..5).map(push).collect()), [Rule::ColdWorkerOverload]);
         assert_eq!(rules((0..4).map(push).collect()), []);
     }
 
--- a/crates/quartzdrift-lab/src/day.rs
+++ b/crates/quartzdrift-lab/src/bench_scenario.rs
@@ -2,7 +2,7 @@
 //! plays on sockets and in the emulator. What has no counterpart here is named, not played.
 //!
 //! Only fields that are needed are read; all others belong to their owner's format.
-use crate::script::{Fault, Pattern, RequestClass, Script};
+use crate::scenario::{Fault, Pattern, RequestClass, Scenario};
 use quartzdrift_scheduler::interface::Idempotency;
 use serde::Deserialize;
 use std::time::Duration;
@@ -23,10 +23,10 @@
 }
 
 #[derive(Debug)]
-pub struct Day {
-    pub script: Script,
+pub struct BenchScenario {
+    pub scenario: Scenario,
     /// Kinds of fault, and traits of the traffic, that are not played.
-    pub left_out: Vec<String>,
+    pub unsupported: Vec<String>,
 }
 
 /// Times are microseconds.
@@ -142,7 +142,7 @@
 }
 
 /// Reads a day; `Err` says what is not as it should be.
-pub fn read(text: &str, scale: Scale) -> Result<Day, String> {
+pub fn read(text: &str, scale: Scale) -> Result<BenchScenario, String> {
     let file: File = serde_json::from_str(text).map_err(|e| format!("it is no day: {e}"))?;
     if scale.gateways == 0 || scale.workers == 0 || scale.length.is_zero() || file.length == 0 {
         return Err("a day needs gateways, workers and a length".to_owned());
@@ -165,8 +165,9 @@
     }
     let rate = file.traffic.load * cores * scale.workers as f64 / work;
     let each_mb = sort.map_or(200.0, |sort| sort.memory).clamp(1.0, memory_mb);
-    let functions = file.fam.catalog * memory_mb * scale.workers as f64 / each_mb;
-    let functions = (functions / file.classes.len().max(1) as f64).clamp(1.0, MAX_FUNCTIONS as f64) as usize;
+    let function_count = file.fam.catalog * memory_mb * scale.workers as f64 / each_mb;
+    let function_count =
+        (function_count / file.classes.len().max(1) as f64).clamp(1.0, MAX_FUNCTIONS as f64) as usize;
     let request_class = |class: &Class| {
         let idempotency = match class.idempotency.as_str() {
             "safe" => Idempotency::Idempotent,
@@ -177,26 +178,28 @@
             // Names of functions are told from those of request classes by their last dash.
             name: class.name.clone(),
             idempotency,
-            window: micros(class.window).max(MIN_WINDOW),
+            deduplication_window: micros(class.window).max(MIN_WINDOW),
             rate: rate * class.share,
-            work: Duration::from_secs_f64((class.work / 1e6).clamp(0.0, 60.0)),
-            limit: micros(class.deadline),
-            functions,
+            mean_work: Duration::from_secs_f64((class.work / 1e6).clamp(0.0, 60.0)),
+            time_limit: micros(class.deadline),
+            function_count,
             memory_mb: each_mb,
-            load: Duration::from_secs_f64((sort.map_or(500_000.0, |sort| sort.load) / 1e6).clamp(0.0, 60.0)),
+            load_time: Duration::from_secs_f64(
+                (sort.map_or(500_000.0, |sort| sort.load) / 1e6).clamp(0.0, 60.0),
+            ),
             slots: sort.map_or(1, |sort| sort.slots).max(1),
             asynchronous: false,
-            hang_up: 0.0,
+            hang_up_share: 0.0,
             latency_objective: micros(class.aim).min(micros(class.deadline)),
             pattern: Pattern::Steady,
         }
     };
-    let mut script = Script {
+    let mut script = Scenario {
         gateways: scale.gateways,
         workers: scale.workers,
         cores,
         memory_mb,
-        keep: if file.fam.keep > 0 {
+        keep_loaded: if file.fam.keep > 0 {
             micros(file.fam.keep)
         } else {
             Duration::from_secs(8)
@@ -205,18 +208,18 @@
         cold_for: micros(kind.cold),
         fall_multiple: file.fall_multiple,
         fall_window: micros(file.fall_for),
-        queue: kind.slots + kind.queue,
+        max_waiting_calls: kind.slots + kind.queue,
         store_capacity: (scale.workers as f64).max(4.0),
         store_limit: scale.workers * 8,
         store_stops_at: 0,
-        lag: micros(file.discovery.notice),
+        discovery_lag: micros(file.discovery.notice),
         request_classes: file.classes.iter().map(request_class).collect(),
         length: scale.length,
         faults: Vec::new(),
         forecasts: false,
-        fleet: None,
-        repeats: 2,
-        haste: 1.0,
+        gossip_period: None,
+        max_retries: 2,
+        retry_wait_factor: 1.0,
     };
     let mut left_out = Vec::new();
     for told in &file.faults {
@@ -225,11 +228,14 @@
         }
     }
     script.faults.sort_by_key(|(at, _)| *at);
-    Ok(Day { script, left_out })
+    Ok(BenchScenario {
+        scenario: script,
+        unsupported: left_out,
+    })
 }
 
 /// Puts one fault of a day into the script; `false`: it has no counterpart.
-fn take(script: &mut Script, told: &Told, file: &File, scale: Scale) -> bool {
+fn take(script: &mut Scenario, told: &Told, file: &File, scale: Scale) -> bool {
     let times = scale.length.as_secs_f64() / micros(file.length).as_secs_f64();
     let when = |at: u64| micros(at).mul_f64(times).min(scale.length);
     let (from, to) = (when(told.at), when(told.at.saturating_add(told.len)));
@@ -325,19 +331,19 @@
         )
         .unwrap();
         let s = Duration::from_secs;
-        let script = &day.script;
-        assert_eq!(day.left_out, ["comet"]);
+        let script = &day.scenario;
+        assert_eq!(day.unsupported, ["comet"]);
         let request_class = &script.request_classes[0];
         assert_eq!(
             (
                 request_class.rate,
-                request_class.functions,
+                request_class.function_count,
                 request_class.idempotency
             ),
             (400.0, 50, Idempotency::IdempotentWithKey)
         );
         assert_eq!(
-            (script.queue, script.cores, script.lag),
+            (script.max_waiting_calls, script.cores, script.discovery_lag),
             (17, 4.0, Duration::from_millis(500))
         );
         for (at, fault) in [
--- a/crates/quartzdrift-lab/src/clients.rs
+++ b/crates/quartzdrift-lab/src/clients.rs
@@ -2,7 +2,7 @@
 //! come back where they were rejected or found nobody, as client libraries do.
 use crate::actor::Fake;
 use crate::record::{Recorder, Seen};
-use crate::script::RequestClass;
+use crate::scenario::RequestClass;
 use crate::traffic::{self, Arrival};
 use calloop::LoopHandle;
 use quartzdrift_http::{
@@ -23,7 +23,7 @@
 
 pub enum Command {
     /// No new calls from now on; repeats go on.
-    Enough,
+    StopArrivals,
 }
 
 /// What clients ask for.
@@ -33,18 +33,18 @@
     /// Draws who hangs up and how long is waited.
     pub seed: u64,
     /// Repeats of a call that was rejected or found nobody, and the least part of the time told after which it comes again.
-    pub repeats: u32,
-    pub haste: f64,
+    pub max_retries: u32,
+    pub retry_wait_factor: f64,
 }
 
 /// What came of all calls, for the last word.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    pub asked: u64,
+pub struct CallCounts {
+    pub sent: u64,
     pub finished: u64,
     pub rejected: u64,
     pub killed: u64,
-    pub taken: u64,
+    pub accepted: u64,
     pub other: u64,
     pub no_answer: u64,
 }
@@ -75,10 +75,10 @@
     later: Vec<(Duration, Try)>,
     chance: StdRng,
     drawn: u64,
-    repeats: u32,
-    haste: f64,
+    max_retries: u32,
+    retry_wait_factor: f64,
     open: Arc<AtomicU64>,
-    tally: Arc<Mutex<Tally>>,
+    tally: Arc<Mutex<CallCounts>>,
 }
 
 impl HasHttp for Clients {
@@ -94,14 +94,14 @@
         gateways: Vec<SocketAddr>,
         plan: Plan,
         open: Arc<AtomicU64>,
-        tally: Arc<Mutex<Tally>>,
+        tally: Arc<Mutex<CallCounts>>,
     ) -> Clients {
         let Plan {
             request_classes,
             arrivals,
             seed,
-            repeats,
-            haste,
+            max_retries,
+            retry_wait_factor,
         } = plan;
         Clients {
             http: Http::new(
@@ -121,14 +121,14 @@
             later: Vec::new(),
             chance: StdRng::seed_from_u64(seed),
             drawn: 0,
-            repeats,
-            haste,
+            max_retries,
+            retry_wait_factor,
             open,
             tally,
         }
     }
 
-    fn count(&self, of: impl FnOnce(&mut Tally)) {
+    fn count(&self, of: impl FnOnce(&mut CallCounts)) {
         of(&mut self.tally.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
@@ -140,7 +140,7 @@
         } = arrival;
         let of = &self.request_classes[request_class];
         let function = arrival.function.clone();
-        let hangs_up = self.chance.random_range(0.0..1.0) < of.hang_up;
+        let hangs_up = self.chance.random_range(0.0..1.0) < of.hang_up_share;
         self.drawn += 1;
         let key = format!("{}-{}", of.name, self.drawn);
         let gateway = arrival.gateway_of(self.gateways.len());
@@ -184,8 +184,12 @@
         self.drawn += 1;
         of.call = self.drawn;
         of.until = match of.hangs_up {
-            true => now + request_class.limit.mul_f64(self.chance.random_range(0.0..0.2)),
-            false => now + request_class.limit + LISTEN_ON,
+            true => {
+                now + request_class
+                    .time_limit
+                    .mul_f64(self.chance.random_range(0.0..0.2))
+            }
+            false => now + request_class.time_limit + LISTEN_ON,
         };
         self.recorder.see(Seen::Asked {
             call: of.call,
@@ -193,9 +197,9 @@
             key: of.key.clone(),
             request_class: request_class.name.clone(),
             asynchronous: request_class.asynchronous,
-            limit_us: request_class.limit.as_micros() as u64,
+            limit_us: request_class.time_limit.as_micros() as u64,
         });
-        self.count(|tally| tally.asked += 1);
+        self.count(|tally| tally.sent += 1);
         let call = self.http.call(self.gateways[of.gateway], request);
         self.open.fetch_add(1, Ordering::Relaxed);
         self.out.insert(call, of);
@@ -204,10 +208,10 @@
     fn again(&mut self, mut of: Try, after: Duration) {
         // Workers know a repeat for a while only: a try that could run later than that is not made.
         let request_class = &self.request_classes[of.request_class];
-        let over = self.recorder.now() + after + request_class.limit;
+        let over = self.recorder.now() + after + request_class.time_limit;
         let knows = request_class.idempotency != Idempotency::IdempotentWithKey
-            || over < of.first + request_class.window;
-        if of.repeats < self.repeats && knows {
+            || over < of.first + request_class.deduplication_window;
+        if of.repeats < self.max_retries && knows {
             of.repeats += 1;
             of.gateway = (of.gateway + 1) % self.gateways.len();
             self.open.fetch_add(1, Ordering::Relaxed);
@@ -228,7 +232,7 @@
         self.count(|tally| match status {
             200 if killed => tally.killed += 1,
             200 => tally.finished += 1,
-            202 => tally.taken += 1,
+            202 => tally.accepted += 1,
             429 => tally.rejected += 1,
             _ => tally.other += 1,
         });
@@ -238,7 +242,7 @@
                 .get("x-quartzdrift-come-back-ms")
                 .and_then(|ms| ms.parse().ok());
             let told = Duration::from_millis(told.unwrap_or(100));
-            let wait = told.mul_f64(self.haste * self.chance.random_range(1.0..2.0));
+            let wait = told.mul_f64(self.retry_wait_factor * self.chance.random_range(1.0..2.0));
             self.again(of, wait);
         }
     }
@@ -247,7 +251,7 @@
 impl Fake for Clients {
     type Command = Command;
 
-    fn event(&mut self, event: HttpEvent) {
+    fn handle_event(&mut self, event: HttpEvent) {
         match event {
             HttpEvent::Response { call, response } => {
                 let Some(of) = self.out.remove(&call) else { return };
@@ -271,9 +275,9 @@
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
-            Command::Enough => self.next = self.arrivals.len(),
+            Command::StopArrivals => self.next = self.arrivals.len(),
         }
     }
 
@@ -288,7 +292,7 @@
         arrivals.chain(later).chain(until).min()
     }
 
-    fn due(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         while let Some(arrival) = self
             .arrivals
             .get(self.next)
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -14,20 +14,20 @@
 
 pub enum Command {
     /// What is so from now on; told as late as the lag says.
-    Set(DiscoveredEndpoint),
-    Lag(Duration),
+    UpdateEndpoint(DiscoveredEndpoint),
+    SetLag(Duration),
     /// Answers nothing and cuts its streams.
-    Stop(bool),
+    SetStopped(bool),
     /// Answers with an empty list, whatever is so.
-    Empty(bool),
+    SetEmpty(bool),
     /// Says nothing more to one gateway, and ends nothing.
-    Stall(u64, bool),
+    SetStalled(u64, bool),
     /// Where a gateway reaches workers, by their own addresses, if not there.
-    Relays(BTreeMap<(u64, String), String>),
+    SetRelays(BTreeMap<(u64, String), String>),
 }
 
-pub struct Discovery {
-    http: Http<Discovery>,
+pub struct FakeDiscovery {
+    http: Http<FakeDiscovery>,
     start: Instant,
     recorder: Option<Recorder>,
     lag: Duration,
@@ -42,20 +42,20 @@
     relays: BTreeMap<(u64, String), String>,
 }
 
-impl HasHttp for Discovery {
-    fn http(&mut self) -> &mut Http<Discovery> {
+impl HasHttp for FakeDiscovery {
+    fn http(&mut self) -> &mut Http<FakeDiscovery> {
         &mut self.http
     }
 }
 
-impl Discovery {
+impl FakeDiscovery {
     pub fn new(
-        handle: LoopHandle<'static, Discovery>,
+        handle: LoopHandle<'static, FakeDiscovery>,
         workers: Vec<DiscoveredEndpoint>,
         lag: Duration,
         recorder: Option<Recorder>,
-    ) -> Discovery {
-        Discovery {
+    ) -> FakeDiscovery {
+        FakeDiscovery {
             http: Http::new(
                 handle,
                 Limits {
@@ -159,10 +159,10 @@
     }
 }
 
-impl Fake for Discovery {
+impl Fake for FakeDiscovery {
     type Command = Command;
 
-    fn event(&mut self, event: HttpEvent) {
+    fn handle_event(&mut self, event: HttpEvent) {
         match event {
             HttpEvent::Request { exchange, request } => match request {
                 Ok(_) if self.stopped => self.http.abort(exchange),
@@ -186,11 +186,11 @@
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
-            Command::Set(listed) => self.late.push_back((self.now() + self.lag, listed)),
-            Command::Lag(lag) => self.lag = lag,
-            Command::Stop(on) => {
+            Command::UpdateEndpoint(listed) => self.late.push_back((self.now() + self.lag, listed)),
+            Command::SetLag(lag) => self.lag = lag,
+            Command::SetStopped(on) => {
                 self.stopped = on;
                 if on {
                     std::mem::take(&mut self.streams)
@@ -198,9 +198,9 @@
                         .for_each(|(of, _)| self.http.abort(of));
                 }
             }
-            Command::Empty(on) => self.empty = on,
-            Command::Stall(gateway, on) if on => drop(self.stalled.insert(gateway)),
-            Command::Stall(gateway, _) => {
+            Command::SetEmpty(on) => self.empty = on,
+            Command::SetStalled(gateway, on) if on => drop(self.stalled.insert(gateway)),
+            Command::SetStalled(gateway, _) => {
                 // What it missed it hears when it asks again, over a connection that lives.
                 self.stalled.remove(&gateway);
                 let (its, others) = std::mem::take(&mut self.streams)
@@ -210,7 +210,7 @@
                 let its: Vec<(Exchange, u64)> = its;
                 its.into_iter().for_each(|(of, _)| self.http.abort(of));
             }
-            Command::Relays(relays) => self.relays = relays,
+            Command::SetRelays(relays) => self.relays = relays,
         }
     }
 
@@ -218,7 +218,7 @@
         self.late.iter().map(|(at, _)| *at).min()
     }
 
-    fn due(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         while let Some((_, listed)) = self.late.pop_front_if(|(at, _)| *at <= now) {
             self.told.insert(listed.worker.clone(), listed.clone());
             if self.stopped || self.empty {
--- a/crates/quartzdrift-lab/src/emulate/clients.rs
+++ b/crates/quartzdrift-lab/src/emulate/clients.rs
@@ -40,7 +40,7 @@
             return self.again(client, Duration::from_millis(50));
         }
         self.put(
-            self.now + request_class.limit + Duration::from_millis(500),
+            self.now + request_class.time_limit + Duration::from_millis(500),
             Ev::ClientTimeout(client, turn),
         );
         let (now, incarnation) = (self.now, self.schedulers[s].incarnation);
@@ -63,17 +63,17 @@
         let scheduler = &mut self.schedulers[s];
         scheduler.taken.push(self.now);
         if let Some(ahead) = &mut scheduler.ahead {
-            ahead.record_use(self.now, &arrival.function, Some(request_class.load));
+            ahead.record_use(self.now, &arrival.function, Some(request_class.load_time));
         }
         let new = NewRequest {
             request_class: arrival.request_class as u32,
             tenant: 0,
             function: Rc::from(arrival.function.as_str()),
-            time_left: request_class.limit,
+            time_left: request_class.time_limit,
             work_hint: None,
             memory_mb: Some(request_class.memory_mb),
             concurrency_slots: Some(request_class.slots as f64),
-            load_hint: Some(request_class.load),
+            load_hint: Some(request_class.load_time),
             is_retry: turn > 1,
             has_side_effects: false,
             payload: client,
@@ -90,10 +90,10 @@
     pub(super) fn again(&mut self, client: usize, after: Duration) {
         let of = &mut self.clients[client];
         let request_class = &self.script.request_classes[self.arrivals[of.arrival].request_class];
-        let over = self.now + after + request_class.limit;
+        let over = self.now + after + request_class.time_limit;
         let knows = request_class.idempotency != Idempotency::IdempotentWithKey
-            || over < of.first + request_class.window;
-        if of.repeats < self.script.repeats && knows {
+            || over < of.first + request_class.deduplication_window;
+        if of.repeats < self.script.max_retries && knows {
             of.repeats += 1;
             of.gateway = (of.gateway + 1) % self.schedulers.len();
             let at = self.now + after;
@@ -161,7 +161,7 @@
                 self.figures.rejected += 1;
                 self.figures.power_rejected += u64::from(self.power.off.is_some());
                 let told = retry_after.unwrap_or(Duration::from_millis(100));
-                let wait = told.mul_f64(self.script.haste * self.chance.random_range(1.0..2.0));
+                let wait = told.mul_f64(self.script.retry_wait_factor * self.chance.random_range(1.0..2.0));
                 self.again(client, wait);
             }
             FinalResponse::Failed { .. } => self.figures.killed += 1,
--- a/crates/quartzdrift-lab/src/emulate/faults.rs
+++ b/crates/quartzdrift-lab/src/emulate/faults.rs
@@ -34,7 +34,11 @@
                 }
                 self.cold_most = self.cold_most.max(self.workers[w].model.cold_most);
                 let worker = &mut self.workers[w];
-                worker.model = Worker::new(machine.clone(), badday::specs(self.script), self.now);
+                worker.model = Worker::new(
+                    machine.clone(),
+                    scenario_runner::function_specs(self.script),
+                    self.now,
+                );
                 (worker.up, worker.faults) = (true, Faults::default());
                 self.list(w, EndpointState::Up);
             }
--- a/crates/quartzdrift-lab/src/emulate/mod.rs
+++ b/crates/quartzdrift-lab/src/emulate/mod.rs
@@ -11,9 +11,9 @@
 mod schedulers;
 mod workers;
 
-use crate::badday;
 use crate::model::{Found, Machine, Say, Worker};
-use crate::script::{Fault, Script};
+use crate::scenario::{Fault, Scenario};
+use crate::scenario_runner;
 use crate::store;
 use crate::traffic::{self, Arrival};
 use crate::worker::Faults;
@@ -252,7 +252,7 @@
 }
 
 struct Sim<'a> {
-    script: &'a Script,
+    script: &'a Scenario,
     variant: &'a Variant,
     arrivals: &'a [Arrival],
     settings: Settings,
@@ -294,13 +294,14 @@
 }
 
 /// The settings that schedulers of a day have.
-pub fn settings(script: &Script, variant: &Variant, me: usize) -> Settings {
-    let request_class = |w: &crate::script::RequestClass| RequestClass {
+pub fn settings(script: &Scenario, variant: &Variant, me: usize) -> Settings {
+    let request_class = |w: &crate::scenario::RequestClass| RequestClass {
         name: w.name.clone(),
         idempotency: w.idempotency,
-        timeout: Some(w.limit),
+        timeout: Some(w.time_limit),
         latency_objective: Some(w.latency_objective),
-        deduplication_window: (w.idempotency == Idempotency::IdempotentWithKey).then_some(w.window),
+        deduplication_window: (w.idempotency == Idempotency::IdempotentWithKey)
+            .then_some(w.deduplication_window),
         ..RequestClass::default()
     };
     let cold = script.fall_multiple > 0.0;
@@ -332,7 +333,7 @@
             load_commands: variant.forecasting != Forecasting::Off,
             reports_cache_status: true,
             reports_concurrency: true,
-            keep_alive: Some(script.keep),
+            keep_alive: Some(script.keep_loaded),
             memory_mb_by_kind: vec![script.memory_mb],
             idle_memory_price: Some(variant.memory_price),
             load_quota_burst: (variant.load_window_s > 0.0).then_some(variant.load_quota_burst),
@@ -352,12 +353,12 @@
 }
 
 /// Plays a day; `seed` draws what traffic leaves to chance.
-pub fn run(script: &Script, arrivals: &[Arrival], variant: &Variant, seed: u64) -> Figures {
-    let machine = badday::machine(script);
+pub fn run(script: &Scenario, arrivals: &[Arrival], variant: &Variant, seed: u64) -> Figures {
+    let machine = scenario_runner::worker_machine(script);
     let names: Vec<String> = (0..script.workers)
         .map(|n| format!("10.0.{}.{}:80", n / 250, n % 250))
         .collect();
-    let specs = badday::specs(script);
+    let specs = scenario_runner::function_specs(script);
     let warm = Machine {
         cold_for: Duration::ZERO,
         ..machine.clone()
@@ -387,12 +388,12 @@
         by_name: names.iter().cloned().zip(0..).collect(),
         names,
         schedulers: Vec::new(),
-        store: store::Model::new(badday::store_config(script)),
+        store: store::Model::new(scenario_runner::store_config(script)),
         store_planned: None,
         fetches: BTreeMap::new(),
         cancelled: BTreeSet::new(),
         discovery: vec![(EndpointState::Up, None); script.workers],
-        lag: script.lag,
+        lag: script.discovery_lag,
         discovery_stopped: false,
         figures: Figures::default(),
         waits: Vec::new(),
@@ -657,10 +658,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::script;
+    use crate::scenario;
 
-    fn day() -> Script {
-        script::read(
+    fn day() -> Scenario {
+        scenario::read(
             "gateways 3\nworkers 6 cores=2 memory=1600 keep=5s cold=0.2 cold-for=3s fall=3 fall-window=1s\n\
              roster lag=300ms\nlength 180s\n\
              workload quote restartable rate=60 work=10ms limit=2s functions=8 memory=150 load=300ms lanes=2\n\
--- a/crates/quartzdrift-lab/src/emulate/power.rs
+++ b/crates/quartzdrift-lab/src/emulate/power.rs
@@ -1,7 +1,7 @@
 //! What a loss of power cost: until service was back, what was fetched for it, and what the store's pace alone would take.
 use super::fleet::{BEFORE, LOOK_FOR, RECOVERED, STEP, WINDOW};
 use super::{START, Sim};
-use crate::badday;
+use crate::scenario_runner;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -99,7 +99,7 @@
         let all: usize = asked.values().map(|of| of.0).sum();
         let mut most: Vec<(usize, usize)> = asked.into_values().collect();
         most.sort_by_key(|of| std::cmp::Reverse(of.0));
-        let specs = badday::specs(self.script);
+        let specs = scenario_runner::function_specs(self.script);
         let (mut covered, mut fetch, mut rest) = (0, Duration::ZERO, Duration::ZERO);
         for (calls, request_class) in most {
             if covered as f64 >= RECOVERED * all as f64 {
--- a/crates/quartzdrift-lab/src/emulate/returning.rs
+++ b/crates/quartzdrift-lab/src/emulate/returning.rs
@@ -1,7 +1,7 @@
 //! How schedulers return to service after they were killed: the real state machine, told what the emulator's members say.
 //! On disk here is what a scheduler noted when it was killed, and what a script makes of it.
 use super::{START, Sim};
-use crate::script::Spoil;
+use crate::scenario::StateDamage;
 use quartzdrift_recovery::{
     Checkpoint, ClockSample, DiskState, LoadResult, Recovery, RecoveryOutput, RecoverySettings, RestartKind,
     StartupEvidence,
@@ -122,20 +122,20 @@
             .map(|machine| (machine.checkpoint(moment), known));
     }
 
-    pub(super) fn return_spoilt(&mut self, s: usize, how: Spoil) {
+    pub(super) fn return_spoilt(&mut self, s: usize, how: StateDamage) {
         let returning = &mut self.schedulers[s].returning;
         match how {
-            Spoil::Cut | Spoil::Flip | Spoil::Unreadable => {
+            StateDamage::Cut | StateDamage::Flip | StateDamage::Unreadable => {
                 (returning.noted, returning.spoilt) = (None, true)
             }
-            Spoil::Empty => returning.noted = None,
-            Spoil::Older => returning.noted = returning.copy.clone(),
-            Spoil::Other => {
+            StateDamage::Empty => returning.noted = None,
+            StateDamage::Older => returning.noted = returning.copy.clone(),
+            StateDamage::Other => {
                 if let Some((mark, _)) = &mut returning.noted {
                     mark.name = "another".to_owned();
                 }
             }
-            Spoil::Full => returning.full = true,
+            StateDamage::Full => returning.full = true,
         }
     }
 
--- a/crates/quartzdrift-lab/src/emulate/schedulers.rs
+++ b/crates/quartzdrift-lab/src/emulate/schedulers.rs
@@ -18,7 +18,7 @@
         let ahead = (self.variant.forecasting == Forecasting::On).then(|| {
             let span = |s: &f64| Duration::from_secs_f64(*s);
             let settings = quartzdrift_forecast::ForecastSettings {
-                keep_alive: self.script.keep,
+                keep_alive: self.script.keep_loaded,
                 seasons: self.variant.seasons_s.iter().map(span).collect(),
                 ..quartzdrift_forecast::ForecastSettings::default()
             };
@@ -84,7 +84,7 @@
             .script
             .request_classes
             .iter()
-            .map(|request_class| request_class.load);
+            .map(|request_class| request_class.load_time);
         let early = loads.max().unwrap_or_default().mul_f64(1.5);
         if let Some(next) = self.arrivals.get(n + 1) {
             self.put(
@@ -95,7 +95,7 @@
         let arrival = &self.arrivals[n];
         let s = arrival.gateway_of(self.schedulers.len());
         let request_class = &self.script.request_classes[arrival.request_class];
-        let within = early.max(self.script.keep / 2);
+        let within = early.max(self.script.keep_loaded / 2);
         if let Some(request_table) = &mut self.schedulers[s].request_table {
             request_table.forecast(
                 self.now,
@@ -303,7 +303,7 @@
 fn expectation<'a>(
     function: &'a str,
     request_class: usize,
-    of: &crate::script::RequestClass,
+    of: &crate::scenario::RequestClass,
     within: Duration,
     probability: f64,
     requests_per_second: Option<f64>,
@@ -316,6 +316,6 @@
         requests_per_second,
         memory_mb: Some(of.memory_mb),
         concurrency_slots: Some(of.slots as f64),
-        load_hint: Some(of.load),
+        load_hint: Some(of.load_time),
     }
 }
--- a/crates/quartzdrift-lab/src/experiment.rs
+++ b/crates/quartzdrift-lab/src/experiment.rs
@@ -1,7 +1,7 @@
 //! Experiments: days, variants and seeds from one TOML file, played over all cores; a table with intervals, CSV, JSON and
 //! plots. The same file gives the same bytes.
 use crate::emulate::{self, Figures, Variant};
-use crate::script::{self, Script};
+use crate::scenario::{self, Scenario};
 use crate::traffic;
 use indicatif::{ProgressBar, ProgressStyle};
 use plotters::prelude::*;
@@ -51,7 +51,7 @@
     pub figures: Figures,
 }
 
-pub fn read(text: &str) -> Result<(Experiment, Vec<Script>), String> {
+pub fn read(text: &str) -> Result<(Experiment, Vec<Scenario>), String> {
     let experiment: Experiment = toml::from_str(text).map_err(|e| e.to_string())?;
     if experiment.seeds < 2 || experiment.variants.is_empty() || experiment.days.is_empty() {
         return Err("an experiment needs two seeds, a variant and a day at least".to_owned());
@@ -59,13 +59,13 @@
     let scripts = experiment
         .days
         .iter()
-        .map(|day| script::read(&day.script).map_err(|why| format!("day '{}': {why}", day.name)));
+        .map(|day| scenario::read(&day.script).map_err(|why| format!("day '{}': {why}", day.name)));
     let scripts = scripts.collect::<Result<Vec<_>, _>>()?;
     Ok((experiment, scripts))
 }
 
 /// Plays all of it; rows in the order of days, variants and seeds whatever ended first.
-pub fn play(experiment: &Experiment, scripts: &[Script], shown: bool) -> Vec<Row> {
+pub fn play(experiment: &Experiment, scripts: &[Scenario], shown: bool) -> Vec<Row> {
     let mut plan = Vec::new();
     for day in 0..experiment.days.len() {
         for variant in 0..experiment.variants.len() {
--- a/crates/quartzdrift-lab/src/functions.rs
+++ b/crates/quartzdrift-lab/src/functions.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 /// What a call of a function comes to.
-pub struct Ran {
+pub struct FunctionResult {
     pub body: Vec<u8>,
-    pub error: bool,
+    pub is_error: bool,
 }
 
 /// Work that the payload asks for itself (`work_ms`), whatever the function.
-pub fn work(payload: &[u8]) -> Option<Duration> {
+pub fn requested_work(payload: &[u8]) -> Option<Duration> {
     let payload: Value = serde_json::from_slice(payload).ok()?;
     let ms = payload
         .get("work_ms")?
@@ -18,12 +18,12 @@
     Some(Duration::from_secs_f64(ms / 1000.0))
 }
 
-pub fn run(function: &str, payload: &[u8], worker: &str) -> Ran {
+pub fn run(function: &str, payload: &[u8], worker: &str) -> FunctionResult {
     let told: Value = serde_json::from_slice(payload).unwrap_or(Value::Null);
     let plain = function.split(':').next().unwrap_or(function);
-    let good = |value: Value| Ran {
+    let good = |value: Value| FunctionResult {
         body: value.to_string().into_bytes(),
-        error: false,
+        is_error: false,
     };
     match plain {
         "hello" => {
@@ -36,23 +36,23 @@
                 .map(|all| all.iter().filter_map(Value::as_f64).sum::<f64>());
             match numbers {
                 Some(sum) => good(json!({"sum": sum})),
-                None => Ran {
+                None => FunctionResult {
                     body: json!({"errorType": "TypeError", "errorMessage": "add takes an array of numbers"})
                         .to_string()
                         .into_bytes(),
-                    error: true,
+                    is_error: true,
                 },
             }
         }
-        "fail" => Ran {
+        "fail" => FunctionResult {
             body: json!({"errorType": "Failure", "errorMessage": "this function always fails"})
                 .to_string()
                 .into_bytes(),
-            error: true,
+            is_error: true,
         },
-        _ => Ran {
+        _ => FunctionResult {
             body: payload.to_vec(),
-            error: false,
+            is_error: false,
         },
     }
 }
--- a/crates/quartzdrift-lab/src/lib.rs
+++ b/crates/quartzdrift-lab/src/lib.rs
@@ -3,33 +3,33 @@
 //! * [`model`] and [`worker`]: fake workers, first without and then with sockets; [`functions`] that they run.
 //! * [`store`], [`discovery`]: fakes for the store that functions are fetched from and for the list of workers.
 //! * [`clients`], [`load`]: clients of a day, and open-loop load with a report.
-//! * [`script`], [`badday`], [`record`], [`audit`]: days of faults, what passed on the sockets, and the verdict.
+//! * [`scenario`], [`scenario_runner`], [`record`], [`audit`]: days of faults, what passed on the sockets, and the verdict.
 //! * [`emulate`]: a fleet in simulated time, with the real desk, module and forecasts; [`traffic`] of days, and
 //!   [`experiment`], which compares variants over days and seeds.
-//! * [`day`]: days of the decision module's bench, scaled down to scripts.
-//! * [`measure`], with [`light`] workers: what a gateway costs.
+//! * [`bench_scenario`]: days of the decision module's bench, scaled down to scripts.
+//! * [`measure`], with [`light_workers`] workers: what a gateway costs.
 //! * [`platform`]: fakes for the operators' platform; [`stage`]: a scheduler between them.
 //! * [`actor`]: the event loop that fakes run on.
 //! * [`naive`]: a gateway that breaks the rules, to prove that the auditor sees it.
 pub mod actor;
 pub mod audit;
-pub mod badday;
+pub mod bench_scenario;
 pub mod clients;
-pub mod day;
 pub mod discovery;
 pub mod emulate;
 pub mod experiment;
 pub mod functions;
-pub mod light;
+pub mod light_workers;
 pub mod load;
-pub mod losses;
 pub mod measure;
 pub mod model;
 pub mod naive;
 pub mod platform;
+pub mod power_loss;
 pub mod record;
 pub mod relay;
-pub mod script;
+pub mod scenario;
+pub mod scenario_runner;
 pub mod stage;
 pub mod store;
 pub mod switch;
--- a/crates/quartzdrift-lab/src/light.rs
+++ b/crates/quartzdrift-lab/src/light_workers.rs
@@ -6,23 +6,27 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-pub struct Light {
-    http: Http<Light>,
+pub struct LightWorkers {
+    http: Http<LightWorkers>,
     start: Instant,
     delay: Duration,
     held: VecDeque<(Duration, Exchange)>,
     answer: Response,
 }
 
-impl HasHttp for Light {
-    fn http(&mut self) -> &mut Http<Light> {
+impl HasHttp for LightWorkers {
+    fn http(&mut self) -> &mut Http<LightWorkers> {
         &mut self.http
     }
 }
 
-impl Light {
+impl LightWorkers {
     /// Answers on all of `listeners`, each call after `delay`.
-    pub fn new(handle: LoopHandle<'static, Light>, listeners: Vec<TcpListener>, delay: Duration) -> Light {
+    pub fn new(
+        handle: LoopHandle<'static, LightWorkers>,
+        listeners: Vec<TcpListener>,
+        delay: Duration,
+    ) -> LightWorkers {
         let limits = Limits {
             idle_timeout: Duration::from_secs(600),
             connections: 100_000,
@@ -43,7 +47,7 @@
             headers,
             body: b"{\"ok\":true}".to_vec(),
         };
-        Light {
+        LightWorkers {
             http,
             start: Instant::now(),
             delay,
@@ -66,10 +70,10 @@
     Ok((all, addresses))
 }
 
-impl Fake for Light {
+impl Fake for LightWorkers {
     type Command = ();
 
-    fn event(&mut self, event: HttpEvent) {
+    fn handle_event(&mut self, event: HttpEvent) {
         if let HttpEvent::Request {
             exchange,
             request: Ok(_),
@@ -83,13 +87,13 @@
         }
     }
 
-    fn command(&mut self, (): ()) {}
+    fn handle_command(&mut self, (): ()) {}
 
     fn next_due(&self) -> Option<Duration> {
         self.held.front().map(|(at, _)| *at)
     }
 
-    fn due(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         while let Some((_, exchange)) = self.held.pop_front_if(|(at, _)| *at <= now) {
             self.http.respond(exchange, &self.answer);
         }
--- a/crates/quartzdrift-lab/src/load.rs
+++ b/crates/quartzdrift-lab/src/load.rs
@@ -207,7 +207,7 @@
 impl Fake for Load {
     type Command = ();
 
-    fn event(&mut self, event: HttpEvent) {
+    fn handle_event(&mut self, event: HttpEvent) {
         match event {
             HttpEvent::Response { call, response } => self.over(call, outcome(&response)),
             HttpEvent::CallFailed { call, .. } => self.over(call, "no-answer"),
@@ -218,7 +218,7 @@
         }
     }
 
-    fn command(&mut self, (): ()) {}
+    fn handle_command(&mut self, (): ()) {}
 
     fn next_due(&self) -> Option<Duration> {
         // Time-outs are looked at with the arrivals, and once a while after the last.
@@ -226,7 +226,7 @@
             .or_else(|| self.out.values().map(|(_, until)| *until).min())
     }
 
-    fn due(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         while let Some(at) = self.next.filter(|at| *at <= now) {
             let (target, next) = self.leaves(at);
             self.send(at, target);
@@ -259,7 +259,7 @@
 pub fn run(plan: Plan) -> std::io::Result<Report> {
     let report = std::rc::Rc::new(std::cell::RefCell::new(None));
     let of = report.clone();
-    actor::run_to_end(
+    actor::run_and_finish(
         None,
         None,
         |handle| Load::new(handle, plan),
--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -1,7 +1,7 @@
 //! The lab's command line.
 use quartzdrift_lab::{
-    actor, audit, badday, day, discovery, emulate, experiment, load, losses, measure, naive, script, store,
-    traffic, worker,
+    actor, audit, bench_scenario, discovery, emulate, experiment, load, measure, naive, power_loss, scenario,
+    scenario_runner, store, traffic, worker,
 };
 
 use clap::{Parser, Subcommand};
@@ -239,14 +239,14 @@
             naive,
         } => {
             let program = match gateway {
-                Some(path) => badday::Program {
+                Some(path) => scenario_runner::GatewayProgram {
                     path,
                     arguments: vec!["serve".to_owned()],
                 },
                 None => match std::env::current_exe() {
                     Ok(path) => {
                         let command = if naive { "naive" } else { "gateway" };
-                        badday::Program::lab(&path, command)
+                        scenario_runner::GatewayProgram::lab_command(&path, command)
                     }
                     Err(e) => {
                         eprintln!("quartzdrift-lab: {e}");
@@ -259,7 +259,7 @@
         Command::Recovery {
             from, script: true, ..
         } => {
-            print!("{}", losses::day(from));
+            print!("{}", power_loss::scenario_text(from));
             Ok(())
         }
         Command::Recovery {
@@ -268,28 +268,29 @@
             at_a_time,
             script: false,
         } => std::env::current_exe().and_then(|path| {
-            let program = badday::Program::lab(&path, "gateway");
-            let bad = losses::play(
-                from..from + seeds,
-                at_a_time,
-                &program,
-                |seed, played| match played {
-                    Ok(day) => {
-                        println!(
-                            "seed {seed}: {} calls, {} breaches",
-                            day.tally.asked,
-                            day.broken.len()
-                        );
-                        day.broken
-                            .iter()
-                            .take(3)
-                            .for_each(|broken| println!("    {broken}"));
-                    }
-                    Err(e) => println!("seed {seed}: {e}"),
-                },
-            );
+            let program = scenario_runner::GatewayProgram::lab_command(&path, "gateway");
+            let bad =
+                power_loss::run_seeds(
+                    from..from + seeds,
+                    at_a_time,
+                    &program,
+                    |seed, played| match played {
+                        Ok(day) => {
+                            println!(
+                                "seed {seed}: {} calls, {} breaches",
+                                day.call_counts.sent,
+                                day.violations.len()
+                            );
+                            day.violations
+                                .iter()
+                                .take(3)
+                                .for_each(|broken| println!("    {broken}"));
+                        }
+                        Err(e) => println!("seed {seed}: {e}"),
+                    },
+                );
             bad.iter()
-                .for_each(|bad| println!("seed {} is bad:\n{}", bad.seed, bad.what));
+                .for_each(|bad| println!("seed {} is bad:\n{}", bad.seed, bad.reason));
             match bad.len() {
                 0 => {
                     println!("{seeds} days of power loss, every rule was kept");
@@ -366,7 +367,7 @@
             seed,
             emulator,
         } => {
-            let scale = day::Scale {
+            let scale = bench_scenario::Scale {
                 gateways,
                 workers,
                 length,
@@ -390,7 +391,7 @@
         Command::Measure { what, requests } => std::env::current_exe()
             .and_then(|lab| measure::run(&lab, &what, requests, &mut std::io::stdout().lock())),
         Command::Audit { record } => {
-            return match badday::load(&record) {
+            return match scenario_runner::load_record(&record) {
                 Ok((terms, lines)) => judged(&audit::audit(&lines, &terms)),
                 Err(e) => {
                     eprintln!("quartzdrift-lab: {}: {e}", record.display());
@@ -425,7 +426,7 @@
                 .collect();
             let lag = Duration::ZERO;
             actor::run(Some(listener), None, |handle| {
-                discovery::Discovery::new(handle, workers, lag, None)
+                discovery::FakeDiscovery::new(handle, workers, lag, None)
             })
         }),
     };
@@ -460,19 +461,19 @@
 const BAD_DAY: &str = include_str!("../days/badday.txt");
 
 /// The script that is named, or that day.
-fn day_of(script: Option<&std::path::Path>) -> std::io::Result<script::Script> {
+fn day_of(script: Option<&std::path::Path>) -> std::io::Result<scenario::Scenario> {
     let text = match script {
         Some(path) => std::fs::read_to_string(path)
             .map_err(|e| std::io::Error::new(e.kind(), format!("{}: {e}", path.display())))?,
         None => BAD_DAY.to_owned(),
     };
-    script::read(&text).map_err(std::io::Error::other)
+    scenario::read(&text).map_err(std::io::Error::other)
 }
 
 /// Breaches that are printed; all of them are counted.
 const MAX_SHOWN: usize = 20;
 
-fn judged(broken: &[audit::Broken]) -> ExitCode {
+fn judged(broken: &[audit::Violation]) -> ExitCode {
     broken
         .iter()
         .take(MAX_SHOWN)
@@ -502,7 +503,7 @@
     script: Option<&std::path::Path>,
     seeds: std::ops::Range<u64>,
     record: Option<&std::path::Path>,
-    program: &badday::Program,
+    program: &scenario_runner::GatewayProgram,
 ) -> ExitCode {
     let script = match day_of(script) {
         Ok(script) => script,
@@ -513,20 +514,20 @@
     };
     let mut code = ExitCode::SUCCESS;
     for seed in seeds {
-        let day = match badday::play(&script, program, seed) {
+        let day = match scenario_runner::run(&script, program, seed) {
             Ok(day) => day,
             Err(e) => {
                 eprintln!("quartzdrift-lab: the day could not be played: {e}");
                 return ExitCode::FAILURE;
             }
         };
-        let tally = &day.tally;
+        let tally = &day.call_counts;
         println!(
             "seed {seed}: {} calls, {} finished, {} taken, {} pushed back, {} killed, {} other answers, \
              {} without an answer; {} executions, {} waited for a load, {} fetches",
-            tally.asked,
+            tally.sent,
             tally.finished,
-            tally.taken,
+            tally.accepted,
             tally.rejected,
             tally.killed,
             tally.other,
@@ -535,17 +536,17 @@
             day.waited_for_load,
             day.fetches
         );
-        if let Some(back) = losses::returned(&day, &script) {
-            let refused = day.refused;
+        if let Some(back) = power_loss::recovery_seconds(&day, &script) {
+            let refused = day.refused_fetches;
             println!("as before {back:.2} s after power came back; the store turned {refused} fetches away");
         }
         if let Some(path) = record
-            && let Err(e) = badday::save(&day, path)
+            && let Err(e) = scenario_runner::save_record(&day, path)
         {
             eprintln!("quartzdrift-lab: {}: {e}", path.display());
             code = ExitCode::FAILURE;
         }
-        if judged(&day.broken) != ExitCode::SUCCESS {
+        if judged(&day.violations) != ExitCode::SUCCESS {
             code = ExitCode::FAILURE;
         }
     }
@@ -587,13 +588,18 @@
     Ok(())
 }
 
-fn replay(path: &std::path::Path, scale: day::Scale, seed: u64, emulator: bool) -> std::io::Result<ExitCode> {
-    let day = day::read(&std::fs::read_to_string(path)?, scale).map_err(std::io::Error::other)?;
-    let script = day.script;
+fn replay(
+    path: &std::path::Path,
+    scale: bench_scenario::Scale,
+    seed: u64,
+    emulator: bool,
+) -> std::io::Result<ExitCode> {
+    let day = bench_scenario::read(&std::fs::read_to_string(path)?, scale).map_err(std::io::Error::other)?;
+    let script = day.scenario;
     println!(
         "{} troubles; not played: {}",
         script.faults.len(),
-        match day.left_out.as_slice() {
+        match day.unsupported.as_slice() {
             [] => "none".to_owned(),
             some => some.join(", "),
         }
@@ -634,12 +640,12 @@
             ExitCode::FAILURE
         });
     }
-    let program = badday::Program::lab(&std::env::current_exe()?, "gateway");
-    let played = badday::play(&script, &program, seed)?;
-    let tally = &played.tally;
+    let program = scenario_runner::GatewayProgram::lab_command(&std::env::current_exe()?, "gateway");
+    let played = scenario_runner::run(&script, &program, seed)?;
+    let tally = &played.call_counts;
     let of = [tally.finished, tally.rejected, tally.killed, tally.no_answer];
-    line("sockets", tally.asked, of, played.attempts as u64);
-    let code = judged(&played.broken);
+    line("sockets", tally.sent, of, played.attempts as u64);
+    let code = judged(&played.violations);
     Ok(if f.fell_over == 0 { code } else { ExitCode::FAILURE })
 }
 
--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -1,9 +1,9 @@
 //! What a gateway costs: calls a second, time added, memory. Each measure is one run against workers that only
 //! answer, beside the same load sent straight to one of them.
 use crate::actor;
-use crate::badday::listens_at;
-use crate::light::{self, Light};
+use crate::light_workers::{self, LightWorkers};
 use crate::load::{self, Plan, Report};
+use crate::scenario_runner::read_listen_address;
 use quartzdrift_async_queue::Invocation;
 use quartzdrift_scheduler::interface::*;
 use quartzdrift_scheduler::scheduler::Scheduler;
@@ -66,7 +66,7 @@
             .stdout(Stdio::piped())
             .spawn()?;
         let out = child.stdout.take().ok_or_else(|| io::Error::other("no output"))?;
-        let at = listens_at(&mut BufReader::new(out))?;
+        let at = read_listen_address(&mut BufReader::new(out))?;
         Ok(Gateway {
             child,
             at,
@@ -119,10 +119,10 @@
     }
 }
 
-fn workers(count: usize, delay: Duration) -> io::Result<(actor::Running<()>, Vec<SocketAddr>)> {
-    let (listeners, addresses) = light::listeners(count)?;
+fn workers(count: usize, delay: Duration) -> io::Result<(actor::RunningFake<()>, Vec<SocketAddr>)> {
+    let (listeners, addresses) = light_workers::listeners(count)?;
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let running = actor::spawn(any, move |handle, _| Light::new(handle, listeners, delay))?;
+    let running = actor::spawn(any, move |handle, _| LightWorkers::new(handle, listeners, delay))?;
     Ok((running, addresses))
 }
 
--- a/crates/quartzdrift-lab/src/naive.rs
+++ b/crates/quartzdrift-lab/src/naive.rs
@@ -137,7 +137,7 @@
 impl Fake for Naive {
     type Command = ();
 
-    fn event(&mut self, event: HttpEvent) {
+    fn handle_event(&mut self, event: HttpEvent) {
         match event {
             HttpEvent::Request {
                 exchange,
@@ -160,7 +160,7 @@
         }
     }
 
-    fn command(&mut self, (): ()) {}
+    fn handle_command(&mut self, (): ()) {}
 
     fn next_due(&self) -> Option<Duration> {
         self.requests
@@ -170,7 +170,7 @@
             .min()
     }
 
-    fn due(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         let late = |request: &ClientRequest| request.sends < MAX_SENDS && request.again_at <= now;
         let again: Vec<u64> = self
             .requests
--- a/crates/quartzdrift-lab/src/losses.rs
+++ b/crates/quartzdrift-lab/src/power_loss.rs
@@ -1,7 +1,7 @@
 //! Days of power loss drawn from a seed: who is back when, what is spoilt, cut off, set wrong or lost again meanwhile.
-use crate::badday::{self, Day, Program};
 use crate::record::Seen;
-use crate::script::{self, Fault, Script};
+use crate::scenario::{self, Fault, Scenario};
+use crate::scenario_runner::{self, GatewayProgram, ScenarioRun};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 const OFF_OLDER_MS: u64 = 8_000;
 
 /// The script of a seed; the same for each.
-pub fn day(seed: u64) -> String {
+pub fn scenario_text(seed: u64) -> String {
     let mut chance = StdRng::seed_from_u64(seed);
     let gateways = chance.random_range(3..6);
     let workers = chance.random_range(3..6);
@@ -103,7 +103,7 @@
 
 /// Of a day on sockets with power lost: seconds from the first start after the last loss until calls were finished in their start
 /// target as often as before the first, or nearly, for good; looked at in windows of a second. A client's repeats count with its first.
-pub fn returned(day: &Day, script: &Script) -> Option<f64> {
+pub fn recovery_seconds(day: &ScenarioRun, script: &Scenario) -> Option<f64> {
     const NEARLY: f64 = 0.95;
     let moments = |of: fn(&Fault) -> bool| {
         script
@@ -171,18 +171,18 @@
 }
 
 /// A day that broke a rule, or could not be played.
-pub struct Bad {
+pub struct FailedSeed {
     pub seed: u64,
-    pub what: String,
+    pub reason: String,
 }
 
 /// Plays the days of these seeds, so many at a time; `tell` hears of each.
-pub fn play(
+pub fn run_seeds(
     seeds: std::ops::Range<u64>,
     at_a_time: usize,
-    program: &Program,
-    tell: impl Fn(u64, &io::Result<Day>) + Sync,
-) -> Vec<Bad> {
+    program: &GatewayProgram,
+    tell: impl Fn(u64, &io::Result<ScenarioRun>) + Sync,
+) -> Vec<FailedSeed> {
     let (next, bad) = (AtomicU64::new(seeds.start), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..at_a_time.max(1) {
@@ -192,17 +192,17 @@
                     if seed >= seeds.end {
                         return;
                     }
-                    let read = script::read(&day(seed)).map_err(io::Error::other);
-                    let played = read.and_then(|script| badday::play(&script, program, seed));
+                    let read = scenario::read(&scenario_text(seed)).map_err(io::Error::other);
+                    let played = read.and_then(|script| scenario_runner::run(&script, program, seed));
                     tell(seed, &played);
-                    let what = match &played {
-                        Ok(day) if day.broken.is_empty() => continue,
-                        Ok(day) => day.broken.iter().map(|b| format!("{b}\n")).collect(),
+                    let reason = match &played {
+                        Ok(day) if day.violations.is_empty() => continue,
+                        Ok(day) => day.violations.iter().map(|b| format!("{b}\n")).collect(),
                         Err(e) => e.to_string(),
                     };
                     bad.lock()
                         .unwrap_or_else(PoisonError::into_inner)
-                        .push(Bad { seed, what });
+                        .push(FailedSeed { seed, reason });
                 }
             });
         }
@@ -217,8 +217,9 @@
     #[test]
     fn every_seed_draws_a_day_that_can_be_read_and_the_same_one_again() {
         for seed in 0..500 {
-            script::read(&day(seed)).unwrap_or_else(|why| panic!("seed {seed}: {why}\n{}", day(seed)));
+            scenario::read(&scenario_text(seed))
+                .unwrap_or_else(|why| panic!("seed {seed}: {why}\n{}", scenario_text(seed)));
         }
-        assert!(day(1) == day(1) && day(1) != day(2));
+        assert!(scenario_text(1) == scenario_text(1) && scenario_text(1) != scenario_text(2));
     }
 }
--- a/crates/quartzdrift-lab/src/script.rs
+++ b/crates/quartzdrift-lab/src/scenario.rs
@@ -39,16 +39,16 @@
 pub struct RequestClass {
     pub name: String,
     pub idempotency: Idempotency,
-    pub window: Duration,
+    pub deduplication_window: Duration,
     pub rate: f64,
-    pub work: Duration,
-    pub limit: Duration,
-    pub functions: usize,
+    pub mean_work: Duration,
+    pub time_limit: Duration,
+    pub function_count: usize,
     pub memory_mb: f64,
-    pub load: Duration,
+    pub load_time: Duration,
     pub slots: usize,
     pub asynchronous: bool,
-    pub hang_up: f64,
+    pub hang_up_share: f64,
     pub latency_objective: Duration,
     pub pattern: Pattern,
 }
@@ -134,12 +134,12 @@
     Link(usize, usize, Link),
     /// Whether a gateway's stream of lists stalls.
     DiscoveryStall(usize, bool),
-    Spoil(usize, Spoil),
+    Spoil(usize, StateDamage),
 }
 
 /// What becomes of a state folder while its process is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spoil {
+pub enum StateDamage {
     Cut,
     Flip,
     Older,
@@ -151,31 +151,31 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Script {
+pub struct Scenario {
     pub gateways: usize,
     pub workers: usize,
     pub cores: f64,
     pub memory_mb: f64,
-    pub keep: Duration,
+    pub keep_loaded: Duration,
     pub cold_from: f64,
     pub cold_for: Duration,
     pub fall_multiple: f64,
     pub fall_window: Duration,
-    pub queue: usize,
+    pub max_waiting_calls: usize,
     pub store_capacity: f64,
     pub store_limit: usize,
     pub store_stops_at: usize,
-    pub lag: Duration,
+    pub discovery_lag: Duration,
     pub request_classes: Vec<RequestClass>,
     pub length: Duration,
     pub faults: Vec<(Duration, Fault)>,
     /// Load ahead of need by forecasts, on sockets; the emulator is told by its variants.
     pub forecasts: bool,
     /// The members' period, where gateways are a fleet.
-    pub fleet: Option<Duration>,
+    pub gossip_period: Option<Duration>,
     /// How often a call that was rejected comes again at most, and after which part of the time that it was told at least.
-    pub repeats: u32,
-    pub haste: f64,
+    pub max_retries: u32,
+    pub retry_wait_factor: f64,
 }
 
 struct Words<'a>(Vec<&'a str>);
@@ -218,29 +218,29 @@
 }
 
 /// Reads a script; `Err` names the line.
-pub fn read(text: &str) -> Result<Script, String> {
-    let mut script = Script {
+pub fn read(text: &str) -> Result<Scenario, String> {
+    let mut script = Scenario {
         gateways: 1,
         workers: 3,
         cores: 2.0,
         memory_mb: 2000.0,
-        keep: Duration::from_secs(8),
+        keep_loaded: Duration::from_secs(8),
         cold_from: 1.0,
         cold_for: Duration::ZERO,
         fall_multiple: 0.0,
         fall_window: Duration::from_secs(1),
-        queue: 60,
+        max_waiting_calls: 60,
         store_capacity: 16.0,
         store_limit: 64,
         store_stops_at: 0,
-        lag: Duration::ZERO,
+        discovery_lag: Duration::ZERO,
         request_classes: Vec::new(),
         length: Duration::from_secs(10),
         faults: Vec::new(),
         forecasts: false,
-        fleet: None,
-        repeats: 2,
-        haste: 1.0,
+        gossip_period: None,
+        max_retries: 2,
+        retry_wait_factor: 1.0,
     };
     for (n, line) in text.lines().enumerate() {
         let words = Words(line.split('#').next().unwrap_or("").split_whitespace().collect());
@@ -304,7 +304,7 @@
     Ok(script)
 }
 
-impl Script {
+impl Scenario {
     /// The request class of a function, with its place: functions bear its name and a number.
     pub fn request_class_of(&self, function: &str) -> Option<(usize, &RequestClass)> {
         let (name, _) = function.rsplit_once('-')?;
@@ -337,12 +337,12 @@
                 self.workers = count()?;
                 self.cores = words.number("cores", self.cores)?;
                 self.memory_mb = words.number("memory", self.memory_mb)?;
-                self.keep = words.span("keep", self.keep)?;
+                self.keep_loaded = words.span("keep", self.keep_loaded)?;
                 self.cold_from = words.number("cold", self.cold_from)?;
                 self.cold_for = words.span("cold-for", self.cold_for)?;
                 self.fall_multiple = words.number("fall", self.fall_multiple)?;
                 self.fall_window = words.span("fall-window", self.fall_window)?;
-                self.queue = words.number("queue", self.queue)?;
+                self.max_waiting_calls = words.number("queue", self.max_waiting_calls)?;
             }
             "store" => {
                 words.known(&["capacity", "limit", "stops-at"])?;
@@ -352,15 +352,15 @@
             }
             "roster" => {
                 words.known(&["lag"])?;
-                self.lag = words.span("lag", self.lag)?;
+                self.discovery_lag = words.span("lag", self.discovery_lag)?;
             }
             "clients" => {
                 words.known(&["repeats", "haste"])?;
-                self.repeats = words.number("repeats", self.repeats)?;
-                self.haste = words.number("haste", self.haste)?;
+                self.max_retries = words.number("repeats", self.max_retries)?;
+                self.retry_wait_factor = words.number("haste", self.retry_wait_factor)?;
             }
             "forecasts" => self.forecasts = true,
-            "fleet" => self.fleet = Some(span(words.at(1)?)?),
+            "fleet" => self.gossip_period = Some(span(words.at(1)?)?),
             "workload" => self.request_classes.push(request_class(words)?),
             "length" => self.length = span(words.at(1)?)?,
             "at" => {
@@ -468,7 +468,7 @@
                 Fault::Link(index(4)?, index(6)?, link)
             }
             ("copy", "gateway") => Fault::CopyState(index(4)?),
-            ("spoil", "gateway") => Fault::Spoil(index(4)?, spoil(words.at(5)?)?),
+            ("spoil", "gateway") => Fault::Spoil(index(4)?, state_damage(words.at(5)?)?),
             ("stop", "gateways") => Fault::StopGateways(index(4)?, index(5)?),
             ("power", "off") => match words.at(4)? {
                 "all" => Fault::PowerOff { gateways: None },
@@ -503,15 +503,15 @@
     }
 }
 
-fn spoil(text: &str) -> Result<Spoil, String> {
+fn state_damage(text: &str) -> Result<StateDamage, String> {
     Ok(match text {
-        "cut" => Spoil::Cut,
-        "flip" => Spoil::Flip,
-        "older" => Spoil::Older,
-        "other" => Spoil::Other,
-        "empty" => Spoil::Empty,
-        "unreadable" => Spoil::Unreadable,
-        "full" => Spoil::Full,
+        "cut" => StateDamage::Cut,
+        "flip" => StateDamage::Flip,
+        "older" => StateDamage::Older,
+        "other" => StateDamage::Other,
+        "empty" => StateDamage::Empty,
+        "unreadable" => StateDamage::Unreadable,
+        "full" => StateDamage::Full,
         other => return Err(format!("nothing is spoilt by '{other}'")),
     })
 }
@@ -565,16 +565,16 @@
             "run-once" => Idempotency::NonIdempotent,
             other => return Err(format!("'{other}' is no effect")),
         },
-        window: words.span("window", ms(5000))?,
+        deduplication_window: words.span("window", ms(5000))?,
         rate: words.number("rate", 10.0)?,
-        work: words.span("work", ms(5))?,
-        limit: words.span("limit", ms(3000))?,
-        functions: words.number("functions", 1)?,
+        mean_work: words.span("work", ms(5))?,
+        time_limit: words.span("limit", ms(3000))?,
+        function_count: words.number("functions", 1)?,
         memory_mb: words.number("memory", 100.0)?,
-        load: words.span("load", ms(200))?,
+        load_time: words.span("load", ms(200))?,
         slots: words.number("lanes", 4)?,
         asynchronous: words.0.contains(&"deferred"),
-        hang_up: words.number("hang-up", 0.0)?,
+        hang_up_share: words.number("hang-up", 0.0)?,
         latency_objective: words.span("target", words.span("limit", ms(3000))?)?,
         pattern: pattern(words)?,
     })
--- a/crates/quartzdrift-lab/src/badday.rs
+++ b/crates/quartzdrift-lab/src/scenario_runner.rs
@@ -1,12 +1,12 @@
 //! Plays a script against gateways in processes of their own, and has its record audited.
-use crate::actor::{self, Running};
-use crate::audit::{self, Broken, Terms};
-use crate::clients::{self, Clients, Tally};
-use crate::discovery::{self, Discovery};
+use crate::actor::{self, RunningFake};
+use crate::audit::{self, Guarantees, Violation};
+use crate::clients::{self, CallCounts, Clients};
+use crate::discovery::{self, FakeDiscovery};
 use crate::model::{Machine, Spec};
 use crate::record::{Line, Recorder, Seen};
 use crate::relay::Relay;
-use crate::script::{Fault, Script, Spoil};
+use crate::scenario::{Fault, Scenario, StateDamage};
 use crate::store::{self, Store};
 use crate::switch::{Links, Switch, kept_port};
 use crate::traffic;
@@ -34,30 +34,30 @@
 const MAX_GATEWAY: Duration = Duration::from_secs(20);
 
 /// How a day went.
-pub struct Day {
+pub struct ScenarioRun {
     pub lines: Vec<Line>,
-    pub terms: Terms,
-    pub broken: Vec<Broken>,
-    pub tally: Tally,
+    pub guarantees: Guarantees,
+    pub violations: Vec<Violation>,
+    pub call_counts: CallCounts,
     /// Attempts that reached workers, those that ran without finding their copy loaded, and fetches.
     pub attempts: usize,
     pub waited_for_load: usize,
     pub fetches: usize,
     /// Of the fetches, those that the store turned away.
-    pub refused: usize,
+    pub refused_fetches: usize,
     /// How each gateway that was there at the end had come back.
-    pub views: Vec<Option<RecoveryView>>,
+    pub recovery_views: Vec<Option<RecoveryView>>,
 }
 
 /// How the gateways of a day are started.
 #[derive(Clone, Debug)]
-pub struct Program {
+pub struct GatewayProgram {
     pub path: PathBuf,
     pub arguments: Vec<String>,
 }
 
 /// Reads the line in which a started process says where it listens.
-pub fn listens_at(out: &mut impl BufRead) -> io::Result<SocketAddr> {
+pub fn read_listen_address(out: &mut impl BufRead) -> io::Result<SocketAddr> {
     let mut line = String::new();
     out.read_line(&mut line)?;
     let at = line
@@ -67,10 +67,10 @@
     at.ok_or_else(|| io::Error::other(format!("it did not say where it listens: {line:?}")))
 }
 
-impl Program {
+impl GatewayProgram {
     /// The lab's own program under one of its commands.
-    pub fn lab(path: &Path, command: &str) -> Program {
-        Program {
+    pub fn lab_command(path: &Path, command: &str) -> GatewayProgram {
+        GatewayProgram {
             path: path.to_owned(),
             arguments: vec![command.to_owned()],
         }
@@ -93,13 +93,13 @@
 }
 
 struct Stage<'a> {
-    script: &'a Script,
-    program: &'a Program,
+    script: &'a Scenario,
+    program: &'a GatewayProgram,
     recorder: Recorder,
-    workers: Vec<Running<worker::Command>>,
+    workers: Vec<RunningFake<worker::Command>>,
     faults: Vec<Faults>,
-    discovery: Running<discovery::Command>,
-    store: Running<store::Command>,
+    discovery: RunningFake<discovery::Command>,
+    store: RunningFake<store::Command>,
     gateways: Vec<Gateway>,
     switch: Option<Switch>,
     /// Links from gateways to workers, where the day has faults on some.
@@ -137,8 +137,8 @@
 }
 
 /// Settings of one gateway of a day.
-pub fn settings(
-    script: &Script,
+pub fn gateway_settings(
+    script: &Scenario,
     me: usize,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -176,10 +176,10 @@
          {{ field = \"loads\", metric = \"named_metrics.loads\" }}]\n\
          [deferred]\ntries = 3\nwait = \"200ms\"\nlongest_wait = \"2s\"\ngreatest_age = \"60s\"\n\
          on_failure = {{ function = \"dead\" }}\n{}",
-        ms(script.keep),
+        ms(script.keep_loaded),
         script.memory_mb,
         script.forecasts,
-        if script.fleet.is_some() {
+        if script.gossip_period.is_some() {
             format!("store = \"{state}/deferred\"\n")
         } else {
             String::new()
@@ -198,19 +198,23 @@
             Idempotency::IdempotentWithKey => "fingerprinted",
             Idempotency::NonIdempotent => "run-once",
         };
-        let (name, limit) = (&request_class.name, ms(request_class.limit));
+        let (name, limit) = (&request_class.name, ms(request_class.time_limit));
         let _ = write!(
             text,
             "[[workloads]]\nname = \"{name}\"\neffect = \"{idempotency}\"\ntime_limit = {limit}\n"
         );
         if request_class.idempotency == Idempotency::IdempotentWithKey {
-            let _ = writeln!(text, "group = \"all\"\nwindow = {}", ms(request_class.window));
+            let _ = writeln!(
+                text,
+                "group = \"all\"\nwindow = {}",
+                ms(request_class.deduplication_window)
+            );
         }
-        for n in 0..request_class.functions {
+        for n in 0..request_class.function_count {
             let (memory, slots, load) = (
                 request_class.memory_mb,
                 request_class.slots,
-                ms(request_class.load),
+                ms(request_class.load_time),
             );
             let _ = write!(
                 text,
@@ -224,12 +228,12 @@
 }
 
 /// The kind of worker that a script tells of.
-pub fn machine(script: &Script) -> Machine {
+pub fn worker_machine(script: &Scenario) -> Machine {
     Machine {
         cores: script.cores,
         memory_mb: script.memory_mb,
-        queue_most: script.queue,
-        keep: script.keep,
+        queue_most: script.max_waiting_calls,
+        keep: script.keep_loaded,
         cold_from: script.cold_from,
         cold_for: script.cold_for,
         fall_multiple: script.fall_multiple,
@@ -239,7 +243,7 @@
 }
 
 /// Its store.
-pub fn store_config(script: &Script) -> store::Config {
+pub fn store_config(script: &Scenario) -> store::Config {
     store::Config {
         capacity: script.store_capacity,
         limit: script.store_limit,
@@ -248,15 +252,15 @@
     }
 }
 
-pub fn specs(script: &Script) -> BTreeMap<String, Spec> {
+pub fn function_specs(script: &Scenario) -> BTreeMap<String, Spec> {
     let mut specs = BTreeMap::new();
     for request_class in &script.request_classes {
-        for n in 0..request_class.functions {
+        for n in 0..request_class.function_count {
             let (memory_mb, slots, load, work) = (
                 request_class.memory_mb,
                 request_class.slots,
-                request_class.load,
-                request_class.work,
+                request_class.load_time,
+                request_class.mean_work,
             );
             specs.insert(
                 format!("{}-{n}", request_class.name),
@@ -279,17 +283,17 @@
     specs
 }
 
-fn terms(script: &Script) -> Terms {
+fn guarantees(script: &Scenario) -> Guarantees {
     let of = |idempotency| {
         script
             .request_classes
             .iter()
             .filter(move |w| w.idempotency == idempotency)
     };
-    Terms {
+    Guarantees {
         non_idempotent: of(Idempotency::NonIdempotent).map(|w| w.name.clone()).collect(),
-        windows_us: of(Idempotency::IdempotentWithKey)
-            .map(|w| (w.name.clone(), w.window.as_micros() as u64))
+        deduplication_windows_us: of(Idempotency::IdempotentWithKey)
+            .map(|w| (w.name.clone(), w.deduplication_window.as_micros() as u64))
             .collect(),
         drain_grace_us: DRAIN_GRACE.as_micros() as u64,
         fall_multiple: script.fall_multiple,
@@ -297,8 +301,8 @@
         load_quota_burst: 0.0,
         load_quota_share: 0.0,
         load_window_us: 0,
-        asynchronous_over: true,
-        durable: script.fleet.is_some(),
+        asynchronous_completes: true,
+        durable: script.gossip_period.is_some(),
     }
 }
 
@@ -332,7 +336,7 @@
             .stdout
             .take()
             .ok_or_else(|| io::Error::other("a gateway has no output"))?;
-        let first = listens_at(&mut BufReader::new(out));
+        let first = read_listen_address(&mut BufReader::new(out));
         self.gateways[n].child = Some(child);
         if let Err(e) = first {
             // Where nothing can be written it says so and ends: no promise could be kept.
@@ -352,30 +356,31 @@
 
     fn set_faults(&mut self, n: usize, change: impl FnOnce(&mut Faults)) {
         change(&mut self.faults[n]);
-        self.workers[n].tell(worker::Command::Faults(self.faults[n].clone()));
+        self.workers[n].send(worker::Command::Faults(self.faults[n].clone()));
     }
 
     fn list(&self, n: usize, state: EndpointState) {
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let started = (state == EndpointState::Up).then_some(started);
         let worker = self.workers[n].address.to_string();
-        self.discovery
-            .tell(discovery::Command::Set(listed(&worker, state, started)));
+        self.discovery.send(discovery::Command::UpdateEndpoint(listed(
+            &worker, state, started,
+        )));
     }
 
     fn cause(&mut self, fault: &Fault) -> io::Result<()> {
         match *fault {
             Fault::Crash(n) => {
-                self.workers[n].tell(worker::Command::Crash);
+                self.workers[n].send(worker::Command::Crash);
                 self.list(n, EndpointState::Gone);
             }
             Fault::Start(n) => {
                 self.faults[n] = Faults::default();
-                self.workers[n].tell(worker::Command::Start);
+                self.workers[n].send(worker::Command::Start);
                 self.list(n, EndpointState::Up);
             }
             Fault::Drain(n) => {
-                self.workers[n].tell(worker::Command::Drain);
+                self.workers[n].send(worker::Command::Drain);
                 self.list(n, EndpointState::Draining);
             }
             Fault::Silent(n) => self.set_faults(n, |faults| faults.silent = true),
@@ -385,11 +390,11 @@
             Fault::Lose(n, share) => self.set_faults(n, |faults| faults.lost = share),
             Fault::Slow(n, by) => self.set_faults(n, |faults| faults.slow = by),
             Fault::Late(n, by) => self.set_faults(n, |faults| faults.late_reports = by),
-            Fault::DiscoveryLag(lag) => self.discovery.tell(discovery::Command::Lag(lag)),
-            Fault::DiscoveryStop(on) => self.discovery.tell(discovery::Command::Stop(on)),
-            Fault::DiscoveryEmpty(on) => self.discovery.tell(discovery::Command::Empty(on)),
-            Fault::StoreSlow(times) => self.store.tell(store::Command::Slow(times)),
-            Fault::StoreRefuse(on) => self.store.tell(store::Command::Refuse(on)),
+            Fault::DiscoveryLag(lag) => self.discovery.send(discovery::Command::SetLag(lag)),
+            Fault::DiscoveryStop(on) => self.discovery.send(discovery::Command::SetStopped(on)),
+            Fault::DiscoveryEmpty(on) => self.discovery.send(discovery::Command::SetEmpty(on)),
+            Fault::StoreSlow(times) => self.store.send(store::Command::Slow(times)),
+            Fault::StoreRefuse(on) => self.store.send(store::Command::Refuse(on)),
             Fault::KillGateway(n) => {
                 if let Some(mut child) = self.gateways[n].child.take() {
                     // The moment before counts: what comes back after it was sent before it.
@@ -440,7 +445,7 @@
                     relay.set(link);
                 }
             }
-            Fault::DiscoveryStall(n, on) => self.discovery.tell(discovery::Command::Stall(n as u64, on)),
+            Fault::DiscoveryStall(n, on) => self.discovery.send(discovery::Command::SetStalled(n as u64, on)),
             Fault::CopyState(n) => {
                 let state = &self.gateways[n].state;
                 copy(state, &state.with_extension("copy"))?;
@@ -470,8 +475,8 @@
         if gateways.is_none() {
             self.workers
                 .iter()
-                .for_each(|worker| worker.tell(worker::Command::Crash));
-            self.discovery.tell(discovery::Command::Stop(true));
+                .for_each(|worker| worker.send(worker::Command::Crash));
+            self.discovery.send(discovery::Command::SetStopped(true));
             self.marks.lock().unwrap_or_else(PoisonError::into_inner).clear();
             self.recorder.see(Seen::WorkersLost);
         }
@@ -492,50 +497,50 @@
         }
     }
 
-    fn spoil(&mut self, n: usize, how: Spoil) -> io::Result<()> {
+    fn spoil(&mut self, n: usize, how: StateDamage) -> io::Result<()> {
         let state = self.gateways[n].state.clone();
         let mark = state.join(quartzdrift::snapshots::CHECKPOINT);
         match how {
-            Spoil::Cut => {
+            StateDamage::Cut => {
                 let bytes = std::fs::read(&mark)?;
                 std::fs::write(&mark, &bytes[..bytes.len() / 2])?;
             }
-            Spoil::Flip => {
+            StateDamage::Flip => {
                 let mut bytes = std::fs::read(&mark)?;
                 let at = bytes.len() / 3;
                 bytes[at] ^= 4;
                 std::fs::write(&mark, bytes)?;
             }
-            Spoil::Older | Spoil::Other => {
-                if how == Spoil::Older {
+            StateDamage::Older | StateDamage::Other => {
+                if how == StateDamage::Older {
                     self.recorder.see(Seen::DiskLost { gateway: n as u64 });
                 }
                 let from = match how {
-                    Spoil::Older => state.with_extension("copy"),
+                    StateDamage::Older => state.with_extension("copy"),
                     _ => self.gateways[(n + 1) % self.gateways.len()].state.clone(),
                 };
                 // The store of another member is refused at the start, which is a test of its own.
                 let asynchronous = state.join("deferred");
                 let own = state.with_extension("own");
-                if how == Spoil::Other {
+                if how == StateDamage::Other {
                     std::fs::rename(&asynchronous, &own)?;
                 }
                 std::fs::remove_dir_all(&state)?;
                 copy(&from, &state)?;
-                if how == Spoil::Other {
+                if how == StateDamage::Other {
                     std::fs::remove_dir_all(&asynchronous)?;
                     std::fs::rename(&own, &asynchronous)?;
                 }
             }
-            Spoil::Empty => {
+            StateDamage::Empty => {
                 self.recorder.see(Seen::DiskLost { gateway: n as u64 });
                 std::fs::remove_dir_all(&state)?;
             }
-            Spoil::Unreadable => {
+            StateDamage::Unreadable => {
                 std::fs::remove_file(&mark)?;
                 std::fs::create_dir(&mark)?;
             }
-            Spoil::Full => self.gateways[n].full = true,
+            StateDamage::Full => self.gateways[n].full = true,
         }
         Ok(())
     }
@@ -601,7 +606,7 @@
 }
 
 /// Plays the day. Seeds draw its traffic; times on sockets are never quite the same.
-pub fn play(script: &Script, program: &Program, seed: u64) -> io::Result<Day> {
+pub fn run(script: &Scenario, program: &GatewayProgram, seed: u64) -> io::Result<ScenarioRun> {
     let folder = tempfile::tempdir()?;
     let recorder = Recorder::default();
     let store_config = store_config(script);
@@ -610,14 +615,14 @@
     let window = script
         .request_classes
         .iter()
-        .map(|w| w.window)
+        .map(|w| w.deduplication_window)
         .max()
         .unwrap_or_default();
     let mut workers = Vec::new();
     for n in 0..script.workers {
         let config = worker::Config {
-            machine: machine(script),
-            specs: specs(script),
+            machine: worker_machine(script),
+            specs: function_specs(script),
             store: Some(store.address),
             marks: Some(marks.clone()),
             window,
@@ -633,9 +638,9 @@
         .iter()
         .map(|w| listed(&w.address.to_string(), EndpointState::Up, None))
         .collect();
-    let (lag, of) = (script.lag, recorder.clone());
+    let (lag, of) = (script.discovery_lag, recorder.clone());
     let discovery = actor::spawn(any(), move |handle, _| {
-        Discovery::new(handle, first, lag, Some(of))
+        FakeDiscovery::new(handle, first, lag, Some(of))
     })?;
     let mut relays = BTreeMap::new();
     if script
@@ -653,10 +658,10 @@
                 relay.address.to_string(),
             )
         };
-        discovery.tell(discovery::Command::Relays(relays.iter().map(told).collect()));
+        discovery.send(discovery::Command::SetRelays(relays.iter().map(told).collect()));
     }
     let switch = script
-        .fleet
+        .gossip_period
         .map(|_| Switch::start(script.gateways, seed))
         .transpose()?;
     let key = folder.path().join("key");
@@ -667,8 +672,8 @@
         let listen = kept_port()?;
         let state = folder.path().join(format!("gateway-{n}"));
         let file = folder.path().join(format!("gateway-{n}.toml"));
-        let mut text = settings(script, n, listen, discovery.address, &state);
-        if let (Some(period), Some(switch)) = (script.fleet, &switch) {
+        let mut text = gateway_settings(script, n, listen, discovery.address, &state);
+        if let (Some(period), Some(switch)) = (script.gossip_period, &switch) {
             text.push_str(&fleet_settings(n, period, switch, &key));
         }
         std::fs::write(&file, text)?;
@@ -703,18 +708,18 @@
     }
     let (open, tally) = (
         Arc::new(AtomicU64::new(0)),
-        Arc::new(Mutex::new(Tally::default())),
+        Arc::new(Mutex::new(CallCounts::default())),
     );
     let of = recorder.clone();
     let (open_too, tally_too) = (open.clone(), tally.clone());
     let arrivals = traffic::arrivals(script, seed);
-    let (repeats, haste) = (script.repeats, script.haste);
+    let (max_retries, retry_wait_factor) = (script.max_retries, script.retry_wait_factor);
     let plan = clients::Plan {
         request_classes: script.request_classes.clone(),
         arrivals,
         seed,
-        repeats,
-        haste,
+        max_retries,
+        retry_wait_factor,
     };
     let clients = actor::spawn(any(), move |handle, _| {
         Clients::new(handle, of, addresses, plan, open_too, tally_too)
@@ -725,16 +730,16 @@
         stage.cause(fault)?;
     }
     std::thread::sleep(script.length.saturating_sub(start.elapsed()));
-    clients.tell(clients::Command::Enough);
+    clients.send(clients::Command::StopArrivals);
     let until = Instant::now() + SETTLE;
     while open.load(Ordering::Relaxed) > 0 && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(20));
     }
-    let terms = terms(script);
+    let guarantees = guarantees(script);
     // What was taken and waits is run before the gateways stop, or is lost.
-    while script.fleet.is_some() && Instant::now() < until {
-        let lost = |broken: &Broken| broken.rule == audit::Rule::RequestLost;
-        if !audit::audit(&recorder.lines(), &terms).iter().any(lost) {
+    while script.gossip_period.is_some() && Instant::now() < until {
+        let lost = |broken: &Violation| broken.rule == audit::Rule::RequestLost;
+        if !audit::audit(&recorder.lines(), &guarantees).iter().any(lost) {
             break;
         }
         std::thread::sleep(Duration::from_millis(500));
@@ -744,7 +749,7 @@
             quartzdrift::snapshots::read(&gateway.state, quartzdrift::snapshots::RECOVERY_VIEW).ok()??;
         serde_json::from_slice(&bytes).ok()
     };
-    let views = stage
+    let recovery_views = stage
         .gateways
         .iter()
         .map(|gateway| gateway.child.as_ref().and(view(gateway)))
@@ -753,43 +758,43 @@
     drop(clients);
     stopped?;
     let lines = recorder.lines();
-    let broken = audit::audit(&lines, &terms);
+    let violations = audit::audit(&lines, &guarantees);
     let count = |of: fn(&Seen) -> bool| lines.iter().filter(|line| of(&line.seen)).count();
     let attempts = count(|seen| matches!(seen, Seen::Came { .. }));
     let waited_for_load = count(|seen| matches!(seen, Seen::Began { warm: false, .. }));
     let fetches = count(|seen| matches!(seen, Seen::Fetch { .. }));
-    let refused = count(|seen| matches!(seen, Seen::FetchRefused { .. }));
-    let tally = tally.lock().unwrap_or_else(PoisonError::into_inner).clone();
-    Ok(Day {
+    let refused_fetches = count(|seen| matches!(seen, Seen::FetchRefused { .. }));
+    let call_counts = tally.lock().unwrap_or_else(PoisonError::into_inner).clone();
+    Ok(ScenarioRun {
         lines,
-        terms,
-        broken,
-        tally,
+        guarantees,
+        violations,
+        call_counts,
         attempts,
         waited_for_load,
         fetches,
-        refused,
-        views,
+        refused_fetches,
+        recovery_views,
     })
 }
 
 /// Writes a day's terms and record, one JSON object a line.
-pub fn save(day: &Day, path: &Path) -> io::Result<()> {
+pub fn save_record(day: &ScenarioRun, path: &Path) -> io::Result<()> {
     let mut out = io::BufWriter::new(std::fs::File::create(path)?);
-    writeln!(out, "{}", serde_json::to_string(&day.terms)?)?;
+    writeln!(out, "{}", serde_json::to_string(&day.guarantees)?)?;
     for line in &day.lines {
         writeln!(out, "{}", serde_json::to_string(line)?)?;
     }
     out.flush()
 }
 
-/// Reads what [`save`] wrote.
-pub fn load(path: &Path) -> io::Result<(Terms, Vec<Line>)> {
+/// Reads what [`save_record`] wrote.
+pub fn load_record(path: &Path) -> io::Result<(Guarantees, Vec<Line>)> {
     let text = std::fs::read_to_string(path)?;
     let mut lines = text.lines();
-    let terms = serde_json::from_str(lines.next().unwrap_or(""))?;
+    let guarantees = serde_json::from_str(lines.next().unwrap_or(""))?;
     let lines = lines
         .map(serde_json::from_str)
         .collect::<Result<Vec<Line>, _>>()?;
-    Ok((terms, lines))
+    Ok((guarantees, lines))
 }
--- a/crates/quartzdrift-lab/src/stage.rs
+++ b/crates/quartzdrift-lab/src/stage.rs
@@ -1,6 +1,6 @@
 //! A scheduler process on the platform's sockets with its fakes, as tests set it up.
-use crate::badday::listens_at;
 use crate::platform::{Asked, Coordinator, Frontend, Received, Reply, Worker};
+use crate::scenario_runner::read_listen_address;
 use std::io::{self, BufReader, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -94,7 +94,7 @@
     let log = std::fs::File::create(file.with_extension("log")).expect("a file for its log");
     let mut child = command.stderr(log).spawn().expect("the scheduler starts");
     let mut out = BufReader::new(child.stdout.take().expect("its output"));
-    let at = listens_at(&mut out).expect("the scheduler says where it listens");
+    let at = read_listen_address(&mut out).expect("the scheduler says where it listens");
     (child, out, at)
 }
 
--- a/crates/quartzdrift-lab/src/store.rs
+++ b/crates/quartzdrift-lab/src/store.rs
@@ -169,7 +169,7 @@
 impl Fake for Store {
     type Command = Command;
 
-    fn event(&mut self, event: HttpEvent) {
+    fn handle_event(&mut self, event: HttpEvent) {
         let now = self.now();
         match event {
             HttpEvent::Request {
@@ -213,7 +213,7 @@
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         let now = self.now();
         self.model.advance(now);
         match command {
@@ -226,7 +226,7 @@
         self.model.next_due()
     }
 
-    fn due(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         for fetch in self.model.due(now) {
             if let Some(exchange) = self.open.remove(&fetch) {
                 self.say(exchange, 200);
--- a/crates/quartzdrift-lab/src/traffic.rs
+++ b/crates/quartzdrift-lab/src/traffic.rs
@@ -1,5 +1,5 @@
 //! What clients ask for over a day: generators, and traces in JSON lines, compressed or not.
-use crate::script::{Pattern, Script};
+use crate::scenario::{Pattern, Scenario};
 use flate2::read::GzDecoder;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -69,13 +69,13 @@
 }
 
 /// All calls of a day in the order of time; the same for the same script and seed.
-pub fn arrivals(script: &Script, seed: u64) -> Vec<Arrival> {
+pub fn arrivals(script: &Scenario, seed: u64) -> Vec<Arrival> {
     let length = script.length.as_secs_f64();
     let mut all = Vec::new();
     for (n, request_class) in script.request_classes.iter().enumerate() {
         let mut chance = StdRng::seed_from_u64(seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut add = |chance: &mut StdRng, at: f64, function: String, gateway: f64| {
-            let work = request_class.work.as_secs_f64() * chance.random_range(0.5..1.5);
+            let work = request_class.mean_work.as_secs_f64() * chance.random_range(0.5..1.5);
             let (at_us, work_us) = ((at * 1e6) as u64, (work * 1e6) as u64);
             all.push(Arrival {
                 at_us,
@@ -87,7 +87,7 @@
         };
         if let Pattern::Timers { period, jitter } = request_class.pattern {
             // Each function has a timer, which fires through one gateway.
-            for f in 0..request_class.functions {
+            for f in 0..request_class.function_count {
                 let (mut at, gateway) = (chance.random_range(0.0..period), chance.random_range(0.0..1.0));
                 // Periods differ a little from timer to timer.
                 let own = period * chance.random_range(0.7..1.3);
@@ -121,7 +121,7 @@
                 continue;
             }
             drawn += 1;
-            let functions = request_class.functions;
+            let functions = request_class.function_count;
             let f = match request_class.pattern {
                 Pattern::Scan => drawn,
                 Pattern::Turning { every } => {
@@ -178,11 +178,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::script;
+    use crate::scenario;
 
     #[test]
     fn a_trace_is_the_same_for_a_seed_and_outlives_a_file() {
-        let script = script::read(
+        let script = scenario::read(
             "length 20s\nworkload a restartable rate=20 functions=5 pattern=daily period=5s most=4\n\
              workload t restartable functions=3 pattern=timers period=4s\nworkload s restartable rate=5 pattern=scan",
         )
@@ -192,7 +192,7 @@
         assert_ne!(first, arrivals(&script, 8));
         assert!(first.is_sorted_by_key(|a| a.at_us) && first.iter().any(|a| a.function == "t-2"));
         let week =
-            script::read("length 70s\nworkload w restartable rate=20 pattern=weekly period=10s most=6")
+            scenario::read("length 70s\nworkload w restartable rate=20 pattern=weekly period=10s most=6")
                 .unwrap();
         let week = arrivals(&week, 7);
         let count = |from: u64| {
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -202,7 +202,7 @@
         let function = asked.function.qualified_name();
         self.drawn += 1;
         let id = self.drawn;
-        let work = functions::work(&body).unwrap_or(self.model.spec(&function).work);
+        let work = functions::requested_work(&body).unwrap_or(self.model.spec(&function).work);
         if self.config.recorder.is_some() {
             let told: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
             self.see(Seen::Came {
@@ -428,7 +428,7 @@
         }
         let may_have_executed = functions::run(&open.function, &open.payload, &self.address.to_string());
         let mut headers = Headers::new().with("content-type", "application/json");
-        if may_have_executed.error {
+        if may_have_executed.is_error {
             headers.push("x-amz-function-error", "Unhandled");
         }
         let headers = self.with_report(headers, Some((found, crowd)));
@@ -534,7 +534,7 @@
 impl Fake for FakeWorker {
     type Command = Command;
 
-    fn event(&mut self, event: HttpEvent) {
+    fn handle_event(&mut self, event: HttpEvent) {
         match event {
             HttpEvent::Request {
                 exchange,
@@ -581,7 +581,7 @@
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Faults(faults) => {
                 let woke = self.faults.silent && !faults.silent || self.faults.hang && !faults.hang;
@@ -609,7 +609,7 @@
         [model, fetches, held].into_iter().flatten().min()
     }
 
-    fn due(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         if !self.up {
             return;
         }
--- a/crates/quartzdrift-lab/tests/closes.rs
+++ b/crates/quartzdrift-lab/tests/closes.rs
@@ -1,7 +1,7 @@
 //! Ill-timed closes: clients, workers' connections and readers of the log that close, fall silent or stop reading while
 //! something is under way. A scheduler process on loopback, against fakes that make the order certain.
-use quartzdrift_lab::badday::listens_at;
 use quartzdrift_lab::platform::{Asked, Coordinator, Frontend, Worker};
+use quartzdrift_lab::scenario_runner::read_listen_address;
 use quartzdrift_lab::stage::{
     DONE, ID, NO_CANCEL, OTHER, SCARCE, Stage, THIRD, ask, asked, check, config, event, ids, number,
     scheduler, serve, signal, target,
@@ -257,7 +257,7 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let at = listens_at(&mut BufReader::new(child.stdout.take().unwrap())).unwrap();
+    let at = read_listen_address(&mut BufReader::new(child.stdout.take().unwrap())).unwrap();
     coordinator.wait_until_followed(0);
     // More clients than there are descriptors; of each the connection is kept.
     let mut clients: Vec<Frontend> = Vec::new();
@@ -469,7 +469,7 @@
             .spawn()
             .unwrap();
         let mut out = BufReader::new(child.stdout.take().unwrap());
-        let at = listens_at(&mut out).unwrap();
+        let at = read_listen_address(&mut out).unwrap();
         coordinator.wait_until_followed(0);
         let mut log = child.stderr.take().filter(|_| !leaves);
         drop(out);
--- a/crates/quartzdrift-lab/tests/crossings.rs
+++ b/crates/quartzdrift-lab/tests/crossings.rs
@@ -780,7 +780,7 @@
     pipe.write_all(text.as_bytes()).unwrap();
     drop(pipe);
     let mut out = BufReader::new(child.stdout.take().unwrap());
-    let at = quartzdrift_lab::badday::listens_at(&mut out).unwrap();
+    let at = quartzdrift_lab::scenario_runner::read_listen_address(&mut out).unwrap();
     // It stays for those that come meanwhile.
     let mut frontend = Frontend::connect(at).unwrap();
     ask(&mut frontend, 1, &asked("/do/once", ID));
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -4,14 +4,14 @@
 use quartzdrift::snapshots;
 use quartzdrift_discovery::DiscoveredEndpoint;
 use quartzdrift_http::Response;
-use quartzdrift_lab::actor::{Running, spawn};
+use quartzdrift_lab::actor::{RunningFake, spawn};
 use quartzdrift_lab::audit::{Rule, audit};
-use quartzdrift_lab::badday::{self, Program, listens_at};
-use quartzdrift_lab::discovery::{self, Discovery};
+use quartzdrift_lab::discovery::{self, FakeDiscovery};
 use quartzdrift_lab::load;
 use quartzdrift_lab::model::Machine;
 use quartzdrift_lab::record::{Recorder, Seen};
-use quartzdrift_lab::script;
+use quartzdrift_lab::scenario;
+use quartzdrift_lab::scenario_runner::{self, GatewayProgram, read_listen_address};
 use quartzdrift_lab::stage::failing;
 use quartzdrift_lab::traffic::Arrival;
 use quartzdrift_lab::worker::{Command, Config, FakeWorker, Faults};
@@ -61,7 +61,7 @@
             .spawn()
             .unwrap();
         let mut out = BufReader::new(child.stdout.take().unwrap());
-        let at = listens_at(&mut out).expect("the gateway says where it listens");
+        let at = read_listen_address(&mut out).expect("the gateway says where it listens");
         Gateway { child, at, out }
     }
 
@@ -115,7 +115,7 @@
 struct Stage {
     folder: tempfile::TempDir,
     recorder: Recorder,
-    workers: Vec<Running<Command>>,
+    workers: Vec<RunningFake<Command>>,
 }
 
 const REQUEST_CLASSES: &str = r#"
@@ -199,7 +199,7 @@
     }
 
     fn faults(&self, worker: usize, faults: Faults) {
-        self.workers[worker].tell(Command::Faults(faults));
+        self.workers[worker].send(Command::Faults(faults));
     }
 
     fn all(&self, faults: &Faults) {
@@ -312,7 +312,7 @@
             .unwrap();
         stage.faults(1 - crashed, Faults::default());
         stage.answers(1 - crashed);
-        stage.workers[crashed].tell(Command::Crash);
+        stage.workers[crashed].send(Command::Crash);
         let answer = request.join().unwrap();
         assert!(
             answer.status == 200 && function_error(&answer).is_none(),
@@ -337,7 +337,7 @@
         stage
             .workers
             .iter()
-            .for_each(|worker| worker.tell(Command::Crash));
+            .for_each(|worker| worker.send(Command::Crash));
         let answer = request.join().unwrap();
         assert_eq!((answer.status, function_error(&answer)), (200, Some("Unhandled")));
     });
@@ -355,8 +355,8 @@
     std::thread::scope(|scope| {
         let old = scope.spawn(|| gateway.invoke("pay", r#"{"key": "old"}"#));
         stage.wait("the old job", |seen| came(seen, "old"));
-        stage.workers[0].tell(Command::Crash);
-        stage.workers[0].tell(Command::Start);
+        stage.workers[0].send(Command::Crash);
+        stage.workers[0].send(Command::Start);
         let old = old.join().unwrap();
         assert!(String::from_utf8_lossy(&old.body).contains("Quartzdrift.Killed"));
     });
@@ -395,7 +395,7 @@
     stage
         .workers
         .iter()
-        .for_each(|worker| worker.tell(Command::Crash));
+        .for_each(|worker| worker.send(Command::Crash));
     stage.wait("nobody there", |_| {
         TcpStream::connect(stage.workers[1].address)
             .is_err()
@@ -639,7 +639,7 @@
         .collect();
     let recorder = stage.recorder.clone();
     let discovery = spawn(any(), move |handle, _| {
-        Discovery::new(handle, first, Duration::ZERO, Some(recorder))
+        FakeDiscovery::new(handle, first, Duration::ZERO, Some(recorder))
     })
     .unwrap();
     let state = stage.folder.path().join("state");
@@ -656,7 +656,10 @@
         ..DiscoveredEndpoint::up(worker)
     };
     let draining = quartzdrift_scheduler::interface::EndpointState::Draining;
-    discovery.tell(discovery::Command::Set(state_of(&workers[0], draining)));
+    discovery.send(discovery::Command::UpdateEndpoint(state_of(
+        &workers[0],
+        draining,
+    )));
     stage.wait("the drain", |seen| {
         seen.iter().find(|s| matches!(s, Seen::ToldAway { .. })).map(drop)
     });
@@ -693,7 +696,7 @@
             .map(|worker| DiscoveredEndpoint::up(&worker.address.to_string()))
             .collect();
         let discovery = spawn(any(), move |handle, _| {
-            Discovery::new(handle, first, Duration::ZERO, None)
+            FakeDiscovery::new(handle, first, Duration::ZERO, None)
         })
         .unwrap();
         let rules = lease.map_or(String::new(), |lease| {
@@ -739,21 +742,27 @@
         workload mail restartable deferred rate=10 work=5ms limit=1s load=50ms\n\
         length 4s\nat 1s crash worker 0\nat 1500ms start worker 0\nat 1s lose worker 1 0.4\nat 2s well worker 1\n\
         at 2s silent worker 2\nat 2500ms drain worker 3\nat 2500ms kill gateway 1\nat 3s start gateway 1\nat 3s well worker 2\n";
-    let script = script::read(day).unwrap();
-    let good = badday::play(&script, &Program::lab(Path::new(LAB), "gateway"), 3).unwrap();
-    assert_eq!(good.broken, [], "a rule was broken");
+    let script = scenario::read(day).unwrap();
+    let good = scenario_runner::run(
+        &script,
+        &GatewayProgram::lab_command(Path::new(LAB), "gateway"),
+        3,
+    )
+    .unwrap();
+    assert_eq!(good.violations, [], "a rule was broken");
     assert!(
-        good.tally.finished > 200 && good.tally.taken > 10,
+        good.call_counts.finished > 200 && good.call_counts.accepted > 10,
         "{:?}",
-        good.tally
+        good.call_counts
     );
-    let bad = badday::play(&script, &Program::lab(Path::new(LAB), "naive"), 3).unwrap();
-    let rules: std::collections::BTreeSet<Rule> = bad.broken.iter().map(|broken| broken.rule).collect();
+    let bad =
+        scenario_runner::run(&script, &GatewayProgram::lab_command(Path::new(LAB), "naive"), 3).unwrap();
+    let rules: std::collections::BTreeSet<Rule> = bad.violations.iter().map(|broken| broken.rule).collect();
     assert!(
-        rules.contains(&Rule::EffectTwice) && rules.contains(&Rule::TwoAtOnce),
+        rules.contains(&Rule::DuplicateEffect) && rules.contains(&Rule::ConcurrentAttempts),
         "{rules:?}"
     );
-    assert!(!audit(&bad.lines, &bad.terms).is_empty());
+    assert!(!audit(&bad.lines, &bad.guarantees).is_empty());
 }
 
 #[test]
@@ -1162,7 +1171,7 @@
         errors: 1.0,
         ..Faults::default()
     });
-    stage.workers[0].tell(Command::Crash);
+    stage.workers[0].send(Command::Crash);
     let first = stage.gateway_with(&gateway, &more);
     for key in ["pay", "echo"] {
         assert_eq!(
@@ -1173,7 +1182,7 @@
     drop(first);
     copied(&store, &copy);
     stage.all(&Faults::default());
-    stage.workers[0].tell(Command::Start);
+    stage.workers[0].send(Command::Start);
     let second = stage.gateway_with(&gateway, &more);
     stage.wait("both", |_| {
         (stage.came("pay") == 1 && stage.came("echo") == 1).then_some(())
@@ -1260,7 +1269,7 @@
         .collect();
     let of = first.clone();
     let discovery = spawn(any(), move |handle, _| {
-        Discovery::new(handle, of, Duration::ZERO, None)
+        FakeDiscovery::new(handle, of, Duration::ZERO, None)
     })
     .unwrap();
     let state = stage.folder.path().join("state");
@@ -1282,7 +1291,7 @@
     // All but one have not come back; their processes are left over here, and would answer.
     let gone = quartzdrift_scheduler::interface::EndpointState::Gone;
     first[1..].iter().for_each(|one| {
-        discovery.tell(discovery::Command::Set(DiscoveredEndpoint {
+        discovery.send(discovery::Command::UpdateEndpoint(DiscoveredEndpoint {
             state: gone,
             ..one.clone()
         }))
--- a/crates/quartzdrift-lab/tests/outage/fleet.rs
+++ b/crates/quartzdrift-lab/tests/outage/fleet.rs
@@ -4,8 +4,8 @@
 use super::judge::{self, Drain, Report, Seen};
 use super::stalls::StallMeter;
 use super::worker::{Phase, Worker};
-use quartzdrift_lab::badday::listens_at;
 use quartzdrift_lab::platform::Frontend;
+use quartzdrift_lab::scenario_runner::read_listen_address;
 use quartzdrift_lab::stage::{check, config, scheduler, signal, target};
 use std::io::BufReader;
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
             .spawn()
             .expect("the scheduler starts");
         let mut output = BufReader::new(child.stdout.take().expect("its output"));
-        let at = listens_at(&mut output).expect("the scheduler says where it listens");
+        let at = read_listen_address(&mut output).expect("the scheduler says where it listens");
         Scheduler { child, at, file }
     }
 
--- a/crates/quartzdrift-lab/tests/recovery.rs
+++ b/crates/quartzdrift-lab/tests/recovery.rs
@@ -1,9 +1,9 @@
 //! Fleets of gateway processes that lose power, parts or pieces of their state, with faults between them. The auditor judges
 //! each day by what passed on the sockets; what each gateway took its start for is read from its own state.
-use quartzdrift_lab::badday::{Day, Program, play};
-use quartzdrift_lab::losses;
+use quartzdrift_lab::power_loss;
 use quartzdrift_lab::record::Seen;
-use quartzdrift_lab::script;
+use quartzdrift_lab::scenario;
+use quartzdrift_lab::scenario_runner::{GatewayProgram, ScenarioRun, run};
 use quartzdrift_recovery::{DiskState, RecoveryPhase, RestartKind};
 use std::path::Path;
 
@@ -21,24 +21,24 @@
 workload once run-once rate=10 work=20ms limit=2s functions=1 memory=60 load=100ms lanes=2 deferred
 ";
 
-fn played(faults: &str, seed: u64) -> Day {
-    let script = script::read(&format!("{FLEET}\n{faults}")).unwrap();
+fn played(faults: &str, seed: u64) -> ScenarioRun {
+    let script = scenario::read(&format!("{FLEET}\n{faults}")).unwrap();
     let lab = Path::new(env!("CARGO_BIN_EXE_quartzdrift-lab"));
-    let day = play(&script, &Program::lab(lab, "gateway"), seed).unwrap();
-    let (broken, views) = (&day.broken, &day.views);
+    let day = run(&script, &GatewayProgram::lab_command(lab, "gateway"), seed).unwrap();
+    let (broken, views) = (&day.violations, &day.recovery_views);
     assert!(broken.is_empty(), "{broken:?} {views:?}");
     day
 }
 
-fn kinds(day: &Day) -> Vec<Option<(RestartKind, DiskState)>> {
+fn kinds(day: &ScenarioRun) -> Vec<Option<(RestartKind, DiskState)>> {
     let verdict = |view: &Option<quartzdrift_recovery::RecoveryView>| {
         view.as_ref()?.classification.as_ref().map(|v| (v.kind, v.disk))
     };
-    day.views.iter().map(verdict).collect()
+    day.recovery_views.iter().map(verdict).collect()
 }
 
 /// Calls that finished after the moment, in seconds.
-fn finished_after(day: &Day, from: f64) -> usize {
+fn finished_after(day: &ScenarioRun, from: f64) -> usize {
     let late = |at_us: u64| at_us as f64 / 1e6 >= from;
     let of = |seen: &Seen| {
         matches!(
@@ -66,12 +66,12 @@
     let lost = Some((RestartKind::MassFailure, DiskState::Intact));
     assert_eq!(kinds(&day), [lost, lost, lost, lost, None], "one never came back");
     assert!(
-        day.views
+        day.recovery_views
             .iter()
             .flatten()
             .all(|view| view.phase == RecoveryPhase::FullService),
         "{:?}",
-        day.views
+        day.recovery_views
     );
     assert!(finished_after(&day, 6.0) > 100);
 }
@@ -143,7 +143,7 @@
     );
     assert!(finished_after(&day, 4.0) > 150);
     assert!(
-        day.views
+        day.recovery_views
             .iter()
             .flatten()
             .all(|view| view.phase == RecoveryPhase::FullService)
@@ -205,7 +205,7 @@
         "gateways 3\nlength 6s\nat 2s kill gateway 1\nat 2100ms spoil gateway 1 full\nat 2200ms start gateway 1",
         9,
     );
-    assert_eq!(day.views[1], None, "it says what is wrong, and ends");
+    assert_eq!(day.recovery_views[1], None, "it says what is wrong, and ends");
     assert!(finished_after(&day, 3.0) > 80, "the others serve on");
 }
 
@@ -219,16 +219,21 @@
 workload quote restartable rate=150 work=5ms limit=2s functions=40 memory=60 load=200ms lanes=2
 ";
 
-fn crowded(faults: &str, seed: u64) -> Day {
-    let script = script::read(&format!("{CROWDED}\n{faults}")).unwrap();
+fn crowded(faults: &str, seed: u64) -> ScenarioRun {
+    let script = scenario::read(&format!("{CROWDED}\n{faults}")).unwrap();
     let lab = Path::new(env!("CARGO_BIN_EXE_quartzdrift-lab"));
-    let day = play(&script, &Program::lab(lab, "gateway"), seed).unwrap();
-    assert!(day.broken.is_empty(), "{:?} {:?}", day.broken, day.views);
+    let day = run(&script, &GatewayProgram::lab_command(lab, "gateway"), seed).unwrap();
+    assert!(
+        day.violations.is_empty(),
+        "{:?} {:?}",
+        day.violations,
+        day.recovery_views
+    );
     day
 }
 
 /// Fetches after the moment in seconds, and how many of them the store turned away.
-fn fetches_after(day: &Day, from: f64) -> (usize, usize) {
+fn fetches_after(day: &ScenarioRun, from: f64) -> (usize, usize) {
     let late = day.lines.iter().filter(|line| line.at_us as f64 / 1e6 >= from);
     let count = |of: fn(&Seen) -> bool| late.clone().filter(|line| of(&line.seen)).count();
     let refused = count(|seen| matches!(seen, Seen::FetchRefused { .. }));
@@ -257,12 +262,12 @@
     );
     assert!(finished_after(&day, 11.0) > 300, "service is back");
     assert!(
-        day.views
+        day.recovery_views
             .iter()
             .flatten()
             .all(|view| view.phase == RecoveryPhase::FullService),
         "{:?}",
-        day.views
+        day.recovery_views
     );
 }
 
@@ -286,11 +291,11 @@
 
 #[test]
 fn drawn_days_of_power_loss_keep_every_rule() {
-    let program = Program::lab(Path::new(env!("CARGO_BIN_EXE_quartzdrift-lab")), "gateway");
-    let bad = losses::play(1..11, 5, &program, |_, _| {});
+    let program = GatewayProgram::lab_command(Path::new(env!("CARGO_BIN_EXE_quartzdrift-lab")), "gateway");
+    let bad = power_loss::run_seeds(1..11, 5, &program, |_, _| {});
     let told: Vec<String> = bad
         .iter()
-        .map(|bad| format!("seed {}: {}", bad.seed, bad.what))
+        .map(|bad| format!("seed {}: {}", bad.seed, bad.reason))
         .collect();
     assert!(told.is_empty(), "{told:?}");
 }
--- a/crates/quartzdrift-lab/tests/stored.rs
+++ b/crates/quartzdrift-lab/tests/stored.rs
@@ -1,5 +1,5 @@
 //! Traces, scenarios and experiments of earlier releases are read, and mean the same.
-use quartzdrift_lab::{experiment, script, traffic};
+use quartzdrift_lab::{experiment, scenario, traffic};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -22,7 +22,7 @@
     let mut read = 0;
     for file in fs::read_dir(folder("days")).unwrap() {
         let text = fs::read_to_string(file.unwrap().path()).unwrap();
-        let script = script::read(&text).unwrap();
+        let script = scenario::read(&text).unwrap();
         assert!(!script.request_classes.is_empty());
         read += 1;
     }
--- a/crates/quartzdrift-lab/tests/wire.rs
+++ b/crates/quartzdrift-lab/tests/wire.rs
@@ -1,6 +1,6 @@
 //! What passes on the sockets of both programs, byte for byte but for what is drawn or measured anew in each run: those
 //! places are replaced by words in angle brackets. A change of names or structure must not move a byte.
-use quartzdrift_lab::badday::listens_at;
+use quartzdrift_lab::scenario_runner::read_listen_address;
 use quartzdrift_lab::stage::scheduler;
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -24,7 +24,7 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        let at = listens_at(&mut BufReader::new(child.stdout.take().unwrap())).unwrap();
+        let at = read_listen_address(&mut BufReader::new(child.stdout.take().unwrap())).unwrap();
         Process { child, at }
     }
 
