--- a/crates/quartzdrift-lab/src/cluster_harness.rs
+++ b/crates/quartzdrift-lab/src/cluster_harness.rs
@@ -2,8 +2,8 @@
 //!
 //! [`ClusterHarness`] starts the process with a fake coordinator and fake workers, and tests send requests
 //! through [`Frontend`] connections.
-use crate::badday::listens_at;
 use crate::platform::{Coordinator, Frontend, ReceivedCommand, Reply, RequestFields, Worker};
+use crate::scenario_runner::read_listen_address;
 use std::io::{self, BufReader, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -100,7 +100,7 @@
     let log = std::fs::File::create(file.with_extension("log")).expect("the log file is created");
     let mut child = command.stderr(log).spawn().expect("the scheduler starts");
     let mut stdout = BufReader::new(child.stdout.take().expect("stdout is piped"));
-    let address = listens_at(&mut stdout).expect("the scheduler prints its address");
+    let address = read_listen_address(&mut stdout).expect("the scheduler prints its address");
     (child, stdout, address)
 }
 
--- a/crates/quartzdrift-lab/src/simulation/faults.rs
+++ b/crates/quartzdrift-lab/src/simulation/faults.rs
@@ -37,7 +37,11 @@
                     .max_overload_share
                     .max(self.workers[w].model.max_overload_share);
                 let worker = &mut self.workers[w];
-                worker.model = WorkerModel::new(worker_spec.clone(), badday::specs(self.scenario), self.now);
+                worker.model = WorkerModel::new(
+                    worker_spec.clone(),
+                    scenario_runner::function_specs(self.scenario),
+                    self.now,
+                );
                 (worker.up, worker.faults) = (true, Faults::default());
                 self.set_endpoint_state(w, EndpointState::Up);
             }
--- a/crates/quartzdrift-lab/src/simulation/mod.rs
+++ b/crates/quartzdrift-lab/src/simulation/mod.rs
@@ -14,8 +14,8 @@
 mod schedulers;
 mod workers;
 
-use crate::badday;
-use crate::script::{Fault, Script};
+use crate::scenario::{Fault, Scenario};
+use crate::scenario_runner;
 use crate::store;
 use crate::traffic::{self, Arrival};
 use crate::worker::Faults;
@@ -323,7 +323,7 @@
 }
 
 struct Simulation<'a> {
-    scenario: &'a Script,
+    scenario: &'a Scenario,
     variant: &'a Variant,
     arrivals: &'a [Arrival],
     settings: Settings,
@@ -373,13 +373,14 @@
 }
 
 /// Returns the settings of the scheduler with number `scheduler_number`.
-pub fn scheduler_settings(scenario: &Script, variant: &Variant, scheduler_number: usize) -> Settings {
-    let request_class = |class: &crate::script::RequestClass| RequestClass {
+pub fn scheduler_settings(scenario: &Scenario, variant: &Variant, scheduler_number: usize) -> Settings {
+    let request_class = |class: &crate::scenario::RequestClass| RequestClass {
         name: class.name.clone(),
         idempotency: class.idempotency,
-        timeout: Some(class.limit),
+        timeout: Some(class.time_limit),
         latency_objective: Some(class.latency_objective),
-        deduplication_window: (class.idempotency == Idempotency::IdempotentWithKey).then_some(class.window),
+        deduplication_window: (class.idempotency == Idempotency::IdempotentWithKey)
+            .then_some(class.deduplication_window),
         ..RequestClass::default()
     };
     let has_overload_bound = scenario.fall_multiple > 0.0;
@@ -411,7 +412,7 @@
             load_commands: variant.forecasting != Forecasting::Off,
             reports_cache_status: true,
             reports_concurrency: true,
-            keep_alive: Some(scenario.keep),
+            keep_alive: Some(scenario.keep_loaded),
             memory_mb_by_kind: vec![scenario.memory_mb],
             idle_memory_price: Some(variant.idle_memory_price),
             load_quota_burst: (variant.load_quota_window_s > 0.0).then_some(variant.load_quota_burst),
@@ -431,12 +432,12 @@
 }
 
 /// Runs a scenario with the given arrivals. The seed determines every random draw except the traffic's.
-pub fn run(scenario: &Script, arrivals: &[Arrival], variant: &Variant, seed: u64) -> Figures {
-    let worker_spec = badday::machine(scenario);
+pub fn run(scenario: &Scenario, arrivals: &[Arrival], variant: &Variant, seed: u64) -> Figures {
+    let worker_spec = scenario_runner::worker_machine(scenario);
     let worker_names: Vec<String> = (0..scenario.workers)
         .map(|n| format!("10.0.{}.{}:80", n / 250, n % 250))
         .collect();
-    let function_specs = badday::specs(scenario);
+    let function_specs = scenario_runner::function_specs(scenario);
     let without_slow_start = WorkerSpec {
         slow_start_duration: Duration::ZERO,
         ..worker_spec.clone()
@@ -466,12 +467,12 @@
         workers_by_name: worker_names.iter().cloned().zip(0..).collect(),
         worker_names,
         schedulers: Vec::new(),
-        store: store::StoreModel::new(badday::store_config(scenario)),
+        store: store::StoreModel::new(scenario_runner::store_config(scenario)),
         store_wakeup: None,
         fetches: BTreeMap::new(),
         cancelled_calls: BTreeSet::new(),
         endpoints: vec![(EndpointState::Up, None); scenario.workers],
-        discovery_lag: scenario.lag,
+        discovery_lag: scenario.discovery_lag,
         discovery_stopped: false,
         figures: Figures::default(),
         wait_times_ms: Vec::new(),
@@ -747,11 +748,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::script;
+    use crate::scenario;
 
     /// A scenario with worker, gateway and deployment faults.
-    fn scenario() -> Script {
-        script::read(
+    fn scenario() -> Scenario {
+        scenario::read(
             "gateways 3\nworkers 6 cores=2 memory=1600 keep=5s cold=0.2 cold-for=3s fall=3 fall-window=1s\n\
              roster lag=300ms\nlength 180s\n\
              workload quote restartable rate=60 work=10ms limit=2s functions=8 memory=150 load=300ms lanes=2\n\
--- a/crates/quartzdrift-lab/src/simulation/power_loss.rs
+++ b/crates/quartzdrift-lab/src/simulation/power_loss.rs
@@ -2,7 +2,7 @@
 //! sets.
 use super::membership::{BASELINE_WINDOW, MAX_RECOVERY_TIME, RECOVERED_SHARE, SHARE_STEP, SHARE_WINDOW};
 use super::{START, Simulation};
-use crate::badday;
+use crate::scenario_runner;
 use crate::traffic::{self, Arrival};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -121,7 +121,7 @@
         let total: usize = requests.values().map(|(count, _)| count).sum();
         let mut by_count: Vec<(usize, usize)> = requests.into_values().collect();
         by_count.sort_by_key(|(count, _)| Reverse(*count));
-        let specs = badday::specs(self.scenario);
+        let specs = scenario_runner::function_specs(self.scenario);
         let (mut covered, mut fetch_time, mut start_time) = (0, Duration::ZERO, Duration::ZERO);
         for (count, request_class) in by_count {
             if covered as f64 >= RECOVERED_SHARE * total as f64 {
--- a/crates/quartzdrift-lab/src/simulation/schedulers.rs
+++ b/crates/quartzdrift-lab/src/simulation/schedulers.rs
@@ -36,7 +36,7 @@
     fn new_prefetch_planner(&self, s: usize) -> PrefetchPlanner {
         let seasons = self.variant.seasons_s.iter();
         let settings = ForecastSettings {
-            keep_alive: self.scenario.keep,
+            keep_alive: self.scenario.keep_loaded,
             seasons: seasons.map(|seconds| Duration::from_secs_f64(*seconds)).collect(),
             ..ForecastSettings::default()
         };
@@ -85,7 +85,7 @@
     /// Forecasts the use of one arrival and schedules the forecast of the next one.
     pub(super) fn send_perfect_forecast(&mut self, n: usize) {
         // The lead time is the same for all arrivals, so that their forecasts keep the order of the arrivals.
-        let load_times = self.scenario.request_classes.iter().map(|class| class.load);
+        let load_times = self.scenario.request_classes.iter().map(|class| class.load_time);
         let longest_load = load_times.max().unwrap_or_default();
         let lead_time = longest_load.mul_f64(PERFECT_FORECAST_LOAD_TIMES);
         if let Some(next) = self.arrivals.get(n + 1) {
@@ -99,7 +99,7 @@
         let request_class = &self.scenario.request_classes[arrival.request_class];
         if let Some(request_table) = &mut self.schedulers[s].request_table {
             let usage_forecast = UsageForecast {
-                horizon: lead_time.max(self.scenario.keep / 2),
+                horizon: lead_time.max(self.scenario.keep_loaded / 2),
                 ..certain_use(&arrival.function, arrival.request_class, request_class)
             };
             request_table.forecast(self.now, usage_forecast);
@@ -314,7 +314,7 @@
 fn certain_use<'a>(
     function: &'a str,
     n: usize,
-    request_class: &crate::script::RequestClass,
+    request_class: &crate::scenario::RequestClass,
 ) -> UsageForecast<'a> {
     UsageForecast {
         function,
@@ -324,6 +324,6 @@
         requests_per_second: None,
         memory_mb: Some(request_class.memory_mb),
         concurrency_slots: Some(request_class.slots as f64),
-        load_hint: Some(request_class.load),
+        load_hint: Some(request_class.load_time),
     }
 }
--- a/crates/quartzdrift-lab/tests/outage/fleet.rs
+++ b/crates/quartzdrift-lab/tests/outage/fleet.rs
@@ -4,11 +4,11 @@
 use super::judge::{self, Drain, Report, Seen};
 use super::stalls::StallMeter;
 use super::worker::{Phase, Worker};
-use quartzdrift_lab::badday::listens_at;
 use quartzdrift_lab::cluster_harness::{
     check_status, config_json, endpoint_json, scheduler_command, send_signal,
 };
 use quartzdrift_lab::platform::Frontend;
+use quartzdrift_lab::scenario_runner::read_listen_address;
 use std::io::BufReader;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -75,7 +75,7 @@
             .spawn()
             .expect("the scheduler starts");
         let mut output = BufReader::new(child.stdout.take().expect("its output"));
-        let at = listens_at(&mut output).expect("the scheduler says where it listens");
+        let at = read_listen_address(&mut output).expect("the scheduler says where it listens");
         Scheduler { child, at, file }
     }
 
