--- a/crates/quartzdrift-lab/src/clients.rs
+++ b/crates/quartzdrift-lab/src/clients.rs
@@ -1,8 +1,8 @@
 //! Clients of a day: they call gateways at random moments, wait no longer than their limit, sometimes hang up, and
 //! come back where they were rejected or found nobody, as client libraries do.
 use crate::actor::Fake;
-use crate::record::{Recorder, Seen};
-use crate::script::RequestClass;
+use crate::record::{Observation, Recorder};
+use crate::scenario::RequestClass;
 use crate::traffic::{self, Arrival};
 use calloop::LoopHandle;
 use quartzdrift_http::{
@@ -23,7 +23,7 @@
 
 pub enum Command {
     /// No new calls from now on; repeats go on.
-    Enough,
+    StopArrivals,
 }
 
 /// What clients ask for.
@@ -33,18 +33,18 @@
     /// Draws who hangs up and how long is waited.
     pub seed: u64,
     /// Repeats of a call that was rejected or found nobody, and the least part of the time told after which it comes again.
-    pub repeats: u32,
-    pub haste: f64,
+    pub max_retries: u32,
+    pub retry_wait_factor: f64,
 }
 
 /// What came of all calls, for the last word.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    pub asked: u64,
+pub struct CallCounts {
+    pub sent: u64,
     pub finished: u64,
     pub rejected: u64,
     pub killed: u64,
-    pub taken: u64,
+    pub accepted: u64,
     pub other: u64,
     pub no_answer: u64,
 }
@@ -75,10 +75,10 @@
     later: Vec<(Duration, Try)>,
     chance: StdRng,
     drawn: u64,
-    repeats: u32,
-    haste: f64,
+    max_retries: u32,
+    retry_wait_factor: f64,
     open: Arc<AtomicU64>,
-    tally: Arc<Mutex<Tally>>,
+    tally: Arc<Mutex<CallCounts>>,
 }
 
 impl HasHttp for Clients {
@@ -94,14 +94,14 @@
         gateways: Vec<SocketAddr>,
         plan: Plan,
         open: Arc<AtomicU64>,
-        tally: Arc<Mutex<Tally>>,
+        tally: Arc<Mutex<CallCounts>>,
     ) -> Clients {
         let Plan {
             request_classes,
             arrivals,
             seed,
-            repeats,
-            haste,
+            max_retries,
+            retry_wait_factor,
         } = plan;
         Clients {
             http: Http::new(
@@ -121,14 +121,14 @@
             later: Vec::new(),
             chance: StdRng::seed_from_u64(seed),
             drawn: 0,
-            repeats,
-            haste,
+            max_retries,
+            retry_wait_factor,
             open,
             tally,
         }
     }
 
-    fn count(&self, of: impl FnOnce(&mut Tally)) {
+    fn count(&self, of: impl FnOnce(&mut CallCounts)) {
         of(&mut self.tally.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
@@ -140,10 +140,10 @@
         } = arrival;
         let of = &self.request_classes[request_class];
         let function = arrival.function.clone();
-        let hangs_up = self.chance.random_range(0.0..1.0) < of.hang_up;
+        let hangs_up = self.chance.random_range(0.0..1.0) < of.hang_up_share;
         self.drawn += 1;
         let key = format!("{}-{}", of.name, self.drawn);
-        let gateway = arrival.gateway_of(self.gateways.len());
+        let gateway = arrival.gateway_index(self.gateways.len());
         let (repeats, until, call, first) = (0, Duration::ZERO, 0, now);
         self.send(
             Try {
@@ -175,7 +175,7 @@
         }
         let request = OutgoingRequest {
             method: "POST",
-            target: request::target(&of.function),
+            target: request::invoke_target(&of.function),
             headers,
             body: payload.into_bytes().into(),
             connect_timeout: Duration::from_secs(1),
@@ -184,18 +184,22 @@
         self.drawn += 1;
         of.call = self.drawn;
         of.until = match of.hangs_up {
-            true => now + request_class.limit.mul_f64(self.chance.random_range(0.0..0.2)),
-            false => now + request_class.limit + LISTEN_ON,
+            true => {
+                now + request_class
+                    .time_limit
+                    .mul_f64(self.chance.random_range(0.0..0.2))
+            }
+            false => now + request_class.time_limit + LISTEN_ON,
         };
-        self.recorder.see(Seen::Asked {
+        self.recorder.record(Observation::CallSent {
             call: of.call,
             gateway: of.gateway as u64,
             key: of.key.clone(),
             request_class: request_class.name.clone(),
             asynchronous: request_class.asynchronous,
-            limit_us: request_class.limit.as_micros() as u64,
+            limit_us: request_class.time_limit.as_micros() as u64,
         });
-        self.count(|tally| tally.asked += 1);
+        self.count(|tally| tally.sent += 1);
         let call = self.http.call(self.gateways[of.gateway], request);
         self.open.fetch_add(1, Ordering::Relaxed);
         self.out.insert(call, of);
@@ -204,10 +208,10 @@
     fn again(&mut self, mut of: Try, after: Duration) {
         // Workers know a repeat for a while only: a try that could run later than that is not made.
         let request_class = &self.request_classes[of.request_class];
-        let over = self.recorder.now() + after + request_class.limit;
+        let over = self.recorder.now() + after + request_class.time_limit;
         let knows = request_class.idempotency != Idempotency::IdempotentWithKey
-            || over < of.first + request_class.window;
-        if of.repeats < self.repeats && knows {
+            || over < of.first + request_class.deduplication_window;
+        if of.repeats < self.max_retries && knows {
             of.repeats += 1;
             of.gateway = (of.gateway + 1) % self.gateways.len();
             self.open.fetch_add(1, Ordering::Relaxed);
@@ -219,7 +223,7 @@
         let function_error = answer.headers.get("x-amz-function-error").is_some();
         let killed = function_error && answer.body.windows(11).any(|part| part == b"Quartzdrift");
         let status = answer.status;
-        self.recorder.see(Seen::Answered {
+        self.recorder.record(Observation::ResponseReceived {
             call: of.call,
             status,
             killed,
@@ -228,7 +232,7 @@
         self.count(|tally| match status {
             200 if killed => tally.killed += 1,
             200 => tally.finished += 1,
-            202 => tally.taken += 1,
+            202 => tally.accepted += 1,
             429 => tally.rejected += 1,
             _ => tally.other += 1,
         });
@@ -238,7 +242,7 @@
                 .get("x-quartzdrift-come-back-ms")
                 .and_then(|ms| ms.parse().ok());
             let told = Duration::from_millis(told.unwrap_or(100));
-            let wait = told.mul_f64(self.haste * self.chance.random_range(1.0..2.0));
+            let wait = told.mul_f64(self.retry_wait_factor * self.chance.random_range(1.0..2.0));
             self.again(of, wait);
         }
     }
@@ -247,7 +251,7 @@
 impl Fake for Clients {
     type Command = Command;
 
-    fn event(&mut self, event: HttpEvent) {
+    fn handle_event(&mut self, event: HttpEvent) {
         match event {
             HttpEvent::Response { call, response } => {
                 let Some(of) = self.out.remove(&call) else { return };
@@ -256,7 +260,8 @@
             }
             HttpEvent::CallFailed { call, failure } => {
                 let Some(of) = self.out.remove(&call) else { return };
-                self.recorder.see(Seen::Cut { call: of.call });
+                self.recorder
+                    .record(Observation::ConnectionLost { call: of.call });
                 self.count(|tally| tally.no_answer += 1);
                 // Nobody was there: the call never reached a gateway, so that trying another is harmless.
                 if failure == CallFailure::Connect {
@@ -271,9 +276,9 @@
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
-            Command::Enough => self.next = self.arrivals.len(),
+            Command::StopArrivals => self.next = self.arrivals.len(),
         }
     }
 
@@ -281,18 +286,18 @@
         let arrivals = self
             .arrivals
             .get(self.next)
-            .map(|arrival| self.start + traffic::at(arrival))
+            .map(|arrival| self.start + traffic::arrival_time(arrival))
             .into_iter();
         let later = self.later.iter().map(|(at, _)| *at);
         let until = self.out.values().map(|of| of.until);
         arrivals.chain(later).chain(until).min()
     }
 
-    fn due(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         while let Some(arrival) = self
             .arrivals
             .get(self.next)
-            .filter(|a| self.start + traffic::at(a) <= now)
+            .filter(|a| self.start + traffic::arrival_time(a) <= now)
         {
             let arrival = arrival.clone();
             self.next += 1;
@@ -315,7 +320,8 @@
         for call in over {
             if let Some(of) = self.out.remove(&call) {
                 self.http.cancel(call);
-                self.recorder.see(Seen::Left { call: of.call });
+                self.recorder
+                    .record(Observation::ClientDisconnected { call: of.call });
                 self.count(|tally| tally.no_answer += 1);
                 self.open.fetch_sub(1, Ordering::Relaxed);
             }
--- a/crates/quartzdrift-lab/src/experiment.rs
+++ b/crates/quartzdrift-lab/src/experiment.rs
@@ -2,7 +2,7 @@
 //!
 //! The results are a table of means with confidence intervals, CSV, JSON and plots. The same file gives the
 //! same bytes.
-use crate::script::{self, Script};
+use crate::scenario::{self, Scenario};
 use crate::simulation::{self, Figures, Variant};
 use crate::traffic;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -63,7 +63,7 @@
 }
 
 /// Parses an experiment file, and its scenarios in their order.
-pub fn parse(text: &str) -> Result<(Experiment, Vec<Script>), String> {
+pub fn parse(text: &str) -> Result<(Experiment, Vec<Scenario>), String> {
     let experiment: Experiment = toml::from_str(text).map_err(|e| e.to_string())?;
     let (scenarios, variants) = (experiment.scenarios.len(), experiment.variants.len());
     if experiment.seeds < MIN_SEEDS || variants == 0 || scenarios == 0 {
@@ -76,14 +76,14 @@
     let scripts = experiment
         .scenarios
         .iter()
-        .map(|entry| script::read(&entry.script).map_err(|error| format!("day '{}': {error}", entry.name)))
+        .map(|entry| scenario::read(&entry.script).map_err(|error| format!("day '{}': {error}", entry.name)))
         .collect::<Result<Vec<_>, _>>()?;
     Ok((experiment, scripts))
 }
 
 /// Runs all scenarios, variants and seeds on all cores and returns the rows in that order; `show_progress`
 /// draws a progress bar.
-pub fn run(experiment: &Experiment, scenarios: &[Script], show_progress: bool) -> Vec<Row> {
+pub fn run(experiment: &Experiment, scenarios: &[Scenario], show_progress: bool) -> Vec<Row> {
     let mut plan = Vec::new();
     for scenario in 0..experiment.scenarios.len() {
         for variant in 0..experiment.variants.len() {
@@ -108,7 +108,7 @@
                     let Some(&(scenario, variant, seed)) = plan.get(index) else {
                         return;
                     };
-                    let arrivals = traffic::arrivals(&scenarios[scenario], seed);
+                    let arrivals = traffic::generate_arrivals(&scenarios[scenario], seed);
                     let named_variant = &experiment.variants[variant];
                     let figures =
                         simulation::run(&scenarios[scenario], &arrivals, &named_variant.variant, seed);
--- a/crates/quartzdrift-lab/src/simulation/clients.rs
+++ b/crates/quartzdrift-lab/src/simulation/clients.rs
@@ -13,12 +13,12 @@
     /// Starts the client of an arrival and schedules the next arrival.
     pub(super) fn client_arrived(&mut self, n: usize) {
         if let Some(next) = self.arrivals.get(n + 1) {
-            self.schedule(START + traffic::at(next), Event::ClientArrival(n + 1));
+            self.schedule(START + traffic::arrival_time(next), Event::ClientArrival(n + 1));
         }
         let client = Client {
             arrival: n,
             retries: 0,
-            gateway: self.arrivals[n].gateway_of(self.schedulers.len()),
+            gateway: self.arrivals[n].gateway_index(self.schedulers.len()),
             first_sent_at: self.now,
             request_number: 0,
             awaits_response: false,
@@ -47,7 +47,7 @@
             return self.schedule_retry(client, RETRY_AFTER_GATEWAY_DOWN);
         }
         self.schedule(
-            self.now + request_class.limit + CLIENT_TIMEOUT_SLACK,
+            self.now + request_class.time_limit + CLIENT_TIMEOUT_SLACK,
             Event::ClientTimeout(client, request_number),
         );
         let (now, incarnation) = (self.now, self.schedulers[s].incarnation);
@@ -69,17 +69,17 @@
         let scheduler = &mut self.schedulers[s];
         scheduler.request_times.push(self.now);
         if let Some(planner) = &mut scheduler.prefetch_planner {
-            planner.record_use(self.now, &arrival.function, Some(request_class.load));
+            planner.record_use(self.now, &arrival.function, Some(request_class.load_time));
         }
         let new_request = NewRequest {
             request_class: arrival.request_class as u32,
             tenant: 0,
             function: Rc::from(arrival.function.as_str()),
-            time_left: request_class.limit,
+            time_left: request_class.time_limit,
             work_hint: None,
             memory_mb: Some(request_class.memory_mb),
             concurrency_slots: Some(request_class.slots as f64),
-            load_hint: Some(request_class.load),
+            load_hint: Some(request_class.load_time),
             is_retry: request_number > 1,
             has_side_effects: false,
             payload: client,
@@ -98,10 +98,10 @@
     fn schedule_retry(&mut self, client: usize, delay: Duration) {
         let failed = &mut self.clients[client];
         let request_class = &self.scenario.request_classes[self.arrivals[failed.arrival].request_class];
-        let latest_end = self.now + delay + request_class.limit;
+        let latest_end = self.now + delay + request_class.time_limit;
         let key_is_remembered = request_class.idempotency != Idempotency::IdempotentWithKey
-            || latest_end < failed.first_sent_at + request_class.window;
-        if failed.retries >= self.scenario.repeats || !key_is_remembered {
+            || latest_end < failed.first_sent_at + request_class.deduplication_window;
+        if failed.retries >= self.scenario.max_retries || !key_is_remembered {
             return;
         }
         failed.retries += 1;
@@ -158,7 +158,7 @@
                 self.figures.power_rejected += u64::from(self.power_loss.first_at.is_some());
                 let retry_after = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
                 let jitter = self.rng.random_range(1.0..2.0);
-                let delay = retry_after.mul_f64(self.scenario.haste * jitter);
+                let delay = retry_after.mul_f64(self.scenario.retry_wait_factor * jitter);
                 self.schedule_retry(client, delay);
             }
             FinalResponse::Failed { .. } => self.figures.failed += 1,
--- a/crates/quartzdrift-lab/src/simulation/faults.rs
+++ b/crates/quartzdrift-lab/src/simulation/faults.rs
@@ -38,7 +38,11 @@
                     .max_overload_share
                     .max(self.workers[w].model.max_overload_share);
                 let worker = &mut self.workers[w];
-                worker.model = WorkerModel::new(worker_spec.clone(), badday::specs(self.scenario), self.now);
+                worker.model = WorkerModel::new(
+                    worker_spec.clone(),
+                    scenario_runner::function_specs(self.scenario),
+                    self.now,
+                );
                 (worker.up, worker.faults) = (true, Faults::default());
                 self.set_endpoint_state(w, EndpointState::Up);
             }
@@ -55,10 +59,10 @@
                 }
                 self.process_worker_outputs(w);
             }
-            Fault::Errors(w, share) => self.workers[w].faults.errors = share,
-            Fault::Lose(w, share) => self.workers[w].faults.lost = share,
-            Fault::Slow(w, delay) => self.workers[w].faults.slow = delay,
-            Fault::Late(w, delay) => self.workers[w].faults.late_reports = delay,
+            Fault::Errors(w, share) => self.workers[w].faults.error_share = share,
+            Fault::Lose(w, share) => self.workers[w].faults.lost_response_share = share,
+            Fault::Slow(w, delay) => self.workers[w].faults.response_delay = delay,
+            Fault::Late(w, delay) => self.workers[w].faults.report_delay = delay,
             Fault::DiscoveryLag(lag) => self.discovery_lag = lag,
             Fault::DiscoveryStop(on) => {
                 self.discovery_stopped = on;
--- a/crates/quartzdrift-lab/src/simulation/membership.rs
+++ b/crates/quartzdrift-lab/src/simulation/membership.rs
@@ -350,13 +350,13 @@
         let gateways = self.schedulers.len();
         let first = self
             .arrivals
-            .partition_point(|arrival| START + crate::traffic::at(arrival) < from);
+            .partition_point(|arrival| START + crate::traffic::arrival_time(arrival) < from);
         let in_range = self.arrivals[first..]
             .iter()
             .enumerate()
-            .take_while(|(_, arrival)| START + crate::traffic::at(arrival) < to);
+            .take_while(|(_, arrival)| START + crate::traffic::arrival_time(arrival) < to);
         let at_scheduler =
-            in_range.filter(|(_, arrival)| s.is_none_or(|s| arrival.gateway_of(gateways) == s));
+            in_range.filter(|(_, arrival)| s.is_none_or(|s| arrival.gateway_index(gateways) == s));
         let (mut total, mut on_time) = (0u32, 0u32);
         for (n, _) in at_scheduler {
             total += 1;
--- a/crates/quartzdrift-lab/src/simulation/recovery.rs
+++ b/crates/quartzdrift-lab/src/simulation/recovery.rs
@@ -3,7 +3,7 @@
 //! A scheduler's disk is modelled as the checkpoint saved at its kill, which faults of the scenario may
 //! damage.
 use super::{START, Simulation};
-use crate::script::Spoil;
+use crate::scenario::StateDamage;
 use quartzdrift_recovery::{
     Checkpoint, ClockSample, DiskState, LoadResult, Recovery, RecoveryOutput, RecoverySettings, RestartKind,
     StartupEvidence,
@@ -132,21 +132,21 @@
     }
 
     /// Applies a disk fault to the saved checkpoint of a scheduler that is down.
-    pub(super) fn damage_disk(&mut self, s: usize, damage: Spoil) {
+    pub(super) fn damage_disk(&mut self, s: usize, damage: StateDamage) {
         let recovery = &mut self.schedulers[s].recovery;
         match damage {
-            Spoil::Cut | Spoil::Flip | Spoil::Unreadable => {
+            StateDamage::Cut | StateDamage::Flip | StateDamage::Unreadable => {
                 recovery.saved = None;
                 recovery.checkpoint_damaged = true;
             }
-            Spoil::Empty => recovery.saved = None,
-            Spoil::Older => recovery.saved = recovery.backup.clone(),
-            Spoil::Other => {
+            StateDamage::Empty => recovery.saved = None,
+            StateDamage::Older => recovery.saved = recovery.backup.clone(),
+            StateDamage::Other => {
                 if let Some((checkpoint, _)) = &mut recovery.saved {
                     checkpoint.name = "another".to_owned();
                 }
             }
-            Spoil::Full => recovery.disk_full = true,
+            StateDamage::Full => recovery.disk_full = true,
         }
     }
 
--- a/crates/quartzdrift-lab/src/simulation/workers.rs
+++ b/crates/quartzdrift-lab/src/simulation/workers.rs
@@ -15,7 +15,7 @@
         if worker.faults.silent || worker.faults.hang {
             return;
         }
-        if worker.faults.errors > 0.0 && self.rng.random_range(0.0..1.0) < worker.faults.errors {
+        if worker.faults.error_share > 0.0 && self.rng.random_range(0.0..1.0) < worker.faults.error_share {
             worker.calls.remove(&call);
             return self.end_attempt_without_response(key, Outcome::Error);
         }
@@ -63,10 +63,10 @@
             let load = worker.model.current_load();
             let fields = vec![Some(load.calls as f64), Some(load.unreclaimable_memory)];
             worker.load_reports.push((now, fields));
-            let oldest = now.saturating_sub(worker.faults.late_reports + REPORT_INTERVAL * 4);
+            let oldest = now.saturating_sub(worker.faults.report_delay + REPORT_INTERVAL * 4);
             worker.load_reports.retain(|(at, _)| *at >= oldest);
         }
-        let reported_at = now.saturating_sub(worker.faults.late_reports);
+        let reported_at = now.saturating_sub(worker.faults.report_delay);
         let report = worker
             .load_reports
             .iter()
@@ -173,7 +173,8 @@
             self.workers[w].calls.insert(call, key);
             return;
         }
-        let lost = faults.lost > 0.0 && self.rng.random_range(0.0..1.0) < faults.lost;
+        let lost =
+            faults.lost_response_share > 0.0 && self.rng.random_range(0.0..1.0) < faults.lost_response_share;
         let cache_result = match cache_outcome {
             CacheOutcome::Warm => CacheResult::Warm,
             CacheOutcome::StartedLoad => CacheResult::StartedLoad,
@@ -192,7 +193,7 @@
         };
         let latency = Duration::from_secs_f64(self.rng.random_range(0.0002..0.0006));
         self.schedule(
-            self.now + faults.slow + latency,
+            self.now + faults.response_delay + latency,
             Event::AttemptEnded {
                 scheduler,
                 incarnation,
--- a/crates/quartzdrift-lab/src/store.rs
+++ b/crates/quartzdrift-lab/src/store.rs
@@ -200,7 +200,7 @@
 impl Fake for FakeStore {
     type Command = Command;
 
-    fn event(&mut self, event: HttpEvent) {
+    fn handle_event(&mut self, event: HttpEvent) {
         let now = self.now();
         match event {
             HttpEvent::Request {
@@ -242,7 +242,7 @@
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         let now = self.now();
         self.model.advance(now);
         match command {
@@ -255,7 +255,7 @@
         self.model.next_due()
     }
 
-    fn due(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         for fetch in self.model.due(now) {
             if let Some(exchange) = self.open_fetches.remove(&fetch) {
                 self.respond(exchange, 200);
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -1,17 +1,17 @@
 //! A gateway process and fake workers on loopback: the hard cases, seen from the sockets.
 use quartzdrift::gateway::fleet::View;
-use quartzdrift::invoke::{Invoke, invoke};
+use quartzdrift::invoke::{InvokeRequest, invoke};
 use quartzdrift::snapshots;
 use quartzdrift_discovery::DiscoveredEndpoint;
 use quartzdrift_http::Response;
-use quartzdrift_lab::actor::{Running, spawn};
+use quartzdrift_lab::actor::{RunningFake, spawn};
 use quartzdrift_lab::audit::{Rule, audit};
-use quartzdrift_lab::badday::{self, Program, listens_at};
-use quartzdrift_lab::discovery::{self, Discovery};
+use quartzdrift_lab::cluster_harness::with_failing_system_calls;
+use quartzdrift_lab::discovery::{self, FakeDiscovery};
 use quartzdrift_lab::load;
-use quartzdrift_lab::record::{Recorder, Seen};
-use quartzdrift_lab::script;
-use quartzdrift_lab::stage::failing;
+use quartzdrift_lab::record::{Observation, Recorder};
+use quartzdrift_lab::scenario;
+use quartzdrift_lab::scenario_runner::{self, GatewayProgram, read_listen_address};
 use quartzdrift_lab::traffic::Arrival;
 use quartzdrift_lab::worker::{Command, Config, FakeWorker, Faults};
 use quartzdrift_lab::worker_model::WorkerSpec;
@@ -49,7 +49,7 @@
 
     /// One some of whose system calls fail, as strace(1) takes it after `inject=`.
     fn start_failing(file: &Path, failure: &str) -> Gateway {
-        let mut command = failing(LAB, &[failure]);
+        let mut command = with_failing_system_calls(LAB, &[failure]);
         command.arg("gateway").arg(file);
         Gateway::of(command)
     }
@@ -61,7 +61,7 @@
             .spawn()
             .unwrap();
         let mut out = BufReader::new(child.stdout.take().unwrap());
-        let at = listens_at(&mut out).expect("the gateway says where it listens");
+        let at = read_listen_address(&mut out).expect("the gateway says where it listens");
         Gateway { child, at, out }
     }
 
@@ -86,8 +86,8 @@
     fn call(&self, function: &str, payload: &str, asynchronous: bool) -> Response {
         let (to, function, payload) = (self.at, function.to_owned(), payload.as_bytes().to_vec());
         let timeout = Duration::from_secs(15);
-        invoke(&Invoke {
-            to,
+        invoke(&InvokeRequest {
+            gateway: to,
             function,
             payload,
             asynchronous,
@@ -115,7 +115,7 @@
 struct Stage {
     folder: tempfile::TempDir,
     recorder: Recorder,
-    workers: Vec<Running<Command>>,
+    workers: Vec<RunningFake<Command>>,
 }
 
 const REQUEST_CLASSES: &str = r#"
@@ -199,7 +199,7 @@
     }
 
     fn faults(&self, worker: usize, faults: Faults) {
-        self.workers[worker].tell(Command::Faults(faults));
+        self.workers[worker].send(Command::SetFaults(faults));
     }
 
     fn all(&self, faults: &Faults) {
@@ -218,10 +218,10 @@
     }
 
     /// Waits until the record shows what is asked for.
-    fn wait<T>(&self, what: &str, find: impl Fn(&[Seen]) -> Option<T>) -> T {
+    fn wait<T>(&self, what: &str, find: impl Fn(&[Observation]) -> Option<T>) -> T {
         let until = Instant::now() + Duration::from_secs(15);
         loop {
-            let seen: Vec<Seen> = self.recorder.lines().into_iter().map(|line| line.seen).collect();
+            let seen: Vec<Observation> = self.recorder.lines().into_iter().map(|line| line.seen).collect();
             if let Some(found) = find(&seen) {
                 return found;
             }
@@ -231,14 +231,16 @@
     }
 
     fn came(&self, key: &str) -> usize {
-        let of = |line: &quartzdrift_lab::record::Line| matches!(&line.seen, Seen::Came { key: of, .. } if of == key);
-        self.recorder.lines().iter().filter(|line| of(line)).count()
+        let has_key =
+            |seen: &Observation| matches!(seen, Observation::AttemptReceived { key: k, .. } if k == key);
+        let lines = self.recorder.lines();
+        lines.iter().filter(|line| has_key(&line.seen)).count()
     }
 }
 
-fn came(seen: &[Seen], wanted: &str) -> Option<String> {
-    seen.iter().find_map(|seen| match seen {
-        Seen::Came { key, worker, .. } if key == wanted => Some(worker.clone()),
+fn came(seen: &[Observation], wanted: &str) -> Option<String> {
+    seen.iter().find_map(|observation| match observation {
+        Observation::AttemptReceived { key, worker, .. } if key == wanted => Some(worker.clone()),
         _ => None,
     })
 }
@@ -312,7 +314,7 @@
             .unwrap();
         stage.faults(1 - crashed, Faults::default());
         stage.answers(1 - crashed);
-        stage.workers[crashed].tell(Command::Crash);
+        stage.workers[crashed].send(Command::Crash);
         let answer = request.join().unwrap();
         assert!(
             answer.status == 200 && function_error(&answer).is_none(),
@@ -337,7 +339,7 @@
         stage
             .workers
             .iter()
-            .for_each(|worker| worker.tell(Command::Crash));
+            .for_each(|worker| worker.send(Command::Crash));
         let answer = request.join().unwrap();
         assert_eq!((answer.status, function_error(&answer)), (200, Some("Unhandled")));
     });
@@ -355,8 +357,8 @@
     std::thread::scope(|scope| {
         let old = scope.spawn(|| gateway.invoke("pay", r#"{"key": "old"}"#));
         stage.wait("the old job", |seen| came(seen, "old"));
-        stage.workers[0].tell(Command::Crash);
-        stage.workers[0].tell(Command::Start);
+        stage.workers[0].send(Command::Crash);
+        stage.workers[0].send(Command::Start);
         let old = old.join().unwrap();
         assert!(String::from_utf8_lossy(&old.body).contains("Quartzdrift.Killed"));
     });
@@ -369,7 +371,7 @@
     let stage = Stage::new(2);
     let gateway = stage.gateway();
     stage.all(&Faults {
-        slow: 200 * MS,
+        response_delay: 200 * MS,
         ..Faults::default()
     });
     let body = r#"{"key": "left"}"#;
@@ -381,7 +383,7 @@
     stage.wait("the job", |seen| came(seen, "left"));
     drop(client);
     stage.wait("its end", |seen| {
-        let over = |seen: &&Seen| matches!(seen, Seen::Over { .. });
+        let over = |seen: &&Observation| matches!(seen, Observation::AttemptEnded { .. });
         seen.iter().find(over).map(drop)
     });
     assert_eq!(gateway.invoke("pay", r#"{"key": "next"}"#).status, 200);
@@ -395,7 +397,7 @@
     stage
         .workers
         .iter()
-        .for_each(|worker| worker.tell(Command::Crash));
+        .for_each(|worker| worker.send(Command::Crash));
     stage.wait("nobody there", |_| {
         TcpStream::connect(stage.workers[1].address)
             .is_err()
@@ -474,7 +476,7 @@
     stage.faults(
         0,
         Faults {
-            lost: 1.0,
+            lost_response_share: 1.0,
             ..Faults::default()
         },
     );
@@ -482,7 +484,7 @@
     stage.wait("the end of the doubtful job", |seen| {
         let over = seen
             .iter()
-            .filter(|seen| matches!(seen, Seen::Over { .. }))
+            .filter(|seen| matches!(seen, Observation::AttemptEnded { .. }))
             .count();
         came(seen, "doubt").filter(|_| over >= 2)
     });
@@ -511,7 +513,8 @@
     let timer = "[[timers]]\nname = \"tick\"\nfunction = \"echo\"\ncron = \"* * * * * *\"\npayload = '{\"key\": \"tick\"}'\n";
     let _gateway = stage.gateway_with("", timer);
     stage.wait("two firings", |seen| {
-        let fired = |seen: &&Seen| matches!(seen, Seen::Came { key, .. } if key == "tick");
+        let fired =
+            |seen: &&Observation| matches!(seen, Observation::AttemptReceived { key, .. } if key == "tick");
         (seen.iter().filter(fired).count() >= 2).then_some(())
     });
 }
@@ -528,21 +531,21 @@
         gateway: 0.0,
     };
     let plan = load::Plan {
-        to: vec![gateway.at],
+        addresses: vec![gateway.at],
         mix: Vec::new(),
-        rate: 0.0,
-        length: Duration::ZERO,
+        requests_per_s: 0.0,
+        duration: Duration::ZERO,
         payload: "{}".to_owned(),
         asynchronous: false,
-        out_most: 100,
+        max_in_flight: 100,
         timeout: Duration::from_secs(15),
-        even: false,
+        evenly_spaced: false,
         trace: Some((0..40).map(arrival).collect()),
         seed: 1,
     };
     let report = load::run(plan).unwrap();
     assert_eq!((report.count(), report.not_sent), (40, 0));
-    assert_eq!(report.times["finished"].len(), 40);
+    assert_eq!(report.latencies_us["finished"].len(), 40);
 }
 
 #[test]
@@ -584,7 +587,7 @@
     );
     std::fs::write(&file, text).unwrap();
     let mut gateway = Gateway::start(&file);
-    let ordered = |seen: &Seen| matches!(seen, Seen::Ordered { .. });
+    let ordered = |seen: &Observation| matches!(seen, Observation::LoadCommandReceived { .. });
     let start = Instant::now();
     let mut calls = 0;
     while !stage.recorder.lines().iter().any(|line| ordered(&line.seen)) {
@@ -601,7 +604,7 @@
         .unwrap();
     let again = quartzdrift_forecast::Forecasts::restore(Default::default(), &bytes, now).unwrap();
     assert_eq!(again.len(), 1);
-    let traced = quartzdrift_lab::traffic::read(&trace).unwrap();
+    let traced = quartzdrift_lab::traffic::read_trace(&trace).unwrap();
     assert!(traced.len() == calls as usize && traced.iter().all(|arrival| arrival.function == "echo"));
 }
 
@@ -611,7 +614,7 @@
     let mut gateway = stage.gateway_with("drain = \"5s\"", "");
     gateway.invoke("echo", "{}");
     stage.all(&Faults {
-        slow: 400 * MS,
+        response_delay: 400 * MS,
         ..Faults::default()
     });
     let body = r#"{"key": "held"}"#;
@@ -639,7 +642,7 @@
         .collect();
     let recorder = stage.recorder.clone();
     let discovery = spawn(any(), move |handle, _| {
-        Discovery::new(handle, first, Duration::ZERO, Some(recorder))
+        FakeDiscovery::new(handle, first, Duration::ZERO, Some(recorder))
     })
     .unwrap();
     let state = stage.folder.path().join("state");
@@ -656,9 +659,14 @@
         ..DiscoveredEndpoint::up(worker)
     };
     let draining = quartzdrift_scheduler::interface::EndpointState::Draining;
-    discovery.tell(discovery::Command::Set(state_of(&workers[0], draining)));
+    discovery.send(discovery::Command::UpdateEndpoint(state_of(
+        &workers[0],
+        draining,
+    )));
     stage.wait("the drain", |seen| {
-        seen.iter().find(|s| matches!(s, Seen::ToldAway { .. })).map(drop)
+        seen.iter()
+            .find(|s| matches!(s, Observation::EndpointDownSent { .. }))
+            .map(drop)
     });
     // The news is on the gateway's socket; give it the grace that the rule gives.
     std::thread::sleep(Duration::from_millis(250));
@@ -667,7 +675,7 @@
     }
     let lines = stage.recorder.lines();
     let after = lines.iter().filter_map(|line| match &line.seen {
-        Seen::Came { key, worker, .. } if key.starts_with("after-") => Some(worker.clone()),
+        Observation::AttemptReceived { key, worker, .. } if key.starts_with("after-") => Some(worker.clone()),
         _ => None,
     });
     assert!(after.clone().count() >= 30 && after.into_iter().all(|worker| worker == workers[1]));
@@ -693,7 +701,7 @@
             .map(|worker| DiscoveredEndpoint::up(&worker.address.to_string()))
             .collect();
         let discovery = spawn(any(), move |handle, _| {
-            Discovery::new(handle, first, Duration::ZERO, None)
+            FakeDiscovery::new(handle, first, Duration::ZERO, None)
         })
         .unwrap();
         let rules = lease.map_or(String::new(), |lease| {
@@ -739,21 +747,27 @@
         workload mail restartable deferred rate=10 work=5ms limit=1s load=50ms\n\
         length 4s\nat 1s crash worker 0\nat 1500ms start worker 0\nat 1s lose worker 1 0.4\nat 2s well worker 1\n\
         at 2s silent worker 2\nat 2500ms drain worker 3\nat 2500ms kill gateway 1\nat 3s start gateway 1\nat 3s well worker 2\n";
-    let script = script::read(day).unwrap();
-    let good = badday::play(&script, &Program::lab(Path::new(LAB), "gateway"), 3).unwrap();
-    assert_eq!(good.broken, [], "a rule was broken");
+    let script = scenario::read(day).unwrap();
+    let good = scenario_runner::run(
+        &script,
+        &GatewayProgram::lab_command(Path::new(LAB), "gateway"),
+        3,
+    )
+    .unwrap();
+    assert_eq!(good.violations, [], "a rule was broken");
     assert!(
-        good.tally.finished > 200 && good.tally.taken > 10,
+        good.call_counts.finished > 200 && good.call_counts.accepted > 10,
         "{:?}",
-        good.tally
+        good.call_counts
     );
-    let bad = badday::play(&script, &Program::lab(Path::new(LAB), "naive"), 3).unwrap();
-    let rules: std::collections::BTreeSet<Rule> = bad.broken.iter().map(|broken| broken.rule).collect();
+    let bad =
+        scenario_runner::run(&script, &GatewayProgram::lab_command(Path::new(LAB), "naive"), 3).unwrap();
+    let rules: std::collections::BTreeSet<Rule> = bad.violations.iter().map(|broken| broken.rule).collect();
     assert!(
-        rules.contains(&Rule::EffectTwice) && rules.contains(&Rule::TwoAtOnce),
+        rules.contains(&Rule::DuplicateEffect) && rules.contains(&Rule::ConcurrentAttempts),
         "{rules:?}"
     );
-    assert!(!audit(&bad.lines, &bad.terms).is_empty());
+    assert!(!audit(&bad.lines, &bad.guarantees).is_empty());
 }
 
 #[test]
@@ -885,8 +899,8 @@
             while !stop.load(std::sync::atomic::Ordering::Relaxed) {
                 let timeout = Duration::from_secs(15);
                 let payload = b"{\"work_ms\":2}".to_vec();
-                let call = Invoke {
-                    to: at,
+                let call = InvokeRequest {
+                    gateway: at,
                     function: "echo".to_owned(),
                     payload,
                     asynchronous: false,
@@ -1004,7 +1018,7 @@
     let store = stage.folder.path().join("deferred");
     let more = format!("[deferred]\nstore = \"{}\"\n", store.display());
     stage.all(&Faults {
-        errors: 1.0,
+        error_share: 1.0,
         ..Faults::default()
     });
     let mut gateway = stage.gateway_with("drain = \"200ms\"", &more);
@@ -1074,8 +1088,8 @@
     let payload = format!("{{\"key\":\"{mark}\"}}").into_bytes();
     let (function, idempotency_key) = ("stamp".to_owned(), Some(mark.to_owned()));
     let timeout = Duration::from_secs(15);
-    invoke(&Invoke {
-        to: gateway.at,
+    invoke(&InvokeRequest {
+        gateway: gateway.at,
         function,
         payload,
         asynchronous: false,
@@ -1159,10 +1173,10 @@
     };
     // Nothing is taken by the only worker: the request waits, and is copied as it waits.
     stage.all(&Faults {
-        errors: 1.0,
+        error_share: 1.0,
         ..Faults::default()
     });
-    stage.workers[0].tell(Command::Crash);
+    stage.workers[0].send(Command::Crash);
     let first = stage.gateway_with(&gateway, &more);
     for key in ["pay", "echo"] {
         assert_eq!(
@@ -1173,7 +1187,7 @@
     drop(first);
     copied(&store, &copy);
     stage.all(&Faults::default());
-    stage.workers[0].tell(Command::Start);
+    stage.workers[0].send(Command::Start);
     let second = stage.gateway_with(&gateway, &more);
     stage.wait("both", |_| {
         (stage.came("pay") == 1 && stage.came("echo") == 1).then_some(())
@@ -1260,7 +1274,7 @@
         .collect();
     let of = first.clone();
     let discovery = spawn(any(), move |handle, _| {
-        Discovery::new(handle, of, Duration::ZERO, None)
+        FakeDiscovery::new(handle, of, Duration::ZERO, None)
     })
     .unwrap();
     let state = stage.folder.path().join("state");
@@ -1282,7 +1296,7 @@
     // All but one have not come back; their processes are left over here, and would answer.
     let gone = quartzdrift_scheduler::interface::EndpointState::Gone;
     first[1..].iter().for_each(|one| {
-        discovery.tell(discovery::Command::Set(DiscoveredEndpoint {
+        discovery.send(discovery::Command::UpdateEndpoint(DiscoveredEndpoint {
             state: gone,
             ..one.clone()
         }))
@@ -1301,6 +1315,9 @@
         gateway.invoke("echo", &format!("{{\"key\": \"after-{n}\"}}"));
     }
     let lines = stage.recorder.lines();
-    let after = |seen: &Seen| matches!(seen, Seen::Came { key, worker, .. } if key.starts_with("after-") && *worker != workers[0]);
+    let after = |seen: &Observation| {
+        matches!(seen, Observation::AttemptReceived { key, worker, .. }
+            if key.starts_with("after-") && *worker != workers[0])
+    };
     assert!(!lines.iter().any(|line| after(&line.seen)));
 }
--- a/crates/quartzdrift/src/gateway/call_events.rs
+++ b/crates/quartzdrift/src/gateway/call_events.rs
@@ -34,7 +34,7 @@
             }
             Some(CallPurpose::HealthCheck { command }) => self.health_checked(command, &response),
             Some(CallPurpose::Load { command }) => {
-                let copies = models::read_replicas(&response.body).unwrap_or(0);
+                let copies = models::decode_replicas(&response.body).unwrap_or(0);
                 self.load_ended(command, outcome);
                 self.command_ended(command, outcome, copies, Vec::new());
             }
@@ -105,7 +105,7 @@
 
     /// A call ended without a complete response.
     pub(super) fn call_failed(&mut self, call: CallId, failure: CallFailure) {
-        let outcome = outcome::outcome(observed(failure));
+        let outcome = outcome::call_outcome(observed(failure));
         match self.calls.remove(&call) {
             Some(CallPurpose::Attempt(failed)) => self.attempt_failed(&failed, failure, outcome),
             Some(CallPurpose::HealthCheck { command } | CallPurpose::Load { command }) => {
@@ -143,11 +143,11 @@
         response: Option<Response>,
     ) {
         let report = response.as_ref().map(load_report).unwrap_or_default();
-        let cache_result = outcome::cache_result(&report);
+        let cache_result = outcome::reported_cache_result(&report);
         let result = AttemptResult {
             outcome,
             cache_result,
-            concurrency: outcome::concurrency(&report),
+            concurrency: outcome::reported_concurrency(&report),
             report: self.metrics(&report),
         };
         tracing::trace!(request, attempt, ?outcome, "attempt ended");
@@ -179,7 +179,7 @@
 
     /// The metrics of a load report that the settings name, in their order.
     fn metrics(&self, report: &LoadReport) -> Vec<Option<f64>> {
-        let names = &self.settings.metrics;
+        let names = &self.settings.report_metrics;
         names.iter().map(|name| report.get(name)).collect()
     }
 }
@@ -190,7 +190,7 @@
 }
 
 fn outcome(response: &Response) -> Outcome {
-    outcome::outcome(CallResult::Response {
+    outcome::call_outcome(CallResult::Response {
         status: response.status,
         error_type: response.headers.get("x-amzn-errortype"),
     })
