--- a/crates/quartzdrift-lab/src/load.rs
+++ b/crates/quartzdrift-lab/src/load.rs
@@ -1,5 +1,6 @@
-//! Drives the invoke API open-loop: calls leave at their moments whether or not earlier ones were answered, and
-//! each is timed from the moment it should have left, so that a slow answer does not hide the ones behind it.
+//! Open-loop load on the invoke API. Calls are sent at their scheduled times, whether or not earlier calls
+//! have been answered, and each latency counts from the scheduled time. A slow response therefore does not
+//! hide the latency of the calls behind it (coordinated omission).
 use crate::actor::{self, Fake};
 use crate::traffic::{self, Arrival};
 use calloop::LoopHandle;
@@ -13,37 +14,48 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Times are kept from a microsecond to ten minutes, to three digits.
-const LONGEST_US: u64 = 600_000_000;
-const DIGITS: u8 = 3;
+/// Longest latency that is recorded, in microseconds; longer ones count as this.
+const MAX_LATENCY_US: u64 = 600_000_000;
+/// Significant decimal digits to which latencies are recorded.
+const LATENCY_DIGITS: u8 = 3;
 
+/// The calls of a load run.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Addresses that calls are sent to, in rotation.
     pub addresses: Vec<SocketAddr>,
-    /// Functions and how often each is called against the others.
+    /// Functions, each with its weight.
     pub mix: Vec<(String, f64)>,
+    /// Mean rate of calls.
     pub requests_per_s: f64,
+    /// Period in which calls are sent; responses may take longer.
     pub duration: Duration,
     pub payload: String,
     pub asynchronous: bool,
-    /// Calls out at a time at most; those that should leave meanwhile are counted as not sent.
+    /// Largest number of calls in flight; a call that is due beyond it is not sent, and counted.
     pub max_in_flight: usize,
+    /// Deadline of a call, counted from its scheduled time. Checked only after the last call was sent.
     pub timeout: Duration,
-    /// Evenly spaced in place of random arrivals.
+    /// Calls are sent at equal intervals in place of random ones.
     pub evenly_spaced: bool,
-    /// Calls of a trace, each at its moment, in place of mix, rate and length.
+    /// Arrivals of a trace to send in place of `mix`, `requests_per_s` and `duration`.
     pub trace: Option<Vec<Arrival>>,
+    /// Seed of the random functions and intervals.
     pub seed: u64,
 }
 
-/// What came of a plan, by outcome.
+/// Latencies of a load run by outcome.
 pub struct Report {
+    /// Outcomes are `finished`, `failed`, `taken`, `pushed-back`, `other` and `no-answer`.
     pub latencies_us: BTreeMap<&'static str, Histogram<u64>>,
+    /// Calls not sent because too many were in flight.
     pub not_sent: u64,
+    /// Planned duration of the run, over which the rate of responses is computed.
     pub duration: Duration,
 }
 
 impl Report {
+    /// Number of calls that were sent and have ended.
     pub fn count(&self) -> u64 {
         self.latencies_us.values().map(Histogram::len).sum()
     }
@@ -56,23 +68,23 @@
             "{:<12} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9}",
             "outcome", "calls", "p50 ms", "p90", "p99", "p99.9", "max"
         )?;
-        for (outcome, times) in &self.latencies_us {
-            let ms = |share| times.value_at_quantile(share) as f64 / 1000.0;
+        for (outcome, latencies) in &self.latencies_us {
+            let ms = |share| latencies.value_at_quantile(share) as f64 / 1000.0;
             writeln!(
                 f,
                 "{outcome:<12} {:>9} {:>9.3} {:>9.3} {:>9.3} {:>9.3} {:>9.3}",
-                times.len(),
+                latencies.len(),
                 ms(0.5),
                 ms(0.9),
                 ms(0.99),
                 ms(0.999),
-                times.max() as f64 / 1000.0
+                latencies.max() as f64 / 1000.0
             )?;
         }
         let rate = self.count() as f64 / self.duration.as_secs_f64();
         write!(
             f,
-            "{rate:.0} answers a second; {} calls not sent, as too many were out",
+            "{rate:.0} responses/s; {} calls not sent, because too many were in flight",
             self.not_sent
         )
     }
@@ -82,15 +94,18 @@
     http: Http<Load>,
     start: Instant,
     plan: Plan,
+    /// Request targets of the functions, each with the cumulative share of calls up to it.
     targets: Vec<(String, f64)>,
     payload: Rc<[u8]>,
-    next: Option<Duration>,
-    /// Calls of the trace that have left.
-    left: usize,
+    /// Scheduled time of the next call; `None` after the last.
+    next_arrival: Option<Duration>,
+    /// Number of arrivals of the trace that have been due.
+    trace_position: usize,
     sent: usize,
-    out: HashMap<CallId, (Duration, Duration)>,
+    /// Scheduled time and deadline of each call in flight.
+    in_flight: HashMap<CallId, (Duration, Duration)>,
     report: Report,
-    chance: StdRng,
+    rng: StdRng,
 }
 
 impl HasHttp for Load {
@@ -101,11 +116,11 @@
 
 impl Load {
     fn new(handle: LoopHandle<'static, Load>, plan: Plan) -> Load {
-        let all: f64 = plan.mix.iter().map(|(_, share)| share).sum();
-        let mut sum = 0.0;
+        let total: f64 = plan.mix.iter().map(|(_, share)| share).sum();
+        let mut cumulative = 0.0;
         let targets = plan.mix.iter().map(|(function, share)| {
-            sum += share / all;
-            (request::invoke_target(function), sum)
+            cumulative += share / total;
+            (request::invoke_target(function), cumulative)
         });
         Load {
             http: Http::new(
@@ -118,51 +133,51 @@
             start: Instant::now(),
             targets: targets.collect(),
             payload: Rc::from(plan.payload.as_bytes()),
-            next: match &plan.trace {
+            next_arrival: match &plan.trace {
                 Some(trace) => trace.first().map(traffic::arrival_time),
                 None => Some(Duration::ZERO),
             },
-            left: 0,
+            trace_position: 0,
             sent: 0,
-            out: HashMap::new(),
+            in_flight: HashMap::new(),
             report: Report {
                 latencies_us: BTreeMap::new(),
                 not_sent: 0,
                 duration: plan.duration,
             },
-            chance: StdRng::seed_from_u64(plan.seed),
+            rng: StdRng::seed_from_u64(plan.seed),
             plan,
         }
     }
 
-    /// The target of the call that leaves now, and when the next one does.
-    fn leaves(&mut self, at: Duration) -> (String, Option<Duration>) {
+    /// The request target of the call due at `at`, and the scheduled time of the next call.
+    fn draw_call(&mut self, at: Duration) -> (String, Option<Duration>) {
         if let Some(trace) = &self.plan.trace {
             let target = trace
-                .get(self.left)
+                .get(self.trace_position)
                 .map(|arrival| request::invoke_target(&arrival.function));
-            self.left += 1;
+            self.trace_position += 1;
             return (
                 target.unwrap_or_default(),
-                trace.get(self.left).map(traffic::arrival_time),
+                trace.get(self.trace_position).map(traffic::arrival_time),
             );
         }
-        let gap = match self.plan.evenly_spaced {
+        let interval_s = match self.plan.evenly_spaced {
             true => 1.0 / self.plan.requests_per_s,
-            false => traffic::interarrival_s(&mut self.chance, self.plan.requests_per_s),
+            false => traffic::interarrival_s(&mut self.rng, self.plan.requests_per_s),
         };
-        let next = Some(at + Duration::from_secs_f64(gap)).filter(|next| *next < self.plan.duration);
-        let drawn = self.chance.random_range(0.0..1.0);
+        let next = Some(at + Duration::from_secs_f64(interval_s)).filter(|next| *next < self.plan.duration);
+        let drawn = self.rng.random_range(0.0..1.0);
         let target = self
             .targets
             .iter()
-            .find(|(_, sum)| drawn < *sum)
+            .find(|(_, cumulative)| drawn < *cumulative)
             .or(self.targets.last());
         (target.map(|(target, _)| target.clone()).unwrap_or_default(), next)
     }
 
     fn send(&mut self, at: Duration, target: String) {
-        if self.out.len() >= self.plan.max_in_flight {
+        if self.in_flight.len() >= self.plan.max_in_flight {
             self.report.not_sent += 1;
             return;
         }
@@ -181,24 +196,24 @@
         let to = self.plan.addresses[self.sent % self.plan.addresses.len()];
         self.sent += 1;
         let call = self.http.call(to, request);
-        self.out.insert(call, (at, at + self.plan.timeout));
+        self.in_flight.insert(call, (at, at + self.plan.timeout));
     }
 
-    fn over(&mut self, call: CallId, outcome: &'static str) {
-        let Some((at, _)) = self.out.remove(&call) else {
+    fn record_outcome(&mut self, call: CallId, outcome: &'static str) {
+        let Some((scheduled, _)) = self.in_flight.remove(&call) else {
             return;
         };
-        let took = (self.now().saturating_sub(at).as_micros() as u64).clamp(1, LONGEST_US);
-        let times = self.report.latencies_us.entry(outcome).or_insert_with(|| {
-            // The bounds are constants that the library takes.
-            Histogram::new_with_bounds(1, LONGEST_US, DIGITS).unwrap_or_else(|_| unreachable!("good bounds"))
+        let latency_us = (self.now().saturating_sub(scheduled).as_micros() as u64).clamp(1, MAX_LATENCY_US);
+        let latencies = self.report.latencies_us.entry(outcome).or_insert_with(|| {
+            Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS)
+                .unwrap_or_else(|_| unreachable!("the histogram's bounds are valid constants"))
         });
-        times.saturating_record(took);
+        latencies.saturating_record(latency_us);
     }
 }
 
-fn outcome(answer: &Response) -> &'static str {
-    match (answer.status, answer.headers.get("x-amz-function-error")) {
+fn outcome(response: &Response) -> &'static str {
+    match (response.status, response.headers.get("x-amz-function-error")) {
         (200, None) => "finished",
         (200, Some(_)) => "failed",
         (202, _) => "taken",
@@ -212,8 +227,8 @@
 
     fn event(&mut self, event: HttpEvent) {
         match event {
-            HttpEvent::Response { call, response } => self.over(call, outcome(&response)),
-            HttpEvent::CallFailed { call, .. } => self.over(call, "no-answer"),
+            HttpEvent::Response { call, response } => self.record_outcome(call, outcome(&response)),
+            HttpEvent::CallFailed { call, .. } => self.record_outcome(call, "no-answer"),
             HttpEvent::Request { .. }
             | HttpEvent::ClientDisconnected { .. }
             | HttpEvent::ResponsePart { .. }
@@ -224,27 +239,27 @@
     fn command(&mut self, (): ()) {}
 
     fn next_due(&self) -> Option<Duration> {
-        // Time-outs are looked at with the arrivals, and once a while after the last.
-        self.next
-            .or_else(|| self.out.values().map(|(_, until)| *until).min())
+        // After the last arrival, the earliest deadline of a call in flight is due.
+        self.next_arrival
+            .or_else(|| self.in_flight.values().map(|(_, deadline)| *deadline).min())
     }
 
     fn due(&mut self, now: Duration) {
-        while let Some(at) = self.next.filter(|at| *at <= now) {
-            let (target, next) = self.leaves(at);
+        while let Some(at) = self.next_arrival.filter(|at| *at <= now) {
+            let (target, next) = self.draw_call(at);
             self.send(at, target);
-            self.next = next;
+            self.next_arrival = next;
         }
-        if self.next.is_none() {
-            let over: Vec<CallId> = self
-                .out
+        if self.next_arrival.is_none() {
+            let expired: Vec<CallId> = self
+                .in_flight
                 .iter()
-                .filter(|(_, (_, until))| *until <= now)
-                .map(|o| *o.0)
+                .filter(|(_, (_, deadline))| *deadline <= now)
+                .map(|(call, _)| *call)
                 .collect();
-            for call in over {
+            for call in expired {
                 self.http.cancel(call);
-                self.over(call, "no-answer");
+                self.record_outcome(call, "no-answer");
             }
         }
     }
@@ -254,22 +269,25 @@
     }
 
     fn stopped(&self) -> bool {
-        self.next.is_none() && self.out.is_empty()
+        self.next_arrival.is_none() && self.in_flight.is_empty()
     }
 }
 
-/// Carries out a plan on this thread.
+/// Sends the calls of a plan on this thread, and returns their latencies once all have ended.
+///
+/// # Errors
+/// Fails if the event loop cannot be set up.
 pub fn run(plan: Plan) -> std::io::Result<Report> {
     let report = std::rc::Rc::new(std::cell::RefCell::new(None));
-    let of = report.clone();
+    let finished_report = report.clone();
     actor::run_to_end(
         None,
         None,
         |handle| Load::new(handle, plan),
         |load: Load| {
-            *of.borrow_mut() = Some(load.report);
+            *finished_report.borrow_mut() = Some(load.report);
         },
     )?;
     let report = report.borrow_mut().take();
-    report.ok_or_else(|| std::io::Error::other("the load ended without a report"))
+    report.ok_or_else(|| std::io::Error::other("the load run ended without a report"))
 }
--- a/crates/quartzdrift-lab/src/traffic.rs
+++ b/crates/quartzdrift-lab/src/traffic.rs
@@ -1,4 +1,5 @@
-//! What clients ask for over a day: generators, and traces in JSON lines, compressed or not.
+//! Arrivals of calls in a scenario: generators by traffic pattern, and traces as JSON lines, optionally
+//! compressed by gzip.
 use crate::script::{Pattern, Script};
 use flate2::read::GzDecoder;
 use rand::rngs::StdRng;
@@ -8,46 +9,49 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Calls of a trace at most.
-const MAX_CALLS: usize = 20_000_000;
+/// Largest number of calls in a trace.
+const MAX_TRACE_CALLS: usize = 20_000_000;
 
-/// One call of a client.
+/// A call that a client sends at a scheduled time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
+    /// Time since the start of the scenario, in microseconds.
     pub at_us: u64,
-    /// Its place among the request classes of the day.
+    /// Index of the request class in the scenario.
     #[serde(rename = "workload")]
     pub request_class: usize,
     pub function: String,
-    /// Drawn once, so that every variant of a day gives the same work.
+    /// Work of the call, in microseconds. It is part of the arrival, so that all variants of a scenario
+    /// execute the same work.
     pub work_us: u64,
-    /// Which of the gateways its client uses, as a draw from 0 to 1.
+    /// Position of the client's gateway among the gateways, from 0 to 1, so that it fits any number of them.
     pub gateway: f64,
 }
 
 impl Arrival {
-    /// Its gateway, of so many.
+    /// Index of the client's gateway among `gateways`.
     pub fn gateway_index(&self, gateways: usize) -> usize {
         ((self.gateway * gateways as f64) as usize).min(gateways - 1)
     }
 }
 
-/// Seconds between two arrivals of independent clients.
-pub fn interarrival_s(chance: &mut StdRng, rate: f64) -> f64 {
-    -(1.0 - chance.random_range(0.0..1.0f64)).ln() / rate
+/// Draws the time between two arrivals of independent clients, in seconds, at a mean rate of arrivals a
+/// second.
+pub fn interarrival_s(rng: &mut StdRng, rate: f64) -> f64 {
+    -(1.0 - rng.random_range(0.0..1.0f64)).ln() / rate
 }
 
-/// How the rate of a request class stands at a moment against its mean.
-fn swing(pattern: &Pattern, at: f64, length: f64) -> f64 {
+/// Factor by which a request class's rate at a time differs from its configured rate. Times are in seconds.
+fn rate_factor(pattern: &Pattern, at: f64, length: f64) -> f64 {
     match *pattern {
         Pattern::Steady | Pattern::Timers { .. } | Pattern::Scan => 1.0,
         Pattern::Daily { period, most } => {
-            // From 1 to `most` and back within a period.
+            // A cosine from 1 to `most` and back within a period.
             let phase = (at / period * std::f64::consts::TAU).cos();
             (1.0 + most) / 2.0 - (most - 1.0) / 2.0 * phase
         }
         Pattern::Weekly { period, most } => match (at / period) as u64 % 7 {
-            0..5 => swing(&Pattern::Daily { period, most }, at, length),
+            0..5 => rate_factor(&Pattern::Daily { period, most }, at, length),
             _ => 1.0,
         },
         Pattern::Bursty { every, most } => {
@@ -68,82 +72,86 @@
     }
 }
 
-/// All calls of a day in the order of time; the same for the same script and seed.
+/// The arrivals of a scenario, in order of time. The same scenario and seed give the same arrivals.
 pub fn generate_arrivals(script: &Script, seed: u64) -> Vec<Arrival> {
     let length = script.length.as_secs_f64();
     let mut all = Vec::new();
-    for (n, request_class) in script.request_classes.iter().enumerate() {
-        let mut chance = StdRng::seed_from_u64(seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let mut add = |chance: &mut StdRng, at: f64, function: String, gateway: f64| {
-            let work = request_class.work.as_secs_f64() * chance.random_range(0.5..1.5);
+    for (index, request_class) in script.request_classes.iter().enumerate() {
+        let mut rng = StdRng::seed_from_u64(seed ^ (index as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let mut add = |rng: &mut StdRng, at: f64, function: String, gateway: f64| {
+            let work = request_class.work.as_secs_f64() * rng.random_range(0.5..1.5);
             let (at_us, work_us) = ((at * 1e6) as u64, (work * 1e6) as u64);
             all.push(Arrival {
                 at_us,
-                request_class: n,
+                request_class: index,
                 function,
                 work_us,
                 gateway,
             });
         };
         if let Pattern::Timers { period, jitter } = request_class.pattern {
-            // Each function has a timer, which fires through one gateway.
+            // Each function has a timer that calls it through one gateway.
             for f in 0..request_class.functions {
-                let (mut at, gateway) = (chance.random_range(0.0..period), chance.random_range(0.0..1.0));
-                // Periods differ a little from timer to timer.
-                let own = period * chance.random_range(0.7..1.3);
+                let (mut at, gateway) = (rng.random_range(0.0..period), rng.random_range(0.0..1.0));
+                // The periods of the timers differ by up to 30 %.
+                let timer_period = period * rng.random_range(0.7..1.3);
                 while at < length {
-                    let late = chance.random_range(0.0..1.0) * jitter;
+                    let delay = rng.random_range(0.0..1.0) * jitter;
                     add(
-                        &mut chance,
-                        at + late,
+                        &mut rng,
+                        at + delay,
                         format!("{}-{f}", request_class.name),
                         gateway,
                     );
-                    at += own;
+                    at += timer_period;
                 }
             }
             continue;
         }
-        let most = match request_class.pattern {
+        // Arrivals are drawn at the peak rate and thinned to the current rate.
+        let peak_factor = match request_class.pattern {
             Pattern::Daily { most, .. }
             | Pattern::Weekly { most, .. }
             | Pattern::Bursty { most, .. }
             | Pattern::TermsEnd { most } => most.max(1.0),
             Pattern::Steady | Pattern::Turning { .. } | Pattern::Scan | Pattern::Timers { .. } => 1.0,
         };
-        let (mut at, mut drawn) = (0.0, 0usize);
+        let (mut at, mut calls) = (0.0, 0usize);
         loop {
-            at += interarrival_s(&mut chance, request_class.rate * most);
+            at += interarrival_s(&mut rng, request_class.rate * peak_factor);
             if at >= length {
                 break;
             }
-            if chance.random_range(0.0..1.0) * most > swing(&request_class.pattern, at, length) {
+            if rng.random_range(0.0..1.0) * peak_factor > rate_factor(&request_class.pattern, at, length) {
                 continue;
             }
-            drawn += 1;
+            calls += 1;
             let functions = request_class.functions;
             let f = match request_class.pattern {
-                Pattern::Scan => drawn,
+                Pattern::Scan => calls,
                 Pattern::Turning { every } => {
-                    // A few functions draw most calls, and others take their place now and then.
-                    let turn = (at / every) as usize;
-                    match chance.random_range(0.0..1.0) < 0.7 {
-                        true => (turn * 3 + chance.random_range(0..3)) % functions,
-                        false => chance.random_range(0..functions),
+                    // Three functions get 70 % of the calls; other three replace them in each interval.
+                    let interval = (at / every) as usize;
+                    match rng.random_range(0.0..1.0) < 0.7 {
+                        true => (interval * 3 + rng.random_range(0..3)) % functions,
+                        false => rng.random_range(0..functions),
                     }
                 }
-                // Some are more popular than others: popularity falls with the square of the place.
-                _ => (chance.random_range(0.0..1.0f64).powi(2) * functions as f64) as usize,
+                // Squaring the draw makes functions with a low index more popular.
+                _ => (rng.random_range(0.0..1.0f64).powi(2) * functions as f64) as usize,
             };
-            let gateway = chance.random_range(0.0..1.0);
-            add(&mut chance, at, format!("{}-{f}", request_class.name), gateway);
+            let gateway = rng.random_range(0.0..1.0);
+            add(&mut rng, at, format!("{}-{f}", request_class.name), gateway);
         }
     }
     all.sort_by(|a, b| (a.at_us, a.request_class, &a.function).cmp(&(b.at_us, b.request_class, &b.function)));
     all
 }
 
-/// Writes a trace; a name that ends in `.gz` is compressed.
+/// Writes a trace. If the name of the file ends in `.gz`, it is compressed.
+///
+/// # Errors
+/// Fails if the file cannot be written.
 pub fn write_trace(path: &Path, arrivals: &[Arrival]) -> io::Result<()> {
     let mut out = quartzdrift::record::create(path)?;
     for arrival in arrivals {
@@ -152,7 +160,11 @@
     out.flush()
 }
 
-/// Reads a trace; `Err` names the line that is no call.
+/// Reads a trace; a file whose name ends in `.gz` is decompressed.
+///
+/// # Errors
+/// Fails if the file cannot be read, on a line that does not describe a call, or with more than
+/// `MAX_TRACE_CALLS` calls. The error states the number of the line.
 pub fn read_trace(path: &Path) -> io::Result<Vec<Arrival>> {
     let file = std::fs::File::open(path)?;
     let plain: Box<dyn Read> = match path.extension().is_some_and(|end| end == "gz") {
@@ -160,17 +172,22 @@
         false => Box::new(file),
     };
     let mut all = Vec::new();
-    for (n, line) in BufReader::new(plain).lines().enumerate() {
-        let bad = |why: String| io::Error::new(io::ErrorKind::InvalidData, format!("line {}: {why}", n + 1));
-        if n >= MAX_CALLS {
-            return Err(bad(format!("more than {MAX_CALLS} calls")));
+    for (index, line) in BufReader::new(plain).lines().enumerate() {
+        let invalid = |reason: String| {
+            io::Error::new(
+                io::ErrorKind::InvalidData,
+                format!("line {}: {reason}", index + 1),
+            )
+        };
+        if index >= MAX_TRACE_CALLS {
+            return Err(invalid(format!("a trace has at most {MAX_TRACE_CALLS} calls")));
         }
-        all.push(serde_json::from_str(&line?).map_err(|e| bad(e.to_string()))?);
+        all.push(serde_json::from_str(&line?).map_err(|e| invalid(e.to_string()))?);
     }
     Ok(all)
 }
 
-/// A day's moment as a span.
+/// Scheduled time of an arrival since the start of the scenario.
 pub fn arrival_time(arrival: &Arrival) -> Duration {
     Duration::from_micros(arrival.at_us)
 }
@@ -181,7 +198,7 @@
     use crate::script;
 
     #[test]
-    fn a_trace_is_the_same_for_a_seed_and_outlives_a_file() {
+    fn a_seed_gives_the_same_trace_and_a_file_preserves_it() {
         let script = script::read(
             "length 20s\nworkload a restartable rate=20 functions=5 pattern=daily period=5s most=4\n\
              workload t restartable functions=3 pattern=timers period=4s\nworkload s restartable rate=5 pattern=scan",
