--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -1,5 +1,7 @@
-//! Measurement a gateway costs: calls a second, time added, memory. Each measure is one run against workers that only
-//! answer, beside the same load sent straight to one of them.
+//! Measures what a gateway costs: throughput, added latency, processor time, memory, and the time of a start.
+//!
+//! Most measurements load a gateway process whose workers respond without executing anything. Latencies are
+//! compared with the same load sent directly to a worker.
 use crate::actor;
 use crate::badday::listens_at;
 use crate::light::{self, Light};
@@ -14,12 +16,13 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Ticks of the kernel's clock in a second, as /proc tells times (USER_HZ is 100 on every Linux of today).
-const TICKS: f64 = 100.0;
+/// Clock ticks a second in the times of /proc (USER_HZ, which is 100 on Linux).
+const TICKS_PER_S: f64 = 100.0;
 
+/// A gateway process, which is killed when this is dropped.
 struct Gateway {
     child: Child,
-    at: SocketAddr,
+    address: SocketAddr,
     _folder: tempfile::TempDir,
 }
 
@@ -31,13 +34,14 @@
 }
 
 impl Gateway {
-    fn start(lab: &Path, workers: &[SocketAddr], connections: usize) -> io::Result<Gateway> {
-        Gateway::start_with(lab, workers, connections, "")
+    /// Starts a gateway before these workers, which accepts so many connections.
+    fn start(program: &Path, workers: &[SocketAddr], connections: usize) -> io::Result<Gateway> {
+        Gateway::start_with(program, workers, connections, "")
     }
 
-    /// With more lines for the table of asynchronous requests.
+    /// As [`Gateway::start`], with more lines of the settings' table for asynchronous requests.
     fn start_with(
-        lab: &Path,
+        program: &Path,
         workers: &[SocketAddr],
         connections: usize,
         asynchronous: &str,
@@ -60,41 +64,47 @@
         let folder = tempfile::tempdir()?;
         let file = folder.path().join("gateway.toml");
         std::fs::write(&file, text)?;
-        let mut child = Command::new(lab)
+        let mut child = Command::new(program)
             .arg("gateway")
             .arg(&file)
             .stdout(Stdio::piped())
             .spawn()?;
-        let out = child.stdout.take().ok_or_else(|| io::Error::other("no output"))?;
-        let at = listens_at(&mut BufReader::new(out))?;
+        let out = child
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other("the gateway's stdout is not piped"))?;
+        let address = listens_at(&mut BufReader::new(out))?;
         Ok(Gateway {
             child,
-            at,
+            address,
             _folder: folder,
         })
     }
 
-    /// Seconds of processor time so far.
-    fn cpu(&self) -> io::Result<f64> {
+    /// Processor time of the process so far, in seconds.
+    fn cpu_seconds(&self) -> io::Result<f64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
-        let after = stat.rsplit(')').next().unwrap_or("");
-        let field = |n: usize| {
-            after
+        // The fields follow the program's name, which is in parentheses; user and system time are the 12th
+        // and 13th.
+        let fields = stat.rsplit(')').next().unwrap_or("");
+        let field = |index: usize| {
+            fields
                 .split_whitespace()
-                .nth(n)
-                .and_then(|t| t.parse::<f64>().ok())
+                .nth(index)
+                .and_then(|ticks| ticks.parse::<f64>().ok())
                 .unwrap_or(0.0)
         };
-        Ok((field(11) + field(12)) / TICKS)
+        Ok((field(11) + field(12)) / TICKS_PER_S)
     }
 
-    /// Resident memory in MB.
-    fn memory(&self) -> io::Result<f64> {
-        memory_of(&self.child.id().to_string())
+    /// Resident memory of the process, in MB.
+    fn resident_mb(&self) -> io::Result<f64> {
+        resident_mb_of(&self.child.id().to_string())
     }
 }
 
-fn memory_of(process: &str) -> io::Result<f64> {
+/// Resident memory of a process, in MB. `process` is its id or `self`.
+fn resident_mb_of(process: &str) -> io::Result<f64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status"))?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kb = line
@@ -103,15 +113,16 @@
     Ok(kb.unwrap_or(0.0) / 1024.0)
 }
 
-fn plan(to: SocketAddr, rate: f64, seconds: f64, out_most: usize) -> Plan {
+/// A plan of synchronous calls at random intervals to 20 functions.
+fn load_plan(address: SocketAddr, requests_per_s: f64, seconds: f64, max_in_flight: usize) -> Plan {
     Plan {
-        addresses: vec![to],
+        addresses: vec![address],
         mix: (0..20).map(|n| (format!("f{n}"), 1.0)).collect(),
-        requests_per_s: rate,
+        requests_per_s,
         duration: Duration::from_secs_f64(seconds),
         payload: "{\"a\":1}".to_owned(),
         asynchronous: false,
-        max_in_flight: out_most,
+        max_in_flight,
         timeout: Duration::from_secs(30),
         evenly_spaced: false,
         trace: None,
@@ -119,23 +130,26 @@
     }
 }
 
-fn workers(count: usize, delay: Duration) -> io::Result<(actor::Running<()>, Vec<SocketAddr>)> {
+/// Starts workers that respond after `delay`.
+fn start_workers(count: usize, delay: Duration) -> io::Result<(actor::Running<()>, Vec<SocketAddr>)> {
     let (listeners, addresses) = light::listeners(count)?;
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let running = actor::spawn(any, move |handle, _| Light::new(handle, listeners, delay))?;
     Ok((running, addresses))
 }
 
-fn times(report: &Report) -> [f64; 3] {
+/// The latencies of successful calls at the quantiles 0.5, 0.99 and 0.999, in milliseconds.
+fn latency_quantiles_ms(report: &Report) -> [f64; 3] {
     let finished = report.latencies_us.get("finished");
-    [0.5, 0.99, 0.999].map(|share| finished.map_or(f64::NAN, |h| h.value_at_quantile(share) as f64 / 1000.0))
+    [0.5, 0.99, 0.999]
+        .map(|quantile| finished.map_or(f64::NAN, |h| h.value_at_quantile(quantile) as f64 / 1000.0))
 }
 
-/// Calls a second with one instance busy, and processor time for each.
-fn busiest(lab: &Path, out: &mut impl Write) -> io::Result<()> {
+/// Largest throughput of one gateway, and its processor time for each call.
+fn throughput(program: &Path, out: &mut impl Write) -> io::Result<()> {
     writeln!(
         out,
-        "calls a second, one instance, 64 calls out at a time, workers that answer at once"
+        "throughput of one gateway: 64 calls in flight, workers respond at once"
     )?;
     writeln!(
         out,
@@ -143,103 +157,113 @@
         "workers", "calls/s", "CPU us a call", "of a core"
     )?;
     for count in [30, 90, 300] {
-        let (_running, addresses) = workers(count, Duration::ZERO)?;
-        let gateway = Gateway::start(lab, &addresses, 4096)?;
-        load::run(plan(gateway.at, 500.0, 1.0, 64))?;
-        let (cpu, start) = (gateway.cpu()?, Instant::now());
-        let report = load::run(plan(gateway.at, 100_000.0, 5.0, 64))?;
-        let (cpu, took) = (gateway.cpu()? - cpu, start.elapsed().as_secs_f64());
+        let (_running, addresses) = start_workers(count, Duration::ZERO)?;
+        let gateway = Gateway::start(program, &addresses, 4096)?;
+        load::run(load_plan(gateway.address, 500.0, 1.0, 64))?;
+        let (cpu_before, start) = (gateway.cpu_seconds()?, Instant::now());
+        let report = load::run(load_plan(gateway.address, 100_000.0, 5.0, 64))?;
+        let (cpu, elapsed) = (gateway.cpu_seconds()? - cpu_before, start.elapsed().as_secs_f64());
         let calls = report.latencies_us.get("finished").map_or(0, |h| h.len()) as f64;
         writeln!(
             out,
             "{count:>8} {:>10.0} {:>16.1} {:>10.2}",
-            calls / took,
+            calls / elapsed,
             cpu / calls * 1e6,
-            cpu / took
+            cpu / elapsed
         )?;
     }
     Ok(())
 }
 
-/// Time added over the same client that talks straight to a worker.
-fn added(lab: &Path, seconds: f64, out: &mut impl Write) -> io::Result<()> {
+/// Latency that a gateway adds, compared with calls sent directly to a worker.
+fn added_latency(program: &Path, seconds: f64, out: &mut impl Write) -> io::Result<()> {
     writeln!(
         out,
-        "time for a call in ms, random arrivals, 90 workers that answer at once, and straight to one of them"
+        "latency in ms at random arrivals: direct to a worker, and through a gateway with 90 workers that respond at once"
     )?;
     writeln!(
         out,
         "{:>8} {:>22} {:>22} {:>22}",
-        "calls/s", "straight 50/99/99.9", "gateway 50/99/99.9", "added 50/99/99.9"
+        "calls/s", "direct 50/99/99.9", "gateway 50/99/99.9", "added 50/99/99.9"
     )?;
     for rate in [270.0, 770.0] {
-        let (_running, addresses) = workers(90, Duration::ZERO)?;
-        let gateway = Gateway::start(lab, &addresses, 4096)?;
-        load::run(plan(gateway.at, rate, 1.0, 1000))?;
-        let straight = times(&load::run(plan(addresses[0], rate, seconds, 1000))?);
-        let through = times(&load::run(plan(gateway.at, rate, seconds, 1000))?);
-        let three = |t: [f64; 3]| format!("{:.3}/{:.3}/{:.3}", t[0], t[1], t[2]);
-        let more = [0, 1, 2].map(|n| through[n] - straight[n]);
+        let (_running, addresses) = start_workers(90, Duration::ZERO)?;
+        let gateway = Gateway::start(program, &addresses, 4096)?;
+        load::run(load_plan(gateway.address, rate, 1.0, 1000))?;
+        let direct = latency_quantiles_ms(&load::run(load_plan(addresses[0], rate, seconds, 1000))?);
+        let through_gateway =
+            latency_quantiles_ms(&load::run(load_plan(gateway.address, rate, seconds, 1000))?);
+        let format_ms = |ms: [f64; 3]| format!("{:.3}/{:.3}/{:.3}", ms[0], ms[1], ms[2]);
+        let added = [0, 1, 2].map(|n| through_gateway[n] - direct[n]);
         writeln!(
             out,
             "{rate:>8} {:>22} {:>22} {:>22}",
-            three(straight),
-            three(through),
-            three(more)
+            format_ms(direct),
+            format_ms(through_gateway),
+            format_ms(added)
         )?;
     }
     Ok(())
 }
 
-/// Memory at rest, with many requests out, and after many more.
-fn memory(lab: &Path, requests: f64, out: &mut impl Write) -> io::Result<()> {
-    writeln!(out, "resident memory of one instance in MB, 30 workers")?;
+/// Memory of an idle gateway, with 10,000 requests in flight, and after `requests` requests.
+fn memory(program: &Path, requests: f64, out: &mut impl Write) -> io::Result<()> {
+    writeln!(out, "resident memory of one gateway in MB, 30 workers")?;
     {
-        let (_running, addresses) = workers(30, Duration::from_secs(8))?;
-        let gateway = Gateway::start(lab, &addresses, 12_000)?;
-        writeln!(out, "{:<34} {:>8.1}", "at rest", gateway.memory()?)?;
-        // 1,000 of them deferred: each of the others takes two of the 20,000 descriptors that a process gets here.
-        let at = gateway.at;
+        let (_running, addresses) = start_workers(30, Duration::from_secs(8))?;
+        let gateway = Gateway::start(program, &addresses, 12_000)?;
+        writeln!(out, "{:<34} {:>8.1}", "idle", gateway.resident_mb()?)?;
+        // 1,000 of the 10,000 requests are asynchronous. Each of the other 9,000 takes two descriptors, and
+        // the limit of the process is 20,000.
+        let address = gateway.address;
         load::run(Plan {
             asynchronous: true,
             evenly_spaced: true,
-            ..plan(at, 1000.0, 1.0, 100)
+            ..load_plan(address, 1000.0, 1.0, 100)
         })?;
-        let load = std::thread::spawn(move || load::run(plan(at, 5000.0, 2.0, 9000)));
+        let load = std::thread::spawn(move || load::run(load_plan(address, 5000.0, 2.0, 9000)));
         std::thread::sleep(Duration::from_secs(5));
-        writeln!(out, "{:<34} {:>8.1}", "with 10,000 jobs out", gateway.memory()?)?;
-        let report = load.join().map_err(|_| io::Error::other("the load broke"))??;
+        writeln!(
+            out,
+            "{:<34} {:>8.1}",
+            "with 10,000 requests in flight",
+            gateway.resident_mb()?
+        )?;
+        let report = load
+            .join()
+            .map_err(|_| io::Error::other("the thread of the load run panicked"))??;
         let finished = report.latencies_us.get("finished").map_or(0, |h| h.len());
-        writeln!(out, "{:<34} {:>8}", "  of them finished", finished)?;
+        writeln!(out, "{:<34} {:>8}", "  of these, finished", finished)?;
     }
-    let (_running, addresses) = workers(30, Duration::ZERO)?;
-    let gateway = Gateway::start(lab, &addresses, 4096)?;
+    let (_running, addresses) = start_workers(30, Duration::ZERO)?;
+    let gateway = Gateway::start(program, &addresses, 4096)?;
     for part in 1..=4 {
         let mut done = 0.0;
         while done < requests / 4.0 {
-            let report = load::run(plan(gateway.at, 100_000.0, 2.0, 64))?;
+            let report = load::run(load_plan(gateway.address, 100_000.0, 2.0, 64))?;
             done += report.count() as f64;
         }
         writeln!(
             out,
             "{:<34} {:>8.1}",
-            format!("after {:.0} jobs", requests / 4.0 * f64::from(part)),
-            gateway.memory()?
+            format!("after {:.0} requests", requests / 4.0 * f64::from(part)),
+            gateway.resident_mb()?
         )?;
     }
     Ok(())
 }
 
-/// Asynchronous requests a second in memory and on disk, and what they do to synchronous calls beside them.
-fn asynchronous(lab: &Path, out: &mut impl Write) -> io::Result<()> {
+/// Throughput of asynchronous requests that are kept in memory or on disk, and the latency of concurrent
+/// synchronous calls.
+fn asynchronous(program: &Path, out: &mut impl Write) -> io::Result<()> {
     writeln!(
         out,
-        "deferred calls, 64 out at a time, 30 workers that answer at once; and 300 synchronous ones a second beside"
+        "asynchronous calls, 64 in flight, 30 workers respond at once; with 300 synchronous calls/s at the same time"
     )?;
     writeln!(
         out,
         "{:>9} {:>9} {:>18} {:>24} {:>24}",
-        "kept", "taken/s", "202 p50/p99, ms", "sync alone p50/p99, ms", "beside them"
+        "kept", "taken/s", "202 p50/p99, ms", "sync alone p50/p99, ms", "sync concurrent, ms"
     )?;
     for (name, lines) in [("memory", ""), ("early", "answer = \"early\"\n"), ("durable", "")] {
         let folder = tempfile::tempdir()?;
@@ -247,43 +271,51 @@
             "memory" => String::new(),
             _ => format!("store = \"{}\"\n{lines}", folder.path().display()),
         };
-        let (_running, addresses) = workers(30, Duration::ZERO)?;
-        let gateway = Gateway::start_with(lab, &addresses, 4096, &store)?;
-        let at = gateway.at;
-        load::run(plan(at, 300.0, 1.0, 64))?;
-        let alone = times(&load::run(plan(at, 300.0, 5.0, 1000))?);
-        let beside = std::thread::spawn(move || load::run(plan(at, 300.0, 5.0, 1000)));
+        let (_running, addresses) = start_workers(30, Duration::ZERO)?;
+        let gateway = Gateway::start_with(program, &addresses, 4096, &store)?;
+        let address = gateway.address;
+        load::run(load_plan(address, 300.0, 1.0, 64))?;
+        let alone = latency_quantiles_ms(&load::run(load_plan(address, 300.0, 5.0, 1000))?);
+        let concurrent = std::thread::spawn(move || load::run(load_plan(address, 300.0, 5.0, 1000)));
         let report = load::run(Plan {
             asynchronous: true,
-            ..plan(at, 100_000.0, 5.0, 64)
+            ..load_plan(address, 100_000.0, 5.0, 64)
         })?;
-        let beside = times(&beside.join().map_err(|_| io::Error::other("the load broke"))??);
-        let taken = report.latencies_us.get("taken");
-        let ms = |share| taken.map_or(f64::NAN, |h| h.value_at_quantile(share) as f64 / 1000.0);
+        let concurrent = latency_quantiles_ms(
+            &concurrent
+                .join()
+                .map_err(|_| io::Error::other("the thread of the load run panicked"))??,
+        );
+        let accepted = report.latencies_us.get("taken");
+        let ms = |quantile| accepted.map_or(f64::NAN, |h| h.value_at_quantile(quantile) as f64 / 1000.0);
         writeln!(
             out,
             "{name:>9} {:>9.0} {:>18} {:>24} {:>24}",
-            taken.map_or(0, |h| h.len()) as f64 / 5.0,
+            accepted.map_or(0, |h| h.len()) as f64 / 5.0,
             format!("{:.2}/{:.2}", ms(0.5), ms(0.99)),
             format!("{:.2}/{:.2}", alone[0], alone[1]),
-            format!("{:.2}/{:.2}", beside[0], beside[1])
+            format!("{:.2}/{:.2}", concurrent[0], concurrent[1])
         )?;
     }
     Ok(())
 }
 
-/// From the start of a process to its listening, with so many requests in the store that wait for tomorrow.
-fn recovery(lab: &Path, out: &mut impl Write) -> io::Result<()> {
-    writeln!(out, "start with waiting jobs in the store, payloads of 100 bytes")?;
+/// Time from the start of a process until it listens, by the number of stored requests. The requests are due
+/// in a day, so that none is executed.
+fn recovery(program: &Path, out: &mut impl Write) -> io::Result<()> {
+    writeln!(
+        out,
+        "start with waiting requests in the store, payloads of 100 bytes"
+    )?;
     writeln!(
         out,
         "{:>9} {:>12} {:>10} {:>12}",
-        "jobs", "store, MB", "start, s", "memory, MB"
+        "requests", "store, MB", "start, s", "memory, MB"
     )?;
-    let since = std::time::SystemTime::now()
+    let since_epoch = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
-    let taken_us = since.as_micros() as u64;
+    let accepted_us = since_epoch.as_micros() as u64;
     let request = Invocation {
         function: "f1".to_owned(),
         tenant: 0,
@@ -305,8 +337,8 @@
         for first in (0..requests).step_by(1000) {
             let record = |id| InvocationRecord {
                 id,
-                accepted_us: taken_us,
-                due_us: taken_us + 86_400_000_000,
+                accepted_us,
+                due_us: accepted_us + 86_400_000_000,
                 request: bytes.clone(),
                 ..InvocationRecord::default()
             };
@@ -317,31 +349,31 @@
             )
             .map_err(io::Error::other)?;
         }
-        let stored = log.size().bytes as f64 / 1e6;
+        let stored_mb = log.size().bytes as f64 / 1e6;
         drop(log);
-        let (_running, addresses) = workers(1, Duration::ZERO)?;
+        let (_running, addresses) = start_workers(1, Duration::ZERO)?;
         let start = Instant::now();
         let gateway = Gateway::start_with(
-            lab,
+            program,
             &addresses,
             4096,
             &format!("store = \"{}\"\n", folder.path().display()),
         )?;
-        let took = start.elapsed().as_secs_f64();
+        let start_s = start.elapsed().as_secs_f64();
         writeln!(
             out,
-            "{requests:>9} {stored:>12.1} {took:>10.2} {:>12.1}",
-            gateway.memory()?
+            "{requests:>9} {stored_mb:>12.1} {start_s:>10.2} {:>12.1}",
+            gateway.resident_mb()?
         )?;
     }
     Ok(())
 }
 
-/// Cost of a decision with many replaced workers behind it, against the start.
-fn replaced(out: &mut impl Write) -> io::Result<()> {
+/// Time of a scheduling decision, by the number of workers that have been replaced since the start.
+fn replaced_workers(out: &mut impl Write) -> io::Result<()> {
     writeln!(
         out,
-        "microseconds for a decision with 30 workers up, by how many were replaced before"
+        "microseconds for a decision with 30 workers up, by the number of workers replaced before"
     )?;
     let request_class = RequestClass {
         timeout: Some(Duration::from_secs(3)),
@@ -354,25 +386,25 @@
     let mut scheduler = Scheduler::new(&settings, 1);
     let mut now = Duration::from_secs(1000);
     let mut request = 0;
-    let mut cost = |scheduler: &mut Scheduler, now: &mut Duration| {
+    let mut decision_us = |scheduler: &mut Scheduler, now: &mut Duration| {
         let start = Instant::now();
         for _ in 0..2000 {
             request += 1;
             *now += Duration::from_millis(1);
             let function = ["f", "g", "h"][request as usize % 3];
-            let left = Duration::from_secs(3);
+            let time_left = Duration::from_secs(3);
             let actions = scheduler.handle(
                 *now,
                 Event::Request(Request {
                     id: request,
                     function,
-                    time_left: left,
+                    time_left,
                     ..Request::default()
                 }),
             );
             for action in actions {
                 if let Action::StartAttempt { request, worker, .. } = action {
-                    let (outcome, took) = (Outcome::Succeeded, Duration::from_millis(5));
+                    let (outcome, duration) = (Outcome::Succeeded, Duration::from_millis(5));
                     scheduler.handle(
                         *now,
                         Event::AttemptEnded {
@@ -380,7 +412,7 @@
                             attempt: 0,
                             worker: &worker,
                             outcome,
-                            duration: took,
+                            duration,
                             concluded: true,
                             cache_result: CacheResult::Warm,
                             concurrency: None,
@@ -392,10 +424,13 @@
         }
         start.elapsed().as_secs_f64() * 1e6 / 2000.0
     };
-    let mut up = 0;
+    let mut started_workers = 0;
     for target in [30, 1000, 10_000] {
-        while up < target {
-            let (new, old) = (format!("w{up}"), format!("w{}", up as i64 - 30));
+        while started_workers < target {
+            let (new, old) = (
+                format!("w{started_workers}"),
+                format!("w{}", started_workers as i64 - 30),
+            );
             let entry = |worker, state| Endpoint {
                 worker,
                 state,
@@ -410,78 +445,103 @@
                 },
             );
             now += Duration::from_millis(10);
-            up += 1;
+            started_workers += 1;
         }
-        let places = scheduler.table_sizes().workers;
+        let kept_workers = scheduler.table_sizes().workers;
         writeln!(
             out,
-            "{:>8} replaced {:>10.1} us ({places} places kept)",
-            up - 30,
-            cost(&mut scheduler, &mut now)
+            "{:>8} replaced {:>10.1} us ({kept_workers} worker records kept)",
+            started_workers - 30,
+            decision_us(&mut scheduler, &mut now)
         )?;
     }
     Ok(())
 }
 
-/// Cost of forecasting for each request, and memory for many functions.
+/// Time that forecasts take for each request, and their memory, by the number of functions.
 fn forecasts(out: &mut impl Write) -> io::Result<()> {
-    writeln!(out, "forecasting: microseconds for a job, memory of this process")?;
+    writeln!(
+        out,
+        "forecasts: microseconds for a request, memory of this process"
+    )?;
     for functions in [100u64, 10_000, 100_000] {
-        let before = memory_of("self")?;
-        let mut ahead =
+        let before = resident_mb_of("self")?;
+        let mut planner =
             quartzdrift_forecast::PrefetchPlanner::new(quartzdrift_forecast::ForecastSettings::default());
         let (mut now, requests) = (Duration::from_secs(1_000_000), 400_000u64.max(functions * 4));
-        let (start, mut said) = (Instant::now(), 0);
+        let (start, mut expectations) = (Instant::now(), 0);
         for n in 0..requests {
             now += Duration::from_micros(1300);
-            // Each function in turn, a little out of step: every gap is near the same, as with timers.
+            // The functions are used in rotation with slight shifts, so that the intervals of each are nearly
+            // equal, as with timers.
             let function = format!("f{}", (n * 7919 + n / functions) % functions);
-            ahead.record_use(now, &function, None);
-            if ahead.next_due().is_some_and(|at| at <= now) {
-                said += ahead.due(now).len();
+            planner.record_use(now, &function, None);
+            if planner.next_due().is_some_and(|at| at <= now) {
+                expectations += planner.due(now).len();
             }
         }
         let us = start.elapsed().as_secs_f64() * 1e6 / requests as f64;
-        let memory = memory_of("self")? - before;
+        let memory = resident_mb_of("self")? - before;
         writeln!(
             out,
-            "{functions:>8} functions {us:>8.2} us {memory:>8.1} MB ({said} expectations, {requests} jobs)"
+            "{functions:>8} functions {us:>8.2} us {memory:>8.1} MB ({expectations} expectations, {requests} requests)"
         )?;
     }
     Ok(())
 }
 
+/// A measurement, by its name on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Measurement {
-    Busiest,
-    Added,
+    #[value(name = "busiest")]
+    Throughput,
+    #[value(name = "added")]
+    AddedLatency,
     Memory,
-    Replaced,
+    #[value(name = "replaced")]
+    ReplacedWorkers,
     Forecasts,
     #[value(alias = "deferred")]
     Asynchronous,
     Recovery,
 }
 
-pub fn run(lab: &Path, what: &[Measurement], requests: f64, out: &mut impl Write) -> io::Result<()> {
+/// Runs measurements and writes their results as text; all of them if `measurements` is empty.
+///
+/// `program` is the binary of this package, which is started as the gateway; `requests` is the number of
+/// requests after which memory is measured.
+///
+/// # Errors
+/// Fails if a gateway, worker or load run cannot be started, or if `out` cannot be written.
+pub fn run(
+    program: &Path,
+    measurements: &[Measurement],
+    requests: f64,
+    out: &mut impl Write,
+) -> io::Result<()> {
     let all = [
         Measurement::Forecasts,
-        Measurement::Replaced,
-        Measurement::Busiest,
-        Measurement::Added,
+        Measurement::ReplacedWorkers,
+        Measurement::Throughput,
+        Measurement::AddedLatency,
         Measurement::Memory,
         Measurement::Asynchronous,
         Measurement::Recovery,
     ];
-    for one in if what.is_empty() { &all[..] } else { what } {
-        match one {
-            Measurement::Busiest => busiest(lab, out)?,
-            Measurement::Added => added(lab, 10.0, out)?,
-            Measurement::Memory => memory(lab, requests, out)?,
-            Measurement::Replaced => replaced(out)?,
+    let selected = if measurements.is_empty() {
+        &all[..]
+    } else {
+        measurements
+    };
+    for measurement in selected {
+        match measurement {
+            Measurement::Throughput => throughput(program, out)?,
+            Measurement::AddedLatency => added_latency(program, 10.0, out)?,
+            Measurement::Memory => memory(program, requests, out)?,
+            Measurement::ReplacedWorkers => replaced_workers(out)?,
             Measurement::Forecasts => forecasts(out)?,
-            Measurement::Asynchronous => asynchronous(lab, out)?,
-            Measurement::Recovery => recovery(lab, out)?,
+            Measurement::Asynchronous => asynchronous(program, out)?,
+            Measurement::Recovery => recovery(program, out)?,
         }
         writeln!(out)?;
     }
--- a/crates/quartzdrift-lab/src/record.rs
+++ b/crates/quartzdrift-lab/src/record.rs
@@ -6,6 +6,9 @@
 
 /// An event at the socket of a client or a fake, or a fault that the scenario injected.
 ///
+/// [`Observation::GatewayKilled`] is recorded when a gateway process ends without a shutdown, by SIGKILL or
+/// by a loss of power.
+///
 /// `call` is an id that the recording client or worker assigns, `gateway` the index of a gateway process, and
 /// `worker` the address of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -34,10 +37,14 @@
     },
     /// The client closed the connection before the response.
     #[serde(rename = "left")]
-    ClientDisconnected { call: u64 },
+    ClientDisconnected {
+        call: u64,
+    },
     /// The connection of a call ended without a response, and the client had not closed it.
     #[serde(rename = "cut")]
-    ConnectionLost { call: u64 },
+    ConnectionLost {
+        call: u64,
+    },
     /// A worker received an attempt. `incarnation` counts the starts of the worker, `request` is the id that
     /// the gateway gave the request, and `work_us` the work that the attempt takes, in microseconds.
     #[serde(rename = "came")]
@@ -65,9 +72,13 @@
     },
     /// A worker sent a request for a function to the store.
     #[serde(rename = "fetch")]
-    FetchRequested { worker: String },
+    FetchRequested {
+        worker: String,
+    },
     /// The store rejected a worker's request for a function.
-    FetchRefused { worker: String },
+    FetchRefused {
+        worker: String,
+    },
     /// An attempt ended for its worker: the worker responded, or the connection was closed.
     #[serde(rename = "over")]
     AttemptEnded {
@@ -86,13 +97,22 @@
     },
     /// A worker received a load command for at least one copy.
     #[serde(rename = "ordered")]
-    LoadCommandReceived { worker: String, gateway: u64 },
+    LoadCommandReceived {
+        worker: String,
+        gateway: u64,
+    },
     /// Service discovery sent a gateway an endpoint list in which a worker now drains or is missing.
     #[serde(rename = "told_away")]
-    EndpointDownSent { gateway: u64, worker: String },
+    EndpointDownSent {
+        gateway: u64,
+        worker: String,
+    },
     /// Service discovery sent a gateway an endpoint list in which a worker is up again.
     #[serde(rename = "told_up")]
-    EndpointUpSent { gateway: u64, worker: String },
+    EndpointUpSent {
+        gateway: u64,
+        worker: String,
+    },
     /// A worker started with `cores` cores. For `cold_us` microseconds it warms up, at first at the share
     /// `cold_from` of its full speed.
     #[serde(rename = "started")]
@@ -106,18 +126,25 @@
     },
     /// A worker got more load than its overload bound and crashed.
     #[serde(rename = "fell")]
-    WorkerOverloaded { worker: String },
+    WorkerOverloaded {
+        worker: String,
+    },
     /// The stored data of a gateway was lost, or replaced by an older state.
     #[serde(rename = "disk_lost")]
-    GatewayDiskLost { gateway: u64 },
+    GatewayDiskLost {
+        gateway: u64,
+    },
     /// All workers lost power, and with it the idempotency keys that they remembered.
     #[serde(rename = "workers_lost")]
     WorkersLostPower,
     /// A gateway process started.
     #[serde(rename = "gateway_up")]
-    GatewayStarted { gateway: u64 },
-    /// A gateway process ended without a shutdown: it was killed or lost power.
-    GatewayKilled { gateway: u64 },
+    GatewayStarted {
+        gateway: u64,
+    },
+    GatewayKilled {
+        gateway: u64,
+    },
 }
 
 /// One line of a record.
