--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -1,5 +1,5 @@
 //! A gateway process and fake workers on loopback: the hard cases, seen from the sockets.
-use quartzdrift::gateway::fleet::View;
+use quartzdrift::gateway::fleet::FleetView;
 use quartzdrift::invoke::{Invoke, invoke};
 use quartzdrift::snapshots;
 use quartzdrift_discovery::DiscoveredEndpoint;
@@ -811,12 +811,12 @@
 }
 
 /// Waits until a member's view fits.
-fn view(stage: &Stage, name: &str, what: &str, fits: impl Fn(&View) -> bool) -> View {
+fn view(stage: &Stage, name: &str, what: &str, fits: impl Fn(&FleetView) -> bool) -> FleetView {
     let until = Instant::now() + Duration::from_secs(20);
     loop {
         let bytes = snapshots::read(&stage.folder.path().join(name), snapshots::MEMBERS);
         let bytes = bytes.ok().flatten().unwrap_or_default();
-        match serde_json::from_slice::<View>(&bytes) {
+        match serde_json::from_slice::<FleetView>(&bytes) {
             Ok(view) if fits(&view) => return view,
             told => assert!(Instant::now() < until, "never seen: {what}: {told:?}"),
         }
@@ -833,7 +833,7 @@
         .iter()
         .map(|name| member(&stage, name, &[seed]))
         .collect();
-    let alive = |view: &View, count: usize| {
+    let alive = |view: &FleetView, count: usize| {
         view.members
             .iter()
             .filter(|m| m.state == MemberState::Alive)
@@ -846,7 +846,7 @@
     }
     // Killed outright: found dead, and still counted, since nobody can tell that it does not send.
     drop(others.pop());
-    let dead = |view: &View| {
+    let dead = |view: &FleetView| {
         view.members
             .iter()
             .any(|m| m.name == "d" && m.state == MemberState::Dead)
@@ -860,7 +860,7 @@
     // Stopped as operators stop it: it says so.
     others[0].term();
     assert!(others[0].ended());
-    let left = |view: &View| {
+    let left = |view: &FleetView| {
         view.members
             .iter()
             .any(|m| m.name == "b" && m.state == MemberState::Left)
--- a/crates/quartzdrift/src/commands/views.rs
+++ b/crates/quartzdrift/src/commands/views.rs
@@ -1,6 +1,6 @@
 //! `members` and `recovery`: what a running gateway last wrote to its state folder.
 use super::outcome::{fail, with_settings};
-use quartzdrift::gateway::fleet::View as FleetView;
+use quartzdrift::gateway::fleet::FleetView;
 use quartzdrift::settings::Settings;
 use quartzdrift::snapshots;
 use quartzdrift_recovery::RecoveryView;
--- a/crates/quartzdrift/src/gateway/event_loop.rs
+++ b/crates/quartzdrift/src/gateway/event_loop.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 impl Gateway {
-    /// How long the event loop may wait for events before the next [`Gateway::turn`].
+    /// How long the event loop may wait for events before the next [`Gateway::process_events`].
     pub fn poll_timeout(&self) -> Duration {
         if self.http.has_events() {
             return Duration::ZERO;
@@ -23,7 +23,7 @@
     }
 
     /// Handles the events that the last wait of the event loop brought, and everything that is due.
-    pub fn turn(&mut self) {
+    pub fn process_events(&mut self) {
         self.http.expire_connections(Instant::now());
         for event in self.http.take_events() {
             self.handle_http(event);
--- a/crates/quartzdrift/src/gateway/fleet.rs
+++ b/crates/quartzdrift/src/gateway/fleet.rs
@@ -41,9 +41,10 @@
 
 /// The member list as it is saved for the next start and for operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct View {
+pub struct FleetView {
     /// When it was saved, in seconds since 1970.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub saved_at: u64,
     /// This scheduler's name.
     pub name: String,
     /// Where other members reach it.
@@ -51,7 +52,8 @@
     /// Its SWIM incarnation.
     pub incarnation: u32,
     /// Lifeguard's local health multiplier: 0 is healthy, and timeouts grow with it.
-    pub health: u32,
+    #[serde(rename = "health")]
+    pub health_multiplier: u32,
     /// Schedulers that shared limits are divided by.
     pub schedulers: u32,
     /// All other members.
@@ -70,7 +72,8 @@
     /// Its state.
     pub state: MemberState,
     /// Seconds that it has been in this state.
-    pub since: u64,
+    #[serde(rename = "since")]
+    pub seconds_in_state: u64,
 }
 
 impl MemberView {
@@ -80,18 +83,18 @@
             address: member.address,
             incarnation: member.incarnation,
             state: member.state,
-            since: now.saturating_sub(member.state_since).as_secs(),
+            seconds_in_state: now.saturating_sub(member.state_since).as_secs(),
         }
     }
 }
 
-impl View {
+impl FleetView {
     /// The table that `quartzdrift members` prints, with ages as of `now` since 1970.
     pub fn table(&self, now: Duration) -> String {
-        let age = now.as_secs().saturating_sub(self.at);
+        let age = now.as_secs().saturating_sub(self.saved_at);
         let mut text = format!(
             "{} at {}, incarnation {}, health {}; {} schedulers counted; as of {age} s ago\n",
-            self.name, self.address, self.incarnation, self.health, self.schedulers
+            self.name, self.address, self.incarnation, self.health_multiplier, self.schedulers
         );
         let name_lengths = self.members.iter().map(|member| member.name.len());
         let width = name_lengths.max().unwrap_or(0).max("name".len());
@@ -101,7 +104,7 @@
         ));
         for member in &self.members {
             let state = state_name(member.state);
-            let since = member.since + age;
+            let since = member.seconds_in_state + age;
             text.push_str(&format!(
                 "{:<width$}  {state:<8}  {since:>7} s  {:>11}  {}\n",
                 member.name, member.incarnation, member.address
@@ -162,15 +165,15 @@
         self.members.next_due().min(self.save_at)
     }
 
-    fn view(&self, now: Duration) -> View {
+    fn view(&self, now: Duration) -> FleetView {
         let own = self.members.settings();
         let others = self.members.other_members();
-        View {
-            at: now.as_secs(),
+        FleetView {
+            saved_at: now.as_secs(),
             name: own.name.clone(),
             address: own.address,
             incarnation: self.members.incarnation(),
-            health: self.members.health_multiplier(),
+            health_multiplier: self.members.health_multiplier(),
             schedulers: self.schedulers,
             members: others.map(|member| MemberView::new(member, now)).collect(),
         }
@@ -233,7 +236,7 @@
 }
 
 /// The member list of the last run; `None` where it cannot be used, which costs no more than a slower start.
-fn load_view(folder: Option<&Path>) -> Option<View> {
+fn load_view(folder: Option<&Path>) -> Option<FleetView> {
     let bytes = snapshots::read_or_warn(folder, snapshots::MEMBERS, "the saved members cannot be read")?;
     let view = serde_json::from_slice(&bytes);
     view.inspect_err(|e| tracing::warn!(error = %e, "the saved members are set aside"))
--- a/crates/quartzdrift/src/gateway/fleet/tests.rs
+++ b/crates/quartzdrift/src/gateway/fleet/tests.rs
@@ -3,19 +3,19 @@
 #[test]
 fn the_table_lists_each_member_with_its_age() {
     let at = SocketAddr::from(([127, 0, 0, 1], 9790));
-    let member = |name: &str, state, since| MemberView {
+    let member = |name: &str, state, seconds_in_state| MemberView {
         name: name.to_owned(),
         address: at,
         incarnation: 3,
         state,
-        since,
+        seconds_in_state,
     };
-    let view = View {
-        at: 100,
+    let view = FleetView {
+        saved_at: 100,
         name: "one".to_owned(),
         address: at,
         incarnation: 2,
-        health: 0,
+        health_multiplier: 0,
         schedulers: 3,
         members: vec![
             member("second", MemberState::Alive, 40),
--- a/crates/quartzdrift/src/gateway/state.rs
+++ b/crates/quartzdrift/src/gateway/state.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use uuid::Uuid;
 
-/// A gateway on its event loop. Call [`Gateway::turn`] after each wait of the loop, for [`Gateway::poll_timeout`] at
+/// A gateway on its event loop. Call [`Gateway::process_events`] after each wait of the loop, for [`Gateway::poll_timeout`] at
 /// most.
 pub struct Gateway {
     pub(super) settings: Rc<Settings>,
--- a/crates/quartzdrift/src/serve.rs
+++ b/crates/quartzdrift/src/serve.rs
@@ -54,7 +54,7 @@
         event_loop
             .dispatch(gateway.poll_timeout(), &mut gateway)
             .map_err(io::Error::other)?;
-        gateway.turn();
+        gateway.process_events();
     }
     gateway.shut_down();
     flush(&mut event_loop, &mut gateway)
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -169,7 +169,7 @@
 
 #[test]
 fn members_checkpoint_and_stages_are_read_and_written_again() {
-    let members: quartzdrift::gateway::fleet::View =
+    let members: quartzdrift::gateway::fleet::FleetView =
         serde_json::from_slice(&last(snapshots::MEMBERS)).unwrap();
     assert_eq!(
         (&*members.name, members.schedulers, &*members.members[0].name),
