--- a/crates/quartzdrift/src/gateway/asynchronous.rs
+++ b/crates/quartzdrift/src/gateway/asynchronous.rs
@@ -1,7 +1,7 @@
-//! Asynchronous invocations: each attempt is a request to the request table, like a client's, and its final answer goes back to
-//! the queue.
+//! Attempts of asynchronous invocations. Each attempt is submitted to the request table like a client's
+//! request, and its final response is reported to the queue.
 use super::clients::new_request;
-use super::{Gateway, Origin, RequestContext};
+use super::{Gateway, RequestContext, RequestOrigin};
 use crate::settings::Function;
 use quartzdrift_async_queue::{
     AttemptOutcome, Condition, Destination, DueAttempt, Invocation, InvocationId, NextStep, QueueFull,
@@ -12,14 +12,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The outcome of an attempt that the gateway itself did not send.
-const NOT_SENT: AttemptOutcome = AttemptOutcome::Rejected {
+/// Outcome of an attempt that the request table did not accept.
+const NOT_ACCEPTED: AttemptOutcome = AttemptOutcome::Rejected {
     retry_after: None,
     may_have_executed: None,
 };
 
 impl Gateway {
-    /// An invocation of a function as its settings have it, without a client context.
+    /// Builds an invocation of a function from its settings, without a client context.
     pub(super) fn new_invocation(
         &mut self,
         name: &str,
@@ -31,11 +31,11 @@
         let idempotency = request_class.idempotency;
         let deduplicated_by_all = request_class.deduplication_scope == DeduplicationScope::All;
         let deduplication_window = request_class.deduplication_window.unwrap_or_default();
-        let on_success = or_default(&function.on_success, &self.settings.on_success);
-        let on_failure = or_default(&function.on_failure, &self.settings.on_failure);
-        // One key for all attempts: workers recognise a further one by it.
+        let on_success = or_gateway_default(&function.on_success, &self.settings.on_success);
+        let on_failure = or_gateway_default(&function.on_failure, &self.settings.on_failure);
+        // All attempts carry the same key, by which workers detect a repeated attempt.
         let needs_key = idempotency == Idempotency::IdempotentWithKey;
-        let idempotency_key = needs_key.then(|| self.draw_id().to_string());
+        let idempotency_key = needs_key.then(|| self.new_request_id().to_string());
         Invocation {
             function: name.to_owned(),
             tenant,
@@ -52,31 +52,31 @@
         }
     }
 
-    /// Accepts an invocation.
-    pub(super) fn submit(&mut self, invocation: Invocation) -> Result<InvocationId, QueueFull> {
-        let id = self.asynchronous.submit(self.now(), invocation)?;
+    /// Adds an invocation to the queue.
+    pub(super) fn queue_invocation(&mut self, invocation: Invocation) -> Result<InvocationId, QueueFull> {
+        let id = self.invocation_queue.submit(self.now(), invocation)?;
         self.counts.asynchronous += 1;
         Ok(id)
     }
 
-    /// When the next attempt is due here. With a store, waiting invocations outlast this process: one that stops starts no
-    /// attempt.
+    /// Time at which the next attempt is due. With a store, waiting invocations outlast this process, so no
+    /// attempt is started during the drain.
     pub(super) fn next_attempt_due(&self) -> Option<Duration> {
         let may_start = !self.is_draining() || self.store.is_none();
-        self.asynchronous.next_due().filter(|_| may_start)
+        self.invocation_queue.next_due().filter(|_| may_start)
     }
 
-    /// Starts the attempts that are due.
+    /// Starts all attempts that are due.
     pub(super) fn start_due_attempts(&mut self, now: Duration) {
         while self.next_attempt_due().is_some_and(|due_at| due_at <= now)
-            && let Some(attempt) = self.asynchronous.take_due(now)
+            && let Some(attempt) = self.invocation_queue.take_due(now)
         {
-            self.send_when_durable(attempt);
+            self.submit_attempt_when_durable(attempt);
         }
     }
 
-    /// Sends an attempt to the request table.
-    pub(super) fn send_attempt(&mut self, attempt: DueAttempt) {
+    /// Submits an attempt to the request table.
+    pub(super) fn submit_attempt(&mut self, attempt: DueAttempt) {
         let DueAttempt {
             id,
             invocation,
@@ -90,16 +90,16 @@
         let timeout = request_class.timeout.unwrap_or(Duration::MAX);
         let time_left = time_left.map_or(timeout, |left| left.min(timeout));
         let context = RequestContext {
-            id: self.draw_id(),
-            origin: Origin::Asynchronous(id),
+            id: self.new_request_id(),
+            origin: RequestOrigin::Asynchronous(id),
             payload: invocation.payload,
             client_context: invocation.context,
             idempotency_key: invocation.idempotency_key,
             tenant: self.tenant_name(invocation.tenant),
-            streams: false,
+            streams_response: false,
             request_class: function.request_class,
             accepted_at: self.now(),
-            ramp_probe: None,
+            ramp_function: None,
         };
         self.record_use(&invocation.function, &function, invocation.tenant, time_left);
         let request = new_request(
@@ -112,18 +112,18 @@
         );
         match self.request_table.submit(self.now(), request) {
             Ok(_) => self.carry_out(),
-            Err(_) => self.invocation_attempt_ended(id, NOT_SENT, None),
+            Err(_) => self.invocation_attempt_ended(id, NOT_ACCEPTED, None),
         }
     }
 
-    /// Takes the final answer to an attempt.
-    pub(super) fn attempt_answered(
+    /// Reports the final response to an attempt to the queue.
+    pub(super) fn conclude_invocation_attempt(
         &mut self,
         id: InvocationId,
-        answer: FinalResponse,
+        final_response: FinalResponse,
         response: Option<Response>,
     ) {
-        let outcome = match answer {
+        let outcome = match final_response {
             FinalResponse::Succeeded => AttemptOutcome::Succeeded {
                 function_error: response
                     .as_ref()
@@ -142,15 +142,17 @@
         self.invocation_attempt_ended(id, outcome, response);
     }
 
-    /// Carries out what follows from an attempt, or from a restart.
-    pub(super) fn follow_step(
+    /// Carries out the next step of an invocation after an attempt or a restart.
+    pub(super) fn carry_out_step(
         &mut self,
         id: InvocationId,
         step: Option<NextStep>,
         response: Option<Response>,
     ) {
         match step {
-            Some(NextStep::Retry { at }) => tracing::debug!(id = id.0, ?at, "deferred job waits again"),
+            Some(NextStep::Retry { at }) => {
+                tracing::debug!(id = id.0, ?at, "asynchronous invocation will be retried")
+            }
             Some(NextStep::Completed(completed)) => {
                 if let Some(schedule) = &completed.invocation.schedule {
                     self.schedules.record_completion(schedule);
@@ -158,7 +160,7 @@
                 if completed.condition != Condition::Success {
                     let function = &completed.invocation.function;
                     let condition = completed.condition.as_str();
-                    tracing::warn!(id = id.0, %function, condition, "deferred job is dead");
+                    tracing::warn!(id = id.0, %function, condition, "asynchronous invocation dead-lettered");
                 }
                 self.send_to_destination(&completed, response);
             }
@@ -166,20 +168,27 @@
         }
     }
 
-    /// Logs the invocations that this process leaves open: lost ones by name.
+    /// Logs the invocations that are open at shutdown. Without a store they are lost, and each is logged by
+    /// name.
     pub(super) fn log_open_invocations(&self) {
-        let requests = self.asynchronous.len();
+        let requests = self.invocation_queue.len();
         if self.store.is_some() {
-            return tracing::info!(requests, "deferred jobs are kept for the next start");
+            return tracing::info!(
+                requests,
+                "open asynchronous invocations stay in the store for the next start"
+            );
         }
         if requests == 0 {
             return;
         }
-        tracing::error!(requests, "deferred jobs are lost with this process");
-        for open in self.asynchronous.open_invocations() {
+        tracing::error!(
+            requests,
+            "open asynchronous invocations are lost: no store is configured"
+        );
+        for open in self.invocation_queue.open_invocations() {
             let function = &open.invocation.function;
             let may_have_run = open.attempt_running;
-            tracing::error!(id = open.id.0, %function, may_have_run, "lost deferred job");
+            tracing::error!(id = open.id.0, %function, may_have_run, "asynchronous invocation lost");
         }
     }
 
@@ -189,8 +198,8 @@
         outcome: AttemptOutcome,
         response: Option<Response>,
     ) {
-        let step = self.asynchronous.attempt_ended(self.now(), id, outcome);
-        self.follow_step(id, step, response);
+        let step = self.invocation_queue.attempt_ended(self.now(), id, outcome);
+        self.carry_out_step(id, step, response);
     }
 
     fn tenant_name(&self, tenant: u32) -> Option<String> {
@@ -199,7 +208,10 @@
     }
 }
 
-/// The destination of a function, or that of all functions.
-fn or_default(own: &Option<Destination>, default: &Option<Destination>) -> Option<Destination> {
-    own.clone().or_else(|| default.clone())
+/// The destination that is configured for the function, or that of the gateway.
+fn or_gateway_default(
+    configured: &Option<Destination>,
+    default: &Option<Destination>,
+) -> Option<Destination> {
+    configured.clone().or_else(|| default.clone())
 }
--- a/crates/quartzdrift/src/gateway/call_events.rs
+++ b/crates/quartzdrift/src/gateway/call_events.rs
@@ -1,5 +1,5 @@
-//! What comes back on the gateway's calls: responses, streamed parts and failures. What each proves about an attempt is
-//! the table in `quartzdrift_invoke::outcome`.
+//! Handles the results of outgoing calls: responses, parts of streamed responses, and failures. The table in
+//! `quartzdrift_invoke::outcome` says what each result proves about an attempt.
 use super::Gateway;
 use super::calls::{AttemptCall, CallPurpose};
 use quartzdrift_http::{CallFailure, CallId, Exchange, Headers, Response};
@@ -9,58 +9,58 @@
 use quartzdrift_lifecycle::AttemptResult;
 use quartzdrift_scheduler::interface::{CacheResult, Outcome, RequestId};
 
-/// Bytes of a streamed answer that may wait for a slow client; beyond that the client is cut off.
-const MAX_STREAM_BACKLOG: usize = 1 << 20;
+/// Maximum bytes of a streamed response that may wait for a slow client. Beyond it the connection is closed.
+const MAX_UNSENT_STREAM_BYTES: usize = 1 << 20;
 
 impl Gateway {
-    /// A response is complete; of a streamed one, its head.
+    /// Handles a complete response, or the head of a streamed one.
     pub(super) fn response_received(&mut self, call: CallId, response: Response) {
         match self.calls.get(&call) {
             Some(CallPurpose::Attempt(attempt)) => match attempt.context.streaming_client() {
-                Some(client) => self.stream_started(call, client, response),
-                None => self.call_ended(call, response),
+                Some(client) => self.response_stream_started(call, client, response),
+                None => self.response_completed(call, response),
             },
-            Some(CallPurpose::EndpointStream) => self.endpoint_stream_began(call, response.status),
-            Some(_) => self.call_ended(call, response),
+            Some(CallPurpose::EndpointStream) => self.endpoint_stream_opened(call, response.status),
+            Some(_) => self.response_completed(call, response),
             None => {}
         }
     }
 
-    fn call_ended(&mut self, call: CallId, response: Response) {
-        let outcome = outcome(&response);
+    fn response_completed(&mut self, call: CallId, response: Response) {
+        let outcome = response_outcome(&response);
         match self.calls.remove(&call) {
             Some(CallPurpose::Attempt(ended)) => {
                 self.attempt_ended(ended.request, ended.attempt, outcome, Some(response));
             }
-            Some(CallPurpose::HealthCheck { command }) => self.health_checked(command, &response),
+            Some(CallPurpose::HealthCheck { command }) => self.health_check_ended(command, &response),
             Some(CallPurpose::Load { command }) => {
                 let copies = models::read_replicas(&response.body).unwrap_or(0);
-                self.load_ended(command, outcome);
+                self.load_command_ended(command, outcome);
                 self.command_ended(command, outcome, copies, Vec::new());
             }
-            Some(CallPurpose::EndpointList) => self.poll_answered(response.status, &response.body),
+            Some(CallPurpose::EndpointList) => self.poll_response_received(response.status, &response.body),
             Some(CallPurpose::Destination(event)) => {
                 if !(200..300).contains(&response.status) {
-                    self.send_event(event);
+                    self.send_destination_event(event);
                 }
             }
             Some(CallPurpose::Unload | CallPurpose::EndpointStream) | None => {}
         }
     }
 
-    /// The head of an answer that is streamed to its client.
-    fn stream_started(&mut self, call: CallId, client: Exchange, response: Response) {
-        let Some(started) = self.calls.attempt_mut(&call) else {
+    /// Handles the head of a response that is to be streamed to the client.
+    fn response_stream_started(&mut self, call: CallId, client: Exchange, response: Response) {
+        let Some(attempt_call) = self.calls.attempt_mut(&call) else {
             return;
         };
-        let (request, attempt) = (started.request, started.attempt);
-        let outcome = outcome(&response);
+        let (request, attempt) = (attempt_call.request, attempt_call.attempt);
+        let outcome = response_outcome(&response);
         if outcome != Outcome::Succeeded {
             self.cancel_attempt(request, attempt);
             return self.attempt_ended(request, attempt, outcome, Some(response));
         }
-        started.is_streaming = true;
-        let id = started.context.id.to_string();
+        attempt_call.is_streaming = true;
+        let id = attempt_call.context.id.to_string();
         let mut headers = Headers::new().with("x-amzn-requestid", &id);
         for (name, value) in response.headers.iter() {
             if name == "content-type" {
@@ -72,25 +72,25 @@
         self.carry_out();
     }
 
-    /// A part of a streamed response's body.
-    pub(super) fn part_received(&mut self, call: CallId, bytes: Vec<u8>) {
+    /// Handles a part of the body of a streamed response.
+    pub(super) fn response_part_received(&mut self, call: CallId, bytes: Vec<u8>) {
         match self.calls.get(&call) {
             Some(CallPurpose::Attempt(attempt)) => {
                 let client = attempt.context.streaming_client();
                 if let Some(client) = client
-                    && !self.http.send_part(client, &bytes, MAX_STREAM_BACKLOG)
+                    && !self.http.send_part(client, &bytes, MAX_UNSENT_STREAM_BYTES)
                 {
                     self.http.abort(client);
-                    self.client_gone(client);
+                    self.client_disconnected(client);
                 }
             }
-            Some(CallPurpose::EndpointStream) => self.endpoint_stream_bytes(call, &bytes),
+            Some(CallPurpose::EndpointStream) => self.endpoint_stream_received(call, &bytes),
             Some(_) | None => {}
         }
     }
 
-    /// A streamed response is complete.
-    pub(super) fn stream_ended(&mut self, call: CallId) {
+    /// Handles the end of a streamed response.
+    pub(super) fn response_stream_ended(&mut self, call: CallId) {
         match self.calls.remove(&call) {
             Some(CallPurpose::Attempt(ended)) => {
                 if let Some(client) = ended.context.streaming_client() {
@@ -98,23 +98,23 @@
                 }
                 self.attempt_ended(ended.request, ended.attempt, Outcome::Succeeded, None);
             }
-            Some(CallPurpose::EndpointStream) => self.endpoint_stream_lost("it ended"),
+            Some(CallPurpose::EndpointStream) => self.endpoint_stream_lost("the source ended the stream"),
             Some(_) | None => {}
         }
     }
 
-    /// A call ended without a complete response.
+    /// Handles a call that ended without a complete response.
     pub(super) fn call_failed(&mut self, call: CallId, failure: CallFailure) {
-        let outcome = outcome::outcome(observed(failure));
+        let outcome = outcome::outcome(call_result(failure));
         match self.calls.remove(&call) {
             Some(CallPurpose::Attempt(failed)) => self.attempt_failed(&failed, failure, outcome),
             Some(CallPurpose::HealthCheck { command } | CallPurpose::Load { command }) => {
-                self.load_ended(command, outcome);
+                self.load_command_ended(command, outcome);
                 self.command_ended(command, outcome, 0, Vec::new());
             }
             Some(CallPurpose::EndpointList) => self.poll_failed(&format!("{failure:?}")),
             Some(CallPurpose::EndpointStream) => self.endpoint_stream_lost(&format!("{failure:?}")),
-            Some(CallPurpose::Destination(event)) => self.send_event(event),
+            Some(CallPurpose::Destination(event)) => self.send_destination_event(event),
             Some(CallPurpose::Unload) | None => {}
         }
     }
@@ -128,13 +128,15 @@
         } = *failed;
         tracing::debug!(request, attempt, %worker, ?failure, "attempt failed");
         if let Some(client) = failed.context.streaming_client().filter(|_| failed.is_streaming) {
-            // Cut off, so that the client does not take half an answer for a whole one.
+            // The connection is aborted, so that the client does not mistake a partial response for a
+            // complete one.
             self.http.abort(client);
         }
         self.attempt_ended(request, attempt, outcome, None);
     }
 
-    /// Notifies the request table of an attempt's end. Its response is at hand for the final answer meanwhile.
+    /// Reports the end of an attempt to the request table. The response is available in `pending_response` in
+    /// case the table outputs the final response of the request.
     fn attempt_ended(
         &mut self,
         request: RequestId,
@@ -148,7 +150,7 @@
             outcome,
             cache_result,
             concurrency: outcome::concurrency(&report),
-            report: self.metrics(&report),
+            report: self.report_metrics(&report),
         };
         tracing::trace!(request, attempt, ?outcome, "attempt ended");
         self.pending_response = response.filter(|_| outcome == Outcome::Succeeded);
@@ -160,9 +162,9 @@
         self.load_failed = false;
     }
 
-    fn health_checked(&mut self, command: u64, response: &Response) {
-        let report = self.metrics(&load_report(response));
-        // A worker that says it is not ready has answered, but is not healthy.
+    fn health_check_ended(&mut self, command: u64, response: &Response) {
+        let report = self.report_metrics(&load_report(response));
+        // A worker that responds but is not ready is unhealthy.
         let outcome = if response.status == 200 {
             Outcome::Succeeded
         } else {
@@ -177,8 +179,8 @@
         self.carry_out();
     }
 
-    /// The metrics of a load report that the settings name, in their order.
-    fn metrics(&self, report: &LoadReport) -> Vec<Option<f64>> {
+    /// The values of the configured metrics in a load report, in the order of the settings.
+    fn report_metrics(&self, report: &LoadReport) -> Vec<Option<f64>> {
         let names = &self.settings.metrics;
         names.iter().map(|name| report.get(name)).collect()
     }
@@ -189,14 +191,14 @@
     field.map(LoadReport::parse).unwrap_or_default()
 }
 
-fn outcome(response: &Response) -> Outcome {
+fn response_outcome(response: &Response) -> Outcome {
     outcome::outcome(CallResult::Response {
         status: response.status,
         error_type: response.headers.get("x-amzn-errortype"),
     })
 }
 
-fn observed(failure: CallFailure) -> CallResult<'static> {
+fn call_result(failure: CallFailure) -> CallResult<'static> {
     match failure {
         CallFailure::Connect => CallResult::ConnectFailed,
         CallFailure::ConnectionLimit => CallResult::NoConnectionAvailable,
--- a/crates/quartzdrift/src/gateway/calls.rs
+++ b/crates/quartzdrift/src/gateway/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that the gateway has made to workers and other servers and that have not ended, with their purposes.
+//! Outgoing calls in progress to workers and other servers, with their purposes.
 use super::context::RequestContext;
 use super::destinations::DestinationEvent;
 use crate::attempts::AttemptCarriers;
@@ -10,18 +10,18 @@
 #[cfg(test)]
 mod tests;
 
-/// An attempt that is under way as a call to its worker.
+/// An attempt in progress, sent to its worker in a call.
 #[derive(Debug)]
 pub(super) struct AttemptCall {
     pub(super) request: RequestId,
     pub(super) attempt: u32,
     pub(super) context: Rc<RequestContext>,
     pub(super) worker: Rc<str>,
-    /// Whether its answer has begun to reach the client.
+    /// Whether the response is being streamed to the client.
     pub(super) is_streaming: bool,
 }
 
-/// Why a call was made; it decides what its end means.
+/// The purpose of an outgoing call, which determines how its result is handled.
 #[derive(Debug)]
 pub(super) enum CallPurpose {
     Attempt(AttemptCall),
@@ -31,17 +31,17 @@
     Load {
         command: u64,
     },
-    /// Its end is not reported.
+    /// An unload command, whose result is ignored.
     Unload,
-    /// The whole endpoint list.
+    /// A poll of the full endpoint list.
     EndpointList,
     /// The stream of endpoint list changes.
     EndpointStream,
-    /// The event of a completed asynchronous invocation, on its way to an HTTP destination.
+    /// The sending of an event of a completed asynchronous invocation to a URL.
     Destination(DestinationEvent),
 }
 
-/// All calls that have not ended, also by the attempts and commands that they carry.
+/// All outgoing calls in progress, indexed also by attempt and by command.
 #[derive(Debug, Default)]
 pub(super) struct OutgoingCalls {
     purposes: HashMap<CallId, CallPurpose>,
@@ -54,8 +54,8 @@
         self.purposes.get(call)
     }
 
-    /// The purposes of all calls, in no order.
-    pub(super) fn values(&self) -> impl Iterator<Item = &CallPurpose> {
+    /// The purposes of all calls, in arbitrary order.
+    pub(super) fn purposes(&self) -> impl Iterator<Item = &CallPurpose> {
         self.purposes.values()
     }
 
@@ -63,12 +63,13 @@
         &self.attempts
     }
 
-    /// The call of a health check or load command.
-    pub(super) fn command(&self, command: u64) -> Option<CallId> {
+    /// The call that carries a health check or load command.
+    pub(super) fn command_call(&self, command: u64) -> Option<CallId> {
         self.commands.get(&command).copied()
     }
 
-    /// The attempt of a request whose answer has begun to reach the client. Looks at every call.
+    /// The number of the attempt whose response is being streamed to the client of this request. Scans all
+    /// calls.
     pub(super) fn streaming_attempt(&self, request: RequestId) -> Option<u32> {
         self.purposes.values().find_map(|purpose| match purpose {
             CallPurpose::Attempt(call) if call.request == request && call.is_streaming => Some(call.attempt),
@@ -78,7 +79,7 @@
 
     pub(super) fn insert(&mut self, call: CallId, purpose: CallPurpose) {
         match &purpose {
-            CallPurpose::Attempt(of) => self.attempts.insert(of.request, of.attempt, call),
+            CallPurpose::Attempt(attempt) => self.attempts.insert(attempt.request, attempt.attempt, call),
             CallPurpose::HealthCheck { command } | CallPurpose::Load { command } => {
                 self.commands.insert(*command, call);
             }
@@ -90,7 +91,7 @@
         self.purposes.insert(call, purpose);
     }
 
-    /// The attempt that a call carries, to be changed in place.
+    /// Mutable access to the attempt that a call carries.
     pub(super) fn attempt_mut(&mut self, call: &CallId) -> Option<&mut AttemptCall> {
         match self.purposes.get_mut(call)? {
             CallPurpose::Attempt(attempt) => Some(attempt),
@@ -98,12 +99,12 @@
         }
     }
 
-    /// Forgets a call that has ended or is cancelled.
+    /// Removes a call that has ended or is cancelled.
     pub(super) fn remove(&mut self, call: &CallId) -> Option<CallPurpose> {
         let purpose = self.purposes.remove(call)?;
         match &purpose {
-            CallPurpose::Attempt(of) => {
-                self.attempts.remove(of.request, of.attempt);
+            CallPurpose::Attempt(attempt) => {
+                self.attempts.remove(attempt.request, attempt.attempt);
             }
             CallPurpose::HealthCheck { command } | CallPurpose::Load { command } => {
                 self.commands.remove(command);
--- a/crates/quartzdrift/src/gateway/calls/tests.rs
+++ b/crates/quartzdrift/src/gateway/calls/tests.rs
@@ -1,5 +1,5 @@
 use super::{AttemptCall, CallPurpose, OutgoingCalls};
-use crate::gateway::{Origin, RequestContext};
+use crate::gateway::{RequestContext, RequestOrigin};
 use quartzdrift_async_queue::InvocationId;
 use quartzdrift_http::CallId;
 use std::rc::Rc;
@@ -9,15 +9,15 @@
 fn attempt(attempt: u32) -> CallPurpose {
     let context = RequestContext {
         id: Uuid::nil(),
-        origin: Origin::Asynchronous(InvocationId(1)),
+        origin: RequestOrigin::Asynchronous(InvocationId(1)),
         payload: Rc::from([]),
         client_context: None,
         idempotency_key: None,
         tenant: None,
-        streams: false,
+        streams_response: false,
         request_class: 0,
         accepted_at: Duration::ZERO,
-        ramp_probe: None,
+        ramp_function: None,
     };
     CallPurpose::Attempt(AttemptCall {
         request: 7,
@@ -36,7 +36,7 @@
     calls.insert(CallId(3), CallPurpose::Load { command: 5 });
     assert_eq!(calls.attempts().get(7, 0), Some(CallId(1)));
     assert_eq!(
-        (calls.command(4), calls.command(5)),
+        (calls.command_call(4), calls.command_call(5)),
         (Some(CallId(2)), Some(CallId(3)))
     );
     for call in [CallId(1), CallId(2), CallId(3)] {
@@ -44,11 +44,11 @@
         assert!(calls.remove(&call).is_none());
     }
     assert_eq!(calls.attempts().get(7, 0), None);
-    assert_eq!((calls.command(4), calls.command(5)), (None, None));
+    assert_eq!((calls.command_call(4), calls.command_call(5)), (None, None));
 }
 
 #[test]
-fn only_an_attempt_whose_answer_has_begun_is_streaming() {
+fn an_attempt_is_streaming_only_after_its_response_has_begun() {
     let mut calls = OutgoingCalls::default();
     calls.insert(CallId(1), attempt(0));
     calls.insert(CallId(2), attempt(1));
--- a/crates/quartzdrift/src/gateway/clients.rs
+++ b/crates/quartzdrift/src/gateway/clients.rs
@@ -1,6 +1,7 @@
-//! Client calls: parsed, checked, admitted, and made into requests. Their answers are in `responses`.
-use super::responses::to_http;
-use super::{Gateway, Origin, RequestContext};
+//! Parses, checks and admits client calls, and submits them as requests. Their responses are sent in
+//! `responses`.
+use super::responses::to_http_response;
+use super::{Gateway, RequestContext, RequestOrigin};
 use crate::settings::Function;
 use quartzdrift_async_queue::Invocation;
 use quartzdrift_http::{Exchange, Headers, Request, RequestError};
@@ -12,89 +13,100 @@
 use std::time::Duration;
 use uuid::Uuid;
 
-/// `Retry-After` of calls that come during the drain: another gateway takes over within this time.
+/// `Retry-After` of calls that arrive during the drain. Another gateway takes over within this time.
 const DRAIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When a client call is answered.
-enum Reply {
-    /// At once.
-    Now(ApiResponse),
-    /// With a final answer, or once the store has it.
-    Later,
+/// The response to a client call, or that it is sent later.
+enum ClientReply {
+    /// The response, which is sent at once.
+    Immediate(ApiResponse),
+    /// The response is sent when the request is concluded, or when the queued invocation is durable.
+    Deferred,
 }
 
-/// The tenant that a call names.
+/// The tenant of a client call.
 struct CallTenant {
-    /// Index in the settings.
+    /// Index of the tenant in the settings.
     index: u32,
-    /// The name, where the settings have tenants.
+    /// Name of the tenant; `None`: the settings name no header for it.
     name: Option<String>,
 }
 
-/// A call of a function that the settings allow.
+/// A client call that has been checked against the settings.
 struct InvokeCall {
     exchange: Exchange,
+    /// Request id, sent to the client and to workers.
     id: Uuid,
-    call: InvokeRequest,
-    /// The function's name, as workers load it.
+    invocation: InvokeRequest,
+    /// Name of the function with its version or alias, as workers load it.
     name: String,
     function: Rc<Function>,
     tenant: CallTenant,
     payload: Vec<u8>,
+    /// Whether the client marked the call as a retry.
     is_retry: bool,
 }
 
 impl Gateway {
-    /// A client's request has been received, or could not be read.
-    pub(super) fn request_received(&mut self, exchange: Exchange, request: Result<Request, RequestError>) {
-        let id = self.draw_id();
+    /// Handles a request of a client, or the error of one that could not be received.
+    pub(super) fn client_request_received(
+        &mut self,
+        exchange: Exchange,
+        request: Result<Request, RequestError>,
+    ) {
+        let id = self.new_request_id();
         let reply = request
             .map_err(api_error)
             .and_then(|request| self.handle_request(exchange, id, request));
         let response = match reply {
-            Ok(Reply::Later) => return,
-            Ok(Reply::Now(response)) => response,
+            Ok(ClientReply::Deferred) => return,
+            Ok(ClientReply::Immediate(response)) => response,
             Err(error) => {
                 self.counts.refused += 1;
-                tracing::debug!(%id, ?error, "request refused");
+                tracing::debug!(%id, ?error, "client call refused");
                 error.response()
             }
         };
-        self.respond(exchange, to_http(response, Some(id)));
+        self.respond(exchange, to_http_response(response, Some(id)));
     }
 
-    fn handle_request(&mut self, exchange: Exchange, id: Uuid, request: Request) -> Result<Reply, ApiError> {
+    fn handle_request(
+        &mut self,
+        exchange: Exchange,
+        id: Uuid,
+        request: Request,
+    ) -> Result<ClientReply, ApiError> {
         let Request { head, body, .. } = request;
         match request::read(&head.method, &head.target, |name| head.headers.get(name))? {
             ApiRequest::Ready => {
                 let is_ready = !self.is_draining() && self.request_table.workers_up() > 0;
-                Ok(Reply::Now(response::readiness(is_ready)))
+                Ok(ClientReply::Immediate(response::readiness(is_ready)))
             }
-            ApiRequest::Invoke(call) => {
-                let call = self.check_call(exchange, id, call, &head.headers, body)?;
-                self.handle_call(call)
+            ApiRequest::Invoke(invocation) => {
+                let call = self.validate_call(exchange, id, invocation, &head.headers, body)?;
+                self.admit_call(call)
             }
         }
     }
 
-    fn check_call(
+    fn validate_call(
         &self,
         exchange: Exchange,
         id: Uuid,
-        call: InvokeRequest,
+        invocation: InvokeRequest,
         headers: &Headers,
         payload: Vec<u8>,
     ) -> Result<InvokeCall, ApiError> {
         if self.settings.require_json && !request::is_json(&payload) {
             return Err(ApiError::InvalidContent("the payload is not JSON"));
         }
-        let name = call.function.qualified_name();
+        let name = invocation.function.qualified_name();
         let function = self.settings.function(&name).ok_or(ApiError::UnknownFunction)?;
-        let tenant = self.tenant(headers)?;
+        let tenant = self.identify_tenant(headers)?;
         Ok(InvokeCall {
             exchange,
             id,
-            call,
+            invocation,
             name,
             function,
             tenant,
@@ -103,89 +115,87 @@
         })
     }
 
-    fn handle_call(&mut self, invoke: InvokeCall) -> Result<Reply, ApiError> {
-        let mode = invoke.call.invocation_type;
+    fn admit_call(&mut self, call: InvokeCall) -> Result<ClientReply, ApiError> {
+        let mode = call.invocation.invocation_type;
         if mode == InvocationType::DryRun {
-            return Ok(Reply::Now(response::dry_run()));
+            return Ok(ClientReply::Immediate(response::dry_run()));
         }
-        // Beside a successor at the same address, existing connections are served to their end here.
-        let serves_on = self.settings.share_port && mode == InvocationType::Synchronous;
-        if self.is_draining() && !serves_on {
+        // With a shared port a successor takes new connections, and open ones are served here until they
+        // close.
+        let serves_open_connections = self.settings.share_port && mode == InvocationType::Synchronous;
+        if self.is_draining() && !serves_open_connections {
             return Err(ApiError::Rejected(Some(DRAIN_RETRY_AFTER)));
         }
         self.counts.accepted += 1;
         match mode {
-            InvocationType::Asynchronous => self.queue_call(invoke),
-            InvocationType::Synchronous | InvocationType::DryRun => self.submit_call(invoke),
+            InvocationType::Asynchronous => self.queue_asynchronous_call(call),
+            InvocationType::Synchronous | InvocationType::DryRun => self.submit_synchronous_call(call),
         }
     }
 
-    /// Makes a synchronous call a request.
-    fn submit_call(&mut self, invoke: InvokeCall) -> Result<Reply, ApiError> {
+    /// Submits a synchronous call to the request table.
+    fn submit_synchronous_call(&mut self, call: InvokeCall) -> Result<ClientReply, ApiError> {
         let settings = self.settings.clone();
-        let class = &settings.scheduler.request_classes[invoke.function.request_class as usize];
-        let left = time_left(&invoke.call, class);
-        let has_own_key = invoke.call.idempotency_key.is_some();
-        self.admit_repeat(invoke.function.request_class, has_own_key, invoke.is_retry)
-            .map_err(|wait| ApiError::Rejected(Some(wait)))?;
-        let ramp_probe = self
-            .admit_function(&invoke.name)
-            .map_err(|wait| ApiError::Rejected(Some(wait)))?;
+        let class = &settings.scheduler.request_classes[call.function.request_class as usize];
+        let time_left = time_left(&call.invocation, class);
+        let has_own_key = call.invocation.idempotency_key.is_some();
+        self.admit_repeat(call.function.request_class, has_own_key, call.is_retry)
+            .map_err(|retry_after| ApiError::Rejected(Some(retry_after)))?;
+        let ramp_function = self
+            .admit_function(&call.name)
+            .map_err(|retry_after| ApiError::Rejected(Some(retry_after)))?;
         let context = RequestContext {
-            id: invoke.id,
-            origin: Origin::Client(invoke.exchange),
-            payload: invoke.payload.into(),
-            client_context: invoke.call.client_context,
-            idempotency_key: idempotency_key(invoke.call.idempotency_key, class, invoke.id),
-            tenant: invoke.tenant.name,
-            streams: class.streams_responses,
-            request_class: invoke.function.request_class,
+            id: call.id,
+            origin: RequestOrigin::Client(call.exchange),
+            payload: call.payload.into(),
+            client_context: call.invocation.client_context,
+            idempotency_key: idempotency_key(call.invocation.idempotency_key, class, call.id),
+            tenant: call.tenant.name,
+            streams_response: class.streams_responses,
+            request_class: call.function.request_class,
             accepted_at: self.now(),
-            ramp_probe,
+            ramp_function,
         };
-        self.record_use(&invoke.name, &invoke.function, invoke.tenant.index, left);
-        let new = new_request(
-            &invoke.function,
-            invoke.name.into(),
-            invoke.tenant.index,
-            left,
-            invoke.is_retry,
+        self.record_use(&call.name, &call.function, call.tenant.index, time_left);
+        let request = new_request(
+            &call.function,
+            call.name.into(),
+            call.tenant.index,
+            time_left,
+            call.is_retry,
             Rc::new(context),
         );
-        let Ok(request) = self.request_table.submit(self.now(), new) else {
+        let Ok(request_id) = self.request_table.submit(self.now(), request) else {
             return Err(ApiError::Rejected(None));
         };
-        self.exchanges.insert(invoke.exchange, request);
+        self.exchanges.insert(call.exchange, request_id);
         self.carry_out();
-        Ok(Reply::Later)
+        Ok(ClientReply::Deferred)
     }
 
-    /// Queues an asynchronous call. It is answered once the store has it, unless the settings ask for less.
-    fn queue_call(&mut self, invoke: InvokeCall) -> Result<Reply, ApiError> {
+    /// Queues an asynchronous call. With a store, the client gets its response when the invocation is
+    /// durable, unless the settings ask for an early response.
+    fn queue_asynchronous_call(&mut self, call: InvokeCall) -> Result<ClientReply, ApiError> {
         if self.store.as_ref().is_some_and(|store| !store.has_capacity()) {
             return Err(ApiError::Rejected(Some(
                 self.settings.asynchronous.first_retry_delay,
             )));
         }
-        let request = self.new_invocation(
-            &invoke.name,
-            &invoke.function,
-            invoke.tenant.index,
-            invoke.payload.into(),
-        );
-        let request = Invocation {
-            context: invoke.call.client_context,
-            idempotency_key: invoke.call.idempotency_key.or(request.idempotency_key),
-            ..request
+        let invocation =
+            self.new_invocation(&call.name, &call.function, call.tenant.index, call.payload.into());
+        let invocation = Invocation {
+            context: call.invocation.client_context,
+            idempotency_key: call.invocation.idempotency_key.or(invocation.idempotency_key),
+            ..invocation
         };
-        match self.submit(request) {
-            Ok(_) if self.answer_when_durable(invoke.exchange, invoke.id) => Ok(Reply::Later),
-            Ok(_) => Ok(Reply::Now(response::accepted())),
+        match self.queue_invocation(invocation) {
+            Ok(_) if self.respond_when_durable(call.exchange, call.id) => Ok(ClientReply::Deferred),
+            Ok(_) => Ok(ClientReply::Immediate(response::accepted())),
             Err(why) => {
                 tracing::warn!(
                     ?why,
-                    function = invoke.name,
-                    "an asynchronous invocation was rejected: at capacity"
+                    function = call.name,
+                    "asynchronous invocation rejected: the queue is full"
                 );
                 Err(ApiError::Rejected(Some(
                     self.settings.asynchronous.first_retry_delay,
@@ -194,8 +204,8 @@
         }
     }
 
-    /// The tenant that a call's headers name.
-    fn tenant(&self, headers: &Headers) -> Result<CallTenant, ApiError> {
+    /// Identifies the tenant of a call by its headers.
+    fn identify_tenant(&self, headers: &Headers) -> Result<CallTenant, ApiError> {
         let Some(field) = &self.settings.tenant_field else {
             return Ok(CallTenant { index: 0, name: None });
         };
@@ -213,12 +223,12 @@
         }
     }
 
-    /// A client left before its answer was complete.
-    pub(super) fn client_gone(&mut self, exchange: Exchange) {
+    /// Handles a client that disconnected before its response was complete.
+    pub(super) fn client_disconnected(&mut self, exchange: Exchange) {
         let Some(request) = self.exchanges.remove(&exchange) else {
             return;
         };
-        // Few request classes stream: only with one of those is every call looked at.
+        // Few request classes stream responses. The scan of all calls is needed only if one of them does.
         let mut classes = self.settings.scheduler.request_classes.iter();
         let may_stream = classes.any(|class| class.streams_responses);
         let streaming = may_stream
@@ -227,7 +237,7 @@
         self.request_table.client_disconnected(self.now(), request);
         self.carry_out();
         if let Some(attempt) = streaming {
-            // Nobody reads the rest, and no deadline would end it.
+            // The client does not read the rest of the response, and a streaming attempt has no time limit.
             self.cancel_attempt(request, attempt);
             let result = AttemptResult::without_response(Outcome::Cancelled);
             self.request_table
@@ -237,21 +247,22 @@
     }
 }
 
-/// Time until the client gives up: the class's timeout, or less if the client says so.
+/// Time until the client gives up: the timeout of the request class, or the client's own if it is shorter.
 fn time_left(call: &InvokeRequest, class: &RequestClass) -> Duration {
     let timeout = class.timeout.unwrap_or(Duration::MAX);
     let client_timeout = call.time_left_ms.map(Duration::from_millis);
     client_timeout.map_or(timeout, |limit| timeout.min(limit))
 }
 
-/// The client's key, or else, for requests that need one to be retried, the request's id.
-fn idempotency_key(own: Option<String>, class: &RequestClass, id: Uuid) -> Option<String> {
+/// The client's idempotency key. If there is none, the request id, for request classes that need a key for
+/// retries.
+fn idempotency_key(client_key: Option<String>, class: &RequestClass, id: Uuid) -> Option<String> {
     let needs_key = class.idempotency == Idempotency::IdempotentWithKey;
-    own.or_else(|| needs_key.then(|| id.to_string()))
+    client_key.or_else(|| needs_key.then(|| id.to_string()))
 }
 
-fn api_error(bad: RequestError) -> ApiError {
-    match bad {
+fn api_error(error: RequestError) -> ApiError {
+    match error {
         RequestError::HeadTooLarge => ApiError::HeadersTooLarge,
         RequestError::BodyTooLarge => ApiError::PayloadTooLarge,
         RequestError::Malformed => ApiError::MalformedRequest,
@@ -260,7 +271,7 @@
     }
 }
 
-/// A request for the request table, with what the settings say of its function.
+/// Builds a request for the request table from the settings of its function.
 pub(super) fn new_request(
     function: &Function,
     name: Rc<str>,
--- a/crates/quartzdrift/src/gateway/destinations.rs
+++ b/crates/quartzdrift/src/gateway/destinations.rs
@@ -1,4 +1,4 @@
-//! Destinations: the event of a completed asynchronous invocation goes to a function or a URL.
+//! Sends the event of each completed asynchronous invocation to its destination, a function or a URL.
 use super::{CallPurpose, Gateway};
 use crate::settings::destination;
 use quartzdrift_async_queue::{CompletedInvocation, Destination, Invocation};
@@ -10,15 +10,16 @@
 
 /// Maximum attempts to send an event to a URL.
 const MAX_SEND_ATTEMPTS: u32 = 3;
-/// Maximum events on their way to URLs at a time; further ones are lost, with a line in the log.
+/// Maximum number of events being sent to URLs at a time. Further events are lost, each with an error in the
+/// log.
 const MAX_EVENTS_IN_FLIGHT: usize = 1024;
-/// Maximum bytes of a payload in an event; a longer one is left out of it.
-const MAX_PAYLOAD: usize = 128 << 10;
+/// Maximum bytes of a payload in an event. A longer payload is replaced by null.
+const MAX_PAYLOAD_BYTES: usize = 128 << 10;
 
-/// An event on its way to a URL.
+/// An event that is being sent to a URL.
 #[derive(Debug)]
 pub(super) struct DestinationEvent {
-    /// Attempts that are still allowed.
+    /// Number of attempts that are left.
     attempts_left: u32,
     address: SocketAddr,
     /// Path and query of the URL.
@@ -27,7 +28,8 @@
 }
 
 impl Gateway {
-    /// Sends the event of an invocation to its destination, if it has one. `response`: the answer to its last attempt.
+    /// Sends the event of an invocation to its destination, if it has one. `response` is the response to its
+    /// last attempt.
     pub(super) fn send_to_destination(
         &mut self,
         completed: &CompletedInvocation,
@@ -43,18 +45,19 @@
         }
     }
 
-    /// Makes an attempt to send an event, while attempts are left.
-    pub(super) fn send_event(&mut self, event: DestinationEvent) {
+    /// Sends an event to its URL. If no attempts are left or too many events are in flight, the event is
+    /// lost.
+    pub(super) fn send_destination_event(&mut self, event: DestinationEvent) {
         let in_flight = self
             .calls
-            .values()
+            .purposes()
             .filter(|purpose| matches!(purpose, CallPurpose::Destination(_)))
             .count();
         if event.attempts_left == 0 || in_flight >= MAX_EVENTS_IN_FLIGHT {
             return tracing::error!(
                 to = %event.address,
                 target = event.target,
-                "a record for a destination was lost"
+                "destination event lost: no attempts left, or too many events in flight"
             );
         }
         let request = OutgoingRequest {
@@ -82,14 +85,14 @@
             hops: completed.invocation.hops + 1,
             ..self.new_invocation(name, &function, tenant, payload)
         };
-        if let Err(reason) = self.submit(invocation) {
-            tracing::error!(to = %name, why = ?reason, "a record for a destination was lost: no room");
+        if let Err(reason) = self.queue_invocation(invocation) {
+            tracing::error!(to = %name, why = ?reason, "destination event lost: the queue is full");
         }
     }
 
     fn post_to_destination(&mut self, url: &str, body: Rc<[u8]>) {
         match destination(url) {
-            Ok((address, target)) => self.send_event(DestinationEvent {
+            Ok((address, target)) => self.send_destination_event(DestinationEvent {
                 attempts_left: MAX_SEND_ATTEMPTS,
                 address,
                 target,
@@ -98,13 +101,13 @@
             Err(reason) => tracing::error!(
                 url,
                 why = reason.to_string(),
-                "a record for a destination was lost"
+                "destination event lost: the URL is invalid"
             ),
         }
     }
 }
 
-/// The event in the published form of AWS Lambda's asynchronous invocation record, version 1.0.
+/// Builds the event in the published format of AWS Lambda's asynchronous invocation records, version 1.0.
 fn event_body(completed: &CompletedInvocation, response: Option<&Response>, now: Duration) -> Vec<u8> {
     let time = humantime::format_rfc3339_millis(std::time::UNIX_EPOCH + now).to_string();
     let response_context = response.map(|response| {
@@ -127,9 +130,9 @@
     event.to_string().into_bytes()
 }
 
-/// A payload as JSON; null where it is not JSON, or too long.
+/// A payload as a JSON value; null if it is not JSON or longer than [`MAX_PAYLOAD_BYTES`].
 fn payload_value(payload: &[u8]) -> Value {
-    if payload.len() > MAX_PAYLOAD {
+    if payload.len() > MAX_PAYLOAD_BYTES {
         return Value::Null;
     }
     serde_json::from_slice(payload).unwrap_or(Value::Null)
--- a/crates/quartzdrift/src/gateway/event_loop.rs
+++ b/crates/quartzdrift/src/gateway/event_loop.rs
@@ -1,10 +1,11 @@
-//! One turn of the event loop: the events of the sockets, then everything that is due.
+//! The handling of events after each wait of the event loop: first the events of the sockets, then the timers
+//! that are due.
 use super::{Gateway, fleet, prefetch};
 use quartzdrift_http::HttpEvent;
 use std::time::{Duration, Instant};
 
 impl Gateway {
-    /// How long the event loop may wait for events before the next [`Gateway::process_events`].
+    /// Maximum time that the event loop may wait for events before it calls [`Gateway::process_events`].
     pub fn poll_timeout(&self) -> Duration {
         if self.http.has_events() {
             return Duration::ZERO;
@@ -13,7 +14,7 @@
             self.request_table.next_deadline(),
             self.next_attempt_due(),
             self.next_trigger_due(),
-            self.recovery_next_due(),
+            self.next_recovery_due(),
             self.discovery.next_due(),
             self.prefetch.as_ref().and_then(prefetch::Prefetch::next_due),
             self.fleet.as_ref().map(fleet::Fleet::next_due),
@@ -22,35 +23,36 @@
         self.clock.until(deadlines, [self.http.next_deadline()])
     }
 
-    /// Handles the events that the last wait of the event loop brought, and everything that is due.
+    /// Handles the events that arrived during the last wait of the event loop, and fires the timers that are
+    /// due.
     pub fn process_events(&mut self) {
         self.http.expire_connections(Instant::now());
         for event in self.http.take_events() {
-            self.handle_http(event);
+            self.handle_http_event(event);
         }
         let now = self.now();
-        self.request_table_due(now);
-        self.discovery_due(now);
-        self.prefetch_due(now);
-        self.fleet_due(now);
-        self.recovery_due(now);
-        self.start_due_triggers(now);
+        self.fire_request_timers(now);
+        self.fire_discovery_timers(now);
+        self.fire_prefetch_timers(now);
+        self.fire_fleet_timers(now);
+        self.fire_recovery_timers(now);
+        self.submit_due_triggers(now);
         self.start_due_attempts(now);
         self.submit_changes();
     }
 
-    fn handle_http(&mut self, event: HttpEvent) {
+    fn handle_http_event(&mut self, event: HttpEvent) {
         match event {
-            HttpEvent::Request { exchange, request } => self.request_received(exchange, request),
-            HttpEvent::ClientDisconnected { exchange } => self.client_gone(exchange),
+            HttpEvent::Request { exchange, request } => self.client_request_received(exchange, request),
+            HttpEvent::ClientDisconnected { exchange } => self.client_disconnected(exchange),
             HttpEvent::Response { call, response } => self.response_received(call, response),
-            HttpEvent::ResponsePart { call, bytes } => self.part_received(call, bytes),
-            HttpEvent::ResponseEnd { call } => self.stream_ended(call),
+            HttpEvent::ResponsePart { call, bytes } => self.response_part_received(call, bytes),
+            HttpEvent::ResponseEnd { call } => self.response_stream_ended(call),
             HttpEvent::CallFailed { call, failure } => self.call_failed(call, failure),
         }
     }
 
-    fn request_table_due(&mut self, now: Duration) {
+    fn fire_request_timers(&mut self, now: Duration) {
         let is_due = self.request_table.next_deadline().is_some_and(|at| at <= now);
         if !is_due {
             return;
--- a/crates/quartzdrift/src/gateway/fleet.rs
+++ b/crates/quartzdrift/src/gateway/fleet.rs
@@ -1,5 +1,5 @@
-//! This scheduler as a member of a fleet: the UDP socket, the saved member list and the log. `quartzdrift-membership`
-//! decides what is believed of other members and how many schedulers are counted.
+//! Membership of this scheduler in a fleet: the UDP socket, the saved member list, and the log. The protocol,
+//! the states of members and the number of schedulers are decided in `quartzdrift-membership`.
 use super::Gateway;
 use crate::settings::Fleet as FleetSettings;
 use crate::snapshots;
@@ -14,64 +14,66 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Datagrams received at a time, before the event loop turns to other sources.
-const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// Bytes of the receive buffer: the longest datagram that settings allow.
-const RECEIVE_BUFFER: usize = 2048;
-/// How often the member list is saved for `quartzdrift members` and for the next start.
+/// Maximum number of datagrams received before the event loop handles other sources.
+const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
+/// Size of the receive buffer: the longest datagram that the settings allow.
+const RECEIVE_BUFFER_BYTES: usize = 2048;
+/// Interval at which the member list is saved for `quartzdrift members` and for the next start.
 const SAVE_INTERVAL: Duration = Duration::from_secs(5);
-/// How soon it is saved after a change, so that many changes are saved together.
+/// Delay before the member list is saved after a change, so that several changes are saved together.
 const SAVE_DELAY: Duration = Duration::from_millis(500);
-/// The same reason for rejected datagrams of a sender is logged so often at most.
-const LOG_INTERVAL: Duration = Duration::from_secs(60);
-/// Reasons and senders that are remembered as logged.
+/// Minimum time between two log lines about datagrams that were sent from one address and rejected for the
+/// same reason.
+const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(60);
+/// Maximum number of pairs of sender and reason for which the time of the last log line is kept.
 const MAX_LOGGED_REJECTIONS: usize = 256;
 
+/// Membership of this scheduler in a fleet, with its socket.
 pub(super) struct Fleet {
     socket: Rc<UdpSocket>,
-    members: Membership,
-    count: SchedulerCount,
-    /// The number of schedulers that the request table was last given.
-    schedulers: u32,
-    save_at: Duration,
+    membership: Membership,
+    scheduler_count: SchedulerCount,
+    /// Number of schedulers that was last passed to the request table.
+    reported_schedulers: u32,
+    next_save_at: Duration,
     rejections: RejectionLog,
-    /// Datagrams that the system did not take; the protocol tolerates losses.
-    unsent: u64,
+    /// Number of datagrams that the system failed to send. The protocol tolerates their loss.
+    failed_sends: u64,
 }
 
-/// The member list as it is saved for the next start and for operators.
+/// The member list, saved for the next start and for operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetView {
-    /// When it was saved, in seconds since 1970.
+    /// Time at which the list was saved, in seconds since 1970.
     #[serde(rename = "at")]
     pub saved_at: u64,
-    /// This scheduler's name.
+    /// Name of this scheduler.
     pub name: String,
-    /// Where other members reach it.
+    /// Address at which other members reach this scheduler.
     pub address: SocketAddr,
-    /// Its SWIM incarnation.
+    /// SWIM incarnation of this scheduler.
     pub incarnation: u32,
     /// Lifeguard's local health multiplier: 0 is healthy, and timeouts grow with it.
     #[serde(rename = "health")]
     pub health_multiplier: u32,
-    /// Schedulers that shared limits are divided by.
+    /// Number of schedulers among which shared limits are divided.
     pub schedulers: u32,
     /// All other members.
     pub members: Vec<MemberView>,
 }
 
-/// Another member as it is saved.
+/// Another member in the saved member list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberView {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Where it is reached.
+    /// Address of the member.
     pub address: SocketAddr,
-    /// Its SWIM incarnation.
+    /// SWIM incarnation of the member.
     pub incarnation: u32,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
-    /// Seconds that it has been in this state.
+    /// Time that the member had been in this state when the list was saved, in seconds.
     #[serde(rename = "since")]
     pub seconds_in_state: u64,
 }
@@ -89,7 +91,7 @@
 }
 
 impl FleetView {
-    /// The table that `quartzdrift members` prints, with ages as of `now` since 1970.
+    /// Formats the table that `quartzdrift members` prints. Ages are as of `now`, the time since 1970.
     pub fn table(&self, now: Duration) -> String {
         let age = now.as_secs().saturating_sub(self.saved_at);
         let mut text = format!(
@@ -123,7 +125,7 @@
     }
 }
 
-/// Keeps repeated rejections out of the log.
+/// Limits how often rejected datagrams are logged.
 #[derive(Default)]
 struct RejectionLog {
     logged_at: BTreeMap<(IpAddr, RejectReason), Duration>,
@@ -133,93 +135,94 @@
     fn log(&mut self, now: Duration, from: SocketAddr, reason: RejectReason) {
         let key = (from.ip(), reason);
         let logged_at = self.logged_at.get(&key);
-        if logged_at.is_some_and(|at| now < *at + LOG_INTERVAL) {
+        if logged_at.is_some_and(|at| now < *at + REJECTION_LOG_INTERVAL) {
             return;
         }
         if self.logged_at.len() >= MAX_LOGGED_REJECTIONS {
             self.logged_at.pop_first();
         }
         self.logged_at.insert(key, now);
-        tracing::warn!(%from, why = %reason, "a datagram is not taken");
+        tracing::warn!(%from, why = %reason, "datagram rejected");
     }
 }
 
-/// A message of another member.
-struct Message {
+/// A message received from another member.
+struct MemberMessage {
     from: Rc<str>,
     topic: u8,
     bytes: Vec<u8>,
 }
 
-/// What the membership's outputs ask of the gateway.
+/// Outputs of the membership protocol for the gateway to carry out.
 #[derive(Default)]
 struct FleetEvents {
     member_changed: bool,
-    /// Members that are alive now.
-    alive: Vec<Rc<str>>,
-    messages: Vec<Message>,
+    /// Members whose state has changed, and is now alive.
+    alive_members: Vec<Rc<str>>,
+    messages: Vec<MemberMessage>,
 }
 
 impl Fleet {
     pub(super) fn next_due(&self) -> Duration {
-        self.members.next_due().min(self.save_at)
+        self.membership.next_due().min(self.next_save_at)
     }
 
-    fn view(&self, now: Duration) -> FleetView {
-        let own = self.members.settings();
-        let others = self.members.other_members();
+    fn current_view(&self, now: Duration) -> FleetView {
+        let own = self.membership.settings();
+        let others = self.membership.other_members();
         FleetView {
             saved_at: now.as_secs(),
             name: own.name.clone(),
             address: own.address,
-            incarnation: self.members.incarnation(),
-            health_multiplier: self.members.health_multiplier(),
-            schedulers: self.schedulers,
+            incarnation: self.membership.incarnation(),
+            health_multiplier: self.membership.health_multiplier(),
+            schedulers: self.reported_schedulers,
             members: others.map(|member| MemberView::new(member, now)).collect(),
         }
     }
 
     fn receive_datagrams(&mut self, now: Duration, socket: &UdpSocket) {
-        let mut buffer = [0; RECEIVE_BUFFER];
-        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+        let mut buffer = [0; RECEIVE_BUFFER_BYTES];
+        for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
             match socket.recv_from(&mut buffer) {
-                Ok((length, from)) => self.members.receive(now, from, &buffer[..length]),
+                Ok((length, from)) => self.membership.receive(now, from, &buffer[..length]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                // ICMP's answer to an earlier datagram: nobody listens there.
+                // An ICMP error about an earlier datagram, to an address at which nobody listens.
                 Err(_) => {}
             }
         }
     }
 
-    /// Carries out the membership's outputs as far as the fleet itself can.
-    fn carry_out(&mut self, now: Duration) -> FleetEvents {
+    /// Sends datagrams, logs changes and rejections, and returns the outputs that the gateway has to carry
+    /// out.
+    fn carry_out_outputs(&mut self, now: Duration) -> FleetEvents {
         let mut events = FleetEvents::default();
-        for output in self.members.take_outputs() {
+        for output in self.membership.take_outputs() {
             match output {
                 Output::SendDatagram { to, bytes } => {
                     let failed = self.socket.send_to(&bytes, to).is_err();
-                    self.unsent += u64::from(failed);
+                    self.failed_sends += u64::from(failed);
                 }
-                Output::MemberChanged(member) => self.handle_change(now, member, &mut events),
+                Output::MemberChanged(member) => self.member_changed(now, member, &mut events),
                 Output::DatagramRejected { from, reason } => self.rejections.log(now, from, reason),
                 Output::NameConflict { address } => {
-                    let mend = "give each scheduler a name of its own in [fleet]";
+                    let mend = "give each scheduler a unique name in [fleet]";
                     tracing::error!(
                         by = %address,
                         mend,
-                        "another member bears our name: others do not hear us"
+                        "another member has this scheduler's name: other members ignore this scheduler"
                     );
                 }
                 Output::MessageReceived { from, topic, bytes } => {
-                    events.messages.push(Message { from, topic, bytes });
+                    events.messages.push(MemberMessage { from, topic, bytes });
                 }
             }
         }
         events
     }
 
-    fn handle_change(&mut self, now: Duration, member: Member, events: &mut FleetEvents) {
-        self.save_at = self.save_at.min(now + SAVE_DELAY);
+    fn member_changed(&mut self, now: Duration, member: Member, events: &mut FleetEvents) {
+        self.next_save_at = self.next_save_at.min(now + SAVE_DELAY);
         events.member_changed = true;
         let Member {
             name,
@@ -230,30 +233,31 @@
         } = member;
         tracing::info!(%name, %address, ?state, incarnation, "member");
         if state == MemberState::Alive {
-            events.alive.push(name);
+            events.alive_members.push(name);
         }
     }
 }
 
-/// The member list of the last run; `None` where it cannot be used, which costs no more than a slower start.
-fn load_view(folder: Option<&Path>) -> Option<FleetView> {
-    let bytes = snapshots::read_or_warn(folder, snapshots::MEMBERS, "the saved members cannot be read")?;
+/// Reads the member list of the last run. Returns `None` if it cannot be used, which only makes the start
+/// slower.
+fn read_saved_view(folder: Option<&Path>) -> Option<FleetView> {
+    let bytes = snapshots::read_or_warn(folder, snapshots::MEMBERS, "cannot read the saved member list")?;
     let view = serde_json::from_slice(&bytes);
-    view.inspect_err(|e| tracing::warn!(error = %e, "the saved members are set aside"))
+    view.inspect_err(|e| tracing::warn!(error = %e, "saved member list is invalid, ignoring it"))
         .ok()
 }
 
-/// Names of the members that counted when the list was saved: all but the dead and those that left.
-pub(super) fn known_members(folder: Option<&Path>) -> Vec<String> {
+/// Names of the members that were alive or suspect when the last run saved its member list.
+pub(super) fn reachable_members_of_last_run(folder: Option<&Path>) -> Vec<String> {
     let is_reachable =
         |member: &MemberView| matches!(member.state, MemberState::Alive | MemberState::Suspect);
-    let members = load_view(folder).into_iter().flat_map(|view| view.members);
+    let members = read_saved_view(folder).into_iter().flat_map(|view| view.members);
     members.filter(is_reachable).map(|member| member.name).collect()
 }
 
-fn bind(listen: SocketAddr) -> io::Result<UdpSocket> {
+fn bind_socket(listen: SocketAddr) -> io::Result<UdpSocket> {
     let socket = UdpSocket::bind(listen).map_err(|e| {
-        let message = format!("cannot listen for members at {listen}: {e}");
+        let message = format!("cannot bind the UDP socket of the fleet to {listen}: {e}");
         io::Error::new(e.kind(), message)
     })?;
     socket.set_nonblocking(true)?;
@@ -261,6 +265,7 @@
 }
 
 impl Gateway {
+    /// Binds the socket and joins the fleet, if the settings configure one.
     pub(super) fn start_fleet(&mut self, handle: &LoopHandle<'static, Gateway>) -> io::Result<()> {
         let Some(FleetSettings {
             mut members,
@@ -270,15 +275,15 @@
         else {
             return Ok(());
         };
-        let socket = Rc::new(bind(listen)?);
-        // With port 0 the system has chosen the port that others reach us at.
+        let socket = Rc::new(bind_socket(listen)?);
+        // With port 0, the other members use the port that the system has chosen.
         if members.address.port() == 0 {
             members.address.set_port(socket.local_addr()?.port());
         }
         register_socket(handle, socket.clone())?;
-        let last_view = load_view(self.settings.state.as_deref());
-        let count_before = last_view.as_ref().map_or(0, |view| view.schedulers);
-        let known_addresses: Vec<SocketAddr> = last_view
+        let saved_view = read_saved_view(self.settings.state.as_deref());
+        let previous_count = saved_view.as_ref().map_or(0, |view| view.schedulers);
+        let known_addresses: Vec<SocketAddr> = saved_view
             .into_iter()
             .flat_map(|view| view.members)
             .filter(|member| member.state != MemberState::Left)
@@ -288,25 +293,27 @@
             name = %members.name,
             address = %members.address,
             known = known_addresses.len(),
-            "member of a fleet"
+            "joining the fleet"
         );
         let minimum = self.settings.scheduler.scheduler_count.unwrap_or(1);
         let now = self.now();
-        // A random instance is never used twice by a name; replayed datagrams of an earlier start are detected by it.
+        // The random instance id differs from those of earlier starts, so that their replayed datagrams are
+        // rejected.
         let instance = rand::random();
         self.fleet = Some(Fleet {
             socket,
-            members: Membership::new(members, instance, &known_addresses, rand::random(), now),
-            count: SchedulerCount::new(minimum, count_before, silent),
-            schedulers: 0,
-            save_at: now + SAVE_INTERVAL,
+            membership: Membership::new(members, instance, &known_addresses, rand::random(), now),
+            scheduler_count: SchedulerCount::new(minimum, previous_count, silent),
+            reported_schedulers: 0,
+            next_save_at: now + SAVE_INTERVAL,
             rejections: RejectionLog::default(),
-            unsent: 0,
+            failed_sends: 0,
         });
         self.fleet_changed();
         Ok(())
     }
 
+    /// Handles the datagrams that have arrived at the socket.
     fn receive_datagrams(&mut self, socket: &UdpSocket) {
         let now = self.now();
         let Some(fleet) = &mut self.fleet else { return };
@@ -314,13 +321,14 @@
         self.fleet_changed();
     }
 
-    pub(super) fn fleet_due(&mut self, now: Duration) {
+    /// Runs the timers of the membership protocol that are due, and saves the member list if that is due.
+    pub(super) fn fire_fleet_timers(&mut self, now: Duration) {
         let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.next_due() <= now) else {
             return;
         };
-        let is_save_due = fleet.save_at <= now;
-        if fleet.members.next_due() <= now {
-            fleet.members.due(now);
+        let is_save_due = fleet.next_save_at <= now;
+        if fleet.membership.next_due() <= now {
+            fleet.membership.due(now);
             self.fleet_changed();
         }
         if is_save_due {
@@ -328,71 +336,78 @@
         }
     }
 
-    /// Carries out the membership's outputs and updates the number of schedulers.
+    /// Carries out the outputs of the membership protocol, and updates the number of schedulers.
     fn fleet_changed(&mut self) {
         let now = self.now();
         let Some(fleet) = &mut self.fleet else { return };
-        let events = fleet.carry_out(now);
-        let schedulers = fleet
-            .count
-            .update(now, events.member_changed, fleet.members.other_members());
-        if schedulers != fleet.schedulers {
-            tracing::info!(before = fleet.schedulers, schedulers, "number of schedulers");
-            fleet.schedulers = schedulers;
+        let events = fleet.carry_out_outputs(now);
+        let schedulers =
+            fleet
+                .scheduler_count
+                .update(now, events.member_changed, fleet.membership.other_members());
+        if schedulers != fleet.reported_schedulers {
+            tracing::info!(
+                before = fleet.reported_schedulers,
+                schedulers,
+                "number of schedulers changed"
+            );
+            fleet.reported_schedulers = schedulers;
             self.request_table.set_scheduler_count(now, schedulers);
             self.carry_out();
         }
         self.dispatch_to_recovery(now, events);
     }
 
-    /// Passes members and messages on by topic; recovery is the only user of messages.
+    /// Passes alive members and received messages to the recovery, which is the only user of member messages.
     fn dispatch_to_recovery(&mut self, now: Duration, events: FleetEvents) {
-        if events.alive.is_empty() && events.messages.is_empty() {
+        if events.alive_members.is_empty() && events.messages.is_empty() {
             return;
         }
         if let Some(recovery) = &mut self.recovery {
-            for name in &events.alive {
-                recovery.machine.member_seen(now, name);
+            for name in &events.alive_members {
+                recovery.state_machine.member_seen(now, name);
             }
         }
-        for Message { from, topic, bytes } in events.messages {
+        for MemberMessage { from, topic, bytes } in events.messages {
             let result = match (topic, &mut self.recovery) {
                 (quartzdrift_recovery::RECOVERY_TOPIC, Some(recovery)) => {
-                    recovery.machine.receive(now, &from, &bytes)
+                    recovery.state_machine.receive(now, &from, &bytes)
                 }
-                // Of a later release, or of no use without a state folder.
+                // The topic belongs to a later release, or there is no recovery because no state folder is
+                // configured.
                 (_, _) => Ok(()),
             };
             if let Err(error) = result {
-                tracing::warn!(%from, topic, why = %error, "what a member tells is not understood");
+                tracing::warn!(%from, topic, why = %error, "invalid message from a member");
             }
         }
         self.carry_out_recovery();
     }
 
+    /// Sends a message to another member of the fleet.
     pub(super) fn send_to_member(&mut self, to: &str, topic: u8, bytes: Vec<u8>) {
         let Some(fleet) = &mut self.fleet else { return };
-        fleet.members.send_message(to, topic, bytes);
+        fleet.membership.send_message(to, topic, bytes);
         self.fleet_changed();
     }
 
     fn save_fleet(&mut self) {
         let now = self.now();
         let Some(fleet) = &mut self.fleet else { return };
-        fleet.save_at = now + SAVE_INTERVAL;
+        fleet.next_save_at = now + SAVE_INTERVAL;
         let Some(writer) = &self.snapshot_writer else {
             return;
         };
-        if let Ok(bytes) = serde_json::to_vec_pretty(&fleet.view(now)) {
+        if let Ok(bytes) = serde_json::to_vec_pretty(&fleet.current_view(now)) {
             writer.write_soon(snapshots::MEMBERS, bytes);
         }
     }
 
-    /// Announces that this member leaves, so that nobody declares it dead.
+    /// Announces that this member leaves, so that the other members do not declare it dead.
     pub(super) fn leave_fleet(&mut self) {
         let now = self.now();
         if let Some(fleet) = &mut self.fleet {
-            fleet.members.leave(now);
+            fleet.membership.leave(now);
             self.fleet_changed();
             self.save_fleet();
         }
--- a/crates/quartzdrift/src/gateway/mod.rs
+++ b/crates/quartzdrift/src/gateway/mod.rs
@@ -1,23 +1,24 @@
-//! The gateway's event loop: events of the sockets go to the request table, and what that decides is carried out.
+//! The gateway's event loop. It passes events of the sockets to the request table and carries out the table's
+//! outputs.
 //!
-//! * `state`: the state of the event loop, and how it starts.
-//! * `event_loop`: one turn of the loop.
-//! * `outputs`: carries out what the request table decides.
-//! * `shutdown`: the drain, and the end of everything that is open.
-//! * `context`: what is held of a request beside the request table.
-//! * `calls`: calls to other servers that have not ended.
-//! * `clients`: client calls become requests.
-//! * `responses`: final answers go back to clients.
-//! * `workers`: attempts, health checks and load commands as they leave.
-//! * `call_events`: what comes back on calls.
-//! * `discovery`: where the endpoint list comes from.
-//! * `prefetch`: forecasts of use, and loads ahead of need.
-//! * `fleet`: membership of the schedulers.
-//! * `store`: asynchronous invocations in the write-ahead log.
+//! * `state`: the state of the event loop, and its start.
+//! * `event_loop`: the handling of events and timers after each wait.
+//! * `outputs`: carries out the outputs of the request table.
+//! * `shutdown`: the drain and the shutdown.
+//! * `context`: the gateway's data of each request, and its counts of requests.
+//! * `calls`: outgoing calls in progress, with their purposes.
+//! * `clients`: parses, checks and admits client calls.
+//! * `responses`: sends final responses to clients.
+//! * `workers`: sends attempts, health checks and load commands to workers.
+//! * `call_events`: handles the results of outgoing calls.
+//! * `discovery`: polls the endpoint list, and receives pushed changes of it.
+//! * `prefetch`: forecasts of use, for loading functions before they are needed.
+//! * `fleet`: membership in the fleet of schedulers.
+//! * `store`: durable storage of asynchronous invocations.
 //! * `asynchronous`: attempts of asynchronous invocations.
-//! * `schedules`: invocations that schedules trigger.
-//! * `destinations`: events of completed asynchronous invocations.
-//! * `recovery`: from the start to full service.
+//! * `schedules`: invocations triggered by schedules.
+//! * `destinations`: sends the events of completed asynchronous invocations.
+//! * `recovery`: recovery after a start, and checkpoints for the next start.
 mod asynchronous;
 mod call_events;
 mod calls;
@@ -38,5 +39,5 @@
 mod workers;
 
 use calls::CallPurpose;
-pub use context::{Origin, RequestContext, RequestCounts};
+pub use context::{RequestContext, RequestCounts, RequestOrigin};
 pub use state::Gateway;
--- a/crates/quartzdrift/src/gateway/outputs.rs
+++ b/crates/quartzdrift/src/gateway/outputs.rs
@@ -1,5 +1,5 @@
-//! Carries out what the request table decides.
-use super::{Gateway, Origin, RequestContext};
+//! Carries out the outputs of the request table.
+use super::{Gateway, RequestContext, RequestOrigin};
 use crate::attempts::CarryOut;
 use quartzdrift_lifecycle::{FinalResponse, Output, RequestTable};
 use quartzdrift_scheduler::interface::{Outcome, RequestId};
@@ -27,26 +27,30 @@
                 request,
                 payload,
                 response,
-            } => self.final_answer(request, &payload, response),
-            Output::CheckHealth { command, worker } => self.check_health(command, &worker),
+            } => self.conclude_request(request, &payload, response),
+            Output::CheckHealth { command, worker } => self.send_health_check(command, &worker),
             Output::Load {
                 command,
                 worker,
                 function,
                 copies,
-            } => self.load(command, &worker, &function, copies),
+            } => self.send_load(command, &worker, &function, copies),
             Output::RecallCommand { command } => self.recall_command(command),
             Output::AbandonCommand { command } => self.abandon_command(command),
-            Output::Unload { worker, function } => self.unload(&worker, &function),
-            Output::CloseIdleConnections { worker } => self.close_idle(&worker),
+            Output::Unload { worker, function } => self.send_unload(&worker, &function),
+            Output::CloseIdleConnections { worker } => self.close_idle_connections(&worker),
             Output::SendToPeer { to, bytes } => {
-                // The scheduler sends nothing to its peers today.
-                tracing::warn!(?to, bytes = bytes.len(), "a message to a peer is dropped");
+                // The scheduler sends no messages to peers, so there is no transport for them.
+                tracing::warn!(
+                    ?to,
+                    bytes = bytes.len(),
+                    "scheduler message to a peer dropped: there is no transport for it"
+                );
             }
-            Output::WatchEndpoints { enabled } => self.watch(enabled),
+            Output::WatchEndpoints { enabled } => self.watch_endpoints(enabled),
             Output::PollEndpoints => self.poll_endpoints(),
-            Output::Notice(notice) => tracing::info!(?notice, "endpoint list"),
-            Output::Log { text } => tracing::info!(text, "scheduler"),
+            Output::Notice(notice) => tracing::info!(?notice, "endpoint list notice"),
+            Output::Log { text } => tracing::info!(text, "scheduler log message"),
         }
     }
 }
@@ -57,6 +61,7 @@
         self.carry_out_all();
     }
 
+    /// Cancels an attempt and reports it as recalled, unless a part of it has been sent.
     fn recall_attempt(&mut self, request: RequestId, attempt: u32) {
         let attempts = self.calls.attempts();
         if !attempts.has_left(request, attempt, |call| self.http.is_unsent(call)) {
@@ -65,10 +70,11 @@
         }
     }
 
+    /// Cancels a command and reports it as never sent, unless a part of it has been sent.
     fn recall_command(&mut self, command: u64) {
-        let call = self.calls.command(command);
+        let call = self.calls.command_call(command);
         if let Some(call) = call.filter(|call| self.http.is_unsent(*call)) {
-            self.load_ended(command, Outcome::NeverSent);
+            self.load_command_ended(command, Outcome::NeverSent);
             self.calls.remove(&call);
             self.http.cancel(call);
             self.request_table
@@ -76,28 +82,37 @@
         }
     }
 
+    /// Cancels a command that has timed out.
     fn abandon_command(&mut self, command: u64) {
-        self.load_ended(command, Outcome::TimedOut);
-        if let Some(call) = self.calls.command(command) {
+        self.load_command_ended(command, Outcome::TimedOut);
+        if let Some(call) = self.calls.command_call(command) {
             self.calls.remove(&call);
             self.http.cancel(call);
         }
     }
 
-    fn final_answer(&mut self, request: RequestId, context: &RequestContext, answer: FinalResponse) {
-        let count = match answer {
+    /// Counts the final response of a request, and passes it to the client or to the asynchronous invocation.
+    fn conclude_request(
+        &mut self,
+        request: RequestId,
+        context: &RequestContext,
+        final_response: FinalResponse,
+    ) {
+        let count = match final_response {
             FinalResponse::Succeeded => &mut self.counts.succeeded,
             FinalResponse::Rejected { .. } => &mut self.counts.rejected,
             FinalResponse::Failed { .. } => &mut self.counts.failed,
             FinalResponse::Cancelled => &mut self.counts.cancelled,
         };
         *count += 1;
-        tracing::debug!(request, id = %context.id, ?answer, "final answer");
+        tracing::debug!(request, id = %context.id, answer = ?final_response, "request concluded");
         let response = self.pending_response.take();
-        self.request_answered(context, answer);
+        self.record_final_response(context, final_response);
         match context.origin {
-            Origin::Client(exchange) => self.answer_client(exchange, context, answer, response),
-            Origin::Asynchronous(id) => self.attempt_answered(id, answer, response),
+            RequestOrigin::Client(exchange) => {
+                self.respond_to_client(exchange, context, final_response, response)
+            }
+            RequestOrigin::Asynchronous(id) => self.conclude_invocation_attempt(id, final_response, response),
         }
     }
 }
--- a/crates/quartzdrift/src/gateway/prefetch.rs
+++ b/crates/quartzdrift/src/gateway/prefetch.rs
@@ -1,5 +1,5 @@
-//! Prefetch: forecasts of use go to the request table, and results of load commands to the ledger. Whether anything is loaded,
-//! and where, is up to the scheduler.
+//! Prefetching: passes forecasts of use to the request table, and results of load commands to the prefetch
+//! tracker. The scheduler decides whether and where a function is loaded.
 use super::Gateway;
 use crate::settings::Function;
 use crate::snapshots;
@@ -8,69 +8,72 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A load command without an answer yet.
-struct SentCommand {
-    at: Duration,
+/// A load command whose result has not arrived yet.
+struct SentLoadCommand {
+    sent_at: Duration,
     function: String,
 }
 
-/// Forecasts, the ledger, and the load commands under way.
+/// Forecasts of use, the prefetch tracker, and the load commands in progress.
 pub(super) struct Prefetch {
-    ahead: PrefetchPlanner,
-    /// By the number of the command.
-    commands: HashMap<u64, SentCommand>,
-    /// When the forecasts are saved next.
-    save_at: Duration,
+    planner: PrefetchPlanner,
+    /// Load commands in progress, by command number.
+    pending_commands: HashMap<u64, SentLoadCommand>,
+    /// Time at which the forecasts are saved next.
+    next_save_at: Duration,
 }
 
 impl Prefetch {
-    /// When [`Gateway::prefetch_due`] has something to do.
+    /// Time at which [`Gateway::fire_prefetch_timers`] has to be called next.
     pub(super) fn next_due(&self) -> Option<Duration> {
-        self.ahead.next_due().into_iter().chain([self.save_at]).min()
+        self.planner
+            .next_due()
+            .into_iter()
+            .chain([self.next_save_at])
+            .min()
     }
 }
 
 impl Gateway {
-    /// Starts the forecasts, from what an earlier process saved if that can be used.
+    /// Starts forecasting, with the forecasts saved by an earlier run if they can be restored.
     pub(super) fn start_prefetch(&mut self) {
         let Some(settings) = self.settings.forecasts.clone() else {
             return;
         };
         let now = self.now();
-        let mut ahead = PrefetchPlanner::new(settings.settings.clone());
-        let otherwise = "the saved forecasts cannot be read; they begin anew";
-        let snapshot =
-            snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::FORECASTS, otherwise);
+        let mut planner = PrefetchPlanner::new(settings.settings.clone());
+        let warning = "cannot read the saved forecasts, starting without history";
+        let snapshot = snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::FORECASTS, warning);
         match snapshot.map(|bytes| Forecasts::restore(settings.settings, &bytes, now)) {
             Some(Ok(forecasts)) => {
-                tracing::info!(functions = forecasts.len(), "forecasts go on from what was saved");
-                ahead.forecasts = forecasts;
+                tracing::info!(functions = forecasts.len(), "saved forecasts restored");
+                planner.forecasts = forecasts;
             }
             Some(Err(error)) => {
-                tracing::warn!(why = %error, "the saved forecasts are set aside; they begin anew");
+                tracing::warn!(why = %error, "cannot restore the saved forecasts, starting without history");
             }
             None => {}
         }
         self.prefetch = Some(Prefetch {
-            ahead,
-            commands: HashMap::new(),
-            save_at: now + settings.every,
+            planner,
+            pending_commands: HashMap::new(),
+            next_save_at: now + settings.every,
         });
     }
 
-    /// Records the use of a function by a request that was accepted, for forecasts and the trace.
-    pub(super) fn record_use(&mut self, name: &str, function: &Function, tenant: u32, left: Duration) {
+    /// Records an accepted request of a function in the forecasts and in the trace.
+    pub(super) fn record_use(&mut self, name: &str, function: &Function, tenant: u32, time_left: Duration) {
         let now = self.now();
         if let Some(prefetch) = &mut self.prefetch {
-            prefetch.ahead.record_use(now, name, function.load);
+            prefetch.planner.record_use(now, name, function.load);
         }
         if let Some(recorder) = &mut self.recorder {
-            recorder.request(now, name, function.request_class, tenant, left);
+            recorder.request(now, name, function.request_class, tenant, time_left);
         }
     }
 
-    /// A load command was sent.
-    pub(super) fn load_sent(&mut self, command: u64, function: &str) {
+    /// Records that a load command was sent.
+    pub(super) fn load_command_sent(&mut self, command: u64, function: &str) {
         let now = self.now();
         let memory_mb = self
             .settings
@@ -78,53 +81,58 @@
             .and_then(|settings| settings.memory_mb)
             .unwrap_or(0.0);
         if let Some(prefetch) = &mut self.prefetch {
-            prefetch.ahead.record_load_command(now, function, memory_mb);
-            let sent = SentCommand {
-                at: now,
+            prefetch.planner.record_load_command(now, function, memory_mb);
+            let sent = SentLoadCommand {
+                sent_at: now,
                 function: function.to_owned(),
             };
-            prefetch.commands.insert(command, sent);
-            tracing::debug!(function, "load ahead ordered");
+            prefetch.pending_commands.insert(command, sent);
+            tracing::debug!(function, "load command sent");
         }
     }
 
-    /// A load command has ended; other commands are ignored.
-    pub(super) fn load_ended(&mut self, command: u64, outcome: Outcome) {
+    /// Records the end of a load command. Other commands are ignored.
+    pub(super) fn load_command_ended(&mut self, command: u64, outcome: Outcome) {
         let now = self.now();
         if let Some(prefetch) = &mut self.prefetch
-            && let Some(sent) = prefetch.commands.remove(&command)
+            && let Some(sent) = prefetch.pending_commands.remove(&command)
         {
             let succeeded = outcome == Outcome::Succeeded;
-            let duration = now.saturating_sub(sent.at);
+            let duration = now.saturating_sub(sent.sent_at);
             prefetch
-                .ahead
+                .planner
                 .record_load_end(now, &sent.function, succeeded, duration);
         }
     }
 
-    /// Hands forecasts that are due to the request table, unless recovery holds prefetches back, and saves them at times.
-    pub(super) fn prefetch_due(&mut self, now: Duration) {
+    /// Passes the forecasts that are due to the request table, unless the recovery forbids prefetches. Saves
+    /// the forecasts if that is due.
+    pub(super) fn fire_prefetch_timers(&mut self, now: Duration) {
         let Some(prefetch) = &mut self.prefetch else {
             return;
         };
-        let save = prefetch.save_at <= now;
-        let due = prefetch.next_due().is_some_and(|due_at| due_at <= now);
-        let expected = if due { prefetch.ahead.due(now) } else { Vec::new() };
-        let allowed = self
+        let is_save_due = prefetch.next_save_at <= now;
+        let are_forecasts_due = prefetch.next_due().is_some_and(|due_at| due_at <= now);
+        let expected_uses = if are_forecasts_due {
+            prefetch.planner.due(now)
+        } else {
+            Vec::new()
+        };
+        let is_allowed = self
             .recovery
             .as_ref()
-            .is_none_or(|recovery| recovery.machine.allows_prefetch(now));
-        if allowed {
-            expected
+            .is_none_or(|recovery| recovery.state_machine.allows_prefetch(now));
+        if is_allowed {
+            expected_uses
                 .iter()
                 .for_each(|expected| self.submit_forecast(now, expected));
         }
-        if save {
+        if is_save_due {
             self.save_forecasts();
         }
     }
 
-    /// Saves the forecasts, and logs what prefetches have cost and spared so far.
+    /// Saves the forecasts, and logs the costs and savings of prefetches so far.
     pub(super) fn save_forecasts(&mut self) {
         let now = self.now();
         let Some(interval) = self.settings.forecasts.as_ref().map(|settings| settings.every) else {
@@ -133,10 +141,10 @@
         let Some(prefetch) = &mut self.prefetch else {
             return;
         };
-        prefetch.save_at = now + interval;
-        log_account(&prefetch.ahead);
+        prefetch.next_save_at = now + interval;
+        log_prefetch_totals(&prefetch.planner);
         if let Some(writer) = &self.snapshot_writer {
-            writer.write_soon(snapshots::FORECASTS, prefetch.ahead.forecasts.save(now));
+            writer.write_soon(snapshots::FORECASTS, prefetch.planner.forecasts.save(now));
         }
     }
 
@@ -159,11 +167,11 @@
     }
 }
 
-fn log_account(ahead: &PrefetchPlanner) {
-    let totals = ahead.tracker.totals();
-    let scores = ahead.forecasts.scores;
+fn log_prefetch_totals(planner: &PrefetchPlanner) {
+    let totals = planner.tracker.totals();
+    let scores = planner.forecasts.scores;
     tracing::info!(
-        functions = ahead.forecasts.len(),
+        functions = planner.forecasts.len(),
         commands = totals.commands,
         fetches = totals.fetches,
         failed = totals.failed,
@@ -175,6 +183,6 @@
         score = scores.chosen,
         score_as_last_time = scores.last_gap_baseline,
         score_always_near = scores.always_near_baseline,
-        "account of loads ahead"
+        "prefetch totals"
     );
 }
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -1,6 +1,7 @@
-//! The gateway's recovery: reads what the last run left in the state folder, carries out what `quartzdrift-recovery`
-//! decides, and writes checkpoints for the next start. Off without `gateway.state`.
-use super::{Gateway, Origin, RequestContext};
+//! Recovery of the gateway after a start: reads the state that the last run left in the state folder, carries
+//! out the outputs of `quartzdrift-recovery`, and writes checkpoints for the next start. Without
+//! `gateway.state` there is no recovery.
+use super::{Gateway, RequestContext, RequestOrigin};
 use crate::settings::Settings;
 use crate::snapshots::{
     self, CHECKPOINT, DAMAGED_CHECKPOINT, FORCE_FULL_SERVICE, MEASUREMENTS, RECOVERY_VIEW,
@@ -18,28 +19,28 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How often a checkpoint is written.
+/// Interval at which checkpoints are written.
 const CHECKPOINT_INTERVAL: Duration = Duration::from_secs(2);
-/// How often the file is looked for by which an operator forces full service.
+/// Interval at which the gateway checks for the file by which an operator forces full service.
 const FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// The latency objective of request classes that have none.
+/// Latency objective of request classes without a configured one.
 const DEFAULT_LATENCY_OBJECTIVE: Duration = Duration::from_secs(1);
 
-/// The recovery of a gateway, and when its files are due.
+/// The recovery of a gateway, and the times at which its files are written or checked.
 pub(super) struct RecoveryDriver {
-    pub(super) machine: Recovery,
-    checkpoint_at: Duration,
-    force_check_at: Duration,
-    /// Asynchronous requests of the last run, until it is known what they may do.
-    pub(super) held_requests: Vec<InvocationRecord>,
-    /// The state folder's lock; a successor gets it once its predecessor has ended.
+    pub(super) state_machine: Recovery,
+    next_checkpoint_at: Duration,
+    next_force_check_at: Duration,
+    /// Asynchronous invocations of the last run, kept until the restart is classified.
+    pub(super) held_invocations: Vec<InvocationRecord>,
+    /// Lock on the state folder; `None`: a predecessor that is still running holds it.
     lock: Option<DirectoryStorage>,
-    /// The number of this start as it was last recorded on disk.
+    /// Number of this start as last recorded on disk; 0: not recorded yet.
     recorded_start: u64,
 }
 
-/// Locks the state folder; `None`: another process holds the lock.
-fn lock(folder: &Path) -> io::Result<Option<DirectoryStorage>> {
+/// Locks the state folder. Returns `None` if another process holds the lock.
+fn lock_state_folder(folder: &Path) -> io::Result<Option<DirectoryStorage>> {
     match DirectoryStorage::open(folder) {
         Ok(lock) => Ok(Some(lock)),
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
@@ -47,24 +48,24 @@
     }
 }
 
-/// Whom a store of asynchronous requests belongs to, written into its folder.
+/// The scheduler that owns a store of asynchronous invocations, recorded in the folder of the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct StoreOwner {
     name: String,
-    /// Its start that last opened the store.
+    /// Number of the start of that scheduler that last opened the store.
     starts: u64,
 }
 
-/// The scheduler's name in its fleet; empty without one.
+/// Name of the scheduler in its fleet; empty without a fleet.
 fn scheduler_name(settings: &Settings) -> String {
     let fleet = settings.fleet.as_ref();
     fleet.map_or_else(String::new, |fleet| fleet.members.name.clone())
 }
 
-/// What the last run left in the state folder; `None` without one.
+/// Reads the evidence that the last run left in the state folder. Returns `None` without a state folder.
 pub(super) fn read_evidence(settings: &Settings, now: ClockSample) -> Option<StartupEvidence> {
     let folder = settings.state.as_deref()?;
-    let known_members = super::fleet::known_members(Some(folder));
+    let known_members = super::fleet::reachable_members_of_last_run(Some(folder));
     let disk = match snapshots::read(folder, CHECKPOINT) {
         Ok(Some(bytes)) => match serde_json::from_slice::<Checkpoint>(&bytes) {
             Ok(checkpoint) => {
@@ -79,7 +80,7 @@
         Err(_) => DiskState::Damaged,
     };
     if disk == DiskState::Damaged {
-        set_damaged_checkpoint_aside(folder);
+        move_damaged_checkpoint(folder);
     }
     Some(StartupEvidence::without_checkpoint(disk, known_members, now))
 }
@@ -90,20 +91,20 @@
         .any(|file| folder.join(file).exists())
 }
 
-/// Moves a damaged checkpoint out of the way of the next one, for whoever looks into it.
-fn set_damaged_checkpoint_aside(folder: &Path) {
-    let aside = folder.join(DAMAGED_CHECKPOINT);
-    drop(std::fs::remove_file(&aside).or_else(|_| std::fs::remove_dir_all(&aside)));
-    let moved = std::fs::rename(folder.join(CHECKPOINT), &aside).is_ok();
+/// Renames a damaged checkpoint, so that it can be inspected and the next checkpoint does not overwrite it.
+fn move_damaged_checkpoint(folder: &Path) {
+    let target = folder.join(DAMAGED_CHECKPOINT);
+    drop(std::fs::remove_file(&target).or_else(|_| std::fs::remove_dir_all(&target)));
+    let moved = std::fs::rename(folder.join(CHECKPOINT), &target).is_ok();
     tracing::error!(
         moved,
         folder = %folder.display(),
-        "the mark of the last start is damaged: as little as can be is believed"
+        "the checkpoint is damaged: recovery assumes as little as possible about the last run"
     );
 }
 
-/// The start that last opened a store of asynchronous requests, as recorded there. `Err`: the store is another scheduler's,
-/// whose requests must not be executed here as well.
+/// Reads the number of the start that last opened a store of asynchronous invocations. Fails if the store
+/// belongs to another scheduler, because both schedulers would execute its invocations.
 fn read_store_start(store: &Path, settings: &Settings) -> io::Result<Option<u64>> {
     let Some(bytes) = snapshots::read(store, CHECKPOINT)? else {
         return Ok(None);
@@ -111,8 +112,8 @@
     let owner: StoreOwner = serde_json::from_slice(&bytes).map_err(io::Error::other)?;
     if owner.name != scheduler_name(settings) {
         return Err(io::Error::other(format!(
-            "it is the store of the scheduler '{}'; give this one a folder of its own, or remove {CHECKPOINT} from it if that \
-             scheduler will not come back",
+            "the folder is the store of the scheduler '{}'; configure another folder, or remove {CHECKPOINT} \
+             from this one if that scheduler will not run again",
             owner.name
         )));
     }
@@ -124,11 +125,11 @@
     let bytes = serde_json::to_vec(owner).map_err(io::Error::other)?;
     std::fs::create_dir_all(store)
         .and_then(|()| snapshots::write(store, CHECKPOINT, &bytes))
-        .map_err(|e| cannot_record_start(store, &e))
+        .map_err(|e| record_start_error(store, &e))
 }
 
-fn cannot_record_start(folder: &Path, error: &io::Error) -> io::Error {
-    let message = format!("the start cannot be noted in {}: {error}", folder.display());
+fn record_start_error(folder: &Path, error: &io::Error) -> io::Error {
+    let message = format!("cannot record this start in {}: {error}", folder.display());
     io::Error::new(error.kind(), message)
 }
 
@@ -156,45 +157,50 @@
         Some(age) => format!("Some({age})"),
         None => "None".to_owned(),
     };
-    tracing::info!(%disk, %age, was_clean, "found of before");
+    tracing::info!(%disk, %age, was_clean, "evidence of the last run");
 }
 
 impl Gateway {
-    /// Begins the recovery, where there is a state folder, and records the start before anything is sent.
+    /// Starts the recovery if there is a state folder, and records this start before anything is sent.
     pub(super) fn start_recovery(&mut self, evidence: Option<StartupEvidence>) -> io::Result<()> {
         let (Some(mut evidence), Some(folder)) = (evidence, self.settings.state.clone()) else {
             return Ok(());
         };
-        let lock = lock(&folder).map_err(|e| {
-            let message = format!("the state in {} cannot be locked: {e}", folder.display());
+        let lock = lock_state_folder(&folder).map_err(|e| {
+            let message = format!("cannot lock the state folder {}: {e}", folder.display());
             io::Error::new(e.kind(), message)
         })?;
         evidence.predecessor_running = lock.is_none();
         let store_start = match &self.settings.store {
-            Some(store) => read_store_start(store, &self.settings)
-                .map_err(|e| io::Error::other(format!("deferred jobs: {e}")))?,
+            Some(store) => read_store_start(store, &self.settings).map_err(|e| {
+                io::Error::other(format!(
+                    "cannot use the store of asynchronous invocations in {}: {e}",
+                    store.display()
+                ))
+            })?,
             None => None,
         };
-        let settings = recovery_settings(&self.settings, store_start, self.identity);
+        let settings = recovery_settings(&self.settings, store_start, self.instance_id);
         let now = self.now();
         log_evidence(&evidence);
         self.recovery = Some(RecoveryDriver {
-            machine: Recovery::new(settings, evidence, now),
-            checkpoint_at: now,
-            force_check_at: now,
-            held_requests: Vec::new(),
+            state_machine: Recovery::new(settings, evidence, now),
+            next_checkpoint_at: now,
+            next_force_check_at: now,
+            held_invocations: Vec::new(),
             lock,
             recorded_start: 0,
         });
         self.record_start()
     }
 
-    /// Records this start's number in both folders, the store's first, and returns once it is on disk.
+    /// Records the number of this start in the folder of the store, then in the state folder. Returns when
+    /// both are on disk.
     fn record_start(&mut self) -> io::Result<()> {
         let (Some(recovery), Some(folder)) = (&mut self.recovery, &self.settings.state) else {
             return Ok(());
         };
-        let starts = recovery.machine.starts();
+        let starts = recovery.state_machine.starts();
         if recovery.recorded_start == starts {
             return Ok(());
         }
@@ -202,46 +208,47 @@
             let name = scheduler_name(&self.settings);
             write_store_owner(store, &StoreOwner { name, starts })?;
         }
-        let checkpoint = recovery.machine.checkpoint(self.clock.sample());
+        let checkpoint = recovery.state_machine.checkpoint(self.clock.sample());
         let bytes = serde_json::to_vec(&checkpoint).map_err(io::Error::other)?;
-        snapshots::write(folder, CHECKPOINT, &bytes).map_err(|e| cannot_record_start(folder, &e))?;
+        snapshots::write(folder, CHECKPOINT, &bytes).map_err(|e| record_start_error(folder, &e))?;
         recovery.recorded_start = starts;
         Ok(())
     }
 
-    /// Has a checkpoint, the view for operators and the measurements written soon.
+    /// Submits a checkpoint, the recovery view and the measurements to be written soon.
     pub(super) fn write_checkpoint(&mut self) {
         let now = self.now();
         let taken_at = self.clock.sample();
         let (Some(recovery), Some(writer)) = (&mut self.recovery, &self.snapshot_writer) else {
             return;
         };
-        recovery.checkpoint_at = now + CHECKPOINT_INTERVAL;
-        recovery.machine.checkpoint_begun(now);
-        // Measurements of the last run are not replaced before they are restored.
-        if !recovery.machine.needs_stored_measurements()
+        recovery.next_checkpoint_at = now + CHECKPOINT_INTERVAL;
+        recovery.state_machine.checkpoint_begun(now);
+        // Stored measurements of the last run must not be overwritten before they are restored.
+        if !recovery.state_machine.needs_stored_measurements()
             && let Ok(bytes) = postcard::to_stdvec(self.request_table.measurements())
         {
             writer.write_soon(MEASUREMENTS, bytes);
         }
         if let (None, Some(folder)) = (&recovery.lock, &self.settings.state) {
-            recovery.lock = lock(folder).ok().flatten();
+            recovery.lock = lock_state_folder(folder).ok().flatten();
         }
-        if let Ok(bytes) = serde_json::to_vec(&recovery.machine.checkpoint(taken_at)) {
+        if let Ok(bytes) = serde_json::to_vec(&recovery.state_machine.checkpoint(taken_at)) {
             writer.write_soon(CHECKPOINT, bytes);
         }
-        if let Ok(bytes) = serde_json::to_vec_pretty(&recovery.machine.view(now)) {
+        if let Ok(bytes) = serde_json::to_vec_pretty(&recovery.state_machine.view(now)) {
             writer.write_soon(RECOVERY_VIEW, bytes);
         }
     }
 
-    pub(super) fn recovery_next_due(&self) -> Option<Duration> {
+    /// Time at which [`Gateway::fire_recovery_timers`] has to be called next.
+    pub(super) fn next_recovery_due(&self) -> Option<Duration> {
         let recovery = self.recovery.as_ref()?;
-        let is_full = recovery.machine.phase() == RecoveryPhase::FullService;
-        let force_check = (!is_full).then_some(recovery.force_check_at);
+        let at_full_service = recovery.state_machine.phase() == RecoveryPhase::FullService;
+        let force_check = (!at_full_service).then_some(recovery.next_force_check_at);
         [
-            Some(recovery.checkpoint_at),
-            recovery.machine.next_due(),
+            Some(recovery.next_checkpoint_at),
+            recovery.state_machine.next_due(),
             force_check,
         ]
         .into_iter()
@@ -249,50 +256,53 @@
         .min()
     }
 
-    pub(super) fn recovery_due(&mut self, now: Duration) {
+    /// Runs the timers of the recovery that are due, checks whether an operator has forced full service, and
+    /// writes a checkpoint if that is due.
+    pub(super) fn fire_recovery_timers(&mut self, now: Duration) {
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        if recovery.machine.next_due().is_some_and(|at| at <= now) {
-            recovery.machine.due(now);
+        if recovery.state_machine.next_due().is_some_and(|at| at <= now) {
+            recovery.state_machine.due(now);
         }
-        let is_full = recovery.machine.phase() == RecoveryPhase::FullService;
-        if !is_full && recovery.force_check_at <= now {
-            recovery.force_check_at = now + FORCE_CHECK_INTERVAL;
+        let at_full_service = recovery.state_machine.phase() == RecoveryPhase::FullService;
+        if !at_full_service && recovery.next_force_check_at <= now {
+            recovery.next_force_check_at = now + FORCE_CHECK_INTERVAL;
             if take_force_file(self.settings.state.as_deref()) {
-                tracing::warn!("service is forced by an operator");
-                recovery.machine.force_full_service(now);
+                tracing::warn!("full service forced by an operator");
+                recovery.state_machine.force_full_service(now);
             }
         }
-        if recovery.machine.phase() == RecoveryPhase::Backlog && !self.asynchronous.is_busy(now) {
-            recovery.machine.backlog_drained(now);
+        if recovery.state_machine.phase() == RecoveryPhase::Backlog && !self.invocation_queue.is_busy(now) {
+            recovery.state_machine.backlog_drained(now);
         }
-        let is_checkpoint_due = recovery.checkpoint_at <= now;
+        let is_checkpoint_due = recovery.next_checkpoint_at <= now;
         self.carry_out_recovery();
         if is_checkpoint_due {
             self.write_checkpoint();
         }
     }
 
-    /// Carries out what the recovery has decided.
+    /// Carries out the outputs of the recovery.
     pub(super) fn carry_out_recovery(&mut self) {
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        for output in recovery.machine.take_outputs() {
+        for output in recovery.state_machine.take_outputs() {
             match output {
                 RecoveryOutput::Send { to, bytes } => self.send_to_member(&to, RECOVERY_TOPIC, bytes),
                 RecoveryOutput::Classified(classification) => self.restart_classified(&classification),
                 RecoveryOutput::PhaseEntered(phase) => {
-                    tracing::info!(stage = %phase, "service returns");
+                    tracing::info!(stage = %phase, "recovery phase entered");
                     self.write_checkpoint();
                 }
                 RecoveryOutput::RestoreMeasurements => self.restore_measurements(),
             }
         }
-        self.limit_asynchronous();
+        self.update_attempt_limit();
     }
 
+    /// Restores the state of the last run in accordance with the classification of the restart.
     fn restart_classified(&mut self, classification: &RestartClassification) {
         let &RestartClassification {
             kind,
@@ -302,40 +312,43 @@
             silent,
             ..
         } = classification;
-        tracing::info!(%kind, %disk, answered, lost, silent, "start judged");
+        tracing::info!(%kind, %disk, answered, lost, silent, "restart classified");
         if let Err(e) = self.record_start() {
-            tracing::error!(error = %e, "the next start may not know of this one");
+            tracing::error!(error = %e, "cannot record this start on disk: the next start may not detect it");
         }
         match kind {
             RestartKind::MassFailure => self.mark_workers_restarted(),
             RestartKind::FirstStart | RestartKind::Planned | RestartKind::SingleCrash => {
-                self.accepted.set_from_unclean_stop(false);
+                self.accepted_endpoints.set_from_unclean_stop(false);
             }
         }
-        self.restore_held_requests();
+        self.restore_held_invocations();
     }
 
-    /// Restores what the scheduler had measured of warm workers; its slow-start budget depends on it.
+    /// Restores the measurements of warm workers, on which the slow-start budget of the scheduler depends.
     fn restore_measurements(&mut self) {
-        let warning = "what was measured before cannot be read; it begins anew";
+        let warning = "cannot read the saved measurements, measuring starts anew";
         let bytes = snapshots::read_or_warn(self.settings.state.as_deref(), MEASUREMENTS, warning);
         match bytes.map(|bytes| postcard::from_bytes(&bytes)) {
             Some(Ok(measurements)) => {
                 self.request_table.restore_measurements(self.now(), measurements);
                 self.carry_out();
             }
-            Some(Err(e)) => tracing::warn!(error = %e, "what was measured before is set aside"),
+            Some(Err(e)) => {
+                tracing::warn!(error = %e, "saved measurements are invalid, measuring starts anew")
+            }
             None => {}
         }
     }
 
-    /// Workers that no endpoint list has named since are taken as just started: they lost power too.
+    /// After a mass failure, marks the accepted workers as just started, because they have lost power too. If
+    /// an endpoint list has been received since the start, it is more recent, and nothing is changed.
     fn mark_workers_restarted(&mut self) {
         if self.discovery.has_received_list() {
             return;
         }
         let now = self.now();
-        let mut workers = self.accepted.workers();
+        let mut workers = self.accepted_endpoints.workers();
         for worker in &mut workers {
             if worker.state == EndpointState::Up {
                 worker.started = Some(now);
@@ -344,30 +357,31 @@
         self.update_endpoints(EndpointListKind::Changes, &workers);
     }
 
-    /// Restores the asynchronous requests of the last run, now that it is known what they may do.
-    fn restore_held_requests(&mut self) {
+    /// Restores the asynchronous invocations of the last run, in accordance with the classified restart.
+    fn restore_held_invocations(&mut self) {
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        let requests = std::mem::take(&mut recovery.held_requests);
-        let machine = &recovery.machine;
+        let requests = std::mem::take(&mut recovery.held_invocations);
+        let state_machine = &recovery.state_machine;
         let context = RestoreContext {
-            keys_remembered: machine.repeats_are_detected(),
-            earlier_copy: machine.waiting_requests_may_have_run(),
+            keys_remembered: state_machine.repeats_are_detected(),
+            earlier_copy: state_machine.waiting_requests_may_have_run(),
         };
-        let unproven_downtime = machine.unproven_downtime();
-        self.restore(requests, context, unproven_downtime);
+        let unproven_downtime = state_machine.unproven_downtime();
+        self.restore_invocations(requests, context, unproven_downtime);
     }
 
-    fn limit_asynchronous(&mut self) {
+    /// Limits asynchronous attempts in flight as the recovery requires, otherwise as configured.
+    fn update_attempt_limit(&mut self) {
         let recovery = self.recovery.as_ref();
-        let limit = recovery.and_then(|recovery| recovery.machine.async_limit());
-        self.asynchronous
+        let limit = recovery.and_then(|recovery| recovery.state_machine.async_limit());
+        self.invocation_queue
             .allow_attempts(limit.unwrap_or(self.settings.asynchronous.max_concurrent_attempts));
     }
 
-    /// Whether a call that may repeat a request of the last run is admitted; `Err`: when to retry. `has_key`: its client
-    /// has given it an idempotency key.
+    /// Admits a call, or returns the time after which to retry if the call may repeat a request of the last
+    /// run. `has_key` says whether the client sent an idempotency key.
     pub(super) fn admit_repeat(
         &self,
         request_class: u32,
@@ -382,77 +396,78 @@
             return Ok(());
         };
         let window = class.deduplication_window.unwrap_or_default();
-        match recovery.machine.repeat_retry_after(self.now(), window) {
+        match recovery.state_machine.repeat_retry_after(self.now(), window) {
             Some(retry_after) => Err(retry_after),
             None => Ok(()),
         }
     }
 
-    /// Whether a call for this function is admitted while caches are cold, and the number of the load if it is one; `Err`:
-    /// when to retry.
+    /// Admits a call of a function while caches are cold, or returns the time after which to retry. If the
+    /// call is expected to load the function, returns the number of the function at the admission ramp.
     pub(super) fn admit_function(&mut self, function: &str) -> Result<Option<u32>, Duration> {
         let now = self.now();
         match &mut self.recovery {
-            Some(recovery) => recovery.machine.admit(now, function),
+            Some(recovery) => recovery.state_machine.admit(now, function),
             None => Ok(None),
         }
     }
 
-    /// A request had its final answer.
-    pub(super) fn request_answered(&mut self, context: &RequestContext, answer: FinalResponse) {
+    /// Reports the final response of a request to the recovery.
+    pub(super) fn record_final_response(&mut self, context: &RequestContext, final_response: FinalResponse) {
         let now = self.now();
         let load_failed = self.load_failed;
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        if let Some(function) = context.ramp_probe {
-            let result = load_result(answer, load_failed);
-            recovery.machine.load_finished(now, function, result);
+        if let Some(function) = context.ramp_function {
+            let result = load_result(final_response, load_failed);
+            recovery.state_machine.load_finished(now, function, result);
         }
-        let is_synchronous = matches!(context.origin, Origin::Client(_));
-        let is_full = recovery.machine.phase() == RecoveryPhase::FullService;
-        if is_full || !is_synchronous || answer == FinalResponse::Cancelled {
+        let is_synchronous = matches!(context.origin, RequestOrigin::Client(_));
+        let at_full_service = recovery.state_machine.phase() == RecoveryPhase::FullService;
+        if at_full_service || !is_synchronous || final_response == FinalResponse::Cancelled {
             return;
         }
         let class = &self.settings.scheduler.request_classes[context.request_class as usize];
         let objective = class.latency_objective.unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
         let is_in_time = now.saturating_sub(context.accepted_at) <= objective;
-        let on_time = answer == FinalResponse::Succeeded && is_in_time;
-        recovery.machine.request_answered(on_time);
+        let on_time = final_response == FinalResponse::Succeeded && is_in_time;
+        recovery.state_machine.request_answered(on_time);
     }
 
-    /// A planned stop, once all requests have their final answer: writes the last checkpoint, unless a successor has
-    /// written its own.
+    /// Records a planned stop in the last checkpoint, unless a successor has already written one. All
+    /// requests must have their final response before.
     pub(super) fn record_stop(&mut self) {
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        let starts = recovery.machine.starts();
+        let starts = recovery.state_machine.starts();
         let recorded = read_recorded_start(self.settings.state.as_deref());
         if recorded.is_some_and(|recorded| recorded > starts) {
             return;
         }
-        recovery.machine.stop_cleanly();
+        recovery.state_machine.stop_cleanly();
         self.write_checkpoint();
     }
 }
 
-/// Whether an operator has forced full service; the file is removed.
+/// Whether an operator has forced full service by creating [`FORCE_FULL_SERVICE`] in the state folder. The
+/// file is removed.
 fn take_force_file(folder: Option<&Path>) -> bool {
     let Some(folder) = folder else { return false };
     let file = folder.join(FORCE_FULL_SERVICE);
     file.exists() && std::fs::remove_file(file).is_ok()
 }
 
-/// The start of the checkpoint on disk.
+/// Number of the start that the checkpoint on disk records.
 fn read_recorded_start(folder: Option<&Path>) -> Option<u64> {
     let bytes = snapshots::read(folder?, CHECKPOINT).ok()??;
     let checkpoint: Checkpoint = serde_json::from_slice(&bytes).ok()?;
     Some(checkpoint.starts)
 }
 
-fn load_result(answer: FinalResponse, load_failed: bool) -> LoadResult {
-    match answer {
+fn load_result(final_response: FinalResponse, load_failed: bool) -> LoadResult {
+    match final_response {
         FinalResponse::Succeeded => LoadResult::Cached,
         FinalResponse::Rejected { .. } | FinalResponse::Failed { .. } | FinalResponse::Cancelled => {
             if load_failed {
--- a/crates/quartzdrift/src/gateway/responses.rs
+++ b/crates/quartzdrift/src/gateway/responses.rs
@@ -1,12 +1,12 @@
-//! Final answers as responses to clients.
+//! Sends final responses to clients.
 use super::{Gateway, RequestContext};
 use quartzdrift_http::{Exchange, Headers, Response};
 use quartzdrift_invoke::response::{self as api, ApiResponse, FailureKind};
 use quartzdrift_lifecycle::{FailureReason, FinalResponse};
 use uuid::Uuid;
 
-/// Headers of a worker's response that are passed on to the client.
-const PASSED_HEADERS: [&str; 4] = [
+/// Headers of a worker's response that are forwarded to the client.
+const FORWARDED_HEADERS: [&str; 4] = [
     "content-type",
     "x-amz-function-error",
     "x-amz-executed-version",
@@ -14,23 +14,24 @@
 ];
 
 impl Gateway {
-    /// Gives a client the final answer of its request. `response` is the worker's, unless it was streamed.
-    pub(super) fn answer_client(
+    /// Sends the final response of a request to its client. `response` is that of the worker; it is `None`
+    /// for a streamed response, and if the request did not succeed.
+    pub(super) fn respond_to_client(
         &mut self,
         exchange: Exchange,
         context: &RequestContext,
-        answer: FinalResponse,
+        final_response: FinalResponse,
         response: Option<Response>,
     ) {
         self.exchanges.remove(&exchange);
-        let response = match answer {
-            FinalResponse::Succeeded => response.map(|response| worker_response(response, context.id)),
+        let response = match final_response {
+            FinalResponse::Succeeded => response.map(|response| client_response(response, context.id)),
             FinalResponse::Rejected { retry_after, .. } => {
-                Some(to_http(api::rejected(retry_after), Some(context.id)))
+                Some(to_http_response(api::rejected(retry_after), Some(context.id)))
             }
             FinalResponse::Failed { why } => {
                 let response = api::failed(failure_kind(why));
-                Some(to_http(response, Some(context.id)))
+                Some(to_http_response(response, Some(context.id)))
             }
             FinalResponse::Cancelled => None,
         };
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Sends a response; a gateway that drains closes the connection after it.
+    /// Sends a response to a client. During the drain the connection is closed after the response.
     pub(super) fn respond(&mut self, exchange: Exchange, mut response: Response) {
         if self.is_draining() {
             response.headers.push("connection", "close");
@@ -48,8 +49,8 @@
     }
 }
 
-/// A response of the gateway's own.
-pub(super) fn to_http(response: ApiResponse, id: Option<Uuid>) -> Response {
+/// Converts a response of the gateway itself into an HTTP response. `id` is the request id.
+pub(super) fn to_http_response(response: ApiResponse, id: Option<Uuid>) -> Response {
     let mut headers = Headers::new();
     for (name, value) in &response.headers {
         headers.push(name, value);
@@ -64,11 +65,11 @@
     }
 }
 
-/// A worker's response as its client gets it.
-fn worker_response(response: Response, id: Uuid) -> Response {
+/// Builds the client's response from the worker's response.
+fn client_response(response: Response, id: Uuid) -> Response {
     let mut headers = Headers::new();
     for (name, value) in response.headers.iter() {
-        if PASSED_HEADERS.contains(&name) {
+        if FORWARDED_HEADERS.contains(&name) {
             headers.push(name, value);
         }
     }
--- a/crates/quartzdrift/src/gateway/schedules.rs
+++ b/crates/quartzdrift/src/gateway/schedules.rs
@@ -1,34 +1,34 @@
-//! Schedules: a trigger becomes an asynchronous invocation.
+//! Submits an asynchronous invocation for each trigger of a schedule.
 use super::Gateway;
 use quartzdrift_async_queue::Invocation;
 use quartzdrift_schedules::{ScheduleWarning, Trigger};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Scheduled invocations are not on behalf of a client: they count for the first tenant.
-const TENANT: u32 = 0;
+/// Tenant of scheduled invocations. They have no client, and count for the first tenant.
+const SCHEDULE_TENANT: u32 = 0;
 
 impl Gateway {
-    /// When a schedule triggers here. None does while the gateway stops, or before recovery allows it.
+    /// Time of the next trigger. `None` during the drain, and while the recovery does not allow schedules.
     pub(super) fn next_trigger_due(&self) -> Option<Duration> {
         let allowed = self
             .recovery
             .as_ref()
-            .is_none_or(|recovery| recovery.machine.allows_schedules());
+            .is_none_or(|recovery| recovery.state_machine.allows_schedules());
         self.schedules
             .next_due()
             .filter(|_| !self.is_draining() && allowed)
     }
 
     /// Submits an invocation for each trigger that is due.
-    pub(super) fn start_due_triggers(&mut self, now: Duration) {
+    pub(super) fn submit_due_triggers(&mut self, now: Duration) {
         if self.next_trigger_due().is_none_or(|due_at| due_at > now) {
             return;
         }
         let due = self.schedules.take_due(now);
         due.warnings.iter().for_each(log_warning);
         if !due.triggers.is_empty() {
-            // What has triggered must not trigger again after a restart.
+            // The checkpoint prevents these triggers from firing again after a restart.
             self.write_checkpoint();
         }
         for trigger in &due.triggers {
@@ -48,14 +48,14 @@
         };
         let invocation = Invocation {
             schedule: Some(trigger.schedule.clone()),
-            ..self.new_invocation(&trigger.function, &function, TENANT, payload)
+            ..self.new_invocation(&trigger.function, &function, SCHEDULE_TENANT, payload)
         };
         self.counts.triggered += 1;
-        if let Err(reason) = self.submit(invocation) {
+        if let Err(reason) = self.queue_invocation(invocation) {
             tracing::error!(
                 timer = trigger.schedule,
                 why = ?reason,
-                "a firing was lost: no room for deferred jobs"
+                "schedule trigger lost: the asynchronous queue is full"
             );
             self.schedules.record_completion(&trigger.schedule);
         }
@@ -65,11 +65,15 @@
 fn log_warning(warning: &ScheduleWarning) {
     match warning {
         ScheduleWarning::Misfired { schedule, count } => {
-            tracing::warn!(timer = schedule, count, "firings were missed");
+            tracing::warn!(timer = schedule, count, "schedule triggers missed");
         }
         ScheduleWarning::Overlapped {
             schedule,
             scheduled_for,
-        } => tracing::warn!(timer = schedule, at = ?scheduled_for, "not fired: its last job is not over"),
+        } => tracing::warn!(
+            timer = schedule,
+            at = ?scheduled_for,
+            "schedule trigger skipped: the last invocation is still open"
+        ),
     }
 }
--- a/crates/quartzdrift/src/gateway/shutdown.rs
+++ b/crates/quartzdrift/src/gateway/shutdown.rs
@@ -1,9 +1,10 @@
-//! The drain after a termination signal, and the end of everything that is open once it is over.
+//! The drain after a termination signal, and the shutdown, which concludes all requests that are still open.
 use super::Gateway;
 use super::store::Store;
 
 impl Gateway {
-    /// Begins the drain: accepts no new connections, and ends what is open within the drain time of the settings.
+    /// Starts the drain: accepts no new connections, and gives open requests the configured drain time to
+    /// end.
     pub fn start_drain(&mut self) {
         if self.drain_deadline.is_some() {
             return;
@@ -13,18 +14,18 @@
         self.http.stop_listening();
         tracing::info!(
             open = self.request_table.open_requests(),
-            asynchronous = self.asynchronous.len(),
+            asynchronous = self.invocation_queue.len(),
             drain = ?self.settings.drain,
-            "draining: no new requests are accepted"
+            "drain started: no new connections are accepted"
         );
     }
 
-    /// Whether the drain has begun.
+    /// Whether the drain has started.
     pub(super) fn is_draining(&self) -> bool {
         self.drain_deadline.is_some()
     }
 
-    /// Whether the drain is over: nothing is open any more, or its time is up.
+    /// Whether the drain is over: no work is left, or the drain time has elapsed.
     pub fn is_drained(&self) -> bool {
         let Some(deadline) = self.drain_deadline else {
             return false;
@@ -33,10 +34,11 @@
         if now >= deadline {
             return true;
         }
-        // Beside a successor at the same address, existing connections are served to their end here.
+        // With a shared port a successor takes new connections, and open ones are served here until they
+        // close.
         let serves_clients = self.settings.share_port && self.http.client_count() > 0;
         let has_due_invocations = self.next_attempt_due().is_some_and(|at| at <= now);
-        let is_stored = self.store.as_ref().is_none_or(Store::idle);
+        let is_stored = self.store.as_ref().is_none_or(Store::is_idle);
         let has_open_requests = self.request_table.open_requests() > 0;
         !has_open_requests
             && !serves_clients
@@ -45,7 +47,8 @@
             && !self.http.has_unsent_responses()
     }
 
-    /// Gives everything that is still open its final answer, logs what is lost, and saves the state.
+    /// Concludes all open requests, logs the invocations that are lost, and saves the state for the next
+    /// start.
     pub fn shut_down(&mut self) {
         let now = self.now();
         let attempts = self.calls.attempts();
@@ -59,15 +62,15 @@
         self.save_forecasts();
         self.leave_fleet();
         self.record_stop();
-        tracing::info!(counts = ?self.counts, "stopped");
+        tracing::info!(counts = ?self.counts, "gateway stopped");
     }
 
-    /// Drops events that come after [`Gateway::shut_down`], while the last responses are flushed.
+    /// Drops the events that arrive after [`Gateway::shut_down`], while the last responses are sent.
     pub fn discard_events(&mut self) {
         self.http.take_events();
     }
 
-    /// Whether responses still wait to be sent.
+    /// Whether responses are waiting to be sent.
     pub fn has_unsent_responses(&self) -> bool {
         self.http.has_unsent_responses()
     }
--- a/crates/quartzdrift/src/gateway/state.rs
+++ b/crates/quartzdrift/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! The state of the event loop, and how it starts.
+//! The state of the event loop, and its start.
 use super::calls::OutgoingCalls;
 use super::context::{RequestContext, RequestCounts};
 use super::{discovery, fleet, prefetch, recovery, store};
@@ -19,34 +19,35 @@
 use std::time::Duration;
 use uuid::Uuid;
 
-/// A gateway on its event loop. Call [`Gateway::process_events`] after each wait of the loop, for [`Gateway::poll_timeout`] at
-/// most.
+/// A gateway and the state of its event loop. The event loop waits for events for at most
+/// [`Gateway::poll_timeout`], then calls [`Gateway::process_events`].
 pub struct Gateway {
     pub(super) settings: Rc<Settings>,
     pub(super) clock: Clock,
-    /// Random at each start, whatever the seed: request ids are never used twice.
-    pub(super) identity: u64,
+    /// Random id of this process, independent of the configured seed, so that request ids stay unique across
+    /// restarts.
+    pub(super) instance_id: u64,
     last_request_number: u64,
     pub(super) http: Http<Gateway>,
     pub(super) request_table: RequestTable<Rc<RequestContext>>,
     pub(super) calls: OutgoingCalls,
-    /// Clients that wait for the answer of a request.
+    /// Open requests of clients, by the exchange that waits for the response.
     pub(super) exchanges: HashMap<Exchange, RequestId>,
-    /// The response of the attempt that is just ending.
+    /// Response of the attempt that is being ended; `None` at other times.
     pub(super) pending_response: Option<Response>,
-    /// Whether the attempt that is just ending failed because its function could not be loaded.
+    /// Whether the attempt that is being ended failed because its function could not be loaded.
     pub(super) load_failed: bool,
-    pub(super) asynchronous: InvocationQueue<ChangeBuffer>,
+    pub(super) invocation_queue: InvocationQueue<ChangeBuffer>,
     pub(super) store: Option<store::Store>,
     pub(super) schedules: Schedules,
-    pub(super) accepted: AcceptedEndpoints,
-    pub(super) discovery: discovery::Source,
+    pub(super) accepted_endpoints: AcceptedEndpoints,
+    pub(super) discovery: discovery::EndpointDiscovery,
     pub(super) prefetch: Option<prefetch::Prefetch>,
     pub(super) fleet: Option<fleet::Fleet>,
     pub(super) recovery: Option<recovery::RecoveryDriver>,
     pub(super) recorder: Option<Recorder>,
     pub(super) snapshot_writer: Option<SnapshotWriter>,
-    /// When the drain ends, once it has begun.
+    /// Time at which the drain ends; `None`: it has not started.
     pub(super) drain_deadline: Option<Duration>,
     pub(super) counts: RequestCounts,
 }
@@ -58,7 +59,7 @@
 }
 
 impl Gateway {
-    /// Starts a gateway, with the endpoint list that it last saved or else that of the settings.
+    /// Starts a gateway with the saved endpoint list, or with the configured workers if there is none.
     ///
     /// # Errors
     ///
@@ -71,11 +72,11 @@
             .and_then(|evidence| evidence.checkpoint.as_ref());
         let checkpoint = checkpoint.map(|checkpoint| checkpoint.taken_at.clone());
         let clock = Clock::resume(&sample, checkpoint.as_ref());
-        // Triggers of schedules while no gateway ran are misfires.
+        // Triggers that were due while no gateway was running count as misfires.
         let schedules_since = checkpoint.map_or(clock.now(), |checkpoint| checkpoint.wall);
         let mut gateway = Gateway::with_empty_state(settings, handle.clone(), clock, schedules_since)?;
         gateway.start_recovery(evidence)?;
-        gateway.load_first_list();
+        gateway.load_initial_endpoints();
         gateway.start_prefetch();
         gateway.start_store(&handle)?;
         gateway.start_fleet(&handle)?;
@@ -96,7 +97,7 @@
         let changes = ChangeBuffer::new(settings.store.is_some());
         Ok(Gateway {
             clock,
-            identity: rand::random(),
+            instance_id: rand::random(),
             last_request_number: 0,
             http: Http::new(handle, settings.limits.clone()),
             request_table: RequestTable::new(&settings.scheduler, seed),
@@ -104,11 +105,11 @@
             exchanges: HashMap::new(),
             pending_response: None,
             load_failed: false,
-            asynchronous: InvocationQueue::new(settings.asynchronous.clone(), changes, seed),
+            invocation_queue: InvocationQueue::new(settings.asynchronous.clone(), changes, seed),
             store: None,
             schedules: Schedules::new(schedules, seed, schedules_since),
-            accepted: AcceptedEndpoints::default(),
-            discovery: discovery::Source::new(&settings),
+            accepted_endpoints: AcceptedEndpoints::default(),
+            discovery: discovery::EndpointDiscovery::new(&settings),
             prefetch: None,
             fleet: None,
             recovery: None,
@@ -120,31 +121,34 @@
         })
     }
 
-    fn load_first_list(&mut self) {
-        let workers = self.first_list();
-        self.accepted.apply_changes(&workers);
+    fn load_initial_endpoints(&mut self) {
+        let workers = self.initial_endpoints();
+        self.accepted_endpoints.apply_changes(&workers);
         let recovery = self.recovery.as_ref();
-        let was_unclean = recovery.is_some_and(|recovery| !recovery.machine.evidence().ended_cleanly());
-        self.accepted.set_from_unclean_stop(was_unclean);
+        let was_unclean = recovery.is_some_and(|recovery| !recovery.state_machine.evidence().ended_cleanly());
+        self.accepted_endpoints.set_from_unclean_stop(was_unclean);
         self.update_endpoints(EndpointListKind::Snapshot, &workers);
     }
 
-    /// The endpoint list that was last saved, or else that of the settings.
-    fn first_list(&self) -> Vec<DiscoveredEndpoint> {
-        let otherwise = "the saved endpoint list cannot be read";
-        let saved = snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::WORKERS, otherwise);
+    /// The saved endpoint list, or the configured workers if no usable list is saved.
+    fn initial_endpoints(&self) -> Vec<DiscoveredEndpoint> {
+        let warning = "cannot read the saved endpoint list, starting with the configured workers";
+        let saved = snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::WORKERS, warning);
         match saved.map(|bytes| list::read(&bytes, &self.settings.known)) {
             Some(Ok(saved)) if !saved.workers.is_empty() => saved.workers,
             Some(Err(error)) => {
                 let why = error.to_string();
-                tracing::warn!(why, "the saved endpoint list is ignored");
+                tracing::warn!(
+                    why,
+                    "saved endpoint list is invalid, starting with the configured workers"
+                );
                 self.settings.workers.clone()
             }
             Some(Ok(_)) | None => self.settings.workers.clone(),
         }
     }
 
-    /// Time since 1970; steady, whatever the wall clock is set to.
+    /// Time since 1970 on a steady clock, which later changes of the wall clock do not affect.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
@@ -158,9 +162,9 @@
         self.http.listen(listener)
     }
 
-    /// A new request id, unlike that of any other request of this or another gateway.
-    pub(super) fn draw_id(&mut self) -> Uuid {
+    /// Returns a new request id, unique among the requests of all gateways.
+    pub(super) fn new_request_id(&mut self) -> Uuid {
         self.last_request_number += 1;
-        Uuid::from_u64_pair(self.identity, self.last_request_number)
+        Uuid::from_u64_pair(self.instance_id, self.last_request_number)
     }
 }
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -1,10 +1,13 @@
-//! Asynchronous invocations on disk: when effects wait until a change is durable, and what happens when the store fails.
+//! Durable storage of asynchronous invocations: effects that wait until a change is durable, and the handling
+//! of disk failures.
 //!
-//! An acceptance is answered once it is durable. An attempt that must not execute twice is sent once its start is durable.
-//! While the disk fails, which is an error in the log, each new invocation is rejected, acceptances that wait are answered as
-//! unknown, and attempts wait on: what was accepted before is still owed.
+//! The client of an accepted invocation gets its response when the invocation is durable. An attempt that
+//! must not execute twice is sent when its start is durable. While writes to the disk fail, an error is
+//! logged and new invocations are rejected. Clients that wait for a response get an error that says that it is
+//! unknown whether the invocation is durable. Attempts keep waiting, because accepted invocations must be
+//! executed.
 use super::Gateway;
-use super::responses::to_http;
+use super::responses::to_http_response;
 use crate::durable::{self, LogWriter, OpenedLog, WriterEvent};
 use calloop::LoopHandle;
 use calloop::channel::Event;
@@ -18,59 +21,61 @@
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// Maximum acceptances that wait to be durable, before new invocations are rejected.
-const MAX_PENDING_ANSWERS: usize = 65_536;
+/// Maximum number of clients that wait until their invocation is durable. Beyond it new invocations are
+/// rejected.
+const MAX_PENDING_ACCEPTANCES: usize = 65_536;
 
-/// What waits until a batch is durable.
+/// Effects that are delayed until a batch of changes is durable.
 #[derive(Default)]
 struct PendingEffects {
-    /// Acceptances to answer.
-    answers: Vec<(Exchange, Uuid)>,
+    /// Clients that wait for the response to an accepted invocation, with the request ids.
+    acceptances: Vec<(Exchange, Uuid)>,
     /// Attempts to send.
     attempts: Vec<DueAttempt>,
 }
 
-/// The store of asynchronous invocations, and what waits for it.
+/// The store of asynchronous invocations, and the effects that are delayed until its batches are durable.
 pub(super) struct Store {
     writer: LogWriter,
-    /// Waits for the batch that is gathering.
-    gathering: PendingEffects,
-    /// Waits for submitted batches, by number.
+    /// Effects of the changes that have not been submitted yet.
+    unsubmitted: PendingEffects,
+    /// Effects of submitted batches, by batch number.
     submitted: VecDeque<(u64, PendingEffects)>,
-    /// Acceptances that wait, over all batches.
-    pending_answers: usize,
-    /// Whether the last batch could not be submitted because the disk does not keep up.
-    behind: bool,
-    /// Whether the disk fails at present.
-    stalled: bool,
+    /// Number of clients that wait for a response, over all batches.
+    pending_acceptances: usize,
+    /// Whether the last batch could not be submitted because too many batches wait for the disk.
+    is_writer_full: bool,
+    /// Whether writes to the disk are failing.
+    is_failing: bool,
 }
 
 impl Store {
     fn new(writer: LogWriter) -> Store {
         Store {
             writer,
-            gathering: PendingEffects::default(),
+            unsubmitted: PendingEffects::default(),
             submitted: VecDeque::new(),
-            pending_answers: 0,
-            behind: false,
-            stalled: false,
+            pending_acceptances: 0,
+            is_writer_full: false,
+            is_failing: false,
         }
     }
 
     /// Whether new invocations may be accepted.
     pub(super) fn has_capacity(&self) -> bool {
-        !self.stalled && !self.behind && self.pending_answers < MAX_PENDING_ANSWERS
+        !self.is_failing && !self.is_writer_full && self.pending_acceptances < MAX_PENDING_ACCEPTANCES
     }
 
-    /// Whether nothing waits for the disk.
-    pub(super) fn idle(&self) -> bool {
-        let gathers = !self.gathering.answers.is_empty() || !self.gathering.attempts.is_empty();
-        self.submitted.is_empty() && !gathers
+    /// Whether no effect is delayed.
+    pub(super) fn is_idle(&self) -> bool {
+        let has_unsubmitted =
+            !self.unsubmitted.acceptances.is_empty() || !self.unsubmitted.attempts.is_empty();
+        self.submitted.is_empty() && !has_unsubmitted
     }
 }
 
 impl Gateway {
-    /// Opens the store, and restores the invocations that it holds.
+    /// Opens the store, and restores its invocations.
     pub(super) fn start_store(&mut self, handle: &LoopHandle<'static, Gateway>) -> io::Result<()> {
         let Some(path) = self.settings.store.clone() else {
             return Ok(());
@@ -80,40 +85,45 @@
             writer,
             open_invocations,
             events,
-        } = LogWriter::open(&path)
-            .map_err(|error| io::Error::other(format!("deferred jobs in {}: {error}", path.display())))?;
+        } = LogWriter::open(&path).map_err(|error| {
+            io::Error::other(format!(
+                "cannot open the store of asynchronous invocations in {}: {error}",
+                path.display()
+            ))
+        })?;
         handle
-            .insert_source(events, |event, _, gateway| gateway.writer_event(event))
+            .insert_source(events, |event, _, gateway| gateway.handle_writer_event(event))
             .map_err(|error| io::Error::other(error.to_string()))?;
         self.store = Some(Store::new(writer));
         let last_id = open_invocations.iter().map(|record| record.id).max();
-        self.asynchronous.reserve_ids(InvocationId(last_id.unwrap_or(0)));
+        self.invocation_queue
+            .reserve_ids(InvocationId(last_id.unwrap_or(0)));
         let requests = open_invocations.len();
-        tracing::info!(requests, duration = ?start.elapsed(), "deferred jobs read from the store");
+        tracing::info!(requests, duration = ?start.elapsed(), "asynchronous invocations read from the store");
         match &mut self.recovery {
-            // They are restored once recovery has decided what they may do.
-            Some(recovery) => recovery.held_requests = open_invocations,
+            // The invocations are restored when the recovery has classified the restart.
+            Some(recovery) => recovery.held_invocations = open_invocations,
             None => {
                 let context = RestoreContext {
                     keys_remembered: true,
                     earlier_copy: false,
                 };
-                self.restore(open_invocations, context, Duration::ZERO);
+                self.restore_invocations(open_invocations, context, Duration::ZERO);
             }
         }
         Ok(())
     }
 
-    fn writer_event(&mut self, event: Event<WriterEvent>) {
+    fn handle_writer_event(&mut self, event: Event<WriterEvent>) {
         match event {
             Event::Msg(WriterEvent::Durable(number)) => self.batch_durable(number),
-            Event::Msg(WriterEvent::Stalled(reason)) => self.store_stalled(&reason),
+            Event::Msg(WriterEvent::Stalled(reason)) => self.store_write_failed(&reason),
             Event::Closed => {}
         }
     }
 
-    /// Restores invocations. They do not age by `forgiven_age`.
-    pub(super) fn restore(
+    /// Restores invocations from the store. Their age is reduced by `forgiven_age`.
+    pub(super) fn restore_invocations(
         &mut self,
         records: Vec<InvocationRecord>,
         context: RestoreContext,
@@ -133,113 +143,116 @@
             let id = stored.id;
             let latest = now.max(stored.accepted_at);
             stored.accepted_at = (stored.accepted_at + forgiven_age).min(latest);
-            let step = self.asynchronous.restore(now, stored, context);
+            let step = self.invocation_queue.restore(now, stored, context);
             completed += u32::from(matches!(step, Some(NextStep::Completed(_))));
-            self.follow_step(id, step, None);
+            self.carry_out_step(id, step, None);
         }
         if unreadable > 0 {
             tracing::error!(
                 requests = unreadable,
-                "deferred jobs of another release stay in the store and are not run"
+                "cannot decode stored invocations of another release: they are kept but not executed"
             );
         }
-        let requests = self.asynchronous.len();
-        tracing::info!(requests, over = completed, after = ?context, "deferred jobs taken back from the store");
+        let requests = self.invocation_queue.len();
+        tracing::info!(requests, over = completed, after = ?context, "asynchronous invocations restored");
         self.submit_changes();
     }
 
-    /// Leaves the answer to an accepted invocation for when it is durable; `false` where it is to be answered at once.
-    pub(super) fn answer_when_durable(&mut self, exchange: Exchange, id: Uuid) -> bool {
-        let answers_early = self.settings.answer_early;
+    /// Delays the response to an accepted invocation until it is durable. Returns `false` if the response is
+    /// to be sent at once.
+    pub(super) fn respond_when_durable(&mut self, exchange: Exchange, id: Uuid) -> bool {
+        let responds_early = self.settings.answer_early;
         match &mut self.store {
-            Some(store) if !answers_early => {
-                store.gathering.answers.push((exchange, id));
-                store.pending_answers += 1;
+            Some(store) if !responds_early => {
+                store.unsubmitted.acceptances.push((exchange, id));
+                store.pending_acceptances += 1;
                 true
             }
             Some(_) | None => false,
         }
     }
 
-    /// Sends an attempt: once its start is durable, or at once where executing it twice is harmless.
-    pub(super) fn send_when_durable(&mut self, attempt: DueAttempt) {
+    /// Submits an attempt when its start is durable, or at once if executing it twice is harmless.
+    pub(super) fn submit_attempt_when_durable(&mut self, attempt: DueAttempt) {
         match &mut self.store {
             Some(store) if attempt.invocation.idempotency != Idempotency::Idempotent => {
-                store.gathering.attempts.push(attempt);
+                store.unsubmitted.attempts.push(attempt);
             }
-            Some(_) | None => self.send_attempt(attempt),
+            Some(_) | None => self.submit_attempt(attempt),
         }
     }
 
-    /// Submits the changes of this turn of the event loop, which become durable together or not at all.
+    /// Submits the changes since the last submission as one batch, which becomes durable completely or not at
+    /// all.
     pub(super) fn submit_changes(&mut self) {
         let Some(store) = &mut self.store else { return };
-        let changes = self.asynchronous.store_mut().take();
+        let changes = self.invocation_queue.store_mut().take();
         if changes.is_empty() {
             return;
         }
         match store.writer.submit(changes) {
             Ok(number) => {
-                store.behind = false;
-                let effects = std::mem::take(&mut store.gathering);
+                store.is_writer_full = false;
+                let effects = std::mem::take(&mut store.unsubmitted);
                 store.submitted.push_back((number, effects));
             }
             Err(changes) => {
-                store.behind = true;
-                self.asynchronous.store_mut().put_back(changes);
+                store.is_writer_full = true;
+                self.invocation_queue.store_mut().put_back(changes);
             }
         }
     }
 
     fn batch_durable(&mut self, number: u64) {
         if let Some(store) = &mut self.store
-            && std::mem::take(&mut store.stalled)
+            && std::mem::take(&mut store.is_failing)
         {
-            tracing::info!("deferred jobs are kept again");
+            tracing::info!("asynchronous invocations are stored again");
         }
         while let Some(store) = &mut self.store
             && let Some((_, effects)) = store.submitted.pop_front_if(|(batch, _)| *batch <= number)
         {
-            store.pending_answers -= effects.answers.len();
-            for (exchange, id) in effects.answers {
-                let mut answer = to_http(response::accepted(), Some(id));
+            store.pending_acceptances -= effects.acceptances.len();
+            for (exchange, id) in effects.acceptances {
+                let mut response = to_http_response(response::accepted(), Some(id));
                 if self.is_draining() {
-                    answer.headers.push("connection", "close");
+                    response.headers.push("connection", "close");
                 }
-                self.http.respond(exchange, &answer);
+                self.http.respond(exchange, &response);
             }
             for attempt in effects.attempts {
-                self.send_attempt(attempt);
+                self.submit_attempt(attempt);
             }
         }
-        // There is room for a batch that could not be submitted before.
+        // The writer has room again for a batch that it could not take before.
         self.submit_changes();
     }
 
-    /// The disk fails: it is unknown whether what waits for it is durable, and clients are told so. Attempts wait until their
-    /// start is durable.
-    fn store_stalled(&mut self, reason: &str) {
+    /// Handles a failure to write to the disk. It is unknown whether waiting invocations are durable, so
+    /// their clients get an error that says so. Attempts wait until their start is durable.
+    fn store_write_failed(&mut self, reason: &str) {
         tracing::error!(
             why = reason,
-            "deferred jobs cannot be kept at present: new ones are pushed back until the disk takes them"
+            "cannot store asynchronous invocations: new ones are rejected until writes to the disk succeed"
         );
         let Some(store) = &mut self.store else { return };
-        store.stalled = true;
+        store.is_failing = true;
         let submitted = store.submitted.iter_mut().map(|(_, effects)| effects);
-        let waiting = submitted.chain(std::iter::once(&mut store.gathering));
-        let answers: Vec<(Exchange, Uuid)> = waiting
-            .flat_map(|effects| std::mem::take(&mut effects.answers))
+        let waiting = submitted.chain(std::iter::once(&mut store.unsubmitted));
+        let acceptances: Vec<(Exchange, Uuid)> = waiting
+            .flat_map(|effects| std::mem::take(&mut effects.acceptances))
             .collect();
-        store.pending_answers -= answers.len();
-        for (exchange, id) in answers {
+        store.pending_acceptances -= acceptances.len();
+        for (exchange, id) in acceptances {
             let unknown = ApiError::DurabilityUnknown.response();
-            self.http.respond(exchange, &to_http(unknown, Some(id)));
+            self.http.respond(exchange, &to_http_response(unknown, Some(id)));
         }
     }
 
-    /// Writes the last changes and waits until they are durable.
+    /// Writes the last changes and closes the store. Returns when all batches are durable, or when the writer
+    /// has given up on a failing disk.
     pub(super) fn close_store(&mut self) {
-        let changes = self.asynchronous.store_mut().take();
+        let changes = self.invocation_queue.store_mut().take();
         if let Some(mut store) = self.store.take().filter(|_| !changes.is_empty()) {
             store.writer.submit_last(changes);
         }
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -1,4 +1,4 @@
-//! Calls to workers: attempts, health checks, load and unload commands as they leave. What comes back is handled in
+//! Sends attempts, health checks, load commands and unload commands to workers. Their results are handled in
 //! `call_events`.
 use super::calls::{AttemptCall, CallPurpose};
 use super::{Gateway, RequestContext};
@@ -10,11 +10,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Outcome of what could not be sent because the worker's name is not an address. Endpoint lists are parsed by the same
-/// function, so no worker on one of them has such a name.
-const NOT_AN_ADDRESS: Outcome = Outcome::ConnectFailed;
+/// Outcome of attempts and commands for a worker whose name is not an address. Endpoint lists are parsed with
+/// the same function, so no listed worker has such a name.
+const INVALID_ADDRESS: Outcome = Outcome::ConnectFailed;
 
 impl Gateway {
+    /// Sends an attempt to its worker. If `send_by` has passed, reports the attempt as recalled instead.
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
@@ -30,7 +31,7 @@
         }
         self.counts.attempts += 1;
         let Ok(address) = list::parse_address(&worker) else {
-            let result = AttemptResult::without_response(NOT_AN_ADDRESS);
+            let result = AttemptResult::without_response(INVALID_ADDRESS);
             return self
                 .request_table
                 .attempt_ended(self.now(), request, attempt, result);
@@ -39,7 +40,7 @@
         let payload = context.payload.clone();
         let mut outgoing = self.worker_request("POST", request::target(&function), headers, payload);
         if let Some(send_by) = send_by {
-            // A connection that comes up later would carry the attempt too late.
+            // A connection that is established after `send_by` would send the attempt too late.
             outgoing.connect_timeout = outgoing.connect_timeout.min(send_by - now);
         }
         outgoing.streams_response = context.streaming_client().is_some();
@@ -55,7 +56,7 @@
         self.calls.insert(call, CallPurpose::Attempt(attempt_call));
     }
 
-    /// Closes an attempt's connection. No event of it follows.
+    /// Cancels an attempt by closing its connection. Its call causes no further event.
     pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: u32) {
         if let Some(call) = self.calls.attempts().get(request, attempt) {
             self.calls.remove(&call);
@@ -63,21 +64,21 @@
         }
     }
 
-    pub(super) fn check_health(&mut self, command: u64, worker: &str) {
+    pub(super) fn send_health_check(&mut self, command: u64, worker: &str) {
         let target = models::READY_PATH.to_owned();
         let outgoing = self.worker_request("GET", target, Headers::new(), Rc::from([]));
         self.send_command(worker, outgoing, command, CallPurpose::HealthCheck { command });
     }
 
-    pub(super) fn load(&mut self, command: u64, worker: &str, function: &str, copies: u32) {
+    pub(super) fn send_load(&mut self, command: u64, worker: &str, function: &str, copies: u32) {
         let headers = Headers::new().with("content-type", "application/json");
         let body = models::write_replicas(copies).into();
-        self.load_sent(command, function);
+        self.load_command_sent(command, function);
         let outgoing = self.worker_request("POST", models::load_target(function), headers, body);
         self.send_command(worker, outgoing, command, CallPurpose::Load { command });
     }
 
-    pub(super) fn unload(&mut self, worker: &str, function: &str) {
+    pub(super) fn send_unload(&mut self, worker: &str, function: &str) {
         let Ok(address) = list::parse_address(worker) else {
             return;
         };
@@ -88,7 +89,7 @@
         self.calls.insert(call, CallPurpose::Unload);
     }
 
-    pub(super) fn close_idle(&mut self, worker: &str) {
+    pub(super) fn close_idle_connections(&mut self, worker: &str) {
         if let Ok(address) = list::parse_address(worker) {
             self.http.close_idle_connections(address);
         }
@@ -98,13 +99,13 @@
         let Ok(address) = list::parse_address(worker) else {
             return self
                 .request_table
-                .command_ended(self.now(), command, NOT_AN_ADDRESS, 0, Vec::new());
+                .command_ended(self.now(), command, INVALID_ADDRESS, 0, Vec::new());
         };
         let call = self.http.call(address, outgoing);
         self.calls.insert(call, purpose);
     }
 
-    /// A request to a worker, which says which scheduler sends it.
+    /// Builds a request to a worker, with the number of this scheduler if one is configured.
     fn worker_request(
         &self,
         method: &'static str,
@@ -112,8 +113,8 @@
         mut headers: Headers,
         body: Rc<[u8]>,
     ) -> OutgoingRequest {
-        if let Some(me) = self.settings.scheduler.scheduler_number {
-            headers.push("x-quartzdrift-scheduler", &me.to_string());
+        if let Some(scheduler_number) = self.settings.scheduler.scheduler_number {
+            headers.push("x-quartzdrift-scheduler", &scheduler_number.to_string());
         }
         OutgoingRequest {
             method,
