--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -3,7 +3,7 @@
 //!
 //! The client of an accepted invocation gets its response when the invocation is durable. An attempt that
 //! must not execute twice is sent when its start is durable. While writes to the disk fail, an error is
-//! logged and new invocations are rejected. Clients that wait for a response get an error that says that it is
+//! logged and new invocations are rejected. Clients that wait for a response get an error, because it is
 //! unknown whether the invocation is durable. Attempts keep waiting, because accepted invocations must be
 //! executed.
 use super::Gateway;
