--- a/crates/quartzdrift/src/platform/client_connection.rs
+++ b/crates/quartzdrift/src/platform/client_connection.rs
@@ -1,7 +1,7 @@
 //! Clients' FastCGI connections: reading requests, keeping deadlines, and closing a connection once its last
 //! answer is sent.
 use super::{Node, Peer};
-use quartzdrift_fastcgi::{self as fastcgi, Event, InvalidRequest, Responder};
+use quartzdrift_fastcgi::{self as fastcgi, Event, InvalidRequestReason, Responder};
 use quartzdrift_http::sockets::{Socket, SocketId, Sockets};
 use quartzdrift_scheduler::interface::RequestId;
 use std::collections::BTreeMap;
@@ -9,9 +9,9 @@
 
 /// Limits of the platform's protocol. The limit on parameters is far above the size that requests need.
 const LIMITS: fastcgi::Limits = fastcgi::Limits {
-    params: 8 << 10,
-    body: 16 << 10,
-    open_requests: 32,
+    max_params_bytes: 8 << 10,
+    max_body_bytes: 16 << 10,
+    max_open_requests: 32,
 };
 /// Time for the first request to arrive completely after connecting, and for each later one after its first
 /// byte. The platform requires that clients who cannot be served are disconnected within 3 s.
@@ -167,11 +167,11 @@
             } => self.handle_request(id, request_id, &params, body, arrived),
             Event::InvalidRequest {
                 request_id,
-                reason: InvalidRequest::Params,
+                reason: InvalidRequestReason::MalformedParams,
             } => self.respond(id, request_id, 400, "parameters", None),
             Event::InvalidRequest {
                 request_id,
-                reason: InvalidRequest::TooLarge,
+                reason: InvalidRequestReason::TooLarge,
             } => self.respond(id, request_id, 413, "too large", None),
             Event::Aborted { request_id } => {
                 let client = find_client(&mut self.sockets, id);
@@ -204,7 +204,7 @@
             return;
         }
         let responder = &client.responder;
-        if responder.is_closing() && responder.unanswered().next().is_none() {
+        if responder.is_closing() && responder.unanswered_requests().next().is_none() {
             return self.close_when_flushed(id);
         }
         if unread > MAX_UNREAD_BYTES {
--- a/crates/quartzdrift/src/platform/responses.rs
+++ b/crates/quartzdrift/src/platform/responses.rs
@@ -62,16 +62,18 @@
             return;
         };
         let mut output = Vec::with_capacity(body.len() + HEAD_CAPACITY);
-        let connection_fate = client.responder.respond(request_id, &response, &mut output);
+        let outcome = client.responder.respond(request_id, &response, &mut output);
         self.write(socket, &output);
-        match connection_fate {
-            fastcgi::ConnectionFate::Close => self.close_when_flushed(socket),
+        match outcome {
+            fastcgi::ResponseOutcome::CloseConnection => self.close_when_flushed(socket),
             // No further event may come from a client that does not read its answers, so its deadline is set
             // here.
-            fastcgi::ConnectionFate::KeepOpen | fastcgi::ConnectionFate::UnknownRequest if has_unsent => {
+            fastcgi::ResponseOutcome::KeepConnection | fastcgi::ResponseOutcome::UnknownRequest
+                if has_unsent =>
+            {
                 self.update_client_deadline(socket);
             }
-            fastcgi::ConnectionFate::KeepOpen | fastcgi::ConnectionFate::UnknownRequest => {}
+            fastcgi::ResponseOutcome::KeepConnection | fastcgi::ResponseOutcome::UnknownRequest => {}
         }
     }
 
