--- a/crates/quartzdrift/src/gateway/call_events.rs
+++ b/crates/quartzdrift/src/gateway/call_events.rs
@@ -9,7 +9,8 @@
 use quartzdrift_lifecycle::AttemptResult;
 use quartzdrift_scheduler::interface::{CacheResult, Outcome, RequestId};
 
-/// Maximum bytes of a streamed response that may wait for a slow client. Beyond it the connection is closed.
+/// Maximum bytes of a streamed response that may wait for a slow client. Beyond it the client's connection is
+/// aborted.
 const MAX_UNSENT_STREAM_BYTES: usize = 1 << 20;
 
 impl Gateway {
--- a/crates/quartzdrift/src/gateway/calls.rs
+++ b/crates/quartzdrift/src/gateway/calls.rs
@@ -37,7 +37,7 @@
     EndpointList,
     /// The stream of endpoint list changes.
     EndpointStream,
-    /// The sending of an event of a completed asynchronous invocation to a URL.
+    /// Delivery of the event of a completed asynchronous invocation to a URL.
     Destination(DestinationEvent),
 }
 
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -435,8 +435,8 @@
         recovery.state_machine.request_answered(on_time);
     }
 
-    /// Records a planned stop in the last checkpoint, unless a successor has already written one. All
-    /// requests must have their final response before.
+    /// Records a planned stop in the last checkpoint, unless a successor has already written a later one.
+    /// Called when all requests have their final response.
     pub(super) fn record_stop(&mut self) {
         let Some(recovery) = &mut self.recovery else {
             return;
