--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -1,8 +1,8 @@
 //! A fake worker on sockets: the invoke API on the worker's side, load reports, orders and probes, and faults.
 use crate::actor::Fake;
 use crate::functions;
-use crate::model::{Found, Machine, Say, Spec, Worker};
-use crate::record::{Recorder, Seen};
+use crate::record::{Observation, Recorder};
+use crate::worker_model::{CacheOutcome, FunctionSpec, WorkerModel, WorkerOutput, WorkerSpec};
 use calloop::LoopHandle;
 use quartzdrift_http::{
     CallId, Exchange, HasHttp, Headers, Http, HttpEvent, Limits, OutgoingRequest, Request, Response,
@@ -18,36 +18,36 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Marks of requests with an idempotency key that a group of workers remembers, each with the time it was first met.
-pub type Marks = Arc<Mutex<HashMap<String, Instant>>>;
+/// SharedIdempotencyKeys of requests with an idempotency key that a group of workers remembers, each with the time it was first met.
+pub type SharedIdempotencyKeys = Arc<Mutex<HashMap<String, Instant>>>;
 
 #[derive(Clone)]
 pub struct Config {
-    pub machine: Machine,
-    pub specs: BTreeMap<String, Spec>,
+    pub machine: WorkerSpec,
+    pub specs: BTreeMap<String, FunctionSpec>,
     pub store: Option<SocketAddr>,
     /// Reports are made anew this often.
-    pub report_every: Duration,
-    pub marks: Option<Marks>,
-    pub window: Duration,
+    pub report_interval: Duration,
+    pub idempotency_keys: Option<SharedIdempotencyKeys>,
+    pub deduplication_window: Duration,
     pub recorder: Option<Recorder>,
     pub seed: u64,
     /// Whether the first process is warm, as one that has run for long.
-    pub warm: bool,
+    pub starts_warm: bool,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            machine: Machine::default(),
+            machine: WorkerSpec::default(),
             specs: BTreeMap::new(),
             store: None,
-            report_every: Duration::from_millis(100),
-            marks: None,
-            window: Duration::from_secs(5),
+            report_interval: Duration::from_millis(100),
+            idempotency_keys: None,
+            deduplication_window: Duration::from_secs(5),
             recorder: None,
             seed: 0,
-            warm: true,
+            starts_warm: true,
         }
     }
 }
@@ -60,17 +60,17 @@
     /// Works on nothing and answers nothing.
     pub hang: bool,
     /// Share of calls that fail at once.
-    pub errors: f64,
+    pub error_share: f64,
     /// Share of answers that are lost: the connection is closed in their place.
-    pub lost: f64,
+    pub lost_response_share: f64,
     /// Answers are held back so long.
-    pub slow: Duration,
+    pub response_delay: Duration,
     /// Reports are so much older than they should be.
-    pub late_reports: Duration,
+    pub report_delay: Duration,
 }
 
 pub enum Command {
-    Faults(Faults),
+    SetFaults(Faults),
     /// As if killed outright.
     Crash,
     /// A new process at the same address.
@@ -90,7 +90,7 @@
     address: SocketAddr,
     start: Instant,
     config: Config,
-    model: Worker,
+    model: WorkerModel,
     incarnation: u64,
     up: bool,
     faults: Faults,
@@ -137,20 +137,20 @@
             idle_timeout: Duration::from_secs(300),
             ..Limits::default()
         };
-        let cold_for = if config.warm {
+        let cold_for = if config.starts_warm {
             Duration::ZERO
         } else {
-            config.machine.cold_for
+            config.machine.slow_start_duration
         };
-        let machine = Machine {
-            cold_for,
+        let machine = WorkerSpec {
+            slow_start_duration: cold_for,
             ..config.machine.clone()
         };
         let mut worker = FakeWorker {
             http: Http::new(handle, limits),
             address,
             start: Instant::now(),
-            model: Worker::new(machine, config.specs.clone(), Duration::ZERO),
+            model: WorkerModel::new(machine, config.specs.clone(), Duration::ZERO),
             incarnation: 0,
             up: true,
             faults: Faults::default(),
@@ -169,17 +169,21 @@
         worker
     }
 
-    fn see(&self, seen: Seen) {
+    fn record(&self, observation: Observation) {
         if let Some(recorder) = &self.config.recorder {
-            recorder.see(seen);
+            recorder.record(observation);
         }
     }
 
     fn started(&mut self, cold_for: Duration) {
         self.incarnation += 1;
-        let Machine { cores, cold_from, .. } = self.config.machine;
+        let WorkerSpec {
+            cores,
+            slow_start_min_capacity: cold_from,
+            ..
+        } = self.config.machine;
         let cold_us = cold_for.as_micros() as u64;
-        self.see(Seen::Started {
+        self.record(Observation::WorkerStarted {
             worker: self.address.to_string(),
             incarnation: self.incarnation,
             cores,
@@ -195,17 +199,18 @@
             let gateway = scheduler(&head.headers);
             return self.repository(exchange, asked, &body, gateway);
         }
-        let asked = request::read(&head.method, &head.target, |name| head.headers.get(name));
+        let asked = request::parse(&head.method, &head.target, |name| head.headers.get(name));
         let Ok(ApiRequest::Invoke(asked)) = asked else {
             return self.say(exchange, 404, Headers::new(), Vec::new());
         };
         let function = asked.function.qualified_name();
         self.drawn += 1;
         let id = self.drawn;
-        let work = functions::work(&body).unwrap_or(self.model.spec(&function).work);
+        let work =
+            functions::requested_work(&body).unwrap_or(self.model.function_spec(&function).default_work);
         if self.config.recorder.is_some() {
             let told: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-            self.see(Seen::Came {
+            self.record(Observation::AttemptReceived {
                 worker: self.address.to_string(),
                 incarnation: self.incarnation,
                 call: id,
@@ -231,7 +236,7 @@
         if self.faults.silent || self.faults.hang {
             return;
         }
-        if self.faults.errors > 0.0 && self.chance.random_range(0.0..1.0) < self.faults.errors {
+        if self.faults.error_share > 0.0 && self.chance.random_range(0.0..1.0) < self.faults.error_share {
             let headers = Headers::new().with("x-amzn-errortype", "ServiceException");
             return self.finish(id, 500, headers, b"{}".to_vec());
         }
@@ -240,20 +245,20 @@
             return self.finish(id, 200, headers, b"{\"repeat\":true}".to_vec());
         }
         let now = self.now();
-        self.model.call(now, id, &function, work);
+        self.model.submit_call(now, id, &function, work);
         self.act();
     }
 
     /// Whether the group has met this mark within its window.
     fn repeats(&mut self, id: u64) -> bool {
         let (Some(marks), Some(mark)) = (
-            &self.config.marks,
+            &self.config.idempotency_keys,
             self.open.get(&id).and_then(|o| o.mark.clone()),
         ) else {
             return false;
         };
         let mut marks = marks.lock().unwrap_or_else(PoisonError::into_inner);
-        let window = self.config.window;
+        let window = self.config.deduplication_window;
         marks.retain(|_, met| met.elapsed() < window);
         let met = marks.contains_key(&mark);
         marks.entry(mark).or_insert_with(Instant::now);
@@ -261,7 +266,7 @@
     }
 
     fn not_taken(&mut self, id: u64) {
-        self.see(Seen::Refused {
+        self.record(Observation::AttemptRejected {
             worker: self.address.to_string(),
             incarnation: self.incarnation,
             call: id,
@@ -272,7 +277,7 @@
     /// What did not run has no mark: it is met the next time.
     fn forget(&mut self, id: u64) {
         let mark = self.open.get(&id).and_then(|open| open.mark.as_ref());
-        if let (Some(marks), Some(mark)) = (&self.config.marks, mark) {
+        if let (Some(marks), Some(mark)) = (&self.config.idempotency_keys, mark) {
             marks.lock().unwrap_or_else(PoisonError::into_inner).remove(mark);
         }
     }
@@ -293,7 +298,7 @@
                 );
             }
             ModelRequest::ModelReady(function) => {
-                let there = self.model.copies(&function) > 0;
+                let there = self.model.ready_copies(&function) > 0;
                 self.say(
                     exchange,
                     if there { 200 } else { 404 },
@@ -301,46 +306,47 @@
                     Vec::new(),
                 );
             }
-            ModelRequest::Index => self.say(exchange, 200, Headers::new(), b"[]".to_vec()),
+            ModelRequest::RepositoryIndex => self.say(exchange, 200, Headers::new(), b"[]".to_vec()),
             ModelRequest::Unload(function) => {
-                self.model.unload(now, &function);
+                self.model.unload_idle_copies(now, &function);
                 self.say(exchange, 200, Headers::new(), Vec::new());
             }
             ModelRequest::Load(function) => {
-                let copies = models::read_replicas(body).unwrap_or(1);
+                let copies = models::decode_replicas(body).unwrap_or(1);
                 if copies > 0 {
-                    self.see(Seen::Ordered {
+                    self.record(Observation::LoadCommandReceived {
                         worker: self.address.to_string(),
                         gateway,
                     });
                 }
                 self.drawn += 1;
                 self.orders.insert(self.drawn, exchange);
-                self.model.order(now, self.drawn, &function, copies as usize);
+                self.model
+                    .submit_load_command(now, self.drawn, &function, copies as usize);
                 self.act();
             }
         }
     }
 
-    fn with_report(&mut self, headers: Headers, call: Option<(Found, usize)>) -> Headers {
+    fn with_report(&mut self, headers: Headers, call: Option<(CacheOutcome, usize)>) -> Headers {
         let now = self.now();
         let fresh = self
             .reports
             .last()
-            .is_some_and(|(at, _)| *at + self.config.report_every > now);
+            .is_some_and(|(at, _)| *at + self.config.report_interval > now);
         if !fresh {
-            let load = self.model.load();
+            let load = self.model.current_load();
             let mut report = LoadReport::default();
-            report.push("cpu_utilization", load.busy);
-            report.push("mem_utilization", load.memory_taken);
-            report.push("named_metrics.inflight", load.held as f64);
+            report.push("cpu_utilization", load.cpu_utilization);
+            report.push("mem_utilization", load.unreclaimable_memory);
+            report.push("named_metrics.inflight", load.calls as f64);
             report.push("named_metrics.queue", load.queued as f64);
-            report.push("named_metrics.loads", load.loads as f64);
+            report.push("named_metrics.loads", load.pending_loads as f64);
             self.reports.push((now, report));
-            let oldest = now.saturating_sub(self.faults.late_reports + self.config.report_every * 4);
+            let oldest = now.saturating_sub(self.faults.report_delay + self.config.report_interval * 4);
             self.reports.retain(|(at, _)| *at >= oldest);
         }
-        let told = now.saturating_sub(self.faults.late_reports);
+        let told = now.saturating_sub(self.faults.report_delay);
         let report = self
             .reports
             .iter()
@@ -348,23 +354,23 @@
             .find(|(at, _)| *at <= told)
             .or(self.reports.first());
         let mut report = report.map(|(_, report)| report.clone()).unwrap_or_default();
-        if let Some((found, crowd)) = call {
-            report.push("named_metrics.found", f64::from(found as u8));
-            report.push("named_metrics.crowd", crowd as f64);
+        if let Some((cache_outcome, concurrency)) = call {
+            report.push("named_metrics.found", f64::from(cache_outcome as u8));
+            report.push("named_metrics.crowd", concurrency as f64);
         }
         headers.with(load_report::HEADER_NAME, &report.to_header_value())
     }
 
     fn act(&mut self) {
-        for say in self.model.says() {
-            match say {
-                Say::Ran {
+        for output in self.model.take_outputs() {
+            match output {
+                WorkerOutput::CallCompleted {
                     call,
-                    found,
-                    crowd,
-                    wanted,
-                } => self.may_have_executed(call, found, crowd, wanted),
-                Say::Full { call } => {
+                    cache_outcome,
+                    concurrency,
+                    awaited,
+                } => self.call_completed(call, cache_outcome, concurrency, awaited),
+                WorkerOutput::CallRejected { call } => {
                     self.not_taken(call);
                     let headers = Headers::new().with("x-amzn-errortype", "TooManyRequestsException");
                     let headers = self.with_report(headers, None);
@@ -375,10 +381,10 @@
                         b"{\"Type\":\"User\",\"message\":\"full\"}".to_vec(),
                     );
                 }
-                Say::Missed { call } => {
+                WorkerOutput::CacheMiss { call } => {
                     self.not_taken(call);
                     let headers = Headers::new().with("x-amzn-errortype", "ResourceNotFoundException");
-                    let headers = self.with_report(headers, Some((Found::LoadFailed, 0)));
+                    let headers = self.with_report(headers, Some((CacheOutcome::LoadFailed, 0)));
                     self.finish(
                         call,
                         404,
@@ -386,24 +392,24 @@
                         b"{\"Type\":\"User\",\"message\":\"not loaded\"}".to_vec(),
                     );
                 }
-                Say::Fetch {
+                WorkerOutput::FetchFunction {
                     load,
                     function,
-                    takes,
-                } => self.fetch(load, &function, takes),
-                Say::Stands {
-                    order,
+                    fetch_time,
+                } => self.fetch(load, &function, fetch_time),
+                WorkerOutput::LoadCommandEnded {
+                    command,
                     copies,
-                    enough,
+                    succeeded,
                 } => {
-                    if let Some(exchange) = self.orders.remove(&order) {
-                        let status = if enough { 200 } else { 429 };
+                    if let Some(exchange) = self.orders.remove(&command) {
+                        let status = if succeeded { 200 } else { 429 };
                         let headers = Headers::new().with("content-type", "application/json");
-                        self.say(exchange, status, headers, models::write_replicas(copies as u32));
+                        self.say(exchange, status, headers, models::encode_replicas(copies as u32));
                     }
                 }
-                Say::Fell => {
-                    self.see(Seen::Fell {
+                WorkerOutput::CrashedByOverload => {
+                    self.record(Observation::WorkerOverloaded {
                         worker: self.address.to_string(),
                     });
                     self.crash();
@@ -413,30 +419,34 @@
         }
     }
 
-    fn may_have_executed(&mut self, call: u64, found: Found, crowd: usize, wanted: bool) {
-        let (worker, incarnation, warm) = (self.address.to_string(), self.incarnation, found == Found::Warm);
-        self.see(Seen::Began {
+    fn call_completed(&mut self, call: u64, cache_outcome: CacheOutcome, concurrency: usize, awaited: bool) {
+        let (worker, incarnation, warm) = (
+            self.address.to_string(),
+            self.incarnation,
+            cache_outcome == CacheOutcome::Warm,
+        );
+        self.record(Observation::AttemptExecuted {
             worker,
             incarnation,
             call,
             warm,
         });
         let Some(open) = self.open.get(&call) else { return };
-        if !wanted {
+        if !awaited {
             self.open.remove(&call);
             return;
         }
-        let may_have_executed = functions::run(&open.function, &open.payload, &self.address.to_string());
+        let result = functions::run(&open.function, &open.payload, &self.address.to_string());
         let mut headers = Headers::new().with("content-type", "application/json");
-        if may_have_executed.error {
+        if result.is_error {
             headers.push("x-amz-function-error", "Unhandled");
         }
-        let headers = self.with_report(headers, Some((found, crowd)));
-        self.finish(call, 200, headers, may_have_executed.body);
+        let headers = self.with_report(headers, Some((cache_outcome, concurrency)));
+        self.finish(call, 200, headers, result.body);
     }
 
     fn fetch(&mut self, load: u64, function: &str, takes: Duration) {
-        self.see(Seen::Fetch {
+        self.record(Observation::FetchRequested {
             worker: self.address.to_string(),
         });
         let Some(store) = self.config.store else {
@@ -467,12 +477,14 @@
             self.open.insert(id, open);
             return;
         }
-        if self.faults.lost > 0.0 && self.chance.random_range(0.0..1.0) < self.faults.lost {
+        if self.faults.lost_response_share > 0.0
+            && self.chance.random_range(0.0..1.0) < self.faults.lost_response_share
+        {
             self.http.abort(open.exchange);
             return self.over(id, open.exchange);
         }
-        if self.faults.slow > Duration::ZERO {
-            let at = self.now() + self.faults.slow;
+        if self.faults.response_delay > Duration::ZERO {
+            let at = self.now() + self.faults.response_delay;
             return self.held_back.push((at, id, open.exchange, answer));
         }
         self.http.respond(open.exchange, &answer);
@@ -481,7 +493,7 @@
 
     fn over(&mut self, id: u64, exchange: Exchange) {
         if self.by_exchange.remove(&exchange).is_some() {
-            self.see(Seen::Over {
+            self.record(Observation::AttemptEnded {
                 worker: self.address.to_string(),
                 incarnation: self.incarnation,
                 call: id,
@@ -504,7 +516,7 @@
         self.up = false;
         let open: Vec<(Exchange, u64)> = self.by_exchange.drain().collect();
         for (_, id) in open {
-            self.see(Seen::Over {
+            self.record(Observation::AttemptEnded {
                 worker: self.address.to_string(),
                 incarnation: self.incarnation,
                 call: id,
@@ -513,7 +525,7 @@
         self.http.close_all();
         (self.open, self.orders, self.fetches) = Default::default();
         (self.local_fetches, self.held_back, self.reports) = Default::default();
-        self.model = Worker::new(self.config.machine.clone(), self.config.specs.clone(), self.now());
+        self.model = WorkerModel::new(self.config.machine.clone(), self.config.specs.clone(), self.now());
     }
 
     fn restart(&mut self) {
@@ -521,9 +533,9 @@
             self.crash();
         }
         let now = self.now();
-        self.model = Worker::new(self.config.machine.clone(), self.config.specs.clone(), now);
+        self.model = WorkerModel::new(self.config.machine.clone(), self.config.specs.clone(), now);
         self.faults = Faults::default();
-        self.started(self.config.machine.cold_for);
+        self.started(self.config.machine.slow_start_duration);
         match quartzdrift_http::bind(self.address, false).and_then(|listener| self.http.listen(listener)) {
             Ok(()) => self.up = true,
             Err(e) => eprintln!("worker {} cannot start again: {e}", self.address),
@@ -534,7 +546,7 @@
 impl Fake for FakeWorker {
     type Command = Command;
 
-    fn event(&mut self, event: HttpEvent) {
+    fn handle_event(&mut self, event: HttpEvent) {
         match event {
             HttpEvent::Request {
                 exchange,
@@ -552,7 +564,7 @@
                 self.held_back.retain(|(_, held, ..)| *held != id);
                 if !self.faults.hang {
                     let now = self.now();
-                    if self.model.cancel(now, id) {
+                    if self.model.cancel_call(now, id) {
                         self.forget(id);
                     }
                     self.act();
@@ -562,18 +574,18 @@
                 if let Some(load) = self.fetches.remove(&call) {
                     let now = self.now();
                     if response.status != 200 {
-                        self.see(Seen::FetchRefused {
+                        self.record(Observation::FetchRefused {
                             worker: self.address.to_string(),
                         });
                     }
-                    self.model.fetched(now, load, response.status == 200);
+                    self.model.fetch_ended(now, load, response.status == 200);
                     self.act();
                 }
             }
             HttpEvent::CallFailed { call, .. } => {
                 if let Some(load) = self.fetches.remove(&call) {
                     let now = self.now();
-                    self.model.fetched(now, load, false);
+                    self.model.fetch_ended(now, load, false);
                     self.act();
                 }
             }
@@ -581,9 +593,9 @@
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
-            Command::Faults(faults) => {
+            Command::SetFaults(faults) => {
                 let woke = self.faults.silent && !faults.silent || self.faults.hang && !faults.hang;
                 self.faults = faults;
                 // Calls that came meanwhile were never worked on and never will be; their callers time out.
@@ -609,7 +621,7 @@
         [model, fetches, held].into_iter().flatten().min()
     }
 
-    fn due(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         if !self.up {
             return;
         }
@@ -620,7 +632,7 @@
             self.local_fetches = left;
             let over: Vec<(Duration, u64)> = over;
             over.into_iter()
-                .for_each(|(_, load)| self.model.fetched(now, load, true));
+                .for_each(|(_, load)| self.model.fetch_ended(now, load, true));
             self.model.due(now);
             self.act();
         }
--- a/crates/quartzdrift/src/gateway/discovery.rs
+++ b/crates/quartzdrift/src/gateway/discovery.rs
@@ -83,7 +83,7 @@
     settings
         .discovery
         .as_ref()
-        .is_some_and(|discovery| discovery.stream)
+        .is_some_and(|discovery| discovery.watch)
 }
 
 impl Gateway {
@@ -114,7 +114,7 @@
             .settings
             .discovery
             .as_ref()
-            .map(|discovery| discovery.timeout)
+            .map(|discovery| discovery.poll_timeout)
         else {
             return self.use_configured_workers();
         };
@@ -246,7 +246,7 @@
             target: discovery.target.clone(),
             headers: Headers::new().with("accept", accept),
             body: Rc::from([]),
-            connect_timeout: discovery.timeout,
+            connect_timeout: discovery.poll_timeout,
             streams_response,
         };
         let call = self.http.call(discovery.address, request);
@@ -277,14 +277,18 @@
     }
 
     fn schedule_poll(&mut self) {
-        let interval = self.settings.discovery.as_ref().map(|discovery| discovery.every);
+        let interval = self
+            .settings
+            .discovery
+            .as_ref()
+            .map(|discovery| discovery.poll_interval);
         self.discovery.next_poll_at = interval
             .filter(|_| self.discovery.is_watching)
             .map(|interval| self.now() + interval);
     }
 
     fn receive_full_list(&mut self, body: &[u8]) -> Result<ListAcceptance, ListError> {
-        let list = list::read(body, &self.settings.known)?;
+        let list = list::read(body, &self.settings.configured_names)?;
         for error in &list.rejected {
             tracing::warn!(
                 why = error.to_string(),
@@ -333,7 +337,7 @@
     }
 
     fn receive_changes(&mut self, body: &[u8]) -> Result<(), ListError> {
-        let list = list::read(body, &self.settings.known)?;
+        let list = list::read(body, &self.settings.configured_names)?;
         for error in &list.rejected {
             tracing::warn!(why = error.to_string(), "invalid endpoint change ignored");
         }
@@ -347,8 +351,11 @@
     /// Saves the accepted endpoints for the next start.
     fn save_endpoints(&self) {
         if let Some(writer) = &self.snapshot_writer {
-            let list = list::write(&self.accepted_endpoints.workers(), &self.settings.known);
-            writer.write_soon(crate::snapshots::WORKERS, list);
+            let list = list::write(
+                &self.accepted_endpoints.workers(),
+                &self.settings.configured_names,
+            );
+            writer.enqueue(crate::snapshots::WORKERS, list);
         }
     }
 }
--- a/crates/quartzdrift/src/gateway/fleet.rs
+++ b/crates/quartzdrift/src/gateway/fleet.rs
@@ -1,7 +1,7 @@
 //! Membership of this scheduler in a fleet: the UDP socket, the saved member list, and the log. The protocol,
 //! the states of members and the number of schedulers are decided in `quartzdrift-membership`.
 use super::Gateway;
-use crate::settings::Fleet as FleetSettings;
+use crate::settings::FleetSettings;
 use crate::snapshots;
 use calloop::generic::{Generic, NoIoDrop};
 use calloop::{Interest, LoopHandle, Mode, PostAction};
@@ -270,7 +270,7 @@
         let Some(FleetSettings {
             mut members,
             listen,
-            silent,
+            max_silence,
         }) = self.settings.fleet.clone()
         else {
             return Ok(());
@@ -281,7 +281,7 @@
             members.address.set_port(socket.local_addr()?.port());
         }
         register_socket(handle, socket.clone())?;
-        let saved_view = read_saved_view(self.settings.state.as_deref());
+        let saved_view = read_saved_view(self.settings.state_folder.as_deref());
         let previous_count = saved_view.as_ref().map_or(0, |view| view.schedulers);
         let known_addresses: Vec<SocketAddr> = saved_view
             .into_iter()
@@ -303,7 +303,7 @@
         self.fleet = Some(Fleet {
             socket,
             membership: Membership::new(members, instance, &known_addresses, rand::random(), now),
-            scheduler_count: SchedulerCount::new(minimum, previous_count, silent),
+            scheduler_count: SchedulerCount::new(minimum, previous_count, max_silence),
             reported_schedulers: 0,
             next_save_at: now + SAVE_INTERVAL,
             rejections: RejectionLog::default(),
@@ -399,7 +399,7 @@
             return;
         };
         if let Ok(bytes) = serde_json::to_vec_pretty(&fleet.current_view(now)) {
-            writer.write_soon(snapshots::MEMBERS, bytes);
+            writer.enqueue(snapshots::MEMBERS, bytes);
         }
     }
 
--- a/crates/quartzdrift/src/gateway/prefetch.rs
+++ b/crates/quartzdrift/src/gateway/prefetch.rs
@@ -43,7 +43,11 @@
         let now = self.now();
         let mut planner = PrefetchPlanner::new(settings.settings.clone());
         let warning = "cannot read the saved forecasts, starting without history";
-        let snapshot = snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::FORECASTS, warning);
+        let snapshot = snapshots::read_or_warn(
+            self.settings.state_folder.as_deref(),
+            snapshots::FORECASTS,
+            warning,
+        );
         match snapshot.map(|bytes| Forecasts::restore(settings.settings, &bytes, now)) {
             Some(Ok(forecasts)) => {
                 tracing::info!(functions = forecasts.len(), "saved forecasts restored");
@@ -57,7 +61,7 @@
         self.prefetch = Some(Prefetch {
             planner,
             pending_commands: HashMap::new(),
-            next_save_at: now + settings.every,
+            next_save_at: now + settings.snapshot_interval,
         });
     }
 
@@ -65,10 +69,12 @@
     pub(super) fn record_use(&mut self, name: &str, function: &Function, tenant: u32, time_left: Duration) {
         let now = self.now();
         if let Some(prefetch) = &mut self.prefetch {
-            prefetch.planner.record_use(now, name, function.load);
+            prefetch
+                .planner
+                .record_use(now, name, function.expected_load_time);
         }
         if let Some(recorder) = &mut self.recorder {
-            recorder.request(now, name, function.request_class, tenant, time_left);
+            recorder.record_request(now, name, function.request_class, tenant, time_left);
         }
     }
 
@@ -135,7 +141,12 @@
     /// Saves the forecasts, and logs the costs and savings of prefetches so far.
     pub(super) fn save_forecasts(&mut self) {
         let now = self.now();
-        let Some(interval) = self.settings.forecasts.as_ref().map(|settings| settings.every) else {
+        let Some(interval) = self
+            .settings
+            .forecasts
+            .as_ref()
+            .map(|settings| settings.snapshot_interval)
+        else {
             return;
         };
         let Some(prefetch) = &mut self.prefetch else {
@@ -144,7 +155,7 @@
         prefetch.next_save_at = now + interval;
         log_prefetch_totals(&prefetch.planner);
         if let Some(writer) = &self.snapshot_writer {
-            writer.write_soon(snapshots::FORECASTS, prefetch.planner.forecasts.save(now));
+            writer.enqueue(snapshots::FORECASTS, prefetch.planner.forecasts.save(now));
         }
     }
 
@@ -160,7 +171,7 @@
             requests_per_second: expected.requests_per_second,
             memory_mb: function.memory_mb,
             concurrency_slots: function.concurrency_slots,
-            load_hint: function.load,
+            load_hint: function.expected_load_time,
         };
         self.request_table.forecast(now, forecast);
         self.carry_out();
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -64,7 +64,7 @@
 
 /// Reads the evidence that the last run left in the state folder. Returns `None` without a state folder.
 pub(super) fn read_evidence(settings: &Settings, now: ClockSample) -> Option<StartupEvidence> {
-    let folder = settings.state.as_deref()?;
+    let folder = settings.state_folder.as_deref()?;
     let known_members = super::fleet::reachable_members_of_last_run(Some(folder));
     let disk = match snapshots::read(folder, CHECKPOINT) {
         Ok(Some(bytes)) => match serde_json::from_slice::<Checkpoint>(&bytes) {
@@ -138,13 +138,13 @@
     RecoverySettings {
         name: scheduler_name(settings),
         has_fleet: settings.fleet.is_some(),
-        classification_timeout: settings.recovery.ask,
-        max_duration: settings.recovery.longest,
+        classification_timeout: settings.recovery.classification_timeout,
+        max_duration: settings.recovery.max_duration,
         idempotency_keys_on_disk: settings.recovery.idempotency_keys_on_disk,
         load_quota_window: scheduler.cache.load_quota_window.unwrap_or_default(),
         slow_start_window: scheduler.rules.overload_window.unwrap_or_default(),
         max_async_in_flight: settings.asynchronous.max_concurrent_attempts,
-        admission_ramp: settings.recovery.pace,
+        admission_ramp: settings.recovery.admission_ramp,
         store_start,
         instance,
     }
@@ -163,7 +163,7 @@
 impl Gateway {
     /// Starts the recovery if there is a state folder, and records this start before anything is sent.
     pub(super) fn start_recovery(&mut self, evidence: Option<StartupEvidence>) -> io::Result<()> {
-        let (Some(mut evidence), Some(folder)) = (evidence, self.settings.state.clone()) else {
+        let (Some(mut evidence), Some(folder)) = (evidence, self.settings.state_folder.clone()) else {
             return Ok(());
         };
         let lock = lock_state_folder(&folder).map_err(|e| {
@@ -171,7 +171,7 @@
             io::Error::new(e.kind(), message)
         })?;
         evidence.predecessor_running = lock.is_none();
-        let store_start = match &self.settings.store {
+        let store_start = match &self.settings.store_folder {
             Some(store) => read_store_start(store, &self.settings).map_err(|e| {
                 io::Error::other(format!(
                     "cannot use the store of asynchronous invocations in {}: {e}",
@@ -197,14 +197,14 @@
     /// Records the number of this start in the folder of the store, then in the state folder. Returns when
     /// both are on disk.
     fn record_start(&mut self) -> io::Result<()> {
-        let (Some(recovery), Some(folder)) = (&mut self.recovery, &self.settings.state) else {
+        let (Some(recovery), Some(folder)) = (&mut self.recovery, &self.settings.state_folder) else {
             return Ok(());
         };
         let starts = recovery.state_machine.starts();
         if recovery.recorded_start == starts {
             return Ok(());
         }
-        if let Some(store) = &self.settings.store {
+        if let Some(store) = &self.settings.store_folder {
             let name = scheduler_name(&self.settings);
             write_store_owner(store, &StoreOwner { name, starts })?;
         }
@@ -228,16 +228,16 @@
         if !recovery.state_machine.needs_stored_measurements()
             && let Ok(bytes) = postcard::to_stdvec(self.request_table.measurements())
         {
-            writer.write_soon(MEASUREMENTS, bytes);
+            writer.enqueue(MEASUREMENTS, bytes);
         }
-        if let (None, Some(folder)) = (&recovery.lock, &self.settings.state) {
+        if let (None, Some(folder)) = (&recovery.lock, &self.settings.state_folder) {
             recovery.lock = lock_state_folder(folder).ok().flatten();
         }
         if let Ok(bytes) = serde_json::to_vec(&recovery.state_machine.checkpoint(taken_at)) {
-            writer.write_soon(CHECKPOINT, bytes);
+            writer.enqueue(CHECKPOINT, bytes);
         }
         if let Ok(bytes) = serde_json::to_vec_pretty(&recovery.state_machine.view(now)) {
-            writer.write_soon(RECOVERY_VIEW, bytes);
+            writer.enqueue(RECOVERY_VIEW, bytes);
         }
     }
 
@@ -268,7 +268,7 @@
         let at_full_service = recovery.state_machine.phase() == RecoveryPhase::FullService;
         if !at_full_service && recovery.next_force_check_at <= now {
             recovery.next_force_check_at = now + FORCE_CHECK_INTERVAL;
-            if take_force_file(self.settings.state.as_deref()) {
+            if take_force_file(self.settings.state_folder.as_deref()) {
                 tracing::warn!("full service forced by an operator");
                 recovery.state_machine.force_full_service(now);
             }
@@ -328,7 +328,7 @@
     /// Restores the measurements of warm workers, on which the slow-start budget of the scheduler depends.
     fn restore_measurements(&mut self) {
         let warning = "cannot read the saved measurements, measuring starts anew";
-        let bytes = snapshots::read_or_warn(self.settings.state.as_deref(), MEASUREMENTS, warning);
+        let bytes = snapshots::read_or_warn(self.settings.state_folder.as_deref(), MEASUREMENTS, warning);
         match bytes.map(|bytes| postcard::from_bytes(&bytes)) {
             Some(Ok(measurements)) => {
                 self.request_table.restore_measurements(self.now(), measurements);
@@ -365,8 +365,8 @@
         let requests = std::mem::take(&mut recovery.held_invocations);
         let state_machine = &recovery.state_machine;
         let context = RestoreContext {
-            keys_remembered: state_machine.repeats_are_detected(),
-            earlier_copy: state_machine.waiting_requests_may_have_run(),
+            keys_retained: state_machine.repeats_are_detected(),
+            store_is_outdated: state_machine.waiting_requests_may_have_run(),
         };
         let unproven_downtime = state_machine.unproven_downtime();
         self.restore_invocations(requests, context, unproven_downtime);
@@ -377,7 +377,7 @@
         let recovery = self.recovery.as_ref();
         let limit = recovery.and_then(|recovery| recovery.state_machine.async_limit());
         self.invocation_queue
-            .allow_attempts(limit.unwrap_or(self.settings.asynchronous.max_concurrent_attempts));
+            .set_attempt_limit(limit.unwrap_or(self.settings.asynchronous.max_concurrent_attempts));
     }
 
     /// Admits a call, or returns the time after which to retry if the call may repeat a request of the last
@@ -442,7 +442,7 @@
             return;
         };
         let starts = recovery.state_machine.starts();
-        let recorded = read_recorded_start(self.settings.state.as_deref());
+        let recorded = read_recorded_start(self.settings.state_folder.as_deref());
         if recorded.is_some_and(|recorded| recorded > starts) {
             return;
         }
--- a/crates/quartzdrift/src/gateway/state.rs
+++ b/crates/quartzdrift/src/gateway/state.rs
@@ -3,7 +3,7 @@
 use super::context::{RequestContext, RequestCounts};
 use super::{discovery, fleet, prefetch, recovery, store};
 use crate::clock::Clock;
-use crate::record::Recorder;
+use crate::request_trace::TraceRecorder;
 use crate::settings::Settings;
 use crate::snapshots::{self, SnapshotWriter};
 use calloop::LoopHandle;
@@ -45,7 +45,7 @@
     pub(super) prefetch: Option<prefetch::Prefetch>,
     pub(super) fleet: Option<fleet::Fleet>,
     pub(super) recovery: Option<recovery::RecoveryDriver>,
-    pub(super) recorder: Option<Recorder>,
+    pub(super) recorder: Option<TraceRecorder>,
     pub(super) snapshot_writer: Option<SnapshotWriter>,
     /// Time at which the drain ends; `None`: it has not started.
     pub(super) drain_deadline: Option<Duration>,
@@ -91,10 +91,22 @@
         schedules_since: Duration,
     ) -> io::Result<Gateway> {
         let seed = settings.seed.unwrap_or_else(rand::random);
-        let snapshot_writer = settings.state.clone().map(SnapshotWriter::start).transpose()?;
-        let recorder = settings.record.as_ref().map(Recorder::start).transpose()?;
-        let schedules = settings.timers.iter().map(|(timer, _)| timer.clone()).collect();
-        let changes = ChangeBuffer::new(settings.store.is_some());
+        let snapshot_writer = settings
+            .state_folder
+            .clone()
+            .map(SnapshotWriter::start)
+            .transpose()?;
+        let recorder = settings
+            .request_trace
+            .as_ref()
+            .map(TraceRecorder::start)
+            .transpose()?;
+        let schedules = settings
+            .schedules
+            .iter()
+            .map(|(timer, _)| timer.clone())
+            .collect();
+        let changes = ChangeBuffer::new(settings.store_folder.is_some());
         Ok(Gateway {
             clock,
             instance_id: rand::random(),
@@ -133,8 +145,9 @@
     /// The saved endpoint list, or the configured workers if no usable list is saved.
     fn initial_endpoints(&self) -> Vec<DiscoveredEndpoint> {
         let warning = "cannot read the saved endpoint list, starting with the configured workers";
-        let saved = snapshots::read_or_warn(self.settings.state.as_deref(), snapshots::WORKERS, warning);
-        match saved.map(|bytes| list::read(&bytes, &self.settings.known)) {
+        let saved =
+            snapshots::read_or_warn(self.settings.state_folder.as_deref(), snapshots::WORKERS, warning);
+        match saved.map(|bytes| list::read(&bytes, &self.settings.configured_names)) {
             Some(Ok(saved)) if !saved.workers.is_empty() => saved.workers,
             Some(Err(error)) => {
                 let why = error.to_string();
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -8,7 +8,7 @@
 //! executed.
 use super::Gateway;
 use super::responses::to_http_response;
-use crate::durable::{self, LogWriter, OpenedLog, WriterEvent};
+use crate::wal_writer::{self, OpenedWal, WalWriter, WriterEvent};
 use calloop::LoopHandle;
 use calloop::channel::Event;
 use quartzdrift_async_queue::{DueAttempt, InvocationId, NextStep, RestoreContext};
@@ -36,7 +36,7 @@
 
 /// The store of asynchronous invocations, and the effects that are delayed until its batches are durable.
 pub(super) struct Store {
-    writer: LogWriter,
+    writer: WalWriter,
     /// Effects of the changes that have not been submitted yet.
     unsubmitted: PendingEffects,
     /// Effects of submitted batches, by batch number.
@@ -50,7 +50,7 @@
 }
 
 impl Store {
-    fn new(writer: LogWriter) -> Store {
+    fn new(writer: WalWriter) -> Store {
         Store {
             writer,
             unsubmitted: PendingEffects::default(),
@@ -77,15 +77,15 @@
 impl Gateway {
     /// Opens the store, and restores its invocations.
     pub(super) fn start_store(&mut self, handle: &LoopHandle<'static, Gateway>) -> io::Result<()> {
-        let Some(path) = self.settings.store.clone() else {
+        let Some(path) = self.settings.store_folder.clone() else {
             return Ok(());
         };
         let start = Instant::now();
-        let OpenedLog {
+        let OpenedWal {
             writer,
             open_invocations,
             events,
-        } = LogWriter::open(&path).map_err(|error| {
+        } = WalWriter::open(&path).map_err(|error| {
             io::Error::other(format!(
                 "cannot open the store of asynchronous invocations in {}: {error}",
                 path.display()
@@ -105,8 +105,8 @@
             Some(recovery) => recovery.held_invocations = open_invocations,
             None => {
                 let context = RestoreContext {
-                    keys_remembered: true,
-                    earlier_copy: false,
+                    keys_retained: true,
+                    store_is_outdated: false,
                 };
                 self.restore_invocations(open_invocations, context, Duration::ZERO);
             }
@@ -136,7 +136,7 @@
         let mut unreadable = 0;
         let now = self.now();
         for record in &records {
-            let Some(mut stored) = durable::stored_invocation(record) else {
+            let Some(mut stored) = wal_writer::stored_invocation(record) else {
                 unreadable += 1;
                 continue;
             };
@@ -161,7 +161,7 @@
     /// Delays the response to an accepted invocation until it is durable. Returns `false` if the response is
     /// to be sent at once.
     pub(super) fn respond_when_durable(&mut self, exchange: Exchange, id: Uuid) -> bool {
-        let responds_early = self.settings.answer_early;
+        let responds_early = self.settings.accept_before_durable;
         match &mut self.store {
             Some(store) if !responds_early => {
                 store.unsubmitted.acceptances.push((exchange, id));
