--- a/crates/quartzdrift/src/serve.rs
+++ b/crates/quartzdrift/src/serve.rs
@@ -57,7 +57,7 @@
         event_loop
             .dispatch(gateway.poll_timeout(), &mut gateway)
             .map_err(io::Error::other)?;
-        gateway.turn();
+        gateway.process_events();
     }
     gateway.shut_down();
     flush(&mut event_loop, &mut gateway)
--- a/crates/quartzdrift/tests/stored.rs
+++ b/crates/quartzdrift/tests/stored.rs
@@ -186,7 +186,7 @@
 
 #[test]
 fn members_checkpoint_and_recovery_view_are_read_and_written_again() {
-    let members: quartzdrift::gateway::fleet::View =
+    let members: quartzdrift::gateway::fleet::FleetView =
         serde_json::from_slice(&read_stored(snapshots::MEMBERS)).unwrap();
     assert_eq!(
         (&*members.name, members.schedulers, &*members.members[0].name),
