--- a/crates/quartzdrift-lab/tests/floods.rs
+++ b/crates/quartzdrift-lab/tests/floods.rs
@@ -1,5 +1,5 @@
-//! A scheduler process on the platform's sockets under floods, very slow peers, answers that break off, repeats after a
-//! short window, and a start with a long list of workers.
+//! Tests of a scheduler process under request floods, with peers that send byte by byte, incomplete answers,
+//! retries after a short deduplication window, and a long endpoint list at the start.
 use quartzdrift_lab::cluster_harness::{
     ClusterHarness, REQUEST_ID, SECOND_REQUEST_ID, SUCCEEDED, check_status, config_json, endpoint_event,
     endpoint_json, request_and_reply, request_fields, scheduler_command, send_request,
@@ -13,37 +13,41 @@
 
 const LAB: &str = env!("CARGO_BIN_EXE_quartzdrift-lab");
 
-/// Requests that a client has open on one connection, under the 32 that are allowed.
-const OPEN_EACH: u16 = 30;
+/// Open requests on each connection of a client; the scheduler allows 32.
+const REQUESTS_PER_CONNECTION: u16 = 30;
 
 #[test]
-fn each_request_of_a_flood_has_one_final_answer() {
+fn each_request_of_a_flood_gets_exactly_one_reply() {
     const CONNECTIONS: u16 = 12;
-    let mut stage = ClusterHarness::start(LAB, 1);
+    let mut cluster = ClusterHarness::start(LAB, 1);
     let clients: Vec<_> = (0..CONNECTIONS)
         .map(|connection| {
-            let mut frontend = stage.frontend();
-            let bytes: Vec<u8> = (1..=OPEN_EACH)
-                .flat_map(|number| {
-                    let id = format!("{:016x}", u64::from(connection) << 16 | u64::from(number));
-                    Frontend::encode_request(number, &request_fields("/do/again", &id))
+            let mut frontend = cluster.frontend();
+            let bytes: Vec<u8> = (1..=REQUESTS_PER_CONNECTION)
+                .flat_map(|fastcgi_id| {
+                    let id = format!("{:016x}", u64::from(connection) << 16 | u64::from(fastcgi_id));
+                    Frontend::encode_request(fastcgi_id, &request_fields("/do/again", &id))
                 })
                 .collect();
             thread::spawn(move || {
                 frontend.send(&bytes).unwrap();
                 let mut statuses = BTreeMap::new();
-                for _ in 0..OPEN_EACH {
+                for _ in 0..REQUESTS_PER_CONNECTION {
                     let reply = frontend.read_reply().unwrap();
-                    let before = statuses.insert(reply.fastcgi_id, reply.status);
-                    assert_eq!(before, None, "a second answer");
+                    let earlier_status = statuses.insert(reply.fastcgi_id, reply.status);
+                    assert_eq!(
+                        earlier_status, None,
+                        "second reply to request {}",
+                        reply.fastcgi_id
+                    );
                 }
                 statuses
             })
         })
         .collect();
     while clients.iter().any(|client| !client.is_finished()) {
-        if let Some((connection, _, id, ..)) = stage.workers[0].try_next_command() {
-            stage.workers[0].answer(connection, SUCCEEDED, id, b"");
+        if let Some((connection, _, id, ..)) = cluster.workers[0].try_next_command() {
+            cluster.workers[0].answer(connection, SUCCEEDED, id, b"");
         }
     }
     let mut served = 0;
@@ -56,16 +60,16 @@
         served += statuses.values().filter(|status| **status == 200).count();
     }
     assert!(served > 0);
-    assert_eq!(check_status(&mut stage.frontend()), 200);
+    assert_eq!(check_status(&mut cluster.frontend()), 200);
 }
 
 #[test]
-fn an_answer_that_breaks_off_after_its_head_is_no_answer() {
-    let mut stage = ClusterHarness::start(LAB, 2);
-    let mut frontend = stage.frontend();
+fn an_answer_that_ends_after_its_header_counts_as_lost() {
+    let mut cluster = ClusterHarness::start(LAB, 2);
+    let mut frontend = cluster.frontend();
     for (path, id) in [("/do/once", REQUEST_ID), ("/do/again", SECOND_REQUEST_ID)] {
         send_request(&mut frontend, 1, &request_fields(path, id));
-        let (first, (connection, _, id, ..)) = stage.next_command();
+        let (first, (connection, _, id, ..)) = cluster.next_command();
         let mut answer = Vec::new();
         frame::write(
             &mut answer,
@@ -75,30 +79,33 @@
             b"report=queue:1",
             b"half of it",
         );
-        stage.workers[first].send(connection, &answer[..frame::HEADER_BYTES]);
-        stage.workers[first].close(connection);
+        cluster.workers[first].send(connection, &answer[..frame::HEADER_BYTES]);
+        cluster.workers[first].close(connection);
         if path == "/do/once" {
             let reply = frontend.read_reply().unwrap();
-            assert_eq!(reply.status, 500, "it may have run, and may not run twice");
+            assert_eq!(
+                reply.status, 500,
+                "a non-idempotent request that may have run must not be retried"
+            );
             continue;
         }
-        let (second, (connection, _, id, ..)) = stage.next_command();
+        let (second, (connection, _, id, ..)) = cluster.next_command();
         assert_ne!(second, first);
-        stage.workers[second].answer(connection, SUCCEEDED, id, b"whole");
+        cluster.workers[second].answer(connection, SUCCEEDED, id, b"whole");
         assert_eq!(frontend.read_reply().unwrap().body, b"whole");
     }
 }
 
 #[test]
-fn a_client_and_a_worker_that_drip_a_byte_at_a_time_are_heard() {
-    let mut stage = ClusterHarness::start(LAB, 1);
-    let (mut dripping, mut checks) = (stage.frontend(), stage.frontend());
+fn requests_and_answers_that_arrive_byte_by_byte_are_read() {
+    let mut cluster = ClusterHarness::start(LAB, 1);
+    let (mut slow, mut checks) = (cluster.frontend(), cluster.frontend());
     for byte in Frontend::encode_request(1, &request_fields("/do/once", REQUEST_ID)) {
-        dripping.send(&[byte]).unwrap();
-        // An answered check is a turn of the scheduler's loop, in which the byte is read.
+        slow.send(&[byte]).unwrap();
+        // Each answered check takes one iteration of the scheduler's event loop, which reads the byte.
         assert_eq!(check_status(&mut checks), 200);
     }
-    let (connection, _, id, ..) = stage.workers[0].next_command();
+    let (connection, _, id, ..) = cluster.workers[0].next_command();
     let mut answer = Vec::new();
     frame::write(
         &mut answer,
@@ -109,57 +116,57 @@
         b"done",
     );
     for byte in answer {
-        stage.workers[0].send(connection, &[byte]);
+        cluster.workers[0].send(connection, &[byte]);
         assert_eq!(check_status(&mut checks), 200);
     }
-    assert_eq!(dripping.read_reply().unwrap().body, b"done");
+    assert_eq!(slow.read_reply().unwrap().body, b"done");
 }
 
 #[test]
-fn a_keyed_request_is_sent_again_within_its_window_and_not_after_a_short_one() {
-    for (window, again) in [("8000000000", true), ("100000000", false)] {
-        let keyed = format!("\"effect\":\"dedup\",\"key-scope\":\"all\",\"window-ns\":{window}");
-        let mut stage = ClusterHarness::with_config_changes(LAB, 2, &[("\"effect\":\"fragile\"", &keyed)]);
-        let mut frontend = stage.frontend();
+fn a_keyed_request_is_retried_within_its_deduplication_window_and_not_after_it() {
+    for (window_ns, is_retried) in [("8000000000", true), ("100000000", false)] {
+        let keyed = format!("\"effect\":\"dedup\",\"key-scope\":\"all\",\"window-ns\":{window_ns}");
+        let mut cluster = ClusterHarness::with_config_changes(LAB, 2, &[("\"effect\":\"fragile\"", &keyed)]);
+        let mut frontend = cluster.frontend();
         let request = RequestFields {
             idempotency_key: "0f3a",
             ..request_fields("/do/once", REQUEST_ID)
         };
         send_request(&mut frontend, 1, &request);
-        let (first, (connection, ..)) = stage.next_command();
+        let (first, (connection, ..)) = cluster.next_command();
         let sent = Instant::now();
-        let mut checks = stage.frontend();
+        let mut checks = cluster.frontend();
         while sent.elapsed() < Duration::from_millis(150) {
             assert_eq!(check_status(&mut checks), 200);
         }
-        stage.workers[first].close(connection);
-        if again {
-            let (second, (connection, _, id, ..)) = stage.next_command();
+        cluster.workers[first].close(connection);
+        if is_retried {
+            let (second, (connection, _, id, ..)) = cluster.next_command();
             assert_ne!(second, first);
-            stage.workers[second].answer(connection, SUCCEEDED, id, b"done");
+            cluster.workers[second].answer(connection, SUCCEEDED, id, b"done");
             assert_eq!(frontend.read_reply().unwrap().body, b"done");
         } else {
             let reply = frontend.read_reply().unwrap();
             assert_ne!(reply.status, 200);
             assert_eq!(
-                stage.drain_commands(1 - first).len(),
+                cluster.drain_commands(1 - first).len(),
                 0,
-                "workers may have forgotten its key"
+                "retry after the window, when workers may have dropped the key"
             );
         }
-        // The same request by its client: within the window workers know it, and after it they run it anew.
-        if again {
+        // Within the window workers recognize a repeat by the client, so the scheduler sends it to them.
+        if is_retried {
             send_request(&mut frontend, 1, &request);
-            let (at, (connection, _, id, fields, _)) = stage.next_command();
+            let (worker, (connection, _, id, fields, _)) = cluster.next_command();
             assert!(fields.contains(",replay=0f3a,"), "{fields}");
-            stage.workers[at].answer(connection, SUCCEEDED, id, b"done");
+            cluster.workers[worker].answer(connection, SUCCEEDED, id, b"done");
             assert_eq!(frontend.read_reply().unwrap().body, b"done");
         }
     }
 }
 
 #[test]
-fn with_three_hundred_workers_listed_the_first_check_is_ready() {
+fn the_first_check_succeeds_after_a_start_with_three_hundred_workers() {
     let targets: Vec<String> = (0..300)
         .map(|n| {
             endpoint_json(
@@ -174,20 +181,24 @@
     let known = endpoint_event(1, true, &targets);
     let coordinator = Coordinator::with_events(&known).unwrap();
     std::fs::write(&file, config_json(coordinator.address, &known)).unwrap();
-    let began = Instant::now();
+    let start = Instant::now();
     let mut child = scheduler_command(LAB, &file).spawn().unwrap();
-    let mut out = BufReader::new(child.stdout.take().unwrap());
+    let mut stdout = BufReader::new(child.stdout.take().unwrap());
     let mut line = String::new();
-    out.read_line(&mut line).unwrap();
-    let at = line
+    stdout.read_line(&mut line).unwrap();
+    let address = line
         .split_whitespace()
         .find_map(|word| word.trim_matches(|c: char| !c.is_ascii_digit()).parse().ok());
-    let mut frontend = Frontend::connect(at.unwrap_or_else(|| panic!("no address in {line:?}"))).unwrap();
+    let mut frontend =
+        Frontend::connect(address.unwrap_or_else(|| panic!("no address in {line:?}"))).unwrap();
     let status = request_and_reply(&mut frontend, &request_fields("/check", REQUEST_ID)).status;
-    let ready = began.elapsed();
-    // Killed before the verdict, which may end the test.
+    let startup_time = start.elapsed();
+    // Kill the process before the assertions, since a failed assertion would leave it running.
     let _ = child.kill();
     let _ = child.wait();
     assert_eq!(status, 200);
-    assert!(ready < Duration::from_secs(6), "ready after {ready:?}");
+    assert!(
+        startup_time < Duration::from_secs(6),
+        "first reply after {startup_time:?}, limit 6 s"
+    );
 }
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -1,4 +1,5 @@
-//! A gateway process and fake workers on loopback: the hard cases, seen from the sockets.
+//! Tests of a gateway process with fake workers on loopback sockets: worker faults, client faults, drains,
+//! asynchronous requests, membership, restarts and power losses.
 use quartzdrift::gateway::fleet::View;
 use quartzdrift::invoke::{InvokeRequest, invoke};
 use quartzdrift::snapshots;
@@ -25,57 +26,65 @@
 const LAB: &str = env!("CARGO_BIN_EXE_quartzdrift-lab");
 const MS: Duration = Duration::from_millis(1);
 
-fn any() -> SocketAddr {
+/// A loopback address whose port the operating system chooses.
+fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
+/// A gateway process with its listen address; the process is killed on drop.
 struct Gateway {
     child: Child,
-    at: SocketAddr,
-    out: BufReader<std::process::ChildStdout>,
+    address: SocketAddr,
+    stdout: BufReader<std::process::ChildStdout>,
 }
 
 impl Gateway {
     fn start(file: &Path) -> Gateway {
-        Gateway::start_on(file, &[])
+        Gateway::start_with_options(file, &[])
     }
 
-    /// On a machine whose clock, or whose run since it was started, is told by the lab's options.
-    fn start_on(file: &Path, options: &[&str]) -> Gateway {
+    /// Starts the gateway with command-line options that simulate another boot id or a shifted clock.
+    fn start_with_options(file: &Path, options: &[&str]) -> Gateway {
         let mut command = Process::new(LAB);
         command.arg("gateway").arg(file).args(options);
-        Gateway::of(command)
+        Gateway::spawn(command)
     }
 
-    /// One some of whose system calls fail, as strace(1) takes it after `inject=`.
-    fn start_failing(file: &Path, failure: &str) -> Gateway {
+    /// Starts the gateway under strace(1) with failing system calls; `failure` is the value of `inject=`.
+    fn start_with_failing_calls(file: &Path, failure: &str) -> Gateway {
         let mut command = with_failing_system_calls(LAB, &[failure]);
         command.arg("gateway").arg(file);
-        Gateway::of(command)
+        Gateway::spawn(command)
     }
 
-    fn of(mut command: Process) -> Gateway {
+    fn spawn(mut command: Process) -> Gateway {
         let mut child = command
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        let mut out = BufReader::new(child.stdout.take().unwrap());
-        let at = read_listen_address(&mut out).expect("the gateway says where it listens");
-        Gateway { child, at, out }
+        let mut stdout = BufReader::new(child.stdout.take().unwrap());
+        let address = read_listen_address(&mut stdout).expect("the gateway prints its listen address");
+        Gateway {
+            child,
+            address,
+            stdout,
+        }
     }
 
-    fn term(&self) {
+    /// Sends SIGTERM, which starts the drain.
+    fn terminate(&self) {
         Process::new("kill")
             .args(["-TERM", &self.child.id().to_string()])
             .status()
             .unwrap();
     }
 
-    fn ended(&mut self) -> bool {
+    /// Waits until the process ends; true if its exit status is 0.
+    fn exits_successfully(&mut self) -> bool {
         let mut rest = String::new();
-        // The end of its output is the end of the process.
-        self.out.read_to_string(&mut rest).unwrap();
+        // The read returns when the process ends, since only the process holds the other end of the pipe.
+        self.stdout.read_to_string(&mut rest).unwrap();
         self.child.wait().unwrap().success()
     }
 
@@ -83,11 +92,12 @@
         self.call(function, payload, false)
     }
 
+    /// Invokes a function, waits at most 15 s for the response and panics when none arrives.
     fn call(&self, function: &str, payload: &str, asynchronous: bool) -> Response {
-        let (to, function, payload) = (self.at, function.to_owned(), payload.as_bytes().to_vec());
+        let (function, payload) = (function.to_owned(), payload.as_bytes().to_vec());
         let timeout = Duration::from_secs(15);
         invoke(&InvokeRequest {
-            gateway: to,
+            gateway: self.address,
             function,
             payload,
             asynchronous,
@@ -97,8 +107,9 @@
         .unwrap()
     }
 
-    fn raw(&self, bytes: &[u8]) -> TcpStream {
-        let mut stream = TcpStream::connect(self.at).unwrap();
+    /// Opens a connection to the gateway, with a read timeout of 15 s, and sends `bytes` on it.
+    fn connect_and_send(&self, bytes: &[u8]) -> TcpStream {
+        let mut stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(15))).unwrap();
         stream.write_all(bytes).unwrap();
         stream
@@ -112,12 +123,14 @@
     }
 }
 
-struct Stage {
+/// Fake workers, the record of their observations, and a folder for settings files and state.
+struct TestCluster {
     folder: tempfile::TempDir,
     recorder: Recorder,
     workers: Vec<RunningFake<Command>>,
 }
 
+/// Settings of every gateway here: request classes, functions, cache reports and load reports.
 const REQUEST_CLASSES: &str = r#"
 [[workloads]]
 name = "again"
@@ -149,8 +162,8 @@
 fields = [{ field = "held", metric = "named_metrics.inflight" }]
 "#;
 
-impl Stage {
-    fn new(workers: usize) -> Stage {
+impl TestCluster {
+    fn new(workers: usize) -> TestCluster {
         let recorder = Recorder::default();
         let folder = tempfile::tempdir().unwrap();
         let workers = (0..workers).map(|_| {
@@ -163,28 +176,30 @@
                 recorder: Some(recorder.clone()),
                 ..Config::default()
             };
-            spawn(any(), move |handle, address| {
+            spawn(any_loopback_port(), move |handle, address| {
                 FakeWorker::new(handle, address, config)
             })
             .unwrap()
         });
-        Stage {
+        TestCluster {
             folder,
             workers: workers.collect(),
             recorder,
         }
     }
 
-    fn gateway_with(&self, gateway: &str, more: &str) -> Gateway {
-        self.gateway_by("gateway.toml", gateway, more)
+    /// Starts a gateway with further fields of the section `[gateway]` and further sections.
+    fn start_gateway_with(&self, gateway_fields: &str, sections: &str) -> Gateway {
+        self.start_gateway_from("gateway.toml", gateway_fields, sections)
     }
 
-    /// The same with a settings file of this name.
-    fn gateway_by(&self, name: &str, gateway: &str, more: &str) -> Gateway {
+    /// Writes a settings file of this name and starts a gateway with it. The file lists the fake workers,
+    /// unless `sections` configures a discovery service.
+    fn start_gateway_from(&self, name: &str, gateway_fields: &str, sections: &str) -> Gateway {
         let mut text = format!(
-            "[gateway]\nlisten = [\"127.0.0.1:0\"]\nseed = 1\n{gateway}\n{REQUEST_CLASSES}\n{more}\n"
+            "[gateway]\nlisten = [\"127.0.0.1:0\"]\nseed = 1\n{gateway_fields}\n{REQUEST_CLASSES}\n{sections}\n"
         );
-        if !more.contains("[roster]") {
+        if !sections.contains("[roster]") {
             for worker in &self.workers {
                 text.push_str(&format!("[[workers]]\naddress = \"{}\"\n", worker.address));
             }
@@ -194,43 +209,44 @@
         Gateway::start(&file)
     }
 
-    fn gateway(&self) -> Gateway {
-        self.gateway_with("", "")
+    fn start_gateway(&self) -> Gateway {
+        self.start_gateway_with("", "")
     }
 
-    fn faults(&self, worker: usize, faults: Faults) {
+    fn set_faults(&self, worker: usize, faults: Faults) {
         self.workers[worker].send(Command::SetFaults(faults));
     }
 
-    fn all(&self, faults: &Faults) {
-        (0..self.workers.len()).for_each(|n| self.faults(n, faults.clone()));
+    fn set_faults_of_all(&self, faults: &Faults) {
+        (0..self.workers.len()).for_each(|n| self.set_faults(n, faults.clone()));
     }
 
-    /// Waits until a worker that was silent answers again.
-    fn answers(&self, worker: usize) {
-        let asks = b"GET /v2/health/ready HTTP/1.1\r\n\r\n";
-        self.wait("an answer of the worker", |_| {
+    /// Waits until a worker that was silent responds to a health check.
+    fn wait_until_responsive(&self, worker: usize) {
+        let health_check = b"GET /v2/health/ready HTTP/1.1\r\n\r\n";
+        self.wait_for("a response of the worker", |_| {
             let mut stream = TcpStream::connect(self.workers[worker].address).ok()?;
             stream.set_read_timeout(Some(200 * MS)).ok()?;
-            stream.write_all(asks).ok()?;
+            stream.write_all(health_check).ok()?;
             stream.read(&mut [0; 100]).ok().filter(|n| *n > 0).map(drop)
         });
     }
 
-    /// Waits until the record shows what is asked for.
-    fn wait<T>(&self, what: &str, find: impl Fn(&[Observation]) -> Option<T>) -> T {
+    /// Waits until `find` returns a value for the observations so far, and returns it; panics after 15 s.
+    fn wait_for<T>(&self, what: &str, find: impl Fn(&[Observation]) -> Option<T>) -> T {
         let until = Instant::now() + Duration::from_secs(15);
         loop {
             let seen: Vec<Observation> = self.recorder.lines().into_iter().map(|line| line.seen).collect();
             if let Some(found) = find(&seen) {
                 return found;
             }
-            assert!(Instant::now() < until, "never seen: {what}");
+            assert!(Instant::now() < until, "timed out waiting for {what}");
             std::thread::sleep(MS);
         }
     }
 
-    fn came(&self, key: &str) -> usize {
+    /// Number of attempts with this payload key that workers have received.
+    fn attempts_received(&self, key: &str) -> usize {
         let has_key =
             |seen: &Observation| matches!(seen, Observation::AttemptReceived { key: k, .. } if k == key);
         let lines = self.recorder.lines();
@@ -238,28 +254,29 @@
     }
 }
 
-fn came(seen: &[Observation], wanted: &str) -> Option<String> {
+/// The worker that received the first attempt with this payload key.
+fn receiving_worker(seen: &[Observation], wanted: &str) -> Option<String> {
     seen.iter().find_map(|observation| match observation {
         Observation::AttemptReceived { key, worker, .. } if key == wanted => Some(worker.clone()),
         _ => None,
     })
 }
 
-fn function_error(answer: &Response) -> Option<&str> {
-    answer.headers.get("x-amz-function-error")
+fn function_error(response: &Response) -> Option<&str> {
+    response.headers.get("x-amz-function-error")
 }
 
 #[test]
-fn a_call_goes_through_and_errors_have_their_published_form() {
-    let stage = Stage::new(2);
-    let gateway = stage.gateway_with("", "[limits]\npayload_bytes = 1000\n");
-    let answer = gateway.invoke("echo", r#"{"a": 1}"#);
-    assert_eq!((answer.status, &answer.body[..]), (200, &br#"{"a": 1}"#[..]));
-    assert!(answer.headers.get("x-amzn-requestid").is_some());
-    assert_eq!(answer.headers.get("x-amz-executed-version"), Some("$LATEST"));
+fn a_synchronous_call_succeeds_and_errors_have_the_documented_form() {
+    let cluster = TestCluster::new(2);
+    let gateway = cluster.start_gateway_with("", "[limits]\npayload_bytes = 1000\n");
+    let response = gateway.invoke("echo", r#"{"a": 1}"#);
+    assert_eq!((response.status, &response.body[..]), (200, &br#"{"a": 1}"#[..]));
+    assert!(response.headers.get("x-amzn-requestid").is_some());
+    assert_eq!(response.headers.get("x-amz-executed-version"), Some("$LATEST"));
     assert!(
-        answer.headers.get("endpoint-load-metrics").is_none(),
-        "reports are not for clients"
+        response.headers.get("endpoint-load-metrics").is_none(),
+        "load reports are not forwarded to clients"
     );
     for (function, payload, status, kind) in [
         ("nobody", "{}", 404, "ResourceNotFoundException"),
@@ -271,94 +288,102 @@
             "RequestTooLargeException",
         ),
     ] {
-        let answer = gateway.invoke(function, payload);
+        let response = gateway.invoke(function, payload);
         assert_eq!(
-            (answer.status, answer.headers.get("x-amzn-errortype")),
+            (response.status, response.headers.get("x-amzn-errortype")),
             (status, Some(kind))
         );
-        assert!(String::from_utf8_lossy(&answer.body).contains("\"Type\":\"User\""));
+        assert!(String::from_utf8_lossy(&response.body).contains("\"Type\":\"User\""));
     }
 }
 
 #[test]
-fn a_silent_worker_costs_a_non_idempotent_request_its_time_and_no_second_attempt() {
-    let stage = Stage::new(2);
-    let gateway = stage.gateway();
-    stage.all(&Faults {
+fn a_non_idempotent_request_to_a_silent_worker_times_out_without_a_retry() {
+    let cluster = TestCluster::new(2);
+    let gateway = cluster.start_gateway();
+    cluster.set_faults_of_all(&Faults {
         silent: true,
         ..Faults::default()
     });
     let start = Instant::now();
-    let answer = gateway.invoke("pay", r#"{"key": "p1"}"#);
-    assert_eq!((answer.status, function_error(&answer)), (200, Some("Unhandled")));
-    assert!(String::from_utf8_lossy(&answer.body).contains("Quartzdrift.TimeLimit"));
+    let response = gateway.invoke("pay", r#"{"key": "p1"}"#);
+    assert_eq!(
+        (response.status, function_error(&response)),
+        (200, Some("Unhandled"))
+    );
+    assert!(String::from_utf8_lossy(&response.body).contains("Quartzdrift.TimeLimit"));
     assert!(start.elapsed() < 1500 * MS);
-    assert_eq!(stage.came("p1"), 1);
+    assert_eq!(cluster.attempts_received("p1"), 1);
 }
 
 #[test]
-fn a_crashed_worker_sends_an_idempotent_request_elsewhere() {
-    let stage = Stage::new(2);
-    let gateway = stage.gateway();
-    stage.all(&Faults {
+fn an_idempotent_request_is_retried_on_another_worker_after_a_crash() {
+    let cluster = TestCluster::new(2);
+    let gateway = cluster.start_gateway();
+    cluster.set_faults_of_all(&Faults {
         silent: true,
         ..Faults::default()
     });
     std::thread::scope(|scope| {
         let request = scope.spawn(|| gateway.invoke("echo", r#"{"key": "e1"}"#));
-        let worker = stage.wait("the job", |seen| came(seen, "e1"));
-        let crashed = stage
+        let worker = cluster.wait_for("the attempt at a worker", |seen| receiving_worker(seen, "e1"));
+        let crashed = cluster
             .workers
             .iter()
             .position(|w| w.address.to_string() == worker)
             .unwrap();
-        stage.faults(1 - crashed, Faults::default());
-        stage.answers(1 - crashed);
-        stage.workers[crashed].send(Command::Crash);
-        let answer = request.join().unwrap();
+        cluster.set_faults(1 - crashed, Faults::default());
+        cluster.wait_until_responsive(1 - crashed);
+        cluster.workers[crashed].send(Command::Crash);
+        let response = request.join().unwrap();
         assert!(
-            answer.status == 200 && function_error(&answer).is_none(),
+            response.status == 200 && function_error(&response).is_none(),
             "{}",
-            answer.status
+            response.status
         );
     });
-    assert!(stage.came("e1") == 2);
+    assert!(cluster.attempts_received("e1") == 2);
 }
 
 #[test]
-fn a_crashed_worker_kills_a_non_idempotent_request() {
-    let stage = Stage::new(2);
-    let gateway = stage.gateway();
-    stage.all(&Faults {
+fn a_non_idempotent_request_fails_without_a_retry_after_a_crash() {
+    let cluster = TestCluster::new(2);
+    let gateway = cluster.start_gateway();
+    cluster.set_faults_of_all(&Faults {
         silent: true,
         ..Faults::default()
     });
     std::thread::scope(|scope| {
         let request = scope.spawn(|| gateway.invoke("pay", r#"{"key": "p1"}"#));
-        stage.wait("the job", |seen| came(seen, "p1"));
-        stage
+        cluster.wait_for("the attempt at a worker", |seen| receiving_worker(seen, "p1"));
+        cluster
             .workers
             .iter()
             .for_each(|worker| worker.send(Command::Crash));
-        let answer = request.join().unwrap();
-        assert_eq!((answer.status, function_error(&answer)), (200, Some("Unhandled")));
+        let response = request.join().unwrap();
+        assert_eq!(
+            (response.status, function_error(&response)),
+            (200, Some("Unhandled"))
+        );
     });
-    assert_eq!(stage.came("p1"), 1);
+    assert_eq!(cluster.attempts_received("p1"), 1);
 }
 
 #[test]
-fn a_worker_that_restarts_under_the_same_name_answers_no_old_request() {
-    let stage = Stage::new(1);
-    let gateway = stage.gateway();
-    stage.all(&Faults {
+fn a_request_to_a_crashed_worker_fails_although_the_worker_restarts_at_its_address() {
+    let cluster = TestCluster::new(1);
+    let gateway = cluster.start_gateway();
+    cluster.set_faults_of_all(&Faults {
         silent: true,
         ..Faults::default()
     });
     std::thread::scope(|scope| {
         let old = scope.spawn(|| gateway.invoke("pay", r#"{"key": "old"}"#));
-        stage.wait("the old job", |seen| came(seen, "old"));
-        stage.workers[0].send(Command::Crash);
-        stage.workers[0].send(Command::Start);
+        cluster.wait_for("the attempt before the crash", |seen| {
+            receiving_worker(seen, "old")
+        });
+        cluster.workers[0].send(Command::Crash);
+        cluster.workers[0].send(Command::Start);
         let old = old.join().unwrap();
         assert!(String::from_utf8_lossy(&old.body).contains("Quartzdrift.Killed"));
     });
@@ -367,10 +392,10 @@
 }
 
 #[test]
-fn a_client_that_hangs_up_has_its_non_idempotent_request_sent_once() {
-    let stage = Stage::new(2);
-    let gateway = stage.gateway();
-    stage.all(&Faults {
+fn a_non_idempotent_request_is_sent_once_although_its_client_disconnects() {
+    let cluster = TestCluster::new(2);
+    let gateway = cluster.start_gateway();
+    cluster.set_faults_of_all(&Faults {
         response_delay: 200 * MS,
         ..Faults::default()
     });
@@ -379,37 +404,37 @@
         "POST /2015-03-31/functions/pay/invocations HTTP/1.1\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     );
-    let client = gateway.raw(request.as_bytes());
-    stage.wait("the job", |seen| came(seen, "left"));
+    let client = gateway.connect_and_send(request.as_bytes());
+    cluster.wait_for("the attempt at a worker", |seen| receiving_worker(seen, "left"));
     drop(client);
-    stage.wait("its end", |seen| {
-        let over = |seen: &&Observation| matches!(seen, Observation::AttemptEnded { .. });
-        seen.iter().find(over).map(drop)
+    cluster.wait_for("the end of the attempt", |seen| {
+        let is_end = |seen: &&Observation| matches!(seen, Observation::AttemptEnded { .. });
+        seen.iter().find(is_end).map(drop)
     });
     assert_eq!(gateway.invoke("pay", r#"{"key": "next"}"#).status, 200);
-    assert_eq!(stage.came("left"), 1);
+    assert_eq!(cluster.attempts_received("left"), 1);
 }
 
 #[test]
-fn with_every_worker_gone_calls_are_rejected_with_a_time() {
-    let stage = Stage::new(2);
-    let gateway = stage.gateway();
-    stage
+fn calls_are_rejected_with_a_retry_time_while_every_worker_is_down() {
+    let cluster = TestCluster::new(2);
+    let gateway = cluster.start_gateway();
+    cluster
         .workers
         .iter()
         .for_each(|worker| worker.send(Command::Crash));
-    stage.wait("nobody there", |_| {
-        TcpStream::connect(stage.workers[1].address)
+    cluster.wait_for("refused connections at the crashed worker", |_| {
+        TcpStream::connect(cluster.workers[1].address)
             .is_err()
             .then_some(())
     });
-    let answer = gateway.invoke("pay", "{}");
+    let response = gateway.invoke("pay", "{}");
     assert_eq!(
-        (answer.status, answer.headers.get("x-amzn-errortype")),
+        (response.status, response.headers.get("x-amzn-errortype")),
         (429, Some("TooManyRequestsException"))
     );
-    let seconds: u64 = answer.headers.get("retry-after").unwrap().parse().unwrap();
-    let ms: u64 = answer
+    let seconds: u64 = response.headers.get("retry-after").unwrap().parse().unwrap();
+    let ms: u64 = response
         .headers
         .get("x-quartzdrift-come-back-ms")
         .unwrap()
@@ -419,22 +444,22 @@
 }
 
 #[test]
-fn half_a_head_and_idle_connections_do_not_hold_up_calls() {
-    let stage = Stage::new(1);
-    let gateway = stage.gateway_with("", "[limits]\nconnections = 100\nreceive = \"200ms\"\n");
-    let idle: Vec<TcpStream> = (0..1000).map(|_| gateway.raw(b"")).collect();
-    let mut half = gateway.raw(b"POST /2015-03-31/functions/ec");
+fn incomplete_heads_and_idle_connections_do_not_block_calls() {
+    let cluster = TestCluster::new(1);
+    let gateway = cluster.start_gateway_with("", "[limits]\nconnections = 100\nreceive = \"200ms\"\n");
+    let idle: Vec<TcpStream> = (0..1000).map(|_| gateway.connect_and_send(b"")).collect();
+    let mut incomplete = gateway.connect_and_send(b"POST /2015-03-31/functions/ec");
     assert_eq!(gateway.invoke("echo", "{}").status, 200);
-    let mut said = String::new();
-    half.read_to_string(&mut said).unwrap();
-    assert!(said.starts_with("HTTP/1.1 400"), "{said}");
+    let mut response_text = String::new();
+    incomplete.read_to_string(&mut response_text).unwrap();
+    assert!(response_text.starts_with("HTTP/1.1 400"), "{response_text}");
     drop(idle);
 }
 
 #[test]
-fn pipelined_calls_of_many_clients_never_mix() {
-    let stage = Stage::new(3);
-    let gateway = stage.gateway();
+fn pipelined_calls_of_several_clients_get_their_own_responses_in_order() {
+    let cluster = TestCluster::new(3);
+    let gateway = cluster.start_gateway();
     gateway.invoke("echo", "{}");
     std::thread::scope(|scope| {
         for client in 0..8 {
@@ -448,32 +473,35 @@
                         "POST /2015-03-31/functions/echo/invocations HTTP/1.1\r\ncontent-length: {length}\r\n\r\n{body}"
                     ));
                 }
-                let mut stream = gateway.raw(text.as_bytes());
-                let (mut seen, mut part) = (String::new(), [0; 65536]);
+                let mut stream = gateway.connect_and_send(text.as_bytes());
+                let (mut received, mut buffer) = (String::new(), [0; 65536]);
                 let last = format!("{{\"client\": {client}, \"n\": 19}}");
-                while !seen.contains(&last) {
-                    let n = stream.read(&mut part).unwrap();
-                    assert!(n > 0, "{seen}");
-                    seen.push_str(&String::from_utf8_lossy(&part[..n]));
+                while !received.contains(&last) {
+                    let n = stream.read(&mut buffer).unwrap();
+                    assert!(n > 0, "connection closed before the last response, after {received}");
+                    received.push_str(&String::from_utf8_lossy(&buffer[..n]));
                 }
-                let order: Vec<usize> =
-                    (0..20).map(|n| seen.find(&format!("{{\"client\": {client}, \"n\": {n}}}")).unwrap()).collect();
-                assert!(order.is_sorted(), "answers out of order");
-                assert_eq!(seen.matches("\"client\"").count(), 20, "another client's bytes");
+                let positions: Vec<usize> =
+                    (0..20).map(|n| received.find(&format!("{{\"client\": {client}, \"n\": {n}}}")).unwrap()).collect();
+                assert!(positions.is_sorted(), "responses out of order");
+                assert_eq!(received.matches("\"client\"").count(), 20, "response of another client");
             });
         }
     });
 }
 
 #[test]
-fn asynchronous_requests_run_and_dead_ones_reach_their_destination() {
-    let stage = Stage::new(1);
-    let more = "[deferred]\ntries = 2\nwait = \"10ms\"\nlongest_wait = \"20ms\"\non_failure = { function = \"dead\" }\n";
-    let gateway = stage.gateway_with("", more);
+fn asynchronous_requests_run_and_failed_ones_reach_the_failure_destination() {
+    let cluster = TestCluster::new(1);
+    let sections = "[deferred]\ntries = 2\nwait = \"10ms\"\nlongest_wait = \"20ms\"\non_failure = { function = \"dead\" }\n";
+    let gateway = cluster.start_gateway_with("", sections);
     assert_eq!(gateway.call("echo", r#"{"key": "later"}"#, true).status, 202);
-    stage.wait("the deferred job", |seen| came(seen, "later"));
-    // A non-idempotent request whose worker was lost may have run: it is not tried again, its record goes to the dead.
-    stage.faults(
+    cluster.wait_for("the asynchronous request at a worker", |seen| {
+        receiving_worker(seen, "later")
+    });
+    // A non-idempotent request whose response was lost may have run: the gateway does not retry it and sends
+    // a record of it to the failure destination.
+    cluster.set_faults(
         0,
         Faults {
             lost_response_share: 1.0,
@@ -481,23 +509,23 @@
         },
     );
     assert_eq!(gateway.call("pay", r#"{"key": "doubt"}"#, true).status, 202);
-    stage.wait("the end of the doubtful job", |seen| {
-        let over = seen
+    cluster.wait_for("the end of the attempt whose response is lost", |seen| {
+        let ended_attempts = seen
             .iter()
             .filter(|seen| matches!(seen, Observation::AttemptEnded { .. }))
             .count();
-        came(seen, "doubt").filter(|_| over >= 2)
+        receiving_worker(seen, "doubt").filter(|_| ended_attempts >= 2)
     });
-    stage.faults(0, Faults::default());
-    stage.wait("its record", |seen| came(seen, "dead:doubt"));
-    assert_eq!(stage.came("doubt"), 1);
+    cluster.set_faults(0, Faults::default());
+    cluster.wait_for("the failure record", |seen| receiving_worker(seen, "dead:doubt"));
+    assert_eq!(cluster.attempts_received("doubt"), 1);
 }
 
 #[test]
-fn asynchronous_requests_beyond_their_room_are_rejected() {
-    let stage = Stage::new(1);
-    let gateway = stage.gateway_with("", "[deferred]\nbytes = 2000\n");
-    stage.all(&Faults {
+fn asynchronous_requests_beyond_the_byte_limit_of_the_queue_are_rejected() {
+    let cluster = TestCluster::new(1);
+    let gateway = cluster.start_gateway_with("", "[deferred]\nbytes = 2000\n");
+    cluster.set_faults_of_all(&Faults {
         silent: true,
         ..Faults::default()
     });
@@ -509,20 +537,20 @@
 
 #[test]
 fn timers_fire() {
-    let stage = Stage::new(1);
+    let cluster = TestCluster::new(1);
     let timer = "[[timers]]\nname = \"tick\"\nfunction = \"echo\"\ncron = \"* * * * * *\"\npayload = '{\"key\": \"tick\"}'\n";
-    let _gateway = stage.gateway_with("", timer);
-    stage.wait("two firings", |seen| {
-        let fired =
+    let _gateway = cluster.start_gateway_with("", timer);
+    cluster.wait_for("two requests of the timer", |seen| {
+        let is_timer_request =
             |seen: &&Observation| matches!(seen, Observation::AttemptReceived { key, .. } if key == "tick");
-        (seen.iter().filter(fired).count() >= 2).then_some(())
+        (seen.iter().filter(is_timer_request).count() >= 2).then_some(())
     });
 }
 
 #[test]
-fn load_leaves_as_a_trace_tells() {
-    let stage = Stage::new(1);
-    let gateway = stage.gateway();
+fn the_load_generator_replays_a_trace() {
+    let cluster = TestCluster::new(1);
+    let gateway = cluster.start_gateway();
     let arrival = |n: u64| Arrival {
         at_us: n * 2000,
         request_class: 0,
@@ -531,7 +559,7 @@
         gateway: 0.0,
     };
     let plan = load::Plan {
-        addresses: vec![gateway.at],
+        addresses: vec![gateway.address],
         mix: Vec::new(),
         requests_per_s: 0.0,
         duration: Duration::ZERO,
@@ -549,7 +577,7 @@
 }
 
 #[test]
-fn a_function_used_at_regular_times_is_loaded_ahead() {
+fn a_function_used_at_regular_times_is_prefetched() {
     let recorder = Recorder::default();
     let machine = WorkerSpec {
         keep_alive: 400 * MS,
@@ -560,20 +588,20 @@
         recorder: Some(recorder.clone()),
         ..Config::default()
     };
-    let worker = spawn(any(), move |handle, address| {
+    let worker = spawn(any_loopback_port(), move |handle, address| {
         FakeWorker::new(handle, address, config)
     })
     .unwrap();
-    let stage = Stage {
+    let cluster = TestCluster {
         folder: tempfile::tempdir().unwrap(),
         recorder,
         workers: vec![worker],
     };
-    let state = stage.folder.path().join("state");
-    let more = "[forecasts]\nseasons = []\nevery = \"1s\"\n";
-    let trace = stage.folder.path().join("trace.jsonl.gz");
-    let more = format!("{more}[record]\nfile = \"{}\"\n", trace.display());
-    let file = stage.folder.path().join("gateway.toml");
+    let state = cluster.folder.path().join("state");
+    let sections = "[forecasts]\nseasons = []\nevery = \"1s\"\n";
+    let trace = cluster.folder.path().join("trace.jsonl.gz");
+    let sections = format!("{sections}[record]\nfile = \"{}\"\n", trace.display());
+    let file = cluster.folder.path().join("gateway.toml");
     let request_classes = REQUEST_CLASSES
         .replace(
             "tells_warm = true",
@@ -581,155 +609,161 @@
         )
         .replace("name = \"echo\"", "name = \"echo\"\nload = \"300ms\"");
     let text = format!(
-        "[gateway]\nlisten = [\"127.0.0.1:0\"]\nstate = \"{}\"\n{request_classes}\n{more}[[workers]]\naddress = \"{}\"\n",
+        "[gateway]\nlisten = [\"127.0.0.1:0\"]\nstate = \"{}\"\n{request_classes}\n{sections}[[workers]]\naddress = \"{}\"\n",
         state.display(),
-        stage.workers[0].address
+        cluster.workers[0].address
     );
     std::fs::write(&file, text).unwrap();
     let mut gateway = Gateway::start(&file);
-    let ordered = |seen: &Observation| matches!(seen, Observation::LoadCommandReceived { .. });
+    let is_load_command = |seen: &Observation| matches!(seen, Observation::LoadCommandReceived { .. });
     let start = Instant::now();
     let mut calls = 0;
-    while !stage.recorder.lines().iter().any(|line| ordered(&line.seen)) {
-        assert!(calls < 20, "nothing was loaded ahead");
+    while !cluster
+        .recorder
+        .lines()
+        .iter()
+        .any(|line| is_load_command(&line.seen))
+    {
+        assert!(calls < 20, "no load command after {calls} calls");
         std::thread::sleep((Duration::from_secs(1) * calls).saturating_sub(start.elapsed()));
         assert_eq!(gateway.invoke("echo", "{}").status, 200);
         calls += 1;
     }
-    gateway.term();
-    assert!(gateway.ended());
+    gateway.terminate();
+    assert!(gateway.exits_successfully());
     let bytes = snapshots::read(&state, snapshots::FORECASTS).unwrap().unwrap();
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap();
-    let again = quartzdrift_forecast::Forecasts::restore(Default::default(), &bytes, now).unwrap();
-    assert_eq!(again.len(), 1);
+    let restored = quartzdrift_forecast::Forecasts::restore(Default::default(), &bytes, now).unwrap();
+    assert_eq!(restored.len(), 1);
     let traced = quartzdrift_lab::traffic::read_trace(&trace).unwrap();
     assert!(traced.len() == calls as usize && traced.iter().all(|arrival| arrival.function == "echo"));
 }
 
 #[test]
-fn a_stopping_gateway_answers_what_it_holds_and_takes_nothing_new() {
-    let stage = Stage::new(1);
-    let mut gateway = stage.gateway_with("drain = \"5s\"", "");
+fn a_stopping_gateway_completes_open_requests_and_refuses_new_connections() {
+    let cluster = TestCluster::new(1);
+    let mut gateway = cluster.start_gateway_with("drain = \"5s\"", "");
     gateway.invoke("echo", "{}");
-    stage.all(&Faults {
+    cluster.set_faults_of_all(&Faults {
         response_delay: 400 * MS,
         ..Faults::default()
     });
     let body = r#"{"key": "held"}"#;
     let head = "POST /2015-03-31/functions/echo/invocations HTTP/1.1\r\ncontent-length";
-    let mut held = gateway.raw(format!("{head}: {}\r\n\r\n{body}", body.len()).as_bytes());
-    stage.wait("the job", |seen| came(seen, "held"));
-    gateway.term();
-    let mut said = String::new();
-    held.read_to_string(&mut said).unwrap();
+    let mut client = gateway.connect_and_send(format!("{head}: {}\r\n\r\n{body}", body.len()).as_bytes());
+    cluster.wait_for("the attempt at a worker", |seen| receiving_worker(seen, "held"));
+    gateway.terminate();
+    let mut response_text = String::new();
+    client.read_to_string(&mut response_text).unwrap();
     assert!(
-        said.starts_with("HTTP/1.1 200") && said.contains("connection: close"),
-        "{said}"
+        response_text.starts_with("HTTP/1.1 200") && response_text.contains("connection: close"),
+        "{response_text}"
     );
-    assert!(gateway.ended());
-    assert!(TcpStream::connect(gateway.at).is_err());
+    assert!(gateway.exits_successfully());
+    assert!(TcpStream::connect(gateway.address).is_err());
 }
 
 #[test]
-fn a_drain_told_by_the_discovery_moves_work_and_a_restart_uses_the_saved_list() {
-    let stage = Stage::new(2);
-    let workers: Vec<String> = stage.workers.iter().map(|w| w.address.to_string()).collect();
-    let first = workers
+fn a_draining_worker_gets_no_new_requests_and_a_restart_uses_the_saved_endpoint_list() {
+    let cluster = TestCluster::new(2);
+    let workers: Vec<String> = cluster.workers.iter().map(|w| w.address.to_string()).collect();
+    let endpoints = workers
         .iter()
         .map(|worker| DiscoveredEndpoint::up(worker))
         .collect();
-    let recorder = stage.recorder.clone();
-    let discovery = spawn(any(), move |handle, _| {
-        FakeDiscovery::new(handle, first, Duration::ZERO, Some(recorder))
+    let recorder = cluster.recorder.clone();
+    let discovery = spawn(any_loopback_port(), move |handle, _| {
+        FakeDiscovery::new(handle, endpoints, Duration::ZERO, Some(recorder))
     })
     .unwrap();
-    let state = stage.folder.path().join("state");
-    let of = format!(
+    let state = cluster.folder.path().join("state");
+    let sections = format!(
         "[roster]\nurl = \"http://{}/workers/1\"\nstream = true\nevery = \"100ms\"\n",
         discovery.address
     );
-    let gateway = stage.gateway_with(&format!("state = \"{}\"", state.display()), &of);
-    stage.wait("the list", |_| {
+    let gateway = cluster.start_gateway_with(&format!("state = \"{}\"", state.display()), &sections);
+    cluster.wait_for("a successful call after the first endpoint list", |_| {
         (gateway.invoke("echo", "{}").status == 200).then_some(())
     });
-    let state_of = |worker: &str, state| DiscoveredEndpoint {
+    let endpoint_in_state = |worker: &str, state| DiscoveredEndpoint {
         state,
         ..DiscoveredEndpoint::up(worker)
     };
     let draining = quartzdrift_scheduler::interface::EndpointState::Draining;
-    discovery.send(discovery::Command::UpdateEndpoint(state_of(
+    discovery.send(discovery::Command::UpdateEndpoint(endpoint_in_state(
         &workers[0],
         draining,
     )));
-    stage.wait("the drain", |seen| {
+    cluster.wait_for("the drain in an answer of the discovery service", |seen| {
         seen.iter()
             .find(|s| matches!(s, Observation::EndpointDownSent { .. }))
             .map(drop)
     });
-    // The news is on the gateway's socket; give it the grace that the rule gives.
+    // The gateway may use the worker until the drain grace of 250 ms has passed since the update was sent.
     std::thread::sleep(Duration::from_millis(250));
     for n in 0..30 {
         gateway.invoke("echo", &format!("{{\"key\": \"after-{n}\"}}"));
     }
-    let lines = stage.recorder.lines();
-    let after = lines.iter().filter_map(|line| match &line.seen {
+    let lines = cluster.recorder.lines();
+    let receivers = lines.iter().filter_map(|line| match &line.seen {
         Observation::AttemptReceived { key, worker, .. } if key.starts_with("after-") => Some(worker.clone()),
         _ => None,
     });
-    assert!(after.clone().count() >= 30 && after.into_iter().all(|worker| worker == workers[1]));
-    // Both the roster and the first gateway are gone: what was saved is enough to go on.
-    stage.wait("the saved list", |_| {
+    assert!(receivers.clone().count() >= 30 && receivers.into_iter().all(|worker| worker == workers[1]));
+    // The second gateway starts without a discovery service, from the saved endpoint list alone.
+    cluster.wait_for("the saved endpoint list", |_| {
         std::fs::read_to_string(state.join("workers.json"))
             .ok()
             .filter(|list| list.contains("draining"))
             .map(drop)
     });
     drop((gateway, discovery));
-    let again = Gateway::start(&stage.folder.path().join("gateway.toml"));
-    assert_eq!(again.invoke("echo", r#"{"key": "saved"}"#).status, 200);
+    let restarted = Gateway::start(&cluster.folder.path().join("gateway.toml"));
+    assert_eq!(restarted.invoke("echo", r#"{"key": "saved"}"#).status, 200);
 }
 
 #[test]
-fn a_list_that_cannot_be_confirmed_holds_for_its_lease_and_without_one_for_good() {
+fn an_unconfirmed_endpoint_list_expires_with_its_lease_and_never_without_a_lease() {
     for lease in [Some(Duration::from_secs(1)), None] {
-        let stage = Stage::new(2);
-        let first = stage
+        let cluster = TestCluster::new(2);
+        let endpoints = cluster
             .workers
             .iter()
             .map(|worker| DiscoveredEndpoint::up(&worker.address.to_string()))
             .collect();
-        let discovery = spawn(any(), move |handle, _| {
-            FakeDiscovery::new(handle, first, Duration::ZERO, None)
+        let discovery = spawn(any_loopback_port(), move |handle, _| {
+            FakeDiscovery::new(handle, endpoints, Duration::ZERO, None)
         })
         .unwrap();
         let rules = lease.map_or(String::new(), |lease| {
             format!("[rules]\nendpoint_lease = \"{}s\"\n", lease.as_secs())
         });
-        let of = format!(
+        let sections = format!(
             "{rules}[roster]\nurl = \"http://{}/workers/1\"\nevery = \"100ms\"\ntimeout = \"200ms\"\n",
             discovery.address
         );
-        let gateway = stage.gateway_with("", &of);
-        stage.wait("the list", |_| {
+        let gateway = cluster.start_gateway_with("", &sections);
+        cluster.wait_for("a successful call after the first endpoint list", |_| {
             (gateway.invoke("echo", "{}").status == 200).then_some(())
         });
         drop(discovery);
-        let out_since = Instant::now();
+        let outage_start = Instant::now();
         let mut rejected_after = None;
-        while out_since.elapsed() < Duration::from_secs(3) && rejected_after.is_none() {
-            // Longer than the drain grace of 250 ms, so that no request keeps a worker proven.
+        while outage_start.elapsed() < Duration::from_secs(3) && rejected_after.is_none() {
+            // A response confirms its worker for the drain grace of 250 ms; calls at longer intervals depend
+            // on the list alone.
             std::thread::sleep(300 * MS);
-            let asked_after = out_since.elapsed();
+            let called_after = outage_start.elapsed();
             match gateway.invoke("echo", "{}").status {
                 200 => {}
-                429 => rejected_after = Some(asked_after),
+                429 => rejected_after = Some(called_after),
                 status => panic!("status {status}"),
             }
         }
         match lease {
-            // The last poll that was answered was sent up to its interval before the source went.
+            // The lease starts with the last answered poll, sent up to one poll interval before the outage.
             Some(lease) => assert!(
                 rejected_after.is_some_and(|after| after > lease),
                 "{rejected_after:?}"
@@ -740,78 +774,86 @@
 }
 
 #[test]
-fn a_short_bad_day_keeps_the_rules_and_a_naive_gateway_breaks_them() {
-    let day = "gateways 2\nworkers 4 cores=2 memory=1600 cold=0.3 cold-for=1s fall=4 fall-window=1s\nroster lag=100ms\n\
+fn a_short_fault_scenario_passes_the_audit_and_a_naive_gateway_fails_it() {
+    let text = "gateways 2\nworkers 4 cores=2 memory=1600 cold=0.3 cold-for=1s fall=4 fall-window=1s\nroster lag=100ms\n\
         workload quote restartable rate=80 work=5ms limit=1s functions=4 memory=100 load=50ms\n\
         workload refund run-once rate=60 work=5ms limit=1s functions=2 memory=100 load=50ms\n\
         workload mail restartable deferred rate=10 work=5ms limit=1s load=50ms\n\
         length 4s\nat 1s crash worker 0\nat 1500ms start worker 0\nat 1s lose worker 1 0.4\nat 2s well worker 1\n\
         at 2s silent worker 2\nat 2500ms drain worker 3\nat 2500ms kill gateway 1\nat 3s start gateway 1\nat 3s well worker 2\n";
-    let script = scenario::read(day).unwrap();
-    let good = scenario_runner::run(
+    let script = scenario::read(text).unwrap();
+    let gateway_run = scenario_runner::run(
         &script,
         &GatewayProgram::lab_command(Path::new(LAB), "gateway"),
         3,
     )
     .unwrap();
-    assert_eq!(good.violations, [], "a rule was broken");
+    assert_eq!(gateway_run.violations, [], "rule violations");
     assert!(
-        good.call_counts.finished > 200 && good.call_counts.accepted > 10,
+        gateway_run.call_counts.finished > 200 && gateway_run.call_counts.accepted > 10,
         "{:?}",
-        good.call_counts
+        gateway_run.call_counts
     );
-    let bad =
+    let naive_run =
         scenario_runner::run(&script, &GatewayProgram::lab_command(Path::new(LAB), "naive"), 3).unwrap();
-    let rules: std::collections::BTreeSet<Rule> = bad.violations.iter().map(|broken| broken.rule).collect();
+    let rules: std::collections::BTreeSet<Rule> = naive_run
+        .violations
+        .iter()
+        .map(|violation| violation.rule)
+        .collect();
     assert!(
         rules.contains(&Rule::DuplicateEffect) && rules.contains(&Rule::ConcurrentAttempts),
         "{rules:?}"
     );
-    assert!(!audit(&bad.lines, &bad.guarantees).is_empty());
+    assert!(!audit(&naive_run.lines, &naive_run.guarantees).is_empty());
 }
 
 #[test]
-fn a_streamed_answer_reaches_the_client_part_by_part() {
-    let worker = std::net::TcpListener::bind(any()).unwrap();
-    let (at, (go_on, may_go_on)) = (worker.local_addr().unwrap(), std::sync::mpsc::channel());
+fn a_streamed_response_reaches_the_client_chunk_by_chunk() {
+    let worker = std::net::TcpListener::bind(any_loopback_port()).unwrap();
+    let (address, (report_first, first_received)) =
+        (worker.local_addr().unwrap(), std::sync::mpsc::channel());
     let serving = std::thread::spawn(move || {
         let (mut stream, _) = worker.accept().unwrap();
-        let (mut seen, mut part) = (String::new(), [0; 4096]);
-        while !seen.ends_with("{}") {
-            let n = stream.read(&mut part).unwrap();
-            seen.push_str(&String::from_utf8_lossy(&part[..n]));
+        let (mut request, mut buffer) = (String::new(), [0; 4096]);
+        while !request.ends_with("{}") {
+            let n = stream.read(&mut buffer).unwrap();
+            request.push_str(&String::from_utf8_lossy(&buffer[..n]));
         }
         stream
             .write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\none\r\n")
             .unwrap();
-        // The second part leaves only once the client has the first.
-        may_go_on.recv().unwrap();
+        // The second chunk is sent only after the client has received the first.
+        first_received.recv().unwrap();
         stream.write_all(b"3\r\ntwo\r\n0\r\n\r\n").unwrap();
     });
-    let stage = Stage::new(0);
+    let cluster = TestCluster::new(0);
     let streams = "[[workloads]]\nname = \"talk\"\neffect = \"restartable\"\ntime_limit = \"3s\"\nstreams = true\n\
         [[functions]]\nname = \"tale\"\nworkload = \"talk\"\n";
-    let gateway = stage.gateway_with("", &format!("{streams}[[workers]]\naddress = \"{at}\"\n"));
+    let gateway = cluster.start_gateway_with("", &format!("{streams}[[workers]]\naddress = \"{address}\"\n"));
     let request = "POST /2015-03-31/functions/tale/invocations HTTP/1.1\r\ncontent-length: 2\r\n\r\n{}";
-    let mut client = gateway.raw(request.as_bytes());
-    let (mut seen, mut part) = (String::new(), [0; 4096]);
-    for (expected, then) in [("one", true), ("two", false)] {
-        while !seen.contains(expected) {
-            let n = client.read(&mut part).unwrap();
-            assert!(n > 0, "ended after {seen:?}");
-            seen.push_str(&String::from_utf8_lossy(&part[..n]));
+    let mut client = gateway.connect_and_send(request.as_bytes());
+    let (mut received, mut buffer) = (String::new(), [0; 4096]);
+    for (chunk, is_first) in [("one", true), ("two", false)] {
+        while !received.contains(chunk) {
+            let n = client.read(&mut buffer).unwrap();
+            assert!(
+                n > 0,
+                "connection closed before chunk {chunk:?}, after {received:?}"
+            );
+            received.push_str(&String::from_utf8_lossy(&buffer[..n]));
         }
-        if then {
-            assert!(seen.contains("transfer-encoding: chunked") && !seen.contains("two"));
-            go_on.send(()).unwrap();
+        if is_first {
+            assert!(received.contains("transfer-encoding: chunked") && !received.contains("two"));
+            report_first.send(()).unwrap();
         }
     }
     serving.join().unwrap();
 }
 
-/// A gateway that is a member of a fleet, with its state in a folder by its name.
-fn member(stage: &Stage, name: &str, seeds: &[SocketAddr]) -> Gateway {
-    let folder = stage.folder.path();
+/// Starts a gateway as a member of a fleet, with its state in a folder of the same name.
+fn start_member(cluster: &TestCluster, name: &str, seeds: &[SocketAddr]) -> Gateway {
+    let folder = cluster.folder.path();
     std::fs::write(folder.join("key"), "00112233445566778899aabbccddeeff").unwrap();
     let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
     let state = format!("state = \"{}\"", folder.join(name).display());
@@ -821,33 +863,37 @@
         seeds.join(", "),
         folder.join("key").display(),
     );
-    stage.gateway_by(&format!("{name}.toml"), &state, &fleet)
+    cluster.start_gateway_from(&format!("{name}.toml"), &state, &fleet)
 }
 
-/// Waits until a member's view fits.
-fn view(stage: &Stage, name: &str, what: &str, fits: impl Fn(&View) -> bool) -> View {
+/// Waits until the saved membership view of a member satisfies `matches`, and returns the view; panics after
+/// 20 s.
+fn wait_for_view(cluster: &TestCluster, name: &str, what: &str, matches: impl Fn(&View) -> bool) -> View {
     let until = Instant::now() + Duration::from_secs(20);
     loop {
-        let bytes = snapshots::read(&stage.folder.path().join(name), snapshots::MEMBERS);
+        let bytes = snapshots::read(&cluster.folder.path().join(name), snapshots::MEMBERS);
         let bytes = bytes.ok().flatten().unwrap_or_default();
         match serde_json::from_slice::<View>(&bytes) {
-            Ok(view) if fits(&view) => return view,
-            told => assert!(Instant::now() < until, "never seen: {what}: {told:?}"),
+            Ok(view) if matches(&view) => return view,
+            last => assert!(
+                Instant::now() < until,
+                "timed out waiting for {what}, last view: {last:?}"
+            ),
         }
         std::thread::sleep(10 * MS);
     }
 }
 
 #[test]
-fn a_fleet_of_gateways_sees_kills_restarts_and_leaves() {
-    let stage = Stage::new(1);
-    let first = member(&stage, "a", &[]);
-    let seed = view(&stage, "a", "its own address", |_| true).address;
+fn fleet_members_detect_crashes_restarts_and_departures() {
+    let cluster = TestCluster::new(1);
+    let first = start_member(&cluster, "a", &[]);
+    let seed = wait_for_view(&cluster, "a", "the first view", |_| true).address;
     let mut others: Vec<Gateway> = ["b", "c", "d"]
         .iter()
-        .map(|name| member(&stage, name, &[seed]))
+        .map(|name| start_member(&cluster, name, &[seed]))
         .collect();
-    let alive = |view: &View, count: usize| {
+    let has_alive = |view: &View, count: usize| {
         view.members
             .iter()
             .filter(|m| m.state == MemberState::Alive)
@@ -855,68 +901,80 @@
             == count
     };
     for name in ["a", "b", "c", "d"] {
-        let view = view(&stage, name, "all four", |view| alive(view, 3));
+        let view = wait_for_view(&cluster, name, "three other alive members", |view| {
+            has_alive(view, 3)
+        });
         assert_eq!(view.schedulers, 4);
     }
-    // Killed outright: found dead, and still counted, since nobody can tell that it does not send.
+    // A killed member is found dead and still counts as a scheduler, because a member that only seems dead
+    // may still send requests.
     drop(others.pop());
-    let dead = |view: &View| {
+    let has_dead = |view: &View| {
         view.members
             .iter()
             .any(|m| m.name == "d" && m.state == MemberState::Dead)
     };
-    assert_eq!(view(&stage, "b", "the dead one", dead).schedulers, 4);
-    // Back under its name, at another port, with what it saved.
-    others.push(member(&stage, "d", &[]));
+    assert_eq!(
+        wait_for_view(&cluster, "b", "the dead member", has_dead).schedulers,
+        4
+    );
+    // The member restarts with its saved state, under the same name and at another port.
+    others.push(start_member(&cluster, "d", &[]));
     for name in ["a", "d"] {
-        view(&stage, name, "all four again", |view| alive(view, 3));
+        wait_for_view(
+            &cluster,
+            name,
+            "three other alive members after the restart",
+            |view| has_alive(view, 3),
+        );
     }
-    // Stopped as operators stop it: it says so.
-    others[0].term();
-    assert!(others[0].ended());
-    let left = |view: &View| {
+    // A member that is stopped by SIGTERM announces its departure.
+    others[0].terminate();
+    assert!(others[0].exits_successfully());
+    let has_left = |view: &View| {
         view.members
             .iter()
             .any(|m| m.name == "b" && m.state == MemberState::Left)
     };
-    view(&stage, "c", "the one that left", left);
+    wait_for_view(&cluster, "c", "the departed member", has_left);
     assert_eq!(first.invoke("echo", "{}").status, 200);
 }
 
 #[test]
-fn a_successor_at_the_same_address_takes_over_with_nothing_refused() {
-    let stage = Stage::new(1);
-    let state = stage.folder.path().join("state");
-    let mut old = stage.gateway_with(&format!("share_port = true\nstate = \"{}\"", state.display()), "");
-    let file = stage.folder.path().join("successor.toml");
-    let text = std::fs::read_to_string(stage.folder.path().join("gateway.toml")).unwrap();
-    std::fs::write(&file, text.replace("127.0.0.1:0", &old.at.to_string())).unwrap();
+fn a_successor_at_the_same_address_takes_over_without_a_failed_call() {
+    let cluster = TestCluster::new(1);
+    let state = cluster.folder.path().join("state");
+    let mut old =
+        cluster.start_gateway_with(&format!("share_port = true\nstate = \"{}\"", state.display()), "");
+    let file = cluster.folder.path().join("successor.toml");
+    let text = std::fs::read_to_string(cluster.folder.path().join("gateway.toml")).unwrap();
+    std::fs::write(&file, text.replace("127.0.0.1:0", &old.address.to_string())).unwrap();
     let stop = std::sync::atomic::AtomicBool::new(false);
     let statuses = std::thread::scope(|scope| {
-        let (at, stop) = (old.at, &stop);
+        let (address, stop) = (old.address, &stop);
         let call = move || {
             let mut statuses = Vec::new();
             while !stop.load(std::sync::atomic::Ordering::Relaxed) {
                 let timeout = Duration::from_secs(15);
                 let payload = b"{\"work_ms\":2}".to_vec();
                 let call = InvokeRequest {
-                    gateway: at,
+                    gateway: address,
                     function: "echo".to_owned(),
                     payload,
                     asynchronous: false,
                     idempotency_key: None,
                     timeout,
                 };
-                statuses.push(invoke(&call).map_or(0, |answer| answer.status));
+                statuses.push(invoke(&call).map_or(0, |response| response.status));
             }
             statuses
         };
         let callers: Vec<_> = (0..4).map(|_| scope.spawn(call)).collect();
         let successor = Gateway::start(&file);
-        old.term();
-        assert!(old.ended());
-        let before = stage.recorder.lines().len();
-        stage.wait("calls at the successor", |seen| {
+        old.terminate();
+        assert!(old.exits_successfully());
+        let before = cluster.recorder.lines().len();
+        cluster.wait_for("calls after the end of the old gateway", |seen| {
             (seen.len() > before + 50).then_some(())
         });
         stop.store(true, std::sync::atomic::Ordering::Relaxed);
@@ -924,8 +982,8 @@
             .into_iter()
             .flat_map(|caller| caller.join().unwrap())
             .collect();
-        // It is written beside the loop, now and then.
-        stage.wait("the successor's own start", |_| {
+        // A background thread writes the snapshot periodically, so it may lag behind the start.
+        cluster.wait_for("the recovery view of the successor", |_| {
             let bytes = snapshots::read(&state, snapshots::RECOVERY_VIEW).ok()??;
             let view: quartzdrift_recovery::RecoveryView = serde_json::from_slice(&bytes).ok()?;
             (view.starts == 2 && view.classification?.kind == quartzdrift_recovery::RestartKind::Planned)
@@ -940,58 +998,67 @@
     );
 }
 
-/// Kills a gateway outright again and again while asynchronous requests come, and looks at what workers saw.
+/// Kills a gateway six times while it holds asynchronous requests, each time after a longer delay.
 #[test]
-fn no_asynchronous_request_that_was_taken_is_lost_or_doubled_by_kills() {
-    let stage = Stage::new(2);
-    let store = stage.folder.path().join("deferred");
-    let more = format!(
+fn kills_lose_no_accepted_asynchronous_request_and_repeat_no_non_idempotent_one() {
+    let cluster = TestCluster::new(2);
+    let store = cluster.folder.path().join("deferred");
+    let sections = format!(
         "[deferred]\nstore = \"{}\"\ntries = 5\nwait = \"10ms\"\nlongest_wait = \"50ms\"\non_failure = {{ function = \"dead\" }}\n",
         store.display()
     );
-    let (mut again, mut once) = (Vec::new(), Vec::new());
+    let (mut idempotent, mut non_idempotent) = (Vec::new(), Vec::new());
     for round in 0..6 {
-        let gateway = stage.gateway_with("", &more);
+        let gateway = cluster.start_gateway_with("", &sections);
         for n in 0..12 {
-            let (function, list) = if n % 2 == 0 {
-                ("echo", &mut again)
+            let (function, keys) = if n % 2 == 0 {
+                ("echo", &mut idempotent)
             } else {
-                ("pay", &mut once)
+                ("pay", &mut non_idempotent)
             };
             let key = format!("{round}-{n}");
             let payload = format!("{{\"key\":\"{key}\",\"work_ms\":{}}}", n % 4 * 10);
             assert_eq!(gateway.call(function, &payload, true).status, 202);
-            list.push(key);
+            keys.push(key);
         }
-        // Some have run, some are out, some wait.
+        // By the kill some requests have run, some have an open attempt and some wait.
         std::thread::sleep(MS * 7 * round);
         drop(gateway);
     }
-    let _gateway = stage.gateway_with("", &more);
-    let settled = |key: &str| stage.came(key) > 0 || stage.came(&format!("dead:{key}")) > 0;
-    stage.wait("all that was taken", |_| {
-        again.iter().chain(&once).all(|key| settled(key)).then_some(())
+    let _gateway = cluster.start_gateway_with("", &sections);
+    let is_settled = |key: &str| {
+        cluster.attempts_received(key) > 0 || cluster.attempts_received(&format!("dead:{key}")) > 0
+    };
+    cluster.wait_for("every accepted request at a worker", |_| {
+        idempotent
+            .iter()
+            .chain(&non_idempotent)
+            .all(|key| is_settled(key))
+            .then_some(())
     });
-    assert!(again.iter().all(|key| stage.came(key) > 0));
-    // Records of the dead go to a function that may run again, and may come twice themselves.
-    for key in &once {
-        assert!(stage.came(key) <= 1, "{key} came twice");
+    assert!(idempotent.iter().all(|key| cluster.attempts_received(key) > 0));
+    // Failure records are not counted: their function is idempotent, so a worker may receive a record twice.
+    for key in &non_idempotent {
+        assert!(
+            cluster.attempts_received(key) <= 1,
+            "workers received {key} more than once"
+        );
     }
 }
 
 #[test]
-fn a_store_that_another_process_uses_is_left_alone() {
-    let stage = Stage::new(2);
-    let store = stage.folder.path().join("deferred");
-    let more = format!("[deferred]\nstore = \"{}\"\n", store.display());
-    let first = stage.gateway_with("", &more);
-    // What is out and what waits stays far below what two workers take: the call beside it is not rejected.
+fn a_second_gateway_fails_to_start_on_a_store_in_use_and_leaves_it_unchanged() {
+    let cluster = TestCluster::new(2);
+    let store = cluster.folder.path().join("deferred");
+    let sections = format!("[deferred]\nstore = \"{}\"\n", store.display());
+    let first = cluster.start_gateway_with("", &sections);
+    // Eight requests leave capacity on the two workers, so that the synchronous call below is not rejected.
     let keys: Vec<String> = (0..8).map(|n| format!("kept-{n}")).collect();
     for key in &keys {
         let payload = format!("{{\"key\":\"{key}\",\"work_ms\":50}}");
         assert_eq!(first.call("pay", &payload, true).status, 202);
     }
-    let file = stage.folder.path().join("gateway.toml");
+    let file = cluster.folder.path().join("gateway.toml");
     let second = Process::new(LAB)
         .arg("gateway")
         .arg(file)
@@ -1001,95 +1068,108 @@
         .unwrap();
     assert!(!second.success());
     assert_eq!(first.invoke("echo", "{}").status, 200);
-    stage.wait("all that was taken", |_| {
-        keys.iter().all(|key| stage.came(key) > 0).then_some(())
+    cluster.wait_for("every accepted request at a worker", |_| {
+        keys.iter()
+            .all(|key| cluster.attempts_received(key) > 0)
+            .then_some(())
     });
-    // And the first still has its store, whose requests nobody else has run.
+    // The first gateway still uses its store, and the second has run none of the stored requests.
     assert_eq!(first.call("pay", r#"{"key": "next"}"#, true).status, 202);
-    stage.wait("the next deferred job", |_| {
-        (stage.came("next") == 1).then_some(())
+    cluster.wait_for("the next asynchronous request at a worker", |_| {
+        (cluster.attempts_received("next") == 1).then_some(())
     });
-    assert!(keys.iter().all(|key| stage.came(key) == 1));
+    assert!(keys.iter().all(|key| cluster.attempts_received(key) == 1));
 }
 
 #[test]
-fn a_stopped_gateway_runs_what_it_kept_at_its_next_start() {
-    let stage = Stage::new(1);
-    let store = stage.folder.path().join("deferred");
-    let more = format!("[deferred]\nstore = \"{}\"\n", store.display());
-    stage.all(&Faults {
+fn a_restarted_gateway_runs_the_asynchronous_requests_in_its_store() {
+    let cluster = TestCluster::new(1);
+    let store = cluster.folder.path().join("deferred");
+    let sections = format!("[deferred]\nstore = \"{}\"\n", store.display());
+    cluster.set_faults_of_all(&Faults {
         error_share: 1.0,
         ..Faults::default()
     });
-    let mut gateway = stage.gateway_with("drain = \"200ms\"", &more);
+    let mut gateway = cluster.start_gateway_with("drain = \"200ms\"", &sections);
     assert_eq!(gateway.call("echo", r#"{"key": "kept"}"#, true).status, 202);
-    gateway.term();
-    assert!(gateway.ended());
-    stage.all(&Faults::default());
-    let before = stage.came("kept");
-    let _gateway = stage.gateway_with("", &more);
-    stage.wait("the kept job", |_| (stage.came("kept") > before).then_some(()));
+    gateway.terminate();
+    assert!(gateway.exits_successfully());
+    cluster.set_faults_of_all(&Faults::default());
+    let before = cluster.attempts_received("kept");
+    let _gateway = cluster.start_gateway_with("", &sections);
+    cluster.wait_for("the stored request at a worker", |_| {
+        (cluster.attempts_received("kept") > before).then_some(())
+    });
 }
 
 #[test]
-fn a_store_whose_disk_fails_for_a_while_takes_requests_again_and_runs_all_that_it_took() {
+fn a_store_accepts_requests_again_after_disk_errors_and_every_accepted_request_runs() {
     for error in ["EIO", "ENOSPC"] {
-        let stage = Stage::new(1);
-        let store = stage.folder.path().join("deferred");
-        let more = format!("[deferred]\nstore = \"{}\"\n", store.display());
-        // The settings file is written by a gateway that ends at once.
-        drop(stage.gateway_with("", &more));
-        let file = stage.folder.path().join("gateway.toml");
-        let gateway = Gateway::start_failing(&file, &format!("fdatasync:error={error}:when=4..6"));
+        let cluster = TestCluster::new(1);
+        let store = cluster.folder.path().join("deferred");
+        let sections = format!("[deferred]\nstore = \"{}\"\n", store.display());
+        // This gateway is started only to write the settings file.
+        drop(cluster.start_gateway_with("", &sections));
+        let file = cluster.folder.path().join("gateway.toml");
+        let gateway = Gateway::start_with_failing_calls(&file, &format!("fdatasync:error={error}:when=4..6"));
         let call = |key: usize| {
             let payload = format!("{{\"key\": \"kept-{key}\"}}");
             gateway.call("echo", &payload, true).status
         };
-        let mut taken = Vec::new();
+        let mut accepted = Vec::new();
         let mut failed = 0;
         let until = Instant::now() + Duration::from_secs(15);
-        // Requests are taken, then some are not, then requests are taken again.
+        // The loop ends with the first request that is accepted after a rejected one.
         for key in 0.. {
-            assert!(Instant::now() < until, "{error}: {taken:?} taken, {failed} not");
+            assert!(
+                Instant::now() < until,
+                "{error}: {accepted:?} accepted, {failed} rejected"
+            );
             match call(key) {
-                202 => taken.push(key),
+                202 => accepted.push(key),
                 _ => failed += 1,
             }
-            if failed > 0 && taken.last() == Some(&key) {
+            if failed > 0 && accepted.last() == Some(&key) {
                 break;
             }
             std::thread::sleep(10 * MS);
         }
-        for key in taken {
+        for key in accepted {
             let key = format!("kept-{key}");
-            stage.wait(&format!("{key}, taken before or after {error}"), |_| {
-                (stage.came(&key) > 0).then_some(())
-            });
+            cluster.wait_for(
+                &format!("accepted request {key} at a worker, disk error {error}"),
+                |_| (cluster.attempts_received(&key) > 0).then_some(()),
+            );
         }
         drop(gateway);
-        // What the failure has left of the log is read at the next start.
+        // The gateway must also start from the log that the disk errors left.
         drop(Gateway::start(&file));
     }
 }
 
-/// A gateway alone, with its state and its asynchronous requests on disk.
-fn alone(stage: &Stage) -> (String, String) {
-    let folder = stage.folder.path();
-    let more = format!(
+/// Settings of a gateway without a fleet that keeps its state and its asynchronous requests on disk: fields
+/// of `[gateway]`, and further sections.
+fn standalone_settings(cluster: &TestCluster) -> (String, String) {
+    let folder = cluster.folder.path();
+    let sections = format!(
         "[[workloads]]\nname = \"known\"\neffect = \"fingerprinted\"\ngroup = \"all\"\nwindow = \"3s\"\ntime_limit = \"2s\"\n\
          [[functions]]\nname = \"stamp\"\nworkload = \"known\"\n\
          [deferred]\nstore = \"{}\"\nwait = \"20ms\"\non_failure = {{ function = \"dead\" }}\n",
         folder.join("deferred").display()
     );
-    (format!("state = \"{}\"", folder.join("state").display()), more)
+    (
+        format!("state = \"{}\"", folder.join("state").display()),
+        sections,
+    )
 }
 
-fn marked(gateway: &Gateway, mark: &str) -> Response {
-    let payload = format!("{{\"key\":\"{mark}\"}}").into_bytes();
-    let (function, idempotency_key) = ("stamp".to_owned(), Some(mark.to_owned()));
+/// Invokes the function `stamp` with an idempotency key, which is the payload key too.
+fn invoke_with_key(gateway: &Gateway, key: &str) -> Response {
+    let payload = format!("{{\"key\":\"{key}\"}}").into_bytes();
+    let (function, idempotency_key) = ("stamp".to_owned(), Some(key.to_owned()));
     let timeout = Duration::from_secs(15);
     invoke(&InvokeRequest {
-        gateway: gateway.at,
+        gateway: gateway.address,
         function,
         payload,
         asynchronous: false,
@@ -1100,70 +1180,82 @@
 }
 
 #[test]
-fn a_keyed_request_from_before_a_power_loss_does_not_run_after_it() {
-    let stage = Stage::new(2);
-    let (gateway, more) = alone(&stage);
-    let first = stage.gateway_with(&gateway, &more);
-    let file = stage.folder.path().join("gateway.toml");
-    assert_eq!(marked(&first, "once").status, 200);
-    // A deferred one is out, at a worker that does not answer.
-    stage.all(&Faults {
+fn a_keyed_request_from_before_a_power_loss_does_not_run_again() {
+    let cluster = TestCluster::new(2);
+    let (gateway_fields, sections) = standalone_settings(&cluster);
+    let first = cluster.start_gateway_with(&gateway_fields, &sections);
+    let file = cluster.folder.path().join("gateway.toml");
+    assert_eq!(invoke_with_key(&first, "once").status, 200);
+    // An asynchronous request has an open attempt at a worker that does not respond.
+    cluster.set_faults_of_all(&Faults {
         hang: true,
         ..Faults::default()
     });
     assert_eq!(first.call("stamp", r#"{"key": "out"}"#, true).status, 202);
-    stage.wait("the deferred job at a worker", |seen| came(seen, "out"));
+    cluster.wait_for("the asynchronous request at a worker", |seen| {
+        receiving_worker(seen, "out")
+    });
     drop(first);
-    stage.all(&Faults::default());
-    // The process alone was gone: workers know what they ran, and both go on at once.
-    let second = stage.gateway_by("gateway.toml", &gateway, &more);
-    assert_eq!(marked(&second, "once").status, 200);
-    stage.wait("the deferred job again", |_| {
-        (stage.came("out") == 2).then_some(())
+    cluster.set_faults_of_all(&Faults::default());
+    // After a crash of the gateway alone, workers still hold their idempotency keys: both requests are sent
+    // again at once.
+    let second = cluster.start_gateway_from("gateway.toml", &gateway_fields, &sections);
+    assert_eq!(invoke_with_key(&second, "once").status, 200);
+    cluster.wait_for("the second attempt of the asynchronous request", |_| {
+        (cluster.attempts_received("out") == 2).then_some(())
     });
-    stage.all(&Faults {
+    cluster.set_faults_of_all(&Faults {
         hang: true,
         ..Faults::default()
     });
     assert_eq!(second.call("stamp", r#"{"key": "lost"}"#, true).status, 202);
-    stage.wait("the second one at a worker", |seen| came(seen, "lost"));
+    cluster.wait_for("the second asynchronous request at a worker", |seen| {
+        receiving_worker(seen, "lost")
+    });
     drop(second);
-    stage.all(&Faults::default());
-    // The machine was off, and workers with it as far as can be told, however its clock was set meanwhile.
-    let third = Gateway::start_on(&file, &["--boot", "anew", "--behind", "1h"]);
-    let answer = marked(&third, "once");
-    assert_eq!(answer.status, 429);
-    let wait = answer
+    cluster.set_faults_of_all(&Faults::default());
+    // A new boot id means a power loss, in which workers may have lost their idempotency keys too. The clock,
+    // an hour behind, must not change that.
+    let third = Gateway::start_with_options(&file, &["--boot", "anew", "--behind", "1h"]);
+    let response = invoke_with_key(&third, "once");
+    assert_eq!(response.status, 429);
+    let wait = response
         .headers
         .get("x-quartzdrift-come-back-ms")
         .unwrap()
         .parse::<u64>()
         .unwrap();
     assert!((1..=3000).contains(&wait), "{wait}");
-    stage.wait("the record of the one in doubt", |_| {
-        (stage.came("dead:lost") > 0).then_some(())
+    cluster.wait_for("the failure record of the request that may have run", |_| {
+        (cluster.attempts_received("dead:lost") > 0).then_some(())
     });
     std::thread::sleep(Duration::from_millis(wait));
-    assert_eq!((marked(&third, "new").status, stage.came("lost")), (200, 1));
+    assert_eq!(
+        (
+            invoke_with_key(&third, "new").status,
+            cluster.attempts_received("lost")
+        ),
+        (200, 1)
+    );
     drop(third);
-    // Where workers are said to keep idempotency keys on disk, they know the repeat.
+    // If the settings say that workers keep idempotency keys on disk, the repeat is sent at once.
     let text = std::fs::read_to_string(&file).unwrap();
     std::fs::write(&file, format!("{text}\n[recovery]\nfingerprints = \"disk\"\n")).unwrap();
     assert_eq!(
-        marked(&Gateway::start_on(&file, &["--boot", "again"]), "new").status,
+        invoke_with_key(&Gateway::start_with_options(&file, &["--boot", "again"]), "new").status,
         200
     );
 }
 
 #[test]
-fn an_older_copy_of_a_store_runs_nothing_twice_and_another_ones_store_is_refused() {
-    let stage = Stage::new(1);
-    let (gateway, more) = alone(&stage);
-    let (store, copy) = (
-        stage.folder.path().join("deferred"),
-        stage.folder.path().join("copy"),
+fn an_outdated_store_repeats_no_non_idempotent_request_and_a_foreign_store_is_refused() {
+    let cluster = TestCluster::new(1);
+    let (gateway_fields, sections) = standalone_settings(&cluster);
+    let (store, store_copy) = (
+        cluster.folder.path().join("deferred"),
+        cluster.folder.path().join("copy"),
     );
-    let copied = |from: &Path, to: &Path| {
+    let copy_folder = |from: &Path, to: &Path| {
         let _ = std::fs::remove_dir_all(to);
         std::fs::create_dir_all(to).unwrap();
         for entry in std::fs::read_dir(from).unwrap() {
@@ -1171,153 +1263,160 @@
             std::fs::copy(entry.path(), to.join(entry.file_name())).unwrap();
         }
     };
-    // Nothing is taken by the only worker: the request waits, and is copied as it waits.
-    stage.all(&Faults {
+    // The only worker is down, so that both requests wait while the store is copied.
+    cluster.set_faults_of_all(&Faults {
         error_share: 1.0,
         ..Faults::default()
     });
-    stage.workers[0].send(Command::Crash);
-    let first = stage.gateway_with(&gateway, &more);
-    for key in ["pay", "echo"] {
+    cluster.workers[0].send(Command::Crash);
+    let first = cluster.start_gateway_with(&gateway_fields, &sections);
+    for function in ["pay", "echo"] {
         assert_eq!(
-            first.call(key, &format!("{{\"key\": \"{key}\"}}"), true).status,
+            first
+                .call(function, &format!("{{\"key\": \"{function}\"}}"), true)
+                .status,
             202
         );
     }
     drop(first);
-    copied(&store, &copy);
-    stage.all(&Faults::default());
-    stage.workers[0].send(Command::Start);
-    let second = stage.gateway_with(&gateway, &more);
-    stage.wait("both", |_| {
-        (stage.came("pay") == 1 && stage.came("echo") == 1).then_some(())
+    copy_folder(&store, &store_copy);
+    cluster.set_faults_of_all(&Faults::default());
+    cluster.workers[0].send(Command::Start);
+    let second = cluster.start_gateway_with(&gateway_fields, &sections);
+    cluster.wait_for("both requests at the worker", |_| {
+        (cluster.attempts_received("pay") == 1 && cluster.attempts_received("echo") == 1).then_some(())
     });
     drop(second);
-    copied(&copy, &store);
-    let third = stage.gateway_with(&gateway, &more);
-    stage.wait("the record of the one in doubt", |_| {
-        (stage.came("dead:pay") > 0).then_some(())
+    copy_folder(&store_copy, &store);
+    let third = cluster.start_gateway_with(&gateway_fields, &sections);
+    cluster.wait_for("the failure record of the request that may have run", |_| {
+        (cluster.attempts_received("dead:pay") > 0).then_some(())
     });
-    stage.wait("the one that may run again", |_| {
-        (stage.came("echo") == 2).then_some(())
+    cluster.wait_for("the second run of the idempotent request", |_| {
+        (cluster.attempts_received("echo") == 2).then_some(())
     });
-    assert_eq!(stage.came("pay"), 1);
+    assert_eq!(cluster.attempts_received("pay"), 1);
     drop(third);
-    // The same store under another scheduler's name.
-    let folder = stage.folder.path();
+    // A scheduler of another name must refuse the store.
+    let folder = cluster.folder.path();
     std::fs::write(folder.join("key"), "00112233445566778899aabbccddeeff").unwrap();
     let fleet = format!(
-        "{more}\n[fleet]\nname = \"other\"\ncluster = \"test\"\nlisten = \"127.0.0.1:0\"\nkeys = [\"{}\"]\n",
+        "{sections}\n[fleet]\nname = \"other\"\ncluster = \"test\"\nlisten = \"127.0.0.1:0\"\nkeys = [\"{}\"]\n",
         folder.join("key").display()
     );
     let text = std::fs::read_to_string(folder.join("gateway.toml"))
         .unwrap()
-        .replace(&more, &fleet);
+        .replace(&sections, &fleet);
     std::fs::write(folder.join("gateway.toml"), text).unwrap();
     let refused = Process::new(LAB)
         .arg("gateway")
         .arg(folder.join("gateway.toml"))
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&refused.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&refused.stderr).into_owned();
     assert!(
-        !refused.status.success() && said.contains("store of the scheduler ''"),
-        "{said}"
+        !refused.status.success() && stderr.contains("store of the scheduler ''"),
+        "{stderr}"
     );
 }
 
 #[test]
-fn cold_workers_are_sent_what_was_measured_before_a_power_loss() {
-    let stage = Stage::new(2);
+fn cold_workers_get_requests_after_a_power_loss_only_with_saved_measurements() {
+    let cluster = TestCluster::new(2);
     let (state, file) = (
-        stage.folder.path().join("state"),
-        stage.folder.path().join("gateway.toml"),
+        cluster.folder.path().join("state"),
+        cluster.folder.path().join("gateway.toml"),
     );
-    let more = "[rules]\ncold_from = 0.3\ncold_for = \"60s\"\nfall_multiple = 3.0\nfall_window = \"400ms\"\n";
-    let gateway = stage.gateway_with(&format!("state = \"{}\"", state.display()), more);
+    let sections =
+        "[rules]\ncold_from = 0.3\ncold_for = \"60s\"\nfall_multiple = 3.0\nfall_window = \"400ms\"\n";
+    let gateway = cluster.start_gateway_with(&format!("state = \"{}\"", state.display()), sections);
     let until = Instant::now() + Duration::from_secs(20);
     while snapshots::read(&state, snapshots::MEASUREMENTS)
         .unwrap()
         .is_none_or(|bytes| bytes.len() < 30)
     {
-        assert!(Instant::now() < until, "what is measured is saved");
+        assert!(Instant::now() < until, "timed out waiting for saved measurements");
         assert_eq!(gateway.invoke("echo", "{}").status, 200);
     }
     drop(gateway);
-    // Both lost power as well: cold for a minute, as far as the gateway knows.
-    let gateway = Gateway::start_on(&file, &["--boot", "anew"]);
+    // After a power loss the gateway counts both workers as cold for the configured 60 s.
+    let gateway = Gateway::start_with_options(&file, &["--boot", "anew"]);
     assert_eq!(
         gateway.invoke("echo", "{}").status,
         429,
-        "within the cold rule's window nothing is spent"
+        "the first overload window after a power loss allows no requests"
     );
     let until = Instant::now() + Duration::from_secs(20);
     while gateway.invoke("echo", "{}").status != 200 {
-        assert!(Instant::now() < until, "cold workers are sent something");
+        assert!(
+            Instant::now() < until,
+            "timed out waiting for a request to a cold worker"
+        );
         std::thread::sleep(20 * MS);
     }
-    // Without what was measured, nothing.
+    // Without saved measurements cold workers get no requests.
     drop(gateway);
     std::fs::remove_file(state.join(snapshots::MEASUREMENTS)).unwrap();
-    let gateway = Gateway::start_on(&file, &["--boot", "again"]);
+    let gateway = Gateway::start_with_options(&file, &["--boot", "again"]);
     std::thread::sleep(600 * MS);
     assert_eq!(gateway.invoke("echo", "{}").status, 429);
 }
 
 #[test]
-fn a_list_of_before_a_power_loss_brings_no_worker_back() {
-    let stage = Stage::new(4);
-    let workers: Vec<String> = stage.workers.iter().map(|w| w.address.to_string()).collect();
-    let first: Vec<DiscoveredEndpoint> = workers
+fn workers_listed_only_before_a_power_loss_get_no_requests() {
+    let cluster = TestCluster::new(4);
+    let workers: Vec<String> = cluster.workers.iter().map(|w| w.address.to_string()).collect();
+    let endpoints: Vec<DiscoveredEndpoint> = workers
         .iter()
         .map(|worker| DiscoveredEndpoint::up(worker))
         .collect();
-    let of = first.clone();
-    let discovery = spawn(any(), move |handle, _| {
-        FakeDiscovery::new(handle, of, Duration::ZERO, None)
+    let listed = endpoints.clone();
+    let discovery = spawn(any_loopback_port(), move |handle, _| {
+        FakeDiscovery::new(handle, listed, Duration::ZERO, None)
     })
     .unwrap();
-    let state = stage.folder.path().join("state");
-    let more = format!(
+    let state = cluster.folder.path().join("state");
+    let sections = format!(
         "[roster]\nurl = \"http://{}/workers/1\"\nevery = \"60s\"\n",
         discovery.address
     );
-    let gateway = stage.gateway_with(&format!("state = \"{}\"", state.display()), &more);
-    stage.wait("the list", |_| {
+    let gateway = cluster.start_gateway_with(&format!("state = \"{}\"", state.display()), &sections);
+    cluster.wait_for("a successful call after the first endpoint list", |_| {
         (gateway.invoke("echo", "{}").status == 200).then_some(())
     });
-    stage.wait("the saved list", |_| {
+    cluster.wait_for("the saved endpoint list", |_| {
         snapshots::read(&state, snapshots::WORKERS)
             .ok()
             .flatten()
             .map(drop)
     });
     drop(gateway);
-    // All but one have not come back; their processes are left over here, and would answer.
+    // The discovery service now lists the first worker alone. The other fake workers still run, so that a
+    // request to one of them would be recorded.
     let gone = quartzdrift_scheduler::interface::EndpointState::Gone;
-    first[1..].iter().for_each(|one| {
+    endpoints[1..].iter().for_each(|endpoint| {
         discovery.send(discovery::Command::UpdateEndpoint(DiscoveredEndpoint {
             state: gone,
-            ..one.clone()
+            ..endpoint.clone()
         }))
     });
-    let file = stage.folder.path().join("gateway.toml");
-    let gateway = Gateway::start_on(&file, &["--boot", "anew"]);
-    // One list comes in this time, and is believed as it is.
-    let only_one = |bytes: Vec<u8>| (!String::from_utf8_lossy(&bytes).contains(&workers[1])).then_some(());
-    stage.wait("the list after it", |_| {
+    let file = cluster.folder.path().join("gateway.toml");
+    let gateway = Gateway::start_with_options(&file, &["--boot", "anew"]);
+    // With a poll interval of 60 s the gateway receives one list only, and must apply it.
+    let lists_one = |bytes: Vec<u8>| (!String::from_utf8_lossy(&bytes).contains(&workers[1])).then_some(());
+    cluster.wait_for("the saved endpoint list of the new boot", |_| {
         snapshots::read(&state, snapshots::WORKERS)
             .ok()
             .flatten()
-            .and_then(only_one)
+            .and_then(lists_one)
     });
     for n in 0..20 {
         gateway.invoke("echo", &format!("{{\"key\": \"after-{n}\"}}"));
     }
-    let lines = stage.recorder.lines();
-    let after = |seen: &Observation| {
+    let lines = cluster.recorder.lines();
+    let reached_unlisted_worker = |seen: &Observation| {
         matches!(seen, Observation::AttemptReceived { key, worker, .. }
             if key.starts_with("after-") && *worker != workers[0])
     };
-    assert!(!lines.iter().any(|line| after(&line.seen)));
+    assert!(!lines.iter().any(|line| reached_unlisted_worker(&line.seen)));
 }
--- a/crates/quartzdrift-lab/tests/platform.rs
+++ b/crates/quartzdrift-lab/tests/platform.rs
@@ -1,4 +1,5 @@
-//! A scheduler process on the platform's sockets, against fakes on loopback: the hard cases.
+//! Tests of a scheduler process with a fake frontend, workers and coordinator on loopback sockets: invalid
+//! requests, worker faults, endpoint updates, signals, slow clients.
 use quartzdrift::platform::Node;
 use quartzdrift_lab::cluster_harness::{
     ClusterHarness, REQUEST_ID, SECOND_REQUEST_ID, SUCCEEDED, UnresponsiveListener, config_json,
@@ -9,17 +10,19 @@
 use std::path::PathBuf;
 
 const LAB: &str = env!("CARGO_BIN_EXE_quartzdrift-lab");
-const MISS: u8 = 66;
-const FULL: u8 = 67;
-const OVER: u8 = 69;
-const GIVE_UP: u8 = 49;
+// Codes of worker answers, see `quartzdrift_platform::frame::AnswerCode`.
+const CACHE_MISS: u8 = 66;
+const AT_CAPACITY: u8 = 67;
+const ALREADY_CONCLUDED: u8 = 69;
+/// Code of the command that cancels an attempt.
+const CANCEL: u8 = 49;
 
 #[test]
-fn a_request_goes_out_as_it_came_and_its_answer_comes_back_unchanged() {
-    let mut stage = ClusterHarness::start(LAB, 1);
-    let mut frontend = stage.frontend();
+fn a_request_and_its_response_are_forwarded_unchanged() {
+    let mut cluster = ClusterHarness::start(LAB, 1);
+    let mut frontend = cluster.frontend();
     send_request(&mut frontend, 5, &request_fields("/do/again", REQUEST_ID));
-    let (connection, code, id, fields, body) = stage.workers[0].next_command();
+    let (connection, code, id, fields, body) = cluster.workers[0].next_command();
     assert_eq!(
         (code, id, &body[..]),
         (48, 0x9b1f_03aa_5c7e_2d41, &b"the body"[..])
@@ -27,25 +30,26 @@
     let (fields, max) = fields.rsplit_once(",max=").unwrap();
     assert_eq!(fields, "profile=again,thing=7f3a9c21e0b4d655");
     assert!((1..=50000).contains(&max.parse::<u32>().unwrap()));
-    // Before it, an answer under an unknown id; after it, a second copy. Both are dropped, and the connection lives.
-    stage.workers[0].answer(connection, SUCCEEDED, 99, b"not asked for");
-    let said: Vec<u8> = (0..=255).collect();
-    stage.workers[0].answer(connection, SUCCEEDED, id, &said);
-    stage.workers[0].answer(connection, SUCCEEDED, id, b"second copy");
+    // The scheduler drops an answer with an unknown request id and a repeated answer; it keeps the
+    // connection.
+    cluster.workers[0].answer(connection, SUCCEEDED, 99, b"not asked for");
+    let body: Vec<u8> = (0..=255).collect();
+    cluster.workers[0].answer(connection, SUCCEEDED, id, &body);
+    cluster.workers[0].answer(connection, SUCCEEDED, id, b"second copy");
     let reply = frontend.read_reply().unwrap();
-    assert_eq!((reply.fastcgi_id, reply.status, &reply.body), (5, 200, &said));
+    assert_eq!((reply.fastcgi_id, reply.status, &reply.body), (5, 200, &body));
     send_request(&mut frontend, 5, &request_fields("/do/again", SECOND_REQUEST_ID));
-    let (again, _, id, ..) = stage.workers[0].next_command();
-    assert_eq!(again, connection);
-    stage.workers[0].answer(connection, SUCCEEDED, id, b"next");
+    let (second_connection, _, id, ..) = cluster.workers[0].next_command();
+    assert_eq!(second_connection, connection);
+    cluster.workers[0].answer(connection, SUCCEEDED, id, b"next");
     assert_eq!(frontend.read_reply().unwrap().body, b"next");
 }
 
 #[test]
-fn a_keyed_request_carries_its_idempotency_key_to_every_worker_and_none_goes_without() {
+fn every_attempt_of_a_keyed_request_carries_its_key_and_a_request_without_one_is_rejected() {
     let dedup = "\"effect\":\"dedup\",\"key-scope\":\"all\",\"window-ns\":8000000000";
-    let mut stage = ClusterHarness::with_config_changes(LAB, 2, &[("\"effect\":\"fragile\"", dedup)]);
-    let mut frontend = stage.frontend();
+    let mut cluster = ClusterHarness::with_config_changes(LAB, 2, &[("\"effect\":\"fragile\"", dedup)]);
+    let mut frontend = cluster.frontend();
     assert_eq!(
         request_and_reply(&mut frontend, &request_fields("/do/once", REQUEST_ID)).status,
         400
@@ -58,22 +62,23 @@
             ..request_fields("/do/once", REQUEST_ID)
         },
     );
-    // The first may have run it; the second can tell the repeat, as it hears the same.
-    let (first, (connection, _, _, fields, _)) = stage.next_command();
+    // The first worker may have executed the request; the key lets the second worker recognize the retry.
+    let (first, (connection, _, _, fields, _)) = cluster.next_command();
     assert!(fields.contains(",replay=0f3a-77,"), "{fields}");
-    stage.workers[first].close(connection);
-    let (second, (connection, _, id, again, _)) = stage.next_command();
-    assert!(second != first && again.contains(",replay=0f3a-77,"), "{again}");
-    stage.workers[second].answer(connection, SUCCEEDED, id, b"done");
+    cluster.workers[first].close(connection);
+    let (second, (connection, _, id, fields, _)) = cluster.next_command();
+    assert!(second != first && fields.contains(",replay=0f3a-77,"), "{fields}");
+    cluster.workers[second].answer(connection, SUCCEEDED, id, b"done");
     assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
-fn a_worker_that_turns_one_tenant_away_stays_open_to_the_others() {
+fn a_worker_that_rejects_one_tenant_still_gets_requests_of_other_tenants() {
     let tenants = r#""tenants":[{"name":"a","quota-rps":10},{"name":"b","quota-rps":10}],"stats""#;
-    let mut stage = ClusterHarness::with_config_changes(LAB, 2, &[("\"stats\"", tenants)]);
-    let mut frontend = stage.frontend();
-    // Full for this request, though by its report it has room: it has no more for this tenant.
+    let mut cluster = ClusterHarness::with_config_changes(LAB, 2, &[("\"stats\"", tenants)]);
+    let mut frontend = cluster.frontend();
+    // The worker answers that it is at capacity although its load report shows an empty queue: it limits this
+    // tenant alone.
     send_request(
         &mut frontend,
         1,
@@ -82,13 +87,13 @@
             ..request_fields("/do/once", REQUEST_ID)
         },
     );
-    let (turns, (connection, _, id, ..)) = stage.next_command();
-    stage.workers[turns].answer(connection, FULL, id, b"");
-    let (other, (connection, ..)) = stage.next_command();
-    stage.workers[other].answer(connection, SUCCEEDED, id, b"");
+    let (rejecting, (connection, _, id, ..)) = cluster.next_command();
+    cluster.workers[rejecting].answer(connection, AT_CAPACITY, id, b"");
+    let (other, (connection, ..)) = cluster.next_command();
+    cluster.workers[other].answer(connection, SUCCEEDED, id, b"");
     assert_eq!(frontend.read_reply().unwrap().status, 200);
-    // Functions that nobody has loaded are at home at one of the two by chance.
-    let mut met = |tenant, from| {
+    // No worker has loaded these functions: the hash of each decides which of the two workers is preferred.
+    let mut requests_at_rejecting = |tenant, from| {
         let requests = (from..from + 12).map(|n| {
             let (id, function) = (format!("{n:016x}"), format!("{n:016x}"));
             send_request(
@@ -100,104 +105,113 @@
                     ..request_fields("/do/once", &id)
                 },
             );
-            let (at, (connection, _, id, ..)) = stage.next_command();
-            stage.workers[at].answer(connection, SUCCEEDED, id, b"");
+            let (worker, (connection, _, id, ..)) = cluster.next_command();
+            cluster.workers[worker].answer(connection, SUCCEEDED, id, b"");
             assert_eq!(frontend.read_reply().unwrap().status, 200);
-            at
+            worker
         });
-        requests.filter(|at| *at == turns).count()
+        requests.filter(|worker| *worker == rejecting).count()
     };
-    assert_eq!(met("a", 100), 0, "it is sent elsewhere");
-    // Another one, and one that the settings do not name.
-    assert!(met("b", 200) > 0 && met("c", 300) > 0);
+    assert_eq!(
+        requests_at_rejecting("a", 100),
+        0,
+        "requests of the rejected tenant at the worker"
+    );
+    // The configuration lists tenant `b` and does not list `c`.
+    assert!(requests_at_rejecting("b", 200) > 0 && requests_at_rejecting("c", 300) > 0);
 }
 
 #[test]
-fn what_is_wrong_is_told_at_the_door_and_reaches_no_worker() {
-    let mut stage = ClusterHarness::start(LAB, 1);
-    let mut frontend = stage.frontend();
-    let good = request_fields("/do/again", REQUEST_ID);
-    for (bad, status) in [
+fn invalid_requests_are_rejected_and_reach_no_worker() {
+    let mut cluster = ClusterHarness::start(LAB, 1);
+    let mut frontend = cluster.frontend();
+    let valid = request_fields("/do/again", REQUEST_ID);
+    for (invalid, status) in [
         (
             RequestFields {
                 path: "/do/none",
-                ..good
+                ..valid
             },
             404,
         ),
         (
             RequestFields {
                 path: "/elsewhere",
-                ..good
+                ..valid
             },
             404,
         ),
-        (RequestFields { id: "", ..good }, 400),
+        (RequestFields { id: "", ..valid }, 400),
         (
             RequestFields {
                 id: "9b1f03aa5c7e2d4,",
-                ..good
+                ..valid
             },
             400,
         ),
         (
             RequestFields {
                 function: "7f3a9c21e0b4,x=1",
-                ..good
+                ..valid
             },
             400,
         ),
         (
             RequestFields {
                 timeout_ms: "-1",
-                ..good
+                ..valid
             },
             400,
         ),
         (
             RequestFields {
                 timeout_ms: "99999999999",
-                ..good
+                ..valid
             },
             400,
         ),
         (
             RequestFields {
                 spec: "lanes:nan",
-                ..good
+                ..valid
             },
             400,
         ),
         (
             RequestFields {
                 idempotency_key: "a,x=1",
-                ..good
+                ..valid
             },
             400,
         ),
     ] {
-        assert_eq!(request_and_reply(&mut frontend, &bad).status, status, "{bad:?}");
+        assert_eq!(
+            request_and_reply(&mut frontend, &invalid).status,
+            status,
+            "{invalid:?}"
+        );
     }
-    // Too large a body is refused from its head, and ends its connection.
+    // A body over the size limit is rejected when the record header announces it, and the connection is
+    // closed.
     let body = vec![0; 20 << 10];
     assert_eq!(
-        request_and_reply(&mut frontend, &RequestFields { body: &body, ..good }).status,
+        request_and_reply(&mut frontend, &RequestFields { body: &body, ..valid }).status,
         413
     );
     assert!(frontend.read_reply().is_err());
-    // What is not FastCGI is closed.
-    let mut other = stage.frontend();
+    // A connection on which other bytes than FastCGI records arrive is closed.
+    let mut other = cluster.frontend();
     other.send(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     assert!(other.read_reply().is_err());
-    assert!(stage.workers[0].has_no_event());
+    assert!(cluster.workers[0].has_no_event());
 }
 
 #[test]
-fn the_id_of_an_open_request_is_refused_and_the_open_one_goes_on() {
-    let mut stage = ClusterHarness::start(LAB, 1);
-    let (mut first, mut second) = (stage.frontend(), stage.frontend());
+fn a_second_request_with_the_id_of_an_open_one_is_rejected_and_the_open_one_continues() {
+    let mut cluster = ClusterHarness::start(LAB, 1);
+    let (mut first, mut second) = (cluster.frontend(), cluster.frontend());
     send_request(&mut first, 1, &request_fields("/do/once", REQUEST_ID));
-    let (connection, _, id, ..) = stage.workers[0].next_command();
+    let (connection, _, id, ..) = cluster.workers[0].next_command();
     assert_eq!(
         request_and_reply(
             &mut second,
@@ -209,112 +223,114 @@
         .status,
         409
     );
-    stage.workers[0].answer(connection, SUCCEEDED, id, b"done");
+    cluster.workers[0].answer(connection, SUCCEEDED, id, b"done");
     assert_eq!(first.read_reply().unwrap().body, b"done");
-    // Where both come over one connection, neither is trusted, and the worker is told.
+    // If both requests arrive on one connection, both are rejected and the attempt is cancelled.
     send_request(&mut first, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
-    stage.workers[0].next_command();
+    cluster.workers[0].next_command();
     send_request(&mut first, 2, &request_fields("/do/once", SECOND_REQUEST_ID));
     let statuses = [
         first.read_reply().unwrap().status,
         first.read_reply().unwrap().status,
     ];
     assert_eq!(statuses, [409, 409]);
-    assert_eq!(stage.workers[0].next_command().1, GIVE_UP);
+    assert_eq!(cluster.workers[0].next_command().1, CANCEL);
 }
 
-/// Ways to spoil an answer. After each the connection is of no further use.
-fn spoilt(id: u64) -> Vec<(&'static str, Vec<u8>)> {
-    let mut good = Vec::new();
-    quartzdrift_platform::frame::write(&mut good, 193, SUCCEEDED, id, b"", b"spoilt");
-    let with = |at: usize, byte: u8| {
-        let mut bytes = good.clone();
-        bytes[at] = byte;
+/// Corrupt answers with the name of the corrupt part. The scheduler must close the connection after each.
+fn corrupt_answers(id: u64) -> Vec<(&'static str, Vec<u8>)> {
+    let mut valid = Vec::new();
+    quartzdrift_platform::frame::write(&mut valid, 193, SUCCEEDED, id, b"", b"spoilt");
+    let with_byte = |index: usize, byte: u8| {
+        let mut bytes = valid.clone();
+        bytes[index] = byte;
         bytes
     };
-    let huge = [
+    let oversized = [
         &[193, SUCCEEDED, 0, 0, 0xb2, 0xd0, 0x5e, 0][..],
         &id.to_be_bytes(),
     ]
     .concat();
     vec![
-        ("mark", with(0, 0)),
-        ("code", with(1, 65)),
-        ("body", with(17, b'x')),
-        ("check", with(good.len() - 1, good[good.len() - 1] ^ 1)),
-        ("three gigabytes", huge),
+        ("mark", with_byte(0, 0)),
+        ("code", with_byte(1, 65)),
+        ("body", with_byte(17, b'x')),
+        ("check", with_byte(valid.len() - 1, valid[valid.len() - 1] ^ 1)),
+        ("three gigabytes", oversized),
         ("noise", b"HTTP/1.1 200 OK\r\n\r\nspoilt".to_vec()),
     ]
 }
 
 #[test]
-fn nothing_spoilt_is_passed_on_and_what_may_have_run_runs_once() {
-    let mut stage = ClusterHarness::start(LAB, 2);
-    let mut frontend = stage.frontend();
-    for (what, bytes) in spoilt(0x9b1f_03aa_5c7e_2d41) {
+fn a_corrupt_answer_is_not_forwarded_and_a_non_idempotent_request_is_not_retried() {
+    let mut cluster = ClusterHarness::start(LAB, 2);
+    let mut frontend = cluster.frontend();
+    for (corrupt_part, bytes) in corrupt_answers(0x9b1f_03aa_5c7e_2d41) {
         send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
-        let (at, (connection, ..)) = stage.next_command();
-        stage.workers[at].send(connection, &bytes);
-        // Killed: it may have run, so neither a further attempt nor a rejection may follow.
-        assert_eq!(frontend.read_reply().unwrap().status, 500, "{what}");
+        let (worker, (connection, ..)) = cluster.next_command();
+        cluster.workers[worker].send(connection, &bytes);
+        // The request may have run: a retry could run it twice, and a rejection would deny that it ran.
+        assert_eq!(frontend.read_reply().unwrap().status, 500, "{corrupt_part}");
         assert!(
-            stage
+            cluster
                 .workers
                 .iter_mut()
                 .all(|worker| worker.try_next_command().is_none()),
-            "{what}"
+            "{corrupt_part}"
         );
     }
     send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
-    let (at, (connection, ..)) = stage.next_command();
-    stage.workers[at].close(connection);
+    let (worker, (connection, ..)) = cluster.next_command();
+    cluster.workers[worker].close(connection);
     assert_eq!(frontend.read_reply().unwrap().status, 500);
 }
 
 #[test]
-fn an_idempotent_request_runs_elsewhere_after_a_spoilt_answer() {
-    let mut stage = ClusterHarness::start(LAB, 2);
-    let mut frontend = stage.frontend();
+fn an_idempotent_request_is_retried_on_another_worker_after_a_corrupt_answer() {
+    let mut cluster = ClusterHarness::start(LAB, 2);
+    let mut frontend = cluster.frontend();
     send_request(&mut frontend, 1, &request_fields("/do/again", REQUEST_ID));
-    let (first, (connection, _, id, ..)) = stage.next_command();
-    stage.workers[first].send(connection, b"\xc1\x41 what is this");
-    let (second, (connection, _, again, ..)) = stage.next_command();
-    assert!(second != first && again == id);
-    stage.workers[second].answer(connection, SUCCEEDED, id, b"done");
+    let (first, (connection, _, id, ..)) = cluster.next_command();
+    cluster.workers[first].send(connection, b"\xc1\x41 what is this");
+    let (second, (connection, _, second_id, ..)) = cluster.next_command();
+    assert!(second != first && second_id == id);
+    cluster.workers[second].answer(connection, SUCCEEDED, id, b"done");
     assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
-fn what_never_ran_goes_elsewhere_also_where_it_may_run_only_once() {
-    let mut stage = ClusterHarness::start(LAB, 2);
-    let mut frontend = stage.frontend();
-    for code in [MISS, FULL, OVER] {
+fn a_non_idempotent_request_that_did_not_run_is_sent_to_another_worker() {
+    let mut cluster = ClusterHarness::start(LAB, 2);
+    let mut frontend = cluster.frontend();
+    for code in [CACHE_MISS, AT_CAPACITY, ALREADY_CONCLUDED] {
         send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
-        let (first, (connection, _, id, ..)) = stage.next_command();
-        stage.workers[first].answer(connection, code, id, b"");
-        let (second, (connection, ..)) = stage.next_command();
+        let (first, (connection, _, id, ..)) = cluster.next_command();
+        cluster.workers[first].answer(connection, code, id, b"");
+        let (second, (connection, ..)) = cluster.next_command();
         assert_ne!(first, second);
-        stage.workers[second].answer(connection, SUCCEEDED, id, b"done");
+        cluster.workers[second].answer(connection, SUCCEEDED, id, b"done");
         assert_eq!(frontend.read_reply().unwrap().status, 200);
     }
 }
 
 #[test]
-fn a_refused_connection_is_no_attempt_and_without_a_worker_left_there_is_a_time_to_come_back() {
-    let stage = ClusterHarness::start(LAB, 0);
-    let mut frontend = stage.frontend();
-    let gone = TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap();
-    // Without a worker no request can be taken, and the check says so.
+fn a_refused_connection_is_not_an_attempt_and_the_rejection_carries_a_retry_time() {
+    let cluster = ClusterHarness::start(LAB, 0);
+    let mut frontend = cluster.frontend();
+    let closed_port = TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap();
+    // The readiness check fails while no worker is listed.
     assert_eq!(
         request_and_reply(&mut frontend, &request_fields("/check", REQUEST_ID)).status,
         503
     );
-    stage.coordinator.next_poll();
-    stage
-        .coordinator
-        .answer_with_events(&endpoint_event(2, false, &[endpoint_json("w9", gone, "Ready")]));
-    // The next poll follows from there: the news has been taken.
-    assert!(stage.coordinator.next_poll().contains("follow=2"));
+    cluster.coordinator.next_poll();
+    cluster.coordinator.answer_with_events(&endpoint_event(
+        2,
+        false,
+        &[endpoint_json("w9", closed_port, "Ready")],
+    ));
+    // The next poll asks for events after index 2, so the scheduler has applied the event.
+    assert!(cluster.coordinator.next_poll().contains("follow=2"));
     assert_eq!(
         request_and_reply(&mut frontend, &request_fields("/check", REQUEST_ID)).status,
         200
@@ -325,171 +341,183 @@
 }
 
 #[test]
-fn a_connection_that_was_forgotten_while_idle_costs_no_request() {
-    let mut stage = ClusterHarness::start(LAB, 1);
-    let mut frontend = stage.frontend();
-    let connection = stage.idle_connection(&mut frontend, REQUEST_ID);
-    stage.workers[0].close_on_ping();
-    // Asked first, so that nothing that may run once is written to a connection in doubt.
+fn a_stale_idle_connection_fails_no_request() {
+    let mut cluster = ClusterHarness::start(LAB, 1);
+    let mut frontend = cluster.frontend();
+    let connection = cluster.idle_connection(&mut frontend, REQUEST_ID);
+    cluster.workers[0].close_on_ping();
+    // The scheduler pings an idle connection before it sends a non-idempotent request on it.
     send_request(&mut frontend, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
-    assert!(matches!(stage.workers[0].next_event(), WorkerEvent::Ping(asked) if asked == connection));
-    let (other, _, id, ..) = stage.workers[0].next_command();
+    assert!(matches!(cluster.workers[0].next_event(), WorkerEvent::Ping(pinged) if pinged == connection));
+    let (other, _, id, ..) = cluster.workers[0].next_command();
     assert_ne!(other, connection);
-    stage.workers[0].answer(other, SUCCEEDED, id, b"done");
+    cluster.workers[0].answer(other, SUCCEEDED, id, b"done");
     assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
-fn a_machine_that_has_vanished_costs_the_connect_timeout_and_no_request() {
-    let stage = ClusterHarness::start(LAB, 0);
-    let mut frontend = stage.frontend();
-    let vanished = UnresponsiveListener::start().unwrap();
-    let at = vanished.address;
-    stage.coordinator.next_poll();
-    stage
-        .coordinator
-        .answer_with_events(&endpoint_event(2, false, &[endpoint_json("w0", at, "Ready")]));
-    assert!(stage.coordinator.next_poll().contains("follow=2&"));
+fn a_request_for_an_unreachable_worker_is_rejected_after_the_connect_timeout() {
+    let cluster = ClusterHarness::start(LAB, 0);
+    let mut frontend = cluster.frontend();
+    let unreachable = UnresponsiveListener::start().unwrap();
+    let address = unreachable.address;
+    cluster.coordinator.next_poll();
+    cluster.coordinator.answer_with_events(&endpoint_event(
+        2,
+        false,
+        &[endpoint_json("w0", address, "Ready")],
+    ));
+    assert!(cluster.coordinator.next_poll().contains("follow=2&"));
     let reply = request_and_reply(&mut frontend, &request_fields("/do/once", REQUEST_ID));
     assert!(
         reply.status == 503 && reply.head.contains("Retry-After-Ms: "),
-        "it never ran: {reply:?}"
+        "not a rejection with a retry time: {reply:?}"
     );
 }
 
 #[test]
-fn what_waits_for_a_slow_connection_goes_elsewhere_once_its_worker_drains() {
-    let mut stage = ClusterHarness::with_config_changes(LAB, 0, &[("250000000", "60000000000")]);
-    let mut frontend = stage.frontend();
-    let vanished = UnresponsiveListener::start().unwrap();
-    let at = vanished.address;
-    stage.coordinator.next_poll();
-    stage
-        .coordinator
-        .answer_with_events(&endpoint_event(2, false, &[endpoint_json("w0", at, "Ready")]));
-    assert!(stage.coordinator.next_poll().contains("follow=2&"));
+fn a_request_that_waits_for_a_connection_moves_to_another_worker_when_its_worker_drains() {
+    let mut cluster = ClusterHarness::with_config_changes(LAB, 0, &[("250000000", "60000000000")]);
+    let mut frontend = cluster.frontend();
+    let unreachable = UnresponsiveListener::start().unwrap();
+    let address = unreachable.address;
+    cluster.coordinator.next_poll();
+    cluster.coordinator.answer_with_events(&endpoint_event(
+        2,
+        false,
+        &[endpoint_json("w0", address, "Ready")],
+    ));
+    assert!(cluster.coordinator.next_poll().contains("follow=2&"));
     send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
-    // The request has been taken once a later one on the same connection is answered.
+    // The answer to a later request on the same connection shows that the scheduler has read the first one.
     send_request(&mut frontend, 2, &request_fields("/check", SECOND_REQUEST_ID));
     assert_eq!(frontend.read_reply().unwrap().fastcgi_id, 2);
-    stage.workers.push(Worker::start().unwrap());
-    let there = stage.workers[0].address;
-    stage.coordinator.answer_with_events(&endpoint_event(
+    cluster.workers.push(Worker::start().unwrap());
+    let ready = cluster.workers[0].address;
+    cluster.coordinator.answer_with_events(&endpoint_event(
         3,
         false,
         &[
-            endpoint_json("w0", at, "Terminating"),
-            endpoint_json("w1", there, "Ready"),
+            endpoint_json("w0", address, "Terminating"),
+            endpoint_json("w1", ready, "Ready"),
         ],
     ));
-    let (connection, _, id, ..) = stage.workers[0].next_command();
-    stage.workers[0].answer(connection, SUCCEEDED, id, b"elsewhere");
+    let (connection, _, id, ..) = cluster.workers[0].next_command();
+    cluster.workers[0].answer(connection, SUCCEEDED, id, b"elsewhere");
     assert_eq!(frontend.read_reply().unwrap().body, b"elsewhere");
 }
 
 #[test]
-fn whoever_leaves_has_its_attempt_given_up() {
-    let mut stage = ClusterHarness::start(LAB, 1);
-    let mut frontend = stage.frontend();
+fn an_attempt_is_cancelled_when_its_client_aborts_or_disconnects() {
+    let mut cluster = ClusterHarness::start(LAB, 1);
+    let mut frontend = cluster.frontend();
     send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
-    let (_, _, id, ..) = stage.workers[0].next_command();
+    let (_, _, id, ..) = cluster.workers[0].next_command();
     let mut abort = Vec::new();
     quartzdrift_fastcgi::write_record(&mut abort, quartzdrift_fastcgi::ABORT_REQUEST, 1, b"");
     frontend.send(&abort).unwrap();
-    let (_, code, of, ..) = stage.workers[0].next_command();
-    assert_eq!((code, of), (GIVE_UP, id));
+    let (_, code, cancelled_id, ..) = cluster.workers[0].next_command();
+    assert_eq!((code, cancelled_id), (CANCEL, id));
     send_request(&mut frontend, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
-    // The end of the aborted one comes without a response, then nothing of it.
+    // The aborted request ends without a response, and no further record of it follows.
     assert_eq!(frontend.read_reply().unwrap().status, 0);
-    let (_, _, id, ..) = stage.workers[0].next_command();
+    let (_, _, id, ..) = cluster.workers[0].next_command();
     drop(frontend);
-    let (_, code, of, ..) = stage.workers[0].next_command();
-    assert_eq!((code, of), (GIVE_UP, id));
+    let (_, code, cancelled_id, ..) = cluster.workers[0].next_command();
+    assert_eq!((code, cancelled_id), (CANCEL, id));
 }
 
 #[test]
-fn a_worker_is_known_by_its_uid_whoever_stood_at_its_address() {
-    let mut stage = ClusterHarness::start(LAB, 1);
-    let mut frontend = stage.frontend();
+fn a_new_uid_at_a_known_address_is_a_new_worker() {
+    let mut cluster = ClusterHarness::start(LAB, 1);
+    let mut frontend = cluster.frontend();
     send_request(&mut frontend, 1, &request_fields("/do/again", REQUEST_ID));
-    let (connection, _, id, ..) = stage.workers[0].next_command();
-    stage.workers[0].answer(connection, SUCCEEDED, id, b"old");
+    let (connection, _, id, ..) = cluster.workers[0].next_command();
+    cluster.workers[0].answer(connection, SUCCEEDED, id, b"old");
     frontend.read_reply().unwrap();
-    let at = stage.workers[0].address;
-    stage.coordinator.next_poll();
-    stage.coordinator.answer_with_events(&endpoint_event(
+    let address = cluster.workers[0].address;
+    cluster.coordinator.next_poll();
+    cluster.coordinator.answer_with_events(&endpoint_event(
         2,
         false,
-        &[endpoint_json("w0", at, "Gone"), endpoint_json("new", at, "Ready")],
+        &[
+            endpoint_json("w0", address, "Gone"),
+            endpoint_json("new", address, "Ready"),
+        ],
     ));
-    // The connection to the one that has gone is closed, and the newcomer gets one of its own.
+    // The scheduler closes the connection of the worker that is gone and opens one for the new worker.
     loop {
-        if let WorkerEvent::Closed(closed) = stage.workers[0].next_event() {
+        if let WorkerEvent::Closed(closed) = cluster.workers[0].next_event() {
             assert_eq!(closed, connection);
             break;
         }
     }
     send_request(&mut frontend, 1, &request_fields("/do/again", SECOND_REQUEST_ID));
-    let (new, _, id, ..) = stage.workers[0].next_command();
-    assert_ne!(new, connection);
-    stage.workers[0].answer(new, SUCCEEDED, id, b"new");
+    let (new_connection, _, id, ..) = cluster.workers[0].next_command();
+    assert_ne!(new_connection, connection);
+    cluster.workers[0].answer(new_connection, SUCCEEDED, id, b"new");
     assert_eq!(frontend.read_reply().unwrap().body, b"new");
 }
 
 #[test]
-fn the_list_stands_through_a_coordinator_that_breaks_off() {
-    let mut stage = ClusterHarness::start(LAB, 2);
-    let cut = endpoint_event(
+fn the_endpoint_list_survives_failed_and_incomplete_coordinator_answers() {
+    let mut cluster = ClusterHarness::start(LAB, 2);
+    let draining_event = endpoint_event(
         2,
         false,
-        &[endpoint_json("w0", stage.workers[0].address, "Terminating")],
+        &[endpoint_json("w0", cluster.workers[0].address, "Terminating")],
     );
-    let half = format!(
+    let incomplete = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
-        cut.len(),
-        &cut[..cut.len() / 2]
+        draining_event.len(),
+        &draining_event[..draining_event.len() / 2]
     );
-    for answer in ["", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "noise", &half] {
-        assert!(stage.coordinator.next_poll().contains("follow=1&"), "{answer}");
-        stage.coordinator.answer_raw(answer.as_bytes().to_vec());
+    for answer in [
+        "",
+        "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+        "noise",
+        &incomplete,
+    ] {
+        assert!(cluster.coordinator.next_poll().contains("follow=1&"), "{answer}");
+        cluster.coordinator.answer_raw(answer.as_bytes().to_vec());
     }
-    // Half an answer is found out by the time that was asked for; then the whole one counts.
-    assert!(stage.coordinator.next_poll().contains("follow=1&"));
-    stage.coordinator.answer_with_events(&cut);
-    assert!(stage.coordinator.next_poll().contains("follow=2&"));
-    let mut frontend = stage.frontend();
+    // The scheduler waits for the rest of an incomplete answer until the poll times out, and polls again.
+    assert!(cluster.coordinator.next_poll().contains("follow=1&"));
+    cluster.coordinator.answer_with_events(&draining_event);
+    assert!(cluster.coordinator.next_poll().contains("follow=2&"));
+    let mut frontend = cluster.frontend();
     for id in [REQUEST_ID, SECOND_REQUEST_ID] {
         send_request(&mut frontend, 1, &request_fields("/do/again", id));
-        let (at, (connection, _, id, ..)) = stage.next_command();
-        assert_eq!(at, 1, "a draining worker gets nothing new");
-        stage.workers[at].answer(connection, SUCCEEDED, id, b"");
+        let (worker, (connection, _, id, ..)) = cluster.next_command();
+        assert_eq!(worker, 1, "a draining worker received a new request");
+        cluster.workers[worker].answer(connection, SUCCEEDED, id, b"");
         assert_eq!(frontend.read_reply().unwrap().status, 200);
     }
 }
 
 #[test]
-fn a_hang_up_signal_brings_another_coordinator_and_touches_no_request() {
-    let mut stage = ClusterHarness::start(LAB, 1);
-    let mut frontend = stage.frontend();
+fn a_hangup_signal_changes_the_coordinator_and_keeps_open_requests() {
+    let mut cluster = ClusterHarness::start(LAB, 1);
+    let mut frontend = cluster.frontend();
     send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
-    let (connection, _, id, ..) = stage.workers[0].next_command();
-    std::fs::write(&stage.file, "{ half a file").unwrap();
-    stage.send_signal("-HUP");
-    let next = Coordinator::with_events(&endpoint_event(1, true, &[])).unwrap();
-    stage.reload_config(next.address, r#"{"index":0,"updates":[]}"#);
-    assert!(next.next_poll().contains("follow=1&"));
-    stage.workers[0].answer(connection, SUCCEEDED, id, b"done");
+    let (connection, _, id, ..) = cluster.workers[0].next_command();
+    std::fs::write(&cluster.file, "{ half a file").unwrap();
+    cluster.send_signal("-HUP");
+    let new_coordinator = Coordinator::with_events(&endpoint_event(1, true, &[])).unwrap();
+    cluster.reload_config(new_coordinator.address, r#"{"index":0,"updates":[]}"#);
+    assert!(new_coordinator.next_poll().contains("follow=1&"));
+    cluster.workers[0].answer(connection, SUCCEEDED, id, b"done");
     assert_eq!(frontend.read_reply().unwrap().body, b"done");
 }
 
 #[test]
-fn told_to_stop_it_serves_those_that_still_come_and_ends_well() {
-    let mut stage = ClusterHarness::start(LAB, 1);
-    let mut frontend = stage.frontend();
+fn a_stopping_scheduler_serves_open_and_new_requests_and_exits_successfully() {
+    let mut cluster = ClusterHarness::start(LAB, 1);
+    let mut frontend = cluster.frontend();
     send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
-    let (connection, _, id, ..) = stage.workers[0].next_command();
-    stage.send_signal("-TERM");
-    let mut late = stage.frontend();
+    let (connection, _, id, ..) = cluster.workers[0].next_command();
+    cluster.send_signal("-TERM");
+    let mut late = cluster.frontend();
     loop {
         send_request(&mut late, 1, &request_fields("/check", SECOND_REQUEST_ID));
         if late.read_reply().unwrap().status == 503 {
@@ -497,24 +525,24 @@
         }
     }
     send_request(&mut late, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
-    let (other, _, late_id, ..) = stage.workers[0].next_command();
-    stage.workers[0].answer(other, SUCCEEDED, late_id, b"late");
+    let (late_connection, _, late_id, ..) = cluster.workers[0].next_command();
+    cluster.workers[0].answer(late_connection, SUCCEEDED, late_id, b"late");
     assert_eq!(late.read_reply().unwrap().body, b"late");
-    stage.workers[0].answer(connection, SUCCEEDED, id, b"done");
+    cluster.workers[0].answer(connection, SUCCEEDED, id, b"done");
     assert_eq!(frontend.read_reply().unwrap().body, b"done");
-    assert!(stage.wait_for_exit().success());
+    assert!(cluster.wait_for_exit().success());
 }
 
 #[test]
-fn a_client_that_reads_nothing_is_cut_and_others_go_on() {
-    let mut stage = ClusterHarness::start(LAB, 1);
-    let (mut deaf, mut checks) = (stage.frontend(), stage.frontend());
-    let said = vec![7; 60 << 10];
-    let (mut requests, mut idle) = (0_u64, 0);
-    // Far past what buffers hold; without a bound this would end at the largest number of requests.
-    while requests < 2000 && idle < 1000 {
-        if idle == 0
-            && deaf
+fn a_client_that_reads_nothing_is_disconnected_and_other_clients_are_served() {
+    let mut cluster = ClusterHarness::start(LAB, 1);
+    let (mut not_reading, mut checks) = (cluster.frontend(), cluster.frontend());
+    let body = vec![7; 60 << 10];
+    let (mut requests, mut idle_checks) = (0_u64, 0);
+    // 2000 replies far exceed the socket buffers; a scheduler that buffers without a bound accepts them all.
+    while requests < 2000 && idle_checks < 1000 {
+        if idle_checks == 0
+            && not_reading
                 .send(&Frontend::encode_request(
                     1,
                     &request_fields("/do/again", &format!("{requests:016x}")),
@@ -523,67 +551,70 @@
         {
             break;
         }
-        match stage.workers[0].try_next_command() {
+        match cluster.workers[0].try_next_command() {
             Some((connection, _, id, ..)) => {
-                stage.workers[0].answer(connection, SUCCEEDED, id, &said);
-                (requests, idle) = (requests + 1, 0);
+                cluster.workers[0].answer(connection, SUCCEEDED, id, &body);
+                (requests, idle_checks) = (requests + 1, 0);
             }
-            // Each answered check is a turn of the scheduler's loop.
-            None => idle += 1,
+            // Each answered check takes one iteration of the scheduler's event loop.
+            None => idle_checks += 1,
         }
         assert_eq!(
             request_and_reply(&mut checks, &request_fields("/check", REQUEST_ID)).status,
             200
         );
     }
-    assert!(requests < 2000, "nothing stopped it");
-    let mut whole = 0;
-    while deaf.read_reply().is_ok() {
-        whole += 1;
+    assert!(requests < 2000, "the scheduler buffered {requests} replies");
+    let mut whole_replies = 0;
+    while not_reading.read_reply().is_ok() {
+        whole_replies += 1;
     }
     assert!(
-        whole < requests,
-        "the end of what it was sent shows that not all is there"
+        whole_replies < requests,
+        "a client that reads nothing received all {requests} replies"
     );
 }
 
 #[test]
-fn hundreds_of_silent_connections_leave_room_and_are_closed() {
-    let mut stage = ClusterHarness::start(LAB, 1);
-    let mut silent: Vec<Frontend> = (0..300).map(|_| stage.frontend()).collect();
-    let mut frontend = stage.frontend();
+fn three_hundred_silent_connections_do_not_block_requests_and_are_closed() {
+    let mut cluster = ClusterHarness::start(LAB, 1);
+    let mut silent: Vec<Frontend> = (0..300).map(|_| cluster.frontend()).collect();
+    let mut frontend = cluster.frontend();
     send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
-    let (connection, _, id, ..) = stage.workers[0].next_command();
-    stage.workers[0].answer(connection, SUCCEEDED, id, b"done");
+    let (connection, _, id, ..) = cluster.workers[0].next_command();
+    cluster.workers[0].answer(connection, SUCCEEDED, id, b"done");
     assert_eq!(frontend.read_reply().unwrap().body, b"done");
     assert!(silent.iter_mut().all(|silent| silent.read_reply().is_err()));
-    // One that has been answered may be held for good.
+    // A connection on which a request was answered stays open.
     send_request(&mut frontend, 1, &request_fields("/check", REQUEST_ID));
     assert_eq!(frontend.read_reply().unwrap().status, 200);
 }
 
 #[test]
-fn a_thousand_workers_and_clients_leave_nothing_behind() {
+fn tables_shrink_again_after_a_thousand_workers_and_clients() {
     const REPLACED: u64 = 1000;
     let mut worker = Worker::start().unwrap();
-    let at = worker.address;
-    let known = endpoint_event(1, true, &[endpoint_json("w1", at, "Ready")]);
+    let address = worker.address;
+    let known = endpoint_event(1, true, &[endpoint_json("w1", address, "Ready")]);
     let coordinator = Coordinator::with_events(&known).unwrap();
     let text = config_json(coordinator.address, &known);
     let config = quartzdrift_platform::config::parse(text.as_bytes()).unwrap();
     let mut event_loop = calloop::EventLoop::<Node>::try_new().unwrap();
     let mut node = Node::new(config, PathBuf::new(), event_loop.handle());
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-    let door = listener.local_addr().unwrap();
+    let frontend_address = listener.local_addr().unwrap();
     node.listen(listener).unwrap();
-    let replacing = std::thread::spawn(move || {
+    let replacement = std::thread::spawn(move || {
         for n in 2..=REPLACED {
             coordinator.next_poll();
             let (old, new) = (format!("w{}", n - 1), format!("w{n}"));
             coordinator.answer_with_events(&endpoint_event(
                 n,
                 false,
-                &[endpoint_json(&old, at, "Gone"), endpoint_json(&new, at, "Ready")],
+                &[
+                    endpoint_json(&old, address, "Gone"),
+                    endpoint_json(&new, address, "Ready"),
+                ],
             ));
         }
         assert!(coordinator.next_poll().contains(&format!("follow={REPLACED}&")));
@@ -591,28 +622,29 @@
     std::thread::spawn(move || {
         loop {
             let (connection, code, id, ..) = worker.next_command();
-            if code != GIVE_UP {
+            if code != CANCEL {
                 worker.answer(connection, SUCCEEDED, id, b"");
             }
         }
     });
-    let asking = std::thread::spawn(move || {
+    let client = std::thread::spawn(move || {
         for n in 0..REPLACED {
             let id = format!("{n:016x}");
             let reply = request_and_reply(
-                &mut Frontend::connect(door).unwrap(),
+                &mut Frontend::connect(frontend_address).unwrap(),
                 &request_fields("/do/again", &id),
             );
             assert!([200, 503].contains(&reply.status), "{reply:?}");
         }
     });
-    let at_rest = |node: &Node| matches!(node.table_sizes(), [0, 1, 0..=2, 0, 0]);
-    while !(replacing.is_finished() && asking.is_finished() && at_rest(&node)) {
+    // One worker, at most two connections to it, and no client, attempt or open request id.
+    let is_idle = |node: &Node| matches!(node.table_sizes(), [0, 1, 0..=2, 0, 0]);
+    while !(replacement.is_finished() && client.is_finished() && is_idle(&node)) {
         let wait = node.next_wait();
         event_loop.dispatch(wait.timeout, &mut node).unwrap();
         node.turn(wait);
     }
-    replacing.join().unwrap();
-    asking.join().unwrap();
+    replacement.join().unwrap();
+    client.join().unwrap();
     assert_eq!(node.counts.taken, REPLACED);
 }
--- a/crates/quartzdrift-lab/tests/stored.rs
+++ b/crates/quartzdrift-lab/tests/stored.rs
@@ -1,4 +1,4 @@
-//! Traces, scenarios and experiments of earlier releases are read, and mean the same.
+//! Tests that traces, scenarios and experiments of earlier releases are read with the same meaning.
 use quartzdrift_lab::{experiment, scenario, traffic};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -10,27 +10,38 @@
 #[test]
 fn a_recorded_trace_is_read() {
     let trace = traffic::read_trace(&folder("tests/stored/trace.jsonl")).unwrap();
-    let read: Vec<_> = trace
+    let arrivals: Vec<_> = trace
         .iter()
-        .map(|of| (of.at_us, of.request_class, &*of.function, of.work_us, of.gateway))
+        .map(|arrival| {
+            (
+                arrival.at_us,
+                arrival.request_class,
+                &*arrival.function,
+                arrival.work_us,
+                arrival.gateway,
+            )
+        })
         .collect();
-    assert_eq!(read, [(0, 1, "echo", 0, 0.0), (1500, 0, "0f3a77", 12_000, 0.75)]);
+    assert_eq!(
+        arrivals,
+        [(0, 1, "echo", 0, 0.0), (1500, 0, "0f3a77", 12_000, 0.75)]
+    );
 }
 
 #[test]
 fn scenarios_and_experiments_are_read() {
-    let mut read = 0;
+    let mut files_read = 0;
     for file in fs::read_dir(folder("days")).unwrap() {
         let text = fs::read_to_string(file.unwrap().path()).unwrap();
         let script = scenario::read(&text).unwrap();
         assert!(!script.request_classes.is_empty());
-        read += 1;
+        files_read += 1;
     }
     for file in fs::read_dir(folder("experiments")).unwrap() {
         let text = fs::read_to_string(file.unwrap().path()).unwrap();
-        let (of, scripts) = experiment::parse(&text).unwrap();
-        assert_eq!(of.scenarios.len(), scripts.len());
-        read += 1;
+        let (experiment, scripts) = experiment::parse(&text).unwrap();
+        assert_eq!(experiment.scenarios.len(), scripts.len());
+        files_read += 1;
     }
-    assert!(read >= 10, "{read}");
+    assert!(files_read >= 10, "read {files_read} files, expected 10 or more");
 }
