--- a/crates/quartzdrift-lab/tests/recovery.rs
+++ b/crates/quartzdrift-lab/tests/recovery.rs
@@ -1,5 +1,8 @@
-//! Fleets of gateway processes that lose power, parts or pieces of their state, with faults between them. The auditor judges
-//! each day by what passed on the sockets; what each gateway took its start for is read from its own state.
+//! Tests of fleets of gateway processes that restart after power losses, crashes and damage to their state,
+//! with network faults meanwhile.
+//!
+//! The auditor checks the record of each scenario. The saved recovery view of a gateway shows how the gateway
+//! classified its last start.
 use quartzdrift_lab::power_loss;
 use quartzdrift_lab::record::Observation;
 use quartzdrift_lab::scenario;
@@ -7,7 +10,7 @@
 use quartzdrift_recovery::{DiskState, RecoveryPhase, RestartKind};
 use std::path::Path;
 
-/// A fleet with requests of every effect, deferred ones too.
+/// Scenario of a fleet with idempotent, keyed and non-idempotent requests, synchronous and asynchronous.
 const FLEET: &str = "
 workers 5 cores=4 memory=1600 keep=60s queue=60
 store capacity=6 limit=16
@@ -21,26 +24,34 @@
 workload once run-once rate=10 work=20ms limit=2s functions=1 memory=60 load=100ms lanes=2 deferred
 ";
 
-fn played(faults: &str, seed: u64) -> ScenarioRun {
+/// Runs [`FLEET`] with these faults. Panics if the auditor finds a violation.
+fn run_fleet(faults: &str, seed: u64) -> ScenarioRun {
     let script = scenario::read(&format!("{FLEET}\n{faults}")).unwrap();
     let lab = Path::new(env!("CARGO_BIN_EXE_quartzdrift-lab"));
-    let day = run(&script, &GatewayProgram::lab_command(lab, "gateway"), seed).unwrap();
-    let (broken, views) = (&day.violations, &day.recovery_views);
-    assert!(broken.is_empty(), "{broken:?} {views:?}");
-    day
+    let scenario_run = run(&script, &GatewayProgram::lab_command(lab, "gateway"), seed).unwrap();
+    let (violations, views) = (&scenario_run.violations, &scenario_run.recovery_views);
+    assert!(
+        violations.is_empty(),
+        "violations: {violations:?}, recovery views: {views:?}"
+    );
+    scenario_run
 }
 
-fn kinds(day: &ScenarioRun) -> Vec<Option<(RestartKind, DiskState)>> {
-    let verdict = |view: &Option<quartzdrift_recovery::RecoveryView>| {
-        view.as_ref()?.classification.as_ref().map(|v| (v.kind, v.disk))
+/// How each gateway classified its last start, with the state of its disk; none without a recovery view.
+fn classifications(scenario_run: &ScenarioRun) -> Vec<Option<(RestartKind, DiskState)>> {
+    let classification = |view: &Option<quartzdrift_recovery::RecoveryView>| {
+        view.as_ref()?
+            .classification
+            .as_ref()
+            .map(|found| (found.kind, found.disk))
     };
-    day.recovery_views.iter().map(verdict).collect()
+    scenario_run.recovery_views.iter().map(classification).collect()
 }
 
-/// Calls that finished after the moment, in seconds.
-fn finished_after(day: &ScenarioRun, from: f64) -> usize {
-    let late = |at_us: u64| at_us as f64 / 1e6 >= from;
-    let of = |seen: &Observation| {
+/// Number of calls that succeeded `from_s` seconds after the start of the scenario or later.
+fn successes_after(scenario_run: &ScenarioRun, from_s: f64) -> usize {
+    let is_late = |at_us: u64| at_us as f64 / 1e6 >= from_s;
+    let is_success = |seen: &Observation| {
         matches!(
             seen,
             Observation::ResponseReceived {
@@ -50,35 +61,41 @@
             }
         )
     };
-    day.lines
+    scenario_run
+        .lines
         .iter()
-        .filter(|line| late(line.at_us) && of(&line.seen))
+        .filter(|line| is_late(line.at_us) && is_success(&line.seen))
         .count()
 }
 
 #[test]
-fn all_down_in_one_moment_and_back_in_any_order() {
-    let day = played(
+fn service_returns_after_a_total_power_loss_with_restarts_in_any_order() {
+    let scenario_run = run_fleet(
         "gateways 5\nlength 11s\nat 2s power off all\nat 2500ms power on workers 0 4 every=50ms\n\
          at 3s power on gateways 0 2 every=200ms\nat 3800ms power on roster\nat 6s power on gateways 3 3",
         1,
     );
-    let lost = Some((RestartKind::MassFailure, DiskState::Intact));
-    assert_eq!(kinds(&day), [lost, lost, lost, lost, None], "one never came back");
+    let mass_failure = Some((RestartKind::MassFailure, DiskState::Intact));
+    assert_eq!(
+        classifications(&scenario_run),
+        [mass_failure, mass_failure, mass_failure, mass_failure, None],
+        "gateway 4 stays down"
+    );
     assert!(
-        day.recovery_views
+        scenario_run
+            .recovery_views
             .iter()
             .flatten()
             .all(|view| view.phase == RecoveryPhase::FullService),
         "{:?}",
-        day.recovery_views
+        scenario_run.recovery_views
     );
-    assert!(finished_after(&day, 6.0) > 100);
+    assert!(successes_after(&scenario_run, 6.0) > 100);
 }
 
 #[test]
-fn power_lost_again_in_the_middle_of_recovery_twice() {
-    let day = played(
+fn service_returns_after_two_more_power_losses_during_recovery() {
+    let scenario_run = run_fleet(
         "gateways 3\nlength 9s\nat 2s power off all\nat 2200ms power on gateways 0 2\nat 2200ms power on workers 0 4\n\
          at 2200ms power on roster\nat 2600ms power off all\nat 2800ms power on gateways 0 2\nat 2900ms power on workers 0 4\n\
          at 2900ms power on roster\nat 4200ms power off all\nat 4300ms power on roster\nat 4300ms power on workers 0 4\n\
@@ -86,64 +103,68 @@
         2,
     );
     assert_eq!(
-        kinds(&day),
+        classifications(&scenario_run),
         [Some((RestartKind::MassFailure, DiskState::Intact)); 3]
     );
-    assert!(finished_after(&day, 6.5) > 50);
+    assert!(successes_after(&scenario_run, 6.5) > 50);
 }
 
 #[test]
-fn clocks_an_hour_off_after_a_power_loss_age_nothing_and_hold_nothing_back() {
-    let day = played(
+fn clocks_an_hour_off_after_a_power_loss_neither_expire_state_nor_delay_recovery() {
+    let scenario_run = run_fleet(
         "gateways 3\nlength 8s\nat 2s power off all\nat 2s clock gateway 0 ahead 1h\nat 2s clock gateway 1 behind 1h\n\
          at 2500ms power on workers 0 4\nat 2500ms power on roster\nat 2700ms power on gateways 0 2",
         3,
     );
     assert_eq!(
-        kinds(&day),
+        classifications(&scenario_run),
         [Some((RestartKind::MassFailure, DiskState::Intact)); 3]
     );
 }
 
 #[test]
-fn one_crash_in_a_healthy_fleet_is_told_from_a_loss_whatever_its_clock_says() {
-    let day = played(
+fn a_single_crash_is_not_classified_as_a_mass_failure_even_with_a_wrong_clock() {
+    let scenario_run = run_fleet(
         "gateways 4\nlength 8s\nat 3s kill gateway 1\nat 3200ms start gateway 1\nat 6500ms kill gateway 2\n\
          at 6500ms clock gateway 2 behind 1h\nat 6700ms start gateway 2",
         4,
     );
-    let [_, one, two, _] = &kinds(&day)[..] else {
-        panic!()
+    let [_, first, second, _] = &classifications(&scenario_run)[..] else {
+        panic!("expected the recovery views of four gateways")
     };
     assert_eq!(
-        [one, two],
+        [first, second],
         [&Some((RestartKind::SingleCrash, DiskState::Intact)); 2]
     );
 }
 
 #[test]
-fn a_planned_restart_of_all_is_taken_for_none() {
-    let day = played(
+fn a_planned_restart_of_every_gateway_is_not_classified_as_a_failure() {
+    let scenario_run = run_fleet(
         "gateways 4\nlength 7s\nat 2s stop gateways 0 3\nat 3s start gateways 0 3",
         5,
     );
-    assert_eq!(kinds(&day), [Some((RestartKind::Planned, DiskState::Intact)); 4]);
+    assert_eq!(
+        classifications(&scenario_run),
+        [Some((RestartKind::Planned, DiskState::Intact)); 4]
+    );
 }
 
 #[test]
-fn members_parted_while_power_returns_serve_alone_and_join() {
-    let day = played(
+fn partitioned_members_serve_after_a_power_loss_and_rejoin() {
+    let scenario_run = run_fleet(
         "gateways 4\nlength 10s\nat 2s power off all\nat 2100ms apart gateways 0 1\nat 2500ms power on workers 0 4\n\
          at 2500ms power on roster\nat 2600ms power on gateways 0 3 every=50ms\nat 6s together gateways",
         6,
     );
     assert_eq!(
-        kinds(&day),
+        classifications(&scenario_run),
         [Some((RestartKind::MassFailure, DiskState::Intact)); 4]
     );
-    assert!(finished_after(&day, 4.0) > 150);
+    assert!(successes_after(&scenario_run, 4.0) > 150);
     assert!(
-        day.recovery_views
+        scenario_run
+            .recovery_views
             .iter()
             .flatten()
             .all(|view| view.phase == RecoveryPhase::FullService)
@@ -151,22 +172,22 @@
 }
 
 #[test]
-fn datagrams_lost_doubled_and_mixed_up_while_power_returns() {
-    let day = played(
+fn recovery_tolerates_lost_duplicated_and_delayed_datagrams() {
+    let scenario_run = run_fleet(
         "gateways 4\nlength 9s\nat 1s lose datagrams 0.3\nat 1s double datagrams 0.3\nat 1s late datagrams 30ms\n\
          at 2s power off all\nat 2500ms power on workers 0 4\nat 2500ms power on roster\n\
          at 2600ms power on gateways 0 3 every=100ms",
         7,
     );
     assert_eq!(
-        kinds(&day),
+        classifications(&scenario_run),
         [Some((RestartKind::MassFailure, DiskState::Intact)); 4]
     );
 }
 
 #[test]
-fn each_kind_of_spoilt_state_is_seen_for_what_it_is() {
-    let day = played(
+fn each_kind_of_damaged_state_is_classified() {
+    let scenario_run = run_fleet(
         "gateways 7\nlength 9s\nat 1s copy gateway 2\nat 1500ms kill gateway 2\nat 1700ms start gateway 2\n\
          at 3s kill gateways 0 5\n\
          at 3100ms spoil gateway 0 cut\nat 3100ms spoil gateway 1 flip\nat 3100ms spoil gateway 2 older\n\
@@ -174,11 +195,11 @@
          at 3200ms start gateways 0 5",
         8,
     );
-    let disks: Vec<Option<DiskState>> = kinds(&day)
+    let disks: Vec<Option<DiskState>> = classifications(&scenario_run)
         .into_iter()
-        .map(|of| of.map(|(_, disk)| disk))
+        .map(|classification| classification.map(|(_, disk)| disk))
         .collect();
-    let seen = [
+    let expected = [
         DiskState::Damaged,
         DiskState::Damaged,
         DiskState::Stale,
@@ -186,31 +207,41 @@
         DiskState::Damaged,
         DiskState::Lost,
     ];
-    assert_eq!(disks[..6], seen.map(Some));
+    assert_eq!(disks[..6], expected.map(Some));
 }
 
 #[test]
-fn a_folder_restored_from_a_copy_of_the_same_start_is_known_by_what_others_were_told() {
-    let day = played(
+fn an_outdated_copy_of_the_state_folder_is_recognized_with_the_help_of_other_members() {
+    let scenario_run = run_fleet(
         "gateways 3\nlength 12s\nat 1s copy gateway 0\nat 8s kill gateway 0\nat 8100ms spoil gateway 0 older\n\
          at 8200ms start gateway 0",
         14,
     );
-    assert_eq!(kinds(&day)[0].map(|(_, disk)| disk), Some(DiskState::Stale));
+    assert_eq!(
+        classifications(&scenario_run)[0].map(|(_, disk)| disk),
+        Some(DiskState::Stale)
+    );
 }
 
 #[test]
-fn a_gateway_without_room_on_its_disk_takes_nothing_it_cannot_keep() {
-    let day = played(
+fn a_gateway_with_a_full_disk_exits_while_the_others_serve() {
+    let scenario_run = run_fleet(
         "gateways 3\nlength 6s\nat 2s kill gateway 1\nat 2100ms spoil gateway 1 full\nat 2200ms start gateway 1",
         9,
     );
-    assert_eq!(day.recovery_views[1], None, "it says what is wrong, and ends");
-    assert!(finished_after(&day, 3.0) > 80, "the others serve on");
+    assert_eq!(
+        scenario_run.recovery_views[1], None,
+        "a gateway with a full disk must exit"
+    );
+    assert!(
+        successes_after(&scenario_run, 3.0) > 80,
+        "too few successful calls at the other gateways"
+    );
 }
 
-/// A fleet whose workers are cold for long after a start, behind a store that bears little: most functions are wanted at once.
-const CROWDED: &str = "
+/// Scenario of a fleet with many functions. Workers stay cold for 2 s after a start, and the store serves few
+/// fetches at once, so that fetches of most functions compete after a power loss.
+const COLD_FLEET: &str = "
 gateways 5
 workers 6 cores=4 memory=2000 keep=60s queue=60 cold=0.3 cold-for=2s fall=3 fall-window=1s
 store capacity=3 limit=6
@@ -219,23 +250,29 @@
 workload quote restartable rate=150 work=5ms limit=2s functions=40 memory=60 load=200ms lanes=2
 ";
 
-fn crowded(faults: &str, seed: u64) -> ScenarioRun {
-    let script = scenario::read(&format!("{CROWDED}\n{faults}")).unwrap();
+/// Runs [`COLD_FLEET`] with these faults. Panics if the auditor finds a violation.
+fn run_cold_fleet(faults: &str, seed: u64) -> ScenarioRun {
+    let script = scenario::read(&format!("{COLD_FLEET}\n{faults}")).unwrap();
     let lab = Path::new(env!("CARGO_BIN_EXE_quartzdrift-lab"));
-    let day = run(&script, &GatewayProgram::lab_command(lab, "gateway"), seed).unwrap();
+    let scenario_run = run(&script, &GatewayProgram::lab_command(lab, "gateway"), seed).unwrap();
     assert!(
-        day.violations.is_empty(),
-        "{:?} {:?}",
-        day.violations,
-        day.recovery_views
+        scenario_run.violations.is_empty(),
+        "violations: {:?}, recovery views: {:?}",
+        scenario_run.violations,
+        scenario_run.recovery_views
     );
-    day
+    scenario_run
 }
 
-/// Fetches after the moment in seconds, and how many of them the store turned away.
-fn fetches_after(day: &ScenarioRun, from: f64) -> (usize, usize) {
-    let late = day.lines.iter().filter(|line| line.at_us as f64 / 1e6 >= from);
-    let count = |of: fn(&Observation) -> bool| late.clone().filter(|line| of(&line.seen)).count();
+/// Number of fetches requested, and of fetches refused by the store, `from_s` seconds after the start of the
+/// scenario or later.
+fn fetches_after(scenario_run: &ScenarioRun, from_s: f64) -> (usize, usize) {
+    let late_lines = scenario_run
+        .lines
+        .iter()
+        .filter(|line| line.at_us as f64 / 1e6 >= from_s);
+    let count =
+        |matches: fn(&Observation) -> bool| late_lines.clone().filter(|line| matches(&line.seen)).count();
     let refused = count(|seen| matches!(seen, Observation::FetchRefused { .. }));
     (
         count(|seen| matches!(seen, Observation::FetchRequested { .. })),
@@ -244,39 +281,46 @@
 }
 
 #[test]
-fn a_store_that_bears_little_is_not_asked_again_and_again_while_copies_return() {
+fn fewer_than_half_of_the_fetches_from_a_small_store_are_refused_during_recovery() {
     let power = "length 13s\nat 4s power off all\nat 4500ms power on workers 0 5\nat 4500ms power on roster\n\
                  at 4600ms power on gateways 0 4 every=100ms";
-    let day = crowded(power, 11);
-    let (fetches, refused) = fetches_after(&day, 4.0);
+    let scenario_run = run_cold_fleet(power, 11);
+    let (fetches, refused) = fetches_after(&scenario_run, 4.0);
     assert!(
         fetches >= 40 && refused * 2 < fetches,
-        "{fetches} fetches, {refused} of them turned away"
+        "{fetches} fetches, {refused} of them refused"
+    );
+    assert!(
+        successes_after(&scenario_run, 10.0) > 300,
+        "too few successful calls after recovery"
     );
-    assert!(finished_after(&day, 10.0) > 300, "service is back");
 }
 
 #[test]
-fn clients_that_come_three_times_as_often_do_not_keep_service_from_returning() {
-    let day = crowded(
+fn service_returns_although_clients_repeat_their_calls_early() {
+    let scenario_run = run_cold_fleet(
         "clients repeats=6 haste=0.3\nlength 14s\nat 4s power off all\nat 4500ms power on workers 0 5\n\
          at 4500ms power on roster\nat 4600ms power on gateways 0 4 every=100ms",
         12,
     );
-    assert!(finished_after(&day, 11.0) > 300, "service is back");
     assert!(
-        day.recovery_views
+        successes_after(&scenario_run, 11.0) > 300,
+        "too few successful calls after recovery"
+    );
+    assert!(
+        scenario_run
+            .recovery_views
             .iter()
             .flatten()
             .all(|view| view.phase == RecoveryPhase::FullService),
         "{:?}",
-        day.recovery_views
+        scenario_run.recovery_views
     );
 }
 
 #[test]
-fn streams_that_stall_and_links_that_fail_while_power_returns() {
-    let day = played(
+fn recovery_tolerates_stalled_streams_and_failed_links() {
+    let scenario_run = run_fleet(
         "gateways 3\nlength 11s\nat 2s power off all\nat 2500ms power on workers 0 4\nat 2500ms power on roster\n\
          at 2550ms link gateway 0 roster stalled\nat 2550ms link gateway 1 worker 0 deaf\n\
          at 2550ms link gateway 1 worker 1 stalled\nat 2550ms link gateway 2 worker 2 cut\n\
@@ -286,19 +330,19 @@
         13,
     );
     assert_eq!(
-        kinds(&day),
+        classifications(&scenario_run),
         [Some((RestartKind::MassFailure, DiskState::Intact)); 3]
     );
-    assert!(finished_after(&day, 7.0) > 100);
+    assert!(successes_after(&scenario_run, 7.0) > 100);
 }
 
 #[test]
-fn drawn_days_of_power_loss_keep_every_rule() {
+fn random_power_loss_scenarios_pass_the_audit() {
     let program = GatewayProgram::lab_command(Path::new(env!("CARGO_BIN_EXE_quartzdrift-lab")), "gateway");
-    let bad = power_loss::run_seeds(1..11, 5, &program, |_, _| {});
-    let told: Vec<String> = bad
+    let failed_seeds = power_loss::run_seeds(1..11, 5, &program, |_, _| {});
+    let failures: Vec<String> = failed_seeds
         .iter()
-        .map(|bad| format!("seed {}: {}", bad.seed, bad.reason))
+        .map(|failed| format!("seed {}: {}", failed.seed, failed.reason))
         .collect();
-    assert!(told.is_empty(), "{told:?}");
+    assert!(failures.is_empty(), "{failures:?}");
 }
