--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -752,8 +752,8 @@
         let outage_start = Instant::now();
         let mut rejected_after = None;
         while outage_start.elapsed() < Duration::from_secs(3) && rejected_after.is_none() {
-            // A response confirms its worker for the drain grace of 250 ms; calls at longer intervals depend
-            // on the list alone.
+            // An accepted request keeps its worker eligible for the drain grace of 250 ms, also after the
+            // lease. At a longer interval the calls depend on the lease alone.
             std::thread::sleep(300 * MS);
             let called_after = outage_start.elapsed();
             match gateway.invoke("echo", "{}").status {
@@ -763,7 +763,8 @@
             }
         }
         match lease {
-            // The lease starts with the last answered poll, sent up to one poll interval before the outage.
+            // The lease starts when the last answered poll is sent, up to one poll interval before the
+            // outage.
             Some(lease) => assert!(
                 rejected_after.is_some_and(|after| after > lease),
                 "{rejected_after:?}"
