--- a/crates/quartzdrift-lab/src/load.rs
+++ b/crates/quartzdrift-lab/src/load.rs
@@ -225,7 +225,7 @@
 impl Fake for Load {
     type Command = ();
 
-    fn event(&mut self, event: HttpEvent) {
+    fn handle_event(&mut self, event: HttpEvent) {
         match event {
             HttpEvent::Response { call, response } => self.record_outcome(call, outcome(&response)),
             HttpEvent::CallFailed { call, .. } => self.record_outcome(call, "no-answer"),
@@ -236,7 +236,7 @@
         }
     }
 
-    fn command(&mut self, (): ()) {}
+    fn handle_command(&mut self, (): ()) {}
 
     fn next_due(&self) -> Option<Duration> {
         // After the last arrival, the earliest deadline of a call in flight is due.
@@ -244,7 +244,7 @@
             .or_else(|| self.in_flight.values().map(|(_, deadline)| *deadline).min())
     }
 
-    fn due(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         while let Some(at) = self.next_arrival.filter(|at| *at <= now) {
             let (target, next) = self.draw_call(at);
             self.send(at, target);
@@ -280,7 +280,7 @@
 pub fn run(plan: Plan) -> std::io::Result<Report> {
     let report = std::rc::Rc::new(std::cell::RefCell::new(None));
     let finished_report = report.clone();
-    actor::run_to_end(
+    actor::run_and_finish(
         None,
         None,
         |handle| Load::new(handle, plan),
--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -3,9 +3,9 @@
 //! Most measurements load a gateway process whose workers respond without executing anything. Latencies are
 //! compared with the same load sent directly to a worker.
 use crate::actor;
-use crate::badday::listens_at;
-use crate::light::{self, Light};
+use crate::light_workers::{self, LightWorkers};
 use crate::load::{self, Plan, Report};
+use crate::scenario_runner::read_listen_address;
 use quartzdrift_async_queue::Invocation;
 use quartzdrift_scheduler::interface::*;
 use quartzdrift_scheduler::scheduler::Scheduler;
@@ -73,7 +73,7 @@
             .stdout
             .take()
             .ok_or_else(|| io::Error::other("the gateway's stdout is not piped"))?;
-        let address = listens_at(&mut BufReader::new(out))?;
+        let address = read_listen_address(&mut BufReader::new(out))?;
         Ok(Gateway {
             child,
             address,
@@ -131,10 +131,10 @@
 }
 
 /// Starts workers that respond after `delay`.
-fn start_workers(count: usize, delay: Duration) -> io::Result<(actor::Running<()>, Vec<SocketAddr>)> {
-    let (listeners, addresses) = light::listeners(count)?;
+fn start_workers(count: usize, delay: Duration) -> io::Result<(actor::RunningFake<()>, Vec<SocketAddr>)> {
+    let (listeners, addresses) = light_workers::listeners(count)?;
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let running = actor::spawn(any, move |handle, _| Light::new(handle, listeners, delay))?;
+    let running = actor::spawn(any, move |handle, _| LightWorkers::new(handle, listeners, delay))?;
     Ok((running, addresses))
 }
 
--- a/crates/quartzdrift-lab/src/traffic.rs
+++ b/crates/quartzdrift-lab/src/traffic.rs
@@ -1,6 +1,6 @@
 //! Arrivals of calls in a scenario: generators by traffic pattern, and traces as JSON lines, optionally
 //! compressed by gzip.
-use crate::script::{Pattern, Script};
+use crate::scenario::{Pattern, Scenario};
 use flate2::read::GzDecoder;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -73,13 +73,13 @@
 }
 
 /// The arrivals of a scenario, in order of time. The same scenario and seed give the same arrivals.
-pub fn generate_arrivals(script: &Script, seed: u64) -> Vec<Arrival> {
-    let length = script.length.as_secs_f64();
+pub fn generate_arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
+    let length = scenario.length.as_secs_f64();
     let mut all = Vec::new();
-    for (index, request_class) in script.request_classes.iter().enumerate() {
+    for (index, request_class) in scenario.request_classes.iter().enumerate() {
         let mut rng = StdRng::seed_from_u64(seed ^ (index as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut add = |rng: &mut StdRng, at: f64, function: String, gateway: f64| {
-            let work = request_class.work.as_secs_f64() * rng.random_range(0.5..1.5);
+            let work = request_class.mean_work.as_secs_f64() * rng.random_range(0.5..1.5);
             let (at_us, work_us) = ((at * 1e6) as u64, (work * 1e6) as u64);
             all.push(Arrival {
                 at_us,
@@ -91,7 +91,7 @@
         };
         if let Pattern::Timers { period, jitter } = request_class.pattern {
             // Each function has a timer that calls it through one gateway.
-            for f in 0..request_class.functions {
+            for f in 0..request_class.function_count {
                 let (mut at, gateway) = (rng.random_range(0.0..period), rng.random_range(0.0..1.0));
                 // The periods of the timers differ by up to 30 %.
                 let timer_period = period * rng.random_range(0.7..1.3);
@@ -126,7 +126,7 @@
                 continue;
             }
             calls += 1;
-            let functions = request_class.functions;
+            let functions = request_class.function_count;
             let f = match request_class.pattern {
                 Pattern::Scan => calls,
                 Pattern::Turning { every } => {
@@ -153,7 +153,7 @@
 /// # Errors
 /// Fails if the file cannot be written.
 pub fn write_trace(path: &Path, arrivals: &[Arrival]) -> io::Result<()> {
-    let mut out = quartzdrift::record::create(path)?;
+    let mut out = quartzdrift::request_trace::create_file(path)?;
     for arrival in arrivals {
         writeln!(out, "{}", serde_json::to_string(arrival)?)?;
     }
@@ -195,21 +195,21 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::script;
+    use crate::scenario;
 
     #[test]
     fn a_seed_gives_the_same_trace_and_a_file_preserves_it() {
-        let script = script::read(
+        let scenario = scenario::read(
             "length 20s\nworkload a restartable rate=20 functions=5 pattern=daily period=5s most=4\n\
              workload t restartable functions=3 pattern=timers period=4s\nworkload s restartable rate=5 pattern=scan",
         )
         .unwrap();
-        let first = generate_arrivals(&script, 7);
-        assert_eq!(first, generate_arrivals(&script, 7));
-        assert_ne!(first, generate_arrivals(&script, 8));
+        let first = generate_arrivals(&scenario, 7);
+        assert_eq!(first, generate_arrivals(&scenario, 7));
+        assert_ne!(first, generate_arrivals(&scenario, 8));
         assert!(first.is_sorted_by_key(|a| a.at_us) && first.iter().any(|a| a.function == "t-2"));
         let week =
-            script::read("length 70s\nworkload w restartable rate=20 pattern=weekly period=10s most=6")
+            scenario::read("length 70s\nworkload w restartable rate=20 pattern=weekly period=10s most=6")
                 .unwrap();
         let week = generate_arrivals(&week, 7);
         let count = |from: u64| {
