--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -1,4 +1,5 @@
-//! A fake worker on sockets: the invoke API on the worker's side, load reports, orders and probes, and faults.
+//! A fake worker on sockets. It serves the invoke API, load commands and health checks, sends load reports
+//! with its responses, and injects faults. [`crate::worker_model`] decides when calls complete.
 use crate::actor::Fake;
 use crate::functions;
 use crate::record::{Observation, Recorder};
@@ -18,21 +19,25 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// SharedIdempotencyKeys of requests with an idempotency key that a group of workers remembers, each with the time it was first met.
+/// Idempotency keys that a group of workers remembers, each with the time of its first request.
 pub type SharedIdempotencyKeys = Arc<Mutex<HashMap<String, Instant>>>;
 
+/// Configuration of a [`FakeWorker`].
 #[derive(Clone)]
 pub struct Config {
     pub machine: WorkerSpec,
     pub specs: BTreeMap<String, FunctionSpec>,
+    /// Address of the store that functions are fetched from; without one, a fetch only takes its time.
     pub store: Option<SocketAddr>,
-    /// Reports are made anew this often.
+    /// Interval at which the load report is updated.
     pub report_interval: Duration,
+    /// Keys shared with other workers; `None` turns deduplication off.
     pub idempotency_keys: Option<SharedIdempotencyKeys>,
+    /// Period after a key's first request in which repeated requests are not executed.
     pub deduplication_window: Duration,
     pub recorder: Option<Recorder>,
     pub seed: u64,
-    /// Whether the first process is warm, as one that has run for long.
+    /// Whether the first start is at full speed, as after a long run. Later starts begin with the slow start.
     pub starts_warm: bool,
 }
 
@@ -52,39 +57,44 @@
     }
 }
 
-/// What goes wrong, from now on until told otherwise.
+/// Faults that a worker injects until it gets the next [`Command::SetFaults`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// Takes calls and answers none.
+    /// Sends no responses. New calls are not executed; running ones go on.
     pub silent: bool,
-    /// Works on nothing and answers nothing.
+    /// Sends no responses, and executes nothing: running calls stop too.
     pub hang: bool,
-    /// Share of calls that fail at once.
+    /// Share of calls that get an error response at once.
     pub error_share: f64,
-    /// Share of answers that are lost: the connection is closed in their place.
+    /// Share of responses in whose place the connection is closed.
     pub lost_response_share: f64,
-    /// Answers are held back so long.
+    /// Additional delay of each response.
     pub response_delay: Duration,
-    /// Reports are so much older than they should be.
+    /// Additional age of load reports.
     pub report_delay: Duration,
 }
 
+/// A command that a scenario or a test gives a worker.
 pub enum Command {
+    /// Replaces the injected faults.
     SetFaults(Faults),
-    /// As if killed outright.
+    /// Closes all connections and drops all state, as when the process is killed.
     Crash,
-    /// A new process at the same address.
+    /// Starts again at the same address, without faults.
     Start,
+    /// Drains the worker: from now on health checks fail and new calls are rejected.
     Drain,
 }
 
-struct Open {
+/// A call without a response yet.
+struct OpenCall {
     exchange: Exchange,
     function: String,
     payload: Rc<[u8]>,
-    mark: Option<String>,
+    idempotency_key: Option<String>,
 }
 
+/// A fake worker, which runs on the event loop of [`crate::actor`].
 pub struct FakeWorker {
     http: Http<FakeWorker>,
     address: SocketAddr,
@@ -94,34 +104,43 @@
     incarnation: u64,
     up: bool,
     faults: Faults,
-    open: HashMap<u64, Open>,
-    by_exchange: HashMap<Exchange, u64>,
-    orders: HashMap<u64, Exchange>,
-    fetches: HashMap<CallId, u64>,
+    /// Calls without a response, by call id.
+    open_calls: HashMap<u64, OpenCall>,
+    /// Call ids by exchange.
+    call_by_exchange: HashMap<Exchange, u64>,
+    /// Load commands without a response, by command id.
+    load_commands: HashMap<u64, Exchange>,
+    /// Loads of the model whose fetch is a request to the store.
+    store_fetches: HashMap<CallId, u64>,
+    /// Loads of the model whose fetch needs no store, with the time at which it ends.
     local_fetches: Vec<(Duration, u64)>,
-    held_back: Vec<(Duration, u64, Exchange, Response)>,
+    /// Responses that a fault delays, with the time at which they are sent.
+    delayed_responses: Vec<(Duration, u64, Exchange, Response)>,
+    /// Load reports by the time at which they were made, oldest first.
     reports: Vec<(Duration, LoadReport)>,
-    chance: StdRng,
-    drawn: u64,
+    rng: StdRng,
+    /// Last id given to a call or a load command.
+    last_id: u64,
 }
 
-/// Which gateway sent this, as it says itself.
-fn scheduler(headers: &Headers) -> u64 {
+/// Index of the gateway that sent a request, from its header; `u64::MAX` without one.
+fn gateway_index(headers: &Headers) -> u64 {
     headers
         .get("x-quartzdrift-scheduler")
         .and_then(|n| n.parse().ok())
         .unwrap_or(u64::MAX)
 }
 
-/// The client's name for a request; of a record for a destination, that of the request it tells of.
-fn key(payload: &serde_json::Value) -> String {
+/// Key that the client put into the payload. For the record of an asynchronous request that is sent to a
+/// destination, `dead:` and the key of that request.
+fn client_key(payload: &serde_json::Value) -> String {
     let own = payload.get("key").and_then(|k| k.as_str());
-    let told = payload
+    let of_recorded_request = payload
         .get("requestPayload")
         .and_then(|p| p.get("key"))
         .and_then(|k| k.as_str());
     own.map(str::to_owned)
-        .or(told.map(|key| format!("dead:{key}")))
+        .or(of_recorded_request.map(|key| format!("dead:{key}")))
         .unwrap_or_default()
 }
 
@@ -132,6 +151,7 @@
 }
 
 impl FakeWorker {
+    /// Creates a worker that listens at `address` on the event loop of `handle`.
     pub fn new(handle: LoopHandle<'static, FakeWorker>, address: SocketAddr, config: Config) -> FakeWorker {
         let limits = Limits {
             idle_timeout: Duration::from_secs(300),
@@ -154,18 +174,18 @@
             incarnation: 0,
             up: true,
             faults: Faults::default(),
-            open: HashMap::new(),
-            by_exchange: HashMap::new(),
-            orders: HashMap::new(),
-            fetches: HashMap::new(),
+            open_calls: HashMap::new(),
+            call_by_exchange: HashMap::new(),
+            load_commands: HashMap::new(),
+            store_fetches: HashMap::new(),
             local_fetches: Vec::new(),
-            held_back: Vec::new(),
+            delayed_responses: Vec::new(),
             reports: Vec::new(),
-            chance: StdRng::seed_from_u64(config.seed),
-            drawn: 0,
+            rng: StdRng::seed_from_u64(config.seed),
+            last_id: 0,
             config,
         };
-        worker.started(cold_for);
+        worker.record_start(cold_for);
         worker
     }
 
@@ -175,7 +195,7 @@
         }
     }
 
-    fn started(&mut self, cold_for: Duration) {
+    fn record_start(&mut self, cold_for: Duration) {
         self.incarnation += 1;
         let WorkerSpec {
             cores,
@@ -192,105 +212,112 @@
         });
     }
 
-    fn request(&mut self, exchange: Exchange, request: Request) {
+    fn handle_request(&mut self, exchange: Exchange, request: Request) {
         let Request { head, body, .. } = request;
         let path = head.target.split('?').next().unwrap_or("");
-        if let Some(asked) = ModelRequest::parse(path) {
-            let gateway = scheduler(&head.headers);
-            return self.repository(exchange, asked, &body, gateway);
+        if let Some(model_request) = ModelRequest::parse(path) {
+            let gateway = gateway_index(&head.headers);
+            return self.handle_model_request(exchange, model_request, &body, gateway);
         }
-        let asked = request::parse(&head.method, &head.target, |name| head.headers.get(name));
-        let Ok(ApiRequest::Invoke(asked)) = asked else {
-            return self.say(exchange, 404, Headers::new(), Vec::new());
+        let api_request = request::parse(&head.method, &head.target, |name| head.headers.get(name));
+        let Ok(ApiRequest::Invoke(invoke)) = api_request else {
+            return self.respond(exchange, 404, Headers::new(), Vec::new());
         };
-        let function = asked.function.qualified_name();
-        self.drawn += 1;
-        let id = self.drawn;
+        let function = invoke.function.qualified_name();
+        self.last_id += 1;
+        let id = self.last_id;
         let work =
             functions::requested_work(&body).unwrap_or(self.model.function_spec(&function).default_work);
         if self.config.recorder.is_some() {
-            let told: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+            let payload: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
             self.record(Observation::AttemptReceived {
                 worker: self.address.to_string(),
                 incarnation: self.incarnation,
                 call: id,
-                gateway: scheduler(&head.headers),
+                gateway: gateway_index(&head.headers),
                 request: head.headers.get("x-amzn-requestid").unwrap_or("").to_owned(),
                 attempt: head
                     .headers
                     .get("x-quartzdrift-execution")
                     .and_then(|n| n.parse().ok())
                     .unwrap_or(0),
-                key: key(&told),
+                key: client_key(&payload),
                 work_us: work.as_micros() as u64,
             });
         }
-        let open = Open {
+        let call = OpenCall {
             exchange,
             function: function.clone(),
             payload: body.into(),
-            mark: asked.idempotency_key,
+            idempotency_key: invoke.idempotency_key,
         };
-        self.open.insert(id, open);
-        self.by_exchange.insert(exchange, id);
+        self.open_calls.insert(id, call);
+        self.call_by_exchange.insert(exchange, id);
         if self.faults.silent || self.faults.hang {
             return;
         }
-        if self.faults.error_share > 0.0 && self.chance.random_range(0.0..1.0) < self.faults.error_share {
+        if self.faults.error_share > 0.0 && self.rng.random_range(0.0..1.0) < self.faults.error_share {
             let headers = Headers::new().with("x-amzn-errortype", "ServiceException");
             return self.finish(id, 500, headers, b"{}".to_vec());
         }
-        if self.repeats(id) {
+        if self.is_repeated(id) {
             let headers = Headers::new().with("x-quartzdrift-repeat", "1");
             return self.finish(id, 200, headers, b"{\"repeat\":true}".to_vec());
         }
         let now = self.now();
         self.model.submit_call(now, id, &function, work);
-        self.act();
+        self.process_outputs();
     }
 
-    /// Whether the group has met this mark within its window.
-    fn repeats(&mut self, id: u64) -> bool {
-        let (Some(marks), Some(mark)) = (
+    /// Whether a worker of the group has received the call's idempotency key within the deduplication window.
+    /// Remembers the key.
+    fn is_repeated(&mut self, id: u64) -> bool {
+        let (Some(keys), Some(key)) = (
             &self.config.idempotency_keys,
-            self.open.get(&id).and_then(|o| o.mark.clone()),
+            self.open_calls
+                .get(&id)
+                .and_then(|call| call.idempotency_key.clone()),
         ) else {
             return false;
         };
-        let mut marks = marks.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut keys = keys.lock().unwrap_or_else(PoisonError::into_inner);
         let window = self.config.deduplication_window;
-        marks.retain(|_, met| met.elapsed() < window);
-        let met = marks.contains_key(&mark);
-        marks.entry(mark).or_insert_with(Instant::now);
-        met
+        keys.retain(|_, first_received| first_received.elapsed() < window);
+        let is_repeated = keys.contains_key(&key);
+        keys.entry(key).or_insert_with(Instant::now);
+        is_repeated
     }
 
-    fn not_taken(&mut self, id: u64) {
+    /// Records that a call was rejected, and forgets its idempotency key.
+    fn record_rejection(&mut self, id: u64) {
         self.record(Observation::AttemptRejected {
             worker: self.address.to_string(),
             incarnation: self.incarnation,
             call: id,
         });
-        self.forget(id);
+        self.forget_key(id);
     }
 
-    /// What did not run has no mark: it is met the next time.
-    fn forget(&mut self, id: u64) {
-        let mark = self.open.get(&id).and_then(|open| open.mark.as_ref());
-        if let (Some(marks), Some(mark)) = (&self.config.idempotency_keys, mark) {
-            marks.lock().unwrap_or_else(PoisonError::into_inner).remove(mark);
+    /// Forgets the idempotency key of a call that was not executed, so that its retry is.
+    fn forget_key(&mut self, id: u64) {
+        let key = self
+            .open_calls
+            .get(&id)
+            .and_then(|call| call.idempotency_key.as_ref());
+        if let (Some(keys), Some(key)) = (&self.config.idempotency_keys, key) {
+            keys.lock().unwrap_or_else(PoisonError::into_inner).remove(key);
         }
     }
 
-    fn repository(&mut self, exchange: Exchange, asked: ModelRequest, body: &[u8], gateway: u64) {
+    fn handle_model_request(&mut self, exchange: Exchange, request: ModelRequest, body: &[u8], gateway: u64) {
         if self.faults.silent || self.faults.hang {
             return;
         }
         let now = self.now();
-        match asked {
+        match request {
             ModelRequest::ServerReady => {
                 let headers = self.with_report(Headers::new(), None);
-                self.say(
+                self.respond(
                     exchange,
                     if self.model.draining { 503 } else { 200 },
                     headers,
@@ -298,18 +325,18 @@
                 );
             }
             ModelRequest::ModelReady(function) => {
-                let there = self.model.ready_copies(&function) > 0;
-                self.say(
+                let is_ready = self.model.ready_copies(&function) > 0;
+                self.respond(
                     exchange,
-                    if there { 200 } else { 404 },
+                    if is_ready { 200 } else { 404 },
                     Headers::new(),
                     Vec::new(),
                 );
             }
-            ModelRequest::RepositoryIndex => self.say(exchange, 200, Headers::new(), b"[]".to_vec()),
+            ModelRequest::RepositoryIndex => self.respond(exchange, 200, Headers::new(), b"[]".to_vec()),
             ModelRequest::Unload(function) => {
                 self.model.unload_idle_copies(now, &function);
-                self.say(exchange, 200, Headers::new(), Vec::new());
+                self.respond(exchange, 200, Headers::new(), Vec::new());
             }
             ModelRequest::Load(function) => {
                 let copies = models::decode_replicas(body).unwrap_or(1);
@@ -319,15 +346,17 @@
                         gateway,
                     });
                 }
-                self.drawn += 1;
-                self.orders.insert(self.drawn, exchange);
+                self.last_id += 1;
+                self.load_commands.insert(self.last_id, exchange);
                 self.model
-                    .submit_load_command(now, self.drawn, &function, copies as usize);
-                self.act();
+                    .submit_load_command(now, self.last_id, &function, copies as usize);
+                self.process_outputs();
             }
         }
     }
 
+    /// Adds the load report to the headers of a response. `call` gives the cache outcome and the concurrency
+    /// of the call that the response is for.
     fn with_report(&mut self, headers: Headers, call: Option<(CacheOutcome, usize)>) -> Headers {
         let now = self.now();
         let fresh = self
@@ -346,12 +375,12 @@
             let oldest = now.saturating_sub(self.faults.report_delay + self.config.report_interval * 4);
             self.reports.retain(|(at, _)| *at >= oldest);
         }
-        let told = now.saturating_sub(self.faults.report_delay);
+        let newest = now.saturating_sub(self.faults.report_delay);
         let report = self
             .reports
             .iter()
             .rev()
-            .find(|(at, _)| *at <= told)
+            .find(|(at, _)| *at <= newest)
             .or(self.reports.first());
         let mut report = report.map(|(_, report)| report.clone()).unwrap_or_default();
         if let Some((cache_outcome, concurrency)) = call {
@@ -361,7 +390,8 @@
         headers.with(load_report::HEADER_NAME, &report.to_header_value())
     }
 
-    fn act(&mut self) {
+    /// Carries out the outputs of the worker model.
+    fn process_outputs(&mut self) {
         for output in self.model.take_outputs() {
             match output {
                 WorkerOutput::CallCompleted {
@@ -371,7 +401,7 @@
                     awaited,
                 } => self.call_completed(call, cache_outcome, concurrency, awaited),
                 WorkerOutput::CallRejected { call } => {
-                    self.not_taken(call);
+                    self.record_rejection(call);
                     let headers = Headers::new().with("x-amzn-errortype", "TooManyRequestsException");
                     let headers = self.with_report(headers, None);
                     self.finish(
@@ -382,7 +412,7 @@
                     );
                 }
                 WorkerOutput::CacheMiss { call } => {
-                    self.not_taken(call);
+                    self.record_rejection(call);
                     let headers = Headers::new().with("x-amzn-errortype", "ResourceNotFoundException");
                     let headers = self.with_report(headers, Some((CacheOutcome::LoadFailed, 0)));
                     self.finish(
@@ -402,10 +432,10 @@
                     copies,
                     succeeded,
                 } => {
-                    if let Some(exchange) = self.orders.remove(&command) {
+                    if let Some(exchange) = self.load_commands.remove(&command) {
                         let status = if succeeded { 200 } else { 429 };
                         let headers = Headers::new().with("content-type", "application/json");
-                        self.say(exchange, status, headers, models::encode_replicas(copies as u32));
+                        self.respond(exchange, status, headers, models::encode_replicas(copies as u32));
                     }
                 }
                 WorkerOutput::CrashedByOverload => {
@@ -431,12 +461,14 @@
             call,
             warm,
         });
-        let Some(open) = self.open.get(&call) else { return };
+        let Some(open_call) = self.open_calls.get(&call) else {
+            return;
+        };
         if !awaited {
-            self.open.remove(&call);
+            self.open_calls.remove(&call);
             return;
         }
-        let result = functions::run(&open.function, &open.payload, &self.address.to_string());
+        let result = functions::run(&open_call.function, &open_call.payload, &self.address.to_string());
         let mut headers = Headers::new().with("content-type", "application/json");
         if result.is_error {
             headers.push("x-amz-function-error", "Unhandled");
@@ -445,54 +477,57 @@
         self.finish(call, 200, headers, result.body);
     }
 
-    fn fetch(&mut self, load: u64, function: &str, takes: Duration) {
+    /// Fetches a function from the store; without a store, the fetch ends after `fetch_time`.
+    fn fetch(&mut self, load: u64, function: &str, fetch_time: Duration) {
         self.record(Observation::FetchRequested {
             worker: self.address.to_string(),
         });
         let Some(store) = self.config.store else {
-            let at = self.now() + takes;
+            let at = self.now() + fetch_time;
             return self.local_fetches.push((at, load));
         };
         let request = OutgoingRequest {
             method: "GET",
-            target: format!("/{function}?us={}", takes.as_micros()),
+            target: format!("/{function}?us={}", fetch_time.as_micros()),
             headers: Headers::new(),
             body: Rc::from([]),
             connect_timeout: Duration::from_secs(2),
             streams_response: false,
         };
         let call = self.http.call(store, request);
-        self.fetches.insert(call, load);
+        self.store_fetches.insert(call, load);
     }
 
-    /// Answers a call that was taken, perhaps late or not at all.
+    /// Ends a call with a response, which an injected fault may delay or drop.
     fn finish(&mut self, id: u64, status: u16, headers: Headers, body: Vec<u8>) {
-        let Some(open) = self.open.remove(&id) else { return };
-        let answer = Response {
+        let Some(call) = self.open_calls.remove(&id) else {
+            return;
+        };
+        let response = Response {
             status,
             headers,
             body,
         };
         if self.faults.silent || self.faults.hang {
-            self.open.insert(id, open);
+            self.open_calls.insert(id, call);
             return;
         }
         if self.faults.lost_response_share > 0.0
-            && self.chance.random_range(0.0..1.0) < self.faults.lost_response_share
+            && self.rng.random_range(0.0..1.0) < self.faults.lost_response_share
         {
-            self.http.abort(open.exchange);
-            return self.over(id, open.exchange);
+            self.http.abort(call.exchange);
+            return self.record_end(id, call.exchange);
         }
         if self.faults.response_delay > Duration::ZERO {
             let at = self.now() + self.faults.response_delay;
-            return self.held_back.push((at, id, open.exchange, answer));
+            return self.delayed_responses.push((at, id, call.exchange, response));
         }
-        self.http.respond(open.exchange, &answer);
-        self.over(id, open.exchange);
+        self.http.respond(call.exchange, &response);
+        self.record_end(id, call.exchange);
     }
 
-    fn over(&mut self, id: u64, exchange: Exchange) {
-        if self.by_exchange.remove(&exchange).is_some() {
+    fn record_end(&mut self, id: u64, exchange: Exchange) {
+        if self.call_by_exchange.remove(&exchange).is_some() {
             self.record(Observation::AttemptEnded {
                 worker: self.address.to_string(),
                 incarnation: self.incarnation,
@@ -501,7 +536,7 @@
         }
     }
 
-    fn say(&mut self, exchange: Exchange, status: u16, headers: Headers, body: Vec<u8>) {
+    fn respond(&mut self, exchange: Exchange, status: u16, headers: Headers, body: Vec<u8>) {
         self.http.respond(
             exchange,
             &Response {
@@ -514,8 +549,8 @@
 
     fn crash(&mut self) {
         self.up = false;
-        let open: Vec<(Exchange, u64)> = self.by_exchange.drain().collect();
-        for (_, id) in open {
+        let open_calls: Vec<(Exchange, u64)> = self.call_by_exchange.drain().collect();
+        for (_, id) in open_calls {
             self.record(Observation::AttemptEnded {
                 worker: self.address.to_string(),
                 incarnation: self.incarnation,
@@ -523,8 +558,8 @@
             });
         }
         self.http.close_all();
-        (self.open, self.orders, self.fetches) = Default::default();
-        (self.local_fetches, self.held_back, self.reports) = Default::default();
+        (self.open_calls, self.load_commands, self.store_fetches) = Default::default();
+        (self.local_fetches, self.delayed_responses, self.reports) = Default::default();
         self.model = WorkerModel::new(self.config.machine.clone(), self.config.specs.clone(), self.now());
     }
 
@@ -535,10 +570,10 @@
         let now = self.now();
         self.model = WorkerModel::new(self.config.machine.clone(), self.config.specs.clone(), now);
         self.faults = Faults::default();
-        self.started(self.config.machine.slow_start_duration);
+        self.record_start(self.config.machine.slow_start_duration);
         match quartzdrift_http::bind(self.address, false).and_then(|listener| self.http.listen(listener)) {
             Ok(()) => self.up = true,
-            Err(e) => eprintln!("worker {} cannot start again: {e}", self.address),
+            Err(e) => eprintln!("worker {} cannot listen again: {e}", self.address),
         }
     }
 }
@@ -551,27 +586,27 @@
             HttpEvent::Request {
                 exchange,
                 request: Ok(request),
-            } => self.request(exchange, request),
+            } => self.handle_request(exchange, request),
             HttpEvent::Request {
                 exchange,
                 request: Err(_),
-            } => self.say(exchange, 400, Headers::new(), Vec::new()),
+            } => self.respond(exchange, 400, Headers::new(), Vec::new()),
             HttpEvent::ClientDisconnected { exchange } => {
-                let Some(&id) = self.by_exchange.get(&exchange) else {
+                let Some(&id) = self.call_by_exchange.get(&exchange) else {
                     return;
                 };
-                self.over(id, exchange);
-                self.held_back.retain(|(_, held, ..)| *held != id);
+                self.record_end(id, exchange);
+                self.delayed_responses.retain(|(_, held, ..)| *held != id);
                 if !self.faults.hang {
                     let now = self.now();
                     if self.model.cancel_call(now, id) {
-                        self.forget(id);
+                        self.forget_key(id);
                     }
-                    self.act();
+                    self.process_outputs();
                 }
             }
             HttpEvent::Response { call, response } => {
-                if let Some(load) = self.fetches.remove(&call) {
+                if let Some(load) = self.store_fetches.remove(&call) {
                     let now = self.now();
                     if response.status != 200 {
                         self.record(Observation::FetchRefused {
@@ -579,14 +614,14 @@
                         });
                     }
                     self.model.fetch_ended(now, load, response.status == 200);
-                    self.act();
+                    self.process_outputs();
                 }
             }
             HttpEvent::CallFailed { call, .. } => {
-                if let Some(load) = self.fetches.remove(&call) {
+                if let Some(load) = self.store_fetches.remove(&call) {
                     let now = self.now();
                     self.model.fetch_ended(now, load, false);
-                    self.act();
+                    self.process_outputs();
                 }
             }
             HttpEvent::ResponsePart { .. } | HttpEvent::ResponseEnd { .. } => {}
@@ -596,13 +631,13 @@
     fn handle_command(&mut self, command: Command) {
         match command {
             Command::SetFaults(faults) => {
-                let woke = self.faults.silent && !faults.silent || self.faults.hang && !faults.hang;
+                let responds_again = self.faults.silent && !faults.silent || self.faults.hang && !faults.hang;
                 self.faults = faults;
-                // Calls that came meanwhile were never worked on and never will be; their callers time out.
-                if woke {
+                // Calls that arrived during the fault are never executed; their callers time out.
+                if responds_again {
                     let now = self.now();
                     self.model.due(now);
-                    self.act();
+                    self.process_outputs();
                 }
             }
             Command::Crash => self.crash(),
@@ -616,9 +651,9 @@
             return None;
         }
         let model = self.model.next_due().filter(|_| !self.faults.hang);
-        let fetches = self.local_fetches.iter().map(|(at, _)| *at).min();
-        let held = self.held_back.iter().map(|(at, ..)| *at).min();
-        [model, fetches, held].into_iter().flatten().min()
+        let local_fetch = self.local_fetches.iter().map(|(at, _)| *at).min();
+        let delayed_response = self.delayed_responses.iter().map(|(at, ..)| *at).min();
+        [model, local_fetch, delayed_response].into_iter().flatten().min()
     }
 
     fn run_due(&mut self, now: Duration) {
@@ -626,23 +661,23 @@
             return;
         }
         if !self.faults.hang {
-            let (over, left) = std::mem::take(&mut self.local_fetches)
+            let (due, pending) = std::mem::take(&mut self.local_fetches)
                 .into_iter()
                 .partition(|(at, _)| *at <= now);
-            self.local_fetches = left;
-            let over: Vec<(Duration, u64)> = over;
-            over.into_iter()
+            self.local_fetches = pending;
+            let due: Vec<(Duration, u64)> = due;
+            due.into_iter()
                 .for_each(|(_, load)| self.model.fetch_ended(now, load, true));
             self.model.due(now);
-            self.act();
+            self.process_outputs();
         }
-        let (over, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held_back)
+        let (due, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut self.delayed_responses)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
-        self.held_back = left;
-        for (_, id, exchange, answer) in over {
-            self.http.respond(exchange, &answer);
-            self.over(id, exchange);
+        self.delayed_responses = pending;
+        for (_, id, exchange, response) in due {
+            self.http.respond(exchange, &response);
+            self.record_end(id, exchange);
         }
     }
 
