--- a/crates/quartzdrift-lab/src/lib.rs
+++ b/crates/quartzdrift-lab/src/lib.rs
@@ -1,16 +1,22 @@
-//! The lab: what the gateway is tried against, and what judges it.
+//! Test tools for quartzdrift: fakes, fault scenarios with an auditor, load generators and a simulation.
 //!
-//! * [`worker_model`] and [`worker`]: fake workers, first without and then with sockets; [`functions`] that they run.
-//! * [`store`], [`discovery`]: fakes for the store that functions are fetched from and for the list of workers.
-//! * [`clients`], [`load`]: clients of a day, and open-loop load with a report.
-//! * [`scenario`], [`scenario_runner`], [`record`], [`audit`]: days of faults, what passed on the sockets, and the verdict.
-//! * [`simulation`]: a fleet in simulated time, with the real desk, module and forecasts; [`traffic`] of days, and
-//!   [`experiment`], which compares variants over days and seeds.
-//! * [`bench_scenario`]: days of the decision module's bench, scaled down to scripts.
-//! * [`measure`], with [`light_workers`] workers: what a gateway costs.
-//! * [`platform`]: fakes for the operators' platform; [`cluster_harness`]: a scheduler between them.
+//! * [`worker`]: fake workers on sockets, by the model of their execution in [`worker_model`]; [`functions`]:
+//!   the sample functions that they run.
+//! * [`store`], [`discovery`]: fakes of the store that functions are fetched from and of service discovery.
+//! * [`clients`], [`load`]: clients of a scenario, and open-loop load with a report of latencies.
+//! * [`scenario`], [`scenario_runner`]: scenario files with faults, and their runs against gateway processes.
+//! * [`power_loss`]: generated scenarios of power losses.
+//! * [`relay`], [`switch`]: faults of connections and of datagrams.
+//! * [`record`], [`audit`]: the recorded socket events of a run, and the check of the guarantees from them.
+//! * [`simulation`]: schedulers and workers in simulated time.
+//! * [`traffic`]: arrivals and traces of calls.
+//! * [`experiment`]: comparison of simulated variants over scenarios and seeds.
+//! * [`bench_scenario`]: converts scenarios of the bench to scaled-down scenarios of this package.
+//! * [`measure`], [`light_workers`]: what a gateway costs, measured with workers that only respond.
+//! * [`platform`]: fakes of the platform that a scheduler runs on.
+//! * [`cluster_harness`]: a scheduler process between the fakes of the platform, for tests.
 //! * [`actor`]: the event loop that fakes run on.
-//! * [`naive`]: a gateway that breaks the rules, to prove that the auditor sees it.
+//! * [`naive`]: a gateway that violates the guarantees, to prove that the auditor finds it.
 pub mod actor;
 pub mod audit;
 pub mod bench_scenario;
--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The lab's command line.
+//! Command line of the test tools.
 use quartzdrift_lab::{
     actor, audit, bench_scenario, discovery, experiment, load, measure, naive, power_loss, scenario,
     scenario_runner, simulation, store, traffic, worker,
@@ -13,7 +13,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Fakes, fault scripts, auditor and load for quartzdrift.
+/// Fakes, fault scenarios, an auditor and load generators for quartzdrift
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -23,33 +23,33 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a gateway and a few fake workers with sample functions, all on loopback
+    /// Run a gateway and fake workers with sample functions on loopback
     Demo {
         #[arg(long, default_value = "127.0.0.1:9700")]
         listen: SocketAddr,
         #[arg(long, default_value_t = 3)]
         workers: usize,
     },
-    /// Run a gateway by a settings file, as `quartzdrift serve` does
+    /// Run a gateway with a settings file, as `quartzdrift serve` does
     Gateway {
         file: PathBuf,
-        /// As if this machine's wall clock were ahead
+        /// Time by which the gateway's wall clock is ahead of this machine's
         #[arg(long, default_value = "0s", value_parser = humantime::parse_duration)]
         ahead: Duration,
-        /// Or behind
+        /// Time by which the gateway's wall clock is behind this machine's
         #[arg(long, default_value = "0s", value_parser = humantime::parse_duration)]
         behind: Duration,
-        /// As if the machine had just been started anew, in a run of this name
+        /// Boot id of the machine, as if it had just booted
         #[arg(long)]
         boot: Option<String>,
     },
-    /// Run a scheduler on the operators' platform, as `quartzdrift run` does
+    /// Run a scheduler on the platform, as `quartzdrift run` does
     Scheduler,
     /// Run one fake worker
     Worker {
         #[arg(long, default_value = "127.0.0.1:9801")]
         listen: SocketAddr,
-        /// Address of a store to fetch functions from
+        /// Address of the store that functions are fetched from
         #[arg(long)]
         store: Option<SocketAddr>,
     },
@@ -60,109 +60,113 @@
         #[command(flatten)]
         config: StoreOptions,
     },
-    /// Run a gateway that breaks the rules on purpose, to prove that the auditor sees it
+    /// Run a gateway that violates the guarantees on purpose, to prove that the auditor finds it
     Naive { file: PathBuf },
-    /// Play a day of faults against several gateway processes, and judge the rules from what passed on the sockets
+    /// Run a scenario with faults against gateway processes, and audit the guarantees from the recorded
+    /// socket events
     ///
-    /// Exit status 0 only where every rule was kept. Without a script it plays the bad day that comes with it.
+    /// The exit status is 0 only if no guarantee was violated. Without a scenario file, the built-in scenario
+    /// is run.
     Badday {
         script: Option<PathBuf>,
-        /// Draws the day's traffic
+        /// Seed of the scenario's traffic
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Play it so many times, each with the next seed
+        /// Number of runs, each with the next seed
         #[arg(long, default_value_t = 1)]
         times: u64,
-        /// Keep the record in this file
+        /// File to write the record of socket events to
         #[arg(long)]
         record: Option<PathBuf>,
-        /// Run gateways of this program (`PROGRAM serve FILE`) in place of this one
+        /// Program to run as the gateway (`PROGRAM serve FILE`) in place of this one
         #[arg(long, conflicts_with = "naive")]
         gateway: Option<PathBuf>,
-        /// Run gateways that break the rules: the day must fail
+        /// Run gateways that violate the guarantees; the audit must fail
         #[arg(long)]
         naive: bool,
     },
-    /// Play days of power loss drawn from seeds against several gateway processes, with faults between them
+    /// Run generated scenarios with power losses and other faults against gateway processes
     ///
-    /// Exit status 0 only where every rule was kept; seeds that broke one are printed, and played again by --from.
+    /// The exit status is 0 only if no guarantee was violated. Failing seeds are printed; --from runs one
+    /// again.
     Recovery {
+        /// Number of seeds, and so of scenarios
         #[arg(long, default_value_t = 10)]
         seeds: u64,
-        /// The first seed
+        /// First seed
         #[arg(long, default_value_t = 1)]
         from: u64,
-        /// Days played at a time
+        /// Number of scenarios that run at the same time
         #[arg(long, default_value_t = 3)]
         at_a_time: usize,
-        /// Print the script of the first seed in place of playing
+        /// Print the scenario file of the first seed in place of running it
         #[arg(long)]
         script: bool,
     },
-    /// Call functions at a rate, open-loop, and report times by outcome
+    /// Call functions open-loop at a rate, and report latencies by outcome
     Load {
-        /// The addresses called in turn
+        /// Addresses to call, in rotation
         #[arg(long, default_value = "127.0.0.1:9700", value_delimiter = ',')]
         to: Vec<SocketAddr>,
-        /// Functions with their shares, like hello=3,add=1
-        #[arg(long, default_value = "hello=1", value_delimiter = ',', value_parser = share)]
+        /// Functions with their weights, as hello=3,add=1
+        #[arg(long, default_value = "hello=1", value_delimiter = ',', value_parser = parse_weight)]
         mix: Vec<(String, f64)>,
-        /// Calls a second
+        /// Mean rate, in calls a second
         #[arg(long, default_value_t = 100.0)]
         rate: f64,
         #[arg(long, default_value = "10s", value_parser = humantime::parse_duration)]
         length: Duration,
         #[arg(long, default_value = "{}")]
         payload: String,
-        /// Deferred calls
+        /// Make asynchronous calls
         #[arg(long)]
         event: bool,
-        /// Calls out at a time at most
+        /// Largest number of calls in flight
         #[arg(long, default_value_t = 1000)]
         out: usize,
         #[arg(long, default_value = "30s", value_parser = humantime::parse_duration)]
         timeout: Duration,
-        /// Evenly spaced in place of random arrivals
+        /// Send calls at equal intervals in place of random ones
         #[arg(long)]
         even: bool,
-        /// Call what this trace tells, each at its moment, in place of mix, rate and length
+        /// Trace of calls to send at their times, in place of mix, rate and length
         #[arg(long, conflicts_with_all = ["mix", "rate", "length", "even"])]
         trace: Option<PathBuf>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Measure what a gateway costs: calls a second, time added, memory
+    /// Measure what a gateway costs: throughput, added latency, memory, start
     Measure {
-        /// All of them, where none is named
+        /// Measurements to run; all by default
         what: Vec<measure::Measurement>,
-        /// Requests over which memory must stay flat
+        /// Number of requests after which memory is measured
         #[arg(long, alias = "jobs", default_value_t = 1_000_000.0)]
         requests: f64,
     },
-    /// Play a script in simulated time and print what it came to
+    /// Run a scenario in simulated time and print its results as JSON
     Emulate {
         script: Option<PathBuf>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Load ahead of need by forecasts
+        /// Load functions before they are needed, by forecasts
         #[arg(long)]
         forecasts: bool,
-        /// Schedulers know of each other by the membership
+        /// Run the schedulers with the membership protocol
         #[arg(long)]
         members: bool,
-        /// They return to service in stages after a loss of power
+        /// Run the schedulers with the staged recovery after a power loss
         #[arg(long, requires = "members")]
         recovery: bool,
-        /// Use this trace in place of the script's own traffic
+        /// Trace to use in place of the scenario's generated traffic
         #[arg(long)]
         trace: Option<PathBuf>,
-        /// Write the traffic as a trace (`.gz` compresses)
+        /// File to write the traffic to as a trace; compressed if its name ends in .gz
         #[arg(long)]
         write_trace: Option<PathBuf>,
     },
-    /// Play a day of the bench, scaled down, on gateway processes and in the emulator
+    /// Run a scenario of the bench, scaled down, on gateway processes and in simulated time
     ///
-    /// Exit status 0 only where every rule was kept. Faults that have no counterpart are named.
+    /// The exit status is 0 only if no guarantee was violated. Faults without a counterpart are printed.
     Replay {
         day: PathBuf,
         #[arg(long, default_value_t = 4)]
@@ -173,18 +177,18 @@
         length: Duration,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// In the emulator alone, which plays larger sizes
+        /// Run in simulated time only, which allows larger sizes
         #[arg(long)]
         emulator: bool,
     },
-    /// Compare variants over days and seeds by a TOML file; see experiments/forecasts.toml
+    /// Compare variants over scenarios and seeds, as a TOML file states them; see experiments/forecasts.toml
     Experiment {
         file: PathBuf,
-        /// Folder for table, rows and plots
+        /// Folder for the table, the rows and the plots
         #[arg(long, default_value = "target/experiment")]
         out: PathBuf,
     },
-    /// Judge a record that was kept
+    /// Audit a record that `badday --record` has written
     Audit { record: PathBuf },
     /// Run a fake service discovery that lists these workers
     #[command(alias = "roster")]
@@ -197,25 +201,28 @@
 
 #[derive(clap::Args)]
 struct StoreOptions {
-    /// Fetches at a time that are as fast as one
+    /// Number of concurrent fetches up to which a fetch is not slowed down
     #[arg(long, default_value_t = 16.0)]
     capacity: f64,
-    /// Fetches at a time past which more are turned away
+    /// Largest number of concurrent fetches; more are rejected
     #[arg(long, default_value_t = 64)]
     limit: usize,
 }
 
-fn share(text: &str) -> Result<(String, f64), String> {
-    let (function, share) = text.split_once('=').unwrap_or((text, "1"));
-    match share.parse::<f64>() {
-        Ok(share) if share > 0.0 && share.is_finite() => Ok((function.to_owned(), share)),
-        Ok(_) | Err(_) => Err(format!("'{share}' is no share over 0")),
+/// Parses `FUNCTION=WEIGHT`; without a weight it is 1.
+fn parse_weight(text: &str) -> Result<(String, f64), String> {
+    let (function, weight) = text.split_once('=').unwrap_or((text, "1"));
+    match weight.parse::<f64>() {
+        Ok(weight) if weight > 0.0 && weight.is_finite() => Ok((function.to_owned(), weight)),
+        Ok(_) | Err(_) => Err(format!(
+            "the weight '{weight}' of function '{function}' is not a number above 0"
+        )),
     }
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
-        Command::Demo { listen, workers } => demo(listen, workers),
+    let result = match Arguments::parse().command {
+        Command::Demo { listen, workers } => run_demo(listen, workers),
         Command::Gateway {
             file,
             ahead,
@@ -224,12 +231,12 @@
         } => {
             let boot = boot.map(|name| (name, Duration::ZERO));
             clock::override_clocks(clock::ClockOverride { ahead, behind, boot });
-            gateway(&file)
+            run_gateway(&file)
         }
         Command::Scheduler => run::start(),
         Command::Naive { file } => settings::load(&file)
-            .map_err(faults)
-            .and_then(|settings| naive::run(settings, |at| serve::announce(&[at]))),
+            .map_err(settings_error)
+            .and_then(|settings| naive::run(settings, |address| serve::announce(&[address]))),
         Command::Badday {
             script,
             seed,
@@ -254,7 +261,7 @@
                     }
                 },
             };
-            return badday(script.as_deref(), seed..seed + times, record.as_deref(), &program);
+            return run_scenario(script.as_deref(), seed..seed + times, record.as_deref(), &program);
         }
         Command::Recovery {
             from, script: true, ..
@@ -269,34 +276,36 @@
             script: false,
         } => std::env::current_exe().and_then(|path| {
             let program = scenario_runner::GatewayProgram::lab_command(&path, "gateway");
-            let bad =
-                power_loss::run_seeds(
-                    from..from + seeds,
-                    at_a_time,
-                    &program,
-                    |seed, played| match played {
-                        Ok(day) => {
-                            println!(
-                                "seed {seed}: {} calls, {} breaches",
-                                day.call_counts.sent,
-                                day.violations.len()
-                            );
-                            day.violations
-                                .iter()
-                                .take(3)
-                                .for_each(|broken| println!("    {broken}"));
-                        }
-                        Err(e) => println!("seed {seed}: {e}"),
-                    },
-                );
-            bad.iter()
-                .for_each(|bad| println!("seed {} is bad:\n{}", bad.seed, bad.reason));
-            match bad.len() {
+            let failed_seeds = power_loss::run_seeds(
+                from..from + seeds,
+                at_a_time,
+                &program,
+                |seed, result| match result {
+                    Ok(run) => {
+                        println!(
+                            "seed {seed}: {} calls, {} violations",
+                            run.call_counts.sent,
+                            run.violations.len()
+                        );
+                        run.violations
+                            .iter()
+                            .take(MAX_SHOWN_OF_SEED)
+                            .for_each(|violation| println!("    {violation}"));
+                    }
+                    Err(e) => println!("seed {seed}: {e}"),
+                },
+            );
+            failed_seeds
+                .iter()
+                .for_each(|failed| println!("seed {} failed:\n{}", failed.seed, failed.reason));
+            match failed_seeds.len() {
                 0 => {
-                    println!("{seeds} days of power loss, every rule was kept");
+                    println!("{seeds} power loss scenarios, no guarantee was violated");
                     Ok(())
                 }
-                many => Err(std::io::Error::other(format!("{many} of {seeds} days were bad"))),
+                failed => Err(std::io::Error::other(format!(
+                    "{failed} of {seeds} power loss scenarios failed"
+                ))),
             }
         }),
         Command::Load {
@@ -311,29 +320,26 @@
             even,
             trace,
             seed,
-        } => {
-            let (asynchronous, out_most) = (event, out);
-            trace
-                .as_deref()
-                .map(traffic::read_trace)
-                .transpose()
-                .and_then(|trace| {
-                    let plan = load::Plan {
-                        addresses: to,
-                        mix,
-                        requests_per_s: rate,
-                        duration: length,
-                        payload,
-                        asynchronous,
-                        max_in_flight: out_most,
-                        timeout,
-                        evenly_spaced: even,
-                        trace,
-                        seed,
-                    };
-                    load::run(plan).map(|report| println!("{report}"))
-                })
-        }
+        } => trace
+            .as_deref()
+            .map(traffic::read_trace)
+            .transpose()
+            .and_then(|trace| {
+                let plan = load::Plan {
+                    addresses: to,
+                    mix,
+                    requests_per_s: rate,
+                    duration: length,
+                    payload,
+                    asynchronous: event,
+                    max_in_flight: out,
+                    timeout,
+                    evenly_spaced: even,
+                    trace,
+                    seed,
+                };
+                load::run(plan).map(|report| println!("{report}"))
+            }),
         Command::Emulate {
             script,
             seed,
@@ -376,7 +382,7 @@
                 workers,
                 length,
             };
-            return match replay(&day, scale, seed, emulator) {
+            return match replay_bench_scenario(&day, scale, seed, emulator) {
                 Ok(code) => code,
                 Err(e) => {
                     eprintln!("quartzdrift-lab: {}: {e}", day.display());
@@ -385,18 +391,18 @@
             };
         }
         Command::Experiment { file, out } => std::fs::read_to_string(&file).and_then(|text| {
-            let (experiment, scripts) = experiment::parse(&text).map_err(std::io::Error::other)?;
-            let rows = experiment::run(&experiment, &scripts, true);
+            let (experiment, scenarios) = experiment::parse(&text).map_err(std::io::Error::other)?;
+            let rows = experiment::run(&experiment, &scenarios, true);
             println!("{}", experiment::markdown_table(&experiment, &rows));
             experiment::write_results(&experiment, &rows, &out)?;
             println!("rows and plots: {}", out.display());
             Ok(())
         }),
         Command::Measure { what, requests } => std::env::current_exe()
-            .and_then(|lab| measure::run(&lab, &what, requests, &mut std::io::stdout().lock())),
+            .and_then(|program| measure::run(&program, &what, requests, &mut std::io::stdout().lock())),
         Command::Audit { record } => {
             return match scenario_runner::load_record(&record) {
-                Ok((terms, lines)) => judged(&audit::audit(&lines, &terms)),
+                Ok((terms, lines)) => print_violations(&audit::audit(&lines, &terms)),
                 Err(e) => {
                     eprintln!("quartzdrift-lab: {}: {e}", record.display());
                     ExitCode::FAILURE
@@ -425,10 +431,10 @@
             })
         }),
         Command::Discovery { listen, workers } => bind(listen).and_then(|(listener, address)| {
-            println!("roster at http://{address}/workers/0");
+            println!("service discovery at http://{address}/workers/0");
             let workers = workers
                 .iter()
-                .map(|w| quartzdrift_discovery::DiscoveredEndpoint::up(&w.to_string()))
+                .map(|worker| quartzdrift_discovery::DiscoveredEndpoint::up(&worker.to_string()))
                 .collect();
             let lag = Duration::ZERO;
             actor::run(Some(listener), None, |handle| {
@@ -436,7 +442,7 @@
             })
         }),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("quartzdrift-lab: {e}");
@@ -445,74 +451,82 @@
     }
 }
 
-fn bind(at: SocketAddr) -> std::io::Result<(std::net::TcpListener, SocketAddr)> {
-    let named = |e: std::io::Error| std::io::Error::new(e.kind(), format!("cannot listen at {at}: {e}"));
-    let listener = quartzdrift_http::bind(at, false).map_err(named)?;
+/// Opens a listener; returns it with its address, which states the port if `address` leaves it to the system.
+fn bind(address: SocketAddr) -> std::io::Result<(std::net::TcpListener, SocketAddr)> {
+    let with_address =
+        |e: std::io::Error| std::io::Error::new(e.kind(), format!("cannot listen at {address}: {e}"));
+    let listener = quartzdrift_http::bind(address, false).map_err(with_address)?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
-fn faults(faults: Vec<settings::SettingsError>) -> std::io::Error {
-    let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+/// An error that lists the errors of a settings file, one a line.
+fn settings_error(errors: Vec<settings::SettingsError>) -> std::io::Error {
+    let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     std::io::Error::other(lines.join("\n"))
 }
 
-fn gateway(file: &std::path::Path) -> std::io::Result<()> {
-    let settings = settings::load(file).map_err(faults)?;
+/// Runs a gateway until a signal ends it.
+fn run_gateway(file: &std::path::Path) -> std::io::Result<()> {
+    let settings = settings::load(file).map_err(settings_error)?;
     logs::start(&settings.log);
     serve::run(settings, serve::signals()?, serve::announce)
 }
 
-/// The day that is played where no other is named.
-const BAD_DAY: &str = include_str!("../days/badday.txt");
+/// Scenario file that is run if the command line names none.
+const DEFAULT_SCENARIO: &str = include_str!("../days/badday.txt");
 
-/// The script that is named, or that day.
-fn day_of(script: Option<&std::path::Path>) -> std::io::Result<scenario::Scenario> {
-    let text = match script {
+/// Reads the scenario file at `path`, or [`DEFAULT_SCENARIO`].
+fn read_scenario(path: Option<&std::path::Path>) -> std::io::Result<scenario::Scenario> {
+    let text = match path {
         Some(path) => std::fs::read_to_string(path)
             .map_err(|e| std::io::Error::new(e.kind(), format!("{}: {e}", path.display())))?,
-        None => BAD_DAY.to_owned(),
+        None => DEFAULT_SCENARIO.to_owned(),
     };
     scenario::read(&text).map_err(std::io::Error::other)
 }
 
-/// Breaches that are printed; all of them are counted.
+/// Largest number of violations of a scenario run that are printed; all of them are counted.
 const MAX_SHOWN: usize = 20;
+/// Largest number of violations that are printed for each seed of a series of scenarios.
+const MAX_SHOWN_OF_SEED: usize = 3;
 
-fn judged(broken: &[audit::Violation]) -> ExitCode {
-    broken
+/// Prints violations with their number by rule; returns the exit status.
+fn print_violations(violations: &[audit::Violation]) -> ExitCode {
+    violations
         .iter()
         .take(MAX_SHOWN)
-        .for_each(|broken| println!("BROKEN {broken}"));
-    match broken.len() {
-        0 => println!("every rule was kept"),
+        .for_each(|violation| println!("VIOLATION {violation}"));
+    match violations.len() {
+        0 => println!("no guarantee was violated"),
         n => {
             let mut counts = std::collections::BTreeMap::new();
-            broken
+            violations
                 .iter()
-                .for_each(|broken| *counts.entry(broken.rule).or_insert(0) += 1);
+                .for_each(|violation| *counts.entry(violation.rule).or_insert(0) += 1);
             let counts: Vec<String> = counts
                 .iter()
                 .map(|(rule, count)| format!("{rule}: {count}"))
                 .collect();
-            println!("{n} breaches ({})", counts.join(", "));
+            println!("{n} violations ({})", counts.join(", "));
         }
     }
-    if broken.is_empty() {
+    if violations.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-fn badday(
-    script: Option<&std::path::Path>,
+/// Runs a scenario against gateway processes, once for each seed, and audits each run.
+fn run_scenario(
+    path: Option<&std::path::Path>,
     seeds: std::ops::Range<u64>,
     record: Option<&std::path::Path>,
     program: &scenario_runner::GatewayProgram,
 ) -> ExitCode {
-    let script = match day_of(script) {
-        Ok(script) => script,
+    let scenario = match read_scenario(path) {
+        Ok(scenario) => scenario,
         Err(e) => {
             eprintln!("quartzdrift-lab: {e}");
             return ExitCode::FAILURE;
@@ -520,171 +534,187 @@
     };
     let mut code = ExitCode::SUCCESS;
     for seed in seeds {
-        let day = match scenario_runner::run(&script, program, seed) {
-            Ok(day) => day,
+        let run = match scenario_runner::run(&scenario, program, seed) {
+            Ok(run) => run,
             Err(e) => {
-                eprintln!("quartzdrift-lab: the day could not be played: {e}");
+                eprintln!("quartzdrift-lab: cannot run the scenario with seed {seed}: {e}");
                 return ExitCode::FAILURE;
             }
         };
-        let tally = &day.call_counts;
+        let counts = &run.call_counts;
         println!(
-            "seed {seed}: {} calls, {} finished, {} taken, {} pushed back, {} killed, {} other answers, \
-             {} without an answer; {} executions, {} waited for a load, {} fetches",
-            tally.sent,
-            tally.finished,
-            tally.accepted,
-            tally.rejected,
-            tally.killed,
-            tally.other,
-            tally.no_answer,
-            day.attempts,
-            day.waited_for_load,
-            day.fetches
+            "seed {seed}: {} calls, {} succeeded, {} accepted, {} rejected, {} killed, {} with other responses, \
+             {} without a response; {} attempts, {} waited for a load, {} fetches",
+            counts.sent,
+            counts.finished,
+            counts.accepted,
+            counts.rejected,
+            counts.killed,
+            counts.other,
+            counts.no_answer,
+            run.attempts,
+            run.waited_for_load,
+            run.fetches
         );
-        if let Some(back) = power_loss::recovery_seconds(&day, &script) {
-            let refused = day.refused_fetches;
-            println!("as before {back:.2} s after power came back; the store turned {refused} fetches away");
+        if let Some(seconds) = power_loss::recovery_seconds(&run, &scenario) {
+            let rejected = run.refused_fetches;
+            println!(
+                "recovered {seconds:.2} s after the return of power; the store rejected {rejected} fetches"
+            );
         }
         if let Some(path) = record
-            && let Err(e) = scenario_runner::save_record(&day, path)
+            && let Err(e) = scenario_runner::save_record(&run, path)
         {
             eprintln!("quartzdrift-lab: {}: {e}", path.display());
             code = ExitCode::FAILURE;
         }
-        if judged(&day.violations) != ExitCode::SUCCESS {
+        if print_violations(&run.violations) != ExitCode::SUCCESS {
             code = ExitCode::FAILURE;
         }
     }
     code
 }
 
+/// Runs a scenario in simulated time and prints its results as JSON.
 fn simulate(
-    script: Option<&std::path::Path>,
+    path: Option<&std::path::Path>,
     seed: u64,
     variant: &simulation::Variant,
     trace: Option<&std::path::Path>,
-    write: Option<&std::path::Path>,
+    write_trace: Option<&std::path::Path>,
 ) -> std::io::Result<()> {
-    let script = day_of(script)?;
+    let scenario = read_scenario(path)?;
     let arrivals = match trace {
         Some(path) => traffic::read_trace(path)?,
-        None => traffic::generate_arrivals(&script, seed),
+        None => traffic::generate_arrivals(&scenario, seed),
     };
     if let Some(arrival) = arrivals
         .iter()
-        .find(|arrival| arrival.request_class >= script.request_classes.len())
+        .find(|arrival| arrival.request_class >= scenario.request_classes.len())
     {
         return Err(std::io::Error::other(format!(
-            "the trace has a workload {} that the script lacks",
-            arrival.request_class
+            "the trace has a call of request class {}, but the scenario has only {} request classes",
+            arrival.request_class,
+            scenario.request_classes.len()
         )));
     }
-    if let Some(path) = write {
+    if let Some(path) = write_trace {
         traffic::write_trace(path, &arrivals)?;
     }
     let start = std::time::Instant::now();
-    let figures = simulation::run(&script, &arrivals, variant, seed);
-    println!("{}", serde_json::to_string_pretty(&figures)?);
+    let results = simulation::run(&scenario, &arrivals, variant, seed);
+    println!("{}", serde_json::to_string_pretty(&results)?);
     eprintln!(
         "{:.1?} of simulated time in {:.1?}",
-        script.length,
+        scenario.length,
         start.elapsed()
     );
     Ok(())
 }
 
-fn replay(
+/// Runs a scenario of the bench in simulated time, and unless `simulation_only` against gateway processes;
+/// prints the results of both.
+fn replay_bench_scenario(
     path: &std::path::Path,
     scale: bench_scenario::Scale,
     seed: u64,
-    emulator: bool,
+    simulation_only: bool,
 ) -> std::io::Result<ExitCode> {
-    let day = bench_scenario::read(&std::fs::read_to_string(path)?, scale).map_err(std::io::Error::other)?;
-    let script = day.scenario;
+    let bench =
+        bench_scenario::read(&std::fs::read_to_string(path)?, scale).map_err(std::io::Error::other)?;
+    let scenario = bench.scenario;
     println!(
-        "{} troubles; not played: {}",
-        script.faults.len(),
-        match day.unsupported.as_slice() {
+        "{} faults; not supported: {}",
+        scenario.faults.len(),
+        match bench.unsupported.as_slice() {
             [] => "none".to_owned(),
-            some => some.join(", "),
+            unsupported => unsupported.join(", "),
         }
     );
     let variant = simulation::Variant {
         membership: true,
         ..Default::default()
     };
-    let modelled = simulation::run(
-        &script,
-        &traffic::generate_arrivals(&script, seed),
+    let simulated = simulation::run(
+        &scenario,
+        &traffic::generate_arrivals(&scenario, seed),
         &variant,
         seed,
     );
     let percent = |part: u64, all: u64| 100.0 * part as f64 / all.max(1) as f64;
     println!(
-        "{:<9} {:>7} {:>10} {:>13} {:>8} {:>10} {:>12}",
-        "", "calls", "finished %", "pushed back %", "killed %", "no answer %", "executions"
+        "{:<10} {:>7} {:>11} {:>10} {:>8} {:>13} {:>8}",
+        "", "calls", "succeeded %", "rejected %", "killed %", "no response %", "attempts"
     );
-    let line = |name: &str, calls: u64, of: [u64; 4], attempts: u64| {
-        let [finished, rejected, killed, none] = of.map(|part| percent(part, calls));
+    let print_row = |name: &str, calls: u64, counts: [u64; 4], attempts: u64| {
+        let [succeeded, rejected, killed, unanswered] = counts.map(|count| percent(count, calls));
         println!(
-            "{name:<9} {calls:>7} {finished:>10.1} {rejected:>13.1} {killed:>8.1} {none:>10.1} {attempts:>12}"
+            "{name:<10} {calls:>7} {succeeded:>11.1} {rejected:>10.1} {killed:>8.1} {unanswered:>13.1} {attempts:>8}"
         );
     };
-    let f = &modelled;
-    line(
-        "emulator",
-        f.requests,
-        [f.succeeded, f.rejected, f.failed, f.unanswered],
-        f.attempts,
+    print_row(
+        "simulation",
+        simulated.requests,
+        [
+            simulated.succeeded,
+            simulated.rejected,
+            simulated.failed,
+            simulated.unanswered,
+        ],
+        simulated.attempts,
     );
-    if f.overload_crashes > 0 {
+    if simulated.overload_crashes > 0 {
         println!(
-            "BROKEN {} cold workers were pushed over in the emulator",
-            f.overload_crashes
+            "VIOLATION {} workers crashed by overload during slow start in the simulation",
+            simulated.overload_crashes
         );
     }
-    if emulator {
-        return Ok(if f.overload_crashes == 0 {
+    if simulation_only {
+        return Ok(if simulated.overload_crashes == 0 {
             ExitCode::SUCCESS
         } else {
             ExitCode::FAILURE
         });
     }
     let program = scenario_runner::GatewayProgram::lab_command(&std::env::current_exe()?, "gateway");
-    let played = scenario_runner::run(&script, &program, seed)?;
-    let tally = &played.call_counts;
-    let of = [tally.finished, tally.rejected, tally.killed, tally.no_answer];
-    line("sockets", tally.sent, of, played.attempts as u64);
-    let code = judged(&played.violations);
-    Ok(if f.overload_crashes == 0 {
+    let run = scenario_runner::run(&scenario, &program, seed)?;
+    let counts = &run.call_counts;
+    print_row(
+        "sockets",
+        counts.sent,
+        [counts.finished, counts.rejected, counts.killed, counts.no_answer],
+        run.attempts as u64,
+    );
+    let code = print_violations(&run.violations);
+    Ok(if simulated.overload_crashes == 0 {
         code
     } else {
         ExitCode::FAILURE
     })
 }
 
-/// The settings of the demo; its workers are put in.
-const DEMO: &str = include_str!("demo.toml");
+/// Settings of the demo, to which its workers are added.
+const DEMO_SETTINGS: &str = include_str!("demo.toml");
 
-fn demo(listen: SocketAddr, workers: usize) -> std::io::Result<()> {
+/// Runs fake workers and a gateway in front of them until a signal ends the gateway.
+fn run_demo(listen: SocketAddr, workers: usize) -> std::io::Result<()> {
     let signals = serve::signals()?;
-    let mut standing = Vec::new();
-    let mut text = DEMO.replace("LISTEN", &listen.to_string());
+    let mut fake_workers = Vec::new();
+    let mut text = DEMO_SETTINGS.replace("LISTEN", &listen.to_string());
     for _ in 0..workers {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let worker = actor::spawn(any, |handle, address| {
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let worker = actor::spawn(any_port, |handle, address| {
             worker::FakeWorker::new(handle, address, worker::Config::default())
         })?;
         text.push_str(&format!("\n[[workers]]\naddress = \"{}\"\n", worker.address));
-        standing.push(worker);
+        fake_workers.push(worker);
     }
-    let settings = settings::read("demo.toml", &text).map_err(faults)?;
+    let settings = settings::read("demo.toml", &text).map_err(settings_error)?;
     logs::start(&settings.log);
     serve::run(settings, signals, |addresses| {
         let Some(at) = addresses.first() else { return };
-        for worker in &standing {
-            println!("stand-in worker   http://{}", worker.address);
+        for worker in &fake_workers {
+            println!("fake worker       http://{}", worker.address);
         }
         println!("gateway           http://{at}");
         println!("functions         hello, add, echo, fail\n\nTry it:\n");
