--- a/crates/quartzdrift-lab/src/traffic.rs
+++ b/crates/quartzdrift-lab/src/traffic.rs
@@ -73,10 +73,10 @@
 }
 
 /// The arrivals of a scenario, in order of time. The same scenario and seed give the same arrivals.
-pub fn generate_arrivals(script: &Scenario, seed: u64) -> Vec<Arrival> {
-    let length = script.length.as_secs_f64();
+pub fn generate_arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
+    let length = scenario.length.as_secs_f64();
     let mut all = Vec::new();
-    for (index, request_class) in script.request_classes.iter().enumerate() {
+    for (index, request_class) in scenario.request_classes.iter().enumerate() {
         let mut rng = StdRng::seed_from_u64(seed ^ (index as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut add = |rng: &mut StdRng, at: f64, function: String, gateway: f64| {
             let work = request_class.mean_work.as_secs_f64() * rng.random_range(0.5..1.5);
@@ -199,14 +199,14 @@
 
     #[test]
     fn a_seed_gives_the_same_trace_and_a_file_preserves_it() {
-        let script = scenario::read(
+        let scenario = scenario::read(
             "length 20s\nworkload a restartable rate=20 functions=5 pattern=daily period=5s most=4\n\
              workload t restartable functions=3 pattern=timers period=4s\nworkload s restartable rate=5 pattern=scan",
         )
         .unwrap();
-        let first = generate_arrivals(&script, 7);
-        assert_eq!(first, generate_arrivals(&script, 7));
-        assert_ne!(first, generate_arrivals(&script, 8));
+        let first = generate_arrivals(&scenario, 7);
+        assert_eq!(first, generate_arrivals(&scenario, 7));
+        assert_ne!(first, generate_arrivals(&scenario, 8));
         assert!(first.is_sorted_by_key(|a| a.at_us) && first.iter().any(|a| a.function == "t-2"));
         let week =
             scenario::read("length 70s\nworkload w restartable rate=20 pattern=weekly period=10s most=6")
