--- a/crates/quartzdrift-lab/src/audit.rs
+++ b/crates/quartzdrift-lab/src/audit.rs
@@ -1,48 +1,65 @@
-//! Judges a day from its record alone: the five rules, and never two attempts of a request at once.
+//! Audits the record of a scenario run: checks each [`Rule`] against the recorded lines, and against nothing
+//! else.
 use crate::record::{Line, Seen};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How much later one fake may see something than another saw its cause, in microseconds: they are threads
-/// that share a few cores with the gateways, and a closed connection is seen when its thread is next run.
+/// Longest delay, in microseconds, between an event at one fake and its observation at another. Fakes are
+/// threads that share a few cores with the gateways, and a closed connection is noticed only when its thread
+/// runs next.
 pub const OBSERVATION_LAG_US: u64 = 75_000;
 
-/// What is promised to whom.
+/// The guarantees and limits that a record is checked against.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Guarantees {
-    /// Request classes that must never run twice, and those that may within a window (microseconds).
+    /// Request classes whose requests must never run twice.
     #[serde(rename = "run_once")]
     pub non_idempotent: BTreeSet<String>,
+    /// Deduplication windows in microseconds, by request class: requests of these classes may be sent again
+    /// within the window.
     #[serde(rename = "windows_us")]
     pub deduplication_windows_us: BTreeMap<String, u64>,
+    /// How long, in microseconds, a gateway may keep using a worker after it was told that the worker drains.
     pub drain_grace_us: u64,
+    /// Overload bound of a cold worker: the work sent to it within `fall_window_us`, as a multiple of its
+    /// capacity over that window. With 0 the bound is not checked.
     pub fall_multiple: f64,
     pub fall_window_us: u64,
+    /// Load commands that a gateway may send within `load_window_us` without any request.
     #[serde(rename = "load_free")]
     pub load_quota_burst: f64,
+    /// Further load commands allowed for each request within `load_window_us`.
     #[serde(rename = "load_share")]
     pub load_quota_share: f64,
-    /// 0: load orders are not rationed.
+    /// Window of the load quota in microseconds. With 0 the quota is not checked.
     pub load_window_us: u64,
-    /// Asynchronous requests are over by the end of the record.
+    /// Whether accepted asynchronous requests must have completed by the end of the record.
     #[serde(rename = "deferred_over")]
     pub asynchronous_completes: bool,
-    /// And those too that a gateway held when it was killed, unless it never came back.
+    /// Whether asynchronous requests survive the kill of their gateway, provided that it is started again.
     #[serde(default)]
     pub durable: bool,
 }
 
+/// A rule that [`audit`] checks. Violations at the same time are sorted in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// Each accepted request gets exactly one response within its time limit.
     RequestLost,
+    /// No request has its effect more often than its idempotency allows.
     DuplicateEffect,
+    /// A gateway stops using a draining worker within the drain grace.
     DrainGrace,
+    /// No cold worker is sent more work than its overload bound.
     ColdWorkerOverload,
+    /// A gateway sends no more load commands than its quota allows.
     LoadQuota,
+    /// No two attempts of a request run at the same time.
     ConcurrentAttempts,
 }
 
+/// A broken rule, with the time in microseconds since the start of the record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     pub rule: Rule,
@@ -53,12 +70,12 @@
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Rule::RequestLost => "no job lost",
-            Rule::DuplicateEffect => "no effect twice",
-            Rule::DrainGrace => "drains kept",
-            Rule::ColdWorkerOverload => "no cold worker pushed over",
-            Rule::LoadQuota => "loads rationed",
-            Rule::ConcurrentAttempts => "never two executions at once",
+            Rule::RequestLost => "no request lost",
+            Rule::DuplicateEffect => "no duplicate effect",
+            Rule::DrainGrace => "drain grace kept",
+            Rule::ColdWorkerOverload => "no cold worker overloaded",
+            Rule::LoadQuota => "load quota kept",
+            Rule::ConcurrentAttempts => "no concurrent attempts",
         })
     }
 }
@@ -75,50 +92,60 @@
     }
 }
 
-struct Asked<'a> {
-    at: u64,
+/// A call that a client sent to a gateway; times are in microseconds.
+struct ClientCall<'a> {
+    sent_us: u64,
     gateway: u64,
     key: &'a str,
     request_class: &'a str,
     asynchronous: bool,
-    limit: u64,
+    limit_us: u64,
 }
 
+/// An attempt that reached a worker; times are in microseconds.
 struct Attempt<'a> {
     worker: &'a str,
     incarnation: u64,
+    /// The gateway's id of the request.
     request: &'a str,
+    /// The client's key of the request.
     key: &'a str,
-    from: u64,
-    to: Option<u64>,
+    started_us: u64,
+    ended_us: Option<u64>,
+    /// The worker answered that it did not accept the call.
     refused: bool,
-    work: u64,
-    began: bool,
+    work_us: u64,
+    /// The work had its effect.
+    executed: bool,
 }
 
-/// Everything joined by what it is about.
+/// The lines of a record, grouped by the call, gateway or attempt that they are about.
 #[derive(Default)]
-struct Day<'a> {
-    asked: BTreeMap<u64, Asked<'a>>,
-    answers: BTreeMap<u64, Vec<(u64, u16)>>,
-    left: BTreeMap<u64, u64>,
-    cut: BTreeMap<u64, u64>,
+struct JoinedRecord<'a> {
+    calls: BTreeMap<u64, ClientCall<'a>>,
+    /// Time and status of each response, by call.
+    responses: BTreeMap<u64, Vec<(u64, u16)>>,
+    /// When the client disconnected, by call.
+    disconnected: BTreeMap<u64, u64>,
+    /// When the connection was closed without a response, by call.
+    closed: BTreeMap<u64, u64>,
     attempts: Vec<Attempt<'a>>,
-    /// When each gateway was down: from its kill to its next start, or on to the end.
-    down: BTreeMap<u64, Vec<(u64, u64)>>,
-    /// When workers lost what they remembered.
-    forgot: Vec<u64>,
-    /// When gateways lost what they had kept.
-    disks: Vec<(u64, u64)>,
-    end: u64,
+    /// Intervals in which a gateway was down: from its kill to its next start, or to [`u64::MAX`] without
+    /// one.
+    downtimes: BTreeMap<u64, Vec<(u64, u64)>>,
+    /// When the workers lost power, and with it their deduplication state.
+    worker_power_losses: Vec<u64>,
+    /// Gateways that lost their stored state, with the time.
+    disk_losses: Vec<(u64, u64)>,
+    end_us: u64,
 }
 
-fn join(lines: &[Line]) -> Day<'_> {
-    let mut day = Day::default();
-    let mut open: BTreeMap<(&str, u64, u64), usize> = BTreeMap::new();
+fn join(lines: &[Line]) -> JoinedRecord<'_> {
+    let mut record = JoinedRecord::default();
+    let mut attempt_index: BTreeMap<(&str, u64, u64), usize> = BTreeMap::new();
     for Line { at_us, seen } in lines {
         let at = *at_us;
-        day.end = day.end.max(at);
+        record.end_us = record.end_us.max(at);
         match seen {
             Seen::Asked {
                 call,
@@ -128,22 +155,21 @@
                 asynchronous,
                 limit_us,
             } => {
-                let (gateway, asynchronous, limit) = (*gateway, *asynchronous, *limit_us);
-                day.asked.insert(
-                    *call,
-                    Asked {
-                        at,
-                        gateway,
-                        key,
-                        request_class,
-                        asynchronous,
-                        limit,
-                    },
-                );
+                let client_call = ClientCall {
+                    sent_us: at,
+                    gateway: *gateway,
+                    key,
+                    request_class,
+                    asynchronous: *asynchronous,
+                    limit_us: *limit_us,
+                };
+                record.calls.insert(*call, client_call);
             }
-            Seen::Answered { call, status, .. } => day.answers.entry(*call).or_default().push((at, *status)),
-            Seen::Left { call } => drop(day.left.insert(*call, at)),
-            Seen::Cut { call } => drop(day.cut.insert(*call, at)),
+            Seen::Answered { call, status, .. } => {
+                record.responses.entry(*call).or_default().push((at, *status));
+            }
+            Seen::Left { call } => drop(record.disconnected.insert(*call, at)),
+            Seen::Cut { call } => drop(record.closed.insert(*call, at)),
             Seen::Came {
                 worker,
                 incarnation,
@@ -153,17 +179,17 @@
                 work_us,
                 ..
             } => {
-                open.insert((worker, *incarnation, *call), day.attempts.len());
-                day.attempts.push(Attempt {
+                attempt_index.insert((worker, *incarnation, *call), record.attempts.len());
+                record.attempts.push(Attempt {
                     worker,
                     incarnation: *incarnation,
                     request,
                     key,
-                    from: at,
-                    to: None,
+                    started_us: at,
+                    ended_us: None,
                     refused: false,
-                    work: *work_us,
-                    began: false,
+                    work_us: *work_us,
+                    executed: false,
                 });
             }
             Seen::Began {
@@ -172,8 +198,8 @@
                 call,
                 ..
             } => {
-                if let Some(&of) = open.get(&(worker.as_str(), *incarnation, *call)) {
-                    day.attempts[of].began = true;
+                if let Some(&index) = attempt_index.get(&(worker.as_str(), *incarnation, *call)) {
+                    record.attempts[index].executed = true;
                 }
             }
             Seen::Refused {
@@ -181,8 +207,8 @@
                 incarnation,
                 call,
             } => {
-                if let Some(&of) = open.get(&(worker.as_str(), *incarnation, *call)) {
-                    day.attempts[of].refused = true;
+                if let Some(&index) = attempt_index.get(&(worker.as_str(), *incarnation, *call)) {
+                    record.attempts[index].refused = true;
                 }
             }
             Seen::Over {
@@ -190,18 +216,21 @@
                 incarnation,
                 call,
             } => {
-                if let Some(&of) = open.get(&(worker.as_str(), *incarnation, *call)) {
-                    day.attempts[of].to.get_or_insert(at);
+                if let Some(&index) = attempt_index.get(&(worker.as_str(), *incarnation, *call)) {
+                    record.attempts[index].ended_us.get_or_insert(at);
                 }
             }
-            Seen::GatewayKilled { gateway } => day.down.entry(*gateway).or_default().push((at, u64::MAX)),
+            Seen::GatewayKilled { gateway } => {
+                record.downtimes.entry(*gateway).or_default().push((at, u64::MAX));
+            }
             Seen::GatewayUp { gateway } => {
-                if let Some(last) = day.down.get_mut(gateway).and_then(|times| times.last_mut()) {
+                let downtimes = record.downtimes.get_mut(gateway);
+                if let Some(last) = downtimes.and_then(|times| times.last_mut()) {
                     last.1 = last.1.min(at);
                 }
             }
-            Seen::WorkersLost => day.forgot.push(at),
-            Seen::DiskLost { gateway } => day.disks.push((*gateway, at)),
+            Seen::WorkersLost => record.worker_power_losses.push(at),
+            Seen::DiskLost { gateway } => record.disk_losses.push((*gateway, at)),
             Seen::Ordered { .. }
             | Seen::ToldAway { .. }
             | Seen::ToldUp { .. }
@@ -211,162 +240,181 @@
             | Seen::FetchRefused { .. } => {}
         }
     }
-    day
+    record
 }
 
-/// All that is broken, in the order of time.
-pub fn audit(lines: &[Line], terms: &Guarantees) -> Vec<Violation> {
-    let day = join(lines);
-    let mut broken = Vec::new();
-    lost(&day, terms, &mut broken);
-    twice(&day, terms, &mut broken);
-    at_once(&day, &mut broken);
-    drains(lines, terms, &mut broken);
-    cold(lines, &day, terms, &mut broken);
-    loads(lines, terms, &mut broken);
-    broken.sort_by_key(|b| (b.at_us, b.rule));
-    broken
+/// Returns all violations of the rules, sorted by time.
+pub fn audit(lines: &[Line], guarantees: &Guarantees) -> Vec<Violation> {
+    let record = join(lines);
+    let mut violations = Vec::new();
+    check_lost_requests(&record, guarantees, &mut violations);
+    check_duplicate_effects(&record, guarantees, &mut violations);
+    check_concurrent_attempts(&record, &mut violations);
+    check_drain_grace(lines, guarantees, &mut violations);
+    check_cold_workers(lines, &record, guarantees, &mut violations);
+    check_load_quota(lines, guarantees, &mut violations);
+    violations.sort_by_key(|violation| (violation.at_us, violation.rule));
+    violations
 }
 
-/// Each request that a running gateway took gets one final answer, within its limit; what it held when it was killed
-/// is no longer its duty, nor is an answer to a client that left.
-fn lost(day: &Day, terms: &Guarantees, broken: &mut Vec<Violation>) {
-    let handled: BTreeSet<&str> = day.attempts.iter().filter(|e| e.began).map(|e| e.key).collect();
-    for (call, asked) in &day.asked {
-        let until = asked.at + asked.limit + OBSERVATION_LAG_US;
-        let killed = |by: u64| {
-            let times = day.down.get(&asked.gateway);
-            times.is_some_and(|times| times.iter().any(|(from, to)| *from <= by && asked.at <= *to))
+/// Checks that a request gets one final response within its time limit. A gateway that was killed need not
+/// answer the requests that it held, and no gateway need answer a client that disconnected.
+fn check_lost_requests(record: &JoinedRecord, guarantees: &Guarantees, violations: &mut Vec<Violation>) {
+    let executed = record.attempts.iter().filter(|attempt| attempt.executed);
+    let executed_keys: BTreeSet<&str> = executed.map(|attempt| attempt.key).collect();
+    for (call, client_call) in &record.calls {
+        let gateway = client_call.gateway;
+        let limit_ms = client_call.limit_us / 1000;
+        let deadline = client_call.sent_us + client_call.limit_us + OBSERVATION_LAG_US;
+        let downtimes = record.downtimes.get(&gateway).map_or(&[][..], Vec::as_slice);
+        let was_down_before = |time: u64| {
+            let overlaps = |(from, to): &(u64, u64)| *from <= time && client_call.sent_us <= *to;
+            downtimes.iter().any(overlaps)
         };
-        let mut add = |at_us: u64, description: String| {
-            broken.push(Violation {
+        let mut report = |at_us: u64, description: String| {
+            violations.push(Violation {
                 rule: Rule::RequestLost,
                 at_us,
                 description,
             })
         };
-        let answers = day.answers.get(call).map_or(&[][..], Vec::as_slice);
-        match answers {
+        let responses = record.responses.get(call).map_or(&[][..], Vec::as_slice);
+        match responses {
             [] => {
-                let left = day.left.get(call).is_some_and(|at| *at < until);
-                if !left && !killed(until) && until < day.end {
-                    let how = if day.cut.contains_key(call) {
-                        "was cut off"
+                let disconnected = record.disconnected.get(call).is_some_and(|at| *at < deadline);
+                if !disconnected && !was_down_before(deadline) && deadline < record.end_us {
+                    let outcome = if record.closed.contains_key(call) {
+                        "the connection was closed without a response"
                     } else {
-                        "got no answer"
+                        "no response"
                     };
-                    add(
-                        until,
-                        format!("call {call} to gateway {} {how} within its limit", asked.gateway),
+                    let description = format!(
+                        "call {call} to gateway {gateway}: {outcome} within its limit of {limit_ms} ms"
                     );
+                    report(deadline, description);
                 }
             }
-            [(at, _)] if *at > until => {
-                add(
-                    *at,
-                    format!(
-                        "call {call} was answered {} ms past its limit",
-                        (at - until + OBSERVATION_LAG_US) / 1000
-                    ),
+            [(at, _)] if *at > deadline => {
+                let late_ms = (at - deadline + OBSERVATION_LAG_US) / 1000;
+                let description = format!(
+                    "call {call} to gateway {gateway} was answered {late_ms} ms after its {limit_ms} ms limit"
                 );
+                report(*at, description);
             }
             [_] => {}
-            [_, (at, _), ..] => add(*at, format!("call {call} was answered twice")),
+            [_, (at, _), ..] => {
+                let description = format!("call {call} to gateway {gateway} was answered twice");
+                report(*at, description);
+            }
         }
-        if let (true, true, [(at, 202)]) = (asked.asynchronous, terms.asynchronous_completes, answers) {
-            let dead = format!("dead:{}", asked.key);
-            let seen = handled.contains(asked.key) || day.attempts.iter().any(|e| e.key == dead);
-            let never_back = day
-                .down
-                .get(&asked.gateway)
-                .is_some_and(|times| times.iter().any(|(_, to)| *to == u64::MAX));
-            let gone = day
-                .disks
+        if let (true, true, [(at, 202)]) = (
+            client_call.asynchronous,
+            guarantees.asynchronous_completes,
+            responses,
+        ) {
+            let key = client_call.key;
+            let failure_key = format!("dead:{key}");
+            let reported_as_failed = || record.attempts.iter().any(|attempt| attempt.key == failure_key);
+            let completed = executed_keys.contains(key) || reported_as_failed();
+            let never_restarted = downtimes.iter().any(|(_, to)| *to == u64::MAX);
+            let state_lost = record
+                .disk_losses
                 .iter()
-                .any(|(of, at)| *of == asked.gateway && asked.at < *at);
-            let excused = gone
-                || if terms.durable {
-                    never_back
+                .any(|(of, at)| *of == gateway && client_call.sent_us < *at);
+            let excused = state_lost
+                || if guarantees.durable {
+                    never_restarted
                 } else {
-                    killed(day.end)
+                    was_down_before(record.end_us)
                 };
-            if !seen && !excused {
-                add(
-                    *at,
-                    format!("deferred job {} was taken and never run or given up", asked.key),
+            if !completed && !excused {
+                let description = format!(
+                    "asynchronous request {key} was accepted by gateway {gateway}, but neither executed nor \
+                     reported as failed"
                 );
+                report(*at, description);
             }
         }
     }
 }
 
-/// By request class: non-idempotent requests are not sent again unless every earlier attempt is known not to have run, and
-/// fingerprinted ones only within the window of the first.
-fn twice(day: &Day, terms: &Guarantees, broken: &mut Vec<Violation>) {
-    let request_class: BTreeMap<&str, &str> = day.asked.values().map(|a| (a.key, a.request_class)).collect();
-    let mut first: BTreeMap<&str, u64> = BTreeMap::new();
-    for attempt in day.attempts.iter().filter(|e| !e.refused && !e.key.is_empty()) {
-        let Some(request_class) = request_class.get(attempt.key) else {
+/// Checks attempts after the first by request class: a non-idempotent request is sent again only if every
+/// earlier attempt is known not to have run, and a request with an idempotency key only within the
+/// deduplication window of its first attempt and while workers still remember that attempt.
+fn check_duplicate_effects(record: &JoinedRecord, guarantees: &Guarantees, violations: &mut Vec<Violation>) {
+    let request_classes: BTreeMap<&str, &str> = record
+        .calls
+        .values()
+        .map(|call| (call.key, call.request_class))
+        .collect();
+    let mut first_attempts: BTreeMap<&str, u64> = BTreeMap::new();
+    let may_have_run = |attempt: &&Attempt| !attempt.refused && !attempt.key.is_empty();
+    for attempt in record.attempts.iter().filter(may_have_run) {
+        let Some(request_class) = request_classes.get(attempt.key) else {
             continue;
         };
-        let Some(&began) = first.get(attempt.key) else {
-            first.insert(attempt.key, attempt.from);
+        let Some(&first_us) = first_attempts.get(attempt.key) else {
+            first_attempts.insert(attempt.key, attempt.started_us);
             continue;
         };
-        let (at_us, key) = (attempt.from, attempt.key);
-        if terms.non_idempotent.contains(*request_class) {
-            let description = format!(
-                "run-once job {key} came to {} after it may have run",
-                attempt.worker
-            );
-            broken.push(Violation {
+        let (at_us, key, worker) = (attempt.started_us, attempt.key, attempt.worker);
+        let mut report = |description: String| {
+            violations.push(Violation {
                 rule: Rule::DuplicateEffect,
                 at_us,
                 description,
-            });
+            })
+        };
+        if guarantees.non_idempotent.contains(*request_class) {
+            report(format!(
+                "non-idempotent request {key} was sent to {worker} after an earlier attempt may have run"
+            ));
         }
-        let window = terms.deduplication_windows_us.get(*request_class);
-        let forgot = day.forgot.iter().any(|at| began < *at && *at < at_us);
-        if window.is_some() && forgot {
-            let description = format!(
-                "fingerprinted job {key} came to {} after workers forgot it",
-                attempt.worker
-            );
-            broken.push(Violation {
-                rule: Rule::DuplicateEffect,
-                at_us,
-                description,
-            });
+        let Some(window_us) = guarantees.deduplication_windows_us.get(*request_class) else {
+            continue;
+        };
+        let mut power_losses = record.worker_power_losses.iter();
+        if power_losses.any(|at| first_us < *at && *at < at_us) {
+            report(format!(
+                "request {key} with an idempotency key was sent to {worker} after a power loss erased the \
+                 workers' deduplication state"
+            ));
         }
-        if window.is_some_and(|window| at_us > began + window + OBSERVATION_LAG_US) {
-            let description = format!(
-                "fingerprinted job {key} came to {} past its window",
-                attempt.worker
-            );
-            broken.push(Violation {
-                rule: Rule::DuplicateEffect,
-                at_us,
-                description,
-            });
+        if at_us > first_us + window_us + OBSERVATION_LAG_US {
+            let (age_ms, window_ms) = ((at_us - first_us) / 1000, window_us / 1000);
+            report(format!(
+                "request {key} with an idempotency key was sent to {worker} {age_ms} ms after its first \
+                 attempt; the deduplication window is {window_ms} ms"
+            ));
         }
     }
 }
 
-fn at_once(day: &Day, broken: &mut Vec<Violation>) {
-    let mut of: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
-    day.attempts
+fn check_concurrent_attempts(record: &JoinedRecord, violations: &mut Vec<Violation>) {
+    let mut attempts_by_request: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
+    let identified = record
+        .attempts
         .iter()
-        .filter(|e| !e.request.is_empty())
-        .for_each(|e| of.entry(e.request).or_default().push(e));
-    for (request, mut all) in of {
-        all.sort_by_key(|e| e.from);
-        for pair in all.windows(2) {
-            if pair[0].to.is_none_or(|to| to > pair[1].from + OBSERVATION_LAG_US) {
-                let (first, second) = (pair[0].worker, pair[1].worker);
-                let description = format!("job {request} came to {second} while it was out at {first}");
-                broken.push(Violation {
+        .filter(|attempt| !attempt.request.is_empty());
+    for attempt in identified {
+        attempts_by_request
+            .entry(attempt.request)
+            .or_default()
+            .push(attempt);
+    }
+    for (request, mut attempts) in attempts_by_request {
+        attempts.sort_by_key(|attempt| attempt.started_us);
+        for pair in attempts.windows(2) {
+            let (first, second) = (pair[0], pair[1]);
+            let overlaps = |ended_us: u64| ended_us > second.started_us + OBSERVATION_LAG_US;
+            if first.ended_us.is_none_or(overlaps) {
+                let description = format!(
+                    "request {request} was sent to {} while an attempt at {} was running",
+                    second.worker, first.worker
+                );
+                violations.push(Violation {
                     rule: Rule::ConcurrentAttempts,
-                    at_us: pair[1].from,
+                    at_us: second.started_us,
                     description,
                 });
             }
@@ -374,24 +422,31 @@
     }
 }
 
-fn drains(lines: &[Line], terms: &Guarantees, broken: &mut Vec<Violation>) {
-    let mut away: BTreeMap<(u64, &str), u64> = BTreeMap::new();
+/// Checks that a gateway sends no call and no load command to a worker once the drain grace has passed since
+/// the gateway was told that the worker drains or is gone. A restarted gateway has been told nothing yet.
+fn check_drain_grace(lines: &[Line], guarantees: &Guarantees, violations: &mut Vec<Violation>) {
+    let mut unavailable_since: BTreeMap<(u64, &str), u64> = BTreeMap::new();
     for Line { at_us, seen } in lines {
         match seen {
             Seen::ToldAway { gateway, worker } => {
-                away.entry((*gateway, worker)).or_insert(*at_us);
+                unavailable_since.entry((*gateway, worker)).or_insert(*at_us);
+            }
+            Seen::ToldUp { gateway, worker } => {
+                unavailable_since.remove(&(*gateway, worker.as_str()));
             }
-            Seen::ToldUp { gateway, worker } => drop(away.remove(&(*gateway, worker.as_str()))),
-            Seen::GatewayUp { gateway } => away.retain(|(of, _), _| of != gateway),
+            Seen::GatewayUp { gateway } => unavailable_since.retain(|(of, _), _| of != gateway),
             Seen::Came { worker, gateway, .. } | Seen::Ordered { worker, gateway } => {
-                let told = away.get(&(*gateway, worker.as_str()));
-                if let Some(told) =
-                    told.filter(|told| *at_us > **told + terms.drain_grace_us + OBSERVATION_LAG_US)
-                {
-                    let late = (at_us - told) / 1000;
-                    let description =
-                        format!("gateway {gateway} sent {worker} work {late} ms after it was told");
-                    broken.push(Violation {
+                let Some(since) = unavailable_since.get(&(*gateway, worker.as_str())) else {
+                    continue;
+                };
+                if *at_us > since + guarantees.drain_grace_us + OBSERVATION_LAG_US {
+                    let elapsed_ms = (at_us - since) / 1000;
+                    let grace_ms = guarantees.drain_grace_us / 1000;
+                    let description = format!(
+                        "gateway {gateway} used {worker} {elapsed_ms} ms after it was told that the worker \
+                         is not available; the drain grace is {grace_ms} ms"
+                    );
+                    violations.push(Violation {
                         rule: Rule::DrainGrace,
                         at_us: *at_us,
                         description,
@@ -403,8 +458,24 @@
     }
 }
 
-fn cold(lines: &[Line], day: &Day, terms: &Guarantees, broken: &mut Vec<Violation>) {
-    let mut starts: BTreeMap<(&str, u64), (u64, f64, f64, u64)> = BTreeMap::new();
+/// A worker's start: how much capacity it had then, and how that grew.
+struct WorkerStart {
+    at_us: u64,
+    cores: f64,
+    /// Share of its capacity at the start, growing linearly to 1 within `cold_us`.
+    cold_from: f64,
+    cold_us: u64,
+}
+
+/// Checks that no worker was overloaded while it was cold: neither did a worker crash under its load, nor was
+/// it sent more work within a window than the overload bound allows for its capacity at that time.
+fn check_cold_workers(
+    lines: &[Line],
+    record: &JoinedRecord,
+    guarantees: &Guarantees,
+    violations: &mut Vec<Violation>,
+) {
+    let mut starts: BTreeMap<(&str, u64), WorkerStart> = BTreeMap::new();
     for Line { at_us, seen } in lines {
         match seen {
             Seen::Started {
@@ -414,11 +485,17 @@
                 cold_from,
                 cold_us,
             } => {
-                starts.insert((worker, *incarnation), (*at_us, *cores, *cold_from, *cold_us));
+                let start = WorkerStart {
+                    at_us: *at_us,
+                    cores: *cores,
+                    cold_from: *cold_from,
+                    cold_us: *cold_us,
+                };
+                starts.insert((worker, *incarnation), start);
             }
             Seen::Fell { worker } => {
-                let description = format!("{worker} fell over");
-                broken.push(Violation {
+                let description = format!("{worker} crashed under its load while cold");
+                violations.push(Violation {
                     rule: Rule::ColdWorkerOverload,
                     at_us: *at_us,
                     description,
@@ -427,33 +504,39 @@
             _ => {}
         }
     }
-    if terms.fall_multiple <= 0.0 {
+    if guarantees.fall_multiple <= 0.0 {
         return;
     }
-    for ((worker, incarnation), (start, cores, cold_from, cold_us)) in starts {
-        let came = day
+    let window_us = guarantees.fall_window_us;
+    for ((worker, incarnation), start) in starts {
+        let attempts: Vec<&Attempt> = record
             .attempts
             .iter()
-            .filter(|e| e.worker == worker && e.incarnation == incarnation);
-        let came: Vec<(u64, u64)> = came.map(|e| (e.from, e.work)).collect();
-        let mut from = 0;
-        for (n, (at, _)) in came.iter().enumerate() {
-            if at.saturating_sub(start) >= cold_us {
+            .filter(|attempt| attempt.worker == worker && attempt.incarnation == incarnation)
+            .collect();
+        let mut window_start = 0;
+        for (n, attempt) in attempts.iter().enumerate() {
+            let at_us = attempt.started_us;
+            if at_us.saturating_sub(start.at_us) >= start.cold_us {
                 break;
             }
-            while came[from].0 + terms.fall_window_us < *at {
-                from += 1;
+            while attempts[window_start].started_us + window_us < at_us {
+                window_start += 1;
             }
-            let sum: u64 = came[from..=n].iter().map(|(_, work)| work).sum();
-            let warmth = cold_from + (1.0 - cold_from) * (at - start) as f64 / cold_us as f64;
-            if sum as f64 > terms.fall_multiple * cores * warmth * terms.fall_window_us as f64 {
+            let work_us: u64 = attempts[window_start..=n].iter().map(|a| a.work_us).sum();
+            let age_us = (at_us - start.at_us) as f64;
+            let capacity_share = start.cold_from + (1.0 - start.cold_from) * age_us / start.cold_us as f64;
+            let bound_us = guarantees.fall_multiple * start.cores * capacity_share * window_us as f64;
+            if work_us as f64 > bound_us {
                 let description = format!(
-                    "{worker} was sent {} ms of work in a window while cold",
-                    sum / 1000
+                    "{worker} was sent {} ms of work within {} ms while cold; the overload bound is {:.0} ms",
+                    work_us / 1000,
+                    window_us / 1000,
+                    bound_us / 1000.0
                 );
-                broken.push(Violation {
+                violations.push(Violation {
                     rule: Rule::ColdWorkerOverload,
-                    at_us: *at,
+                    at_us,
                     description,
                 });
                 break;
@@ -462,29 +545,40 @@
     }
 }
 
-fn loads(lines: &[Line], terms: &Guarantees, broken: &mut Vec<Violation>) {
-    if terms.load_window_us == 0 {
+/// Times, in microseconds, of the requests to a gateway and of the load commands that it sent.
+#[derive(Default)]
+struct GatewayTraffic {
+    requests: Vec<u64>,
+    load_commands: Vec<u64>,
+}
+
+fn check_load_quota(lines: &[Line], guarantees: &Guarantees, violations: &mut Vec<Violation>) {
+    if guarantees.load_window_us == 0 {
         return;
     }
-    let mut of: BTreeMap<u64, (Vec<u64>, Vec<u64>)> = BTreeMap::new();
+    let mut traffic: BTreeMap<u64, GatewayTraffic> = BTreeMap::new();
     for Line { at_us, seen } in lines {
         match seen {
-            Seen::Asked { gateway, .. } => of.entry(*gateway).or_default().0.push(*at_us),
+            Seen::Asked { gateway, .. } => traffic.entry(*gateway).or_default().requests.push(*at_us),
             Seen::Ordered { gateway, .. } => {
-                let (requests, orders) = of.entry(*gateway).or_default();
-                orders.push(*at_us);
-                let since = at_us.saturating_sub(terms.load_window_us);
-                let count =
+                let GatewayTraffic {
+                    requests,
+                    load_commands,
+                } = traffic.entry(*gateway).or_default();
+                load_commands.push(*at_us);
+                let window_start = at_us.saturating_sub(guarantees.load_window_us);
+                let count_since =
                     |times: &[u64], since: u64| times.iter().filter(|at| **at >= since).count() as f64;
-                // Requests that came a moment before the window count for the doubt that clocks leave.
-                let most = terms.load_quota_burst
-                    + terms.load_quota_share * count(requests, since.saturating_sub(OBSERVATION_LAG_US));
-                let ordered = count(orders, since);
-                if ordered > most {
+                // Requests shortly before the window count too: the gateway may have received them within it.
+                let requests = count_since(requests, window_start.saturating_sub(OBSERVATION_LAG_US));
+                let quota = guarantees.load_quota_burst + guarantees.load_quota_share * requests;
+                let sent = count_since(load_commands, window_start);
+                if sent > quota {
                     let description = format!(
-                        "gateway {gateway} gave {ordered} orders to load where {most:.1} are allowed"
+                        "gateway {gateway} sent {sent} load commands within {} ms; its quota is {quota:.1}",
+                        guarantees.load_window_us / 1000
                     );
-                    broken.push(Violation {
+                    violations.push(Violation {
                         rule: Rule::LoadQuota,
                         at_us: *at_us,
                         description,
@@ -500,7 +594,7 @@
 mod tests {
     use super::*;
 
-    fn terms() -> Guarantees {
+    fn guarantees() -> Guarantees {
         Guarantees {
             non_idempotent: BTreeSet::from(["once".to_owned()]),
             deduplication_windows_us: BTreeMap::from([("marked".to_owned(), 1_000_000)]),
@@ -522,7 +616,7 @@
         }
     }
 
-    fn asked(call: u64, request_class: &str, asynchronous: bool) -> Seen {
+    fn sent(call: u64, request_class: &str, asynchronous: bool) -> Seen {
         let (key, request_class) = (format!("k{call}"), request_class.to_owned());
         Seen::Asked {
             call,
@@ -543,7 +637,7 @@
         }
     }
 
-    fn came(worker: &str, call: u64, key: &str) -> Seen {
+    fn arrived(worker: &str, call: u64, key: &str) -> Seen {
         let (worker, key, request) = (worker.to_owned(), key.to_owned(), "j".to_owned());
         Seen::Came {
             worker,
@@ -557,7 +651,7 @@
         }
     }
 
-    fn over(worker: &str, call: u64) -> Seen {
+    fn ended(worker: &str, call: u64) -> Seen {
         Seen::Over {
             worker: worker.to_owned(),
             incarnation: 1,
@@ -565,7 +659,7 @@
         }
     }
 
-    fn began(worker: &str, call: u64) -> Seen {
+    fn executed(worker: &str, call: u64) -> Seen {
         Seen::Began {
             worker: worker.to_owned(),
             incarnation: 1,
@@ -574,8 +668,8 @@
         }
     }
 
-    /// A day on which all is kept.
-    fn good() -> Vec<Line> {
+    /// A record that keeps all rules.
+    fn record_without_violations() -> Vec<Line> {
         vec![
             line(0, Seen::GatewayUp { gateway: 0 }),
             line(
@@ -588,10 +682,10 @@
                     cold_us: 5_000_000,
                 },
             ),
-            line(10, asked(1, "once", false)),
-            line(11, came("a", 1, "k1")),
-            line(15, began("a", 1)),
-            line(15, over("a", 1)),
+            line(10, sent(1, "once", false)),
+            line(11, arrived("a", 1, "k1")),
+            line(15, executed("a", 1)),
+            line(15, ended("a", 1)),
             line(16, answered(1, 200)),
             line(
                 20,
@@ -617,55 +711,56 @@
         ]
     }
 
-    fn rules(extra: Vec<Line>) -> Vec<Rule> {
-        let mut lines = good();
+    /// The rules that the record without violations breaks once `extra` lines are added.
+    fn violated_rules(extra: Vec<Line>) -> Vec<Rule> {
+        let mut lines = record_without_violations();
         lines.extend(extra);
         lines.sort_by_key(|line| line.at_us);
-        audit(&lines, &terms())
+        audit(&lines, &guarantees())
             .into_iter()
-            .map(|broken| broken.rule)
+            .map(|violation| violation.rule)
             .collect()
     }
 
     #[test]
-    fn a_good_day_is_good() {
-        assert_eq!(rules(Vec::new()), []);
+    fn a_record_that_keeps_all_rules_has_no_violations() {
+        assert_eq!(violated_rules(Vec::new()), []);
     }
 
     #[test]
-    fn each_doctored_day_breaks_its_rule() {
-        let lost = vec![line(100, asked(2, "any", false))];
-        assert_eq!(rules(lost), [Rule::RequestLost]);
-        let late = vec![line(100, asked(2, "any", false)), line(3300, answered(2, 429))];
-        assert_eq!(rules(late), [Rule::RequestLost]);
-        let again = vec![line(17, answered(1, 200))];
-        assert_eq!(rules(again), [Rule::RequestLost]);
-        let forgotten = vec![line(100, asked(2, "any", true)), line(101, answered(2, 202))];
-        assert_eq!(rules(forgotten), [Rule::RequestLost]);
-        let twice = vec![line(500, came("b", 2, "k1")), line(501, over("b", 2))];
-        assert_eq!(rules(twice), [Rule::DuplicateEffect]);
-        let window = vec![
-            line(100, asked(2, "marked", false)),
-            line(101, came("b", 2, "k2")),
-            line(102, over("b", 2)),
-            line(2000, came("c", 3, "k2")),
-            line(2001, over("c", 3)),
+    fn each_altered_record_violates_the_matching_rule() {
+        let lost = vec![line(100, sent(2, "any", false))];
+        assert_eq!(violated_rules(lost), [Rule::RequestLost]);
+        let late = vec![line(100, sent(2, "any", false)), line(3300, answered(2, 429))];
+        assert_eq!(violated_rules(late), [Rule::RequestLost]);
+        let answered_twice = vec![line(17, answered(1, 200))];
+        assert_eq!(violated_rules(answered_twice), [Rule::RequestLost]);
+        let not_executed = vec![line(100, sent(2, "any", true)), line(101, answered(2, 202))];
+        assert_eq!(violated_rules(not_executed), [Rule::RequestLost]);
+        let sent_again = vec![line(500, arrived("b", 2, "k1")), line(501, ended("b", 2))];
+        assert_eq!(violated_rules(sent_again), [Rule::DuplicateEffect]);
+        let past_window = vec![
+            line(100, sent(2, "marked", false)),
+            line(101, arrived("b", 2, "k2")),
+            line(102, ended("b", 2)),
+            line(2000, arrived("c", 3, "k2")),
+            line(2001, ended("c", 3)),
             line(2002, answered(2, 200)),
         ];
-        assert_eq!(rules(window), [Rule::DuplicateEffect]);
-        let at_once = vec![
-            line(100, asked(2, "any", false)),
-            line(101, came("b", 2, "k2")),
-            line(102, came("c", 3, "k2")),
-            line(900, over("b", 2)),
-            line(901, over("c", 3)),
+        assert_eq!(violated_rules(past_window), [Rule::DuplicateEffect]);
+        let concurrent = vec![
+            line(100, sent(2, "any", false)),
+            line(101, arrived("b", 2, "k2")),
+            line(102, arrived("c", 3, "k2")),
+            line(900, ended("b", 2)),
+            line(901, ended("c", 3)),
             line(902, answered(2, 200)),
         ];
-        assert_eq!(rules(at_once), [Rule::ConcurrentAttempts]);
-        let drain = vec![line(400, came("a", 2, "")), line(401, over("a", 2))];
-        assert_eq!(rules(drain), [Rule::DrainGrace]);
-        let fell = vec![line(400, Seen::Fell { worker: "a".into() })];
-        assert_eq!(rules(fell), [Rule::ColdWorkerOverload]);
+        assert_eq!(violated_rules(concurrent), [Rule::ConcurrentAttempts]);
+        let drain = vec![line(400, arrived("a", 2, "")), line(401, ended("a", 2))];
+        assert_eq!(violated_rules(drain), [Rule::DrainGrace]);
+        let crashed = vec![line(400, Seen::Fell { worker: "a".into() })];
+        assert_eq!(violated_rules(crashed), [Rule::ColdWorkerOverload]);
         let loads = vec![line(
             400,
             Seen::Ordered {
@@ -673,12 +768,12 @@
                 gateway: 0,
             },
         )];
-        assert_eq!(rules(loads), [Rule::LoadQuota]);
+        assert_eq!(violated_rules(loads), [Rule::LoadQuota]);
     }
 
     #[test]
-    fn too_much_work_for_a_cold_worker_is_seen_without_its_fall() {
-        let push = |n: u64| {
+    fn overload_of_a_cold_worker_is_found_without_its_crash() {
+        let call = |n: u64| {
             let (worker, key, request) = ("a".to_owned(), String::new(), String::new());
             let seen = Seen::Came {
                 worker,
@@ -692,20 +787,23 @@
             };
             line(500 + n, seen)
         };
-        assert_eq!(rules((0..5).map(push).collect()), [Rule::ColdWorkerOverload]);
-        assert_eq!(rules((0..4).map(push).collect()), []);
+        assert_eq!(
+            violated_rules((0..5).map(call).collect()),
+            [Rule::ColdWorkerOverload]
+        );
+        assert_eq!(violated_rules((0..4).map(call).collect()), []);
     }
 
     #[test]
-    fn a_killed_gateway_owes_nothing_and_its_successor_was_told_nothing() {
+    fn a_killed_gateway_need_not_answer_and_its_successor_knows_no_drains() {
         let killed = vec![
-            line(100, asked(2, "any", false)),
+            line(100, sent(2, "any", false)),
             line(150, Seen::Cut { call: 2 }),
             line(149, Seen::GatewayKilled { gateway: 0 }),
             line(300, Seen::GatewayUp { gateway: 0 }),
-            line(400, came("a", 2, "")),
-            line(401, over("a", 2)),
+            line(400, arrived("a", 2, "")),
+            line(401, ended("a", 2)),
         ];
-        assert_eq!(rules(killed), []);
+        assert_eq!(violated_rules(killed), []);
     }
 }
