--- a/crates/quartzdrift-lab/src/scenario.rs
+++ b/crates/quartzdrift-lab/src/scenario.rs
@@ -1,225 +1,300 @@
-//! Scripts of days: small text files, one thing a line, `#` begins a remark.
+//! Scenario files: small text files with one directive a line; `#` begins a comment.
+//!
+//! A scenario describes gateways, workers, the traffic of clients, and faults at given times. Gateways,
+//! workers and schedulers are numbered from 0; ranges include both ends.
 //!
 //! ```text
 //! gateways 3
 //! workers 8 cores=2 memory=1600 keep=8s cold=0.2 cold-for=4s fall=3 fall-window=1s queue=60
 //! store capacity=8 limit=24 stops-at=0
-//! roster lag=300ms
-//! workload quote restartable rate=90 work=8ms limit=3s functions=12 memory=150 load=300ms slots=2
-//! workload stamp fingerprinted window=5s rate=40 ...     also run-once; `deferred`; `hang-up=0.01`,
-//!                                        `target=1s`; `pattern=daily period=30s most=4` (or steady, weekly, bursty,
-//!                                        turning, timers with jitter=, scan, terms-end)
-//! forecasts                             load ahead of need
+//! roster lag=300ms                      delay of service discovery
+//! workload quote restartable rate=90 work=8ms limit=3s functions=12 memory=150 load=300ms lanes=2
+//! workload stamp fingerprinted window=5s rate=40 ...
+//!                                       effects: restartable (idempotent), fingerprinted (idempotent with a
+//!                                       key), run-once (not idempotent); `deferred` (asynchronous),
+//!                                       `hang-up=0.01`, `target=1s`, `pattern=daily period=30s most=4`;
+//!                                       patterns: steady, daily, weekly, bursty, turning, scan, terms-end,
+//!                                       timers (with `jitter=`)
+//! clients repeats=6 haste=0.3           retries of a rejected call, and the least share of the wait that the
+//!                                       gateway asked for
+//! forecasts                             gateways load functions ahead of need
+//! fleet 50ms                            gateways form a membership with this gossip period, and store
+//!                                       asynchronous requests on disk
 //! length 30s
-//! at 4s crash worker 2          also start, silent, hang, well, drain, and with a figure:
-//! at 4s errors worker 2 0.8     share; also lose; `slow worker 2 500ms`, `late worker 2 2s`
-//! at 9s replace workers 0 5 every=2s   each is drained, then killed, then started a second later
-//! at 5s roster lag 3s           also stop, go, empty, full
-//! at 5s store slow 5            also refuse, serve
-//! at 7s kill gateway 1          and start; `gateways 0 9` for some; `pause gateway 1 10s`
-//! at 8s apart gateways 0 9      no datagram passes between them and the others; `unheard`: none from them
-//! at 9s together gateways       and it passes again; `lose datagrams 0.3`: that share is lost; also `double`
-//! at 9s late datagrams 50ms     each by a chance part of that, so that they overtake each other
-//! at 4s power off all           gateways, workers, roster in one moment; also `power off gateways 0 2`
-//! at 5s power on gateways 0 2 every=300ms   also workers, and `power on roster`; the machines have started anew
-//! at 5s clock gateway 1 ahead 1h            or behind; from its next start on
-//! at 2s copy gateway 1          of its folder; `spoil gateway 1 older` puts it back while it is down; also
-//!                               cut, flip, other, empty, unreadable, full
-//! at 5s stop gateways 0 4       all told to stop as operators do, and waited for
-//! at 5s link gateway 1 worker 2 stalled     no byte passes, and nothing ends; also deaf (no answer comes back), cut, well
-//! at 5s link gateway 1 roster stalled       its list comes no more, and no stream ends; also well
-//! clients repeats=6 haste=0.3   a call that was pushed back comes so often again, after such a part of the time that was told
-//! fleet 50ms                    gateways are members of a fleet with this period, and keep deferred jobs on disk
+//! at 4s crash worker 2                  also start, silent, hang, well (clears the faults), drain
+//! at 4s errors worker 2 0.8             share of calls that fail; also lose (responses)
+//! at 4s slow worker 2 500ms             delay of responses; also late (load reports)
+//! at 9s replace workers 0 5 every=2s    drains each worker, kills it 1 s later, and starts it 1 s after
+//!                                       that
+//! at 5s roster lag 3s                   also stop, go, empty, full
+//! at 5s store slow 5                    also refuse, serve
+//! at 7s kill gateway 1                  also start; `gateways 0 9` for a range; `pause gateway 1 10s`
+//! at 5s stop gateways 0 4               SIGTERM, and waits until they have ended
+//! at 8s apart gateways 0 9              network partition between these gateways and the others; with
+//!                                       `unheard` only datagrams from these gateways are lost
+//! at 9s together gateways               ends partitions and all other datagram faults
+//! at 9s lose datagrams 0.3              share of datagrams that is lost; also double (sent twice)
+//! at 9s late datagrams 50ms             random delays up to this, so that datagrams are reordered
+//! at 5s link gateway 1 worker 2 stalled no byte passes and no connection ends; also deaf (only responses are
+//!                                       held), cut, well
+//! at 5s link gateway 1 roster stalled   discovery sends nothing more and closes no stream; also well
+//! at 4s power off all                   gateways, workers and discovery lose power together; also
+//!                                       `power off gateways 0 2`
+//! at 5s power on gateways 0 2 every=300ms
+//!                                       with a new boot id; also workers, and `power on roster`
+//! at 5s clock gateway 1 ahead 1h        wall clock from the next start on; also behind
+//! at 2s copy gateway 1                  copies the state folder for `spoil gateway 1 older`
+//! at 4s spoil gateway 1 older           damages the state folder of a gateway that is down; also cut, flip,
+//!                                       other, empty, unreadable, full
 //! ```
 use crate::relay::Link;
 use quartzdrift_scheduler::interface::Idempotency;
 use std::time::Duration;
 
+/// A request class with the traffic that clients send of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     pub name: String,
     pub idempotency: Idempotency,
+    /// How long workers recognise a repeated request by its idempotency key.
     pub deduplication_window: Duration,
+    /// Calls a second, before [`RequestClass::pattern`] applies.
     pub rate: f64,
+    /// Mean time that a call works.
     pub mean_work: Duration,
+    /// How long a client waits for the response.
     pub time_limit: Duration,
+    /// Number of functions that the calls are spread over.
     pub function_count: usize,
+    /// Memory of a loaded copy of a function.
     pub memory_mb: f64,
+    /// Time that a worker needs to load a function.
     pub load_time: Duration,
+    /// Calls that a loaded copy runs at the same time.
     pub slots: usize,
     pub asynchronous: bool,
+    /// Share of calls whose client disconnects before the response.
     pub hang_up_share: f64,
     pub latency_objective: Duration,
     pub pattern: Pattern,
 }
 
-/// How calls come over time, spans in seconds.
+/// How the rate of calls varies over time. Times are in seconds; `most` is a multiple of the class's rate.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Pattern {
     Steady,
-    /// From 1 to `most` times the rate and back in each period.
+    /// The rate rises from 1 to `most` times its value and falls again within each period.
     Daily {
         period: f64,
         most: f64,
     },
-    /// Five such days of `period` and two without the swing.
+    /// Five daily periods, and two periods at the plain rate.
     Weekly {
         period: f64,
         most: f64,
     },
-    /// `most` times the rate for a fifth of the time, half of it otherwise.
+    /// `most` times the rate in the first fifth of each interval, and half the rate in the rest.
     Bursty {
         every: f64,
         most: f64,
     },
-    /// A few functions draw most calls, and others take their place.
+    /// Three functions get most calls; each interval another three.
     Turning {
         every: f64,
     },
-    /// Each function by a timer of its own, of about this period.
+    /// Each function is called by its own timer, with about this period and a random delay up to `jitter`.
     Timers {
         period: f64,
         jitter: f64,
     },
-    /// Each function once.
+    /// Each call is for another function, and none is called twice.
     Scan,
-    /// A swing of several times, late in the day.
+    /// `most` times the rate late in the scenario: from 60 % to 85 % of its length.
     TermsEnd {
         most: f64,
     },
 }
 
+/// A fault or another operation of a scenario. Plain numbers are indices of workers or gateways. The variants
+/// have the names of their keywords in the file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
+    /// Kills a worker; discovery lists it as gone.
     Crash(usize),
+    /// Starts a worker without faults at its previous address.
     Start(usize),
+    /// The worker accepts calls and answers none.
     Silent(usize),
+    /// The worker stops working and answers nothing.
     Hang(usize),
+    /// Clears the faults of a worker.
     Well(usize),
     Drain(usize),
+    /// This share of a worker's calls fails at once.
     Errors(usize, f64),
+    /// This share of a worker's responses is lost: the connection is closed instead.
     Lose(usize, f64),
+    /// The worker delays its responses.
     Slow(usize, Duration),
+    /// The worker's load reports are older by this.
     Late(usize, Duration),
+    /// Delay until discovery reports a change.
     DiscoveryLag(Duration),
+    /// Whether discovery answers nothing and closes its streams.
     DiscoveryStop(bool),
+    /// Whether discovery returns an empty endpoint list.
     DiscoveryEmpty(bool),
+    /// Fetches from the store take this many times as long.
     StoreSlow(f64),
+    /// Whether the store rejects every fetch.
     StoreRefuse(bool),
     KillGateway(usize),
     StartGateway(usize),
+    /// Stops the gateway's process by SIGSTOP for this long.
     PauseGateway(usize, Duration),
-    /// Datagrams between these gateways and the others are lost; one way: only those from them.
+    /// Loses the datagrams between the gateways `first` to `last` and the others; with `one_way` only those
+    /// that the gateways `first` to `last` send.
     Apart {
         first: usize,
         last: usize,
         one_way: bool,
     },
+    /// Ends partitions and all other datagram faults.
     Together,
+    /// This share of datagrams is lost.
     LoseDatagrams(f64),
+    /// This share of datagrams arrives twice.
     DoubleDatagrams(f64),
+    /// Each datagram is delayed by a random time up to this.
     LateDatagrams(Duration),
-    /// Gateways from the first to the last; workers and roster too where it is all.
+    /// Cuts the power of a range of gateways, or, with `None`, of all gateways, the workers and discovery.
     PowerOff {
         gateways: Option<(usize, usize)>,
     },
-    /// As operators stop them, all told in one moment.
+    /// Stops a range of gateways by SIGTERM, all at the same time.
     StopGateways(usize, usize),
-    /// Started on a machine that was started anew.
+    /// Starts a gateway as on a machine that has just booted.
     PowerOnGateway(usize),
-    /// The wall clock of its next starts: ahead, or behind.
+    /// Shifts the gateway's wall clock from its next start on: ahead with `true`, behind with `false`.
     Clock(usize, Duration, bool),
+    /// Copies the gateway's state folder, for [`StateDamage::Older`].
     CopyState(usize),
-    /// Between a gateway and a worker.
+    /// Sets the state of the link from a gateway to a worker.
     Link(usize, usize, Link),
-    /// Whether a gateway's stream of lists stalls.
+    /// Whether discovery sends nothing more to a gateway, without closing its stream.
     DiscoveryStall(usize, bool),
+    /// Damages the state folder of a gateway that is not running.
     Spoil(usize, StateDamage),
 }
 
-/// What becomes of a state folder while its process is down.
+/// How a gateway's state folder is damaged while the process is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateDamage {
+    /// The checkpoint is cut to half its length.
     Cut,
+    /// One bit of the checkpoint is flipped.
     Flip,
+    /// The folder is replaced by its earlier copy.
     Older,
+    /// The folder is replaced by that of another gateway, except for the store of asynchronous requests.
     Other,
+    /// The folder is deleted.
     Empty,
+    /// The checkpoint cannot be read as a file.
     Unreadable,
-    /// Nothing can be written any more.
+    /// No file can be written from the next start on.
     Full,
 }
 
+/// A scenario as read from its file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
     pub gateways: usize,
     pub workers: usize,
+    /// Cores of each worker.
     pub cores: f64,
+    /// Memory of each worker.
     pub memory_mb: f64,
+    /// How long a worker keeps an unused copy loaded.
     pub keep_loaded: Duration,
+    /// Share of its capacity that a worker has at its start, growing to 1 within `cold_for`.
     pub cold_from: f64,
     pub cold_for: Duration,
+    /// Overload bound of a cold worker: it crashes when the work sent to it within `fall_window` exceeds its
+    /// capacity by this factor. 0: no bound.
     pub fall_multiple: f64,
     pub fall_window: Duration,
+    /// Most calls that wait at a worker; it rejects more.
     pub max_waiting_calls: usize,
+    /// Concurrent fetches that the store serves at full speed.
     pub store_capacity: f64,
+    /// Most concurrent fetches; the store rejects more.
     pub store_limit: usize,
+    /// The store stops for a while once it has rejected this many fetches within a second. 0: never.
     pub store_stops_at: usize,
+    /// Delay until discovery reports a change.
     pub discovery_lag: Duration,
     pub request_classes: Vec<RequestClass>,
     pub length: Duration,
+    /// Faults by their time since the start, in the order of time.
     pub faults: Vec<(Duration, Fault)>,
-    /// Load ahead of need by forecasts, on sockets; the emulator is told by its variants.
+    /// Whether gateway processes load functions ahead of need by forecasts. The emulator takes this from its
+    /// variants instead.
     pub forecasts: bool,
-    /// The members' period, where gateways are a fleet.
+    /// Gossip period of the gateways' membership; without it the gateways know nothing of each other.
     pub gossip_period: Option<Duration>,
-    /// How often a call that was rejected comes again at most, and after which part of the time that it was told at least.
+    /// Most retries of a rejected call.
     pub max_retries: u32,
+    /// Least share of the wait that the gateway asked for, before a client retries.
     pub retry_wait_factor: f64,
 }
 
+/// The words of a line.
 struct Words<'a>(Vec<&'a str>);
 
 impl<'a> Words<'a> {
-    fn at(&self, n: usize) -> Result<&'a str, String> {
+    fn word(&self, n: usize) -> Result<&'a str, String> {
+        let length = self.0.len();
         self.0
             .get(n)
             .copied()
-            .ok_or_else(|| "the line is cut short".to_owned())
+            .ok_or_else(|| format!("word {} is missing: the line has only {length}", n + 1))
     }
 
-    fn value(&self, key: &str) -> Option<&'a str> {
+    /// The value of an option `key=value`.
+    fn option(&self, key: &str) -> Option<&'a str> {
         self.0
             .iter()
             .find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
     }
 
-    fn number<T: std::str::FromStr>(&self, key: &str, or: T) -> Result<T, String> {
-        self.value(key).map_or(Ok(or), |v| {
-            v.parse().map_err(|_| format!("{key}={v} is no number"))
+    fn number_option<T: std::str::FromStr>(&self, key: &str, default: T) -> Result<T, String> {
+        self.option(key).map_or(Ok(default), |value| {
+            value
+                .parse()
+                .map_err(|_| format!("'{value}' in '{key}={value}' is not a valid number"))
         })
     }
 
-    fn span(&self, key: &str, or: Duration) -> Result<Duration, String> {
-        self.value(key).map_or(Ok(or), span)
+    fn duration_option(&self, key: &str, default: Duration) -> Result<Duration, String> {
+        self.option(key).map_or(Ok(default), parse_duration)
     }
 
-    fn known(&self, keys: &[&str]) -> Result<(), String> {
-        let strange = |word: &&&str| word.split_once('=').is_some_and(|(key, _)| !keys.contains(&key));
-        self.0
-            .iter()
-            .find(strange)
-            .map_or(Ok(()), |word| Err(format!("'{word}' says nothing here")))
+    fn reject_unknown_options(&self, known: &[&str]) -> Result<(), String> {
+        let is_unknown = |word: &&&str| word.split_once('=').is_some_and(|(key, _)| !known.contains(&key));
+        self.0.iter().find(is_unknown).map_or(Ok(()), |word| {
+            Err(format!("unknown option '{word}': expected {}", known.join(", ")))
+        })
     }
 }
 
-pub fn span(text: &str) -> Result<Duration, String> {
-    humantime::parse_duration(text).map_err(|e| format!("'{text}' is no span of time: {e}"))
+fn parse_duration(text: &str) -> Result<Duration, String> {
+    humantime::parse_duration(text).map_err(|e| format!("'{text}' is not a duration: {e}"))
 }
 
-/// Reads a script; `Err` names the line.
+/// Reads a scenario file; errors name the line.
 pub fn read(text: &str) -> Result<Scenario, String> {
-    let mut script = Scenario {
+    let mut scenario = Scenario {
         gateways: 1,
         workers: 3,
         cores: 2.0,
@@ -245,24 +320,25 @@
     for (n, line) in text.lines().enumerate() {
         let words = Words(line.split('#').next().unwrap_or("").split_whitespace().collect());
         if !words.0.is_empty() {
-            script
-                .line(&words)
+            scenario
+                .read_line(&words)
                 .map_err(|why| format!("line {}: {why}", n + 1))?;
         }
     }
-    if script.request_classes.is_empty() {
-        return Err("there is no workload".to_owned());
+    if scenario.request_classes.is_empty() {
+        return Err("the scenario has no workload".to_owned());
     }
-    script.faults.sort_by_key(|(at, _)| *at);
-    for (_, fault) in &script.faults {
+    scenario.faults.sort_by_key(|(at, _)| *at);
+    for (_, fault) in &scenario.faults {
         if let Fault::Link(_, worker, _) = fault
-            && *worker >= script.workers
+            && *worker >= scenario.workers
         {
             return Err(format!(
-                "{fault:?} names a worker that is not there: they are counted from 0"
+                "{fault:?}: there is no worker {worker}; the {} workers are counted from 0",
+                scenario.workers
             ));
         }
-        let (of, most) = match fault {
+        let (index, count, kind) = match fault {
             Fault::KillGateway(n)
             | Fault::StartGateway(n)
             | Fault::PauseGateway(n, _)
@@ -271,10 +347,13 @@
             | Fault::CopyState(n)
             | Fault::Link(n, ..)
             | Fault::DiscoveryStall(n, _)
-            | Fault::Spoil(n, _) => (*n, script.gateways),
-            Fault::Apart { last, .. } => (*last, script.gateways),
-            Fault::StopGateways(_, last) => (*last, script.gateways),
-            Fault::PowerOff { gateways } => (gateways.map_or(0, |(_, last)| last), script.gateways),
+            | Fault::Spoil(n, _)
+            | Fault::Apart { last: n, .. }
+            | Fault::StopGateways(_, n) => (*n, scenario.gateways, "gateway"),
+            Fault::PowerOff { gateways } => {
+                let last = gateways.map_or(0, |(_, last)| last);
+                (last, scenario.gateways, "gateway")
+            }
             Fault::Crash(n)
             | Fault::Start(n)
             | Fault::Silent(n)
@@ -284,7 +363,7 @@
             | Fault::Errors(n, _)
             | Fault::Lose(n, _)
             | Fault::Slow(n, _)
-            | Fault::Late(n, _) => (*n, script.workers),
+            | Fault::Late(n, _) => (*n, scenario.workers, "worker"),
             Fault::DiscoveryLag(_)
             | Fault::DiscoveryStop(_)
             | Fault::DiscoveryEmpty(_)
@@ -293,19 +372,20 @@
             | Fault::Together
             | Fault::LoseDatagrams(_)
             | Fault::DoubleDatagrams(_)
-            | Fault::LateDatagrams(_) => (0, 1),
+            | Fault::LateDatagrams(_) => continue,
         };
-        if of >= most {
+        if index >= count {
             return Err(format!(
-                "{fault:?} names one that is not there: they are counted from 0"
+                "{fault:?}: there is no {kind} {index}; the {count} {kind}s are counted from 0"
             ));
         }
     }
-    Ok(script)
+    Ok(scenario)
 }
 
 impl Scenario {
-    /// The request class of a function, with its place: functions bear its name and a number.
+    /// The request class of a function, with its index. Names of functions are the name of their request
+    /// class and a number, as in `quote-3`.
     pub fn request_class_of(&self, function: &str) -> Option<(usize, &RequestClass)> {
         let (name, _) = function.rsplit_once('-')?;
         self.request_classes
@@ -314,17 +394,16 @@
             .find(|(_, request_class)| request_class.name == name)
     }
 
-    fn line(&mut self, words: &Words) -> Result<(), String> {
+    fn read_line(&mut self, words: &Words) -> Result<(), String> {
         let count = || {
-            words
-                .at(1)?
-                .parse::<usize>()
-                .map_err(|_| "there is no count".to_owned())
+            let word = words.word(1)?;
+            word.parse::<usize>()
+                .map_err(|_| format!("'{word}' is not a valid count"))
         };
-        match words.at(0)? {
+        match words.word(0)? {
             "gateways" => self.gateways = count()?,
             "workers" => {
-                words.known(&[
+                words.reject_unknown_options(&[
                     "cores",
                     "memory",
                     "keep",
@@ -335,69 +414,67 @@
                     "queue",
                 ])?;
                 self.workers = count()?;
-                self.cores = words.number("cores", self.cores)?;
-                self.memory_mb = words.number("memory", self.memory_mb)?;
-                self.keep_loaded = words.span("keep", self.keep_loaded)?;
-                self.cold_from = words.number("cold", self.cold_from)?;
-                self.cold_for = words.span("cold-for", self.cold_for)?;
-                self.fall_multiple = words.number("fall", self.fall_multiple)?;
-                self.fall_window = words.span("fall-window", self.fall_window)?;
-                self.max_waiting_calls = words.number("queue", self.max_waiting_calls)?;
+                self.cores = words.number_option("cores", self.cores)?;
+                self.memory_mb = words.number_option("memory", self.memory_mb)?;
+                self.keep_loaded = words.duration_option("keep", self.keep_loaded)?;
+                self.cold_from = words.number_option("cold", self.cold_from)?;
+                self.cold_for = words.duration_option("cold-for", self.cold_for)?;
+                self.fall_multiple = words.number_option("fall", self.fall_multiple)?;
+                self.fall_window = words.duration_option("fall-window", self.fall_window)?;
+                self.max_waiting_calls = words.number_option("queue", self.max_waiting_calls)?;
             }
             "store" => {
-                words.known(&["capacity", "limit", "stops-at"])?;
-                self.store_capacity = words.number("capacity", self.store_capacity)?;
-                self.store_limit = words.number("limit", self.store_limit)?;
-                self.store_stops_at = words.number("stops-at", self.store_stops_at)?;
+                words.reject_unknown_options(&["capacity", "limit", "stops-at"])?;
+                self.store_capacity = words.number_option("capacity", self.store_capacity)?;
+                self.store_limit = words.number_option("limit", self.store_limit)?;
+                self.store_stops_at = words.number_option("stops-at", self.store_stops_at)?;
             }
             "roster" => {
-                words.known(&["lag"])?;
-                self.discovery_lag = words.span("lag", self.discovery_lag)?;
+                words.reject_unknown_options(&["lag"])?;
+                self.discovery_lag = words.duration_option("lag", self.discovery_lag)?;
             }
             "clients" => {
-                words.known(&["repeats", "haste"])?;
-                self.max_retries = words.number("repeats", self.max_retries)?;
-                self.retry_wait_factor = words.number("haste", self.retry_wait_factor)?;
+                words.reject_unknown_options(&["repeats", "haste"])?;
+                self.max_retries = words.number_option("repeats", self.max_retries)?;
+                self.retry_wait_factor = words.number_option("haste", self.retry_wait_factor)?;
             }
             "forecasts" => self.forecasts = true,
-            "fleet" => self.gossip_period = Some(span(words.at(1)?)?),
-            "workload" => self.request_classes.push(request_class(words)?),
-            "length" => self.length = span(words.at(1)?)?,
+            "fleet" => self.gossip_period = Some(parse_duration(words.word(1)?)?),
+            "workload" => self.request_classes.push(read_request_class(words)?),
+            "length" => self.length = parse_duration(words.word(1)?)?,
             "at" => {
-                let at = span(words.at(1)?)?;
-                self.fault(at, words)?;
+                let at = parse_duration(words.word(1)?)?;
+                self.read_fault(at, words)?;
             }
-            other => return Err(format!("'{other}' begins no line")),
+            other => return Err(format!("unknown directive '{other}'")),
         }
         Ok(())
     }
 
-    fn fault(&mut self, at: Duration, words: &Words) -> Result<(), String> {
+    fn read_fault(&mut self, at: Duration, words: &Words) -> Result<(), String> {
         let index = |n: usize| {
-            words
-                .at(n)?
-                .parse::<usize>()
-                .map_err(|_| "there is no number".to_owned())
+            let word = words.word(n)?;
+            word.parse::<usize>()
+                .map_err(|_| format!("'{word}' is not a valid index"))
         };
-        let share = || {
-            words
-                .at(4)?
-                .parse::<f64>()
-                .map_err(|_| "there is no share".to_owned())
+        let factor = || {
+            let word = words.word(4)?;
+            word.parse::<f64>()
+                .map_err(|_| format!("'{word}' is not a valid number"))
         };
-        let fault = match (words.at(2)?, words.at(3)?) {
+        let fault = match (words.word(2)?, words.word(3)?) {
             ("crash", "worker") => Fault::Crash(index(4)?),
             ("start", "worker") => Fault::Start(index(4)?),
             ("silent", "worker") => Fault::Silent(index(4)?),
             ("hang", "worker") => Fault::Hang(index(4)?),
             ("well", "worker") => Fault::Well(index(4)?),
             ("drain", "worker") => Fault::Drain(index(4)?),
-            ("errors", "worker") => Fault::Errors(index(4)?, number(words.at(5)?)?),
-            ("lose", "worker") => Fault::Lose(index(4)?, number(words.at(5)?)?),
-            ("slow", "worker") => Fault::Slow(index(4)?, span(words.at(5)?)?),
-            ("late", "worker") => Fault::Late(index(4)?, span(words.at(5)?)?),
+            ("errors", "worker") => Fault::Errors(index(4)?, parse_number(words.word(5)?)?),
+            ("lose", "worker") => Fault::Lose(index(4)?, parse_number(words.word(5)?)?),
+            ("slow", "worker") => Fault::Slow(index(4)?, parse_duration(words.word(5)?)?),
+            ("late", "worker") => Fault::Late(index(4)?, parse_duration(words.word(5)?)?),
             ("replace", "workers") => {
-                let every = words.span("every", Duration::from_secs(1))?;
+                let every = words.duration_option("every", Duration::from_secs(1))?;
                 for (n, worker) in (index(4)?..=index(5)?).enumerate() {
                     let drained = at + every * n as u32;
                     let second = Duration::from_secs(1);
@@ -407,17 +484,17 @@
                 }
                 return Ok(());
             }
-            ("roster", "lag") => Fault::DiscoveryLag(span(words.at(4)?)?),
+            ("roster", "lag") => Fault::DiscoveryLag(parse_duration(words.word(4)?)?),
             ("roster", "stop") => Fault::DiscoveryStop(true),
             ("roster", "go") => Fault::DiscoveryStop(false),
             ("roster", "empty") => Fault::DiscoveryEmpty(true),
             ("roster", "full") => Fault::DiscoveryEmpty(false),
-            ("store", "slow") => Fault::StoreSlow(share()?),
+            ("store", "slow") => Fault::StoreSlow(factor()?),
             ("store", "refuse") => Fault::StoreRefuse(true),
             ("store", "serve") => Fault::StoreRefuse(false),
             ("kill", "gateway") => Fault::KillGateway(index(4)?),
             ("start", "gateway") => Fault::StartGateway(index(4)?),
-            ("pause", "gateway") => Fault::PauseGateway(index(4)?, span(words.at(5)?)?),
+            ("pause", "gateway") => Fault::PauseGateway(index(4)?, parse_duration(words.word(5)?)?),
             ("kill", "gateways") => {
                 self.faults
                     .extend((index(4)?..=index(5)?).map(|n| (at, Fault::KillGateway(n))));
@@ -429,7 +506,7 @@
                 return Ok(());
             }
             ("apart", "gateways") | ("unheard", "gateways") => {
-                let one_way = words.at(2)? == "unheard";
+                let one_way = words.word(2)? == "unheard";
                 Fault::Apart {
                     first: index(4)?,
                     last: index(5)?,
@@ -437,54 +514,62 @@
                 }
             }
             ("together", "gateways") => Fault::Together,
-            ("lose", "datagrams") => Fault::LoseDatagrams(share()?),
-            ("double", "datagrams") => Fault::DoubleDatagrams(share()?),
-            ("late", "datagrams") => Fault::LateDatagrams(span(words.at(4)?)?),
+            ("lose", "datagrams") => Fault::LoseDatagrams(factor()?),
+            ("double", "datagrams") => Fault::DoubleDatagrams(factor()?),
+            ("late", "datagrams") => Fault::LateDatagrams(parse_duration(words.word(4)?)?),
             ("clock", "gateway") => {
-                let ahead = match words.at(5)? {
+                let ahead = match words.word(5)? {
                     "ahead" => true,
                     "behind" => false,
-                    other => return Err(format!("a clock is ahead or behind, not '{other}'")),
+                    other => return Err(format!("unknown clock shift '{other}': expected ahead or behind")),
                 };
-                Fault::Clock(index(4)?, span(words.at(6)?)?, ahead)
+                Fault::Clock(index(4)?, parse_duration(words.word(6)?)?, ahead)
             }
-            ("link", "gateway") if words.at(5)? == "roster" => match words.at(6)? {
+            ("link", "gateway") if words.word(5)? == "roster" => match words.word(6)? {
                 "stalled" => Fault::DiscoveryStall(index(4)?, true),
                 "well" => Fault::DiscoveryStall(index(4)?, false),
                 other => {
                     return Err(format!(
-                        "the link to the roster is stalled or well, not '{other}'"
+                        "unknown state '{other}' of the link to the roster: expected stalled or well"
                     ));
                 }
             },
-            ("link", "gateway") if words.at(5)? == "worker" => {
-                let link = match words.at(7)? {
+            ("link", "gateway") if words.word(5)? == "worker" => {
+                let link = match words.word(7)? {
                     "well" => Link::Well,
                     "stalled" => Link::Stalled,
                     "deaf" => Link::Deaf,
                     "cut" => Link::Cut,
-                    other => return Err(format!("no link is '{other}'")),
+                    other => {
+                        return Err(format!(
+                            "unknown link state '{other}': expected well, stalled, deaf or cut"
+                        ));
+                    }
                 };
                 Fault::Link(index(4)?, index(6)?, link)
             }
             ("copy", "gateway") => Fault::CopyState(index(4)?),
-            ("spoil", "gateway") => Fault::Spoil(index(4)?, state_damage(words.at(5)?)?),
+            ("spoil", "gateway") => Fault::Spoil(index(4)?, parse_state_damage(words.word(5)?)?),
             ("stop", "gateways") => Fault::StopGateways(index(4)?, index(5)?),
-            ("power", "off") => match words.at(4)? {
+            ("power", "off") => match words.word(4)? {
                 "all" => Fault::PowerOff { gateways: None },
                 _ => Fault::PowerOff {
                     gateways: Some((index(5)?, index(6)?)),
                 },
             },
             ("power", "on") => {
-                let every = words.span("every", Duration::ZERO)?;
-                let on: fn(usize) -> Fault = match words.at(4)? {
+                let every = words.duration_option("every", Duration::ZERO)?;
+                let power_on: fn(usize) -> Fault = match words.word(4)? {
                     "gateways" => Fault::PowerOnGateway,
                     "workers" => Fault::Start,
                     "roster" => |_| Fault::DiscoveryStop(false),
-                    other => return Err(format!("there is no power for '{other}'")),
+                    other => {
+                        return Err(format!(
+                            "cannot power on '{other}': expected gateways, workers or roster"
+                        ));
+                    }
                 };
-                let (first, last) = if words.at(4)? == "roster" {
+                let (first, last) = if words.word(4)? == "roster" {
                     (0, 0)
                 } else {
                     (index(5)?, index(6)?)
@@ -492,18 +577,18 @@
                 self.faults.extend(
                     (first..=last)
                         .zip(0..)
-                        .map(|(n, step)| (at + every * step, on(n))),
+                        .map(|(n, step)| (at + every * step, power_on(n))),
                 );
                 return Ok(());
             }
-            (verb, of) => return Err(format!("'{verb} {of}' is no trouble")),
+            (action, target) => return Err(format!("unknown fault '{action} {target}'")),
         };
         self.faults.push((at, fault));
         Ok(())
     }
 }
 
-fn state_damage(text: &str) -> Result<StateDamage, String> {
+fn parse_state_damage(text: &str) -> Result<StateDamage, String> {
     Ok(match text {
         "cut" => StateDamage::Cut,
         "flip" => StateDamage::Flip,
@@ -512,18 +597,25 @@
         "empty" => StateDamage::Empty,
         "unreadable" => StateDamage::Unreadable,
         "full" => StateDamage::Full,
-        other => return Err(format!("nothing is spoilt by '{other}'")),
+        other => {
+            return Err(format!(
+                "unknown state damage '{other}': expected cut, flip, older, other, empty, unreadable or full"
+            ));
+        }
     })
 }
 
-fn number(text: &str) -> Result<f64, String> {
-    text.parse().map_err(|_| format!("'{text}' is no number"))
+fn parse_number(text: &str) -> Result<f64, String> {
+    text.parse()
+        .map_err(|_| format!("'{text}' is not a valid number"))
 }
 
-fn pattern(words: &Words) -> Result<Pattern, String> {
-    let period = words.span("period", Duration::from_secs(30))?.as_secs_f64();
-    let most = words.number("most", 4.0)?;
-    Ok(match words.value("pattern").unwrap_or("steady") {
+fn read_pattern(words: &Words) -> Result<Pattern, String> {
+    let period = words
+        .duration_option("period", Duration::from_secs(30))?
+        .as_secs_f64();
+    let most = words.number_option("most", 4.0)?;
+    Ok(match words.option("pattern").unwrap_or("steady") {
         "steady" => Pattern::Steady,
         "daily" => Pattern::Daily { period, most },
         "weekly" => Pattern::Weekly { period, most },
@@ -531,16 +623,16 @@
         "turning" => Pattern::Turning { every: period },
         "timers" => Pattern::Timers {
             period,
-            jitter: words.span("jitter", Duration::ZERO)?.as_secs_f64(),
+            jitter: words.duration_option("jitter", Duration::ZERO)?.as_secs_f64(),
         },
         "scan" => Pattern::Scan,
         "terms-end" => Pattern::TermsEnd { most },
-        other => return Err(format!("'{other}' is no pattern")),
+        other => return Err(format!("unknown pattern '{other}'")),
     })
 }
 
-fn request_class(words: &Words) -> Result<RequestClass, String> {
-    words.known(&[
+fn read_request_class(words: &Words) -> Result<RequestClass, String> {
+    words.reject_unknown_options(&[
         "window",
         "rate",
         "work",
@@ -558,25 +650,29 @@
     ])?;
     let ms = Duration::from_millis;
     Ok(RequestClass {
-        name: words.at(1)?.to_owned(),
-        idempotency: match words.at(2)? {
+        name: words.word(1)?.to_owned(),
+        idempotency: match words.word(2)? {
             "restartable" => Idempotency::Idempotent,
             "fingerprinted" => Idempotency::IdempotentWithKey,
             "run-once" => Idempotency::NonIdempotent,
-            other => return Err(format!("'{other}' is no effect")),
+            other => {
+                return Err(format!(
+                    "unknown effect '{other}': expected restartable, fingerprinted or run-once"
+                ));
+            }
         },
-        deduplication_window: words.span("window", ms(5000))?,
-        rate: words.number("rate", 10.0)?,
-        mean_work: words.span("work", ms(5))?,
-        time_limit: words.span("limit", ms(3000))?,
-        function_count: words.number("functions", 1)?,
-        memory_mb: words.number("memory", 100.0)?,
-        load_time: words.span("load", ms(200))?,
-        slots: words.number("lanes", 4)?,
+        deduplication_window: words.duration_option("window", ms(5000))?,
+        rate: words.number_option("rate", 10.0)?,
+        mean_work: words.duration_option("work", ms(5))?,
+        time_limit: words.duration_option("limit", ms(3000))?,
+        function_count: words.number_option("functions", 1)?,
+        memory_mb: words.number_option("memory", 100.0)?,
+        load_time: words.duration_option("load", ms(200))?,
+        slots: words.number_option("lanes", 4)?,
         asynchronous: words.0.contains(&"deferred"),
-        hang_up_share: words.number("hang-up", 0.0)?,
-        latency_objective: words.span("target", words.span("limit", ms(3000))?)?,
-        pattern: pattern(words)?,
+        hang_up_share: words.number_option("hang-up", 0.0)?,
+        latency_objective: words.duration_option("target", words.duration_option("limit", ms(3000))?)?,
+        pattern: read_pattern(words)?,
     })
 }
 
@@ -585,18 +681,18 @@
     use super::*;
 
     #[test]
-    fn scripts_are_read_and_mistakes_named() {
-        let script = read("gateways 2\nworkers 4 cores=1\nworkload a run-once rate=5\nat 2s replace workers 0 1 every=3s\nat 1s lose worker 3 0.5").unwrap();
+    fn scenarios_are_read_and_errors_name_the_line() {
+        let scenario = read("gateways 2\nworkers 4 cores=1\nworkload a run-once rate=5\nat 2s replace workers 0 1 every=3s\nat 1s lose worker 3 0.5").unwrap();
         assert_eq!(
             (
-                script.gateways,
-                script.cores,
-                script.request_classes[0].idempotency
+                scenario.gateways,
+                scenario.cores,
+                scenario.request_classes[0].idempotency
             ),
             (2, 1.0, Idempotency::NonIdempotent)
         );
-        assert_eq!(script.faults[0], (Duration::from_secs(1), Fault::Lose(3, 0.5)));
-        assert_eq!(script.faults.len(), 7);
+        assert_eq!(scenario.faults[0], (Duration::from_secs(1), Fault::Lose(3, 0.5)));
+        assert_eq!(scenario.faults.len(), 7);
         for (text, line) in [
             ("workers x", "line 1"),
             ("\nat 2s tickle worker 1", "line 2"),
@@ -604,8 +700,8 @@
             ("workload a restartable\nat 1s crash worker 9", "counted from 0"),
             ("workload a restartable\nat 1 crash worker 0", "line 2"),
         ] {
-            let why = read(text).unwrap_err();
-            assert!(why.contains(line), "{text}: {why}");
+            let error = read(text).unwrap_err();
+            assert!(error.contains(line), "{text}: {error}");
         }
     }
 }
