--- a/crates/quartzdrift-lab/src/scenario_runner.rs
+++ b/crates/quartzdrift-lab/src/scenario_runner.rs
@@ -1,4 +1,4 @@
-//! Plays a script against gateways in processes of their own, and has its record audited.
+//! Runs a scenario against gateway processes, with fakes for everything around them, and audits the record.
 use crate::actor::{self, RunningFake};
 use crate::audit::{self, Guarantees, Violation};
 use crate::clients::{self, CallCounts, Clients};
@@ -24,51 +24,54 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long open calls and asynchronous requests may take to end once no more come.
-const SETTLE: Duration = Duration::from_secs(15);
-/// The rule for drains that the gateways are given.
+/// Longest wait for open calls and asynchronous requests after the last arrival.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Drain grace in the settings of the gateways.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// How long it may take until all that loses power has lost it.
-const ONE_MOMENT: Duration = Duration::from_millis(20);
-/// How long a gateway may take to start or to stop.
-const MAX_GATEWAY: Duration = Duration::from_secs(20);
+/// Longest time that a power loss may take to reach all processes: it stands for one that hits them at once.
+const POWER_OFF_TOLERANCE: Duration = Duration::from_millis(20);
+/// Longest time that gateways may take to stop after SIGTERM.
+const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How a day went.
+/// The record of a scenario run, its violations and totals.
 pub struct ScenarioRun {
     pub lines: Vec<Line>,
     pub guarantees: Guarantees,
     pub violations: Vec<Violation>,
     pub call_counts: CallCounts,
-    /// Attempts that reached workers, those that ran without finding their copy loaded, and fetches.
+    /// Attempts that reached workers.
     pub attempts: usize,
+    /// Attempts that had to wait until their function was loaded.
     pub waited_for_load: usize,
+    /// Fetches of functions from the store, including the rejected ones.
     pub fetches: usize,
-    /// Of the fetches, those that the store turned away.
+    /// Fetches that the store rejected.
     pub refused_fetches: usize,
-    /// How each gateway that was there at the end had come back.
+    /// Recovery state of each gateway at the end; `None` for a gateway that was down or had stored no state.
     pub recovery_views: Vec<Option<RecoveryView>>,
 }
 
-/// How the gateways of a day are started.
+/// The program that gateways are started from, with its arguments before the settings file.
 #[derive(Clone, Debug)]
 pub struct GatewayProgram {
     pub path: PathBuf,
     pub arguments: Vec<String>,
 }
 
-/// Reads the line in which a started process says where it listens.
+/// Reads the first line of a started process's output, which announces its listen address.
 pub fn read_listen_address(out: &mut impl BufRead) -> io::Result<SocketAddr> {
     let mut line = String::new();
     out.read_line(&mut line)?;
-    let at = line
+    let address = line
         .trim()
         .split_once("listens at http://")
-        .and_then(|(_, at)| at.parse().ok());
-    at.ok_or_else(|| io::Error::other(format!("it did not say where it listens: {line:?}")))
+        .and_then(|(_, address)| address.parse().ok());
+    address
+        .ok_or_else(|| io::Error::other(format!("no listen address in the first line of output: {line:?}")))
 }
 
 impl GatewayProgram {
-    /// The lab's own program under one of its commands.
+    /// A subcommand of the `quartzdrift-lab` binary at `path`.
     pub fn lab_command(path: &Path, command: &str) -> GatewayProgram {
         GatewayProgram {
             path: path.to_owned(),
@@ -76,8 +79,8 @@
         }
     }
 
-    /// Whether it ends well when it is told to stop; the naive one is simply killed.
-    fn stops(&self) -> bool {
+    /// Whether the program exits with success after SIGTERM. The naive gateway does not handle the signal.
+    fn exits_cleanly(&self) -> bool {
         self.arguments.first().is_none_or(|command| command != "naive")
     }
 }
@@ -86,33 +89,41 @@
     settings: PathBuf,
     state: PathBuf,
     child: Option<Child>,
-    /// The lab's own options for its next starts, and whether nothing can be written then.
+    /// Options that shift the wall clock from the next start on.
     clock: Vec<String>,
+    /// Boot id from the next start on.
     boot: Option<String>,
-    full: bool,
+    /// Whether the process can write no file from the next start on.
+    disk_full: bool,
 }
 
-struct Stage<'a> {
-    script: &'a Scenario,
+/// The gateway processes and the fakes of a running scenario.
+struct Runner<'a> {
+    scenario: &'a Scenario,
     program: &'a GatewayProgram,
     recorder: Recorder,
     workers: Vec<RunningFake<worker::Command>>,
+    /// Current faults of each worker.
     faults: Vec<Faults>,
     discovery: RunningFake<discovery::Command>,
     store: RunningFake<store::Command>,
     gateways: Vec<Gateway>,
+    /// Carries the datagrams of the membership, if the gateways form one.
     switch: Option<Switch>,
-    /// Links from gateways to workers, where the day has faults on some.
+    /// Links from gateways to workers, present if the scenario has faults of links.
     relays: BTreeMap<(usize, usize), Relay>,
+    /// Idempotency keys that the workers remember.
     marks: worker::Marks,
-    boots: u32,
+    /// Number of power losses so far, from which boot ids are made.
+    power_losses: u32,
 }
 
-fn any() -> SocketAddr {
+/// Any free port on loopback.
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn listed(worker: &str, state: EndpointState, started: Option<Duration>) -> DiscoveredEndpoint {
+fn endpoint(worker: &str, state: EndpointState, started: Option<Duration>) -> DiscoveredEndpoint {
     DiscoveredEndpoint {
         state,
         started,
@@ -120,26 +131,27 @@
     }
 }
 
-/// What makes a gateway a member of the day's fleet, with its asynchronous requests on disk.
-fn fleet_settings(me: usize, period: Duration, switch: &Switch, key: &Path) -> String {
+/// Settings that make a gateway a member of the membership.
+fn membership_settings(gateway: usize, period: Duration, switch: &Switch, key: &Path) -> String {
     let seeds: Vec<String> = switch.outside.iter().map(|at| format!("\"{at}\"")).collect();
     format!(
-        "[fleet]\nname = \"gateway-{me}\"\ncluster = \"day-{}\"\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = [{}]\n\
+        "[fleet]\nname = \"gateway-{gateway}\"\ncluster = \"day-{}\"\nlisten = \"{}\"\n\
+         advertise = \"{}\"\nseeds = [{}]\n\
          keys = [\"{}\"]\nperiod = \"{}ms\"\n[recovery]\nask = \"1s\"\nlongest = \"60s\"\n",
-        // Gateways that outlived a day that was broken off speak to none of another.
+        // A cluster name of its own keeps gateways that are left over from an aborted run apart.
         switch.outside[0].port(),
-        switch.inside[me],
-        switch.outside[me],
+        switch.inside[gateway],
+        switch.outside[gateway],
         seeds.join(", "),
         key.display(),
         period.as_millis(),
     )
 }
 
-/// Settings of one gateway of a day.
+/// The settings file of a gateway, as TOML.
 pub fn gateway_settings(
-    script: &Scenario,
-    me: usize,
+    scenario: &Scenario,
+    gateway: usize,
     listen: SocketAddr,
     discovery: SocketAddr,
     state: &Path,
@@ -150,49 +162,51 @@
     // Writing into a string cannot fail.
     let _ = write!(
         text,
-        "[gateway]\nlisten = [\"{listen}\"]\nstate = \"{state}\"\nseed = {me}\ndrain = \"5s\"\n\
+        "[gateway]\nlisten = [\"{listen}\"]\nstate = \"{state}\"\nseed = {gateway}\ndrain = \"5s\"\n\
          [log]\nfilter = \"warn\"\n\
-         [scheduler]\nme = {me}\nschedulers = {}\n\
-         [roster]\nurl = \"http://{discovery}/workers/{me}\"\nstream = true\nevery = \"2s\"\ntimeout = \"500ms\"\n\
+         [scheduler]\nme = {gateway}\nschedulers = {}\n\
+         [roster]\nurl = \"http://{discovery}/workers/{gateway}\"\nstream = true\nevery = \"2s\"\n\
+         timeout = \"500ms\"\n\
          [allowed]\nmax_executions = 3\nconnect_timeout = \"250ms\"\n\
          [rules]\nanswer_slack = \"50ms\"\ndrain_grace = {}\n",
-        script.gateways,
+        scenario.gateways,
         ms(DRAIN_GRACE),
     );
-    if script.fall_multiple > 0.0 {
+    if scenario.fall_multiple > 0.0 {
         let _ = write!(
             text,
             "cold_from = {}\ncold_for = {}\nfall_multiple = {:.3}\nfall_window = {}\n",
-            script.cold_from,
-            ms(script.cold_for),
-            script.fall_multiple,
-            ms(script.fall_window),
+            scenario.cold_from,
+            ms(scenario.cold_for),
+            scenario.fall_multiple,
+            ms(scenario.fall_window),
         );
     }
     let _ = write!(
         text,
         "[copies]\ntells_warm = true\ntells_crowd = true\nkeep = {}\nmemory_mb_by_kind = [{:.1}]\n\
-         orders = {}\n[reports]\nsource = \"answers\"\nfields = [{{ field = \"held\", metric = \"named_metrics.inflight\" }}, \
+         orders = {}\n[reports]\nsource = \"answers\"\n\
+         fields = [{{ field = \"held\", metric = \"named_metrics.inflight\" }}, \
          {{ field = \"loads\", metric = \"named_metrics.loads\" }}]\n\
          [deferred]\ntries = 3\nwait = \"200ms\"\nlongest_wait = \"2s\"\ngreatest_age = \"60s\"\n\
          on_failure = {{ function = \"dead\" }}\n{}",
-        ms(script.keep_loaded),
-        script.memory_mb,
-        script.forecasts,
-        if script.gossip_period.is_some() {
+        ms(scenario.keep_loaded),
+        scenario.memory_mb,
+        scenario.forecasts,
+        if scenario.gossip_period.is_some() {
             format!("store = \"{state}/deferred\"\n")
         } else {
             String::new()
         },
     );
-    if script.forecasts {
+    if scenario.forecasts {
         text.push_str("[forecasts]\nseasons = [\"60s\", \"120s\"]\n");
     }
-    let first = script
+    let first = scenario
         .request_classes
         .first()
         .map_or("", |request_class| request_class.name.as_str());
-    for request_class in &script.request_classes {
+    for request_class in &scenario.request_classes {
         let idempotency = match request_class.idempotency {
             Idempotency::Idempotent => "restartable",
             Idempotency::IdempotentWithKey => "fingerprinted",
@@ -227,34 +241,35 @@
     text
 }
 
-/// The kind of worker that a script tells of.
-pub fn worker_machine(script: &Scenario) -> Machine {
+/// The model of the scenario's workers.
+pub fn worker_machine(scenario: &Scenario) -> Machine {
     Machine {
-        cores: script.cores,
-        memory_mb: script.memory_mb,
-        queue_most: script.max_waiting_calls,
-        keep: script.keep_loaded,
-        cold_from: script.cold_from,
-        cold_for: script.cold_for,
-        fall_multiple: script.fall_multiple,
-        fall_window: script.fall_window,
+        cores: scenario.cores,
+        memory_mb: scenario.memory_mb,
+        queue_most: scenario.max_waiting_calls,
+        keep: scenario.keep_loaded,
+        cold_from: scenario.cold_from,
+        cold_for: scenario.cold_for,
+        fall_multiple: scenario.fall_multiple,
+        fall_window: scenario.fall_window,
         ..Machine::default()
     }
 }
 
-/// Its store.
-pub fn store_config(script: &Scenario) -> store::Config {
+/// The configuration of the scenario's store.
+pub fn store_config(scenario: &Scenario) -> store::Config {
     store::Config {
-        capacity: script.store_capacity,
-        limit: script.store_limit,
-        stops_at: script.store_stops_at,
+        capacity: scenario.store_capacity,
+        limit: scenario.store_limit,
+        stops_at: scenario.store_stops_at,
         stops_for: Duration::from_secs(2),
     }
 }
 
-pub fn function_specs(script: &Scenario) -> BTreeMap<String, Spec> {
+/// What the workers know of each function, by its name.
+pub fn function_specs(scenario: &Scenario) -> BTreeMap<String, Spec> {
     let mut specs = BTreeMap::new();
-    for request_class in &script.request_classes {
+    for request_class in &scenario.request_classes {
         for n in 0..request_class.function_count {
             let (memory_mb, slots, load, work) = (
                 request_class.memory_mb,
@@ -274,54 +289,57 @@
             );
         }
     }
-    let light = Spec {
+    let failure_destination = Spec {
         memory_mb: 1.0,
         load: Duration::from_millis(1),
         ..Spec::default()
     };
-    specs.insert("dead".to_owned(), light);
+    specs.insert("dead".to_owned(), failure_destination);
     specs
 }
 
-fn guarantees(script: &Scenario) -> Guarantees {
-    let of = |idempotency| {
-        script
+fn guarantees(scenario: &Scenario) -> Guarantees {
+    let classes_with = |idempotency| {
+        scenario
             .request_classes
             .iter()
-            .filter(move |w| w.idempotency == idempotency)
+            .filter(move |class| class.idempotency == idempotency)
     };
     Guarantees {
-        non_idempotent: of(Idempotency::NonIdempotent).map(|w| w.name.clone()).collect(),
-        deduplication_windows_us: of(Idempotency::IdempotentWithKey)
-            .map(|w| (w.name.clone(), w.deduplication_window.as_micros() as u64))
+        non_idempotent: classes_with(Idempotency::NonIdempotent)
+            .map(|class| class.name.clone())
+            .collect(),
+        deduplication_windows_us: classes_with(Idempotency::IdempotentWithKey)
+            .map(|class| (class.name.clone(), class.deduplication_window.as_micros() as u64))
             .collect(),
         drain_grace_us: DRAIN_GRACE.as_micros() as u64,
-        fall_multiple: script.fall_multiple,
-        fall_window_us: script.fall_window.as_micros() as u64,
+        fall_multiple: scenario.fall_multiple,
+        fall_window_us: scenario.fall_window.as_micros() as u64,
         load_quota_burst: 0.0,
         load_quota_share: 0.0,
         load_window_us: 0,
         asynchronous_completes: true,
-        durable: script.gossip_period.is_some(),
+        durable: scenario.gossip_period.is_some(),
     }
 }
 
-impl Stage<'_> {
+impl Runner<'_> {
     fn start_gateway(&mut self, n: usize) -> io::Result<()> {
         let Gateway {
             settings,
             clock,
             boot,
-            full,
+            disk_full,
             ..
         } = &self.gateways[n];
-        let full = *full;
+        let disk_full = *disk_full;
         let mut arguments: Vec<std::ffi::OsString> = self.program.arguments.iter().map(Into::into).collect();
         arguments.push(settings.into());
         arguments.extend(clock.iter().map(Into::into));
         arguments.extend(boot.iter().flat_map(|name| ["--boot".into(), name.into()]));
-        let mut command = match full {
-            // No file may grow; the process hears of it as an error, not by a signal.
+        let mut command = match disk_full {
+            // No file may grow. With SIGXFSZ ignored, a write fails with an error instead of ending the
+            // process.
             true => {
                 let mut shell = Command::new("sh");
                 shell
@@ -335,12 +353,12 @@
         let out = child
             .stdout
             .take()
-            .ok_or_else(|| io::Error::other("a gateway has no output"))?;
-        let first = read_listen_address(&mut BufReader::new(out));
+            .ok_or_else(|| io::Error::other(format!("standard output of gateway {n} is not piped")))?;
+        let address = read_listen_address(&mut BufReader::new(out));
         self.gateways[n].child = Some(child);
-        if let Err(e) = first {
-            // Where nothing can be written it says so and ends: no promise could be kept.
-            if full {
+        if let Err(e) = address {
+            // A gateway that cannot write its state reports the error and exits.
+            if disk_full {
                 self.gateways[n]
                     .child
                     .take()
@@ -359,29 +377,30 @@
         self.workers[n].send(worker::Command::Faults(self.faults[n].clone()));
     }
 
-    fn list(&self, n: usize, state: EndpointState) {
+    /// Sends the state of worker `n` to discovery.
+    fn update_endpoint(&self, n: usize, state: EndpointState) {
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let started = (state == EndpointState::Up).then_some(started);
         let worker = self.workers[n].address.to_string();
-        self.discovery.send(discovery::Command::UpdateEndpoint(listed(
+        self.discovery.send(discovery::Command::UpdateEndpoint(endpoint(
             &worker, state, started,
         )));
     }
 
-    fn cause(&mut self, fault: &Fault) -> io::Result<()> {
+    fn inject(&mut self, fault: &Fault) -> io::Result<()> {
         match *fault {
             Fault::Crash(n) => {
                 self.workers[n].send(worker::Command::Crash);
-                self.list(n, EndpointState::Gone);
+                self.update_endpoint(n, EndpointState::Gone);
             }
             Fault::Start(n) => {
                 self.faults[n] = Faults::default();
                 self.workers[n].send(worker::Command::Start);
-                self.list(n, EndpointState::Up);
+                self.update_endpoint(n, EndpointState::Up);
             }
             Fault::Drain(n) => {
                 self.workers[n].send(worker::Command::Drain);
-                self.list(n, EndpointState::Draining);
+                self.update_endpoint(n, EndpointState::Draining);
             }
             Fault::Silent(n) => self.set_faults(n, |faults| faults.silent = true),
             Fault::Hang(n) => self.set_faults(n, |faults| faults.hang = true),
@@ -397,7 +416,8 @@
             Fault::StoreRefuse(on) => self.store.send(store::Command::Refuse(on)),
             Fault::KillGateway(n) => {
                 if let Some(mut child) = self.gateways[n].child.take() {
-                    // The moment before counts: what comes back after it was sent before it.
+                    // Recorded before the kill: responses that arrive after this line were sent before the
+                    // kill.
                     self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
                     child.kill()?;
                     child.wait()?;
@@ -427,11 +447,11 @@
                 for n in first..=last {
                     self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
                 }
-                self.stop(first..=last)?;
+                self.stop_gateways(first..=last)?;
             }
             Fault::PowerOff { gateways } => self.power_off(gateways)?,
             Fault::PowerOnGateway(n) => {
-                self.gateways[n].boot = Some(format!("boot-{}", self.boots));
+                self.gateways[n].boot = Some(format!("boot-{}", self.power_losses));
                 if self.gateways[n].child.is_none() {
                     self.start_gateway(n)?;
                 }
@@ -448,24 +468,25 @@
             Fault::DiscoveryStall(n, on) => self.discovery.send(discovery::Command::SetStalled(n as u64, on)),
             Fault::CopyState(n) => {
                 let state = &self.gateways[n].state;
-                copy(state, &state.with_extension("copy"))?;
+                copy_folder(state, &state.with_extension("copy"))?;
             }
-            Fault::Spoil(n, how) => self.spoil(n, how)?,
+            Fault::Spoil(n, damage) => self.damage_state(n, damage)?,
         }
         Ok(())
     }
 
     fn switch(&self) -> io::Result<&Switch> {
-        self.switch
-            .as_ref()
-            .ok_or_else(|| io::Error::other("links are there in a fleet only: write 'fleet 50ms'"))
+        self.switch.as_ref().ok_or_else(|| {
+            io::Error::other("datagram faults need a membership: add 'fleet 50ms' to the scenario")
+        })
     }
 
-    /// All that is named ends in one moment.
+    /// Cuts the power of a range of gateways, or, with `None`, of all gateways, the workers and discovery.
+    /// Fails if that took longer than the tolerance.
     fn power_off(&mut self, gateways: Option<(usize, usize)>) -> io::Result<()> {
         let (first, last) = gateways.unwrap_or((0, self.gateways.len() - 1));
         let start = Instant::now();
-        self.boots += 1;
+        self.power_losses += 1;
         for n in first..=last {
             if let Some(child) = &mut self.gateways[n].child {
                 self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
@@ -480,56 +501,57 @@
             self.marks.lock().unwrap_or_else(PoisonError::into_inner).clear();
             self.recorder.see(Seen::WorkersLost);
         }
-        let gap = start.elapsed();
+        let elapsed = start.elapsed();
         for n in first..=last {
             if let Some(mut child) = self.gateways[n].child.take() {
                 child.wait()?;
             }
         }
         if gateways.is_none() {
-            (0..self.workers.len()).for_each(|n| self.list(n, EndpointState::Gone));
+            (0..self.workers.len()).for_each(|n| self.update_endpoint(n, EndpointState::Gone));
         }
-        match gap <= ONE_MOMENT {
+        match elapsed <= POWER_OFF_TOLERANCE {
             true => Ok(()),
             false => Err(io::Error::other(format!(
-                "power went in {gap:?}, not in one moment"
+                "power off took {elapsed:?}, over the limit of {POWER_OFF_TOLERANCE:?}"
             ))),
         }
     }
 
-    fn spoil(&mut self, n: usize, how: StateDamage) -> io::Result<()> {
+    fn damage_state(&mut self, n: usize, damage: StateDamage) -> io::Result<()> {
         let state = self.gateways[n].state.clone();
-        let mark = state.join(quartzdrift::snapshots::CHECKPOINT);
-        match how {
+        let checkpoint = state.join(quartzdrift::snapshots::CHECKPOINT);
+        match damage {
             StateDamage::Cut => {
-                let bytes = std::fs::read(&mark)?;
-                std::fs::write(&mark, &bytes[..bytes.len() / 2])?;
+                let bytes = std::fs::read(&checkpoint)?;
+                std::fs::write(&checkpoint, &bytes[..bytes.len() / 2])?;
             }
             StateDamage::Flip => {
-                let mut bytes = std::fs::read(&mark)?;
+                let mut bytes = std::fs::read(&checkpoint)?;
                 let at = bytes.len() / 3;
                 bytes[at] ^= 4;
-                std::fs::write(&mark, bytes)?;
+                std::fs::write(&checkpoint, bytes)?;
             }
             StateDamage::Older | StateDamage::Other => {
-                if how == StateDamage::Older {
+                if damage == StateDamage::Older {
                     self.recorder.see(Seen::DiskLost { gateway: n as u64 });
                 }
-                let from = match how {
+                let source = match damage {
                     StateDamage::Older => state.with_extension("copy"),
                     _ => self.gateways[(n + 1) % self.gateways.len()].state.clone(),
                 };
-                // The store of another member is refused at the start, which is a test of its own.
-                let asynchronous = state.join("deferred");
-                let own = state.with_extension("own");
-                if how == StateDamage::Other {
-                    std::fs::rename(&asynchronous, &own)?;
+                // A gateway rejects another member's store of asynchronous requests at its start, which
+                // another test covers: the gateway keeps its own store here.
+                let request_store = state.join("deferred");
+                let kept_store = state.with_extension("own");
+                if damage == StateDamage::Other {
+                    std::fs::rename(&request_store, &kept_store)?;
                 }
                 std::fs::remove_dir_all(&state)?;
-                copy(&from, &state)?;
-                if how == StateDamage::Other {
-                    std::fs::remove_dir_all(&asynchronous)?;
-                    std::fs::rename(&own, &asynchronous)?;
+                copy_folder(&source, &state)?;
+                if damage == StateDamage::Other {
+                    std::fs::remove_dir_all(&request_store)?;
+                    std::fs::rename(&kept_store, &request_store)?;
                 }
             }
             StateDamage::Empty => {
@@ -537,38 +559,43 @@
                 std::fs::remove_dir_all(&state)?;
             }
             StateDamage::Unreadable => {
-                std::fs::remove_file(&mark)?;
-                std::fs::create_dir(&mark)?;
+                std::fs::remove_file(&checkpoint)?;
+                std::fs::create_dir(&checkpoint)?;
             }
-            StateDamage::Full => self.gateways[n].full = true,
+            StateDamage::Full => self.gateways[n].disk_full = true,
         }
         Ok(())
     }
 
-    /// Stops the gateways as an operator does. `Err` names one that does not end by itself.
-    fn stop(&mut self, which: std::ops::RangeInclusive<usize>) -> io::Result<()> {
-        for gateway in &self.gateways[which.clone()] {
+    /// Stops gateways by SIGTERM and waits for them. The error names a gateway that fails or does not exit in
+    /// time.
+    fn stop_gateways(&mut self, range: std::ops::RangeInclusive<usize>) -> io::Result<()> {
+        for gateway in &self.gateways[range.clone()] {
             if let Some(child) = &gateway.child {
                 let id = child.id().to_string();
                 Command::new("kill").args(["-TERM", &id]).status()?;
             }
         }
-        let until = Instant::now() + MAX_GATEWAY;
-        for n in which {
+        let deadline = Instant::now() + STOP_TIMEOUT;
+        for n in range {
             let gateway = &mut self.gateways[n];
             let Some(mut child) = gateway.child.take() else {
                 continue;
             };
             loop {
                 if let Some(status) = child.try_wait()? {
-                    if !status.success() && self.program.stops() {
-                        return Err(io::Error::other(format!("gateway {n} ended with {status}")));
+                    if !status.success() && self.program.exits_cleanly() {
+                        return Err(io::Error::other(format!(
+                            "gateway {n} exited with {status} after SIGTERM"
+                        )));
                     }
                     break;
                 }
-                if Instant::now() > until {
+                if Instant::now() > deadline {
                     child.kill()?;
-                    return Err(io::Error::other(format!("gateway {n} did not stop by itself")));
+                    return Err(io::Error::other(format!(
+                        "gateway {n} did not stop within {STOP_TIMEOUT:?} of SIGTERM"
+                    )));
                 }
                 std::thread::sleep(Duration::from_millis(5));
             }
@@ -577,8 +604,8 @@
     }
 }
 
-impl Drop for Stage<'_> {
-    /// No gateway outlives its day, however that ends.
+impl Drop for Runner<'_> {
+    /// Kills the gateways that still run, also after an error.
     fn drop(&mut self) {
         for child in self
             .gateways
@@ -591,38 +618,38 @@
     }
 }
 
-fn copy(from: &Path, to: &Path) -> io::Result<()> {
+fn copy_folder(from: &Path, to: &Path) -> io::Result<()> {
     std::fs::create_dir_all(to)?;
     for entry in std::fs::read_dir(from)? {
         let entry = entry?;
         let to = to.join(entry.file_name());
         match entry.file_type()?.is_dir() {
-            true => copy(&entry.path(), &to)?,
-            // It may be replaced at this very moment.
+            true => copy_folder(&entry.path(), &to)?,
+            // The running gateway may replace the file meanwhile: a failed copy is ignored.
             false => drop(std::fs::copy(entry.path(), to)),
         }
     }
     Ok(())
 }
 
-/// Plays the day. Seeds draw its traffic; times on sockets are never quite the same.
-pub fn run(script: &Scenario, program: &GatewayProgram, seed: u64) -> io::Result<ScenarioRun> {
+/// Runs the scenario. The seed determines the traffic, but not the timing of the processes.
+pub fn run(scenario: &Scenario, program: &GatewayProgram, seed: u64) -> io::Result<ScenarioRun> {
     let folder = tempfile::tempdir()?;
     let recorder = Recorder::default();
-    let store_config = store_config(script);
-    let store = actor::spawn(any(), move |handle, _| Store::new(handle, store_config))?;
+    let store_config = store_config(scenario);
+    let store = actor::spawn(any_port(), move |handle, _| Store::new(handle, store_config))?;
     let marks: worker::Marks = Arc::default();
-    let window = script
+    let window = scenario
         .request_classes
         .iter()
-        .map(|w| w.deduplication_window)
+        .map(|class| class.deduplication_window)
         .max()
         .unwrap_or_default();
     let mut workers = Vec::new();
-    for n in 0..script.workers {
+    for n in 0..scenario.workers {
         let config = worker::Config {
-            machine: worker_machine(script),
-            specs: function_specs(script),
+            machine: worker_machine(scenario),
+            specs: function_specs(scenario),
             store: Some(store.address),
             marks: Some(marks.clone()),
             window,
@@ -630,67 +657,69 @@
             seed: seed ^ n as u64,
             ..worker::Config::default()
         };
-        workers.push(actor::spawn(any(), move |handle, address| {
+        workers.push(actor::spawn(any_port(), move |handle, address| {
             FakeWorker::new(handle, address, config)
         })?);
     }
-    let first: Vec<DiscoveredEndpoint> = workers
+    let endpoints: Vec<DiscoveredEndpoint> = workers
         .iter()
-        .map(|w| listed(&w.address.to_string(), EndpointState::Up, None))
+        .map(|worker| endpoint(&worker.address.to_string(), EndpointState::Up, None))
         .collect();
-    let (lag, of) = (script.discovery_lag, recorder.clone());
-    let discovery = actor::spawn(any(), move |handle, _| {
-        FakeDiscovery::new(handle, first, lag, Some(of))
+    let (lag, discovery_recorder) = (scenario.discovery_lag, recorder.clone());
+    let discovery = actor::spawn(any_port(), move |handle, _| {
+        FakeDiscovery::new(handle, endpoints, lag, Some(discovery_recorder))
     })?;
     let mut relays = BTreeMap::new();
-    if script
+    if scenario
         .faults
         .iter()
         .any(|(_, fault)| matches!(fault, Fault::Link(..)))
     {
-        let pairs = (0..script.gateways).flat_map(|g| (0..workers.len()).map(move |w| (g, w)));
+        let pairs = (0..scenario.gateways).flat_map(|g| (0..workers.len()).map(move |w| (g, w)));
         for (g, w) in pairs {
             relays.insert((g, w), Relay::start(workers[w].address)?);
         }
-        let told = |(&(g, w), relay): (&(usize, usize), &Relay)| {
+        let relayed = |(&(g, w), relay): (&(usize, usize), &Relay)| {
             (
                 (g as u64, workers[w].address.to_string()),
                 relay.address.to_string(),
             )
         };
-        discovery.send(discovery::Command::SetRelays(relays.iter().map(told).collect()));
+        discovery.send(discovery::Command::SetRelays(
+            relays.iter().map(relayed).collect(),
+        ));
     }
-    let switch = script
+    let switch = scenario
         .gossip_period
-        .map(|_| Switch::start(script.gateways, seed))
+        .map(|_| Switch::start(scenario.gateways, seed))
         .transpose()?;
     let key = folder.path().join("key");
     std::fs::write(&key, "00112233445566778899aabbccddeeff")?;
     let mut gateways = Vec::new();
     let mut addresses = Vec::new();
-    for n in 0..script.gateways {
+    for n in 0..scenario.gateways {
         let listen = kept_port()?;
         let state = folder.path().join(format!("gateway-{n}"));
         let file = folder.path().join(format!("gateway-{n}.toml"));
-        let mut text = gateway_settings(script, n, listen, discovery.address, &state);
-        if let (Some(period), Some(switch)) = (script.gossip_period, &switch) {
-            text.push_str(&fleet_settings(n, period, switch, &key));
+        let mut text = gateway_settings(scenario, n, listen, discovery.address, &state);
+        if let (Some(period), Some(switch)) = (scenario.gossip_period, &switch) {
+            text.push_str(&membership_settings(n, period, switch, &key));
         }
         std::fs::write(&file, text)?;
-        let (clock, boot, full) = (Vec::new(), None, false);
+        let (clock, boot, disk_full) = (Vec::new(), None, false);
         gateways.push(Gateway {
             settings: file,
             state,
             child: None,
             clock,
             boot,
-            full,
+            disk_full,
         });
         addresses.push(listen);
     }
-    let faults = vec![Faults::default(); script.workers];
-    let mut stage = Stage {
-        script,
+    let faults = vec![Faults::default(); scenario.workers];
+    let mut runner = Runner {
+        scenario,
         program,
         recorder: recorder.clone(),
         workers,
@@ -701,70 +730,77 @@
         switch,
         relays,
         marks,
-        boots: 0,
+        power_losses: 0,
     };
-    for n in 0..stage.script.gateways {
-        stage.start_gateway(n)?;
+    for n in 0..runner.scenario.gateways {
+        runner.start_gateway(n)?;
     }
-    let (open, tally) = (
+    let (open_calls, call_counts) = (
         Arc::new(AtomicU64::new(0)),
         Arc::new(Mutex::new(CallCounts::default())),
     );
-    let of = recorder.clone();
-    let (open_too, tally_too) = (open.clone(), tally.clone());
-    let arrivals = traffic::arrivals(script, seed);
-    let (max_retries, retry_wait_factor) = (script.max_retries, script.retry_wait_factor);
+    let client_recorder = recorder.clone();
+    let (shared_open_calls, shared_call_counts) = (open_calls.clone(), call_counts.clone());
+    let arrivals = traffic::arrivals(scenario, seed);
+    let (max_retries, retry_wait_factor) = (scenario.max_retries, scenario.retry_wait_factor);
     let plan = clients::Plan {
-        request_classes: script.request_classes.clone(),
+        request_classes: scenario.request_classes.clone(),
         arrivals,
         seed,
         max_retries,
         retry_wait_factor,
     };
-    let clients = actor::spawn(any(), move |handle, _| {
-        Clients::new(handle, of, addresses, plan, open_too, tally_too)
+    let clients = actor::spawn(any_port(), move |handle, _| {
+        Clients::new(
+            handle,
+            client_recorder,
+            addresses,
+            plan,
+            shared_open_calls,
+            shared_call_counts,
+        )
     })?;
     let start = Instant::now();
-    for (at, fault) in &script.faults {
+    for (at, fault) in &scenario.faults {
         std::thread::sleep(at.saturating_sub(start.elapsed()));
-        stage.cause(fault)?;
+        runner.inject(fault)?;
     }
-    std::thread::sleep(script.length.saturating_sub(start.elapsed()));
+    std::thread::sleep(scenario.length.saturating_sub(start.elapsed()));
     clients.send(clients::Command::StopArrivals);
-    let until = Instant::now() + SETTLE;
-    while open.load(Ordering::Relaxed) > 0 && Instant::now() < until {
+    let deadline = Instant::now() + SETTLE_TIMEOUT;
+    while open_calls.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(20));
     }
-    let guarantees = guarantees(script);
-    // What was taken and waits is run before the gateways stop, or is lost.
-    while script.gossip_period.is_some() && Instant::now() < until {
-        let lost = |broken: &Violation| broken.rule == audit::Rule::RequestLost;
-        if !audit::audit(&recorder.lines(), &guarantees).iter().any(lost) {
+    let guarantees = guarantees(scenario);
+    // Accepted asynchronous requests must run before the gateways stop; the audit counts the rest as lost.
+    while scenario.gossip_period.is_some() && Instant::now() < deadline {
+        let is_lost = |violation: &Violation| violation.rule == audit::Rule::RequestLost;
+        if !audit::audit(&recorder.lines(), &guarantees).iter().any(is_lost) {
             break;
         }
         std::thread::sleep(Duration::from_millis(500));
     }
-    let view = |gateway: &Gateway| -> Option<RecoveryView> {
+    let recovery_view = |gateway: &Gateway| -> Option<RecoveryView> {
         let bytes =
             quartzdrift::snapshots::read(&gateway.state, quartzdrift::snapshots::RECOVERY_VIEW).ok()??;
         serde_json::from_slice(&bytes).ok()
     };
-    let recovery_views = stage
+    let recovery_views = runner
         .gateways
         .iter()
-        .map(|gateway| gateway.child.as_ref().and(view(gateway)))
+        .map(|gateway| gateway.child.as_ref().and(recovery_view(gateway)))
         .collect();
-    let stopped = stage.stop(0..=script.gateways - 1);
+    let stopped = runner.stop_gateways(0..=scenario.gateways - 1);
     drop(clients);
     stopped?;
     let lines = recorder.lines();
     let violations = audit::audit(&lines, &guarantees);
-    let count = |of: fn(&Seen) -> bool| lines.iter().filter(|line| of(&line.seen)).count();
+    let count = |matches: fn(&Seen) -> bool| lines.iter().filter(|line| matches(&line.seen)).count();
     let attempts = count(|seen| matches!(seen, Seen::Came { .. }));
     let waited_for_load = count(|seen| matches!(seen, Seen::Began { warm: false, .. }));
     let fetches = count(|seen| matches!(seen, Seen::Fetch { .. }));
     let refused_fetches = count(|seen| matches!(seen, Seen::FetchRefused { .. }));
-    let call_counts = tally.lock().unwrap_or_else(PoisonError::into_inner).clone();
+    let call_counts = call_counts.lock().unwrap_or_else(PoisonError::into_inner).clone();
     Ok(ScenarioRun {
         lines,
         guarantees,
@@ -778,17 +814,17 @@
     })
 }
 
-/// Writes a day's terms and record, one JSON object a line.
-pub fn save_record(day: &ScenarioRun, path: &Path) -> io::Result<()> {
+/// Writes the guarantees and the record of a run, one JSON object a line.
+pub fn save_record(run: &ScenarioRun, path: &Path) -> io::Result<()> {
     let mut out = io::BufWriter::new(std::fs::File::create(path)?);
-    writeln!(out, "{}", serde_json::to_string(&day.guarantees)?)?;
-    for line in &day.lines {
+    writeln!(out, "{}", serde_json::to_string(&run.guarantees)?)?;
+    for line in &run.lines {
         writeln!(out, "{}", serde_json::to_string(line)?)?;
     }
     out.flush()
 }
 
-/// Reads what [`save_record`] wrote.
+/// Reads a file that [`save_record`] wrote.
 pub fn load_record(path: &Path) -> io::Result<(Guarantees, Vec<Line>)> {
     let text = std::fs::read_to_string(path)?;
     let mut lines = text.lines();
