--- a/crates/quartzdrift-lab/src/bench_scenario.rs
+++ b/crates/quartzdrift-lab/src/bench_scenario.rs
@@ -1,20 +1,20 @@
-//! Days as the decision module's bench draws them, read for their shape and faults and scaled down to a script that
-//! plays on sockets and in the emulator. What has no counterpart here is named, not played.
+//! Scenarios of the decision module's bench, scaled down so that they run on sockets and in the emulator.
+//! Faults that have no counterpart here are reported, not played.
 //!
-//! Only fields that are needed are read; all others belong to their owner's format.
+//! Only the needed fields are read; the bench owns the format of the file.
 use crate::scenario::{Fault, Pattern, RequestClass, Scenario};
 use quartzdrift_scheduler::interface::Idempotency;
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Functions of a request class at most.
+/// Most functions of a request class.
 const MAX_FUNCTIONS: usize = 500;
-/// Between a worker's drain and its end, and between its end and the next start, in a planned replacement.
-const REPLACE: Duration = Duration::from_secs(1);
-/// A call's client waits so much of its time limit in the middle of a window of repeats.
-const MIN_WINDOW: Duration = Duration::from_secs(2);
+/// Time from a worker's drain to its end, and from its end to the next start, in a planned replacement.
+const REPLACEMENT_STEP: Duration = Duration::from_secs(1);
+/// Shortest deduplication window: a client spends a part of the window waiting for its first response.
+const MIN_DEDUPLICATION_WINDOW: Duration = Duration::from_secs(2);
 
-/// To what size a day is scaled.
+/// The size that a bench scenario is scaled to.
 #[derive(Clone, Copy, Debug)]
 pub struct Scale {
     pub gateways: usize,
@@ -22,197 +22,234 @@
     pub length: Duration,
 }
 
+/// A scaled bench scenario.
 #[derive(Debug)]
 pub struct BenchScenario {
     pub scenario: Scenario,
-    /// Kinds of fault, and traits of the traffic, that are not played.
+    /// Kinds of the faults that have no counterpart here, one entry for each fault.
     pub unsupported: Vec<String>,
 }
 
-/// Times are microseconds.
+/// The file of a bench scenario. Times are in microseconds.
 #[derive(Deserialize)]
-struct File {
+struct BenchFile {
     length: u64,
     traffic: Traffic,
     classes: Vec<Class>,
-    tiers: Vec<Tier>,
-    servers: Vec<Server>,
-    balancers: Vec<serde_json::Value>,
+    tiers: Vec<WorkerTier>,
+    #[serde(rename = "servers")]
+    workers: Vec<BenchWorker>,
+    #[serde(rename = "balancers")]
+    gateways: Vec<serde_json::Value>,
     #[serde(rename = "troubles")]
-    faults: Vec<Told>,
+    faults: Vec<BenchFault>,
     #[serde(default)]
     fall_multiple: f64,
-    #[serde(default)]
-    fall_for: u64,
+    #[serde(default, rename = "fall_for")]
+    fall_window: u64,
     discovery: Discovery,
-    fam: Fam,
+    #[serde(rename = "fam")]
+    functions: Functions,
 }
 
 #[derive(Deserialize)]
 struct Traffic {
+    /// Offered load as a share of the workers' capacity.
     load: f64,
 }
 
+/// A request class.
 #[derive(Deserialize)]
 struct Class {
     name: String,
+    /// Share of the calls.
     share: f64,
+    /// Mean work of a call.
     work: f64,
-    aim: u64,
-    deadline: u64,
+    #[serde(rename = "aim")]
+    latency_objective: u64,
+    #[serde(rename = "deadline")]
+    time_limit: u64,
     #[serde(rename = "effect")]
     idempotency: String,
-    window: u64,
+    #[serde(rename = "window")]
+    deduplication_window: u64,
 }
 
 #[derive(Deserialize)]
-struct Tier {
-    kinds: Vec<Kind>,
+struct WorkerTier {
+    kinds: Vec<WorkerKind>,
 }
 
 #[derive(Deserialize)]
-struct Kind {
+struct WorkerKind {
     cores: f64,
     slots: usize,
     queue: usize,
     cold_from: f64,
-    cold: u64,
+    #[serde(rename = "cold")]
+    cold_for: u64,
 }
 
 #[derive(Deserialize)]
-struct Server {
+struct BenchWorker {
+    /// Index of the worker's kind in the first tier.
     kind: usize,
 }
 
 #[derive(Deserialize)]
 struct Discovery {
-    notice: u64,
+    #[serde(rename = "notice")]
+    lag: u64,
 }
 
+/// The functions and how workers keep them loaded.
 #[derive(Deserialize)]
-struct Fam {
-    #[serde(default)]
-    keep: u64,
-    #[serde(default)]
-    memory: Vec<f64>,
+struct Functions {
+    #[serde(default, rename = "keep")]
+    keep_loaded: u64,
+    /// Memory of each kind of worker in MB.
+    #[serde(default, rename = "memory")]
+    worker_memory_mb: Vec<f64>,
+    /// Memory of all functions together, as a share of the workers' memory.
     #[serde(default)]
     catalog: f64,
     #[serde(default)]
-    sorts: Vec<Sort>,
+    sorts: Vec<FunctionSort>,
 }
 
 #[derive(Deserialize)]
-struct Sort {
+struct FunctionSort {
     #[serde(rename = "lanes")]
     slots: usize,
+    /// Time that a load takes.
     load: f64,
-    memory: f64,
+    #[serde(rename = "memory")]
+    memory_mb: f64,
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct BenchFault {
     kind: String,
-    at: u64,
-    len: u64,
+    #[serde(rename = "at")]
+    start: u64,
+    #[serde(rename = "len")]
+    length: u64,
+    /// Share or seconds, by the kind.
     #[serde(default)]
     size: f64,
-    #[serde(default)]
-    on: Vec<usize>,
+    /// Indices of the affected workers or gateways, by the kind.
+    #[serde(default, rename = "on")]
+    targets: Vec<usize>,
     #[serde(default)]
     steps: Vec<Step>,
 }
 
+/// A step of a planned replacement.
 #[derive(Deserialize)]
 struct Step {
     at: u64,
+    /// Indices of the processes that are stopped.
     #[serde(default)]
     stop: Vec<usize>,
 }
 
-/// Places of one size as places of another, each once.
-fn scaled(of: &[usize], from: usize, to: usize) -> Vec<usize> {
-    let mut all: Vec<usize> = of.iter().map(|n| (n * to / from.max(1)).min(to - 1)).collect();
-    all.sort_unstable();
-    all.dedup();
-    all
-}
-
-fn micros(of: u64) -> Duration {
-    Duration::from_micros(of)
+/// Maps indices below `from_count` to indices below `to_count`, without duplicates.
+fn scale_indices(indices: &[usize], from_count: usize, to_count: usize) -> Vec<usize> {
+    let mut scaled: Vec<usize> = indices
+        .iter()
+        .map(|n| (n * to_count / from_count.max(1)).min(to_count - 1))
+        .collect();
+    scaled.sort_unstable();
+    scaled.dedup();
+    scaled
 }
 
-/// Reads a day; `Err` says what is not as it should be.
+/// Reads a bench scenario and scales it.
 pub fn read(text: &str, scale: Scale) -> Result<BenchScenario, String> {
-    let file: File = serde_json::from_str(text).map_err(|e| format!("it is no day: {e}"))?;
+    let file: BenchFile =
+        serde_json::from_str(text).map_err(|e| format!("not a scenario of the bench: {e}"))?;
     if scale.gateways == 0 || scale.workers == 0 || scale.length.is_zero() || file.length == 0 {
-        return Err("a day needs gateways, workers and a length".to_owned());
+        return Err(format!(
+            "gateways ({}), workers ({}), length ({:?}) and the file's length ({} µs) must be over 0",
+            scale.gateways, scale.workers, scale.length, file.length
+        ));
     }
-    let kinds = &file.tiers.first().ok_or("the day has no tier of workers")?.kinds;
-    let kind = kinds.first().ok_or("its tier has no kind of worker")?;
+    let tier = file
+        .tiers
+        .first()
+        .ok_or("the bench scenario has no tier of workers")?;
+    let kinds = &tier.kinds;
+    let kind = kinds.first().ok_or("the first tier has no kind of worker")?;
     let cores = file
-        .servers
+        .workers
         .iter()
-        .filter_map(|s| kinds.get(s.kind))
-        .map(|k| k.cores)
+        .filter_map(|worker| kinds.get(worker.kind))
+        .map(|kind| kind.cores)
         .sum::<f64>()
-        / file.servers.len().max(1) as f64;
-    let memory_mb = file.fam.memory.first().copied().unwrap_or(2000.0);
-    let sort = file.fam.sorts.first();
+        / file.workers.len().max(1) as f64;
+    let memory_mb = file.functions.worker_memory_mb.first().copied().unwrap_or(2000.0);
+    let sort = file.functions.sorts.first();
     let work = file.classes.iter().map(|c| c.share * c.work).sum::<f64>() / 1e6;
-    let figures = [cores, memory_mb, work, file.traffic.load];
-    if figures.iter().any(|figure| !figure.is_finite() || *figure <= 0.0) {
-        return Err("its cores, memory, work or load is no number over 0".to_owned());
+    let load = file.traffic.load;
+    let quantities = [cores, memory_mb, work, load];
+    if quantities.iter().any(|value| !value.is_finite() || *value <= 0.0) {
+        return Err(format!(
+            "cores ({cores}), memory ({memory_mb} MB), work ({work} s) and load ({load}) must be over 0"
+        ));
     }
-    let rate = file.traffic.load * cores * scale.workers as f64 / work;
-    let each_mb = sort.map_or(200.0, |sort| sort.memory).clamp(1.0, memory_mb);
-    let function_count = file.fam.catalog * memory_mb * scale.workers as f64 / each_mb;
+    let rate = load * cores * scale.workers as f64 / work;
+    let function_mb = sort.map_or(200.0, |sort| sort.memory_mb).clamp(1.0, memory_mb);
+    let function_count = file.functions.catalog * memory_mb * scale.workers as f64 / function_mb;
     let function_count =
         (function_count / file.classes.len().max(1) as f64).clamp(1.0, MAX_FUNCTIONS as f64) as usize;
+    let load_time =
+        Duration::from_secs_f64((sort.map_or(500_000.0, |sort| sort.load) / 1e6).clamp(0.0, 60.0));
     let request_class = |class: &Class| {
         let idempotency = match class.idempotency.as_str() {
             "safe" => Idempotency::Idempotent,
             "keyed" => Idempotency::IdempotentWithKey,
             _ => Idempotency::NonIdempotent,
         };
+        let time_limit = Duration::from_micros(class.time_limit);
         RequestClass {
-            // Names of functions are told from those of request classes by their last dash.
+            // May contain dashes: a function's name is split at its last one.
             name: class.name.clone(),
             idempotency,
-            deduplication_window: micros(class.window).max(MIN_WINDOW),
+            deduplication_window: Duration::from_micros(class.deduplication_window)
+                .max(MIN_DEDUPLICATION_WINDOW),
             rate: rate * class.share,
             mean_work: Duration::from_secs_f64((class.work / 1e6).clamp(0.0, 60.0)),
-            time_limit: micros(class.deadline),
+            time_limit,
             function_count,
-            memory_mb: each_mb,
-            load_time: Duration::from_secs_f64(
-                (sort.map_or(500_000.0, |sort| sort.load) / 1e6).clamp(0.0, 60.0),
-            ),
+            memory_mb: function_mb,
+            load_time,
             slots: sort.map_or(1, |sort| sort.slots).max(1),
             asynchronous: false,
             hang_up_share: 0.0,
-            latency_objective: micros(class.aim).min(micros(class.deadline)),
+            latency_objective: Duration::from_micros(class.latency_objective).min(time_limit),
             pattern: Pattern::Steady,
         }
     };
-    let mut script = Scenario {
+    let mut scenario = Scenario {
         gateways: scale.gateways,
         workers: scale.workers,
         cores,
         memory_mb,
-        keep_loaded: if file.fam.keep > 0 {
-            micros(file.fam.keep)
+        keep_loaded: if file.functions.keep_loaded > 0 {
+            Duration::from_micros(file.functions.keep_loaded)
         } else {
             Duration::from_secs(8)
         },
         cold_from: kind.cold_from,
-        cold_for: micros(kind.cold),
+        cold_for: Duration::from_micros(kind.cold_for),
         fall_multiple: file.fall_multiple,
-        fall_window: micros(file.fall_for),
+        fall_window: Duration::from_micros(file.fall_window),
         max_waiting_calls: kind.slots + kind.queue,
         store_capacity: (scale.workers as f64).max(4.0),
         store_limit: scale.workers * 8,
         store_stops_at: 0,
-        discovery_lag: micros(file.discovery.notice),
+        discovery_lag: Duration::from_micros(file.discovery.lag),
         request_classes: file.classes.iter().map(request_class).collect(),
         length: scale.length,
         faults: Vec::new(),
@@ -221,71 +258,82 @@
         max_retries: 2,
         retry_wait_factor: 1.0,
     };
-    let mut left_out = Vec::new();
-    for told in &file.faults {
-        if !take(&mut script, told, &file, scale) {
-            left_out.push(told.kind.clone());
+    let mut unsupported = Vec::new();
+    for fault in &file.faults {
+        if !add_fault(&mut scenario, fault, &file, scale) {
+            unsupported.push(fault.kind.clone());
         }
     }
-    script.faults.sort_by_key(|(at, _)| *at);
+    scenario.faults.sort_by_key(|(at, _)| *at);
     Ok(BenchScenario {
-        scenario: script,
-        unsupported: left_out,
+        scenario,
+        unsupported,
     })
 }
 
-/// Puts one fault of a day into the script; `false`: it has no counterpart.
-fn take(script: &mut Scenario, told: &Told, file: &File, scale: Scale) -> bool {
-    let times = scale.length.as_secs_f64() / micros(file.length).as_secs_f64();
-    let when = |at: u64| micros(at).mul_f64(times).min(scale.length);
-    let (from, to) = (when(told.at), when(told.at.saturating_add(told.len)));
-    let workers = scaled(&told.on, file.servers.len(), scale.workers);
-    let gateways = scaled(&told.on, file.balancers.len(), scale.gateways);
-    let size = if told.size.is_finite() {
-        told.size.clamp(0.0, 60.0)
+/// Adds a fault of the bench to the scenario. Returns `false` if it has no counterpart.
+fn add_fault(scenario: &mut Scenario, fault: &BenchFault, file: &BenchFile, scale: Scale) -> bool {
+    let time_factor = scale.length.as_secs_f64() / Duration::from_micros(file.length).as_secs_f64();
+    let scaled_time = |micros: u64| {
+        Duration::from_micros(micros)
+            .mul_f64(time_factor)
+            .min(scale.length)
+    };
+    let start = scaled_time(fault.start);
+    let end = scaled_time(fault.start.saturating_add(fault.length));
+    let scaled_workers = |indices: &[usize]| scale_indices(indices, file.workers.len(), scale.workers);
+    let scaled_gateways = |indices: &[usize]| scale_indices(indices, file.gateways.len(), scale.gateways);
+    let workers = scaled_workers(&fault.targets);
+    let gateways = scaled_gateways(&fault.targets);
+    let size = if fault.size.is_finite() {
+        fault.size.clamp(0.0, 60.0)
     } else {
         0.0
     };
     let share = size.min(1.0);
-    let mut put = |at: Duration, fault: Fault| script.faults.push((at, fault));
-    let mut spell = |of: &[usize], begin: &dyn Fn(usize) -> Fault, end: &dyn Fn(usize) -> Fault| {
-        for n in of {
-            put(from, begin(*n));
-            put(to, end(*n));
-        }
-    };
-    match told.kind.as_str() {
-        "crash" | "vanish" | "mass_restart" => spell(&workers, &Fault::Crash, &Fault::Start),
-        "hang" => spell(&workers, &Fault::Hang, &Fault::Well),
-        "fast_errors" => spell(&workers, &|n| Fault::Errors(n, share), &Fault::Well),
-        "answer_lost" => spell(&workers, &|n| Fault::Lose(n, share), &Fault::Well),
+    let mut add = |at: Duration, fault: Fault| scenario.faults.push((at, fault));
+    let mut add_interval =
+        |targets: &[usize], begin: &dyn Fn(usize) -> Fault, clear: &dyn Fn(usize) -> Fault| {
+            for n in targets {
+                add(start, begin(*n));
+                add(end, clear(*n));
+            }
+        };
+    match fault.kind.as_str() {
+        "crash" | "vanish" | "mass_restart" => add_interval(&workers, &Fault::Crash, &Fault::Start),
+        "hang" => add_interval(&workers, &Fault::Hang, &Fault::Well),
+        "fast_errors" => add_interval(&workers, &|n| Fault::Errors(n, share), &Fault::Well),
+        "answer_lost" => add_interval(&workers, &|n| Fault::Lose(n, share), &Fault::Well),
         "report_late" => {
             let late = Duration::from_secs_f64(size);
-            spell(&workers, &|n| Fault::Late(n, late), &|n| {
+            add_interval(&workers, &|n| Fault::Late(n, late), &|n| {
                 Fault::Late(n, Duration::ZERO)
             });
         }
-        "balancer_crash" => spell(&gateways, &Fault::KillGateway, &Fault::StartGateway),
+        "balancer_crash" => add_interval(&gateways, &Fault::KillGateway, &Fault::StartGateway),
         "balancer_roll" => {
-            for step in &told.steps {
-                for n in scaled(&step.stop, file.balancers.len(), scale.gateways) {
-                    put(when(step.at), Fault::KillGateway(n));
-                    put(when(step.at) + REPLACE, Fault::StartGateway(n));
+            for step in &fault.steps {
+                for n in scaled_gateways(&step.stop) {
+                    add(scaled_time(step.at), Fault::KillGateway(n));
+                    add(scaled_time(step.at) + REPLACEMENT_STEP, Fault::StartGateway(n));
                 }
             }
         }
         "deploy" | "preempt" => {
-            for step in &told.steps {
-                for n in scaled(&step.stop, file.servers.len(), scale.workers) {
-                    put(when(step.at), Fault::Drain(n));
-                    put(when(step.at) + REPLACE, Fault::Crash(n));
-                    put(when(step.at) + REPLACE * 2, Fault::Start(n));
+            for step in &fault.steps {
+                for n in scaled_workers(&step.stop) {
+                    add(scaled_time(step.at), Fault::Drain(n));
+                    add(scaled_time(step.at) + REPLACEMENT_STEP, Fault::Crash(n));
+                    add(scaled_time(step.at) + REPLACEMENT_STEP * 2, Fault::Start(n));
                 }
             }
         }
         "discovery_stale" => {
-            put(from, Fault::DiscoveryLag(Duration::from_secs_f64(size)));
-            put(to, Fault::DiscoveryLag(micros(file.discovery.notice)));
+            add(start, Fault::DiscoveryLag(Duration::from_secs_f64(size)));
+            add(
+                end,
+                Fault::DiscoveryLag(Duration::from_micros(file.discovery.lag)),
+            );
         }
         _ => return false,
     }
@@ -296,8 +344,8 @@
 mod tests {
     use super::*;
 
-    /// A day of our own with the fields that are read.
-    fn day(faults: &str) -> String {
+    /// The JSON text of a bench scenario with the fields that are read, and one that is not.
+    fn bench_json(faults: &str) -> String {
         let servers: Vec<&str> = vec!["{\"kind\": 0}"; 20];
         format!(
             r#"{{"length": 40000000, "other": [1], "traffic": {{"load": 0.5, "x": 1}},
@@ -320,9 +368,9 @@
     };
 
     #[test]
-    fn a_day_is_scaled_in_size_and_time() {
-        let day = read(
-            &day(r#"{"kind": "hang", "at": 20000000, "len": 8000000, "on": [0, 1, 19]},
+    fn a_bench_scenario_is_scaled_in_size_and_time() {
+        let bench_scenario = read(
+            &bench_json(r#"{"kind": "hang", "at": 20000000, "len": 8000000, "on": [0, 1, 19]},
                     {"kind": "balancer_crash", "at": 4000000, "len": 4000000, "on": [3]},
                     {"kind": "preempt", "at": 1, "len": 9, "steps": [{"at": 8000000, "stop": [10], "start": [22]}]},
                     {"kind": "report_late", "at": 0, "len": 40000000, "size": 2.0, "on": [5]},
@@ -331,9 +379,9 @@
         )
         .unwrap();
         let s = Duration::from_secs;
-        let script = &day.scenario;
-        assert_eq!(day.unsupported, ["comet"]);
-        let request_class = &script.request_classes[0];
+        let scenario = &bench_scenario.scenario;
+        assert_eq!(bench_scenario.unsupported, ["comet"]);
+        let request_class = &scenario.request_classes[0];
         assert_eq!(
             (
                 request_class.rate,
@@ -343,7 +391,7 @@
             (400.0, 50, Idempotency::IdempotentWithKey)
         );
         assert_eq!(
-            (script.max_waiting_calls, script.cores, script.discovery_lag),
+            (scenario.max_waiting_calls, scenario.cores, scenario.discovery_lag),
             (17, 4.0, Duration::from_millis(500))
         );
         for (at, fault) in [
@@ -357,29 +405,29 @@
             (s(10), Fault::Late(2, Duration::ZERO)),
         ] {
             assert!(
-                script.faults.contains(&(at, fault.clone())),
+                scenario.faults.contains(&(at, fault.clone())),
                 "{fault:?} in {:?}",
-                script.faults
+                scenario.faults
             );
         }
         assert_eq!(
-            script
+            scenario
                 .faults
                 .iter()
-                .filter(|t| matches!(t.1, Fault::Hang(_)))
+                .filter(|(_, fault)| matches!(fault, Fault::Hang(_)))
                 .count(),
             2
         );
     }
 
     #[test]
-    fn what_is_no_day_is_said() {
-        assert!(read("{}", SCALE).unwrap_err().contains("no day"));
+    fn invalid_bench_scenarios_are_rejected() {
+        assert!(read("{}", SCALE).unwrap_err().contains("not a scenario"));
         assert!(
-            read(&day("").replace("\"cores\": 4", "\"cores\": 0"), SCALE)
+            read(&bench_json("").replace("\"cores\": 4", "\"cores\": 0"), SCALE)
                 .unwrap_err()
                 .contains("cores")
         );
-        assert!(read(&day(""), Scale { workers: 0, ..SCALE }).is_err());
+        assert!(read(&bench_json(""), Scale { workers: 0, ..SCALE }).is_err());
     }
 }
