--- a/crates/quartzdrift-lab/src/actor.rs
+++ b/crates/quartzdrift-lab/src/actor.rs
@@ -1,5 +1,5 @@
-//! Runs a fake on an event loop of its own, in a thread that is told what to do through a channel.
-use calloop::channel::{self, Channel, Event as Told, Sender};
+//! Runs a fake on its own event loop, in a thread that receives commands over a channel.
+use calloop::channel::{self, Channel, Event as ChannelEvent, Sender};
 use calloop::{EventLoop, LoopHandle};
 use quartzdrift_http::{HasHttp, HttpEvent};
 use std::io;
@@ -7,20 +7,26 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
+/// A fake of a process that gateways talk to. It reacts to events on its sockets, to commands and to its
+/// timers.
 pub trait Fake: HasHttp {
+    /// What the owner of the fake can send to it.
     type Command: Send + 'static;
     fn handle_event(&mut self, event: HttpEvent);
     fn handle_command(&mut self, command: Self::Command);
+    /// When [`Fake::run_due`] must be called next, on the clock of [`Fake::now`].
     fn next_due(&self) -> Option<Duration>;
+    /// Does the work whose time has come.
     fn run_due(&mut self, now: Duration);
-    /// Time since the fake's own start.
+    /// Time since the fake's start, or since the start of the recorder that it shares.
     fn now(&self) -> Duration;
+    /// Whether the fake has finished, so that its event loop ends.
     fn stopped(&self) -> bool {
         false
     }
 }
 
-/// Runs until the fake says that it has stopped, or every sender is gone.
+/// Runs a fake until it has stopped, or until every sender of commands is dropped.
 pub fn run<A: Fake>(
     listener: Option<TcpListener>,
     commands: Option<Channel<A::Command>>,
@@ -29,52 +35,57 @@
     run_and_finish(listener, commands, make, drop)
 }
 
-/// The same, and hands the fake over at the end.
+/// Like [`run`], and passes the fake to `finish` when it has ended.
 pub fn run_and_finish<A: Fake>(
     listener: Option<TcpListener>,
     commands: Option<Channel<A::Command>>,
     make: impl FnOnce(LoopHandle<'static, A>) -> A,
-    end: impl FnOnce(A),
+    finish: impl FnOnce(A),
 ) -> io::Result<()> {
     let mut event_loop = EventLoop::<A>::try_new().map_err(io::Error::other)?;
-    let mut actor = make(event_loop.handle());
+    let mut fake = make(event_loop.handle());
     if let Some(listener) = listener {
-        actor.http().listen(listener)?;
+        fake.http().listen(listener)?;
     }
-    let gone = std::rc::Rc::new(std::cell::Cell::new(false));
+    let senders_dropped = std::rc::Rc::new(std::cell::Cell::new(false));
     if let Some(commands) = commands {
-        let gone = gone.clone();
-        let told = move |told, _: &mut (), actor: &mut A| match told {
-            Told::Msg(command) => actor.handle_command(command),
-            Told::Closed => gone.set(true),
+        let senders_dropped = senders_dropped.clone();
+        let receive = move |event, _: &mut (), fake: &mut A| match event {
+            ChannelEvent::Msg(command) => fake.handle_command(command),
+            ChannelEvent::Closed => senders_dropped.set(true),
         };
         event_loop
             .handle()
-            .insert_source(commands, told)
+            .insert_source(commands, receive)
             .map_err(|e| io::Error::other(e.to_string()))?;
     }
-    while !actor.stopped() && !gone.get() {
-        let now = actor.now();
-        let due = actor.next_due().map(|at| at.saturating_sub(now));
-        let sockets = actor
+    while !fake.stopped() && !senders_dropped.get() {
+        let now = fake.now();
+        let due_in = fake.next_due().map(|at| at.saturating_sub(now));
+        let sockets_due_in = fake
             .http()
             .next_deadline()
             .map(|at| at.saturating_duration_since(Instant::now()));
-        let waits = actor.http().has_events().then_some(Duration::ZERO);
-        let wait = [due, sockets, waits].into_iter().flatten().min();
-        event_loop.dispatch(wait, &mut actor).map_err(io::Error::other)?;
-        actor.http().expire_connections(Instant::now());
-        for event in actor.http().take_events() {
-            actor.handle_event(event);
+        let events_pending = fake.http().has_events().then_some(Duration::ZERO);
+        let timeout = [due_in, sockets_due_in, events_pending]
+            .into_iter()
+            .flatten()
+            .min();
+        event_loop
+            .dispatch(timeout, &mut fake)
+            .map_err(io::Error::other)?;
+        fake.http().expire_connections(Instant::now());
+        for event in fake.http().take_events() {
+            fake.handle_event(event);
         }
-        let now = actor.now();
-        actor.run_due(now);
+        let now = fake.now();
+        fake.run_due(now);
     }
-    end(actor);
+    finish(fake);
     Ok(())
 }
 
-/// A fake in its thread.
+/// A fake that runs in its own thread. Dropping this stops the fake and waits for the thread.
 pub struct RunningFake<C> {
     pub address: SocketAddr,
     sender: Option<Sender<C>>,
@@ -82,9 +93,10 @@
 }
 
 impl<C: Send + 'static> RunningFake<C> {
+    /// Sends a command to the fake; does nothing if the fake has already ended.
     pub fn send(&self, command: C) {
         if let Some(sender) = &self.sender {
-            // A fake that is gone already has nothing left to be told.
+            // Sending fails only if the fake has ended.
             let _ = sender.send(command);
         }
     }
@@ -99,17 +111,17 @@
     }
 }
 
-/// Starts a fake that listens at `at`.
+/// Starts a fake in a new thread. It listens at `address`; `make` is called with the actual address.
 pub fn spawn<A: Fake>(
-    at: SocketAddr,
+    address: SocketAddr,
     make: impl FnOnce(LoopHandle<'static, A>, SocketAddr) -> A + Send + 'static,
 ) -> io::Result<RunningFake<A::Command>> {
-    let listener = quartzdrift_http::bind(at, false)?;
+    let listener = quartzdrift_http::bind(address, false)?;
     let address = listener.local_addr()?;
     let (sender, commands) = channel::channel();
     let work = move || {
         if let Err(e) = run(Some(listener), Some(commands), |handle| make(handle, address)) {
-            eprintln!("stand-in at {address}: {e}");
+            eprintln!("fake at {address} failed: {e}");
         }
     };
     let thread = std::thread::Builder::new()
--- a/crates/quartzdrift-lab/src/clients.rs
+++ b/crates/quartzdrift-lab/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a day: they call gateways at random moments, wait no longer than their limit, sometimes hang up, and
-//! come back where they were rejected or found nobody, as client libraries do.
+//! Simulated clients: they call gateways at the times of the arrivals, wait for the response until the time
+//! limit, sometimes disconnect early, and retry rejected calls and failed connections.
 use crate::actor::Fake;
 use crate::record::{Recorder, Seen};
 use crate::scenario::RequestClass;
@@ -18,67 +18,80 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How much longer than its limit a client listens, to see an answer that comes late.
-const LISTEN_ON: Duration = Duration::from_millis(500);
+/// How much longer than its time limit a client waits, so that late responses are recorded.
+const LATE_RESPONSE_WAIT: Duration = Duration::from_millis(500);
 
+/// Commands to running clients.
 pub enum Command {
-    /// No new calls from now on; repeats go on.
+    /// Send no new calls; retries of earlier ones continue.
     StopArrivals,
 }
 
-/// What clients ask for.
+/// The calls that clients send, and how they retry.
 pub struct Plan {
     pub request_classes: Vec<RequestClass>,
     pub arrivals: Vec<Arrival>,
-    /// Draws who hangs up and how long is waited.
+    /// Seed for early disconnects and for the waits before retries.
     pub seed: u64,
-    /// Repeats of a call that was rejected or found nobody, and the least part of the time told after which it comes again.
+    /// Most retries of a call that was rejected or could not connect.
     pub max_retries: u32,
+    /// A client waits between 1 and 2 times this share of the wait that the gateway asked for.
     pub retry_wait_factor: f64,
 }
 
-/// What came of all calls, for the last word.
+/// Number of calls by outcome; each retry counts as a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     pub sent: u64,
+    /// Responses with the function's result or its error.
     pub finished: u64,
     pub rejected: u64,
+    /// Responses that report that the gateway ended the request.
     pub killed: u64,
+    /// Asynchronous requests that a gateway accepted.
     pub accepted: u64,
+    /// All other responses.
     pub other: u64,
+    /// Calls that ended without a response.
     pub no_answer: u64,
 }
 
-struct Try {
+/// A call that is open or waits for its retry. Times are since the recorder's start.
+struct ClientCall {
     key: String,
     request_class: usize,
     function: String,
-    repeats: u32,
+    retries: u32,
     gateway: usize,
-    until: Duration,
-    hangs_up: bool,
-    call: u64,
-    /// When its first try left.
-    first: Duration,
+    /// When the client stops waiting for the response.
+    deadline: Duration,
+    disconnects_early: bool,
+    /// Number of the call in the record.
+    number: u64,
+    first_sent: Duration,
     work_us: u64,
 }
 
+/// All clients of a scenario, on one event loop.
 pub struct Clients {
     http: Http<Clients>,
     recorder: Recorder,
     gateways: Vec<SocketAddr>,
     request_classes: Vec<RequestClass>,
     arrivals: Vec<Arrival>,
-    next: usize,
+    next_arrival: usize,
     start: Duration,
-    out: HashMap<CallId, Try>,
-    later: Vec<(Duration, Try)>,
-    chance: StdRng,
-    drawn: u64,
+    open: HashMap<CallId, ClientCall>,
+    /// Calls that wait for their retry, with its time.
+    retries: Vec<(Duration, ClientCall)>,
+    random: StdRng,
+    /// Last number that a key or a call was given.
+    last_number: u64,
     max_retries: u32,
     retry_wait_factor: f64,
-    open: Arc<AtomicU64>,
-    tally: Arc<Mutex<CallCounts>>,
+    /// Number of calls that are open or wait for a retry, shared with the runner.
+    open_calls: Arc<AtomicU64>,
+    call_counts: Arc<Mutex<CallCounts>>,
 }
 
 impl HasHttp for Clients {
@@ -93,8 +106,8 @@
         recorder: Recorder,
         gateways: Vec<SocketAddr>,
         plan: Plan,
-        open: Arc<AtomicU64>,
-        tally: Arc<Mutex<CallCounts>>,
+        open_calls: Arc<AtomicU64>,
+        call_counts: Arc<Mutex<CallCounts>>,
     ) -> Clients {
         let Plan {
             request_classes,
@@ -111,139 +124,141 @@
                     ..Limits::default()
                 },
             ),
-            next: 0,
+            next_arrival: 0,
             start: recorder.now(),
             arrivals,
             recorder,
             gateways,
             request_classes,
-            out: HashMap::new(),
-            later: Vec::new(),
-            chance: StdRng::seed_from_u64(seed),
-            drawn: 0,
+            open: HashMap::new(),
+            retries: Vec::new(),
+            random: StdRng::seed_from_u64(seed),
+            last_number: 0,
             max_retries,
             retry_wait_factor,
-            open,
-            tally,
+            open_calls,
+            call_counts,
         }
     }
 
-    fn count(&self, of: impl FnOnce(&mut CallCounts)) {
-        of(&mut self.tally.lock().unwrap_or_else(PoisonError::into_inner));
+    fn count(&self, update: impl FnOnce(&mut CallCounts)) {
+        update(&mut self.call_counts.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    fn arrive(&mut self, arrival: &Arrival, now: Duration) {
+    fn send_arrival(&mut self, arrival: &Arrival, now: Duration) {
         let &Arrival {
             request_class,
             work_us,
             ..
         } = arrival;
-        let of = &self.request_classes[request_class];
+        let class = &self.request_classes[request_class];
         let function = arrival.function.clone();
-        let hangs_up = self.chance.random_range(0.0..1.0) < of.hang_up_share;
-        self.drawn += 1;
-        let key = format!("{}-{}", of.name, self.drawn);
+        let disconnects_early = self.random.random_range(0.0..1.0) < class.hang_up_share;
+        self.last_number += 1;
+        let key = format!("{}-{}", class.name, self.last_number);
         let gateway = arrival.gateway_of(self.gateways.len());
-        let (repeats, until, call, first) = (0, Duration::ZERO, 0, now);
+        let (retries, deadline, number, first_sent) = (0, Duration::ZERO, 0, now);
         self.send(
-            Try {
+            ClientCall {
                 key,
                 request_class,
                 function,
-                repeats,
+                retries,
                 gateway,
-                until,
-                hangs_up,
-                call,
-                first,
+                deadline,
+                disconnects_early,
+                number,
+                first_sent,
                 work_us,
             },
             now,
         );
     }
 
-    fn send(&mut self, mut of: Try, now: Duration) {
-        let request_class = &self.request_classes[of.request_class];
-        let work_ms = of.work_us as f64 / 1000.0;
-        let payload = format!("{{\"key\":\"{}\",\"work_ms\":{work_ms:.3}}}", of.key);
+    fn send(&mut self, mut call: ClientCall, now: Duration) {
+        let request_class = &self.request_classes[call.request_class];
+        let work_ms = call.work_us as f64 / 1000.0;
+        let payload = format!("{{\"key\":\"{}\",\"work_ms\":{work_ms:.3}}}", call.key);
         let mut headers = Headers::new().with("content-type", "application/json");
         if request_class.asynchronous {
             headers.push("x-amz-invocation-type", "Event");
         }
         if request_class.idempotency == Idempotency::IdempotentWithKey {
-            headers.push("idempotency-key", &of.key);
+            headers.push("idempotency-key", &call.key);
         }
         let request = OutgoingRequest {
             method: "POST",
-            target: request::target(&of.function),
+            target: request::target(&call.function),
             headers,
             body: payload.into_bytes().into(),
             connect_timeout: Duration::from_secs(1),
             streams_response: false,
         };
-        self.drawn += 1;
-        of.call = self.drawn;
-        of.until = match of.hangs_up {
+        self.last_number += 1;
+        call.number = self.last_number;
+        call.deadline = match call.disconnects_early {
             true => {
                 now + request_class
                     .time_limit
-                    .mul_f64(self.chance.random_range(0.0..0.2))
+                    .mul_f64(self.random.random_range(0.0..0.2))
             }
-            false => now + request_class.time_limit + LISTEN_ON,
+            false => now + request_class.time_limit + LATE_RESPONSE_WAIT,
         };
         self.recorder.see(Seen::Asked {
-            call: of.call,
-            gateway: of.gateway as u64,
-            key: of.key.clone(),
+            call: call.number,
+            gateway: call.gateway as u64,
+            key: call.key.clone(),
             request_class: request_class.name.clone(),
             asynchronous: request_class.asynchronous,
             limit_us: request_class.time_limit.as_micros() as u64,
         });
-        self.count(|tally| tally.sent += 1);
-        let call = self.http.call(self.gateways[of.gateway], request);
-        self.open.fetch_add(1, Ordering::Relaxed);
-        self.out.insert(call, of);
+        self.count(|counts| counts.sent += 1);
+        let id = self.http.call(self.gateways[call.gateway], request);
+        self.open_calls.fetch_add(1, Ordering::Relaxed);
+        self.open.insert(id, call);
     }
 
-    fn again(&mut self, mut of: Try, after: Duration) {
-        // Workers know a repeat for a while only: a try that could run later than that is not made.
-        let request_class = &self.request_classes[of.request_class];
-        let over = self.recorder.now() + after + request_class.time_limit;
-        let knows = request_class.idempotency != Idempotency::IdempotentWithKey
-            || over < of.first + request_class.deduplication_window;
-        if of.repeats < self.max_retries && knows {
-            of.repeats += 1;
-            of.gateway = (of.gateway + 1) % self.gateways.len();
-            self.open.fetch_add(1, Ordering::Relaxed);
-            self.later.push((self.recorder.now() + after, of));
+    /// Plans a retry at the next gateway, unless the call has used up its retries.
+    fn retry(&mut self, mut call: ClientCall, after: Duration) {
+        // Workers recognise an idempotency key only within the deduplication window: a retry that could run
+        // after the window is not sent.
+        let request_class = &self.request_classes[call.request_class];
+        let latest_end = self.recorder.now() + after + request_class.time_limit;
+        let is_safe = request_class.idempotency != Idempotency::IdempotentWithKey
+            || latest_end < call.first_sent + request_class.deduplication_window;
+        if call.retries < self.max_retries && is_safe {
+            call.retries += 1;
+            call.gateway = (call.gateway + 1) % self.gateways.len();
+            self.open_calls.fetch_add(1, Ordering::Relaxed);
+            self.retries.push((self.recorder.now() + after, call));
         }
     }
 
-    fn answered(&mut self, of: Try, answer: &Response) {
-        let function_error = answer.headers.get("x-amz-function-error").is_some();
-        let killed = function_error && answer.body.windows(11).any(|part| part == b"Quartzdrift");
-        let status = answer.status;
+    fn handle_response(&mut self, call: ClientCall, response: &Response) {
+        let function_error = response.headers.get("x-amz-function-error").is_some();
+        let killed = function_error && response.body.windows(11).any(|part| part == b"Quartzdrift");
+        let status = response.status;
         self.recorder.see(Seen::Answered {
-            call: of.call,
+            call: call.number,
             status,
             killed,
             function_error,
         });
-        self.count(|tally| match status {
-            200 if killed => tally.killed += 1,
-            200 => tally.finished += 1,
-            202 => tally.accepted += 1,
-            429 => tally.rejected += 1,
-            _ => tally.other += 1,
+        self.count(|counts| match status {
+            200 if killed => counts.killed += 1,
+            200 => counts.finished += 1,
+            202 => counts.accepted += 1,
+            429 => counts.rejected += 1,
+            _ => counts.other += 1,
         });
         if status == 429 {
-            let told = answer
+            let retry_after_ms = response
                 .headers
                 .get("x-quartzdrift-come-back-ms")
                 .and_then(|ms| ms.parse().ok());
-            let told = Duration::from_millis(told.unwrap_or(100));
-            let wait = told.mul_f64(self.retry_wait_factor * self.chance.random_range(1.0..2.0));
-            self.again(of, wait);
+            let retry_after = Duration::from_millis(retry_after_ms.unwrap_or(100));
+            let factor = self.retry_wait_factor * self.random.random_range(1.0..2.0);
+            self.retry(call, retry_after.mul_f64(factor));
         }
     }
 }
@@ -254,19 +269,25 @@
     fn handle_event(&mut self, event: HttpEvent) {
         match event {
             HttpEvent::Response { call, response } => {
-                let Some(of) = self.out.remove(&call) else { return };
-                self.answered(of, &response);
-                self.open.fetch_sub(1, Ordering::Relaxed);
+                let Some(client_call) = self.open.remove(&call) else {
+                    return;
+                };
+                self.handle_response(client_call, &response);
+                self.open_calls.fetch_sub(1, Ordering::Relaxed);
             }
             HttpEvent::CallFailed { call, failure } => {
-                let Some(of) = self.out.remove(&call) else { return };
-                self.recorder.see(Seen::Cut { call: of.call });
-                self.count(|tally| tally.no_answer += 1);
-                // Nobody was there: the call never reached a gateway, so that trying another is harmless.
+                let Some(client_call) = self.open.remove(&call) else {
+                    return;
+                };
+                self.recorder.see(Seen::Cut {
+                    call: client_call.number,
+                });
+                self.count(|counts| counts.no_answer += 1);
+                // The call never reached a gateway: a retry at another one cannot repeat its effect.
                 if failure == CallFailure::Connect {
-                    self.again(of, Duration::from_millis(50));
+                    self.retry(client_call, Duration::from_millis(50));
                 }
-                self.open.fetch_sub(1, Ordering::Relaxed);
+                self.open_calls.fetch_sub(1, Ordering::Relaxed);
             }
             HttpEvent::Request { .. }
             | HttpEvent::ClientDisconnected { .. }
@@ -277,51 +298,51 @@
 
     fn handle_command(&mut self, command: Command) {
         match command {
-            Command::StopArrivals => self.next = self.arrivals.len(),
+            Command::StopArrivals => self.next_arrival = self.arrivals.len(),
         }
     }
 
     fn next_due(&self) -> Option<Duration> {
         let arrivals = self
             .arrivals
-            .get(self.next)
+            .get(self.next_arrival)
             .map(|arrival| self.start + traffic::at(arrival))
             .into_iter();
-        let later = self.later.iter().map(|(at, _)| *at);
-        let until = self.out.values().map(|of| of.until);
-        arrivals.chain(later).chain(until).min()
+        let retries = self.retries.iter().map(|(at, _)| *at);
+        let deadlines = self.open.values().map(|call| call.deadline);
+        arrivals.chain(retries).chain(deadlines).min()
     }
 
     fn run_due(&mut self, now: Duration) {
         while let Some(arrival) = self
             .arrivals
-            .get(self.next)
-            .filter(|a| self.start + traffic::at(a) <= now)
+            .get(self.next_arrival)
+            .filter(|arrival| self.start + traffic::at(arrival) <= now)
         {
             let arrival = arrival.clone();
-            self.next += 1;
-            self.arrive(&arrival, now);
+            self.next_arrival += 1;
+            self.send_arrival(&arrival, now);
         }
-        let (due, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.later)
+        let (due, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.retries)
             .into_iter()
-            .partition(|l| l.0 <= now);
-        self.later = left;
-        for (_, of) in due {
-            self.send(of, now);
-            self.open.fetch_sub(1, Ordering::Relaxed);
+            .partition(|(at, _)| *at <= now);
+        self.retries = waiting;
+        for (_, call) in due {
+            self.send(call, now);
+            self.open_calls.fetch_sub(1, Ordering::Relaxed);
         }
-        let over: Vec<CallId> = self
-            .out
+        let expired: Vec<CallId> = self
+            .open
             .iter()
-            .filter(|(_, of)| of.until <= now)
+            .filter(|(_, call)| call.deadline <= now)
             .map(|(id, _)| *id)
             .collect();
-        for call in over {
-            if let Some(of) = self.out.remove(&call) {
-                self.http.cancel(call);
-                self.recorder.see(Seen::Left { call: of.call });
-                self.count(|tally| tally.no_answer += 1);
-                self.open.fetch_sub(1, Ordering::Relaxed);
+        for id in expired {
+            if let Some(call) = self.open.remove(&id) {
+                self.http.cancel(id);
+                self.recorder.see(Seen::Left { call: call.number });
+                self.count(|counts| counts.no_answer += 1);
+                self.open_calls.fetch_sub(1, Ordering::Relaxed);
             }
         }
     }
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -1,5 +1,5 @@
-//! A fake for the roster: HTTP service discovery JSON at `/workers/GATEWAY`, with changes pushed over
-//! server-sent events to those who accept them, as late as told.
+//! A fake service discovery. It serves the endpoint list as JSON over HTTP at `/workers/GATEWAY`, and pushes
+//! changes, after a configurable delay, as server-sent events to gateways that accept them.
 use crate::actor::Fake;
 use crate::record::{Recorder, Seen};
 use calloop::LoopHandle;
@@ -9,33 +9,40 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Bytes that wait for a slow reader at most.
-const MAX_WAITING: usize = 8 << 20;
+/// Most bytes buffered for a slow reader of a stream.
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
 
+/// Commands to the fake discovery.
 pub enum Command {
-    /// What is so from now on; told as late as the lag says.
+    /// Changes an endpoint; gateways see the change after the lag.
     UpdateEndpoint(DiscoveredEndpoint),
+    /// Sets the delay until gateways see a change.
     SetLag(Duration),
-    /// Answers nothing and cuts its streams.
+    /// While stopped, discovery closes every connection without a response; its streams are closed too.
     SetStopped(bool),
-    /// Answers with an empty list, whatever is so.
+    /// Returns an empty list whatever the endpoints are.
     SetEmpty(bool),
-    /// Says nothing more to one gateway, and ends nothing.
+    /// Sends nothing more to a gateway, and leaves its connections open.
     SetStalled(u64, bool),
-    /// Where a gateway reaches workers, by their own addresses, if not there.
+    /// Addresses of relays, by gateway and worker: these gateways are given the relay's address for the
+    /// worker.
     SetRelays(BTreeMap<(u64, String), String>),
 }
 
+/// The fake service discovery and its streams.
 pub struct FakeDiscovery {
     http: Http<FakeDiscovery>,
     start: Instant,
     recorder: Option<Recorder>,
     lag: Duration,
-    late: VecDeque<(Duration, DiscoveredEndpoint)>,
-    told: BTreeMap<String, DiscoveredEndpoint>,
+    /// Changes that gateways do not see yet, with the time when they will.
+    pending_changes: VecDeque<(Duration, DiscoveredEndpoint)>,
+    /// The endpoints that gateways see, by address.
+    endpoints: BTreeMap<String, DiscoveredEndpoint>,
+    /// Open streams, each with its gateway.
     streams: Vec<(Exchange, u64)>,
-    /// What each gateway was told last of each worker: whether it is up.
-    heard: BTreeMap<(u64, String), bool>,
+    /// Whether a worker was up when its state was last sent to a gateway.
+    last_sent_up: BTreeMap<(u64, String), bool>,
     stopped: bool,
     empty: bool,
     stalled: BTreeSet<u64>,
@@ -66,10 +73,13 @@
             start: Instant::now(),
             recorder,
             lag,
-            late: VecDeque::new(),
-            told: workers.into_iter().map(|one| (one.worker.clone(), one)).collect(),
+            pending_changes: VecDeque::new(),
+            endpoints: workers
+                .into_iter()
+                .map(|endpoint| (endpoint.worker.clone(), endpoint))
+                .collect(),
             streams: Vec::new(),
-            heard: BTreeMap::new(),
+            last_sent_up: BTreeMap::new(),
             stopped: false,
             empty: false,
             stalled: BTreeSet::new(),
@@ -77,14 +87,14 @@
         }
     }
 
-    /// Notes what a gateway learns by what is sent to it now.
-    fn note(&mut self, gateway: u64, workers: &[DiscoveredEndpoint]) {
-        for one in workers {
-            let up = one.state == EndpointState::Up;
-            let before = self.heard.insert((gateway, one.worker.clone()), up);
+    /// Records the changes that a gateway learns from the endpoints sent to it now.
+    fn record_sent(&mut self, gateway: u64, endpoints: &[DiscoveredEndpoint]) {
+        for endpoint in endpoints {
+            let up = endpoint.state == EndpointState::Up;
+            let was_up = self.last_sent_up.insert((gateway, endpoint.worker.clone()), up);
             let Some(recorder) = &self.recorder else { continue };
-            let worker = one.worker.clone();
-            match (before, up) {
+            let worker = endpoint.worker.clone();
+            match (was_up, up) {
                 (Some(true) | None, false) => recorder.see(Seen::ToldAway { gateway, worker }),
                 (Some(false) | None, true) => recorder.see(Seen::ToldUp { gateway, worker }),
                 (Some(true), true) | (Some(false), false) => {}
@@ -92,27 +102,29 @@
         }
     }
 
-    /// A worker as a gateway reaches it.
-    fn reached(&self, gateway: u64, one: &DiscoveredEndpoint) -> DiscoveredEndpoint {
-        let relay = self.relays.get(&(gateway, one.worker.clone()));
+    /// The endpoint with the address at which the gateway reaches it.
+    fn relayed(&self, gateway: u64, endpoint: &DiscoveredEndpoint) -> DiscoveredEndpoint {
+        let relay = self.relays.get(&(gateway, endpoint.worker.clone()));
         DiscoveredEndpoint {
-            worker: relay.unwrap_or(&one.worker).clone(),
-            ..one.clone()
+            worker: relay.unwrap_or(&endpoint.worker).clone(),
+            ..endpoint.clone()
         }
     }
 
-    fn listed(&self) -> Vec<DiscoveredEndpoint> {
+    /// The endpoint list: all endpoints but those that are gone.
+    fn endpoint_list(&self) -> Vec<DiscoveredEndpoint> {
         if self.empty {
             return Vec::new();
         }
-        self.told
+        self.endpoints
             .values()
-            .filter(|one| one.state != EndpointState::Gone)
+            .filter(|endpoint| endpoint.state != EndpointState::Gone)
             .cloned()
             .collect()
     }
 
-    fn asked(&mut self, exchange: Exchange, target: &str, events: bool) {
+    /// Answers a request for the list, or opens a stream that begins with it.
+    fn serve_list(&mut self, exchange: Exchange, target: &str, as_stream: bool) {
         let gateway = target
             .rsplit('/')
             .next()
@@ -121,28 +133,28 @@
         if self.stalled.contains(&gateway) {
             return;
         }
-        if events {
-            // A process that asks for the stream knows nothing yet.
-            self.heard.retain(|(of, _), _| *of != gateway);
+        if as_stream {
+            // A process that opens a stream has received no list yet.
+            self.last_sent_up.retain(|(of, _), _| *of != gateway);
         }
         let workers: Vec<DiscoveredEndpoint> = self
-            .listed()
+            .endpoint_list()
             .iter()
-            .map(|one| self.reached(gateway, one))
+            .map(|endpoint| self.relayed(gateway, endpoint))
             .collect();
         let text = list::write(&workers, &ConfiguredNames::default());
         if !self.empty {
-            let all: Vec<DiscoveredEndpoint> = self.told.values().cloned().collect();
-            self.note(gateway, &all);
+            let endpoints: Vec<DiscoveredEndpoint> = self.endpoints.values().cloned().collect();
+            self.record_sent(gateway, &endpoints);
         }
-        if events {
+        if as_stream {
             self.http.begin_response(
                 exchange,
                 200,
                 &Headers::new().with("content-type", "text/event-stream"),
             );
             let full = event_stream::write_event("full", &String::from_utf8_lossy(&text));
-            if self.http.send_part(exchange, &full, MAX_WAITING) {
+            if self.http.send_part(exchange, &full, MAX_BUFFERED_BYTES) {
                 self.streams.push((exchange, gateway));
             }
         } else {
@@ -167,8 +179,8 @@
             HttpEvent::Request { exchange, request } => match request {
                 Ok(_) if self.stopped => self.http.abort(exchange),
                 Ok(request) => {
-                    let events = request.head.headers.get("accept") == Some("text/event-stream");
-                    self.asked(exchange, &request.head.target, events);
+                    let as_stream = request.head.headers.get("accept") == Some("text/event-stream");
+                    self.serve_list(exchange, &request.head.target, as_stream);
                 }
                 Err(_) => self.http.respond(
                     exchange,
@@ -188,39 +200,44 @@
 
     fn handle_command(&mut self, command: Command) {
         match command {
-            Command::UpdateEndpoint(listed) => self.late.push_back((self.now() + self.lag, listed)),
+            Command::UpdateEndpoint(endpoint) => {
+                self.pending_changes.push_back((self.now() + self.lag, endpoint));
+            }
             Command::SetLag(lag) => self.lag = lag,
             Command::SetStopped(on) => {
                 self.stopped = on;
                 if on {
                     std::mem::take(&mut self.streams)
                         .into_iter()
-                        .for_each(|(of, _)| self.http.abort(of));
+                        .for_each(|(exchange, _)| self.http.abort(exchange));
                 }
             }
             Command::SetEmpty(on) => self.empty = on,
             Command::SetStalled(gateway, on) if on => drop(self.stalled.insert(gateway)),
             Command::SetStalled(gateway, _) => {
-                // What it missed it hears when it asks again, over a connection that lives.
+                // Closing the gateway's streams makes it connect again and receive the changes that it
+                // missed.
                 self.stalled.remove(&gateway);
-                let (its, others) = std::mem::take(&mut self.streams)
+                let (of_gateway, others) = std::mem::take(&mut self.streams)
                     .into_iter()
                     .partition(|(_, of)| *of == gateway);
                 self.streams = others;
-                let its: Vec<(Exchange, u64)> = its;
-                its.into_iter().for_each(|(of, _)| self.http.abort(of));
+                let of_gateway: Vec<(Exchange, u64)> = of_gateway;
+                of_gateway
+                    .into_iter()
+                    .for_each(|(exchange, _)| self.http.abort(exchange));
             }
             Command::SetRelays(relays) => self.relays = relays,
         }
     }
 
     fn next_due(&self) -> Option<Duration> {
-        self.late.iter().map(|(at, _)| *at).min()
+        self.pending_changes.iter().map(|(at, _)| *at).min()
     }
 
     fn run_due(&mut self, now: Duration) {
-        while let Some((_, listed)) = self.late.pop_front_if(|(at, _)| *at <= now) {
-            self.told.insert(listed.worker.clone(), listed.clone());
+        while let Some((_, endpoint)) = self.pending_changes.pop_front_if(|(at, _)| *at <= now) {
+            self.endpoints.insert(endpoint.worker.clone(), endpoint.clone());
             if self.stopped || self.empty {
                 continue;
             }
@@ -228,10 +245,10 @@
                 if self.stalled.contains(&gateway) {
                     continue;
                 }
-                let change = list::write(&[self.reached(gateway, &listed)], &ConfiguredNames::default());
+                let change = list::write(&[self.relayed(gateway, &endpoint)], &ConfiguredNames::default());
                 let change = event_stream::write_event("changes", &String::from_utf8_lossy(&change));
-                self.note(gateway, std::slice::from_ref(&listed));
-                self.http.send_part(exchange, &change, MAX_WAITING);
+                self.record_sent(gateway, std::slice::from_ref(&endpoint));
+                self.http.send_part(exchange, &change, MAX_BUFFERED_BYTES);
             }
         }
     }
--- a/crates/quartzdrift-lab/src/light_workers.rs
+++ b/crates/quartzdrift-lab/src/light_workers.rs
@@ -1,4 +1,5 @@
-//! Workers that do nothing but answer, many on one thread: what a gateway costs is then seen beside them.
+//! Workers that only answer, many on one thread. They use so little time that the cost of a gateway can be
+//! measured.
 use crate::actor::Fake;
 use calloop::LoopHandle;
 use quartzdrift_http::{Exchange, HasHttp, Headers, Http, HttpEvent, Limits, Response};
@@ -6,12 +7,14 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
+/// Workers that answer every call with the same response, after a delay.
 pub struct LightWorkers {
     http: Http<LightWorkers>,
     start: Instant,
     delay: Duration,
-    held: VecDeque<(Duration, Exchange)>,
-    answer: Response,
+    /// Calls that wait for their response, with its time.
+    delayed: VecDeque<(Duration, Exchange)>,
+    response: Response,
 }
 
 impl HasHttp for LightWorkers {
@@ -21,7 +24,7 @@
 }
 
 impl LightWorkers {
-    /// Answers on all of `listeners`, each call after `delay`.
+    /// Workers on all of `listeners`, which answer each call after `delay`.
     pub fn new(
         handle: LoopHandle<'static, LightWorkers>,
         listeners: Vec<TcpListener>,
@@ -35,14 +38,14 @@
         let mut http = Http::new(handle, limits);
         for listener in listeners {
             if let Err(e) = http.listen(listener) {
-                eprintln!("a light worker cannot listen: {e}");
+                eprintln!("a light worker failed to accept connections on its listener: {e}");
             }
         }
         let headers = Headers::new().with("content-type", "application/json").with(
             "endpoint-load-metrics",
             "TEXT named_metrics.inflight=1,named_metrics.found=1",
         );
-        let answer = Response {
+        let response = Response {
             status: 200,
             headers,
             body: b"{\"ok\":true}".to_vec(),
@@ -51,23 +54,23 @@
             http,
             start: Instant::now(),
             delay,
-            held: VecDeque::new(),
-            answer,
+            delayed: VecDeque::new(),
+            response,
         }
     }
 }
 
-/// Listeners at free ports, and their addresses.
+/// Opens `count` listeners at free ports of loopback, and returns them with their addresses.
 pub fn listeners(count: usize) -> std::io::Result<(Vec<TcpListener>, Vec<SocketAddr>)> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let all = (0..count)
-        .map(|_| quartzdrift_http::bind(any, false))
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let listeners = (0..count)
+        .map(|_| quartzdrift_http::bind(any_port, false))
         .collect::<Result<Vec<_>, _>>()?;
-    let addresses = all
+    let addresses = listeners
         .iter()
         .map(TcpListener::local_addr)
         .collect::<Result<Vec<_>, _>>()?;
-    Ok((all, addresses))
+    Ok((listeners, addresses))
 }
 
 impl Fake for LightWorkers {
@@ -80,9 +83,9 @@
         } = event
         {
             if self.delay.is_zero() {
-                self.http.respond(exchange, &self.answer);
+                self.http.respond(exchange, &self.response);
             } else {
-                self.held.push_back((self.now() + self.delay, exchange));
+                self.delayed.push_back((self.now() + self.delay, exchange));
             }
         }
     }
@@ -90,12 +93,12 @@
     fn handle_command(&mut self, (): ()) {}
 
     fn next_due(&self) -> Option<Duration> {
-        self.held.front().map(|(at, _)| *at)
+        self.delayed.front().map(|(at, _)| *at)
     }
 
     fn run_due(&mut self, now: Duration) {
-        while let Some((_, exchange)) = self.held.pop_front_if(|(at, _)| *at <= now) {
-            self.http.respond(exchange, &self.answer);
+        while let Some((_, exchange)) = self.delayed.pop_front_if(|(at, _)| *at <= now) {
+            self.http.respond(exchange, &self.response);
         }
     }
 
--- a/crates/quartzdrift-lab/src/naive.rs
+++ b/crates/quartzdrift-lab/src/naive.rs
@@ -1,5 +1,6 @@
-//! A gateway that breaks the rules on purpose: it keeps the first list of workers that it sees, sends at random, and
-//! sends again whatever failed or took long, whether or not it may have run. Auditors are proved against it.
+//! A gateway that breaks the audited rules on purpose, to show that the audit finds violations. It keeps the
+//! first endpoint list that it receives, sends to workers at random, and sends a request again whenever an
+//! attempt failed or took long, even if that attempt may have run.
 use crate::actor::{self, Fake};
 use calloop::LoopHandle;
 use quartzdrift::settings::Settings;
@@ -14,38 +15,42 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// After this an attempt is taken to have failed, and sent again while the first still runs.
-const IMPATIENT: Duration = Duration::from_millis(300);
-const MAX_SENDS: u32 = 3;
+/// Time after which a request is sent again although its attempt is still running.
+const RESEND_AFTER: Duration = Duration::from_millis(300);
+/// Most attempts of a request.
+const MAX_ATTEMPTS: u32 = 3;
 
 struct ClientRequest {
     exchange: Exchange,
     target: String,
     headers: Headers,
     body: Rc<[u8]>,
-    sends: u32,
-    again_at: Duration,
+    attempts: u32,
+    resend_at: Duration,
 }
 
-struct Naive {
-    http: Http<Naive>,
+struct NaiveGateway {
+    http: Http<NaiveGateway>,
     start: Instant,
     settings: Settings,
     workers: Vec<SocketAddr>,
-    list: Option<CallId>,
+    /// The call that fetches the endpoint list.
+    list_call: Option<CallId>,
     requests: HashMap<u64, ClientRequest>,
+    /// Open attempts, with the number of their request.
     calls: HashMap<CallId, u64>,
-    chance: StdRng,
-    drawn: u64,
+    random: StdRng,
+    /// Number of the last request.
+    last_request: u64,
 }
 
-impl HasHttp for Naive {
-    fn http(&mut self) -> &mut Http<Naive> {
+impl HasHttp for NaiveGateway {
+    fn http(&mut self) -> &mut Http<NaiveGateway> {
         &mut self.http
     }
 }
 
-impl Naive {
+impl NaiveGateway {
     fn outgoing(
         &self,
         method: &'static str,
@@ -68,8 +73,8 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.sends += 1;
-        request.again_at = self.start.elapsed() + IMPATIENT;
+        request.attempts += 1;
+        request.resend_at = self.start.elapsed() + RESEND_AFTER;
         let (target, headers, body) = (
             request.target.clone(),
             request.headers.clone(),
@@ -78,20 +83,23 @@
         if self.workers.is_empty() {
             return;
         }
-        let to = self.workers[self.chance.random_range(0..self.workers.len())];
+        let worker = self.workers[self.random.random_range(0..self.workers.len())];
         let outgoing = self.outgoing("POST", target, headers, body);
-        let call = self.http.call(to, outgoing);
+        let call = self.http.call(worker, outgoing);
         self.calls.insert(call, id);
     }
 
-    fn request(&mut self, exchange: Exchange, request: Request) {
-        self.drawn += 1;
-        let me = self.settings.scheduler.scheduler_number.unwrap_or(0);
+    fn accept(&mut self, exchange: Exchange, request: Request) {
+        self.last_request += 1;
+        let scheduler = self.settings.scheduler.scheduler_number.unwrap_or(0);
         let mut headers = Headers::new()
-            .with("x-amzn-requestid", &format!("naive-{me}-{}", self.drawn))
-            .with("x-quartzdrift-scheduler", &me.to_string());
-        if let Some(mark) = request.head.headers.get("idempotency-key") {
-            headers.push("idempotency-key", mark);
+            .with(
+                "x-amzn-requestid",
+                &format!("naive-{scheduler}-{}", self.last_request),
+            )
+            .with("x-quartzdrift-scheduler", &scheduler.to_string());
+        if let Some(key) = request.head.headers.get("idempotency-key") {
+            headers.push("idempotency-key", key);
         }
         if request.head.headers.get("x-amz-invocation-type") == Some("Event") {
             self.http.respond(
@@ -108,33 +116,34 @@
             target,
             headers,
             body,
-            sends: 0,
-            again_at: Duration::ZERO,
+            attempts: 0,
+            resend_at: Duration::ZERO,
         };
-        self.requests.insert(self.drawn, request);
-        self.send(self.drawn);
+        self.requests.insert(self.last_request, request);
+        self.send(self.last_request);
     }
 
-    fn ended(&mut self, call: CallId, answer: Option<Response>) {
+    /// Forwards a successful or final response to the client, and sends the request again otherwise.
+    fn finish_attempt(&mut self, call: CallId, response: Option<Response>) {
         let Some(id) = self.calls.remove(&call) else {
             return;
         };
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        match answer {
-            Some(answer) if answer.status == 200 || request.sends >= MAX_SENDS => {
+        match response {
+            Some(response) if response.status == 200 || request.attempts >= MAX_ATTEMPTS => {
                 if let Some(request) = self.requests.remove(&id) {
-                    self.http.respond(request.exchange, &answer);
+                    self.http.respond(request.exchange, &response);
                 }
             }
-            _ if request.sends < MAX_SENDS => self.send(id),
+            _ if request.attempts < MAX_ATTEMPTS => self.send(id),
             _ => {}
         }
     }
 }
 
-impl Fake for Naive {
+impl Fake for NaiveGateway {
     type Command = ();
 
     fn handle_event(&mut self, event: HttpEvent) {
@@ -142,17 +151,17 @@
             HttpEvent::Request {
                 exchange,
                 request: Ok(request),
-            } => self.request(exchange, request),
-            HttpEvent::Response { call, response } if self.list == Some(call) => {
+            } => self.accept(exchange, request),
+            HttpEvent::Response { call, response } if self.list_call == Some(call) => {
                 let list = list::read(&response.body, &self.settings.known).unwrap_or_default();
                 self.workers = list
                     .workers
                     .iter()
-                    .filter_map(|w| list::parse_address(&w.worker).ok())
+                    .filter_map(|endpoint| list::parse_address(&endpoint.worker).ok())
                     .collect();
             }
-            HttpEvent::Response { call, response } => self.ended(call, Some(response)),
-            HttpEvent::CallFailed { call, .. } => self.ended(call, None),
+            HttpEvent::Response { call, response } => self.finish_attempt(call, Some(response)),
+            HttpEvent::CallFailed { call, .. } => self.finish_attempt(call, None),
             HttpEvent::Request { .. }
             | HttpEvent::ClientDisconnected { .. }
             | HttpEvent::ResponsePart { .. }
@@ -165,20 +174,20 @@
     fn next_due(&self) -> Option<Duration> {
         self.requests
             .values()
-            .filter(|request| request.sends < MAX_SENDS)
-            .map(|request| request.again_at)
+            .filter(|request| request.attempts < MAX_ATTEMPTS)
+            .map(|request| request.resend_at)
             .min()
     }
 
     fn run_due(&mut self, now: Duration) {
-        let late = |request: &ClientRequest| request.sends < MAX_SENDS && request.again_at <= now;
-        let again: Vec<u64> = self
+        let is_due = |request: &ClientRequest| request.attempts < MAX_ATTEMPTS && request.resend_at <= now;
+        let due: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, request)| late(request))
+            .filter(|(_, request)| is_due(request))
             .map(|(id, _)| *id)
             .collect();
-        again.into_iter().for_each(|id| self.send(id));
+        due.into_iter().for_each(|id| self.send(id));
     }
 
     fn now(&self) -> Duration {
@@ -186,31 +195,35 @@
     }
 }
 
-/// Serves until it is killed.
-pub fn run(settings: Settings, ready: impl FnOnce(SocketAddr)) -> std::io::Result<()> {
-    let at = settings
+/// Serves until the process is killed. `on_listening` is called with the listen address.
+pub fn run(settings: Settings, on_listening: impl FnOnce(SocketAddr)) -> std::io::Result<()> {
+    let address = settings
         .listen
         .first()
         .copied()
         .unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
-    let listener = quartzdrift_http::bind(at, false)?;
-    ready(listener.local_addr()?);
-    actor::run(Some(listener), None, |handle: LoopHandle<'static, Naive>| {
-        let mut naive = Naive {
-            http: Http::new(handle, Limits::default()),
-            start: Instant::now(),
-            workers: Vec::new(),
-            list: None,
-            requests: HashMap::new(),
-            calls: HashMap::new(),
-            chance: StdRng::seed_from_u64(settings.seed.unwrap_or(0)),
-            drawn: 0,
-            settings,
-        };
-        if let Some(discovery) = naive.settings.discovery.clone() {
-            let outgoing = naive.outgoing("GET", discovery.target, Headers::new(), Rc::from([]));
-            naive.list = Some(naive.http.call(discovery.address, outgoing));
-        }
-        naive
-    })
+    let listener = quartzdrift_http::bind(address, false)?;
+    on_listening(listener.local_addr()?);
+    actor::run(
+        Some(listener),
+        None,
+        |handle: LoopHandle<'static, NaiveGateway>| {
+            let mut gateway = NaiveGateway {
+                http: Http::new(handle, Limits::default()),
+                start: Instant::now(),
+                workers: Vec::new(),
+                list_call: None,
+                requests: HashMap::new(),
+                calls: HashMap::new(),
+                random: StdRng::seed_from_u64(settings.seed.unwrap_or(0)),
+                last_request: 0,
+                settings,
+            };
+            if let Some(discovery) = gateway.settings.discovery.clone() {
+                let outgoing = gateway.outgoing("GET", discovery.target, Headers::new(), Rc::from([]));
+                gateway.list_call = Some(gateway.http.call(discovery.address, outgoing));
+            }
+            gateway
+        },
+    )
 }
