--- a/crates/quartzdrift-lab/src/power_loss.rs
+++ b/crates/quartzdrift-lab/src/power_loss.rs
@@ -1,4 +1,6 @@
-//! Days of power loss drawn from a seed: who is back when, what is spoilt, cut off, set wrong or lost again meanwhile.
+//! Random scenarios of power loss, each drawn from a seed. The seed determines when each process starts
+//! again, and which further faults occur: damaged state, shifted clocks, partitions, lost datagrams, another
+//! power loss.
 use crate::record::Seen;
 use crate::scenario::{self, Fault, Scenario};
 use crate::scenario_runner::{self, GatewayProgram, ScenarioRun};
@@ -11,121 +13,145 @@
 use std::sync::PoisonError;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Power goes after this, in ms: some requests are out, some wait.
-const OFF_MS: u64 = 2_000;
-/// The same where a folder is put back from a copy made in the first second: others have noted by then what came after it. A copy
-/// that is younger than that, or of which nobody who is heard knows, cannot be told (docs/design-recovery.md).
-const OFF_OLDER_MS: u64 = 8_000;
+/// Time of the first power loss in milliseconds: late enough that requests are open and others wait.
+const POWER_OFF_MS: u64 = 2_000;
+/// Time of the first power loss if a state folder is replaced by its copy from the first second. By then the
+/// other gateways have stored a later state of this gateway. An old copy cannot be recognised as old if no
+/// reachable gateway has stored a later state (docs/design-recovery.md).
+const POWER_OFF_OLDER_STATE_MS: u64 = 8_000;
 
-/// The script of a seed; the same for each.
+/// The text of the scenario file that a seed gives.
 pub fn scenario_text(seed: u64) -> String {
-    let mut chance = StdRng::seed_from_u64(seed);
-    let gateways = chance.random_range(3..6);
-    let workers = chance.random_range(3..6);
-    let spoils = ["cut", "flip", "older", "other", "empty", "unreadable"];
-    let spoil = chance
+    let mut random = StdRng::seed_from_u64(seed);
+    let gateways = random.random_range(3..6);
+    let workers = random.random_range(3..6);
+    let damages = ["cut", "flip", "older", "other", "empty", "unreadable"];
+    let damage = random
         .random_bool(0.4)
-        .then(|| spoils[chance.random_range(0..spoils.len())]);
-    let older = spoil == Some("older");
-    let first = if older { OFF_OLDER_MS } else { OFF_MS };
+        .then(|| damages[random.random_range(0..damages.len())]);
+    let restores_older_state = damage == Some("older");
+    let first_off_ms = if restores_older_state {
+        POWER_OFF_OLDER_STATE_MS
+    } else {
+        POWER_OFF_MS
+    };
     let mut text = format!(
         "gateways {gateways}\nworkers {workers} cores=4 memory=1600 keep=60s queue=60\n\
          store capacity={} limit=16\nroster lag=20ms\nfleet 50ms\n\
          workload quote restartable rate=30 work=5ms limit=2s functions=4 memory=60 load=100ms lanes=2\n\
-         workload stamp fingerprinted window=3s rate=10 work=40ms limit=1s functions=1 memory=60 load=100ms lanes=2\n\
+         workload stamp fingerprinted window=3s rate=10 work=40ms limit=1s functions=1 memory=60 \
+         load=100ms lanes=2\n\
          workload pay run-once rate=10 work=40ms limit=1s functions=1 memory=60 load=100ms lanes=2\n\
-         workload again restartable rate=10 work=40ms limit=2s functions=1 memory=60 load=100ms lanes=2 deferred\n\
-         workload sealed fingerprinted window=3s rate=10 work=80ms limit=2s functions=1 memory=60 load=100ms lanes=2 deferred\n\
-         workload once run-once rate=10 work=80ms limit=2s functions=1 memory=60 load=100ms lanes=2 deferred\n\
+         workload again restartable rate=10 work=40ms limit=2s functions=1 memory=60 load=100ms \
+         lanes=2 deferred\n\
+         workload sealed fingerprinted window=3s rate=10 work=80ms limit=2s functions=1 memory=60 load=100ms \
+         lanes=2 deferred\n\
+         workload once run-once rate=10 work=80ms limit=2s functions=1 memory=60 load=100ms \
+         lanes=2 deferred\n\
          length {}ms\nat 1s copy gateway 0\n",
-        chance.random_range(3..9),
-        first + 7_000,
+        random.random_range(3..9),
+        first_off_ms + 7_000,
     );
-    let mut line = |at: u64, what: String| {
+    let mut add_fault = |at_ms: u64, fault: String| {
         // Writing into a string cannot fail.
-        let _ = writeln!(text, "at {at}ms {what}");
+        let _ = writeln!(text, "at {at_ms}ms {fault}");
     };
-    let mut off = first;
-    for _ in 0..if chance.random_bool(0.3) { 2 } else { 1 } {
-        line(off, "power off all".to_owned());
-        let back = off + chance.random_range(100..1_500);
-        line(back + chance.random_range(0..800), "power on roster".to_owned());
+    let mut off_ms = first_off_ms;
+    for _ in 0..if random.random_bool(0.3) { 2 } else { 1 } {
+        add_fault(off_ms, "power off all".to_owned());
+        let on_ms = off_ms + random.random_range(100..1_500);
+        add_fault(on_ms + random.random_range(0..800), "power on roster".to_owned());
         for n in 0..workers {
-            line(
-                back + chance.random_range(0..800),
+            add_fault(
+                on_ms + random.random_range(0..800),
                 format!("power on workers {n} {n}"),
             );
         }
-        let never = chance.random_bool(0.2).then(|| chance.random_range(0..gateways));
-        for n in (0..gateways).filter(|n| Some(*n) != never) {
-            line(
-                back + chance.random_range(0..1_000),
+        let stays_off = random.random_bool(0.2).then(|| random.random_range(0..gateways));
+        for n in (0..gateways).filter(|n| Some(*n) != stays_off) {
+            add_fault(
+                on_ms + random.random_range(0..1_000),
                 format!("power on gateways {n} {n}"),
             );
         }
-        if off == first {
-            if let Some(spoil) = spoil {
-                line(off + 50, format!("spoil gateway 0 {spoil}"));
+        if off_ms == first_off_ms {
+            if let Some(damage) = damage {
+                add_fault(off_ms + 50, format!("spoil gateway 0 {damage}"));
             }
-            if chance.random_bool(0.4) {
-                let way = if chance.random_bool(0.5) {
+            if random.random_bool(0.4) {
+                let direction = if random.random_bool(0.5) {
                     "ahead"
                 } else {
                     "behind"
                 };
-                line(off + 50, format!("clock gateway 1 {way} 1h"));
+                add_fault(off_ms + 50, format!("clock gateway 1 {direction} 1h"));
             }
-            if chance.random_bool(0.3) && !older {
-                let way = if chance.random_bool(0.5) {
+            if random.random_bool(0.3) && !restores_older_state {
+                let partition = if random.random_bool(0.5) {
                     "apart"
                 } else {
                     "unheard"
                 };
-                line(
-                    off + 50,
-                    format!("{way} gateways 0 {}", chance.random_range(0..gateways - 1)),
+                add_fault(
+                    off_ms + 50,
+                    format!("{partition} gateways 0 {}", random.random_range(0..gateways - 1)),
                 );
-                line(back + 2_500, "together gateways".to_owned());
+                add_fault(on_ms + 2_500, "together gateways".to_owned());
             }
-            if chance.random_bool(0.3) && !older {
-                line(
-                    OFF_MS / 2,
-                    format!("lose datagrams {:.2}", chance.random_range(0.05..0.4)),
+            if random.random_bool(0.3) && !restores_older_state {
+                add_fault(
+                    POWER_OFF_MS / 2,
+                    format!("lose datagrams {:.2}", random.random_range(0.05..0.4)),
                 );
-                line(OFF_MS / 2, "double datagrams 0.2".to_owned());
-                line(OFF_MS / 2, "late datagrams 20ms".to_owned());
+                add_fault(POWER_OFF_MS / 2, "double datagrams 0.2".to_owned());
+                add_fault(POWER_OFF_MS / 2, "late datagrams 20ms".to_owned());
             }
         }
-        off = back + chance.random_range(300..1_500);
+        off_ms = on_ms + random.random_range(300..1_500);
     }
     text
 }
 
-/// Of a day on sockets with power lost: seconds from the first start after the last loss until calls were finished in their start
-/// target as often as before the first, or nearly, for good; looked at in windows of a second. A client's repeats count with its first.
-pub fn recovery_seconds(day: &ScenarioRun, script: &Scenario) -> Option<f64> {
-    const NEARLY: f64 = 0.95;
-    let moments = |of: fn(&Fault) -> bool| {
-        script
+/// A client's request with its retries. Times are in seconds since the start of the traffic.
+struct ClientRequest {
+    sent: f64,
+    /// When the latency objective of the first call ends.
+    deadline: f64,
+    in_time: bool,
+}
+
+/// How long a run took to recover from its power losses: seconds from the first start after the last loss
+/// until the share of calls that finish within their latency objective stays at nearly its level before the
+/// first loss. The share is taken over windows of a second, and a client's retries count as part of its first
+/// call. `None` if the scenario has no power loss or nothing starts again, or if the record has no calls
+/// before the first loss.
+pub fn recovery_seconds(run: &ScenarioRun, scenario: &Scenario) -> Option<f64> {
+    /// Share of the level before the first loss that counts as recovered.
+    const RECOVERED: f64 = 0.95;
+    const WINDOW_S: f64 = 1.0;
+    const STEP_S: f64 = 0.25;
+    let fault_times = |matches: fn(&Fault) -> bool| {
+        scenario
             .faults
             .iter()
-            .filter(move |(_, t)| of(t))
+            .filter(move |(_, fault)| matches(fault))
             .map(|(at, _)| at.as_secs_f64())
     };
-    let offs: Vec<f64> = moments(|t| matches!(t, Fault::PowerOff { .. })).collect();
-    let (first, last) = (*offs.first()?, *offs.last()?);
-    let back = moments(|t| matches!(t, Fault::PowerOnGateway(_) | Fault::Start(_))).find(|at| *at > last)?;
-    let mut calls: BTreeMap<u64, &str> = BTreeMap::new();
-    let mut keys: BTreeMap<&str, (f64, f64, bool)> = BTreeMap::new();
-    // The record began before the faults' clock, at the first gateway's start.
-    let start = day
+    let power_losses: Vec<f64> = fault_times(|fault| matches!(fault, Fault::PowerOff { .. })).collect();
+    let (first_loss, last_loss) = (*power_losses.first()?, *power_losses.last()?);
+    let mut starts = fault_times(|fault| matches!(fault, Fault::PowerOnGateway(_) | Fault::Start(_)));
+    let first_start = starts.find(|at| *at > last_loss)?;
+    let mut key_of_call: BTreeMap<u64, &str> = BTreeMap::new();
+    let mut requests: BTreeMap<&str, ClientRequest> = BTreeMap::new();
+    // The record begins with the start of the gateways; times of faults count from the start of the traffic.
+    let traffic_start = run
         .lines
         .iter()
         .find(|line| matches!(line.seen, Seen::Asked { .. }))?
         .at_us as f64
         / 1e6;
-    for line in &day.lines {
-        let at = line.at_us as f64 / 1e6 - start;
+    for line in &run.lines {
+        let at = line.at_us as f64 / 1e6 - traffic_start;
         if let Seen::Asked {
             call,
             key,
@@ -134,14 +160,18 @@
             ..
         } = &line.seen
         {
-            let target = script
+            let objective = scenario
                 .request_classes
                 .iter()
-                .find(|w| w.name == *request_class)?
+                .find(|class| class.name == *request_class)?
                 .latency_objective
                 .as_secs_f64();
-            keys.entry(key).or_insert((at, target, false));
-            calls.insert(*call, key);
+            requests.entry(key).or_insert(ClientRequest {
+                sent: at,
+                deadline: at + objective,
+                in_time: false,
+            });
+            key_of_call.insert(*call, key);
         }
         if let Seen::Answered {
             call,
@@ -149,65 +179,77 @@
             killed: false,
             ..
         } = &line.seen
-            && let Some((asked, target, good)) = calls.get(call).and_then(|key| keys.get_mut(key))
+            && let Some(request) = key_of_call.get(call).and_then(|key| requests.get_mut(key))
         {
-            *good |= at <= *asked + *target;
+            request.in_time |= at <= request.deadline;
         }
     }
-    let share = |from: f64, to: f64| {
-        let of = keys.values().filter(|(asked, ..)| (from..to).contains(asked));
-        let (all, good) = of.fold((0u32, 0u32), |(all, good), of| (all + 1, good + u32::from(of.2)));
-        (all > 0).then(|| f64::from(good) / f64::from(all))
+    let share_in_time = |from: f64, to: f64| {
+        let sent = requests
+            .values()
+            .filter(|request| (from..to).contains(&request.sent));
+        let (total, in_time) = sent.fold((0u32, 0u32), |(total, in_time), request| {
+            (total + 1, in_time + u32::from(request.in_time))
+        });
+        (total > 0).then(|| f64::from(in_time) / f64::from(total))
     };
-    let before = share(first / 2.0, first)?;
-    let (mut from, mut since) = (back, back);
-    while from + 1.0 < script.length.as_secs_f64() {
-        if share(from, from + 1.0).is_some_and(|share| share < NEARLY * before) {
-            since = from + 0.25;
+    let level_before = share_in_time(first_loss / 2.0, first_loss)?;
+    let (mut window_start, mut recovered_at) = (first_start, first_start);
+    while window_start + WINDOW_S < scenario.length.as_secs_f64() {
+        let share = share_in_time(window_start, window_start + WINDOW_S);
+        if share.is_some_and(|share| share < RECOVERED * level_before) {
+            recovered_at = window_start + STEP_S;
         }
-        from += 0.25;
+        window_start += STEP_S;
     }
-    Some(since - back)
+    Some(recovered_at - first_start)
 }
 
-/// A day that broke a rule, or could not be played.
+/// A seed whose scenario violated a rule or could not be run.
 pub struct FailedSeed {
     pub seed: u64,
+    /// The violations, one a line, or the error of the run.
     pub reason: String,
 }
 
-/// Plays the days of these seeds, so many at a time; `tell` hears of each.
+/// Runs the scenarios of `seeds`, at most `concurrency` at a time, and returns the seeds that failed.
+/// `on_finished` is called with the result of each run.
 pub fn run_seeds(
     seeds: std::ops::Range<u64>,
-    at_a_time: usize,
+    concurrency: usize,
     program: &GatewayProgram,
-    tell: impl Fn(u64, &io::Result<ScenarioRun>) + Sync,
+    on_finished: impl Fn(u64, &io::Result<ScenarioRun>) + Sync,
 ) -> Vec<FailedSeed> {
-    let (next, bad) = (AtomicU64::new(seeds.start), Mutex::new(Vec::new()));
+    let (next_seed, failed) = (AtomicU64::new(seeds.start), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
-        for _ in 0..at_a_time.max(1) {
+        for _ in 0..concurrency.max(1) {
             scope.spawn(|| {
                 loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
+                    let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                     if seed >= seeds.end {
                         return;
                     }
-                    let read = scenario::read(&scenario_text(seed)).map_err(io::Error::other);
-                    let played = read.and_then(|script| scenario_runner::run(&script, program, seed));
-                    tell(seed, &played);
-                    let reason = match &played {
-                        Ok(day) if day.violations.is_empty() => continue,
-                        Ok(day) => day.violations.iter().map(|b| format!("{b}\n")).collect(),
+                    let scenario = scenario::read(&scenario_text(seed)).map_err(io::Error::other);
+                    let result = scenario.and_then(|scenario| scenario_runner::run(&scenario, program, seed));
+                    on_finished(seed, &result);
+                    let reason = match &result {
+                        Ok(run) if run.violations.is_empty() => continue,
+                        Ok(run) => run
+                            .violations
+                            .iter()
+                            .map(|violation| format!("{violation}\n"))
+                            .collect(),
                         Err(e) => e.to_string(),
                     };
-                    bad.lock()
+                    failed
+                        .lock()
                         .unwrap_or_else(PoisonError::into_inner)
                         .push(FailedSeed { seed, reason });
                 }
             });
         }
     });
-    bad.into_inner().unwrap_or_else(PoisonError::into_inner)
+    failed.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
 #[cfg(test)]
@@ -215,10 +257,10 @@
     use super::*;
 
     #[test]
-    fn every_seed_draws_a_day_that_can_be_read_and_the_same_one_again() {
+    fn every_seed_gives_a_valid_scenario_and_always_the_same() {
         for seed in 0..500 {
             scenario::read(&scenario_text(seed))
-                .unwrap_or_else(|why| panic!("seed {seed}: {why}\n{}", scenario_text(seed)));
+                .unwrap_or_else(|error| panic!("seed {seed}: {error}\n{}", scenario_text(seed)));
         }
         assert!(scenario_text(1) == scenario_text(1) && scenario_text(1) != scenario_text(2));
     }
