--- a/crates/quartzdrift-lab/src/audit.rs
+++ b/crates/quartzdrift-lab/src/audit.rs
@@ -20,7 +20,8 @@
     /// within the window.
     #[serde(rename = "windows_us")]
     pub deduplication_windows_us: BTreeMap<String, u64>,
-    /// How long, in microseconds, a gateway may keep using a worker after it was told that the worker drains.
+    /// How long, in microseconds, a gateway may keep using a worker after discovery reported to it that
+    /// the worker drains.
     pub drain_grace_us: u64,
     /// Overload bound of a cold worker: the work sent to it within `fall_window_us`, as a multiple of its
     /// capacity over that window. With 0 the bound is not checked.
@@ -320,7 +321,7 @@
             let state_lost = record
                 .disk_losses
                 .iter()
-                .any(|(of, at)| *of == gateway && client_call.sent_us < *at);
+                .any(|(lost_by, at)| *lost_by == gateway && client_call.sent_us < *at);
             let excused = state_lost
                 || if guarantees.durable {
                     never_restarted
@@ -423,7 +424,8 @@
 }
 
 /// Checks that a gateway sends no call and no load command to a worker once the drain grace has passed since
-/// the gateway was told that the worker drains or is gone. A restarted gateway has been told nothing yet.
+/// the gateway received the report that the worker drains or is gone. A restarted gateway has received no
+/// report yet.
 fn check_drain_grace(lines: &[Line], guarantees: &Guarantees, violations: &mut Vec<Violation>) {
     let mut unavailable_since: BTreeMap<(u64, &str), u64> = BTreeMap::new();
     for Line { at_us, seen } in lines {
@@ -434,7 +436,7 @@
             Seen::ToldUp { gateway, worker } => {
                 unavailable_since.remove(&(*gateway, worker.as_str()));
             }
-            Seen::GatewayUp { gateway } => unavailable_since.retain(|(of, _), _| of != gateway),
+            Seen::GatewayUp { gateway } => unavailable_since.retain(|(informed, _), _| informed != gateway),
             Seen::Came { worker, gateway, .. } | Seen::Ordered { worker, gateway } => {
                 let Some(since) = unavailable_since.get(&(*gateway, worker.as_str())) else {
                     continue;
@@ -443,8 +445,8 @@
                     let elapsed_ms = (at_us - since) / 1000;
                     let grace_ms = guarantees.drain_grace_us / 1000;
                     let description = format!(
-                        "gateway {gateway} used {worker} {elapsed_ms} ms after it was told that the worker \
-                         is not available; the drain grace is {grace_ms} ms"
+                        "gateway {gateway} used {worker} {elapsed_ms} ms after discovery reported that the \
+                         worker is not available; the drain grace is {grace_ms} ms"
                     );
                     violations.push(Violation {
                         rule: Rule::DrainGrace,
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -135,7 +135,7 @@
         }
         if as_stream {
             // A process that opens a stream has received no list yet.
-            self.last_sent_up.retain(|(of, _), _| *of != gateway);
+            self.last_sent_up.retain(|(sent_to, _), _| *sent_to != gateway);
         }
         let workers: Vec<DiscoveredEndpoint> = self
             .endpoint_list()
@@ -190,7 +190,9 @@
                     },
                 ),
             },
-            HttpEvent::ClientDisconnected { exchange } => self.streams.retain(|(of, _)| *of != exchange),
+            HttpEvent::ClientDisconnected { exchange } => {
+                self.streams.retain(|(stream, _)| *stream != exchange)
+            }
             HttpEvent::Response { .. }
             | HttpEvent::ResponsePart { .. }
             | HttpEvent::ResponseEnd { .. }
@@ -220,7 +222,7 @@
                 self.stalled.remove(&gateway);
                 let (of_gateway, others) = std::mem::take(&mut self.streams)
                     .into_iter()
-                    .partition(|(_, of)| *of == gateway);
+                    .partition(|(_, stream_gateway)| *stream_gateway == gateway);
                 self.streams = others;
                 let of_gateway: Vec<(Exchange, u64)> = of_gateway;
                 of_gateway
