--- a/crates/quartzdrift-lab/src/bench_scenario.rs
+++ b/crates/quartzdrift-lab/src/bench_scenario.rs
@@ -64,7 +64,7 @@
     name: String,
     /// Share of the calls.
     share: f64,
-    /// Mean work of a call.
+    /// Mean work of a call in microseconds.
     work: f64,
     #[serde(rename = "aim")]
     latency_objective: u64,
@@ -78,6 +78,7 @@
 
 #[derive(Deserialize)]
 struct WorkerTier {
+    /// The kinds of workers; only the first one determines how a cold worker and its queue behave.
     kinds: Vec<WorkerKind>,
 }
 
@@ -99,6 +100,7 @@
 
 #[derive(Deserialize)]
 struct Discovery {
+    /// Delay until gateways see a change.
     #[serde(rename = "notice")]
     lag: u64,
 }
@@ -108,7 +110,7 @@
 struct Functions {
     #[serde(default, rename = "keep")]
     keep_loaded: u64,
-    /// Memory of each kind of worker in MB.
+    /// Memory of the workers in MB; only the first value is used.
     #[serde(default, rename = "memory")]
     worker_memory_mb: Vec<f64>,
     /// Memory of all functions together, as a share of the workers' memory.
@@ -122,7 +124,7 @@
 struct FunctionSort {
     #[serde(rename = "lanes")]
     slots: usize,
-    /// Time that a load takes.
+    /// Time that a load takes in microseconds.
     load: f64,
     #[serde(rename = "memory")]
     memory_mb: f64,
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -18,11 +18,11 @@
     UpdateEndpoint(DiscoveredEndpoint),
     /// Sets the delay until gateways see a change.
     SetLag(Duration),
-    /// While stopped, discovery closes every connection without a response; its streams are closed too.
+    /// Whether discovery closes every connection without a response, its open streams included.
     SetStopped(bool),
-    /// Returns an empty list whatever the endpoints are.
+    /// Whether discovery returns an empty list whatever the endpoints are.
     SetEmpty(bool),
-    /// Sends nothing more to a gateway, and leaves its connections open.
+    /// Whether discovery sends nothing more to a gateway, while it leaves the connections open.
     SetStalled(u64, bool),
     /// Addresses of relays, by gateway and worker: these gateways are given the relay's address for the
     /// worker.
--- a/crates/quartzdrift-lab/src/naive.rs
+++ b/crates/quartzdrift-lab/src/naive.rs
@@ -20,6 +20,7 @@
 /// Most attempts of a request.
 const MAX_ATTEMPTS: u32 = 3;
 
+/// A client's request that has no final response yet.
 struct ClientRequest {
     exchange: Exchange,
     target: String,
@@ -89,6 +90,7 @@
         self.calls.insert(call, id);
     }
 
+    /// Accepts a client's request and sends its first attempt.
     fn accept(&mut self, exchange: Exchange, request: Request) {
         self.last_request += 1;
         let scheduler = self.settings.scheduler.scheduler_number.unwrap_or(0);
--- a/crates/quartzdrift-lab/src/scenario_runner.rs
+++ b/crates/quartzdrift-lab/src/scenario_runner.rs
@@ -28,7 +28,7 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Drain grace in the settings of the gateways.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// Longest time that a power loss may take to reach all processes: it stands for one that hits them at once.
+/// Longest time from the first to the last process that a power loss kills: it must count as simultaneous.
 const POWER_OFF_TOLERANCE: Duration = Duration::from_millis(20);
 /// Longest time that gateways may take to stop after SIGTERM.
 const STOP_TIMEOUT: Duration = Duration::from_secs(20);
@@ -85,14 +85,15 @@
     }
 }
 
+/// A gateway, its process while it runs, and the options of its next start.
 struct Gateway {
-    settings: PathBuf,
-    state: PathBuf,
+    settings_file: PathBuf,
+    state_folder: PathBuf,
     child: Option<Child>,
     /// Options that shift the wall clock from the next start on.
-    clock: Vec<String>,
+    clock_options: Vec<String>,
     /// Boot id from the next start on.
-    boot: Option<String>,
+    boot_id: Option<String>,
     /// Whether the process can write no file from the next start on.
     disk_full: bool,
 }
@@ -131,8 +132,8 @@
     }
 }
 
-/// Settings that make a gateway a member of the membership.
-fn membership_settings(gateway: usize, period: Duration, switch: &Switch, key: &Path) -> String {
+/// Settings that make a gateway a member of the scenario's cluster.
+fn membership_settings(gateway: usize, period: Duration, switch: &Switch, key_file: &Path) -> String {
     let seeds: Vec<String> = switch.outside.iter().map(|at| format!("\"{at}\"")).collect();
     format!(
         "[fleet]\nname = \"gateway-{gateway}\"\ncluster = \"day-{}\"\nlisten = \"{}\"\n\
@@ -143,7 +144,7 @@
         switch.inside[gateway],
         switch.outside[gateway],
         seeds.join(", "),
-        key.display(),
+        key_file.display(),
         period.as_millis(),
     )
 }
@@ -326,17 +327,17 @@
 impl Runner<'_> {
     fn start_gateway(&mut self, n: usize) -> io::Result<()> {
         let Gateway {
-            settings,
-            clock,
-            boot,
+            settings_file,
+            clock_options,
+            boot_id,
             disk_full,
             ..
         } = &self.gateways[n];
         let disk_full = *disk_full;
         let mut arguments: Vec<std::ffi::OsString> = self.program.arguments.iter().map(Into::into).collect();
-        arguments.push(settings.into());
-        arguments.extend(clock.iter().map(Into::into));
-        arguments.extend(boot.iter().flat_map(|name| ["--boot".into(), name.into()]));
+        arguments.push(settings_file.into());
+        arguments.extend(clock_options.iter().map(Into::into));
+        arguments.extend(boot_id.iter().flat_map(|name| ["--boot".into(), name.into()]));
         let mut command = match disk_full {
             // No file may grow. With SIGXFSZ ignored, a write fails with an error instead of ending the
             // process.
@@ -451,14 +452,14 @@
             }
             Fault::PowerOff { gateways } => self.power_off(gateways)?,
             Fault::PowerOnGateway(n) => {
-                self.gateways[n].boot = Some(format!("boot-{}", self.power_losses));
+                self.gateways[n].boot_id = Some(format!("boot-{}", self.power_losses));
                 if self.gateways[n].child.is_none() {
                     self.start_gateway(n)?;
                 }
             }
             Fault::Clock(n, by, ahead) => {
                 let option = if ahead { "--ahead" } else { "--behind" };
-                self.gateways[n].clock = vec![option.to_owned(), format!("{}s", by.as_secs())];
+                self.gateways[n].clock_options = vec![option.to_owned(), format!("{}s", by.as_secs())];
             }
             Fault::Link(gateway, worker, link) => {
                 if let Some(relay) = self.relays.get(&(gateway, worker)) {
@@ -467,7 +468,7 @@
             }
             Fault::DiscoveryStall(n, on) => self.discovery.send(discovery::Command::SetStalled(n as u64, on)),
             Fault::CopyState(n) => {
-                let state = &self.gateways[n].state;
+                let state = &self.gateways[n].state_folder;
                 copy_folder(state, &state.with_extension("copy"))?;
             }
             Fault::Spoil(n, damage) => self.damage_state(n, damage)?,
@@ -519,7 +520,7 @@
     }
 
     fn damage_state(&mut self, n: usize, damage: StateDamage) -> io::Result<()> {
-        let state = self.gateways[n].state.clone();
+        let state = self.gateways[n].state_folder.clone();
         let checkpoint = state.join(quartzdrift::snapshots::CHECKPOINT);
         match damage {
             StateDamage::Cut => {
@@ -538,7 +539,7 @@
                 }
                 let source = match damage {
                     StateDamage::Older => state.with_extension("copy"),
-                    _ => self.gateways[(n + 1) % self.gateways.len()].state.clone(),
+                    _ => self.gateways[(n + 1) % self.gateways.len()].state_folder.clone(),
                 };
                 // A gateway rejects another member's store of asynchronous requests at its start, which
                 // another test covers: the gateway keeps its own store here.
@@ -675,44 +676,45 @@
         .iter()
         .any(|(_, fault)| matches!(fault, Fault::Link(..)))
     {
-        let pairs = (0..scenario.gateways).flat_map(|g| (0..workers.len()).map(move |w| (g, w)));
-        for (g, w) in pairs {
-            relays.insert((g, w), Relay::start(workers[w].address)?);
+        let links = (0..scenario.gateways)
+            .flat_map(|gateway| (0..workers.len()).map(move |worker| (gateway, worker)));
+        for (gateway, worker) in links {
+            relays.insert((gateway, worker), Relay::start(workers[worker].address)?);
         }
-        let relayed = |(&(g, w), relay): (&(usize, usize), &Relay)| {
+        let relay_address = |(&(gateway, worker), relay): (&(usize, usize), &Relay)| {
             (
-                (g as u64, workers[w].address.to_string()),
+                (gateway as u64, workers[worker].address.to_string()),
                 relay.address.to_string(),
             )
         };
         discovery.send(discovery::Command::SetRelays(
-            relays.iter().map(relayed).collect(),
+            relays.iter().map(relay_address).collect(),
         ));
     }
     let switch = scenario
         .gossip_period
         .map(|_| Switch::start(scenario.gateways, seed))
         .transpose()?;
-    let key = folder.path().join("key");
-    std::fs::write(&key, "00112233445566778899aabbccddeeff")?;
+    let key_file = folder.path().join("key");
+    std::fs::write(&key_file, "00112233445566778899aabbccddeeff")?;
     let mut gateways = Vec::new();
     let mut addresses = Vec::new();
     for n in 0..scenario.gateways {
         let listen = kept_port()?;
-        let state = folder.path().join(format!("gateway-{n}"));
-        let file = folder.path().join(format!("gateway-{n}.toml"));
-        let mut text = gateway_settings(scenario, n, listen, discovery.address, &state);
+        let state_folder = folder.path().join(format!("gateway-{n}"));
+        let settings_file = folder.path().join(format!("gateway-{n}.toml"));
+        let mut text = gateway_settings(scenario, n, listen, discovery.address, &state_folder);
         if let (Some(period), Some(switch)) = (scenario.gossip_period, &switch) {
-            text.push_str(&membership_settings(n, period, switch, &key));
+            text.push_str(&membership_settings(n, period, switch, &key_file));
         }
-        std::fs::write(&file, text)?;
-        let (clock, boot, disk_full) = (Vec::new(), None, false);
+        std::fs::write(&settings_file, text)?;
+        let (clock_options, boot_id, disk_full) = (Vec::new(), None, false);
         gateways.push(Gateway {
-            settings: file,
-            state,
+            settings_file,
+            state_folder,
             child: None,
-            clock,
-            boot,
+            clock_options,
+            boot_id,
             disk_full,
         });
         addresses.push(listen);
@@ -782,7 +784,8 @@
     }
     let recovery_view = |gateway: &Gateway| -> Option<RecoveryView> {
         let bytes =
-            quartzdrift::snapshots::read(&gateway.state, quartzdrift::snapshots::RECOVERY_VIEW).ok()??;
+            quartzdrift::snapshots::read(&gateway.state_folder, quartzdrift::snapshots::RECOVERY_VIEW)
+                .ok()??;
         serde_json::from_slice(&bytes).ok()
     };
     let recovery_views = runner
