--- a/crates/quartzdrift-async-queue/src/queue/restore.rs
+++ b/crates/quartzdrift-async-queue/src/queue/restore.rs
@@ -12,10 +12,10 @@
 pub struct RestoreContext {
     /// Whether the workers still have the idempotency keys of the invocations that they executed before the
     /// restart.
-    pub keys_retained: bool,
+    pub keys_remembered: bool,
     /// Whether the store is in an earlier state than before the restart, for example from a backup. An
     /// invocation that waits in it may have executed after that state.
-    pub store_is_outdated: bool,
+    pub earlier_copy: bool,
 }
 
 impl<S: InvocationStore> InvocationQueue<S> {
@@ -67,7 +67,7 @@
         let due_at = entry.due_at;
         let idempotent = entry.invocation.idempotency == Idempotency::Idempotent;
         self.entries.insert(id, entry);
-        if context.store_is_outdated && !idempotent {
+        if context.earlier_copy && !idempotent {
             return self.complete(id, CompletionCondition::RetriesExhausted);
         }
         self.due.insert(tenant, due_at, id);
@@ -85,7 +85,7 @@
 ) -> AttemptOutcome {
     let deduplicated = invocation.idempotency == Idempotency::IdempotentWithKey
         && invocation.deduplicated_by_all
-        && context.keys_retained
+        && context.keys_remembered
         && now < started_at + invocation.deduplication_window;
     if deduplicated {
         AttemptOutcome::Rejected {
--- a/crates/quartzdrift-async-queue/src/queue/tests.rs
+++ b/crates/quartzdrift-async-queue/src/queue/tests.rs
@@ -157,16 +157,16 @@
 
 /// A restart of the gateway alone, with the current store.
 const WORKERS_KEPT_RUNNING: RestoreContext = RestoreContext {
-    keys_retained: true,
-    store_is_outdated: false,
+    keys_remembered: true,
+    earlier_copy: false,
 };
 const KEYS_LOST: RestoreContext = RestoreContext {
-    keys_retained: false,
-    store_is_outdated: false,
+    keys_remembered: false,
+    earlier_copy: false,
 };
 const OUTDATED_STORE: RestoreContext = RestoreContext {
-    keys_retained: true,
-    store_is_outdated: true,
+    keys_remembered: true,
+    earlier_copy: true,
 };
 
 /// Restores invocation 7 at second 100. Returns the queue, and the condition of the completion, `retry` or
--- a/crates/quartzdrift/src/gateway/recovery.rs
+++ b/crates/quartzdrift/src/gateway/recovery.rs
@@ -365,8 +365,8 @@
         let requests = std::mem::take(&mut recovery.held_invocations);
         let state_machine = &recovery.state_machine;
         let context = RestoreContext {
-            keys_retained: state_machine.repeats_are_detected(),
-            store_is_outdated: state_machine.waiting_requests_may_have_run(),
+            keys_remembered: state_machine.repeats_are_detected(),
+            earlier_copy: state_machine.waiting_requests_may_have_run(),
         };
         let unproven_downtime = state_machine.unproven_downtime();
         self.restore_invocations(requests, context, unproven_downtime);
--- a/crates/quartzdrift/src/gateway/store.rs
+++ b/crates/quartzdrift/src/gateway/store.rs
@@ -105,8 +105,8 @@
             Some(recovery) => recovery.held_invocations = open_invocations,
             None => {
                 let context = RestoreContext {
-                    keys_retained: true,
-                    store_is_outdated: false,
+                    keys_remembered: true,
+                    earlier_copy: false,
                 };
                 self.restore_invocations(open_invocations, context, Duration::ZERO);
             }
