--- a/crates/quartzdrift-async-queue/src/queue/restore.rs
+++ b/crates/quartzdrift-async-queue/src/queue/restore.rs
@@ -10,11 +10,12 @@
 /// State of the workers and of the store after a restart, which decides what may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RestoreContext {
-    /// Whether the workers still have the idempotency keys of the invocations that they executed before the
-    /// restart.
+    /// Whether the workers still hold the idempotency keys of the invocations that they executed before the
+    /// restart, and therefore drop duplicates of them. The log prints this field's name.
     pub keys_remembered: bool,
-    /// Whether the store is in an earlier state than before the restart, for example from a backup. An
-    /// invocation that waits in it may have executed after that state.
+    /// Whether the store is older than the one that the last run left, for example a restored backup. An
+    /// invocation that waits in it may have executed since the copy was made. The log prints this field's
+    /// name.
     pub earlier_copy: bool,
 }
 
--- a/crates/quartzdrift-wal/src/log.rs
+++ b/crates/quartzdrift-wal/src/log.rs
@@ -55,7 +55,8 @@
     /// invocations that have not completed, in order of their ids. In an empty storage it creates a new log.
     ///
     /// # Errors
-    /// The first fault that [`inspect`](crate::inspect) would report, or an error of the storage.
+    /// The first fault that [`inspect`](crate::inspect) would report, or [`LogError::Io`] if an operation of
+    /// the storage fails.
     pub fn open(storage: S) -> Result<(Log<S>, Vec<InvocationRecord>), LogError> {
         Log::open_with_max_segment_bytes(storage, DEFAULT_MAX_SEGMENT_BYTES)
     }
@@ -63,7 +64,8 @@
     /// Like [`Log::open`], with a maximum segment size of `max_segment_bytes`.
     ///
     /// # Errors
-    /// Those of [`Log::open`].
+    /// The first fault that [`inspect`](crate::inspect) would report, or [`LogError::Io`] if an operation of
+    /// the storage fails.
     pub fn open_with_max_segment_bytes(
         mut storage: S,
         max_segment_bytes: u64,
@@ -104,9 +106,9 @@
     /// Appends a batch and makes it durable, then compacts the log if necessary.
     ///
     /// # Errors
-    /// [`LogError::BatchTooLarge`] if the batch does not fit into a frame, otherwise those of the storage.
-    /// After any error the batch may be durable or lost, and each further commit returns
-    /// [`LogError::EarlierWriteFailed`] until [`Log::resume`] succeeds.
+    /// [`LogError::BatchTooLarge`] if the batch does not fit into a frame, or [`LogError::Io`] if an
+    /// operation of the storage fails. After any error the batch may be durable or lost, and each further
+    /// commit returns [`LogError::EarlierWriteFailed`] until [`Log::resume`] succeeds.
     pub fn commit(&mut self, records: Vec<LogRecord>) -> Result<(), LogError> {
         if self.failed {
             return Err(LogError::EarlierWriteFailed);
@@ -121,8 +123,9 @@
     /// commits the failed batch again; each of its records may be applied twice.
     ///
     /// # Errors
-    /// [`LogError::Corrupt`] if an acknowledged batch cannot be read back, otherwise those of the storage.
-    /// The log then still refuses batches, and the caller may try again.
+    /// [`LogError::Corrupt`] if an acknowledged batch cannot be read back, or [`LogError::Io`] if an
+    /// operation of the storage fails. After any error the log still refuses batches, and the caller may try
+    /// again.
     pub fn resume(&mut self) -> Result<(), LogError> {
         if !self.failed {
             return Ok(());
--- a/crates/quartzdrift-wal/src/recovery.rs
+++ b/crates/quartzdrift-wal/src/recovery.rs
@@ -141,7 +141,8 @@
 /// Reads a log without changing it.
 ///
 /// # Errors
-/// Those of the storage. Damage is not an error; it is listed in [`Inspection::faults`].
+/// An [`io::Error`] if the storage cannot list or read a file. Damage is not an error; it is listed in
+/// [`Inspection::faults`].
 pub fn inspect<S: LogStorage>(storage: &S) -> io::Result<Inspection> {
     let mut recovered = RecoveredLog::read(storage)?;
     let inspection = std::mem::take(&mut recovered.inspection);
@@ -156,7 +157,8 @@
 ///
 /// # Errors
 /// [`LogError::UnsupportedVersion`] if a segment has another format version; the log is then left unchanged.
-/// [`LogError::BatchTooLarge`] if an invocation does not fit into a frame. Otherwise those of the storage.
+/// [`LogError::BatchTooLarge`] if an invocation does not fit into a frame. [`LogError::Io`] if an operation
+/// of the storage fails.
 pub fn repair<S: LogStorage>(mut storage: S) -> Result<Inspection, LogError> {
     let mut inspection = inspect(&storage)?;
     let is_unsupported = |fault: &LogError| matches!(fault, LogError::UnsupportedVersion(..));
--- a/crates/quartzdrift-wal/src/storage.rs
+++ b/crates/quartzdrift-wal/src/storage.rs
@@ -10,44 +10,46 @@
     /// Returns the names of all files.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// An I/O error if the files cannot be listed.
     fn list(&self) -> io::Result<Vec<String>>;
 
     /// Returns the whole content of a file.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// An I/O error if the file does not exist or cannot be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
     /// Appends to a file, which is created if it does not exist. A crash before [`sync`](Self::sync) may lose
     /// the appended bytes.
     ///
     /// # Errors
-    /// Those of the file system; some of the bytes may have been written.
+    /// An I/O error if the file cannot be created, opened or written, for example because the disk is full.
+    /// Some of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
     /// Makes the content of a file durable.
     ///
     /// # Errors
-    /// Those of the file system; it is then unknown how much of the file is durable.
+    /// An I/O error if the file cannot be opened or synced. It is then unknown how much of the file is
+    /// durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
     /// Makes the creation and removal of files durable.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// An I/O error if the directory cannot be opened or synced.
     fn sync_directory(&mut self) -> io::Result<()>;
 
     /// Truncates a file to `length` bytes and makes that durable.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// An I/O error if the file cannot be opened, truncated or synced.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
     /// Removes a file. A crash before [`sync_directory`](Self::sync_directory) may undo the removal.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// An I/O error if the file cannot be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
     /// Closes all open files; the next operation on a file reopens it. After a failed sync, a later sync on
@@ -66,8 +68,8 @@
     /// Opens and locks the directory, which is created if it does not exist.
     ///
     /// # Errors
-    /// An error of kind [`io::ErrorKind::WouldBlock`] if another process holds the lock, otherwise those of
-    /// the file system.
+    /// An error of kind [`io::ErrorKind::WouldBlock`] if another process holds the lock. Another I/O error if
+    /// the directory cannot be created, or the file `lock` cannot be opened or locked.
     pub fn open(path: &Path) -> io::Result<DirectoryStorage> {
         fs::create_dir_all(path)?;
         let lock = OpenOptions::new()
