--- a/crates/quartzdrift-lab/tests/outage/clients.rs
+++ b/crates/quartzdrift-lab/tests/outage/clients.rs
@@ -1,4 +1,6 @@
-//! Clients of a scheduler: requests at drawn times whatever became of the earlier ones, each recorded.
+//! Clients that send requests to a scheduler at random times and record each request.
+//!
+//! The times do not depend on the outcome of earlier requests.
 use quartzdrift_lab::cluster_harness::request_fields;
 use quartzdrift_lab::platform::{Frontend, RequestFields};
 use rand::rngs::StdRng;
@@ -9,109 +11,118 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How long clients wait for an answer, in milliseconds.
+/// Timeout of a request in milliseconds.
 pub const TIMEOUT_MS: &str = "1500";
-/// Functions that are asked for, the first ones most.
-const FUNCTIONS: u32 = 12;
-/// Requests a second of one connection: its requests wait for each other.
-const RATE_OF_CONNECTION: f64 = 4.0;
-/// Before a connection that was lost is made anew.
+/// Number of functions that requests name. Those with low numbers are requested most.
+const FUNCTION_COUNT: u32 = 12;
+/// Requests per second of one connection, which has at most one request in flight.
+const REQUESTS_PER_SECOND_PER_CONNECTION: f64 = 4.0;
+/// Delay before a lost connection is replaced.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
-/// Longest sleep of a client that waits for its next request.
+/// Longest sleep of a client, so that it notices the end of the run in time.
 const MAX_SLEEP: Duration = Duration::from_millis(50);
 
-/// A request as its client saw it.
+/// A request as recorded by its client.
 #[derive(Clone, Copy, Debug)]
-pub struct Request {
-    pub sent: Instant,
-    pub ended: Instant,
-    /// Status of its answer; 0: none came.
+pub struct RequestRecord {
+    pub sent_at: Instant,
+    pub ended_at: Instant,
+    /// Status of the response; 0: the client received none.
     pub status: u16,
 }
 
-/// The clients of one scheduler.
+/// The client threads of one scheduler.
 pub struct Clients {
-    over: Arc<AtomicBool>,
-    threads: Vec<JoinHandle<Vec<Request>>>,
+    stop_requested: Arc<AtomicBool>,
+    threads: Vec<JoinHandle<Vec<RequestRecord>>>,
 }
 
 impl Clients {
-    /// Sends `rate` requests a second to a scheduler. Ids begin behind `first_id`.
-    pub fn start(at: SocketAddr, rate: f64, first_id: u64, seed: u64) -> Clients {
-        let over = Arc::new(AtomicBool::new(false));
-        let connections = (rate / RATE_OF_CONNECTION).ceil().max(1.0) as u64;
+    /// Starts clients that send `requests_per_second` requests to the scheduler at `address`. Their request
+    /// ids are greater than `first_id`.
+    pub fn start(address: SocketAddr, requests_per_second: f64, first_id: u64, seed: u64) -> Clients {
+        let stop_requested = Arc::new(AtomicBool::new(false));
+        let connections = (requests_per_second / REQUESTS_PER_SECOND_PER_CONNECTION)
+            .ceil()
+            .max(1.0) as u64;
         let threads = (0..connections)
             .map(|n| {
                 let client = Client {
-                    at,
-                    interval: connections as f64 / rate,
+                    address,
+                    mean_interval_s: connections as f64 / requests_per_second,
                     next_id: first_id + n * 1_000_000,
                     random: StdRng::seed_from_u64(seed ^ first_id ^ n << 20),
-                    over: over.clone(),
+                    stop_requested: stop_requested.clone(),
                     requests: Vec::new(),
                 };
                 thread::spawn(move || client.run())
             })
             .collect();
-        Clients { over, threads }
+        Clients {
+            stop_requested,
+            threads,
+        }
     }
 
-    /// Ends them, and returns all requests.
-    pub fn stop(self) -> Vec<Request> {
-        self.over.store(true, Ordering::Relaxed);
+    /// Stops the clients and returns the records of all requests.
+    pub fn stop(self) -> Vec<RequestRecord> {
+        self.stop_requested.store(true, Ordering::Relaxed);
         let threads = self.threads.into_iter();
         threads
-            .flat_map(|thread| thread.join().expect("a client does not panic"))
+            .flat_map(|thread| thread.join().expect("a client thread must not panic"))
             .collect()
     }
 }
 
 struct Client {
-    at: SocketAddr,
-    /// Mean seconds between two requests.
-    interval: f64,
+    address: SocketAddr,
+    /// Mean time between two requests, in seconds.
+    mean_interval_s: f64,
     next_id: u64,
     random: StdRng,
-    over: Arc<AtomicBool>,
-    requests: Vec<Request>,
+    stop_requested: Arc<AtomicBool>,
+    requests: Vec<RequestRecord>,
 }
 
 impl Client {
-    fn run(mut self) -> Vec<Request> {
-        let mut due = Instant::now();
+    fn run(mut self) -> Vec<RequestRecord> {
+        let mut due_at = Instant::now();
         let mut frontend = None;
-        while !self.over.load(Ordering::Relaxed) {
-            let left = due.saturating_duration_since(Instant::now());
-            if !left.is_zero() {
-                thread::sleep(left.min(MAX_SLEEP));
+        while !self.stop_requested.load(Ordering::Relaxed) {
+            let remaining = due_at.saturating_duration_since(Instant::now());
+            if !remaining.is_zero() {
+                thread::sleep(remaining.min(MAX_SLEEP));
                 continue;
             }
-            let seconds = -self.interval * (1.0 - self.random.random::<f64>()).ln();
-            due += Duration::from_secs_f64(seconds);
+            let seconds = -self.mean_interval_s * (1.0 - self.random.random::<f64>()).ln();
+            due_at += Duration::from_secs_f64(seconds);
             if frontend.is_none() {
-                frontend = Frontend::connect(self.at).ok();
+                frontend = Frontend::connect(self.address).ok();
             }
-            let sent = Instant::now();
-            let status = frontend.as_mut().and_then(|frontend| self.ask(frontend));
+            let sent_at = Instant::now();
+            let status = frontend
+                .as_mut()
+                .and_then(|frontend| self.send_and_receive(frontend));
             if status.is_none() {
                 frontend = None;
                 thread::sleep(RECONNECT_DELAY);
             }
-            self.requests.push(Request {
-                sent,
-                ended: Instant::now(),
+            self.requests.push(RequestRecord {
+                sent_at,
+                ended_at: Instant::now(),
                 status: status.unwrap_or(0),
             });
         }
         self.requests
     }
 
-    /// Sends a request and takes its answer's status; `None`: the connection has ended, or brought something else.
-    fn ask(&mut self, frontend: &mut Frontend) -> Option<u16> {
+    /// Sends a request and returns the status of its response; `None`: the connection has ended, or the body
+    /// of the response was wrong.
+    fn send_and_receive(&mut self, frontend: &mut Frontend) -> Option<u16> {
         self.next_id += 1;
         let id = format!("{:016x}", self.next_id);
         let popularity = self.random.random::<f64>();
-        let function = (popularity * popularity * f64::from(FUNCTIONS)) as u32;
+        let function = (popularity * popularity * f64::from(FUNCTION_COUNT)) as u32;
         let function = format!("7f3a9c21e0b4d6{function:02x}");
         let path = if self.random.random_bool(0.2) {
             "/do/once"
@@ -125,7 +136,7 @@
         };
         frontend.send(&Frontend::encode_request(1, &request)).ok()?;
         let reply = frontend.read_reply().ok()?;
-        let is_right = reply.status != 200 || reply.body == self.next_id.to_be_bytes();
-        is_right.then_some(reply.status)
+        let is_valid = reply.status != 200 || reply.body == self.next_id.to_be_bytes();
+        is_valid.then_some(reply.status)
     }
 }
--- a/crates/quartzdrift-lab/tests/outage/fleet.rs
+++ b/crates/quartzdrift-lab/tests/outage/fleet.rs
@@ -1,7 +1,8 @@
-//! Scheduler processes with their coordinator, workers and clients, and the play of an outage with drains in it.
-use super::clients::{Clients, Request, TIMEOUT_MS};
-use super::discovery::{Discovery, Health};
-use super::judge::{self, Drain, Report, Seen};
+//! Scheduler processes with a fake coordinator, fake workers and clients, and the run of a scenario with
+//! them.
+use super::clients::{Clients, RequestRecord, TIMEOUT_MS};
+use super::evaluation::{self, Drain, Observations, Report};
+use super::fake_coordinator::{CoordinatorHealth, FakeCoordinator};
 use super::stalls::StallMeter;
 use super::worker::{Phase, Worker};
 use quartzdrift_lab::cluster_harness::{
@@ -17,96 +18,107 @@
 use std::time::{Duration, Instant};
 
 const LAB: &str = env!("CARGO_BIN_EXE_quartzdrift-lab");
-/// Traffic before the outage.
-const BEFORE: Duration = Duration::from_millis(1_500);
-/// Traffic after it.
-const AFTER: Duration = Duration::from_millis(2_500);
-/// Ids that the clients of one scheduler have.
-const IDS: u64 = 1 << 32;
+/// Duration of the traffic before the outage.
+const TRAFFIC_BEFORE: Duration = Duration::from_millis(1_500);
+/// Duration of the traffic after the outage.
+const TRAFFIC_AFTER: Duration = Duration::from_millis(2_500);
+/// Number of request ids reserved for the clients of one scheduler.
+const IDS_PER_SCHEDULER: u64 = 1 << 32;
 
-/// Something that happens beside the outage, at a time since its beginning.
+/// A step of a scenario during the outage.
 #[derive(Clone, Copy, Debug)]
-pub enum Act {
-    /// So many of the up workers with the most traffic begin to drain.
+pub enum ScenarioStep {
+    /// This number of workers begin to drain, those with the most accepted requests first.
     Drain(usize),
-    /// All schedulers have no processor for this long.
+    /// All schedulers are stopped by SIGSTOP for this long.
     Pause(Duration),
-    /// All schedulers read their configuration again, which names an address where nobody listens.
+    /// All schedulers reload a configuration whose coordinator address has no listener.
     HangUp,
-    /// All schedulers are killed and started again, by the configuration that they had.
+    /// All schedulers are killed and started again with the same configuration.
     Restart,
-    /// The coordinator's health changes.
-    Discovery(Health),
-    /// The workers that drained longest ago go and come back, under the same names and addresses.
+    /// The coordinator switches to this health.
+    Discovery(CoordinatorHealth),
+    /// The worker that began to drain first, of those not yet replaced, goes down and up again with the same
+    /// name and address.
     Replace,
 }
 
-/// An outage to be played.
+/// An outage of discovery and the steps during it.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub schedulers: usize,
     pub workers: usize,
-    /// Requests a second to each scheduler.
-    pub rate: f64,
-    pub grace: Duration,
-    pub illness: Health,
+    /// Requests per second to each scheduler.
+    pub requests_per_second: f64,
+    pub drain_grace: Duration,
+    pub fault: CoordinatorHealth,
     pub length: Duration,
-    /// In the order of their times since the outage began.
-    pub acts: Vec<(Duration, Act)>,
+    /// Steps with their times since the start of the outage, in ascending order.
+    pub steps: Vec<(Duration, ScenarioStep)>,
     pub seed: u64,
 }
 
 /// A scheduler process.
 pub struct Scheduler {
     child: Child,
-    pub at: SocketAddr,
-    file: PathBuf,
+    pub address: SocketAddr,
+    config_file: PathBuf,
 }
 
 impl Scheduler {
-    fn start(file: PathBuf) -> Scheduler {
-        let mut command = scheduler_command(LAB, &file);
+    fn start(config_file: PathBuf) -> Scheduler {
+        let mut command = scheduler_command(LAB, &config_file);
         let log = std::fs::File::options()
             .create(true)
             .append(true)
-            .open(file.with_extension("log"));
+            .open(config_file.with_extension("log"));
         let mut child = command
-            .stderr(log.expect("a file for its log"))
+            .stderr(log.expect("the log file must be writable"))
             .spawn()
-            .expect("the scheduler starts");
-        let mut output = BufReader::new(child.stdout.take().expect("its output"));
-        let at = read_listen_address(&mut output).expect("the scheduler says where it listens");
-        Scheduler { child, at, file }
+            .expect("the scheduler must start");
+        let mut output = BufReader::new(
+            child
+                .stdout
+                .take()
+                .expect("the standard output of the scheduler must be piped"),
+        );
+        let address = read_listen_address(&mut output).expect("the scheduler must print its address");
+        Scheduler {
+            child,
+            address,
+            config_file,
+        }
     }
 
-    /// Kills it and starts it again at its address.
+    /// Kills the scheduler and starts it again at the same address.
     fn restart(&mut self) {
         self.kill();
-        let text = std::fs::read_to_string(&self.file).expect("its configuration");
+        let text = std::fs::read_to_string(&self.config_file).expect("the configuration must be readable");
         let text = text.replace(
             "\"listen\":\"127.0.0.1:0\"",
-            &format!("\"listen\":\"{}\"", self.at),
+            &format!("\"listen\":\"{}\"", self.address),
         );
-        std::fs::write(&self.file, text).expect("the configuration is written");
-        *self = Scheduler::start(self.file.clone());
+        std::fs::write(&self.config_file, text).expect("the configuration must be writable");
+        *self = Scheduler::start(self.config_file.clone());
     }
 
-    /// Has it read a configuration that names another coordinator.
-    fn hang_up(&self, before: SocketAddr, after: SocketAddr) {
-        let text = std::fs::read_to_string(&self.file).expect("its configuration");
-        let text = text.replace(&before.to_string(), &after.to_string());
-        std::fs::write(&self.file, text).expect("the configuration is written");
+    /// Replaces the coordinator address in the configuration and sends SIGHUP, so that the scheduler reloads
+    /// it.
+    fn reload_with_coordinator(&self, old: SocketAddr, new: SocketAddr) {
+        let text = std::fs::read_to_string(&self.config_file).expect("the configuration must be readable");
+        let text = text.replace(&old.to_string(), &new.to_string());
+        std::fs::write(&self.config_file, text).expect("the configuration must be writable");
         send_signal("-HUP", self.child.id());
     }
 
     fn kill(&mut self) {
-        // It may have ended.
+        // The process may already have exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
     fn log(&self) -> String {
-        std::fs::read_to_string(self.file.with_extension("log")).expect("its log can be read")
+        std::fs::read_to_string(self.config_file.with_extension("log")).expect("the log must be readable")
     }
 }
 
@@ -116,35 +128,36 @@
     }
 }
 
+/// All processes and threads of a run except the clients.
 struct Fleet {
-    discovery: Discovery,
-    /// Where the schedulers ask for the list.
-    followed: SocketAddr,
+    coordinator: FakeCoordinator,
+    /// Coordinator address in the configuration of the schedulers.
+    configured_coordinator: SocketAddr,
     workers: Vec<Worker>,
     schedulers: Vec<Scheduler>,
     drains: Vec<Drain>,
-    /// Since when discovery is ill; `None`: it is well.
-    ill_since: Option<Instant>,
+    /// Start of the current fault of the coordinator; `None`: the coordinator works.
+    outage_since: Option<Instant>,
     _folder: tempfile::TempDir,
 }
 
-fn name(worker: usize) -> String {
+fn worker_name(worker: usize) -> String {
     format!("w{worker}")
 }
 
 impl Fleet {
     fn start(scenario: &Scenario) -> Fleet {
         let workers: Vec<Worker> = (0..scenario.workers as u64)
-            .map(|n| Worker::start(scenario.seed << 8 | n).expect("a worker"))
+            .map(|n| Worker::start(scenario.seed << 8 | n).expect("the worker must start"))
             .collect();
         let targets: Vec<String> = workers
             .iter()
             .enumerate()
-            .map(|(n, worker)| endpoint_json(&name(n), worker.at, "Ready"))
+            .map(|(n, worker)| endpoint_json(&worker_name(n), worker.address, "Ready"))
             .collect();
-        let discovery = Discovery::start(&targets).expect("a coordinator");
-        let folder = tempfile::tempdir().expect("a folder");
-        let text = configuration(scenario, &discovery);
+        let coordinator = FakeCoordinator::start(&targets).expect("the coordinator must start");
+        let folder = tempfile::tempdir().expect("the temporary folder must be creatable");
+        let text = configuration(scenario, &coordinator);
         let schedulers = (0..scenario.schedulers)
             .map(|n| {
                 let file = folder.path().join(format!("n{n}.json"));
@@ -154,57 +167,59 @@
                         "\"seed\":\"7\"",
                         &format!("\"seed\":\"{}\"", scenario.seed + n as u64),
                     );
-                std::fs::write(&file, text).expect("the configuration is written");
+                std::fs::write(&file, text).expect("the configuration must be writable");
                 Scheduler::start(file)
             })
             .collect();
         Fleet {
-            followed: discovery.at,
-            discovery,
+            configured_coordinator: coordinator.address,
+            coordinator,
             workers,
             schedulers,
             drains: Vec::new(),
-            ill_since: None,
+            outage_since: None,
             _folder: folder,
         }
     }
 
-    /// Waits until each scheduler says that it is ready.
+    /// Waits until the health check of each scheduler returns 200.
     fn wait_until_ready(&self) {
         for scheduler in &self.schedulers {
-            let mut frontend = Frontend::connect(scheduler.at).expect("it takes connections");
+            let mut frontend =
+                Frontend::connect(scheduler.address).expect("the scheduler must accept connections");
             while check_status(&mut frontend) != 200 {
                 thread::sleep(Duration::from_millis(5));
             }
         }
     }
 
-    fn set_health(&mut self, health: Health) {
-        self.discovery.set_health(health);
-        self.ill_since = match health {
-            Health::Well => None,
-            _ => self.ill_since.or_else(|| Some(Instant::now())),
+    fn set_health(&mut self, health: CoordinatorHealth) {
+        self.coordinator.set_health(health);
+        self.outage_since = match health {
+            CoordinatorHealth::Well => None,
+            _ => self.outage_since.or_else(|| Some(Instant::now())),
         };
     }
 
-    fn perform(&mut self, act: Act) {
-        match act {
-            Act::Drain(count) => self.drain_busiest(count),
-            Act::Pause(length) => {
+    fn perform(&mut self, step: ScenarioStep) {
+        match step {
+            ScenarioStep::Drain(count) => self.drain_busiest(count),
+            ScenarioStep::Pause(length) => {
                 self.signal_all("-STOP");
                 thread::sleep(length);
                 self.signal_all("-CONT");
             }
-            Act::HangUp => {
-                // An address that is bound, and where nobody listens.
-                let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-                let scheduler = self.schedulers.iter();
-                scheduler.for_each(|scheduler| scheduler.hang_up(self.followed, nowhere));
-                self.followed = nowhere;
+            ScenarioStep::HangUp => {
+                // No process listens on port 1.
+                let unreachable = SocketAddr::from(([127, 0, 0, 1], 1));
+                for scheduler in &self.schedulers {
+                    scheduler.reload_with_coordinator(self.configured_coordinator, unreachable);
+                }
+                self.configured_coordinator = unreachable;
             }
-            Act::Restart => self.schedulers.iter_mut().for_each(Scheduler::restart),
-            Act::Discovery(health) => self.set_health(health),
-            Act::Replace => self.replace_drained(),
+            ScenarioStep::Restart => self.schedulers.iter_mut().for_each(Scheduler::restart),
+            ScenarioStep::Discovery(health) => self.set_health(health),
+            ScenarioStep::Replace => self.replace_drained(),
         }
     }
 
@@ -214,51 +229,60 @@
         }
     }
 
-    /// Of the workers that are up those with the most traffic begin to drain.
+    /// Starts a drain of the `count` workers with the most accepted requests among those that never drained.
     fn drain_busiest(&mut self, count: usize) {
         let is_draining = |worker: &usize| self.drains.iter().any(|drain| drain.worker == *worker);
         let mut up: Vec<usize> = (0..self.workers.len()).filter(|n| !is_draining(n)).collect();
-        up.sort_by_key(|worker| std::cmp::Reverse(self.workers[*worker].ran()));
+        up.sort_by_key(|worker| std::cmp::Reverse(self.workers[*worker].accepted_count()));
         let busiest: Vec<usize> = up.into_iter().take(count).collect();
         let targets: Vec<String> = busiest
             .iter()
-            .map(|worker| endpoint_json(&name(*worker), self.workers[*worker].at, "Terminating"))
+            .map(|worker| {
+                endpoint_json(
+                    &worker_name(*worker),
+                    self.workers[*worker].address,
+                    "Terminating",
+                )
+            })
             .collect();
-        self.discovery.event(&targets);
+        self.coordinator.add_event(&targets);
         for worker in busiest {
-            let at = self.workers[worker].enter(Phase::Draining);
+            let started_at = self.workers[worker].enter(Phase::Draining);
             self.drains.push(Drain {
                 worker,
-                at,
-                ill_since: self.ill_since,
-                until: None,
+                started_at,
+                outage_since: self.outage_since,
+                replaced_at: None,
             });
         }
     }
 
+    /// Takes the worker whose drain began first, of those not yet replaced, down and up again.
     fn replace_drained(&mut self) {
-        let Some(first) = self.drains.iter().find(|drain| drain.until.is_none()) else {
+        let Some(first) = self.drains.iter().find(|drain| drain.replaced_at.is_none()) else {
             return;
         };
-        let (worker, began) = (first.worker, Instant::now());
-        let at = self.workers[worker].at;
+        let (worker, replaced_at) = (first.worker, Instant::now());
+        let address = self.workers[worker].address;
         self.workers[worker].enter(Phase::Down);
-        self.discovery.event(&[endpoint_json(&name(worker), at, "Gone")]);
+        self.coordinator
+            .add_event(&[endpoint_json(&worker_name(worker), address, "Gone")]);
         thread::sleep(Duration::from_millis(50));
-        self.discovery.event(&[endpoint_json(&name(worker), at, "Ready")]);
+        self.coordinator
+            .add_event(&[endpoint_json(&worker_name(worker), address, "Ready")]);
         self.workers[worker].enter(Phase::Up);
         let drains = self.drains.iter_mut();
         drains
             .filter(|drain| drain.worker == worker)
-            .for_each(|drain| drain.until = Some(began));
+            .for_each(|drain| drain.replaced_at = Some(replaced_at));
     }
 }
 
-fn configuration(scenario: &Scenario, discovery: &Discovery) -> String {
-    let grace = format!("\"drain-grace-ns\":{}", scenario.grace.as_nanos());
+fn configuration(scenario: &Scenario, coordinator: &FakeCoordinator) -> String {
+    let grace = format!("\"drain-grace-ns\":{}", scenario.drain_grace.as_nanos());
     let deadline = format!("\"deadline-ns\":{TIMEOUT_MS}000000");
     let schedulers = format!("\"settings\":{{\"replicas-of-me\":{},", scenario.schedulers);
-    let mut text = config_json(discovery.at, &discovery.known());
+    let mut text = config_json(coordinator.address, &coordinator.known_events());
     for (old, new) in [
         ("\"drain-grace-ns\":2000000000", grace.as_str()),
         ("\"deadline-ns\":60000000000", &deadline),
@@ -266,48 +290,55 @@
         ("\"max-attempts\":3", "\"max-attempts\":6"),
         ("\"sockets\":128", "\"sockets\":512"),
     ] {
-        assert!(text.contains(old), "{old}");
+        assert!(text.contains(old), "the default configuration lacks {old}");
         text = text.replace(old, new);
     }
     text
 }
 
-/// Plays an outage and judges it.
-pub fn play(scenario: &Scenario) -> Report {
+/// Runs a scenario and returns its report.
+pub fn run(scenario: &Scenario) -> Report {
     let mut fleet = Fleet::start(scenario);
     fleet.wait_until_ready();
     let stalls = StallMeter::start();
     let clients: Vec<Clients> = (1..)
         .zip(&fleet.schedulers)
-        .map(|(n, scheduler)| Clients::start(scheduler.at, scenario.rate, n * IDS, scenario.seed))
+        .map(|(n, scheduler)| {
+            Clients::start(
+                scheduler.address,
+                scenario.requests_per_second,
+                n * IDS_PER_SCHEDULER,
+                scenario.seed,
+            )
+        })
         .collect();
-    thread::sleep(BEFORE);
-    let outage_began = Instant::now();
-    fleet.set_health(scenario.illness);
-    for (at, act) in &scenario.acts {
-        thread::sleep((outage_began + *at).saturating_duration_since(Instant::now()));
-        fleet.perform(*act);
+    thread::sleep(TRAFFIC_BEFORE);
+    let outage_started_at = Instant::now();
+    fleet.set_health(scenario.fault);
+    for (at, step) in &scenario.steps {
+        thread::sleep((outage_started_at + *at).saturating_duration_since(Instant::now()));
+        fleet.perform(*step);
     }
-    let outage_ends = outage_began + scenario.length;
-    thread::sleep(outage_ends.saturating_duration_since(Instant::now()));
-    fleet.set_health(Health::Well);
-    thread::sleep(AFTER);
-    let requests: Vec<Request> = clients.into_iter().flat_map(Clients::stop).collect();
+    let outage_ended_at = outage_started_at + scenario.length;
+    thread::sleep(outage_ended_at.saturating_duration_since(Instant::now()));
+    fleet.set_health(CoordinatorHealth::Well);
+    thread::sleep(TRAFFIC_AFTER);
+    let requests: Vec<RequestRecord> = clients.into_iter().flat_map(Clients::stop).collect();
     let logs: Vec<String> = fleet.schedulers.iter().map(Scheduler::log).collect();
     if let Ok(folder) = std::env::var("OUTAGE_LOGS") {
         let path = std::path::Path::new(&folder).join(format!("seed-{}.log", scenario.seed));
-        std::fs::write(path, logs.join("\n")).expect("the logs are kept");
+        std::fs::write(path, logs.join("\n")).expect("the folder that OUTAGE_LOGS names must be writable");
     }
     fleet.schedulers.clear();
-    let taken = fleet.workers.into_iter().map(Worker::stop).collect();
-    judge::judge(&Seen {
+    let received = fleet.workers.into_iter().map(Worker::stop).collect();
+    evaluation::evaluate(&Observations {
         scenario,
         requests,
-        taken,
+        received,
         drains: fleet.drains,
         logs,
-        outage_began,
-        outage_ends,
+        outage_started_at,
+        outage_ended_at,
         stalls: &stalls,
     })
 }
--- a/crates/quartzdrift-lab/tests/outage/main.rs
+++ b/crates/quartzdrift-lab/tests/outage/main.rs
@@ -1,108 +1,126 @@
-//! Outages of discovery with drains in them, played with scheduler processes on loopback.
+//! Discovery outages during which workers drain, run with scheduler processes on loopback.
 //!
-//! The story: discovery was out of reach for every scheduler. Workers began to drain just after, stayed up, and turned away
-//! all that was new. The schedulers went on sending to them, for as long as discovery was out of reach; users saw answers one
-//! hop late, and where a third of the workers drained, rejections though the others had room.
+//! Guards against this failure: discovery was unreachable for every scheduler. Workers began to drain shortly
+//! afterwards, stayed up, and rejected every new attempt. The schedulers kept sending to them until discovery
+//! was reachable again. Responses were delayed by one extra attempt, and where a third of the workers
+//! drained, requests were rejected although the other workers had capacity.
 //!
-//! The cause: an endpoint list counted as true without end where discovery fell silent. A failed poll left it as it was, and
-//! nothing knew how old it was. A worker that turned an attempt away was avoided for 150 ms; as it answered at once it looked
-//! idle, and drew more than its share.
+//! Cause: the endpoint list never expired. A failed poll left it unchanged, and its age was not recorded. A
+//! worker that rejected an attempt was avoided for 150 ms only. Because it rejected at once, it looked idle
+//! and received more than its share of the requests.
 //!
-//! The evidence: first attempts went out 0 to 3 ms after their requests had come, so nothing had waited; the first one that
-//! counts was sent by every scheduler at the clock's end; played here, the sends go on until the first poll that discovery
-//! answers, whether it refuses, holds calls or breaks off within an answer, and nothing is logged but that it is asked again.
+//! Evidence: first attempts were sent 0 to 3 ms after their requests arrived, so no request had waited in a
+//! queue. Every scheduler sent its first late attempt as soon as the limit had passed. In this test without
+//! the fix, the late sends continue until the first poll that discovery answers, whether it refuses
+//! connections, never answers or closes the connection within a response. The only log line was that the poll
+//! is repeated.
 //!
 //! `OUTAGES="3 12 60 0.5 refuses 16 0.3:2; ..." cargo test --release -p quartzdrift-lab --test outage a_draining_worker -- --nocapture`
-//! plays outages by hand: schedulers, workers, requests a second to each scheduler, grace in seconds, what ails discovery, how
-//! long, and drains as seconds since the beginning and number of workers. `OUTAGE_SEEDS=100..150` and `seeded` in place of
-//! `a_draining_worker` play drawn outages. `OUTAGE_LOGS` names a folder that the schedulers' logs are kept in.
+//! runs the given outages. The fields of each are: schedulers, workers, requests per second to each scheduler,
+//! drain grace in seconds, fault of discovery, length in seconds, and drains as seconds since the start of the
+//! outage and number of workers. `OUTAGE_SEEDS=100..150` and `seeded` in place of `a_draining_worker` run
+//! random outages of these seeds. `OUTAGE_LOGS` names the folder where the schedulers' logs are kept.
 mod clients;
-mod discovery;
-mod drawn;
+mod evaluation;
+mod fake_coordinator;
 mod fleet;
-mod judge;
-mod reserved;
+mod random_scenario;
+mod reserved_address;
 #[path = "../soak/seeds.rs"]
 mod seeds;
 #[path = "../soak/stalls.rs"]
 mod stalls;
 mod worker;
 
-use discovery::Health;
-use fleet::{Act, Scenario, play};
-use judge::Report;
+use evaluation::Report;
+use fake_coordinator::CoordinatorHealth;
+use fleet::{Scenario, ScenarioStep, run};
 use std::thread;
 use std::time::Duration;
 
-/// Outages that CI plays: two of twelve workers drain just after each began.
-const OUTAGES: &str =
+/// Outages that CI runs: in each, two of twelve workers start to drain 0.3 s after the outage began.
+const CI_OUTAGES: &str =
     "3 12 20 0.5 refuses 11 0.3:2; 3 12 20 0.5 silent 11 0.3:2; 3 12 20 0.5 breaks-off 11 0.3:2";
-/// Seeds of drawn outages that CI plays.
+/// Seeds of the random outages that CI runs.
 const CI_SEEDS: std::ops::Range<u64> = 1..17;
-/// Outages played at the same time.
-const SIDE_BY_SIDE: usize = 4;
+/// Random outages that run at the same time.
+const CONCURRENT_OUTAGES: usize = 4;
 
-fn seconds(text: &str) -> Duration {
-    Duration::from_secs_f64(text.parse().expect("a number of seconds"))
+fn parse_seconds(text: &str) -> Duration {
+    Duration::from_secs_f64(
+        text.parse()
+            .expect("a duration in an outage must be a number of seconds"),
+    )
 }
 
-fn illness(text: &str) -> Health {
+fn parse_fault(text: &str) -> CoordinatorHealth {
     match text {
-        "refuses" => Health::Refuses,
-        "resets" => Health::Resets,
-        "silent" => Health::Silent,
-        "drips" => Health::Drips,
-        "breaks-off" => Health::BreaksOff,
-        other => panic!("no illness of discovery: {other}"),
+        "refuses" => CoordinatorHealth::Refuses,
+        "resets" => CoordinatorHealth::Resets,
+        "silent" => CoordinatorHealth::Silent,
+        "drips" => CoordinatorHealth::Drips,
+        "breaks-off" => CoordinatorHealth::BreaksOff,
+        other => panic!("unknown fault of discovery: {other:?}"),
     }
 }
 
-/// The outage that a text describes.
-fn scenario(text: &str) -> Scenario {
-    let words: Vec<&str> = text.split_whitespace().collect();
-    let [schedulers, workers, rate, grace, ails, length, drains @ ..] = &words[..] else {
-        panic!("too few words: {text}");
+/// Parses an outage in the notation of the variable `OUTAGES`.
+fn parse_scenario(text: &str) -> Scenario {
+    let fields: Vec<&str> = text.split_whitespace().collect();
+    let [schedulers, workers, rate, grace, fault, length, drains @ ..] = &fields[..] else {
+        panic!("an outage has at least 6 fields: {text:?}");
     };
     let drain = |text: &&str| {
-        let (at, count) = text.split_once(':').expect("a time and a number of workers");
-        (seconds(at), Act::Drain(count.parse().expect("a number")))
+        let (at, count) = text
+            .split_once(':')
+            .expect("a drain must have the form SECONDS:WORKERS");
+        let count = count.parse().expect("the workers of a drain must be a number");
+        (parse_seconds(at), ScenarioStep::Drain(count))
     };
     Scenario {
-        schedulers: schedulers.parse().expect("a number"),
-        workers: workers.parse().expect("a number"),
-        rate: rate.parse().expect("a number"),
-        grace: seconds(grace),
-        illness: illness(ails),
-        length: seconds(length),
-        acts: drains.iter().map(drain).collect(),
+        schedulers: schedulers
+            .parse()
+            .expect("the schedulers of an outage must be a number"),
+        workers: workers
+            .parse()
+            .expect("the workers of an outage must be a number"),
+        requests_per_second: rate.parse().expect("the rate of an outage must be a number"),
+        drain_grace: parse_seconds(grace),
+        fault: parse_fault(fault),
+        length: parse_seconds(length),
+        steps: drains.iter().map(drain).collect(),
         seed: 1,
     }
 }
 
-/// Plays outages side by side.
-fn play_all(scenarios: Vec<Scenario>) -> Vec<Report> {
+/// Runs all scenarios at the same time and returns their reports in the same order.
+fn run_all(scenarios: Vec<Scenario>) -> Vec<Report> {
     let threads: Vec<_> = scenarios
         .into_iter()
-        .map(|scenario| thread::spawn(move || play(&scenario)))
+        .map(|scenario| thread::spawn(move || run(&scenario)))
         .collect();
     threads
         .into_iter()
-        .map(|thread| thread.join().expect("an outage is played to its end"))
+        .map(|thread| thread.join().expect("the thread of a scenario must not panic"))
         .collect()
 }
 
 #[test]
-fn a_draining_worker_gets_nothing_new_past_the_clock_of_an_outage() {
-    let by_hand = std::env::var("OUTAGES");
-    let text = by_hand.as_deref().unwrap_or(OUTAGES);
+fn a_draining_worker_receives_no_new_request_after_the_limit_of_an_outage() {
+    let from_environment = std::env::var("OUTAGES");
+    let text = from_environment.as_deref().unwrap_or(CI_OUTAGES);
     let outages: Vec<&str> = text.split(';').map(str::trim).collect();
-    // Those played by hand may be large, and are played one by one.
-    let at_once = if by_hand.is_ok() { 1 } else { outages.len() };
+    // Outages from the environment may be large, so they run one at a time.
+    let concurrent = if from_environment.is_ok() {
+        1
+    } else {
+        outages.len()
+    };
     let mut reports = Vec::new();
-    for some in outages.chunks(at_once) {
-        reports.extend(play_all(some.iter().map(|text| scenario(text)).collect()));
-        let last = reports.len() - some.len()..;
-        for (outage, report) in some.iter().zip(&reports[last]) {
+    for chunk in outages.chunks(concurrent) {
+        reports.extend(run_all(chunk.iter().map(|text| parse_scenario(text)).collect()));
+        let last = reports.len() - chunk.len()..;
+        for (outage, report) in chunk.iter().zip(&reports[last]) {
             println!("{outage}: {report}");
         }
     }
@@ -110,22 +128,28 @@
         assert_eq!(report.sends_past_limit, 0, "{outage}: {report}");
         assert_eq!(report.sends_past_short_limit, 0, "{outage}: {report}");
         assert_eq!(report.lost, 0, "{outage}: {report}");
-        assert!(by_hand.is_ok() || report.served > 0.95, "{outage}: {report}");
+        assert!(
+            from_environment.is_ok() || report.served_share > 0.95,
+            "{outage}: {report}"
+        );
     }
 }
 
 #[test]
-fn seeded_outages_keep_drains_and_lose_nothing() {
+fn seeded_outages_respect_drains_and_lose_no_request() {
     let seeds: Vec<u64> = seeds::from_environment("OUTAGE_SEEDS", CI_SEEDS).collect();
-    let mut faults = Vec::new();
-    for some in seeds.chunks(SIDE_BY_SIDE) {
-        let scenarios: Vec<Scenario> = some.iter().map(|seed| drawn::scenario(*seed)).collect();
-        let reports = play_all(scenarios.clone());
-        for ((seed, scenario), report) in some.iter().zip(&scenarios).zip(&reports) {
-            println!("seed {seed}: {}: {report}", drawn::summary(scenario));
-            let found = drawn::faults(scenario, report);
-            faults.extend(found.map(|fault| format!("seed {seed}: {fault}")));
+    let mut violations = Vec::new();
+    for chunk in seeds.chunks(CONCURRENT_OUTAGES) {
+        let scenarios: Vec<Scenario> = chunk
+            .iter()
+            .map(|seed| random_scenario::generate(*seed))
+            .collect();
+        let reports = run_all(scenarios.clone());
+        for ((seed, scenario), report) in chunk.iter().zip(&scenarios).zip(&reports) {
+            println!("seed {seed}: {}: {report}", random_scenario::summary(scenario));
+            let found = random_scenario::violations(scenario, report);
+            violations.extend(found.map(|violation| format!("seed {seed}: {violation}")));
         }
     }
-    assert!(faults.is_empty(), "{faults:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/crates/quartzdrift-lab/tests/outage/worker.rs
+++ b/crates/quartzdrift-lab/tests/outage/worker.rs
@@ -1,5 +1,6 @@
-//! A worker that answers by itself, drains, goes and comes back, and records each request that reached it.
-use super::reserved::{self, Reserved};
+//! A fake worker on a thread of its own that responds to requests, drains, can be down and up again, and
+//! records each request that reached it.
+use super::reserved_address::{self, ReservedAddress};
 use quartzdrift_platform::frame;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -12,163 +13,169 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Codes of answers.
-const DONE: u8 = 64;
+/// Response code of a finished request.
+const SUCCEEDED: u8 = 64;
+/// Response code of a request that the worker rejects.
 const AT_CAPACITY: u8 = 67;
-const ALIVE: u8 = 70;
-/// Requests that a worker holds at a time; further ones are turned away.
-const MAX_HELD: usize = 32;
-/// Requests that it runs without making others wait.
+/// Response code to a ping.
+const PONG: u8 = 70;
+/// Requests that a worker holds at a time; it rejects further ones.
+const MAX_HELD_REQUESTS: usize = 32;
+/// Requests that a worker runs at the same time; it reports the others as queued.
 const CONCURRENCY: usize = 12;
-/// Bounds of the time that a request runs.
-const RUNS: std::ops::Range<Duration> = Duration::from_millis(8)..Duration::from_millis(90);
-/// Longest sleep of a worker: it heeds its phase so often.
+/// Range of the run time of a request.
+const RUN_TIME: std::ops::Range<Duration> = Duration::from_millis(8)..Duration::from_millis(90);
+/// Longest sleep of a worker, and so the delay until it notices a new phase.
 const MAX_SLEEP: Duration = Duration::from_millis(5);
 
-/// Whether a worker takes work.
+/// The lifecycle phase of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes work.
+    /// Accepts requests.
     Up,
-    /// It ends what it has and turns away what is new.
+    /// Finishes the requests that it holds and rejects new ones.
     Draining,
-    /// It has gone: nobody listens at its address.
+    /// Has closed its connections and does not listen.
     Down,
-    /// It has ended for good.
-    Over,
+    /// Ends the thread of the worker.
+    Stopped,
 }
 
-const PHASES: [Phase; 4] = [Phase::Up, Phase::Draining, Phase::Down, Phase::Over];
+const PHASES: [Phase; 4] = [Phase::Up, Phase::Draining, Phase::Down, Phase::Stopped];
 
-/// A request as it reached a worker.
+/// A request as recorded by the worker that received it.
 #[derive(Clone, Copy, Debug)]
-pub struct Taken {
-    /// When its first bytes were read.
-    pub came: Instant,
-    /// Whether the worker ran it.
-    pub ran: bool,
+pub struct ReceivedRequest {
+    /// When the worker read its first bytes.
+    pub received_at: Instant,
+    /// Whether the worker ran the request; otherwise it rejected it.
+    pub accepted: bool,
 }
 
-/// A worker at work.
+/// Handle to a running worker.
 pub struct Worker {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     phase: Arc<AtomicU8>,
-    taken: Arc<Mutex<Vec<Taken>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
     thread: Option<JoinHandle<()>>,
-    _address: Reserved,
+    _reserved: ReservedAddress,
 }
 
 impl Worker {
-    /// A worker at an address of its own, which takes work.
+    /// Starts a worker at a new address, in [`Phase::Up`].
     pub fn start(seed: u64) -> io::Result<Worker> {
-        let address = Reserved::any()?;
-        let at = address.at;
+        let reserved = ReservedAddress::any()?;
+        let address = reserved.address;
         let phase = Arc::new(AtomicU8::new(0));
-        let taken = Arc::new(Mutex::new(Vec::new()));
-        let mut serving = Serving {
-            at,
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let mut server = Server {
+            address,
             phase: phase.clone(),
-            taken: taken.clone(),
-            listener: Some(reserved::listen(at)?),
+            received: received.clone(),
+            listener: Some(reserved_address::listen(address)?),
             connections: BTreeMap::new(),
             last_connection: 0,
-            due: BTreeMap::new(),
-            answers: 0,
+            responses_due: BTreeMap::new(),
+            last_response: 0,
             random: StdRng::seed_from_u64(seed),
         };
-        let thread = thread::spawn(move || while serving.turn() {});
+        let thread = thread::spawn(move || while server.run_once() {});
         Ok(Worker {
-            at,
+            address,
             phase,
-            taken,
+            received,
             thread: Some(thread),
-            _address: address,
+            _reserved: reserved,
         })
     }
 
-    /// Enters a phase; returns when.
+    /// Enters a phase and returns the time of the change.
     pub fn enter(&self, phase: Phase) -> Instant {
-        let at = PHASES.iter().position(|other| *other == phase);
-        self.phase
-            .store(at.expect("each phase has a number") as u8, Ordering::SeqCst);
+        let index = PHASES.iter().position(|other| *other == phase);
+        self.phase.store(
+            index.expect("PHASES must list each phase") as u8,
+            Ordering::SeqCst,
+        );
         Instant::now()
     }
 
-    /// How many requests it has run so far.
-    pub fn ran(&self) -> usize {
-        let taken = self.taken.lock().expect("the worker's thread does not panic");
-        taken.iter().filter(|taken| taken.ran).count()
+    /// Returns the number of requests that the worker has accepted so far.
+    pub fn accepted_count(&self) -> usize {
+        let received = self.received.lock().expect("the worker thread must not panic");
+        received.iter().filter(|request| request.accepted).count()
     }
 
-    /// Ends it, and returns what has reached it.
-    pub fn stop(mut self) -> Vec<Taken> {
-        self.enter(Phase::Over);
+    /// Stops the worker and returns the requests that reached it.
+    pub fn stop(mut self) -> Vec<ReceivedRequest> {
+        self.enter(Phase::Stopped);
         if let Some(thread) = self.thread.take() {
-            thread.join().expect("the worker's thread does not panic");
+            thread.join().expect("the worker thread must not panic");
         }
-        std::mem::take(&mut self.taken.lock().expect("the worker's thread does not panic"))
+        std::mem::take(&mut self.received.lock().expect("the worker thread must not panic"))
     }
 }
 
 impl Drop for Worker {
     fn drop(&mut self) {
-        self.enter(Phase::Over);
+        self.enter(Phase::Stopped);
     }
 }
 
 struct Connection {
     stream: TcpStream,
     input: Vec<u8>,
-    /// When the bytes that wait in `input` began to come.
-    since: Option<Instant>,
+    /// When the first of the bytes in `input` was read; `None`: `input` is empty.
+    input_since: Option<Instant>,
 }
 
-struct Serving {
-    at: SocketAddr,
+/// The state of the worker thread.
+struct Server {
+    address: SocketAddr,
     phase: Arc<AtomicU8>,
-    taken: Arc<Mutex<Vec<Taken>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
     listener: Option<TcpListener>,
     connections: BTreeMap<u64, Connection>,
     last_connection: u64,
-    /// Answers that are due: a connection and an id.
-    due: BTreeMap<(Instant, u64), (u64, u64)>,
-    answers: u64,
+    /// Connection and request id of each response to be sent, by due time and sequence number.
+    responses_due: BTreeMap<(Instant, u64), (u64, u64)>,
+    /// Sequence number of the last entry of `responses_due`.
+    last_response: u64,
     random: StdRng,
 }
 
-impl Serving {
+impl Server {
     fn phase(&self) -> Phase {
         PHASES[usize::from(self.phase.load(Ordering::SeqCst))]
     }
 
-    /// Works what has come; returns whether it goes on.
-    fn turn(&mut self) -> bool {
+    /// Handles the input and the responses that are due; returns whether the worker continues.
+    fn run_once(&mut self) -> bool {
         match self.phase() {
-            Phase::Over => return false,
+            Phase::Stopped => return false,
             Phase::Down => {
                 self.listener = None;
                 self.connections.clear();
-                self.due.clear();
+                self.responses_due.clear();
                 thread::sleep(MAX_SLEEP);
                 return true;
             }
             Phase::Up | Phase::Draining => {}
         }
         if self.listener.is_none() {
-            self.listener = reserved::listen(self.at).ok();
+            self.listener = reserved_address::listen(self.address).ok();
         }
-        for id in self.wait() {
+        for id in self.wait_for_input() {
             self.read(id);
         }
         self.accept();
-        self.answer_due();
+        self.send_due_responses();
         true
     }
 
-    /// Waits until something comes or is due; returns the connections with something to read.
-    fn wait(&mut self) -> Vec<u64> {
-        let due = self.due.first_key_value().map(|((at, _), _)| *at);
-        let until_due = due.map_or(MAX_SLEEP, |at| at.saturating_duration_since(Instant::now()));
+    /// Waits for input, a due response or [`MAX_SLEEP`]; returns the connections that have input.
+    fn wait_for_input(&mut self) -> Vec<u64> {
+        let due_at = self.responses_due.first_key_value().map(|((at, _), _)| *at);
+        let until_due = due_at.map_or(MAX_SLEEP, |at| at.saturating_duration_since(Instant::now()));
         let sleep = until_due.min(MAX_SLEEP);
         let timeout = Timespec {
             tv_sec: 0,
@@ -176,16 +183,16 @@
         };
         let ids: Vec<u64> = self.connections.keys().copied().collect();
         let streams = self.connections.values().map(|connection| &connection.stream);
-        let mut waiting: Vec<PollFd> = streams.map(|stream| PollFd::new(stream, PollFlags::IN)).collect();
-        waiting.extend(
+        let mut poll_fds: Vec<PollFd> = streams.map(|stream| PollFd::new(stream, PollFlags::IN)).collect();
+        poll_fds.extend(
             self.listener
                 .iter()
                 .map(|listener| PollFd::new(listener, PollFlags::IN)),
         );
-        // A wait that a signal ends early is only shorter.
-        let _ = poll(&mut waiting, Some(&timeout));
-        let ready = ids.iter().zip(&waiting);
-        ready
+        // A signal that interrupts the wait only makes it shorter.
+        let _ = poll(&mut poll_fds, Some(&timeout));
+        let polled = ids.iter().zip(&poll_fds);
+        polled
             .filter(|(_, fd)| !fd.revents().is_empty())
             .map(|(id, _)| *id)
             .collect()
@@ -200,7 +207,7 @@
             let connection = Connection {
                 stream,
                 input: Vec::new(),
-                since: None,
+                input_since: None,
             };
             self.connections.insert(self.last_connection, connection);
         }
@@ -215,7 +222,7 @@
             match connection.stream.read(&mut bytes) {
                 Ok(0) => break drop(self.connections.remove(&id)),
                 Ok(count) => {
-                    connection.since.get_or_insert_with(Instant::now);
+                    connection.input_since.get_or_insert_with(Instant::now);
                     connection.input.extend_from_slice(&bytes[..count]);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
@@ -223,16 +230,16 @@
             }
         }
         while let Some((code, request)) = self.next_command(id) {
-            self.command(id, code, request);
+            self.handle_command(id, code, request);
         }
     }
 
-    /// The next whole command of a connection: its code and id.
+    /// Removes the next complete command from the input of a connection; returns its code and request id.
     fn next_command(&mut self, id: u64) -> Option<(u8, u64)> {
         let connection = self.connections.get_mut(&id)?;
         let input = &mut connection.input;
-        let head: [u8; frame::HEADER_BYTES] = input.get(..frame::HEADER_BYTES)?.try_into().ok()?;
-        let [_, code, f1, f0, b3, b2, b1, b0, request @ ..] = head;
+        let header: [u8; frame::HEADER_BYTES] = input.get(..frame::HEADER_BYTES)?.try_into().ok()?;
+        let [_, code, f1, f0, b3, b2, b1, b0, request @ ..] = header;
         let fields = usize::from(u16::from_be_bytes([f1, f0]));
         let body = u32::from_be_bytes([b3, b2, b1, b0]) as usize;
         let length = frame::HEADER_BYTES + fields + body + frame::CHECKSUM_BYTES;
@@ -243,58 +250,65 @@
         Some((code, u64::from_be_bytes(request)))
     }
 
-    fn command(&mut self, connection: u64, code: u8, id: u64) {
+    fn handle_command(&mut self, connection: u64, code: u8, id: u64) {
         match code {
             frame::EXECUTE => self.execute(connection, id),
-            frame::PING => self.answer(connection, ALIVE, id),
-            _ => self.due.retain(|_, due| *due != (connection, id)),
+            frame::PING => self.respond(connection, PONG, id),
+            _ => self.responses_due.retain(|_, due| *due != (connection, id)),
         }
         if let Some(connection) = self.connections.get_mut(&connection)
             && connection.input.is_empty()
         {
-            connection.since = None;
+            connection.input_since = None;
         }
     }
 
     fn execute(&mut self, connection: u64, id: u64) {
-        let since = self.connections.get(&connection).and_then(|c| c.since);
-        let came = since.unwrap_or_else(Instant::now);
-        let ran = self.phase() == Phase::Up && self.due.len() < MAX_HELD;
-        let mut taken = self.taken.lock().expect("no test thread panics with it");
-        taken.push(Taken { came, ran });
-        drop(taken);
-        if !ran {
-            return self.answer(connection, AT_CAPACITY, id);
+        let input_since = self.connections.get(&connection).and_then(|c| c.input_since);
+        let received_at = input_since.unwrap_or_else(Instant::now);
+        let accepted = self.phase() == Phase::Up && self.responses_due.len() < MAX_HELD_REQUESTS;
+        let mut received = self
+            .received
+            .lock()
+            .expect("no test thread may panic while it holds the lock");
+        received.push(ReceivedRequest {
+            received_at,
+            accepted,
+        });
+        drop(received);
+        if !accepted {
+            return self.respond(connection, AT_CAPACITY, id);
         }
-        let runs = self.random.random_range(RUNS);
-        self.answers += 1;
-        self.due
-            .insert((Instant::now() + runs, self.answers), (connection, id));
+        let run_time = self.random.random_range(RUN_TIME);
+        self.last_response += 1;
+        self.responses_due
+            .insert((Instant::now() + run_time, self.last_response), (connection, id));
     }
 
-    fn answer_due(&mut self) {
-        while let Some((&at, &(connection, id))) = self.due.first_key_value()
-            && at.0 <= Instant::now()
+    fn send_due_responses(&mut self) {
+        while let Some((&due, &(connection, id))) = self.responses_due.first_key_value()
+            && due.0 <= Instant::now()
         {
-            self.due.remove(&at);
-            self.answer(connection, DONE, id);
+            self.responses_due.remove(&due);
+            self.respond(connection, SUCCEEDED, id);
         }
     }
 
-    fn answer(&mut self, connection: u64, code: u8, id: u64) {
+    fn respond(&mut self, connection: u64, code: u8, id: u64) {
         let Some(connection) = self.connections.get_mut(&connection) else {
             return;
         };
-        let queued = self.due.len().saturating_sub(CONCURRENCY);
+        let queued = self.responses_due.len().saturating_sub(CONCURRENCY);
         let report = format!("report=queue:{queued}");
-        let body = if code == DONE {
+        let body = if code == SUCCEEDED {
             id.to_be_bytes().to_vec()
         } else {
             Vec::new()
         };
         let mut out = Vec::new();
         frame::write(&mut out, frame::FROM_WORKER, code, id, report.as_bytes(), &body);
-        // Answers are small beside a socket's buffer; the connection may have ended.
+        // Responses are much smaller than a socket buffer, so the write does not block. It fails if the
+        // scheduler has closed the connection.
         let _ = connection.stream.write_all(&out);
     }
 }
