--- a/crates/quartzdrift-lab/tests/soak/client.rs
+++ b/crates/quartzdrift-lab/tests/soak/client.rs
@@ -1,4 +1,5 @@
-//! A client that sends on without pause until nobody listens any more, and records what became of each request.
+//! A client that sends requests until the scheduler refuses connections, and records the outcome of each
+//! request.
 use quartzdrift_lab::cluster_harness::request_fields;
 use quartzdrift_lab::platform::{Frontend, Reply, RequestFields};
 use rand::RngExt;
@@ -7,79 +8,83 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How a client behaves.
+/// Settings of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct Manner {
-    /// Requests in one write.
+    /// Number of requests in a batch, which is sent in one write.
     pub batch: u16,
-    /// Longest pause between an answer and the next request.
+    /// Longest pause between two batches.
     pub pause: Duration,
-    /// How long it waits for an answer.
+    /// Timeout of each request.
     pub timeout: Duration,
-    /// Share of batches that are withdrawn, or whose connection is closed under them.
+    /// Share of batches that the client aborts, or whose connection it closes, before their responses.
     pub leaves: f64,
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Answered with this status, after which the body was right.
-    Answered { status: u16, whole: bool },
-    /// Withdrawn, and its end was told.
-    Withdrawn,
-    /// The client closed its connection under it.
-    Left,
-    /// Its connection ended under it. `crossed`: nothing else was open on it before, so that it may be sent again.
-    Cut { crossed: bool },
-    /// It could not be written: the connection had ended.
-    Unwritten,
+pub enum RequestOutcome {
+    /// The client received a response with this status.
+    Answered { status: u16, body_matches: bool },
+    /// The client aborted the request, and the scheduler confirmed the abort.
+    Aborted,
+    /// The client closed the connection before the response.
+    ClientClosed,
+    /// The scheduler closed the connection before the response. `raced_close`: no request of the batch
+    /// received a response, so the batch may have raced the close, and a client would send the request again.
+    ConnectionLost { raced_close: bool },
+    /// The write failed because the connection was already closed.
+    NotSent,
 }
 
-/// A request as its client saw it.
+/// A request as recorded by its client.
 #[derive(Clone, Copy, Debug)]
-pub struct Request {
+pub struct RequestRecord {
     pub id: u64,
-    /// Just before it was written.
-    pub written: Instant,
-    /// How long its client waits for the answer.
+    /// Time just before the write.
+    pub sent_at: Instant,
+    /// Timeout of the request.
     pub timeout: Duration,
-    /// When its end was seen, or the client left.
-    pub ended: Instant,
-    pub end: End,
-    /// Whether it was sent because another one had crossed a close.
-    pub again: bool,
+    /// Time of the response or of the loss of the connection, or of the abort or close by the client.
+    pub ended_at: Instant,
+    pub outcome: RequestOutcome,
+    /// Whether the request follows a batch on an earlier connection that raced a close.
+    pub follows_raced_close: bool,
 }
 
+/// A client with its own connections, request ids and records.
 pub struct Client {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub manner: Manner,
     pub random: StdRng,
-    /// First id of its own.
+    /// Lower bound of the request ids of this client.
     pub first_id: u64,
-    pub requests: Vec<Request>,
+    pub requests: Vec<RequestRecord>,
 }
 
 impl Client {
-    /// Sends until a connection is refused, and returns what became of each request.
-    pub fn run(mut self) -> Vec<Request> {
-        let mut again = false;
-        while let Ok(mut frontend) = Frontend::connect(self.at) {
-            again = self.use_connection(&mut frontend, again);
+    /// Sends batches until a connection is refused, and returns the records of all requests.
+    pub fn run(mut self) -> Vec<RequestRecord> {
+        let mut follows_raced_close = false;
+        while let Ok(mut frontend) = Frontend::connect(self.address) {
+            follows_raced_close = self.use_connection(&mut frontend, follows_raced_close);
         }
         self.requests
     }
 
-    /// Uses a connection until it ends; returns whether the last requests crossed its end. `again`: the first ones did so
-    /// before.
-    fn use_connection(&mut self, frontend: &mut Frontend, mut again: bool) -> bool {
+    /// Sends batches on a connection until it ends; returns whether the last batch raced the close.
+    /// `follows_raced_close`: the last batch on the previous connection raced its close.
+    fn use_connection(&mut self, frontend: &mut Frontend, mut follows_raced_close: bool) -> bool {
         loop {
             let first = self.requests.len();
-            match self.batch(frontend, again) {
-                Ok(true) => again = false,
+            match self.send_batch(frontend, follows_raced_close) {
+                Ok(true) => follows_raced_close = false,
                 Ok(false) => return false,
                 Err(_) => {
-                    let crossed = |request: &Request| request.end == End::Cut { crossed: true };
-                    return self.requests[first..].iter().any(crossed);
+                    let raced_close = |request: &RequestRecord| {
+                        request.outcome == RequestOutcome::ConnectionLost { raced_close: true }
+                    };
+                    return self.requests[first..].iter().any(raced_close);
                 }
             }
             if !self.manner.pause.is_zero() {
@@ -89,8 +94,8 @@
         }
     }
 
-    /// Sends a batch and takes its answers; `false` where the client has closed the connection itself.
-    fn batch(&mut self, frontend: &mut Frontend, again: bool) -> io::Result<bool> {
+    /// Sends a batch and receives its responses; returns `false` if the client closes the connection itself.
+    fn send_batch(&mut self, frontend: &mut Frontend, follows_raced_close: bool) -> io::Result<bool> {
         let first = self.requests.len();
         let numbers = 1..=self.manner.batch;
         let ids: Vec<u64> = numbers
@@ -100,101 +105,107 @@
         let bytes: Vec<u8> = numbers
             .clone()
             .zip(&ids)
-            .flat_map(|(n, id)| self.bytes(n, *id))
+            .flat_map(|(n, id)| self.encode_request(n, *id))
             .collect();
-        let written = Instant::now();
+        let sent_at = Instant::now();
         let sent = frontend.send(&bytes);
-        let end = if sent.is_ok() {
-            End::Cut { crossed: true }
+        let outcome = if sent.is_ok() {
+            RequestOutcome::ConnectionLost { raced_close: true }
         } else {
-            End::Unwritten
+            RequestOutcome::NotSent
         };
         let timeout = self.manner.timeout;
-        let open = |id: &u64| Request {
+        let new_record = |id: &u64| RequestRecord {
             id: *id,
-            written,
+            sent_at,
             timeout,
-            ended: written,
-            end,
-            again,
+            ended_at: sent_at,
+            outcome,
+            follows_raced_close,
         };
-        self.requests.extend(ids.iter().map(open));
-        let taken = match sent {
-            Ok(()) => self.take(frontend, first),
+        self.requests.extend(ids.iter().map(new_record));
+        let received = match sent {
+            Ok(()) => self.receive_batch(frontend, first),
             Err(error) => Err(error),
         };
-        if taken.is_err() {
-            self.cut(first);
+        if received.is_err() {
+            self.record_connection_lost(first);
         }
-        taken
+        received
     }
 
-    fn bytes(&self, number: u16, id: u64) -> Vec<u8> {
+    fn encode_request(&self, number: u16, id: u64) -> Vec<u8> {
         let path = if id.is_multiple_of(3) {
             "/do/once"
         } else {
             "/do/again"
         };
-        let (id, time) = (format!("{id:016x}"), self.manner.timeout.as_millis().to_string());
+        let (id, timeout_ms) = (format!("{id:016x}"), self.manner.timeout.as_millis().to_string());
         let request = RequestFields {
-            timeout_ms: &time,
+            timeout_ms: &timeout_ms,
             ..request_fields(path, &id)
         };
         Frontend::encode_request(number, &request)
     }
 
-    fn take(&mut self, frontend: &mut Frontend, first: usize) -> io::Result<bool> {
-        let withdraws = self.random.random_bool(self.manner.leaves);
-        if withdraws {
+    /// Receives the responses of the batch whose first record has the index `first`, or aborts the batch or
+    /// closes the connection, as drawn. Returns `false` if the client closes the connection itself.
+    fn receive_batch(&mut self, frontend: &mut Frontend, first: usize) -> io::Result<bool> {
+        let leaves = self.random.random_bool(self.manner.leaves);
+        if leaves {
             std::thread::sleep(
                 self.random
                     .random_range(Duration::ZERO..=Duration::from_millis(20)),
             );
             if self.random.random_bool(0.5) {
                 for request in &mut self.requests[first..] {
-                    (request.end, request.ended) = (End::Left, Instant::now());
+                    (request.outcome, request.ended_at) = (RequestOutcome::ClientClosed, Instant::now());
                 }
                 return Ok(false);
             }
             let aborts: Vec<u8> = (1..=self.manner.batch).flat_map(Frontend::encode_abort).collect();
-            let left = Instant::now();
+            let aborted_at = Instant::now();
             frontend.send(&aborts)?;
             for request in &mut self.requests[first..] {
-                request.ended = left;
+                request.ended_at = aborted_at;
             }
         }
         for _ in 0..self.manner.batch {
             let reply = frontend.read_reply()?;
-            self.answered(first, &reply, withdraws);
+            self.record_reply(first, &reply, leaves);
         }
         Ok(true)
     }
 
-    fn answered(&mut self, first: usize, reply: &Reply, withdrawn: bool) {
+    /// Records a reply. The end of an aborted request remains the time of the abort.
+    fn record_reply(&mut self, first: usize, reply: &Reply, aborted: bool) {
         let request = &mut self.requests[first + usize::from(reply.fastcgi_id) - 1];
-        if !withdrawn {
-            request.ended = Instant::now();
+        if !aborted {
+            request.ended_at = Instant::now();
         }
-        request.end = if reply.status == 0 {
-            End::Withdrawn
+        request.outcome = if reply.status == 0 {
+            RequestOutcome::Aborted
         } else {
-            End::Answered {
+            RequestOutcome::Answered {
                 status: reply.status,
-                whole: reply.status != 200 || reply.body == request.id.to_be_bytes(),
+                body_matches: reply.status != 200 || reply.body == request.id.to_be_bytes(),
             }
         };
     }
 
-    /// The connection has ended under what is open of a batch.
-    fn cut(&mut self, first: usize) {
+    /// Records the loss of the connection for the requests of a batch that are still open.
+    fn record_connection_lost(&mut self, first: usize) {
         let batch = &mut self.requests[first..];
-        let crossed = batch
-            .iter()
-            .all(|request| matches!(request.end, End::Cut { .. } | End::Unwritten));
+        let raced_close = batch.iter().all(|request| {
+            matches!(
+                request.outcome,
+                RequestOutcome::ConnectionLost { .. } | RequestOutcome::NotSent
+            )
+        });
         for request in batch {
-            request.ended = Instant::now();
-            if let End::Cut { .. } = request.end {
-                request.end = End::Cut { crossed };
+            request.ended_at = Instant::now();
+            if let RequestOutcome::ConnectionLost { .. } = request.outcome {
+                request.outcome = RequestOutcome::ConnectionLost { raced_close };
             }
         }
     }
--- a/crates/quartzdrift-lab/tests/soak/main.rs
+++ b/crates/quartzdrift-lab/tests/soak/main.rs
@@ -1,65 +1,66 @@
-//! A soak of a scheduler process: clients that use their connections until SIGKILL is due at its earliest, signals in
-//! series, crowds, workers that answer late or not at all. Each run is drawn from a seed and judged by what clients and
-//! workers saw, on one monotonic clock, and by the counts that the process logs at its end.
+//! Soak tests of a scheduler process: clients that use their connections until the earliest possible SIGKILL,
+//! series of signals, many silent connections, and workers that respond late or never. Each run is generated
+//! from a seed. It is evaluated by the records of clients and workers, on one monotonic clock, and by the
+//! counts that the process logs at its exit.
 //!
 //! `SOAK_SEEDS=1000..1060 cargo test --release -p quartzdrift-lab --test soak seeded` runs a range of seeds by hand.
 mod client;
-mod judge;
+mod evaluation;
 mod run;
 mod seeds;
 mod stalls;
 mod worker;
 
-use run::{Act, Scenario, play};
+use run::{Scenario, ScenarioStep, run};
 use std::time::Duration;
 
-/// Seeds that CI runs, a handful at a time: less than a minute.
+/// Seeds that CI runs, which take less than a minute.
 const CI_SEEDS: std::ops::Range<u64> = 1..65;
-/// Runs at the same time.
-const SIDE_BY_SIDE: usize = 4;
+/// Runs that take place at the same time.
+const CONCURRENT_RUNS: usize = 4;
 
 #[test]
-fn a_stop_under_traffic_leaves_nothing_that_was_read_without_an_answer() {
+fn a_stop_under_traffic_answers_each_request_that_was_read() {
     let ms = Duration::from_millis;
     for (deadline, pause) in [(50, 0), (300, 8), (1500, 0), (3000, 8)] {
-        let report = play(&Scenario::steady(ms(deadline), ms(pause)), deadline);
+        let report = run(&Scenario::steady(ms(deadline), ms(pause)), deadline);
         println!("deadline {deadline} ms: {}", report.summary);
-        let faults = report.faults;
-        assert!(faults.is_empty(), "deadline {deadline} ms: {faults:#?}");
+        let violations = report.violations;
+        assert!(violations.is_empty(), "deadline {deadline} ms: {violations:#?}");
     }
 }
 
 #[test]
-fn after_a_pause_of_the_process_a_worker_is_told_what_the_client_has_left() {
+fn after_a_pause_of_the_process_time_limits_match_the_remaining_time_of_the_client() {
     let ms = Duration::from_millis;
     let mut scenario = Scenario::steady(ms(1500), ms(2));
-    scenario.before = vec![(ms(150), Act::Pause(ms(350))); 4];
-    let report = play(&scenario, 1);
+    scenario.before = vec![(ms(150), ScenarioStep::Pause(ms(350))); 4];
+    let report = run(&scenario, 1);
     assert!(
-        report.faults.is_empty(),
+        report.violations.is_empty(),
         "{}: {:#?}",
         report.summary,
-        report.faults
+        report.violations
     );
 }
 
 #[test]
-fn seeded_runs_keep_every_rule() {
+fn seeded_runs_break_no_rule() {
     let seeds: Vec<u64> = seeds::from_environment("SOAK_SEEDS", CI_SEEDS).collect();
-    let mut broken = Vec::new();
-    for some in seeds.chunks(SIDE_BY_SIDE) {
-        let runs: Vec<_> = some
+    let mut failed_runs = Vec::new();
+    for chunk in seeds.chunks(CONCURRENT_RUNS) {
+        let runs: Vec<_> = chunk
             .iter()
-            .map(|&seed| std::thread::spawn(move || (seed, play(&Scenario::drawn(seed), seed))))
+            .map(|&seed| std::thread::spawn(move || (seed, run(&Scenario::random(seed), seed))))
             .collect();
         for run in runs {
-            let (seed, report) = run.join().expect("a run ends");
+            let (seed, report) = run.join().expect("the thread of a run must not panic");
             println!("seed {seed}: {}", report.summary);
-            if !report.faults.is_empty() {
-                println!("seed {seed}: {:?}", Scenario::drawn(seed));
-                broken.push((seed, report.faults));
+            if !report.violations.is_empty() {
+                println!("seed {seed}: {:?}", Scenario::random(seed));
+                failed_runs.push((seed, report.violations));
             }
         }
     }
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(failed_runs.is_empty(), "{failed_runs:#?}");
 }
--- a/crates/quartzdrift-lab/tests/soak/run.rs
+++ b/crates/quartzdrift-lab/tests/soak/run.rs
@@ -1,8 +1,8 @@
-//! One run: a scheduler, its workers and clients, what is done to it, and its end.
-use super::client::{self, Client, End, Request};
-use super::judge::{self, Seen};
+//! A run of a scenario: a scheduler with workers and clients, signals and pauses, and the stop by SIGTERM.
+use super::client::{self, Client, RequestOutcome, RequestRecord};
+use super::evaluation::{self, Observations};
 use super::stalls::StallMeter;
-use super::worker::{self, Attempt, WorkerThread};
+use super::worker::{self, AttemptRecord, WorkerThread};
 use quartzdrift_lab::cluster_harness::{ClusterHarness, send_signal};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -10,45 +10,47 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// SIGKILL may come so long after SIGTERM, past the longest deadline.
-const KILL: Duration = Duration::from_millis(700);
+/// SIGKILL may come this long after the deadline that starts at SIGTERM.
+const KILL_DELAY: Duration = Duration::from_millis(700);
 const WORKERS: usize = 3;
-/// Answers have less to go than in other tests, as on the operators' deployments: deadlines are short here.
+/// Smaller reserve of a deadline for the response than in other tests, as in deployments, because the
+/// deadlines here are short.
 const SHORT_SLACK: (&str, &str) = ("\"answer-slack-ns\":50000000", "\"answer-slack-ns\":8000000");
-/// Each client's ids begin here, times its number.
-const IDS: u64 = 1_000_000;
+/// Number of request ids reserved for each client.
+const IDS_PER_CLIENT: u64 = 1_000_000;
 
-/// What is done to the process while clients send.
+/// A step of a scenario that affects the scheduler process while clients send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    /// A signal by its name.
+pub enum ScenarioStep {
+    /// Sends a signal, in the form of kill(1), such as `-HUP`.
     Signal(&'static str),
-    /// The process has no processor for this time.
+    /// Stops the process by SIGSTOP for this long.
     Pause(Duration),
 }
 
-/// A run as it was drawn.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub deadline: Duration,
     pub clients: Vec<client::Manner>,
     pub workers: worker::Manner,
-    /// Connections that say nothing.
+    /// Number of connections that send nothing.
     pub crowd: usize,
-    /// Before SIGTERM, each after a time from the one before.
-    pub before: Vec<(Duration, Act)>,
-    /// From SIGTERM on.
-    pub after: Vec<(Duration, Act)>,
+    /// Steps before SIGTERM, each with its delay after the previous step.
+    pub before: Vec<(Duration, ScenarioStep)>,
+    /// Steps after SIGTERM, each with its delay after the previous step.
+    pub after: Vec<(Duration, ScenarioStep)>,
 }
 
-/// What a run came to.
+/// The results of a run.
 pub struct Report {
-    pub faults: Vec<String>,
+    /// A sentence for each rule that the run broke.
+    pub violations: Vec<String>,
     pub summary: String,
 }
 
 impl Scenario {
-    /// Twelve clients with short pauses at the most, and signals in series.
+    /// Returns a scenario with twelve clients, no aborts, and a series of signals around SIGTERM.
     pub fn steady(deadline: Duration, pause: Duration) -> Scenario {
         let manner = client::Manner {
             batch: 1,
@@ -64,22 +66,22 @@
                 silent: 0.0,
             },
             crowd: 0,
-            before: vec![(Duration::from_millis(300), Act::Signal("-HUP"))],
+            before: vec![(Duration::from_millis(300), ScenarioStep::Signal("-HUP"))],
             after: ["-HUP", "-TERM"]
-                .map(|name| (Duration::from_millis(20), Act::Signal(name)))
+                .map(|name| (Duration::from_millis(20), ScenarioStep::Signal(name)))
                 .to_vec(),
         }
     }
 
-    /// The scenario of a seed.
-    pub fn drawn(seed: u64) -> Scenario {
+    /// Generates the scenario of a seed.
+    pub fn random(seed: u64) -> Scenario {
         let mut random = StdRng::seed_from_u64(seed);
         let ms = Duration::from_millis;
         let deadline = ms([50, 120, 300, 800, 1500, 3000][random.random_range(0..6)]);
-        let busy = random.random_bool(0.5);
+        let without_pauses = random.random_bool(0.5);
         let manner = |random: &mut StdRng| client::Manner {
             batch: random.random_range(1..=4),
-            pause: if busy {
+            pause: if without_pauses {
                 ms(0)
             } else {
                 ms(random.random_range(0..40))
@@ -89,9 +91,9 @@
         };
         let count = random.random_range(4..=16);
         let clients = (0..count).map(|_| manner(&mut random)).collect();
-        let acts = |random: &mut StdRng, most: usize, pauses: bool| {
-            (0..random.random_range(0..=most))
-                .map(|_| (ms(random.random_range(1..150)), act(random, pauses)))
+        let steps = |random: &mut StdRng, max_count: usize, pauses: bool| {
+            (0..random.random_range(0..=max_count))
+                .map(|_| (ms(random.random_range(1..150)), random_step(random, pauses)))
                 .collect()
         };
         Scenario {
@@ -102,121 +104,126 @@
                 silent: if random.random_bool(0.3) { 0.05 } else { 0.0 },
             },
             crowd: if random.random_bool(0.3) { 40 } else { 0 },
-            before: acts(&mut random, 4, true),
-            after: acts(&mut random, 3, false),
+            before: steps(&mut random, 4, true),
+            after: steps(&mut random, 3, false),
         }
     }
 }
 
-fn act(random: &mut StdRng, pauses: bool) -> Act {
+fn random_step(random: &mut StdRng, pauses: bool) -> ScenarioStep {
     match random.random_range(0..if pauses { 4 } else { 2 }) {
-        0 => Act::Signal("-HUP"),
-        1 if !pauses => Act::Signal("-TERM"),
-        1 => Act::Signal("-HUP"),
-        _ => Act::Pause(Duration::from_millis(random.random_range(100..500))),
+        0 => ScenarioStep::Signal("-HUP"),
+        1 if !pauses => ScenarioStep::Signal("-TERM"),
+        1 => ScenarioStep::Signal("-HUP"),
+        _ => ScenarioStep::Pause(Duration::from_millis(random.random_range(100..500))),
     }
 }
 
-/// Performs acts, and returns when the process was paused.
-fn perform(stage: &ClusterHarness, acts: &[(Duration, Act)]) -> Vec<(Instant, Instant)> {
+/// Performs the steps and returns the start and end of each pause of the process.
+fn perform(cluster: &ClusterHarness, steps: &[(Duration, ScenarioStep)]) -> Vec<(Instant, Instant)> {
     let mut pauses = Vec::new();
-    for (after, act) in acts {
+    for (after, step) in steps {
         thread::sleep(*after);
-        match act {
-            Act::Signal(name) => send_signal(name, stage.process_id()),
-            Act::Pause(length) => {
-                let begun = Instant::now();
-                stage.pause();
+        match step {
+            ScenarioStep::Signal(name) => send_signal(name, cluster.process_id()),
+            ScenarioStep::Pause(length) => {
+                let started_at = Instant::now();
+                cluster.pause();
                 thread::sleep(*length);
-                let ended = Instant::now();
-                stage.resume();
-                pauses.push((begun, ended));
+                let ended_at = Instant::now();
+                cluster.resume();
+                pauses.push((started_at, ended_at));
             }
         }
     }
     pauses
 }
 
-/// Plays a scenario to its end and judges it.
-pub fn play(scenario: &Scenario, seed: u64) -> Report {
+/// Runs a scenario to its end and evaluates it.
+pub fn run(scenario: &Scenario, seed: u64) -> Report {
     let deadline = format!("\"deadline-ns\":{}", scenario.deadline.as_nanos());
-    let mut stage = ClusterHarness::with_config_changes(
+    let mut cluster = ClusterHarness::with_config_changes(
         env!("CARGO_BIN_EXE_quartzdrift-lab"),
         WORKERS,
         &[("\"deadline-ns\":60000000000", &deadline), SHORT_SLACK],
     );
     let stalls = StallMeter::start();
-    let workers: Vec<WorkerThread> = std::mem::take(&mut stage.workers)
+    let workers: Vec<WorkerThread> = std::mem::take(&mut cluster.workers)
         .into_iter()
         .zip(seed..)
         .map(|(fake, seed)| WorkerThread::start(fake, scenario.workers, seed))
         .collect();
     let crowd: Vec<TcpStream> = (0..scenario.crowd)
-        .filter_map(|_| TcpStream::connect(stage.address).ok())
+        .filter_map(|_| TcpStream::connect(cluster.address).ok())
         .collect();
-    let clients = start_clients(&stage, scenario, seed);
+    let clients = start_clients(&cluster, scenario, seed);
     thread::sleep(Duration::from_millis(300));
-    let pauses = perform(&stage, &scenario.before);
-    send_signal("-TERM", stage.process_id());
+    let pauses = perform(&cluster, &scenario.before);
+    send_signal("-TERM", cluster.process_id());
     let terminated = Instant::now();
-    perform(&stage, &scenario.after);
-    let kill_at = terminated + scenario.deadline.min(Duration::from_secs(3)) + KILL;
-    // A machine that lets the test stand still may do so to the process.
-    let has_ended = stage.has_succeeded_by(kill_at)
-        || stage.has_succeeded_by(kill_at + stalls.between(terminated, kill_at));
-    stage.kill();
-    let requests: Vec<Request> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
-    let attempts: Vec<Attempt> = workers.into_iter().flat_map(WorkerThread::stop).collect();
+    perform(&cluster, &scenario.after);
+    let kill_at = terminated + scenario.deadline.min(Duration::from_secs(3)) + KILL_DELAY;
+    // A stall of the test process may affect the scheduler as well, so its length is added to the limit.
+    let has_exited = cluster.has_succeeded_by(kill_at)
+        || cluster.has_succeeded_by(kill_at + stalls.between(terminated, kill_at));
+    cluster.kill();
+    let requests: Vec<RequestRecord> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
+    let attempts: Vec<AttemptRecord> = workers.into_iter().flat_map(WorkerThread::stop).collect();
     drop(crowd);
-    let log = stage.log();
-    let mut faults = judge::faults(&Seen {
+    let log = cluster.log();
+    let mut violations = evaluation::violations(&Observations {
         requests: &requests,
         attempts: &attempts,
         stalls: &stalls,
         pauses: &pauses,
     });
-    faults.extend((!has_ended).then(|| "it was there when SIGKILL came".to_owned()));
-    faults.extend(judge::unanswered(&requests, counted(&log, "received")));
-    faults.extend(judge::discarded(counted(&log, "discarded_bytes")));
+    violations
+        .extend((!has_exited).then(|| "the scheduler had not exited by the time of SIGKILL".to_owned()));
+    violations.extend(evaluation::unanswered(&requests, logged_count(&log, "received")));
+    violations.extend(evaluation::discarded(logged_count(&log, "discarded_bytes")));
     Report {
-        summary: summary(&requests, &attempts, &faults),
-        faults,
+        summary: summary(&requests, &attempts, &violations),
+        violations,
     }
 }
 
-fn start_clients(stage: &ClusterHarness, scenario: &Scenario, seed: u64) -> Vec<JoinHandle<Vec<Request>>> {
+fn start_clients(
+    cluster: &ClusterHarness,
+    scenario: &Scenario,
+    seed: u64,
+) -> Vec<JoinHandle<Vec<RequestRecord>>> {
     let numbered = scenario.clients.iter().zip(1..);
     numbered
-        .map(|(manner, n)| client_of(stage, *manner, seed, n))
+        .map(|(manner, n)| new_client(cluster, *manner, seed, n))
         .map(|client| thread::spawn(move || client.run()))
         .collect()
 }
 
-fn client_of(stage: &ClusterHarness, manner: client::Manner, seed: u64, n: u64) -> Client {
+fn new_client(cluster: &ClusterHarness, manner: client::Manner, seed: u64, n: u64) -> Client {
     Client {
-        at: stage.address,
+        address: cluster.address,
         manner,
         random: StdRng::seed_from_u64(seed ^ n << 32),
-        first_id: n * IDS,
+        first_id: n * IDS_PER_CLIENT,
         requests: Vec::new(),
     }
 }
 
-/// A count in the last line that the process has logged.
-fn counted(log: &str, name: &str) -> Option<u64> {
+/// Returns a count by its name from the last line of the log that has it.
+fn logged_count(log: &str, name: &str) -> Option<u64> {
     let (_, after) = log.rsplit_once(&format!("{name}: "))?;
     after.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
 }
 
-fn summary(requests: &[Request], attempts: &[Attempt], faults: &[String]) -> String {
-    let served = |r: &&Request| matches!(r.end, End::Answered { status: 200, .. });
-    let cut = |r: &&Request| matches!(r.end, End::Cut { .. });
+fn summary(requests: &[RequestRecord], attempts: &[AttemptRecord], violations: &[String]) -> String {
+    let served = |r: &&RequestRecord| matches!(r.outcome, RequestOutcome::Answered { status: 200, .. });
+    let lost = |r: &&RequestRecord| matches!(r.outcome, RequestOutcome::ConnectionLost { .. });
     format!(
-        "{} requests, {} served, {} crossed a close, {} attempts, {} faults",
+        "{} requests, {} served, {} lost their connection, {} attempts, {} violations",
         requests.len(),
         requests.iter().filter(served).count(),
-        requests.iter().filter(cut).count(),
+        requests.iter().filter(lost).count(),
         attempts.len(),
-        faults.len()
+        violations.len()
     )
 }
--- a/crates/quartzdrift-lab/tests/soak/seeds.rs
+++ b/crates/quartzdrift-lab/tests/soak/seeds.rs
@@ -1,11 +1,14 @@
-//! The seeds of a drawn run.
+//! The seeds of randomly generated scenarios.
 use std::ops::Range;
 
-/// Those that an environment variable names, as in `100..150`; `default` where it is not set.
+/// Returns the range in an environment variable, such as `100..150`, or `default` if the variable is not set.
 pub fn from_environment(variable: &str, default: Range<u64>) -> Range<u64> {
     let Ok(text) = std::env::var(variable) else {
         return default;
     };
-    let (first, end) = text.split_once("..").expect("seeds as in 100..150");
-    first.parse().expect("a seed")..end.parse().expect("a seed")
+    let (first, end) = text
+        .split_once("..")
+        .expect("a range of seeds must have the form 100..150");
+    first.parse().expect("the first seed must be a number")
+        ..end.parse().expect("the last seed must be a number")
 }
