--- a/crates/quartzdrift-lab/tests/closes.rs
+++ b/crates/quartzdrift-lab/tests/closes.rs
@@ -1,5 +1,6 @@
-//! Ill-timed closes: clients, workers' connections and readers of the log that close, fall silent or stop reading while
-//! something is under way. A scheduler process on loopback, against fakes that make the order certain.
+//! Closes at unfavourable times: clients, worker connections and readers of the log that close, send nothing
+//! or stop reading while requests or writes are in progress. The tests run a scheduler process on loopback
+//! against fakes that fix the order of events.
 use quartzdrift_lab::cluster_harness::{
     ClusterHarness, FEW_SOCKETS, NO_CANCEL, REQUEST_ID, SECOND_REQUEST_ID, SUCCEEDED, THIRD_REQUEST_ID,
     check_status, codes_and_ids, config_json, endpoint_event, endpoint_json, id_number, request_fields,
@@ -17,14 +18,17 @@
 
 const LAB: &str = env!("CARGO_BIN_EXE_quartzdrift-lab");
 
-/// Workers that have just started bear little.
-const COLD: (&str, &str) = (
+/// Configuration change that enables the slow start of workers: one that has just started receives little
+/// load.
+const SLOW_START: (&str, &str) = (
     "\"drain-grace-ns\":2000000000",
-    "\"drain-grace-ns\":2000000000,\"cold-from\":0.2,\"cold-ns\":20000000000,\"fall-multiple\":3,\"fall-ns\":2000000000",
+    "\"drain-grace-ns\":2000000000,\"cold-from\":0.2,\"cold-ns\":20000000000,\
+     \"fall-multiple\":3,\"fall-ns\":2000000000",
 );
 
-/// A socket whose peers' systems hold little of what is sent to it until it is read.
-fn narrow() -> Socket {
+/// Returns a socket with a small receive buffer, so that the send buffers of its peers fill up while it is
+/// not read.
+fn socket_with_small_receive_buffer() -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4 << 10).unwrap();
     socket.set_tcp_mss(536).unwrap();
@@ -32,75 +36,86 @@
 }
 
 #[test]
-fn a_request_whose_client_has_closed_by_then_reaches_no_connection_that_is_at_hand() {
-    for half in [true, false] {
-        let mut stage = ClusterHarness::with_config_changes(LAB, 1, &[NO_CANCEL]);
-        let (mut frontend, mut leaves, mut checks) = (stage.frontend(), stage.frontend(), stage.frontend());
-        assert_eq!((check_status(&mut leaves), check_status(&mut checks)), (200, 200));
+fn a_request_whose_client_has_closed_is_not_sent_on_an_active_connection() {
+    for half_closed in [true, false] {
+        let mut cluster = ClusterHarness::with_config_changes(LAB, 1, &[NO_CANCEL]);
+        let (mut frontend, mut leaving, mut checks) =
+            (cluster.frontend(), cluster.frontend(), cluster.frontend());
+        assert_eq!(
+            (check_status(&mut leaving), check_status(&mut checks)),
+            (200, 200)
+        );
         send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
-        let (connection, _, id, ..) = stage.workers[0].next_command();
-        stage.pause();
-        // The answer frees a connection that has just worked: what is put on it now leaves in this turn.
-        stage.workers[0].answer(connection, SUCCEEDED, id, b"");
-        send_request(&mut leaves, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
-        leaves.shutdown_write().unwrap();
-        let kept = half.then_some(leaves);
-        stage.resume();
+        let (connection, _, id, ..) = cluster.workers[0].next_command();
+        cluster.pause();
+        // The response frees a connection that needs no new proof, so a request that is assigned to it now is
+        // sent in the same iteration of the event loop.
+        cluster.workers[0].answer(connection, SUCCEEDED, id, b"");
+        send_request(&mut leaving, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
+        leaving.shutdown_write().unwrap();
+        let kept = half_closed.then_some(leaving);
+        cluster.resume();
         assert_eq!(frontend.read_reply().unwrap().status, 200);
         assert_eq!(check_status(&mut checks), 200);
-        assert_eq!(codes_and_ids(&stage.drain_commands(0)), [], "half closed: {half}");
+        assert_eq!(
+            codes_and_ids(&cluster.drain_commands(0)),
+            [],
+            "half closed: {half_closed}"
+        );
         drop(kept);
     }
 }
 
 #[test]
-fn requests_that_overlap_on_a_connection_do_not_end_it() {
-    let stage = ClusterHarness::start(LAB, 1);
-    let mut frontend = stage.frontend();
+fn overlapping_requests_on_a_connection_do_not_end_it() {
+    let cluster = ClusterHarness::start(LAB, 1);
+    let mut frontend = cluster.frontend();
     let requests: Vec<Vec<u8>> = (1..=12)
         .map(|n| Frontend::encode_request(n, &request_fields("/check", REQUEST_ID)))
         .collect();
-    let half = requests[0].len() / 2;
-    frontend.send(&requests[0][..half]).unwrap();
-    // Each is whole a fifth of a second after it began, but there is always one that is not.
-    for (n, both) in (1..).zip(requests.windows(2)) {
+    let half_length = requests[0].len() / 2;
+    frontend.send(&requests[0][..half_length]).unwrap();
+    // Each request is complete 200 ms after its first byte, but at any time one request is incomplete.
+    for (n, pair) in (1..).zip(requests.windows(2)) {
         std::thread::sleep(Duration::from_millis(200));
         frontend
-            .send(&[&both[0][half..], &both[1][..half]].concat())
+            .send(&[&pair[0][half_length..], &pair[1][..half_length]].concat())
             .unwrap();
         let reply = frontend.read_reply().unwrap();
         assert_eq!((reply.fastcgi_id, reply.status), (n, 200));
     }
-    // One that stays half is not kept by others that come whole beside it.
-    let (mut other, began) = (stage.frontend(), Instant::now());
+    // A request that stays incomplete ends its connection although complete requests arrive after it.
+    let (mut other, started_at) = (cluster.frontend(), Instant::now());
     assert_eq!(check_status(&mut other), 200);
-    // Its first record alone: what comes behind it is whole, and in step.
-    let begun = &Frontend::encode_request(99, &request_fields("/check", REQUEST_ID))
+    // Only its first record is sent, so the records after it are complete and parsed correctly.
+    let first_record = &Frontend::encode_request(99, &request_fields("/check", REQUEST_ID))
         [..quartzdrift_fastcgi::HEADER_LENGTH + 8];
-    other.send(begun).unwrap();
+    other.send(first_record).unwrap();
     let mut served = 0;
     while other.send(&requests[0]).is_ok() {
         let Ok(reply) = other.read_reply() else { break };
         assert_eq!((reply.fastcgi_id, reply.status), (1, 200));
         served += 1;
         assert!(
-            began.elapsed() < Duration::from_secs(4),
-            "its connection does not end"
+            started_at.elapsed() < Duration::from_secs(4),
+            "the connection with the incomplete request is still open after {:?}",
+            started_at.elapsed()
         );
         std::thread::sleep(Duration::from_millis(100));
     }
     assert!(
-        served > 5 && began.elapsed() < Duration::from_secs(4),
-        "{served} in {:?}",
-        began.elapsed()
+        served > 5 && started_at.elapsed() < Duration::from_secs(4),
+        "{served} requests served in {:?}",
+        started_at.elapsed()
     );
 }
 
 #[test]
-fn whoever_has_taken_all_answers_may_stay_silent_while_a_request_runs() {
-    let mut stage = ClusterHarness::start(LAB, 1);
-    let mut frontend = stage.frontend();
-    // One is answered in the turn in which it came, the other one takes its time.
+fn a_client_that_has_read_all_responses_may_be_silent_while_a_request_runs() {
+    let mut cluster = ClusterHarness::start(LAB, 1);
+    let mut frontend = cluster.frontend();
+    // The first request is answered in the same iteration of the event loop, the second one by a worker
+    // later.
     frontend
         .send(
             &[
@@ -111,31 +126,36 @@
         )
         .unwrap();
     assert_eq!(frontend.read_reply().unwrap().status, 200);
-    let (connection, _, id, ..) = stage.workers[0].next_command();
-    // Longer than a client may take to read what waits for it: nothing does.
+    let (connection, _, id, ..) = cluster.workers[0].next_command();
+    // Longer than a client may take to read pending output; no output is pending here.
     std::thread::sleep(Duration::from_millis(5500));
-    assert_eq!(check_status(&mut stage.frontend()), 200);
-    stage.workers[0].answer(connection, SUCCEEDED, id, b"long");
+    assert_eq!(check_status(&mut cluster.frontend()), 200);
+    cluster.workers[0].answer(connection, SUCCEEDED, id, b"long");
     assert_eq!(frontend.read_reply().unwrap().body, b"long");
 }
 
 #[test]
-fn nothing_is_begun_for_a_client_that_was_cut_off_in_the_same_read() {
-    let mut stage = ClusterHarness::with_config_changes(LAB, 1, &[NO_CANCEL]);
-    // A client that takes nothing of what it is answered.
-    let socket = narrow();
-    socket.connect(&stage.address.into()).unwrap();
-    let mut deaf = Frontend::from_stream(TcpStream::from(socket)).unwrap();
+fn no_request_is_sent_for_a_client_that_was_disconnected_in_the_same_read() {
+    let mut cluster = ClusterHarness::with_config_changes(LAB, 1, &[NO_CANCEL]);
+    // A client that reads none of its responses.
+    let socket = socket_with_small_receive_buffer();
+    socket.connect(&cluster.address.into()).unwrap();
+    let mut not_reading = Frontend::from_stream(TcpStream::from(socket)).unwrap();
     for n in 1..=17 {
-        send_request(&mut deaf, n, &request_fields("/do/once", &format!("{n:016x}")));
-        let (connection, _, id, ..) = stage.workers[0].next_command();
-        stage.workers[0].answer(connection, SUCCEEDED, id, &[7; 60_000]);
+        send_request(
+            &mut not_reading,
+            n,
+            &request_fields("/do/once", &format!("{n:016x}")),
+        );
+        let (connection, _, id, ..) = cluster.workers[0].next_command();
+        cluster.workers[0].answer(connection, SUCCEEDED, id, &[7; 60_000]);
     }
-    // Checks, then a request that is withdrawn at once. Past what may wait for a client it is cut off, among the checks of
-    // a read, and requests behind them are still there. A number is used again when it has long been answered, and the
-    // checks are so long that few of them exceed what may be open.
+    // Health checks, then a request that is aborted at once. The scheduler disconnects the client as soon as
+    // the pending output exceeds its limit. This happens at a health check within a read, which still holds
+    // later requests. FastCGI request ids are reused only long after their responses. The health checks have
+    // long bodies, so that few of them exceed the limit of open requests.
     let body = vec![7; 1000];
-    let check_of = |n| {
+    let health_check = |n| {
         Frontend::encode_request(
             n,
             &RequestFields {
@@ -145,7 +165,7 @@
         )
     };
     let unit = |first: u16| {
-        let checks = (first..first + 7).flat_map(check_of);
+        let checks = (first..first + 7).flat_map(health_check);
         let request = Frontend::encode_request(first + 7, &request_fields("/do/once", SECOND_REQUEST_ID));
         checks
             .chain(request)
@@ -158,62 +178,64 @@
             .iter()
             .cycle()
             .take(100_000)
-            .any(|unit| deaf.send(unit).is_err()),
-        "it is cut off"
+            .any(|unit| not_reading.send(unit).is_err()),
+        "the scheduler did not disconnect a client that reads no responses"
     );
-    assert_eq!(check_status(&mut stage.frontend()), 200);
-    assert_eq!(codes_and_ids(&stage.drain_commands(0)), []);
+    assert_eq!(check_status(&mut cluster.frontend()), 200);
+    assert_eq!(codes_and_ids(&cluster.drain_commands(0)), []);
 }
 
 #[test]
-fn a_worker_is_no_worse_for_a_connection_that_we_have_not_left() {
-    let one = ("\"streams-per-conn\":32", "\"streams-per-conn\":1");
-    let mut stage = ClusterHarness::with_config_changes(LAB, 1, &[FEW_SOCKETS, one, COLD]);
-    let mut frontend = stage.frontend();
+fn a_lack_of_free_connections_does_not_count_against_a_worker() {
+    let one_stream = ("\"streams-per-conn\":32", "\"streams-per-conn\":1");
+    let mut cluster = ClusterHarness::with_config_changes(LAB, 1, &[FEW_SOCKETS, one_stream, SLOW_START]);
+    let mut frontend = cluster.frontend();
     for n in 1..=8 {
         send_request(
             &mut frontend,
             n,
             &request_fields("/do/once", &format!("{n:016x}")),
         );
-        stage.workers[0].next_command();
+        cluster.workers[0].next_command();
     }
     send_request(&mut frontend, 9, &request_fields("/do/once", REQUEST_ID));
     assert_eq!(
         frontend.read_reply().unwrap().status,
         503,
-        "there is no lane for it, and it never ran"
+        "no connection is free for the request, and it was never sent"
     );
-    // Half of them are withdrawn: there are connections again, and nothing has been measured of the worker.
+    // Half of the requests are aborted. Connections are free again, and the worker has sent no response yet.
     frontend
         .send(&(1..=4).flat_map(Frontend::encode_abort).collect::<Vec<u8>>())
         .unwrap();
     for _ in 1..=4 {
         assert_eq!(frontend.read_reply().unwrap().status, 0);
-        assert_eq!(stage.workers[0].next_command().1, frame::CANCEL);
+        assert_eq!(cluster.workers[0].next_command().1, frame::CANCEL);
     }
-    // The worker was not down, so it has not come back cold.
+    // The worker was never down, so no slow start applies.
     send_request(&mut frontend, 10, &request_fields("/do/once", SECOND_REQUEST_ID));
-    serve_next_command(&mut stage.workers[0], &mut frontend, b"");
+    serve_next_command(&mut cluster.workers[0], &mut frontend, b"");
 }
 
-/// The lowest descriptor that a process does not hold: with this limit it can have no other.
-fn next_descriptor(process: u32) -> u64 {
+/// Returns the lowest free descriptor of a process. With this value as its limit, the process can open no
+/// further descriptor.
+fn lowest_free_descriptor(process: u32) -> u64 {
     let folder = std::fs::read_dir(format!("/proc/{process}/fd")).unwrap();
-    let held: Vec<u64> = folder
+    let open: Vec<u64> = folder
         .map(|entry| entry.unwrap().file_name().to_str().unwrap().parse().unwrap())
         .collect();
-    (0..).find(|descriptor| !held.contains(descriptor)).unwrap()
+    (0..).find(|descriptor| !open.contains(descriptor)).unwrap()
 }
 
-fn limit_descriptors(process: u32, most: u64) {
+/// Sets the soft limit of the number of descriptors of a process.
+fn limit_descriptors(process: u32, limit: u64) {
     let maximum = getrlimit(Resource::Nofile).maximum;
     let pid = Pid::from_raw(process.try_into().unwrap());
     prlimit(
         pid,
         Resource::Nofile,
         Rlimit {
-            current: Some(most),
+            current: Some(limit),
             maximum,
         },
     )
@@ -221,34 +243,34 @@
 }
 
 #[test]
-fn without_a_descriptor_left_a_silent_client_makes_room_and_no_worker_counts_as_down() {
-    let mut stage = ClusterHarness::with_config_changes(LAB, 1, &[COLD]);
-    let process = stage.process_id();
-    let mut clients: Vec<Frontend> = (0..3).map(|_| stage.frontend()).collect();
+fn without_a_free_descriptor_the_longest_idle_client_is_closed_and_no_worker_counts_as_down() {
+    let mut cluster = ClusterHarness::with_config_changes(LAB, 1, &[SLOW_START]);
+    let process = cluster.process_id();
+    let mut clients: Vec<Frontend> = (0..3).map(|_| cluster.frontend()).collect();
     clients
         .iter_mut()
         .for_each(|frontend| assert_eq!(check_status(frontend), 200));
-    stage.coordinator.next_poll();
-    // It polls over the connection that it has.
-    limit_descriptors(process, next_descriptor(process));
-    let mut newcomer = stage.frontend();
+    cluster.coordinator.next_poll();
+    // The scheduler has an open connection to the coordinator, so polls need no new descriptor.
+    limit_descriptors(process, lowest_free_descriptor(process));
+    let mut newcomer = cluster.frontend();
     assert_eq!(check_status(&mut newcomer), 200);
-    let ended = clients[0].read_reply().unwrap_err().kind();
+    let error = clients[0].read_reply().unwrap_err().kind();
     assert_eq!(
-        ended,
+        error,
         ErrorKind::UnexpectedEof,
-        "the one that was silent longest has made room"
+        "the client that was idle longest is closed"
     );
-    // There is none for a connection either.
+    // No descriptor is free for a connection to a worker either.
     send_request(&mut newcomer, 1, &request_fields("/do/once", REQUEST_ID));
     assert_eq!(newcomer.read_reply().unwrap().status, 503);
     limit_descriptors(process, 1000);
     send_request(&mut newcomer, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
-    serve_next_command(&mut stage.workers[0], &mut newcomer, b"");
+    serve_next_command(&mut cluster.workers[0], &mut newcomer, b"");
 }
 
 #[test]
-fn fewer_descriptors_than_the_configuration_tells_cost_no_request() {
+fn fewer_descriptors_than_configured_sockets_lose_no_request() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let mut worker = Worker::start().unwrap();
@@ -263,12 +285,12 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let at = read_listen_address(&mut BufReader::new(child.stdout.take().unwrap())).unwrap();
+    let address = read_listen_address(&mut BufReader::new(child.stdout.take().unwrap())).unwrap();
     coordinator.wait_until_followed(0);
-    // More clients than there are descriptors; of each the connection is kept.
+    // More clients than descriptors. The test keeps each connection open.
     let mut clients: Vec<Frontend> = Vec::new();
     for _ in 0..60 {
-        let mut frontend = Frontend::connect(at).unwrap();
+        let mut frontend = Frontend::connect(address).unwrap();
         assert_eq!(check_status(&mut frontend), 200);
         clients.push(frontend);
     }
@@ -280,15 +302,15 @@
 }
 
 #[test]
-fn a_newcomer_waits_where_all_clients_have_requests_open() {
-    let mut stage = ClusterHarness::with_config_changes(LAB, 2, &[FEW_SOCKETS]);
-    let mut busy: Vec<Frontend> = (0..8).map(|_| stage.frontend()).collect();
+fn a_new_client_waits_while_all_clients_have_open_requests() {
+    let mut cluster = ClusterHarness::with_config_changes(LAB, 2, &[FEW_SOCKETS]);
+    let mut busy: Vec<Frontend> = (0..8).map(|_| cluster.frontend()).collect();
     for (frontend, n) in busy.iter_mut().zip(1_u64..) {
         send_request(frontend, 1, &request_fields("/do/once", &format!("{n:016x}")));
     }
     let mut commands = Vec::new();
     while commands.len() < busy.len() {
-        for (n, worker) in stage.workers.iter_mut().enumerate() {
+        for (n, worker) in cluster.workers.iter_mut().enumerate() {
             commands.extend(
                 worker
                     .try_next_command()
@@ -297,171 +319,209 @@
         }
         std::thread::yield_now();
     }
-    // There is no room for it, and none of the others is silent.
-    let mut newcomer = stage.frontend();
+    // All sockets are in use, and none of the other clients is idle.
+    let mut newcomer = cluster.frontend();
     send_request(&mut newcomer, 1, &request_fields("/do/once", REQUEST_ID));
-    // Longer than any turn of the loop.
+    // Longer than any iteration of the event loop.
     std::thread::sleep(Duration::from_millis(300));
     let (worker, connection, id) = commands[0];
-    stage.workers[worker].answer(connection, SUCCEEDED, id, b"first");
+    cluster.workers[worker].answer(connection, SUCCEEDED, id, b"first");
     assert_eq!(
         busy[usize::try_from(id).unwrap() - 1].read_reply().unwrap().body,
         b"first"
     );
-    let since = Instant::now();
+    let waiting_since = Instant::now();
     let (worker, (connection, _, id, ..)) = loop {
-        let mut workers = stage.workers.iter_mut().enumerate();
-        if let Some(came) = workers.find_map(|(n, worker)| Some((n, worker.try_next_command()?))) {
-            break came;
+        let mut workers = cluster.workers.iter_mut().enumerate();
+        if let Some(command) = workers.find_map(|(n, worker)| Some((n, worker.try_next_command()?))) {
+            break command;
         }
-        assert!(since.elapsed() < Duration::from_secs(20), "it is not served");
+        assert!(
+            waiting_since.elapsed() < Duration::from_secs(20),
+            "the request of the new client is not served"
+        );
         std::thread::yield_now();
     };
-    stage.workers[worker].answer(connection, SUCCEEDED, id, b"after all");
+    cluster.workers[worker].answer(connection, SUCCEEDED, id, b"after all");
     assert_eq!(newcomer.read_reply().unwrap().body, b"after all");
 }
 
-/// All that was sent on a connection, as whole frames, and what is left over.
-fn frames(mut bytes: &[u8]) -> (Vec<(u8, u64)>, usize) {
-    let mut whole = Vec::new();
-    while let Some(head) = bytes.get(..frame::HEADER_BYTES) {
-        assert_eq!(head[0], frame::FROM_SCHEDULER, "a frame begins here");
-        let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
-        let body = u32::from_be_bytes([head[4], head[5], head[6], head[7]]) as usize;
-        let id = u64::from_be_bytes(head[8..16].try_into().unwrap());
+/// Parses the bytes of a connection; returns code and request id of each complete frame, and the number of
+/// bytes after them.
+fn parse_frames(mut bytes: &[u8]) -> (Vec<(u8, u64)>, usize) {
+    let mut complete = Vec::new();
+    while let Some(header) = bytes.get(..frame::HEADER_BYTES) {
+        assert_eq!(
+            header[0],
+            frame::FROM_SCHEDULER,
+            "no frame starts after {complete:?}"
+        );
+        let fields = usize::from(u16::from_be_bytes([header[2], header[3]]));
+        let body = u32::from_be_bytes([header[4], header[5], header[6], header[7]]) as usize;
+        let id = u64::from_be_bytes(header[8..16].try_into().unwrap());
         let length = frame::HEADER_BYTES + fields + body + frame::CHECKSUM_BYTES;
         if bytes.len() < length {
             break;
         }
-        whole.push((head[1], id));
+        complete.push((header[1], id));
         bytes = &bytes[length..];
     }
-    (whole, bytes.len())
+    (complete, bytes.len())
 }
 
 #[test]
-fn of_what_has_left_in_part_nothing_else_is_lost_or_sent() {
-    for alone in [false, true] {
-        // Seven connections are held by a worker that then drains, so the other one has a single connection.
-        let mut stage = ClusterHarness::with_config_changes(LAB, 1, &[FEW_SOCKETS, NO_CANCEL]);
-        let (mut holds, mut frontend, mut checks) = (stage.frontend(), stage.frontend(), stage.frontend());
+fn a_partly_sent_command_is_completed_or_its_connection_is_closed() {
+    // The request with the partly sent command is aborted either last, when no other request is left on its
+    // connection, or first, while other requests wait behind it.
+    for abort_partial_last in [false, true] {
+        // A worker that then drains holds seven connections, so the other worker gets a single one.
+        let mut cluster = ClusterHarness::with_config_changes(LAB, 1, &[FEW_SOCKETS, NO_CANCEL]);
+        let (mut blocking, mut frontend, mut checks) =
+            (cluster.frontend(), cluster.frontend(), cluster.frontend());
         for n in 1..=7 {
-            send_request(&mut holds, n, &request_fields("/do/once", &format!("{n:016x}")));
-            stage.workers[0].next_command();
+            send_request(
+                &mut blocking,
+                n,
+                &request_fields("/do/once", &format!("{n:016x}")),
+            );
+            cluster.workers[0].next_command();
         }
-        let socket = narrow();
+        let socket = socket_with_small_receive_buffer();
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
         socket.listen(8).unwrap();
-        let clogged = TcpListener::from(socket);
-        let at = clogged.local_addr().unwrap();
-        stage.coordinator.next_poll();
-        stage.announce_endpoints(
+        let not_reading = TcpListener::from(socket);
+        let address = not_reading.local_addr().unwrap();
+        cluster.coordinator.next_poll();
+        cluster.announce_endpoints(
             2,
             &[
-                endpoint_json("w0", stage.workers[0].address, "Terminating"),
-                endpoint_json("w1", at, "Ready"),
+                endpoint_json("w0", cluster.workers[0].address, "Terminating"),
+                endpoint_json("w1", address, "Ready"),
             ],
         );
         let body = vec![7; 16 << 10];
-        let of = |n: u16| format!("{:016x}", 100 + n);
-        const ALL: u16 = 20;
-        for n in 1..=ALL {
+        let request_id = |n: u16| format!("{:016x}", 100 + n);
+        const REQUEST_COUNT: u16 = 20;
+        for n in 1..=REQUEST_COUNT {
             send_request(
                 &mut frontend,
                 n,
                 &RequestFields {
                     body: &body,
-                    ..request_fields("/do/once", &of(n))
+                    ..request_fields("/do/once", &request_id(n))
                 },
             );
         }
-        // All of them are placed once what came behind them is answered.
-        send_request(&mut frontend, ALL + 1, &request_fields("/check", REQUEST_ID));
-        assert_eq!(frontend.read_reply().unwrap().fastcgi_id, ALL + 1);
-        let (mut connection, _) = clogged.accept().unwrap();
-        // Nothing is read of it: it takes some of the commands, and one of them in part.
+        // A later health check is answered, so all requests are assigned.
+        send_request(
+            &mut frontend,
+            REQUEST_COUNT + 1,
+            &request_fields("/check", REQUEST_ID),
+        );
+        assert_eq!(frontend.read_reply().unwrap().fastcgi_id, REQUEST_COUNT + 1);
+        let (mut connection, _) = not_reading.accept().unwrap();
+        // The connection is not read, so it takes some complete commands and a part of the next one.
         for _ in 0..3 {
             assert_eq!(check_status(&mut checks), 200);
         }
         let mut answers = Vec::new();
-        for n in 1..=ALL {
+        for n in 1..=REQUEST_COUNT {
             frame::write(
                 &mut answers,
                 frame::FROM_WORKER,
                 SUCCEEDED,
-                id_number(&of(n)),
+                id_number(&request_id(n)),
                 b"report=queue:0",
                 b"",
             );
         }
         connection.write_all(&answers).unwrap();
         assert_eq!(check_status(&mut checks), 200);
-        // Those that had left are answered before this check.
-        send_request(&mut frontend, ALL + 1, &request_fields("/check", REQUEST_ID));
-        let mut left = 0;
+        // Requests with complete commands are answered before this health check.
+        send_request(
+            &mut frontend,
+            REQUEST_COUNT + 1,
+            &request_fields("/check", REQUEST_ID),
+        );
+        let mut sent_count = 0;
         for reply in std::iter::repeat_with(|| frontend.read_reply().unwrap()) {
-            if reply.fastcgi_id == ALL + 1 {
+            if reply.fastcgi_id == REQUEST_COUNT + 1 {
                 break;
             }
-            left += 1;
-            assert_eq!((reply.fastcgi_id, reply.status), (left, 200));
+            sent_count += 1;
+            assert_eq!((reply.fastcgi_id, reply.status), (sent_count, 200));
         }
-        assert!((1..ALL - 2).contains(&left), "{left} have left whole");
+        assert!(
+            (1..REQUEST_COUNT - 2).contains(&sent_count),
+            "{sent_count} commands were sent completely"
+        );
         let aborts = |from: u16, to: u16| (from..=to).flat_map(Frontend::encode_abort).collect::<Vec<u8>>();
-        let first = if alone { left + 2 } else { left + 1 };
-        frontend.send(&aborts(first, ALL)).unwrap();
-        (first..=ALL).for_each(|_| assert_eq!(frontend.read_reply().unwrap().status, 0));
-        if alone {
-            frontend.send(&aborts(left + 1, left + 1)).unwrap();
+        let first = if abort_partial_last {
+            sent_count + 2
+        } else {
+            sent_count + 1
+        };
+        frontend.send(&aborts(first, REQUEST_COUNT)).unwrap();
+        (first..=REQUEST_COUNT).for_each(|_| assert_eq!(frontend.read_reply().unwrap().status, 0));
+        if abort_partial_last {
+            frontend.send(&aborts(sent_count + 1, sent_count + 1)).unwrap();
             assert_eq!(frontend.read_reply().unwrap().status, 0);
         }
         assert_eq!(check_status(&mut checks), 200);
-        // A further one: on the same connection behind what goes on, or on a new one where that connection was ended.
+        // A further request is sent on the same connection after the partial command, or on a new connection
+        // if the scheduler closed the first one.
         send_request(&mut frontend, 1, &request_fields("/do/once", THIRD_REQUEST_ID));
         assert_eq!(check_status(&mut checks), 200);
-        let (mut sent, mut further) = (Vec::new(), Vec::new());
+        let (mut sent, mut sent_on_new_connection) = (Vec::new(), Vec::new());
         let third = (frame::EXECUTE, id_number(THIRD_REQUEST_ID));
-        if alone {
-            read_until(&mut clogged.accept().unwrap().0, &mut further, third);
+        if abort_partial_last {
+            read_until(
+                &mut not_reading.accept().unwrap().0,
+                &mut sent_on_new_connection,
+                third,
+            );
             connection.read_to_end(&mut sent).unwrap();
         } else {
             read_until(&mut connection, &mut sent, third);
         }
-        let (sent, over) = frames(&sent);
-        let expected = |n: u16| {
+        let (sent, partial_bytes) = parse_frames(&sent);
+        let first_commands = |n: u16| {
             (1..=n)
-                .map(|n| (frame::EXECUTE, id_number(&of(n))))
+                .map(|n| (frame::EXECUTE, id_number(&request_id(n))))
                 .collect::<Vec<_>>()
         };
-        if alone {
-            assert_eq!((sent, frames(&further).0), (expected(left), vec![third]));
-            assert!(over > 0, "one had left in part");
+        if abort_partial_last {
+            assert_eq!(
+                (sent, parse_frames(&sent_on_new_connection).0),
+                (first_commands(sent_count), vec![third])
+            );
+            assert!(partial_bytes > 0, "no command was sent partly");
         } else {
-            assert_eq!(sent, [expected(left + 1), vec![third]].concat());
+            assert_eq!(sent, [first_commands(sent_count + 1), vec![third]].concat());
         }
     }
 }
 
-/// Reads what is sent on a connection until a command has come whole.
+/// Reads from a connection until the frame `last` is complete, and appends the bytes to `sent`.
 fn read_until(connection: &mut TcpStream, sent: &mut Vec<u8>, last: (u8, u64)) {
     connection
         .set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
-    let mut piece = vec![0; 64 << 10];
-    while !frames(sent).0.contains(&last) {
-        let read = connection.read(&mut piece).unwrap();
-        assert!(read > 0, "the lane has ended before");
-        sent.extend_from_slice(&piece[..read]);
+    let mut buffer = vec![0; 64 << 10];
+    while !parse_frames(sent).0.contains(&last) {
+        let read = connection.read(&mut buffer).unwrap();
+        assert!(read > 0, "the connection ended before the frame {last:?}");
+        sent.extend_from_slice(&buffer[..read]);
     }
 }
 
 // --- Readers of the log ---
 
 #[test]
-fn whoever_reads_the_log_may_leave_or_fall_asleep() {
-    for leaves in [true, false] {
+fn the_reader_of_the_log_may_close_it_or_stop_reading() {
+    for closes in [true, false] {
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("config.json");
         let mut worker = Worker::start().unwrap();
@@ -475,12 +535,12 @@
             .spawn()
             .unwrap();
         let mut out = BufReader::new(child.stdout.take().unwrap());
-        let at = read_listen_address(&mut out).unwrap();
+        let address = read_listen_address(&mut out).unwrap();
         coordinator.wait_until_followed(0);
-        let mut log = child.stderr.take().filter(|_| !leaves);
+        let mut log = child.stderr.take().filter(|_| !closes);
         drop(out);
-        let mut frontend = Frontend::connect(at).unwrap();
-        // Its lines are far more than a pipe holds.
+        let mut frontend = Frontend::connect(address).unwrap();
+        // The log lines of these requests exceed the capacity of a pipe.
         for n in 1..=1000 {
             send_request(
                 &mut frontend,
@@ -490,28 +550,28 @@
             serve_next_command(&mut worker, &mut frontend, b"");
         }
         if let Some(log) = &mut log {
-            // Whoever reads it wakes up.
+            // The reader continues.
             log.read_exact(&mut [0; 32 << 10]).unwrap();
         }
         std::fs::write(&file, &text[..20]).unwrap();
         send_signal("-HUP", child.id());
         assert_eq!(check_status(&mut frontend), 200);
         send_signal("-TERM", child.id());
-        assert!(child.wait().unwrap().success(), "leaves: {leaves}");
+        assert!(child.wait().unwrap().success(), "the reader closes: {closes}");
         if let Some(mut log) = log {
-            let mut said = String::new();
-            log.read_to_string(&mut said).unwrap();
+            let mut rest = String::new();
+            log.read_to_string(&mut rest).unwrap();
             assert!(
-                said.contains("lines of the log were lost") && said.ends_with('\n'),
-                "{said}"
+                rest.contains("lines of the log were lost") && rest.ends_with('\n'),
+                "{rest}"
             );
-            assert!(said.contains("the old one stands"), "{said}");
+            assert!(rest.contains("the old one stands"), "{rest}");
         }
     }
 }
 
 #[test]
-fn nobody_needs_to_hear_where_it_listens() {
+fn the_process_runs_although_its_standard_output_is_closed() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let coordinator = TcpListener::bind(("127.0.0.1", 0)).unwrap();
@@ -523,10 +583,10 @@
     let (reader, writer) = std::io::pipe().unwrap();
     drop(reader);
     let mut child = scheduler_command(LAB, &file).stdout(writer).spawn().unwrap();
-    // It follows its coordinator, so it has started.
+    // The scheduler connects to its coordinator once it has started.
     coordinator.set_nonblocking(true).unwrap();
     while coordinator.accept().is_err() {
-        assert_eq!(child.try_wait().unwrap(), None, "it has ended");
+        assert_eq!(child.try_wait().unwrap(), None, "the scheduler has exited");
         std::thread::yield_now();
     }
     send_signal("-TERM", child.id());
