--- a/crates/quartzdrift-lab/tests/system_calls.rs
+++ b/crates/quartzdrift-lab/tests/system_calls.rs
@@ -1,4 +1,5 @@
-//! A scheduler process whose system calls fail now and then, as their manual pages say they may. strace(1) makes them fail.
+//! A scheduler process whose system calls fail with errors that their manual pages list. strace(1) injects
+//! the errors.
 use quartzdrift_lab::cluster_harness::{ClusterHarness, SUCCEEDED, check_status, request_fields};
 use quartzdrift_lab::platform::{Frontend, Worker};
 use quartzdrift_platform::frame;
@@ -8,19 +9,19 @@
 use std::time::Duration;
 
 const LAB: &str = env!("CARGO_BIN_EXE_quartzdrift-lab");
-/// Clients that come one after the other, each with a connection of its own.
-const NEWCOMERS: u64 = 30;
+/// Number of clients that send a request one after the other, each on a new connection.
+const CLIENT_COUNT: u64 = 30;
 
-/// A worker that answers each request at once, until it is told to stop.
-struct Serving {
-    over: Arc<AtomicBool>,
+/// A worker thread that responds to each request at once until it is stopped.
+struct WorkerThread {
+    stop_requested: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
 
-impl Serving {
-    fn start(mut worker: Worker) -> Serving {
-        let over = Arc::new(AtomicBool::new(false));
-        let stop = over.clone();
+impl WorkerThread {
+    fn start(mut worker: Worker) -> WorkerThread {
+        let stop_requested = Arc::new(AtomicBool::new(false));
+        let stop = stop_requested.clone();
         let thread = thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
                 match worker.try_next_command() {
@@ -32,36 +33,39 @@
                 }
             }
         });
-        Serving { over, thread }
+        WorkerThread {
+            stop_requested,
+            thread,
+        }
     }
 
     fn stop(self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop_requested.store(true, Ordering::Relaxed);
         self.thread.join().unwrap();
     }
 }
 
-/// Statuses of the answers to clients that come one after the other while these system calls fail. A client that has been
-/// silent since before is still connected afterwards.
+/// Returns the response statuses of clients that each send a request on a new connection while the given
+/// system calls fail. Checks that a client that was connected before them is still connected afterwards.
 fn statuses_with(failures: &[&str]) -> Vec<u16> {
-    let mut stage = ClusterHarness::with_failing_system_calls(LAB, 2, failures);
-    let serving: Vec<Serving> = stage.workers.drain(..).map(Serving::start).collect();
-    let mut silent = stage.frontend();
-    assert_eq!(check_status(&mut silent), 200, "{failures:?}");
-    let statuses = (1..=NEWCOMERS)
+    let mut cluster = ClusterHarness::with_failing_system_calls(LAB, 2, failures);
+    let workers: Vec<WorkerThread> = cluster.workers.drain(..).map(WorkerThread::start).collect();
+    let mut idle_client = cluster.frontend();
+    assert_eq!(check_status(&mut idle_client), 200, "{failures:?}");
+    let statuses = (1..=CLIENT_COUNT)
         .map(|id| {
-            let mut newcomer = stage.frontend();
+            let mut client = cluster.frontend();
             let request = Frontend::encode_request(1, &request_fields("/do/again", &format!("{id:016x}")));
-            newcomer.send(&request).unwrap();
-            let reply = newcomer
+            client.send(&request).unwrap();
+            let reply = client
                 .read_reply()
-                .unwrap_or_else(|error| panic!("{failures:?}: no answer: {error}"));
+                .unwrap_or_else(|error| panic!("{failures:?}: no response to request {id:016x}: {error}"));
             assert!(reply.status != 200 || reply.body == id.to_be_bytes());
             reply.status
         })
         .collect();
-    assert_eq!(check_status(&mut silent), 200, "{failures:?}");
-    serving.into_iter().for_each(Serving::stop);
+    assert_eq!(check_status(&mut idle_client), 200, "{failures:?}");
+    workers.into_iter().for_each(WorkerThread::stop);
     statuses
 }
 
@@ -74,7 +78,7 @@
 }
 
 #[test]
-fn a_newcomer_that_fails_costs_nobody_else_anything() {
+fn a_failed_accept_affects_no_other_client() {
     for error in [
         "ECONNABORTED",
         "EINTR",
@@ -90,30 +94,30 @@
 }
 
 #[test]
-fn a_system_without_descriptors_or_buffers_for_a_moment_takes_newcomers_later() {
+fn connections_are_accepted_after_a_temporary_lack_of_descriptors_or_buffers() {
     for error in ["ENFILE", "ENOBUFS", "ENOMEM"] {
         assert_all_served_with(&[&format!("accept4:error={error}:when=3+5")]);
     }
 }
 
 #[test]
-fn connections_that_fail_without_end_do_not_hold_up_the_others() {
-    // Each try fails for half a minute's worth of newcomers, and the clients that are connected are served all the while.
-    let mut stage =
+fn accepts_that_fail_permanently_do_not_delay_connected_clients() {
+    // Every accept after the second one fails, while the connected client is still served.
+    let mut cluster =
         ClusterHarness::with_failing_system_calls(LAB, 1, &["accept4:error=ECONNABORTED:when=3+"]);
-    let serving = Serving::start(stage.workers.remove(0));
-    let mut served = stage.frontend();
-    assert_eq!(check_status(&mut served), 200);
-    let waiting = stage.frontend();
+    let worker = WorkerThread::start(cluster.workers.remove(0));
+    let mut connected = cluster.frontend();
+    assert_eq!(check_status(&mut connected), 200);
+    let not_accepted = cluster.frontend();
     for _ in 0..5 {
-        assert_eq!(check_status(&mut served), 200);
+        assert_eq!(check_status(&mut connected), 200);
     }
-    drop(waiting);
-    serving.stop();
+    drop(not_accepted);
+    worker.stop();
 }
 
 #[test]
-fn a_connection_that_cannot_be_made_for_a_moment_costs_no_request() {
+fn a_temporary_failure_to_connect_to_a_worker_loses_no_request() {
     for failure in [
         "socket:error=ENFILE:when=8+3",
         "socket:error=ENOBUFS:when=8+3",
@@ -133,7 +137,7 @@
 }
 
 #[test]
-fn waits_and_reads_and_writes_that_are_interrupted_are_resumed() {
+fn interrupted_waits_reads_and_writes_are_resumed() {
     let failures = [
         "epoll_wait:error=EINTR:when=3+2",
         "recvfrom:error=EINTR:when=2+3",
