--- a/crates/quartzdrift-lab/tests/closes.rs
+++ b/crates/quartzdrift-lab/tests/closes.rs
@@ -48,8 +48,8 @@
         send_request(&mut frontend, 1, &request_fields("/do/once", REQUEST_ID));
         let (connection, _, id, ..) = cluster.workers[0].next_command();
         cluster.pause();
-        // The response frees a connection that needs no new proof, so a request that is assigned to it now is
-        // sent in the same iteration of the event loop.
+        // The response frees a connection that has just been active and needs no ping, so the next request is
+        // sent on it in the same iteration of the event loop.
         cluster.workers[0].answer(connection, SUCCEEDED, id, b"");
         send_request(&mut leaving, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
         leaving.shutdown_write().unwrap();
@@ -253,8 +253,8 @@
     cluster.coordinator.next_poll();
     // The scheduler has an open connection to the coordinator, so polls need no new descriptor.
     limit_descriptors(process, lowest_free_descriptor(process));
-    let mut newcomer = cluster.frontend();
-    assert_eq!(check_status(&mut newcomer), 200);
+    let mut new_client = cluster.frontend();
+    assert_eq!(check_status(&mut new_client), 200);
     let error = clients[0].read_reply().unwrap_err().kind();
     assert_eq!(
         error,
@@ -262,11 +262,11 @@
         "the client that was idle longest is closed"
     );
     // No descriptor is free for a connection to a worker either.
-    send_request(&mut newcomer, 1, &request_fields("/do/once", REQUEST_ID));
-    assert_eq!(newcomer.read_reply().unwrap().status, 503);
+    send_request(&mut new_client, 1, &request_fields("/do/once", REQUEST_ID));
+    assert_eq!(new_client.read_reply().unwrap().status, 503);
     limit_descriptors(process, 1000);
-    send_request(&mut newcomer, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
-    serve_next_command(&mut cluster.workers[0], &mut newcomer, b"");
+    send_request(&mut new_client, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
+    serve_next_command(&mut cluster.workers[0], &mut new_client, b"");
 }
 
 #[test]
@@ -320,8 +320,8 @@
         std::thread::yield_now();
     }
     // All sockets are in use, and none of the other clients is idle.
-    let mut newcomer = cluster.frontend();
-    send_request(&mut newcomer, 1, &request_fields("/do/once", REQUEST_ID));
+    let mut new_client = cluster.frontend();
+    send_request(&mut new_client, 1, &request_fields("/do/once", REQUEST_ID));
     // Longer than any iteration of the event loop.
     std::thread::sleep(Duration::from_millis(300));
     let (worker, connection, id) = commands[0];
@@ -343,7 +343,7 @@
         std::thread::yield_now();
     };
     cluster.workers[worker].answer(connection, SUCCEEDED, id, b"after all");
-    assert_eq!(newcomer.read_reply().unwrap().body, b"after all");
+    assert_eq!(new_client.read_reply().unwrap().body, b"after all");
 }
 
 /// Parses the bytes of a connection; returns code and request id of each complete frame, and the number of
--- a/crates/quartzdrift-lab/tests/crossings.rs
+++ b/crates/quartzdrift-lab/tests/crossings.rs
@@ -382,8 +382,8 @@
     cluster.pause();
     // The client that was idle longest sends a request at the moment in which a new client needs its socket.
     send_request(&mut connected[0], 1, &request_fields("/do/once", REQUEST_ID));
-    let mut newcomer = cluster.frontend();
-    send_request(&mut newcomer, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
+    let mut new_client = cluster.frontend();
+    send_request(&mut new_client, 1, &request_fields("/do/once", SECOND_REQUEST_ID));
     cluster.resume();
     for _ in 0..2 {
         let (connection, _, id, ..) = cluster.workers[0].next_command();
@@ -394,7 +394,7 @@
         id_number(REQUEST_ID).to_be_bytes()
     );
     assert_eq!(
-        newcomer.read_reply().unwrap().body,
+        new_client.read_reply().unwrap().body,
         id_number(SECOND_REQUEST_ID).to_be_bytes()
     );
 }
--- a/crates/quartzdrift-lab/tests/outage/main.rs
+++ b/crates/quartzdrift-lab/tests/outage/main.rs
@@ -10,10 +10,9 @@
 //! and received more than its share of the requests.
 //!
 //! Evidence: first attempts were sent 0 to 3 ms after their requests arrived, so no request had waited in a
-//! queue. Every scheduler sent its first late attempt as soon as the limit had passed. In this test without
-//! the fix, the late sends continue until the first poll that discovery answers, whether it refuses
-//! connections, never answers or closes the connection within a response. The only log line was that the poll
-//! is repeated.
+//! queue. Every scheduler sent its first late attempt as soon as the limit had passed. Reproduced here, the
+//! late sends continue until the first poll that discovery answers, whether it refuses connections, never
+//! answers or closes the connection within a response. The only log line is that the poll is repeated.
 //!
 //! `OUTAGES="3 12 60 0.5 refuses 16 0.3:2; ..." cargo test --release -p quartzdrift-lab --test outage a_draining_worker -- --nocapture`
 //! runs the given outages. The fields of each are: schedulers, workers, requests per second to each scheduler,
@@ -47,9 +46,9 @@
 const CONCURRENT_OUTAGES: usize = 4;
 
 fn parse_seconds(text: &str) -> Duration {
+    let seconds = text.parse();
     Duration::from_secs_f64(
-        text.parse()
-            .expect("a duration in an outage must be a number of seconds"),
+        seconds.unwrap_or_else(|_| panic!("a time of an outage must be a number of seconds, not {text:?}")),
     )
 }
 
@@ -73,18 +72,22 @@
     let drain = |text: &&str| {
         let (at, count) = text
             .split_once(':')
-            .expect("a drain must have the form SECONDS:WORKERS");
-        let count = count.parse().expect("the workers of a drain must be a number");
+            .unwrap_or_else(|| panic!("a drain must have the form SECONDS:WORKERS, not {text:?}"));
+        let count = count
+            .parse()
+            .unwrap_or_else(|_| panic!("the workers of a drain must be a number, not {count:?}"));
         (parse_seconds(at), ScenarioStep::Drain(count))
     };
     Scenario {
         schedulers: schedulers
             .parse()
-            .expect("the schedulers of an outage must be a number"),
+            .unwrap_or_else(|_| panic!("the schedulers of an outage must be a number, not {schedulers:?}")),
         workers: workers
             .parse()
-            .expect("the workers of an outage must be a number"),
-        requests_per_second: rate.parse().expect("the rate of an outage must be a number"),
+            .unwrap_or_else(|_| panic!("the workers of an outage must be a number, not {workers:?}")),
+        requests_per_second: rate
+            .parse()
+            .unwrap_or_else(|_| panic!("the rate of an outage must be a number, not {rate:?}")),
         drain_grace: parse_seconds(grace),
         fault: parse_fault(fault),
         length: parse_seconds(length),
--- a/crates/quartzdrift-lab/tests/outage/worker.rs
+++ b/crates/quartzdrift-lab/tests/outage/worker.rs
@@ -124,7 +124,7 @@
 struct Connection {
     stream: TcpStream,
     input: Vec<u8>,
-    /// When the first of the bytes in `input` was read; `None`: `input` is empty.
+    /// When the first bytes were read since `input` was last empty; `None`: `input` is empty.
     input_since: Option<Instant>,
 }
 
--- a/crates/quartzdrift-lab/tests/soak/seeds.rs
+++ b/crates/quartzdrift-lab/tests/soak/seeds.rs
@@ -6,9 +6,8 @@
     let Ok(text) = std::env::var(variable) else {
         return default;
     };
-    let (first, end) = text
+    let bounds = text
         .split_once("..")
-        .expect("a range of seeds must have the form 100..150");
-    first.parse().expect("the first seed must be a number")
-        ..end.parse().expect("the last seed must be a number")
+        .and_then(|(first, end)| Some(first.parse().ok()?..end.parse().ok()?));
+    bounds.unwrap_or_else(|| panic!("{variable} must be a range of seeds such as 100..150, not {text:?}"))
 }
