--- a/crates/quartzdrift-lab/tests/soak/seeds.rs
+++ b/crates/quartzdrift-lab/tests/soak/seeds.rs
@@ -1,11 +1,13 @@
-//! The seeds of a drawn run.
+//! The seeds of randomly generated scenarios.
 use std::ops::Range;
 
-/// Those that an environment variable names, as in `100..150`; `default` where it is not set.
+/// Returns the range in an environment variable, such as `100..150`, or `default` if the variable is not set.
 pub fn from_environment(variable: &str, default: Range<u64>) -> Range<u64> {
     let Ok(text) = std::env::var(variable) else {
         return default;
     };
-    let (first, end) = text.split_once("..").expect("seeds as in 100..150");
-    first.parse().expect("a seed")..end.parse().expect("a seed")
+    let bounds = text
+        .split_once("..")
+        .and_then(|(first, end)| Some(first.parse().ok()?..end.parse().ok()?));
+    bounds.unwrap_or_else(|| panic!("{variable} must be a range of seeds such as 100..150, not {text:?}"))
 }
