--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -68,6 +68,7 @@
     /// The exit status is 0 only if no guarantee was violated. Without a scenario file, the built-in scenario
     /// is run.
     Badday {
+        /// Scenario file
         script: Option<PathBuf>,
         /// Seed of the scenario's traffic
         #[arg(long, default_value_t = 1)]
@@ -145,6 +146,7 @@
     },
     /// Run a scenario in simulated time and print its results as JSON
     Emulate {
+        /// Scenario file; without one, the built-in scenario is run
         script: Option<PathBuf>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -168,6 +170,7 @@
     ///
     /// The exit status is 0 only if no guarantee was violated. Faults without a counterpart are printed.
     Replay {
+        /// Scenario file of the bench
         day: PathBuf,
         #[arg(long, default_value_t = 4)]
         gateways: usize,
