--- a/crates/quartzdrift-lab/src/audit.rs
+++ b/crates/quartzdrift-lab/src/audit.rs
@@ -1,6 +1,6 @@
 //! Audits the record of a scenario run: checks each [`Rule`] against the recorded lines, and against nothing
 //! else.
-use crate::record::{Line, Seen};
+use crate::record::{Observation, RecordLine};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -141,14 +141,14 @@
     end_us: u64,
 }
 
-fn join(lines: &[Line]) -> JoinedRecord<'_> {
+fn join(lines: &[RecordLine]) -> JoinedRecord<'_> {
     let mut record = JoinedRecord::default();
     let mut attempt_index: BTreeMap<(&str, u64, u64), usize> = BTreeMap::new();
-    for Line { at_us, seen } in lines {
+    for RecordLine { at_us, seen } in lines {
         let at = *at_us;
         record.end_us = record.end_us.max(at);
         match seen {
-            Seen::Asked {
+            Observation::CallSent {
                 call,
                 gateway,
                 key,
@@ -166,12 +166,12 @@
                 };
                 record.calls.insert(*call, client_call);
             }
-            Seen::Answered { call, status, .. } => {
+            Observation::ResponseReceived { call, status, .. } => {
                 record.responses.entry(*call).or_default().push((at, *status));
             }
-            Seen::Left { call } => drop(record.disconnected.insert(*call, at)),
-            Seen::Cut { call } => drop(record.closed.insert(*call, at)),
-            Seen::Came {
+            Observation::ClientDisconnected { call } => drop(record.disconnected.insert(*call, at)),
+            Observation::ConnectionLost { call } => drop(record.closed.insert(*call, at)),
+            Observation::AttemptReceived {
                 worker,
                 incarnation,
                 call,
@@ -193,7 +193,7 @@
                     executed: false,
                 });
             }
-            Seen::Began {
+            Observation::AttemptExecuted {
                 worker,
                 incarnation,
                 call,
@@ -203,7 +203,7 @@
                     record.attempts[index].executed = true;
                 }
             }
-            Seen::Refused {
+            Observation::AttemptRejected {
                 worker,
                 incarnation,
                 call,
@@ -212,7 +212,7 @@
                     record.attempts[index].refused = true;
                 }
             }
-            Seen::Over {
+            Observation::AttemptEnded {
                 worker,
                 incarnation,
                 call,
@@ -221,31 +221,31 @@
                     record.attempts[index].ended_us.get_or_insert(at);
                 }
             }
-            Seen::GatewayKilled { gateway } => {
+            Observation::GatewayKilled { gateway } => {
                 record.downtimes.entry(*gateway).or_default().push((at, u64::MAX));
             }
-            Seen::GatewayUp { gateway } => {
+            Observation::GatewayStarted { gateway } => {
                 let downtimes = record.downtimes.get_mut(gateway);
                 if let Some(last) = downtimes.and_then(|times| times.last_mut()) {
                     last.1 = last.1.min(at);
                 }
             }
-            Seen::WorkersLost => record.worker_power_losses.push(at),
-            Seen::DiskLost { gateway } => record.disk_losses.push((*gateway, at)),
-            Seen::Ordered { .. }
-            | Seen::ToldAway { .. }
-            | Seen::ToldUp { .. }
-            | Seen::Started { .. }
-            | Seen::Fell { .. }
-            | Seen::Fetch { .. }
-            | Seen::FetchRefused { .. } => {}
+            Observation::WorkersLostPower => record.worker_power_losses.push(at),
+            Observation::GatewayDiskLost { gateway } => record.disk_losses.push((*gateway, at)),
+            Observation::LoadCommandReceived { .. }
+            | Observation::EndpointDownSent { .. }
+            | Observation::EndpointUpSent { .. }
+            | Observation::WorkerStarted { .. }
+            | Observation::WorkerOverloaded { .. }
+            | Observation::FetchRequested { .. }
+            | Observation::FetchRefused { .. } => {}
         }
     }
     record
 }
 
 /// Returns all violations of the rules, sorted by time.
-pub fn audit(lines: &[Line], guarantees: &Guarantees) -> Vec<Violation> {
+pub fn audit(lines: &[RecordLine], guarantees: &Guarantees) -> Vec<Violation> {
     let record = join(lines);
     let mut violations = Vec::new();
     check_lost_requests(&record, guarantees, &mut violations);
@@ -426,18 +426,21 @@
 /// Checks that a gateway sends no call and no load command to a worker once the drain grace has passed since
 /// the gateway received the report that the worker drains or is gone. A restarted gateway has received no
 /// report yet.
-fn check_drain_grace(lines: &[Line], guarantees: &Guarantees, violations: &mut Vec<Violation>) {
+fn check_drain_grace(lines: &[RecordLine], guarantees: &Guarantees, violations: &mut Vec<Violation>) {
     let mut unavailable_since: BTreeMap<(u64, &str), u64> = BTreeMap::new();
-    for Line { at_us, seen } in lines {
+    for RecordLine { at_us, seen } in lines {
         match seen {
-            Seen::ToldAway { gateway, worker } => {
+            Observation::EndpointDownSent { gateway, worker } => {
                 unavailable_since.entry((*gateway, worker)).or_insert(*at_us);
             }
-            Seen::ToldUp { gateway, worker } => {
+            Observation::EndpointUpSent { gateway, worker } => {
                 unavailable_since.remove(&(*gateway, worker.as_str()));
             }
-            Seen::GatewayUp { gateway } => unavailable_since.retain(|(informed, _), _| informed != gateway),
-            Seen::Came { worker, gateway, .. } | Seen::Ordered { worker, gateway } => {
+            Observation::GatewayStarted { gateway } => {
+                unavailable_since.retain(|(informed, _), _| informed != gateway)
+            }
+            Observation::AttemptReceived { worker, gateway, .. }
+            | Observation::LoadCommandReceived { worker, gateway } => {
                 let Some(since) = unavailable_since.get(&(*gateway, worker.as_str())) else {
                     continue;
                 };
@@ -472,15 +475,15 @@
 /// Checks that no worker was overloaded while it was cold: neither did a worker crash under its load, nor was
 /// it sent more work within a window than the overload bound allows for its capacity at that time.
 fn check_cold_workers(
-    lines: &[Line],
+    lines: &[RecordLine],
     record: &JoinedRecord,
     guarantees: &Guarantees,
     violations: &mut Vec<Violation>,
 ) {
     let mut starts: BTreeMap<(&str, u64), WorkerStart> = BTreeMap::new();
-    for Line { at_us, seen } in lines {
+    for RecordLine { at_us, seen } in lines {
         match seen {
-            Seen::Started {
+            Observation::WorkerStarted {
                 worker,
                 incarnation,
                 cores,
@@ -495,7 +498,7 @@
                 };
                 starts.insert((worker, *incarnation), start);
             }
-            Seen::Fell { worker } => {
+            Observation::WorkerOverloaded { worker } => {
                 let description = format!("{worker} crashed under its load while cold");
                 violations.push(Violation {
                     rule: Rule::ColdWorkerOverload,
@@ -554,15 +557,17 @@
     load_commands: Vec<u64>,
 }
 
-fn check_load_quota(lines: &[Line], guarantees: &Guarantees, violations: &mut Vec<Violation>) {
+fn check_load_quota(lines: &[RecordLine], guarantees: &Guarantees, violations: &mut Vec<Violation>) {
     if guarantees.load_window_us == 0 {
         return;
     }
     let mut traffic: BTreeMap<u64, GatewayTraffic> = BTreeMap::new();
-    for Line { at_us, seen } in lines {
+    for RecordLine { at_us, seen } in lines {
         match seen {
-            Seen::Asked { gateway, .. } => traffic.entry(*gateway).or_default().requests.push(*at_us),
-            Seen::Ordered { gateway, .. } => {
+            Observation::CallSent { gateway, .. } => {
+                traffic.entry(*gateway).or_default().requests.push(*at_us)
+            }
+            Observation::LoadCommandReceived { gateway, .. } => {
                 let GatewayTraffic {
                     requests,
                     load_commands,
@@ -611,16 +616,16 @@
         }
     }
 
-    fn line(ms: u64, seen: Seen) -> Line {
-        Line {
+    fn line(ms: u64, seen: Observation) -> RecordLine {
+        RecordLine {
             at_us: ms * 1000,
             seen,
         }
     }
 
-    fn sent(call: u64, request_class: &str, asynchronous: bool) -> Seen {
+    fn sent(call: u64, request_class: &str, asynchronous: bool) -> Observation {
         let (key, request_class) = (format!("k{call}"), request_class.to_owned());
-        Seen::Asked {
+        Observation::CallSent {
             call,
             gateway: 0,
             key,
@@ -630,8 +635,8 @@
         }
     }
 
-    fn answered(call: u64, status: u16) -> Seen {
-        Seen::Answered {
+    fn answered(call: u64, status: u16) -> Observation {
+        Observation::ResponseReceived {
             call,
             status,
             killed: false,
@@ -639,9 +644,9 @@
         }
     }
 
-    fn arrived(worker: &str, call: u64, key: &str) -> Seen {
+    fn arrived(worker: &str, call: u64, key: &str) -> Observation {
         let (worker, key, request) = (worker.to_owned(), key.to_owned(), "j".to_owned());
-        Seen::Came {
+        Observation::AttemptReceived {
             worker,
             incarnation: 1,
             call,
@@ -653,16 +658,16 @@
         }
     }
 
-    fn ended(worker: &str, call: u64) -> Seen {
-        Seen::Over {
+    fn ended(worker: &str, call: u64) -> Observation {
+        Observation::AttemptEnded {
             worker: worker.to_owned(),
             incarnation: 1,
             call,
         }
     }
 
-    fn executed(worker: &str, call: u64) -> Seen {
-        Seen::Began {
+    fn executed(worker: &str, call: u64) -> Observation {
+        Observation::AttemptExecuted {
             worker: worker.to_owned(),
             incarnation: 1,
             call,
@@ -671,12 +676,12 @@
     }
 
     /// A record that keeps all rules.
-    fn record_without_violations() -> Vec<Line> {
+    fn record_without_violations() -> Vec<RecordLine> {
         vec![
-            line(0, Seen::GatewayUp { gateway: 0 }),
+            line(0, Observation::GatewayStarted { gateway: 0 }),
             line(
                 0,
-                Seen::Started {
+                Observation::WorkerStarted {
                     worker: "a".into(),
                     incarnation: 1,
                     cores: 1.0,
@@ -691,21 +696,21 @@
             line(16, answered(1, 200)),
             line(
                 20,
-                Seen::ToldAway {
+                Observation::EndpointDownSent {
                     gateway: 0,
                     worker: "a".into(),
                 },
             ),
             line(
                 30,
-                Seen::Ordered {
+                Observation::LoadCommandReceived {
                     worker: "b".into(),
                     gateway: 0,
                 },
             ),
             line(
                 9000,
-                Seen::ToldUp {
+                Observation::EndpointUpSent {
                     gateway: 0,
                     worker: "a".into(),
                 },
@@ -714,7 +719,7 @@
     }
 
     /// The rules that the record without violations breaks once `extra` lines are added.
-    fn violated_rules(extra: Vec<Line>) -> Vec<Rule> {
+    fn violated_rules(extra: Vec<RecordLine>) -> Vec<Rule> {
         let mut lines = record_without_violations();
         lines.extend(extra);
         lines.sort_by_key(|line| line.at_us);
@@ -761,11 +766,11 @@
         assert_eq!(violated_rules(concurrent), [Rule::ConcurrentAttempts]);
         let drain = vec![line(400, arrived("a", 2, "")), line(401, ended("a", 2))];
         assert_eq!(violated_rules(drain), [Rule::DrainGrace]);
-        let crashed = vec![line(400, Seen::Fell { worker: "a".into() })];
+        let crashed = vec![line(400, Observation::WorkerOverloaded { worker: "a".into() })];
         assert_eq!(violated_rules(crashed), [Rule::ColdWorkerOverload]);
         let loads = vec![line(
             400,
-            Seen::Ordered {
+            Observation::LoadCommandReceived {
                 worker: "b".into(),
                 gateway: 0,
             },
@@ -777,7 +782,7 @@
     fn overload_of_a_cold_worker_is_found_without_its_crash() {
         let call = |n: u64| {
             let (worker, key, request) = ("a".to_owned(), String::new(), String::new());
-            let seen = Seen::Came {
+            let seen = Observation::AttemptReceived {
                 worker,
                 incarnation: 1,
                 call: 100 + n,
@@ -800,9 +805,9 @@
     fn a_killed_gateway_need_not_answer_and_its_successor_knows_no_drains() {
         let killed = vec![
             line(100, sent(2, "any", false)),
-            line(150, Seen::Cut { call: 2 }),
-            line(149, Seen::GatewayKilled { gateway: 0 }),
-            line(300, Seen::GatewayUp { gateway: 0 }),
+            line(150, Observation::ConnectionLost { call: 2 }),
+            line(149, Observation::GatewayKilled { gateway: 0 }),
+            line(300, Observation::GatewayStarted { gateway: 0 }),
             line(400, arrived("a", 2, "")),
             line(401, ended("a", 2)),
         ];
--- a/crates/quartzdrift-lab/src/clients.rs
+++ b/crates/quartzdrift-lab/src/clients.rs
@@ -1,7 +1,7 @@
 //! Simulated clients: they call gateways at the times of the arrivals, wait for the response until the time
 //! limit, sometimes disconnect early, and retry rejected calls and failed connections.
 use crate::actor::Fake;
-use crate::record::{Recorder, Seen};
+use crate::record::{Observation, Recorder};
 use crate::scenario::RequestClass;
 use crate::traffic::{self, Arrival};
 use calloop::LoopHandle;
@@ -156,7 +156,7 @@
         let disconnects_early = self.random.random_range(0.0..1.0) < class.hang_up_share;
         self.last_number += 1;
         let key = format!("{}-{}", class.name, self.last_number);
-        let gateway = arrival.gateway_of(self.gateways.len());
+        let gateway = arrival.gateway_index(self.gateways.len());
         let (retries, deadline, number, first_sent) = (0, Duration::ZERO, 0, now);
         self.send(
             ClientCall {
@@ -188,7 +188,7 @@
         }
         let request = OutgoingRequest {
             method: "POST",
-            target: request::target(&call.function),
+            target: request::invoke_target(&call.function),
             headers,
             body: payload.into_bytes().into(),
             connect_timeout: Duration::from_secs(1),
@@ -204,7 +204,7 @@
             }
             false => now + request_class.time_limit + LATE_RESPONSE_WAIT,
         };
-        self.recorder.see(Seen::Asked {
+        self.recorder.record(Observation::CallSent {
             call: call.number,
             gateway: call.gateway as u64,
             key: call.key.clone(),
@@ -238,7 +238,7 @@
         let function_error = response.headers.get("x-amz-function-error").is_some();
         let killed = function_error && response.body.windows(11).any(|part| part == b"Quartzdrift");
         let status = response.status;
-        self.recorder.see(Seen::Answered {
+        self.recorder.record(Observation::ResponseReceived {
             call: call.number,
             status,
             killed,
@@ -279,7 +279,7 @@
                 let Some(client_call) = self.open.remove(&call) else {
                     return;
                 };
-                self.recorder.see(Seen::Cut {
+                self.recorder.record(Observation::ConnectionLost {
                     call: client_call.number,
                 });
                 self.count(|counts| counts.no_answer += 1);
@@ -306,7 +306,7 @@
         let arrivals = self
             .arrivals
             .get(self.next_arrival)
-            .map(|arrival| self.start + traffic::at(arrival))
+            .map(|arrival| self.start + traffic::arrival_time(arrival))
             .into_iter();
         let retries = self.retries.iter().map(|(at, _)| *at);
         let deadlines = self.open.values().map(|call| call.deadline);
@@ -317,7 +317,7 @@
         while let Some(arrival) = self
             .arrivals
             .get(self.next_arrival)
-            .filter(|arrival| self.start + traffic::at(arrival) <= now)
+            .filter(|arrival| self.start + traffic::arrival_time(arrival) <= now)
         {
             let arrival = arrival.clone();
             self.next_arrival += 1;
@@ -340,7 +340,8 @@
         for id in expired {
             if let Some(call) = self.open.remove(&id) {
                 self.http.cancel(id);
-                self.recorder.see(Seen::Left { call: call.number });
+                self.recorder
+                    .record(Observation::ClientDisconnected { call: call.number });
                 self.count(|counts| counts.no_answer += 1);
                 self.open_calls.fetch_sub(1, Ordering::Relaxed);
             }
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -1,7 +1,7 @@
 //! A fake service discovery. It serves the endpoint list as JSON over HTTP at `/workers/GATEWAY`, and pushes
 //! changes, after a configurable delay, as server-sent events to gateways that accept them.
 use crate::actor::Fake;
-use crate::record::{Recorder, Seen};
+use crate::record::{Observation, Recorder};
 use calloop::LoopHandle;
 use quartzdrift_discovery::{ConfiguredNames, DiscoveredEndpoint, event_stream, list};
 use quartzdrift_http::{Exchange, HasHttp, Headers, Http, HttpEvent, Limits, Response};
@@ -95,8 +95,12 @@
             let Some(recorder) = &self.recorder else { continue };
             let worker = endpoint.worker.clone();
             match (was_up, up) {
-                (Some(true) | None, false) => recorder.see(Seen::ToldAway { gateway, worker }),
-                (Some(false) | None, true) => recorder.see(Seen::ToldUp { gateway, worker }),
+                (Some(true) | None, false) => {
+                    recorder.record(Observation::EndpointDownSent { gateway, worker })
+                }
+                (Some(false) | None, true) => {
+                    recorder.record(Observation::EndpointUpSent { gateway, worker })
+                }
                 (Some(true), true) | (Some(false), false) => {}
             }
         }
--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -1,7 +1,7 @@
 //! The lab's command line.
 use quartzdrift_lab::{
-    actor, audit, bench_scenario, discovery, emulate, experiment, load, measure, naive, power_loss, scenario,
-    scenario_runner, store, traffic, worker,
+    actor, audit, bench_scenario, discovery, experiment, load, measure, naive, power_loss, scenario,
+    scenario_runner, simulation, store, traffic, worker,
 };
 
 use clap::{Parser, Subcommand};
@@ -134,7 +134,7 @@
     /// Measure what a gateway costs: calls a second, time added, memory
     Measure {
         /// All of them, where none is named
-        what: Vec<measure::What>,
+        what: Vec<measure::Measurement>,
         /// Requests over which memory must stay flat
         #[arg(long, alias = "jobs", default_value_t = 1_000_000.0)]
         requests: f64,
@@ -313,22 +313,26 @@
             seed,
         } => {
             let (asynchronous, out_most) = (event, out);
-            trace.as_deref().map(traffic::read).transpose().and_then(|trace| {
-                let plan = load::Plan {
-                    to,
-                    mix,
-                    rate,
-                    length,
-                    payload,
-                    asynchronous,
-                    out_most,
-                    timeout,
-                    even,
-                    trace,
-                    seed,
-                };
-                load::run(plan).map(|report| println!("{report}"))
-            })
+            trace
+                .as_deref()
+                .map(traffic::read_trace)
+                .transpose()
+                .and_then(|trace| {
+                    let plan = load::Plan {
+                        addresses: to,
+                        mix,
+                        requests_per_s: rate,
+                        duration: length,
+                        payload,
+                        asynchronous,
+                        max_in_flight: out_most,
+                        timeout,
+                        evenly_spaced: even,
+                        trace,
+                        seed,
+                    };
+                    load::run(plan).map(|report| println!("{report}"))
+                })
         }
         Command::Emulate {
             script,
@@ -340,18 +344,18 @@
             write_trace,
         } => {
             let forecasting = if forecasts {
-                emulate::Forecasting::On
+                simulation::Forecasting::On
             } else {
-                emulate::Forecasting::Off
+                simulation::Forecasting::Off
             };
-            let variant = emulate::Variant {
+            let variant = simulation::Variant {
                 forecasting,
-                members,
+                membership: members,
                 recovery,
-                pace: recovery,
+                admission_ramp: recovery,
                 ..Default::default()
             };
-            emulated(
+            simulate(
                 script.as_deref(),
                 seed,
                 &variant,
@@ -381,10 +385,10 @@
             };
         }
         Command::Experiment { file, out } => std::fs::read_to_string(&file).and_then(|text| {
-            let (experiment, scripts) = experiment::read(&text).map_err(std::io::Error::other)?;
-            let rows = experiment::play(&experiment, &scripts, true);
-            println!("{}", experiment::table(&experiment, &rows));
-            experiment::save(&experiment, &rows, &out)?;
+            let (experiment, scripts) = experiment::parse(&text).map_err(std::io::Error::other)?;
+            let rows = experiment::run(&experiment, &scripts, true);
+            println!("{}", experiment::markdown_table(&experiment, &rows));
+            experiment::write_results(&experiment, &rows, &out)?;
             println!("rows and plots: {}", out.display());
             Ok(())
         }),
@@ -413,10 +417,12 @@
             println!("store at {address}");
             let config = store::Config {
                 capacity: config.capacity,
-                limit: config.limit,
+                max_concurrent_fetches: config.limit,
                 ..store::Config::default()
             };
-            actor::run(Some(listener), None, |handle| store::Store::new(handle, config))
+            actor::run(Some(listener), None, |handle| {
+                store::FakeStore::new(handle, config)
+            })
         }),
         Command::Discovery { listen, workers } => bind(listen).and_then(|(listener, address)| {
             println!("roster at http://{address}/workers/0");
@@ -553,17 +559,17 @@
     code
 }
 
-fn emulated(
+fn simulate(
     script: Option<&std::path::Path>,
     seed: u64,
-    variant: &emulate::Variant,
+    variant: &simulation::Variant,
     trace: Option<&std::path::Path>,
     write: Option<&std::path::Path>,
 ) -> std::io::Result<()> {
     let script = day_of(script)?;
     let arrivals = match trace {
-        Some(path) => traffic::read(path)?,
-        None => traffic::arrivals(&script, seed),
+        Some(path) => traffic::read_trace(path)?,
+        None => traffic::generate_arrivals(&script, seed),
     };
     if let Some(arrival) = arrivals
         .iter()
@@ -575,10 +581,10 @@
         )));
     }
     if let Some(path) = write {
-        traffic::write(path, &arrivals)?;
+        traffic::write_trace(path, &arrivals)?;
     }
     let start = std::time::Instant::now();
-    let figures = emulate::run(&script, &arrivals, variant, seed);
+    let figures = simulation::run(&script, &arrivals, variant, seed);
     println!("{}", serde_json::to_string_pretty(&figures)?);
     eprintln!(
         "{:.1?} of simulated time in {:.1?}",
@@ -604,11 +610,16 @@
             some => some.join(", "),
         }
     );
-    let variant = emulate::Variant {
-        members: true,
+    let variant = simulation::Variant {
+        membership: true,
         ..Default::default()
     };
-    let modelled = emulate::run(&script, &traffic::arrivals(&script, seed), &variant, seed);
+    let modelled = simulation::run(
+        &script,
+        &traffic::generate_arrivals(&script, seed),
+        &variant,
+        seed,
+    );
     let percent = |part: u64, all: u64| 100.0 * part as f64 / all.max(1) as f64;
     println!(
         "{:<9} {:>7} {:>10} {:>13} {:>8} {:>10} {:>12}",
@@ -623,18 +634,18 @@
     let f = &modelled;
     line(
         "emulator",
-        f.calls,
-        [f.finished, f.rejected, f.killed, f.no_answer],
+        f.requests,
+        [f.succeeded, f.rejected, f.failed, f.unanswered],
         f.attempts,
     );
-    if f.fell_over > 0 {
+    if f.overload_crashes > 0 {
         println!(
             "BROKEN {} cold workers were pushed over in the emulator",
-            f.fell_over
+            f.overload_crashes
         );
     }
     if emulator {
-        return Ok(if f.fell_over == 0 {
+        return Ok(if f.overload_crashes == 0 {
             ExitCode::SUCCESS
         } else {
             ExitCode::FAILURE
@@ -646,7 +657,11 @@
     let of = [tally.finished, tally.rejected, tally.killed, tally.no_answer];
     line("sockets", tally.sent, of, played.attempts as u64);
     let code = judged(&played.violations);
-    Ok(if f.fell_over == 0 { code } else { ExitCode::FAILURE })
+    Ok(if f.overload_crashes == 0 {
+        code
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 /// The settings of the demo; its workers are put in.
--- a/crates/quartzdrift-lab/src/naive.rs
+++ b/crates/quartzdrift-lab/src/naive.rs
@@ -155,7 +155,7 @@
                 request: Ok(request),
             } => self.accept(exchange, request),
             HttpEvent::Response { call, response } if self.list_call == Some(call) => {
-                let list = list::read(&response.body, &self.settings.known).unwrap_or_default();
+                let list = list::read(&response.body, &self.settings.configured_names).unwrap_or_default();
                 self.workers = list
                     .workers
                     .iter()
--- a/crates/quartzdrift-lab/src/power_loss.rs
+++ b/crates/quartzdrift-lab/src/power_loss.rs
@@ -1,7 +1,7 @@
 //! Random scenarios of power loss, each drawn from a seed. The seed determines when each process starts
 //! again, and which further faults occur: damaged state, shifted clocks, partitions, lost datagrams, another
 //! power loss.
-use crate::record::Seen;
+use crate::record::Observation;
 use crate::scenario::{self, Fault, Scenario};
 use crate::scenario_runner::{self, GatewayProgram, ScenarioRun};
 use rand::rngs::StdRng;
@@ -147,12 +147,12 @@
     let traffic_start = run
         .lines
         .iter()
-        .find(|line| matches!(line.seen, Seen::Asked { .. }))?
+        .find(|line| matches!(line.seen, Observation::CallSent { .. }))?
         .at_us as f64
         / 1e6;
     for line in &run.lines {
         let at = line.at_us as f64 / 1e6 - traffic_start;
-        if let Seen::Asked {
+        if let Observation::CallSent {
             call,
             key,
             request_class,
@@ -173,7 +173,7 @@
             });
             key_of_call.insert(*call, key);
         }
-        if let Seen::Answered {
+        if let Observation::ResponseReceived {
             call,
             status: 200,
             killed: false,
--- a/crates/quartzdrift-lab/src/scenario.rs
+++ b/crates/quartzdrift-lab/src/scenario.rs
@@ -47,7 +47,7 @@
 //! at 4s spoil gateway 1 older           damages the state folder of a gateway that is down; also cut, flip,
 //!                                       other, empty, unreadable, full
 //! ```
-use crate::relay::Link;
+use crate::relay::LinkState;
 use quartzdrift_scheduler::interface::Idempotency;
 use std::time::Duration;
 
@@ -180,7 +180,7 @@
     /// Copies the gateway's state folder, for [`StateDamage::Older`].
     CopyState(usize),
     /// Sets the state of the link from a gateway to a worker.
-    Link(usize, usize, Link),
+    Link(usize, usize, LinkState),
     /// Whether discovery sends nothing more to a gateway, without closing its stream.
     DiscoveryStall(usize, bool),
     /// Damages the state folder of a gateway that is not running.
@@ -536,10 +536,10 @@
             },
             ("link", "gateway") if words.word(5)? == "worker" => {
                 let link = match words.word(7)? {
-                    "well" => Link::Well,
-                    "stalled" => Link::Stalled,
-                    "deaf" => Link::Deaf,
-                    "cut" => Link::Cut,
+                    "well" => LinkState::Well,
+                    "stalled" => LinkState::Stalled,
+                    "deaf" => LinkState::Deaf,
+                    "cut" => LinkState::Cut,
                     other => {
                         return Err(format!(
                             "unknown link state '{other}': expected well, stalled, deaf or cut"
--- a/crates/quartzdrift-lab/src/scenario_runner.rs
+++ b/crates/quartzdrift-lab/src/scenario_runner.rs
@@ -3,14 +3,14 @@
 use crate::audit::{self, Guarantees, Violation};
 use crate::clients::{self, CallCounts, Clients};
 use crate::discovery::{self, FakeDiscovery};
-use crate::model::{Machine, Spec};
-use crate::record::{Line, Recorder, Seen};
+use crate::record::{Observation, RecordLine, Recorder};
 use crate::relay::Relay;
 use crate::scenario::{Fault, Scenario, StateDamage};
-use crate::store::{self, Store};
-use crate::switch::{Links, Switch, kept_port};
+use crate::store::{self, FakeStore};
+use crate::switch::{LinkFaults, Switch, non_ephemeral_address};
 use crate::traffic;
 use crate::worker::{self, FakeWorker, Faults};
+use crate::worker_model::{FunctionSpec, WorkerSpec};
 use quartzdrift_discovery::DiscoveredEndpoint;
 use quartzdrift_recovery::RecoveryView;
 use quartzdrift_scheduler::interface::{EndpointState, Idempotency};
@@ -35,7 +35,7 @@
 
 /// The record of a scenario run, its violations and totals.
 pub struct ScenarioRun {
-    pub lines: Vec<Line>,
+    pub lines: Vec<RecordLine>,
     pub guarantees: Guarantees,
     pub violations: Vec<Violation>,
     pub call_counts: CallCounts,
@@ -114,7 +114,7 @@
     /// Links from gateways to workers, present if the scenario has faults of links.
     relays: BTreeMap<(usize, usize), Relay>,
     /// Idempotency keys that the workers remember.
-    marks: worker::Marks,
+    idempotency_keys: worker::SharedIdempotencyKeys,
     /// Number of power losses so far, from which boot ids are made.
     power_losses: u32,
 }
@@ -134,15 +134,19 @@
 
 /// Settings that make a gateway a member of the scenario's cluster.
 fn membership_settings(gateway: usize, period: Duration, switch: &Switch, key_file: &Path) -> String {
-    let seeds: Vec<String> = switch.outside.iter().map(|at| format!("\"{at}\"")).collect();
+    let seeds: Vec<String> = switch
+        .advertise_addresses
+        .iter()
+        .map(|at| format!("\"{at}\""))
+        .collect();
     format!(
         "[fleet]\nname = \"gateway-{gateway}\"\ncluster = \"day-{}\"\nlisten = \"{}\"\n\
          advertise = \"{}\"\nseeds = [{}]\n\
          keys = [\"{}\"]\nperiod = \"{}ms\"\n[recovery]\nask = \"1s\"\nlongest = \"60s\"\n",
         // A cluster name of its own keeps gateways that are left over from an aborted run apart.
-        switch.outside[0].port(),
-        switch.inside[gateway],
-        switch.outside[gateway],
+        switch.advertise_addresses[0].port(),
+        switch.listen_addresses[gateway],
+        switch.advertise_addresses[gateway],
         seeds.join(", "),
         key_file.display(),
         period.as_millis(),
@@ -243,17 +247,17 @@
 }
 
 /// The model of the scenario's workers.
-pub fn worker_machine(scenario: &Scenario) -> Machine {
-    Machine {
+pub fn worker_machine(scenario: &Scenario) -> WorkerSpec {
+    WorkerSpec {
         cores: scenario.cores,
         memory_mb: scenario.memory_mb,
-        queue_most: scenario.max_waiting_calls,
-        keep: scenario.keep_loaded,
-        cold_from: scenario.cold_from,
-        cold_for: scenario.cold_for,
-        fall_multiple: scenario.fall_multiple,
-        fall_window: scenario.fall_window,
-        ..Machine::default()
+        max_queue_length: scenario.max_waiting_calls,
+        keep_alive: scenario.keep_loaded,
+        slow_start_min_capacity: scenario.cold_from,
+        slow_start_duration: scenario.cold_for,
+        overload_multiple: scenario.fall_multiple,
+        overload_window: scenario.fall_window,
+        ..WorkerSpec::default()
     }
 }
 
@@ -261,18 +265,18 @@
 pub fn store_config(scenario: &Scenario) -> store::Config {
     store::Config {
         capacity: scenario.store_capacity,
-        limit: scenario.store_limit,
-        stops_at: scenario.store_stops_at,
-        stops_for: Duration::from_secs(2),
+        max_concurrent_fetches: scenario.store_limit,
+        outage_threshold: scenario.store_stops_at,
+        outage_duration: Duration::from_secs(2),
     }
 }
 
 /// What the workers know of each function, by its name.
-pub fn function_specs(scenario: &Scenario) -> BTreeMap<String, Spec> {
+pub fn function_specs(scenario: &Scenario) -> BTreeMap<String, FunctionSpec> {
     let mut specs = BTreeMap::new();
     for request_class in &scenario.request_classes {
         for n in 0..request_class.function_count {
-            let (memory_mb, slots, load, work) = (
+            let (memory_mb, slots, load_time, default_work) = (
                 request_class.memory_mb,
                 request_class.slots,
                 request_class.load_time,
@@ -280,20 +284,20 @@
             );
             specs.insert(
                 format!("{}-{n}", request_class.name),
-                Spec {
+                FunctionSpec {
                     memory_mb,
                     slots,
-                    load,
-                    fetch: 0.6,
-                    work,
+                    load_time,
+                    fetch_share: 0.6,
+                    default_work,
                 },
             );
         }
     }
-    let failure_destination = Spec {
+    let failure_destination = FunctionSpec {
         memory_mb: 1.0,
-        load: Duration::from_millis(1),
-        ..Spec::default()
+        load_time: Duration::from_millis(1),
+        ..FunctionSpec::default()
     };
     specs.insert("dead".to_owned(), failure_destination);
     specs
@@ -369,13 +373,14 @@
             }
             return Err(io::Error::other(format!("gateway {n} did not start: {e}")));
         }
-        self.recorder.see(Seen::GatewayUp { gateway: n as u64 });
+        self.recorder
+            .record(Observation::GatewayStarted { gateway: n as u64 });
         Ok(())
     }
 
     fn set_faults(&mut self, n: usize, change: impl FnOnce(&mut Faults)) {
         change(&mut self.faults[n]);
-        self.workers[n].send(worker::Command::Faults(self.faults[n].clone()));
+        self.workers[n].send(worker::Command::SetFaults(self.faults[n].clone()));
     }
 
     /// Sends the state of worker `n` to discovery.
@@ -406,20 +411,21 @@
             Fault::Silent(n) => self.set_faults(n, |faults| faults.silent = true),
             Fault::Hang(n) => self.set_faults(n, |faults| faults.hang = true),
             Fault::Well(n) => self.set_faults(n, |faults| *faults = Faults::default()),
-            Fault::Errors(n, share) => self.set_faults(n, |faults| faults.errors = share),
-            Fault::Lose(n, share) => self.set_faults(n, |faults| faults.lost = share),
-            Fault::Slow(n, by) => self.set_faults(n, |faults| faults.slow = by),
-            Fault::Late(n, by) => self.set_faults(n, |faults| faults.late_reports = by),
+            Fault::Errors(n, share) => self.set_faults(n, |faults| faults.error_share = share),
+            Fault::Lose(n, share) => self.set_faults(n, |faults| faults.lost_response_share = share),
+            Fault::Slow(n, by) => self.set_faults(n, |faults| faults.response_delay = by),
+            Fault::Late(n, by) => self.set_faults(n, |faults| faults.report_delay = by),
             Fault::DiscoveryLag(lag) => self.discovery.send(discovery::Command::SetLag(lag)),
             Fault::DiscoveryStop(on) => self.discovery.send(discovery::Command::SetStopped(on)),
             Fault::DiscoveryEmpty(on) => self.discovery.send(discovery::Command::SetEmpty(on)),
-            Fault::StoreSlow(times) => self.store.send(store::Command::Slow(times)),
-            Fault::StoreRefuse(on) => self.store.send(store::Command::Refuse(on)),
+            Fault::StoreSlow(times) => self.store.send(store::Command::SetSlowdown(times)),
+            Fault::StoreRefuse(on) => self.store.send(store::Command::SetRejecting(on)),
             Fault::KillGateway(n) => {
                 if let Some(mut child) = self.gateways[n].child.take() {
                     // Recorded before the kill: responses that arrive after this line were sent before the
                     // kill.
-                    self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
+                    self.recorder
+                        .record(Observation::GatewayKilled { gateway: n as u64 });
                     child.kill()?;
                     child.wait()?;
                 }
@@ -439,14 +445,19 @@
                     });
                 }
             }
-            Fault::Apart { first, last, one_way } => self.switch()?.apart(first, last, one_way),
-            Fault::Together => self.switch()?.change(|links| *links = Links::default()),
-            Fault::LoseDatagrams(share) => self.switch()?.change(|links| links.lost = share),
-            Fault::DoubleDatagrams(share) => self.switch()?.change(|links| links.doubled = share),
-            Fault::LateDatagrams(late) => self.switch()?.change(|links| links.late = late),
+            Fault::Apart { first, last, one_way } => self.switch()?.partition(first, last, one_way),
+            Fault::Together => self
+                .switch()?
+                .update_faults(|links| *links = LinkFaults::default()),
+            Fault::LoseDatagrams(share) => self.switch()?.update_faults(|links| links.loss_rate = share),
+            Fault::DoubleDatagrams(share) => self
+                .switch()?
+                .update_faults(|links| links.duplication_rate = share),
+            Fault::LateDatagrams(late) => self.switch()?.update_faults(|links| links.max_delay = late),
             Fault::StopGateways(first, last) => {
                 for n in first..=last {
-                    self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
+                    self.recorder
+                        .record(Observation::GatewayKilled { gateway: n as u64 });
                 }
                 self.stop_gateways(first..=last)?;
             }
@@ -463,7 +474,7 @@
             }
             Fault::Link(gateway, worker, link) => {
                 if let Some(relay) = self.relays.get(&(gateway, worker)) {
-                    relay.set(link);
+                    relay.set_state(link);
                 }
             }
             Fault::DiscoveryStall(n, on) => self.discovery.send(discovery::Command::SetStalled(n as u64, on)),
@@ -490,7 +501,8 @@
         self.power_losses += 1;
         for n in first..=last {
             if let Some(child) = &mut self.gateways[n].child {
-                self.recorder.see(Seen::GatewayKilled { gateway: n as u64 });
+                self.recorder
+                    .record(Observation::GatewayKilled { gateway: n as u64 });
                 child.kill()?;
             }
         }
@@ -499,8 +511,11 @@
                 .iter()
                 .for_each(|worker| worker.send(worker::Command::Crash));
             self.discovery.send(discovery::Command::SetStopped(true));
-            self.marks.lock().unwrap_or_else(PoisonError::into_inner).clear();
-            self.recorder.see(Seen::WorkersLost);
+            self.idempotency_keys
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .clear();
+            self.recorder.record(Observation::WorkersLostPower);
         }
         let elapsed = start.elapsed();
         for n in first..=last {
@@ -535,7 +550,8 @@
             }
             StateDamage::Older | StateDamage::Other => {
                 if damage == StateDamage::Older {
-                    self.recorder.see(Seen::DiskLost { gateway: n as u64 });
+                    self.recorder
+                        .record(Observation::GatewayDiskLost { gateway: n as u64 });
                 }
                 let source = match damage {
                     StateDamage::Older => state.with_extension("copy"),
@@ -556,7 +572,8 @@
                 }
             }
             StateDamage::Empty => {
-                self.recorder.see(Seen::DiskLost { gateway: n as u64 });
+                self.recorder
+                    .record(Observation::GatewayDiskLost { gateway: n as u64 });
                 std::fs::remove_dir_all(&state)?;
             }
             StateDamage::Unreadable => {
@@ -638,9 +655,9 @@
     let folder = tempfile::tempdir()?;
     let recorder = Recorder::default();
     let store_config = store_config(scenario);
-    let store = actor::spawn(any_port(), move |handle, _| Store::new(handle, store_config))?;
-    let marks: worker::Marks = Arc::default();
-    let window = scenario
+    let store = actor::spawn(any_port(), move |handle, _| FakeStore::new(handle, store_config))?;
+    let idempotency_keys: worker::SharedIdempotencyKeys = Arc::default();
+    let deduplication_window = scenario
         .request_classes
         .iter()
         .map(|class| class.deduplication_window)
@@ -652,8 +669,8 @@
             machine: worker_machine(scenario),
             specs: function_specs(scenario),
             store: Some(store.address),
-            marks: Some(marks.clone()),
-            window,
+            idempotency_keys: Some(idempotency_keys.clone()),
+            deduplication_window,
             recorder: Some(recorder.clone()),
             seed: seed ^ n as u64,
             ..worker::Config::default()
@@ -700,7 +717,7 @@
     let mut gateways = Vec::new();
     let mut addresses = Vec::new();
     for n in 0..scenario.gateways {
-        let listen = kept_port()?;
+        let listen = non_ephemeral_address()?;
         let state_folder = folder.path().join(format!("gateway-{n}"));
         let settings_file = folder.path().join(format!("gateway-{n}.toml"));
         let mut text = gateway_settings(scenario, n, listen, discovery.address, &state_folder);
@@ -731,7 +748,7 @@
         gateways,
         switch,
         relays,
-        marks,
+        idempotency_keys,
         power_losses: 0,
     };
     for n in 0..runner.scenario.gateways {
@@ -743,7 +760,7 @@
     );
     let client_recorder = recorder.clone();
     let (shared_open_calls, shared_call_counts) = (open_calls.clone(), call_counts.clone());
-    let arrivals = traffic::arrivals(scenario, seed);
+    let arrivals = traffic::generate_arrivals(scenario, seed);
     let (max_retries, retry_wait_factor) = (scenario.max_retries, scenario.retry_wait_factor);
     let plan = clients::Plan {
         request_classes: scenario.request_classes.clone(),
@@ -798,11 +815,11 @@
     stopped?;
     let lines = recorder.lines();
     let violations = audit::audit(&lines, &guarantees);
-    let count = |matches: fn(&Seen) -> bool| lines.iter().filter(|line| matches(&line.seen)).count();
-    let attempts = count(|seen| matches!(seen, Seen::Came { .. }));
-    let waited_for_load = count(|seen| matches!(seen, Seen::Began { warm: false, .. }));
-    let fetches = count(|seen| matches!(seen, Seen::Fetch { .. }));
-    let refused_fetches = count(|seen| matches!(seen, Seen::FetchRefused { .. }));
+    let count = |matches: fn(&Observation) -> bool| lines.iter().filter(|line| matches(&line.seen)).count();
+    let attempts = count(|seen| matches!(seen, Observation::AttemptReceived { .. }));
+    let waited_for_load = count(|seen| matches!(seen, Observation::AttemptExecuted { warm: false, .. }));
+    let fetches = count(|seen| matches!(seen, Observation::FetchRequested { .. }));
+    let refused_fetches = count(|seen| matches!(seen, Observation::FetchRefused { .. }));
     let call_counts = call_counts.lock().unwrap_or_else(PoisonError::into_inner).clone();
     Ok(ScenarioRun {
         lines,
@@ -828,12 +845,12 @@
 }
 
 /// Reads a file that [`save_record`] wrote.
-pub fn load_record(path: &Path) -> io::Result<(Guarantees, Vec<Line>)> {
+pub fn load_record(path: &Path) -> io::Result<(Guarantees, Vec<RecordLine>)> {
     let text = std::fs::read_to_string(path)?;
     let mut lines = text.lines();
     let guarantees = serde_json::from_str(lines.next().unwrap_or(""))?;
     let lines = lines
         .map(serde_json::from_str)
-        .collect::<Result<Vec<Line>, _>>()?;
+        .collect::<Result<Vec<RecordLine>, _>>()?;
     Ok((guarantees, lines))
 }
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -1,20 +1,20 @@
 //! A gateway process and fake workers on loopback: the hard cases, seen from the sockets.
 use quartzdrift::gateway::fleet::View;
-use quartzdrift::invoke::{Invoke, invoke};
+use quartzdrift::invoke::{InvokeRequest, invoke};
 use quartzdrift::snapshots;
 use quartzdrift_discovery::DiscoveredEndpoint;
 use quartzdrift_http::Response;
 use quartzdrift_lab::actor::{RunningFake, spawn};
 use quartzdrift_lab::audit::{Rule, audit};
+use quartzdrift_lab::cluster_harness::with_failing_system_calls;
 use quartzdrift_lab::discovery::{self, FakeDiscovery};
 use quartzdrift_lab::load;
-use quartzdrift_lab::model::Machine;
-use quartzdrift_lab::record::{Recorder, Seen};
+use quartzdrift_lab::record::{Observation, Recorder};
 use quartzdrift_lab::scenario;
 use quartzdrift_lab::scenario_runner::{self, GatewayProgram, read_listen_address};
-use quartzdrift_lab::stage::failing;
 use quartzdrift_lab::traffic::Arrival;
 use quartzdrift_lab::worker::{Command, Config, FakeWorker, Faults};
+use quartzdrift_lab::worker_model::WorkerSpec;
 use quartzdrift_membership::MemberState;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -49,7 +49,7 @@
 
     /// One some of whose system calls fail, as strace(1) takes it after `inject=`.
     fn start_failing(file: &Path, failure: &str) -> Gateway {
-        let mut command = failing(LAB, &[failure]);
+        let mut command = with_failing_system_calls(LAB, &[failure]);
         command.arg("gateway").arg(file);
         Gateway::of(command)
     }
@@ -86,8 +86,8 @@
     fn call(&self, function: &str, payload: &str, asynchronous: bool) -> Response {
         let (to, function, payload) = (self.at, function.to_owned(), payload.as_bytes().to_vec());
         let timeout = Duration::from_secs(15);
-        invoke(&Invoke {
-            to,
+        invoke(&InvokeRequest {
+            gateway: to,
             function,
             payload,
             asynchronous,
@@ -154,9 +154,9 @@
         let recorder = Recorder::default();
         let folder = tempfile::tempdir().unwrap();
         let workers = (0..workers).map(|_| {
-            let machine = Machine {
+            let machine = WorkerSpec {
                 cores: 4.0,
-                ..Machine::default()
+                ..WorkerSpec::default()
             };
             let config = Config {
                 machine,
@@ -199,7 +199,7 @@
     }
 
     fn faults(&self, worker: usize, faults: Faults) {
-        self.workers[worker].send(Command::Faults(faults));
+        self.workers[worker].send(Command::SetFaults(faults));
     }
 
     fn all(&self, faults: &Faults) {
@@ -218,10 +218,10 @@
     }
 
     /// Waits until the record shows what is asked for.
-    fn wait<T>(&self, what: &str, find: impl Fn(&[Seen]) -> Option<T>) -> T {
+    fn wait<T>(&self, what: &str, find: impl Fn(&[Observation]) -> Option<T>) -> T {
         let until = Instant::now() + Duration::from_secs(15);
         loop {
-            let seen: Vec<Seen> = self.recorder.lines().into_iter().map(|line| line.seen).collect();
+            let seen: Vec<Observation> = self.recorder.lines().into_iter().map(|line| line.seen).collect();
             if let Some(found) = find(&seen) {
                 return found;
             }
@@ -231,14 +231,16 @@
     }
 
     fn came(&self, key: &str) -> usize {
-        let of = |line: &quartzdrift_lab::record::Line| matches!(&line.seen, Seen::Came { key: of, .. } if of == key);
-        self.recorder.lines().iter().filter(|line| of(line)).count()
+        let has_key =
+            |seen: &Observation| matches!(seen, Observation::AttemptReceived { key: k, .. } if k == key);
+        let lines = self.recorder.lines();
+        lines.iter().filter(|line| has_key(&line.seen)).count()
     }
 }
 
-fn came(seen: &[Seen], wanted: &str) -> Option<String> {
-    seen.iter().find_map(|seen| match seen {
-        Seen::Came { key, worker, .. } if key == wanted => Some(worker.clone()),
+fn came(seen: &[Observation], wanted: &str) -> Option<String> {
+    seen.iter().find_map(|observation| match observation {
+        Observation::AttemptReceived { key, worker, .. } if key == wanted => Some(worker.clone()),
         _ => None,
     })
 }
@@ -369,7 +371,7 @@
     let stage = Stage::new(2);
     let gateway = stage.gateway();
     stage.all(&Faults {
-        slow: 200 * MS,
+        response_delay: 200 * MS,
         ..Faults::default()
     });
     let body = r#"{"key": "left"}"#;
@@ -381,7 +383,7 @@
     stage.wait("the job", |seen| came(seen, "left"));
     drop(client);
     stage.wait("its end", |seen| {
-        let over = |seen: &&Seen| matches!(seen, Seen::Over { .. });
+        let over = |seen: &&Observation| matches!(seen, Observation::AttemptEnded { .. });
         seen.iter().find(over).map(drop)
     });
     assert_eq!(gateway.invoke("pay", r#"{"key": "next"}"#).status, 200);
@@ -474,7 +476,7 @@
     stage.faults(
         0,
         Faults {
-            lost: 1.0,
+            lost_response_share: 1.0,
             ..Faults::default()
         },
     );
@@ -482,7 +484,7 @@
     stage.wait("the end of the doubtful job", |seen| {
         let over = seen
             .iter()
-            .filter(|seen| matches!(seen, Seen::Over { .. }))
+            .filter(|seen| matches!(seen, Observation::AttemptEnded { .. }))
             .count();
         came(seen, "doubt").filter(|_| over >= 2)
     });
@@ -511,7 +513,8 @@
     let timer = "[[timers]]\nname = \"tick\"\nfunction = \"echo\"\ncron = \"* * * * * *\"\npayload = '{\"key\": \"tick\"}'\n";
     let _gateway = stage.gateway_with("", timer);
     stage.wait("two firings", |seen| {
-        let fired = |seen: &&Seen| matches!(seen, Seen::Came { key, .. } if key == "tick");
+        let fired =
+            |seen: &&Observation| matches!(seen, Observation::AttemptReceived { key, .. } if key == "tick");
         (seen.iter().filter(fired).count() >= 2).then_some(())
     });
 }
@@ -528,29 +531,29 @@
         gateway: 0.0,
     };
     let plan = load::Plan {
-        to: vec![gateway.at],
+        addresses: vec![gateway.at],
         mix: Vec::new(),
-        rate: 0.0,
-        length: Duration::ZERO,
+        requests_per_s: 0.0,
+        duration: Duration::ZERO,
         payload: "{}".to_owned(),
         asynchronous: false,
-        out_most: 100,
+        max_in_flight: 100,
         timeout: Duration::from_secs(15),
-        even: false,
+        evenly_spaced: false,
         trace: Some((0..40).map(arrival).collect()),
         seed: 1,
     };
     let report = load::run(plan).unwrap();
     assert_eq!((report.count(), report.not_sent), (40, 0));
-    assert_eq!(report.times["finished"].len(), 40);
+    assert_eq!(report.latencies_us["finished"].len(), 40);
 }
 
 #[test]
 fn a_function_used_at_regular_times_is_loaded_ahead() {
     let recorder = Recorder::default();
-    let machine = Machine {
-        keep: 400 * MS,
-        ..Machine::default()
+    let machine = WorkerSpec {
+        keep_alive: 400 * MS,
+        ..WorkerSpec::default()
     };
     let config = Config {
         machine,
@@ -584,7 +587,7 @@
     );
     std::fs::write(&file, text).unwrap();
     let mut gateway = Gateway::start(&file);
-    let ordered = |seen: &Seen| matches!(seen, Seen::Ordered { .. });
+    let ordered = |seen: &Observation| matches!(seen, Observation::LoadCommandReceived { .. });
     let start = Instant::now();
     let mut calls = 0;
     while !stage.recorder.lines().iter().any(|line| ordered(&line.seen)) {
@@ -601,7 +604,7 @@
         .unwrap();
     let again = quartzdrift_forecast::Forecasts::restore(Default::default(), &bytes, now).unwrap();
     assert_eq!(again.len(), 1);
-    let traced = quartzdrift_lab::traffic::read(&trace).unwrap();
+    let traced = quartzdrift_lab::traffic::read_trace(&trace).unwrap();
     assert!(traced.len() == calls as usize && traced.iter().all(|arrival| arrival.function == "echo"));
 }
 
@@ -611,7 +614,7 @@
     let mut gateway = stage.gateway_with("drain = \"5s\"", "");
     gateway.invoke("echo", "{}");
     stage.all(&Faults {
-        slow: 400 * MS,
+        response_delay: 400 * MS,
         ..Faults::default()
     });
     let body = r#"{"key": "held"}"#;
@@ -661,7 +664,9 @@
         draining,
     )));
     stage.wait("the drain", |seen| {
-        seen.iter().find(|s| matches!(s, Seen::ToldAway { .. })).map(drop)
+        seen.iter()
+            .find(|s| matches!(s, Observation::EndpointDownSent { .. }))
+            .map(drop)
     });
     // The news is on the gateway's socket; give it the grace that the rule gives.
     std::thread::sleep(Duration::from_millis(250));
@@ -670,7 +675,7 @@
     }
     let lines = stage.recorder.lines();
     let after = lines.iter().filter_map(|line| match &line.seen {
-        Seen::Came { key, worker, .. } if key.starts_with("after-") => Some(worker.clone()),
+        Observation::AttemptReceived { key, worker, .. } if key.starts_with("after-") => Some(worker.clone()),
         _ => None,
     });
     assert!(after.clone().count() >= 30 && after.into_iter().all(|worker| worker == workers[1]));
@@ -894,8 +899,8 @@
             while !stop.load(std::sync::atomic::Ordering::Relaxed) {
                 let timeout = Duration::from_secs(15);
                 let payload = b"{\"work_ms\":2}".to_vec();
-                let call = Invoke {
-                    to: at,
+                let call = InvokeRequest {
+                    gateway: at,
                     function: "echo".to_owned(),
                     payload,
                     asynchronous: false,
@@ -1013,7 +1018,7 @@
     let store = stage.folder.path().join("deferred");
     let more = format!("[deferred]\nstore = \"{}\"\n", store.display());
     stage.all(&Faults {
-        errors: 1.0,
+        error_share: 1.0,
         ..Faults::default()
     });
     let mut gateway = stage.gateway_with("drain = \"200ms\"", &more);
@@ -1083,8 +1088,8 @@
     let payload = format!("{{\"key\":\"{mark}\"}}").into_bytes();
     let (function, idempotency_key) = ("stamp".to_owned(), Some(mark.to_owned()));
     let timeout = Duration::from_secs(15);
-    invoke(&Invoke {
-        to: gateway.at,
+    invoke(&InvokeRequest {
+        gateway: gateway.at,
         function,
         payload,
         asynchronous: false,
@@ -1168,7 +1173,7 @@
     };
     // Nothing is taken by the only worker: the request waits, and is copied as it waits.
     stage.all(&Faults {
-        errors: 1.0,
+        error_share: 1.0,
         ..Faults::default()
     });
     stage.workers[0].send(Command::Crash);
@@ -1310,6 +1315,9 @@
         gateway.invoke("echo", &format!("{{\"key\": \"after-{n}\"}}"));
     }
     let lines = stage.recorder.lines();
-    let after = |seen: &Seen| matches!(seen, Seen::Came { key, worker, .. } if key.starts_with("after-") && *worker != workers[0]);
+    let after = |seen: &Observation| {
+        matches!(seen, Observation::AttemptReceived { key, worker, .. }
+            if key.starts_with("after-") && *worker != workers[0])
+    };
     assert!(!lines.iter().any(|line| after(&line.seen)));
 }
--- a/crates/quartzdrift-lab/tests/recovery.rs
+++ b/crates/quartzdrift-lab/tests/recovery.rs
@@ -1,7 +1,7 @@
 //! Fleets of gateway processes that lose power, parts or pieces of their state, with faults between them. The auditor judges
 //! each day by what passed on the sockets; what each gateway took its start for is read from its own state.
 use quartzdrift_lab::power_loss;
-use quartzdrift_lab::record::Seen;
+use quartzdrift_lab::record::Observation;
 use quartzdrift_lab::scenario;
 use quartzdrift_lab::scenario_runner::{GatewayProgram, ScenarioRun, run};
 use quartzdrift_recovery::{DiskState, RecoveryPhase, RestartKind};
@@ -40,10 +40,10 @@
 /// Calls that finished after the moment, in seconds.
 fn finished_after(day: &ScenarioRun, from: f64) -> usize {
     let late = |at_us: u64| at_us as f64 / 1e6 >= from;
-    let of = |seen: &Seen| {
+    let of = |seen: &Observation| {
         matches!(
             seen,
-            Seen::Answered {
+            Observation::ResponseReceived {
                 status: 200,
                 killed: false,
                 ..
@@ -235,9 +235,12 @@
 /// Fetches after the moment in seconds, and how many of them the store turned away.
 fn fetches_after(day: &ScenarioRun, from: f64) -> (usize, usize) {
     let late = day.lines.iter().filter(|line| line.at_us as f64 / 1e6 >= from);
-    let count = |of: fn(&Seen) -> bool| late.clone().filter(|line| of(&line.seen)).count();
-    let refused = count(|seen| matches!(seen, Seen::FetchRefused { .. }));
-    (count(|seen| matches!(seen, Seen::Fetch { .. })), refused)
+    let count = |of: fn(&Observation) -> bool| late.clone().filter(|line| of(&line.seen)).count();
+    let refused = count(|seen| matches!(seen, Observation::FetchRefused { .. }));
+    (
+        count(|seen| matches!(seen, Observation::FetchRequested { .. })),
+        refused,
+    )
 }
 
 #[test]
--- a/crates/quartzdrift/src/gateway/workers.rs
+++ b/crates/quartzdrift/src/gateway/workers.rs
@@ -37,7 +37,7 @@
         };
         let headers = attempt_headers(attempt, &context);
         let payload = context.payload.clone();
-        let mut outgoing = self.worker_request("POST", request::target(&function), headers, payload);
+        let mut outgoing = self.worker_request("POST", request::invoke_target(&function), headers, payload);
         if let Some(send_by) = send_by {
             // A connection that comes up later would carry the attempt too late.
             outgoing.connect_timeout = outgoing.connect_timeout.min(send_by - now);
@@ -71,7 +71,7 @@
 
     pub(super) fn load(&mut self, command: u64, worker: &str, function: &str, copies: u32) {
         let headers = Headers::new().with("content-type", "application/json");
-        let body = models::write_replicas(copies).into();
+        let body = models::encode_replicas(copies).into();
         self.load_sent(command, function);
         let outgoing = self.worker_request("POST", models::load_target(function), headers, body);
         self.send_command(worker, outgoing, command, CallPurpose::Load { command });
