--- a/crates/quartzdrift-lab/src/scenario_runner.rs
+++ b/crates/quartzdrift-lab/src/scenario_runner.rs
@@ -247,7 +247,7 @@
 }
 
 /// The model of the scenario's workers.
-pub fn worker_machine(scenario: &Scenario) -> WorkerSpec {
+pub fn worker_spec(scenario: &Scenario) -> WorkerSpec {
     WorkerSpec {
         cores: scenario.cores,
         memory_mb: scenario.memory_mb,
@@ -666,7 +666,7 @@
     let mut workers = Vec::new();
     for n in 0..scenario.workers {
         let config = worker::Config {
-            machine: worker_machine(scenario),
+            machine: worker_spec(scenario),
             specs: function_specs(scenario),
             store: Some(store.address),
             idempotency_keys: Some(idempotency_keys.clone()),
--- a/crates/quartzdrift-lab/src/simulation/mod.rs
+++ b/crates/quartzdrift-lab/src/simulation/mod.rs
@@ -433,7 +433,7 @@
 
 /// Runs a scenario with the given arrivals. The seed determines every random draw except the traffic's.
 pub fn run(scenario: &Scenario, arrivals: &[Arrival], variant: &Variant, seed: u64) -> Figures {
-    let worker_spec = scenario_runner::worker_machine(scenario);
+    let worker_spec = scenario_runner::worker_spec(scenario);
     let worker_names: Vec<String> = (0..scenario.workers)
         .map(|n| format!("10.0.{}.{}:80", n / 250, n % 250))
         .collect();
