--- a/crates/quartzdrift-lab/src/bench_scenario.rs
+++ b/crates/quartzdrift-lab/src/bench_scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios of the decision module's bench, scaled down so that they run on sockets and in the emulator.
+//! Scenarios of the decision module's bench, scaled down so that they run on sockets and in simulated time.
 //! Faults that have no counterpart here are reported, not played.
 //!
 //! Only the needed fields are read; the bench owns the format of the file.
--- a/crates/quartzdrift-lab/src/scenario.rs
+++ b/crates/quartzdrift-lab/src/scenario.rs
@@ -238,7 +238,7 @@
     pub length: Duration,
     /// Faults by their time since the start, in the order of time.
     pub faults: Vec<(Duration, Fault)>,
-    /// Whether gateway processes load functions ahead of need by forecasts. The emulator takes this from its
+    /// Whether gateway processes load functions ahead of need by forecasts. The simulation takes this from its
     /// variants instead.
     pub forecasts: bool,
     /// Gossip period of the gateways' membership; without it the gateways know nothing of each other.
--- a/crates/quartzdrift-lab/src/scenario_runner.rs
+++ b/crates/quartzdrift-lab/src/scenario_runner.rs
@@ -246,7 +246,7 @@
     text
 }
 
-/// The model of the scenario's workers.
+/// The capacity and behaviour of the scenario's workers.
 pub fn worker_spec(scenario: &Scenario) -> WorkerSpec {
     WorkerSpec {
         cores: scenario.cores,
