--- a/crates/quartzdrift-lab/src/scenario_runner.rs
+++ b/crates/quartzdrift-lab/src/scenario_runner.rs
@@ -114,7 +114,7 @@
     /// Links from gateways to workers, present if the scenario has faults of links.
     relays: BTreeMap<(usize, usize), Relay>,
     /// Idempotency keys that the workers remember.
-    marks: worker::SharedIdempotencyKeys,
+    idempotency_keys: worker::SharedIdempotencyKeys,
     /// Number of power losses so far, from which boot ids are made.
     power_losses: u32,
 }
@@ -246,8 +246,8 @@
     text
 }
 
-/// The model of the scenario's workers.
-pub fn worker_machine(scenario: &Scenario) -> WorkerSpec {
+/// The capacity and behaviour of the scenario's workers.
+pub fn worker_spec(scenario: &Scenario) -> WorkerSpec {
     WorkerSpec {
         cores: scenario.cores,
         memory_mb: scenario.memory_mb,
@@ -276,7 +276,7 @@
     let mut specs = BTreeMap::new();
     for request_class in &scenario.request_classes {
         for n in 0..request_class.function_count {
-            let (memory_mb, slots, load, work) = (
+            let (memory_mb, slots, load_time, default_work) = (
                 request_class.memory_mb,
                 request_class.slots,
                 request_class.load_time,
@@ -287,9 +287,9 @@
                 FunctionSpec {
                     memory_mb,
                     slots,
-                    load_time: load,
+                    load_time,
                     fetch_share: 0.6,
-                    default_work: work,
+                    default_work,
                 },
             );
         }
@@ -511,7 +511,10 @@
                 .iter()
                 .for_each(|worker| worker.send(worker::Command::Crash));
             self.discovery.send(discovery::Command::SetStopped(true));
-            self.marks.lock().unwrap_or_else(PoisonError::into_inner).clear();
+            self.idempotency_keys
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .clear();
             self.recorder.record(Observation::WorkersLostPower);
         }
         let elapsed = start.elapsed();
@@ -653,8 +656,8 @@
     let recorder = Recorder::default();
     let store_config = store_config(scenario);
     let store = actor::spawn(any_port(), move |handle, _| FakeStore::new(handle, store_config))?;
-    let marks: worker::SharedIdempotencyKeys = Arc::default();
-    let window = scenario
+    let idempotency_keys: worker::SharedIdempotencyKeys = Arc::default();
+    let deduplication_window = scenario
         .request_classes
         .iter()
         .map(|class| class.deduplication_window)
@@ -663,11 +666,11 @@
     let mut workers = Vec::new();
     for n in 0..scenario.workers {
         let config = worker::Config {
-            machine: worker_machine(scenario),
+            machine: worker_spec(scenario),
             specs: function_specs(scenario),
             store: Some(store.address),
-            idempotency_keys: Some(marks.clone()),
-            deduplication_window: window,
+            idempotency_keys: Some(idempotency_keys.clone()),
+            deduplication_window,
             recorder: Some(recorder.clone()),
             seed: seed ^ n as u64,
             ..worker::Config::default()
@@ -745,7 +748,7 @@
         gateways,
         switch,
         relays,
-        marks,
+        idempotency_keys,
         power_losses: 0,
     };
     for n in 0..runner.scenario.gateways {
