--- a/crates/quartzdrift-async-queue/src/invocation.rs
+++ b/crates/quartzdrift-async-queue/src/invocation.rs
@@ -43,8 +43,8 @@
     pub on_failure: Option<Destination>,
     /// Name of the schedule that triggered the invocation.
     pub schedule: Option<String>,
-    /// Number of function destinations in the chain that led to the invocation; 0 for one of a client or a
-    /// schedule.
+    /// Number of function destinations in the chain that led to the invocation; 0 if a client or a schedule
+    /// submitted it.
     pub hops: u32,
 }
 
--- a/crates/quartzdrift-fastcgi/tests/responder.rs
+++ b/crates/quartzdrift-fastcgi/tests/responder.rs
@@ -1,5 +1,5 @@
 //! Requests as specified, malformed input, and input that arrives in arbitrary pieces.
-#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use proptest::prelude::*;
 use quartzdrift_fastcgi::{
--- a/crates/quartzdrift-forecast/src/forecasts/retention.rs
+++ b/crates/quartzdrift-forecast/src/forecasts/retention.rs
@@ -1,16 +1,17 @@
-//! Eviction of function records. Beyond the bound the least recently used function is evicted first.
-//! Functions used once may fill free places, but displace functions used again only up to a share of all, so
-//! that a scan of functions that are used once does not evict those in regular use.
+//! Eviction of function records. Functions used once are evicted first while their number exceeds
+//! [`MAX_USED_ONCE_SHARE`] of the maximum number of records, and otherwise functions used more than once.
+//! Within each group the least recently used function is evicted first. A scan of functions that are used
+//! once therefore does not evict those in regular use.
 use super::{Forecasts, FunctionRecord};
 use std::collections::BTreeSet;
 
-/// Share of the records up to which functions used once displace functions used again.
+/// Share of the maximum number of records above which functions used once are evicted first.
 const MAX_USED_ONCE_SHARE: f64 = 0.25;
 
 /// The last use in microseconds since 1970, and the name of the function.
 type LastUseKey = (u64, String);
 
-/// Functions in the order of their last use, those used once apart from the others.
+/// Functions in the order of their last use. Those used once are in a separate set.
 #[derive(Debug, Default)]
 pub(super) struct UseOrder {
     used_once: BTreeSet<LastUseKey>,
--- a/crates/quartzdrift-http/src/body.rs
+++ b/crates/quartzdrift-http/src/body.rs
@@ -89,7 +89,7 @@
     }
 
     /// Parses input up to the end of the body. Returns the number of bytes consumed; the caller passes the
-    /// others again.
+    /// remaining bytes again.
     ///
     /// # Errors
     /// Returns [`BodyError`] if the body exceeds the limit or its chunk framing is invalid.
--- a/crates/quartzdrift-http/src/client.rs
+++ b/crates/quartzdrift-http/src/client.rs
@@ -73,8 +73,8 @@
 
     /// Whether an idle connection can carry a call.
     ///
-    /// A connection that the server has closed meanwhile still accepts writes. A request sent on it would be
-    /// lost, and the client could not prove that it was not executed. So the connection is read first.
+    /// Reads the connection first. A connection that the server has closed still accepts writes: a request
+    /// sent on it would be lost, and the client could not prove that the request was not executed.
     fn is_usable(&mut self, id: SocketId) -> bool {
         self.sockets.try_read(id);
         self.sockets
--- a/crates/quartzdrift-http/src/sockets.rs
+++ b/crates/quartzdrift-http/src/sockets.rs
@@ -148,9 +148,9 @@
 
     /// Accepts waiting connections with at most `MAX_ACCEPTS_PER_ITERATION` calls of accept(2).
     ///
-    /// `open_count` of at most `limit` connections are open. A connection beyond the limit is accepted only
-    /// if an idle socket can be closed for it, which is up to the caller; the others stay in the system's
-    /// accept queue. If the process has no file descriptors left, the deadline of the longest idle socket is
+    /// `open_count` is the number of open connections, and `limit` their maximum. Connections beyond the limit
+    /// are accepted only up to the number of idle sockets, which the caller closes in their place; the others
+    /// stay in the system's accept queue. If the process has no file descriptors left, the deadline of the longest idle socket is
     /// set to now.
     pub fn accept(
         &mut self,
--- a/crates/quartzdrift-http/tests/sockets.rs
+++ b/crates/quartzdrift-http/tests/sockets.rs
@@ -1,6 +1,6 @@
 //! Server and client connections on loopback sockets, including peers that send invalid data, stall or
 //! disconnect.
-#![allow(clippy::unwrap_used, reason = "tests panic on unexpected results")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use calloop::EventLoop;
 use quartzdrift_http::{
--- a/crates/quartzdrift-lab/tests/closes.rs
+++ b/crates/quartzdrift-lab/tests/closes.rs
@@ -565,7 +565,7 @@
                 rest.contains("lines of the log were lost") && rest.ends_with('\n'),
                 "{rest}"
             );
-            assert!(rest.contains("the old one stands"), "{rest}");
+            assert!(rest.contains("the current one stays in use"), "{rest}");
         }
     }
 }
--- a/crates/quartzdrift-lifecycle/src/attempt.rs
+++ b/crates/quartzdrift-lifecycle/src/attempt.rs
@@ -9,7 +9,7 @@
 /// End of an attempt, as observed on its connection, with the data that the worker's response carried.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// How the attempt ended, which tells whether it may have executed.
+    /// Outcome, which determines whether the attempt may have executed.
     pub outcome: Outcome,
     /// Cache status of the function on the worker, as stated in the response.
     pub cache_result: CacheResult,
@@ -97,7 +97,7 @@
         matches!(self.state, AttemptState::InFlight)
     }
 
-    /// Bounds the attempt by a timer of its own.
+    /// Sets the timer that ends the attempt as timed out.
     pub(crate) fn set_timer(&mut self, timer: TimerId) {
         self.state = AttemptState::Timed(timer);
     }
--- a/crates/quartzdrift-lifecycle/src/request_table/actions.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/actions.rs
@@ -35,9 +35,7 @@
                 self.outputs.push(Output::CloseIdleConnections { worker })
             }
             Action::SendToPeer { to, bytes } => self.outputs.push(Output::SendToPeer { to, bytes }),
-            Action::WatchEndpoints { enabled: on } => {
-                self.outputs.push(Output::WatchEndpoints { enabled: on })
-            }
+            Action::WatchEndpoints { enabled } => self.outputs.push(Output::WatchEndpoints { enabled }),
             Action::PollEndpoints => self.outputs.push(Output::PollEndpoints),
             Action::Notice(notice) => self.outputs.push(Output::Notice(notice)),
             Action::Log { text } => self.log_scheduler_text(text),
--- a/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
+++ b/crates/quartzdrift-lifecycle/tests/request_table/harness.rs
@@ -149,7 +149,7 @@
         request
     }
 
-    /// Moves the clock to `at` and fires every timer at its own time on the way.
+    /// Moves the clock to `at`. Fires each timer that is due by then, with the clock at its due time.
     pub(crate) fn advance_to(&mut self, at: Duration) {
         while let Some(deadline) = self
             .request_table
--- a/crates/quartzdrift-membership/src/member.rs
+++ b/crates/quartzdrift-membership/src/member.rs
@@ -29,7 +29,7 @@
 pub struct MemberUpdate {
     /// Name of the member that the update describes.
     pub name: String,
-    /// Address at which the other members reach it.
+    /// Address at which other members reach this member.
     pub address: SocketAddr,
     /// Identifies its process; drawn at random on each start.
     pub instance: u64,
@@ -48,7 +48,7 @@
 pub struct Member {
     /// Name, unique within the cluster.
     pub name: Rc<str>,
-    /// Address at which the other members reach it.
+    /// Address at which other members reach this member.
     pub address: SocketAddr,
     /// Identifies its process; drawn at random on each start.
     pub instance: u64,
--- a/crates/quartzdrift-membership/tests/fleet/main.rs
+++ b/crates/quartzdrift-membership/tests/fleet/main.rs
@@ -1,6 +1,6 @@
 //! Fleets on a simulated network: failure detection, partitions, pauses, name conflicts, key rotation,
 //! replayed datagrams and bandwidth.
-#![allow(clippy::unwrap_used, reason = "a test may panic on an unexpected value")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 mod network;
 
 use network::{InFlight, Network, address, settings};
@@ -262,8 +262,8 @@
     network.members[4] = None;
     network.run(60 * SECOND);
     assert_eq!(network.state(0, 4), Some(MemberState::Dead));
-    // All datagrams are replayed, the dead member's among them, and sent once more with a flipped bit to
-    // another member.
+    // Replays every recorded datagram, including those of the dead member, and sends a copy with one flipped
+    // bit to another member.
     let changes_before = network.changes.len();
     let counts_before = network.members[0].as_ref().unwrap().entry_counts();
     network.rejections.clear();
--- a/crates/quartzdrift-membership/tests/fleet/network.rs
+++ b/crates/quartzdrift-membership/tests/fleet/network.rs
@@ -155,7 +155,7 @@
         self.in_flight.insert(position, InFlight { from, to, bytes });
     }
 
-    /// Advances the clock by `duration`, with all datagrams and timers that fall due meanwhile.
+    /// Advances the clock by `duration`. Delivers the datagrams and fires the timers that are due by then.
     pub(crate) fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         loop {
--- a/crates/quartzdrift-platform/src/config.rs
+++ b/crates/quartzdrift-platform/src/config.rs
@@ -13,18 +13,18 @@
 /// Resource limits of the process; `None` where the configuration states none.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
-    /// Processor cores.
+    /// Number of processor cores.
     #[serde(default)]
     pub cores: Option<f64>,
     /// Memory, in megabytes.
     #[serde(default)]
     pub memory_mb: Option<f64>,
-    /// Open file descriptors.
+    /// Maximum number of open file descriptors.
     #[serde(default)]
     pub sockets: Option<usize>,
 }
 
-/// The configuration as the file holds it.
+/// Content of the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 struct ConfigFile {
     name: String,
--- a/crates/quartzdrift-platform/src/frame.rs
+++ b/crates/quartzdrift-platform/src/frame.rs
@@ -76,9 +76,9 @@
 /// cannot be used any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The first byte, given here, is not [`FROM_WORKER`].
+    /// The frame starts with this byte instead of [`FROM_WORKER`].
     Magic(u8),
-    /// The code, given here, is unknown.
+    /// The frame has this code, which the protocol does not define.
     Code(u8),
     /// The header states longer fields or a longer body than allowed; the value is the sum of both lengths,
     /// in bytes.
--- a/crates/quartzdrift-platform/src/request_fields.rs
+++ b/crates/quartzdrift-platform/src/request_fields.rs
@@ -11,7 +11,7 @@
 const MAX_CONCURRENCY_SLOTS: f64 = 1e5;
 /// Largest accepted hint for the time of a load or of the work, in milliseconds; no load takes longer.
 const MAX_HINT_MS: f64 = 3.6e6;
-/// By how much a client's timeout may exceed that of its request class, to allow for rounding on the way.
+/// Maximum excess of a client's timeout over the timeout of its request class, to allow for rounding.
 const TIMEOUT_ROUNDING: Duration = Duration::from_millis(5);
 /// Number of hexadecimal digits in a request id and in a function id.
 const ID_DIGITS: usize = 16;
--- a/crates/quartzdrift-recovery/src/admission_ramp.rs
+++ b/crates/quartzdrift-recovery/src/admission_ramp.rs
@@ -127,7 +127,7 @@
 #[derive(Debug)]
 struct KnownFunction {
     state: CacheState,
-    /// The time from which a load of the function no longer counts.
+    /// The time after which a load that has not ended no longer blocks another load of the function.
     load_deadline: Duration,
 }
 
--- a/crates/quartzdrift-recovery/src/recovery.rs
+++ b/crates/quartzdrift-recovery/src/recovery.rs
@@ -114,8 +114,8 @@
             ramp: None,
             outputs: Vec::new(),
         };
-        // Two starts are classified at once: one without a fleet, and a handover. In a handover service was
-        // not interrupted, and other members cannot reach the successor before its predecessor has left.
+        // A start without a fleet and a handover are classified immediately. A handover does not interrupt
+        // service, and other members cannot reach the successor before its predecessor has left.
         if !recovery.settings.has_fleet || recovery.evidence.predecessor_running {
             recovery.classify(now);
         }
--- a/crates/quartzdrift-recovery/src/recovery/members.rs
+++ b/crates/quartzdrift-recovery/src/recovery/members.rs
@@ -10,12 +10,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The largest number of members that are asked for their status: knowledge that one of them lacks, another
-/// one has.
+/// The maximum number of members that are asked for their status. A subset of a large fleet is enough,
+/// because the members' records of starts and checkpoints overlap.
 const MAX_ASKED_MEMBERS: usize = 32;
-/// Time between status requests to a member that has not answered: datagrams get lost.
+/// Time between status requests to a member that has not answered; datagrams may get lost.
 const STATUS_REQUEST_INTERVAL: Duration = Duration::from_millis(250);
-/// The largest number of members whose starts and checkpoints are remembered.
+/// The maximum number of members whose starts and checkpoints are remembered.
 const MAX_REMEMBERED_MEMBERS: usize = 4096;
 /// The number of members that are notified of a checkpoint.
 const NOTICE_FANOUT: usize = 3;
@@ -74,8 +74,8 @@
         if self.seen_members.len() < MAX_REMEMBERED_MEMBERS {
             self.seen_members.insert(name.to_owned());
         }
-        let has_room = self.asked_members.len() < MAX_ASKED_MEMBERS || self.asked_members.contains_key(name);
-        if self.classification.is_some() || !has_room {
+        let may_ask = self.asked_members.len() < MAX_ASKED_MEMBERS || self.asked_members.contains_key(name);
+        if self.classification.is_some() || !may_ask {
             return;
         }
         self.asked_members.entry(name.to_owned()).or_default();
--- a/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
+++ b/crates/quartzdrift-scheduler/src/scheduler/ranking.rs
@@ -95,7 +95,8 @@
         best.map(|(.., candidate)| *candidate)
     }
 
-    /// Builds the load estimate. Where attempts of unknown end may still run, adds them to the local load.
+    /// Builds the load estimate. Adds abandoned attempts, whose outcome is unknown, to the local load
+    /// unless the load reports show idle cores.
     fn estimate_load(&self, candidates: &mut [Candidate]) -> LoadEstimate {
         let reports = candidates.iter().filter(|candidate| candidate.remote_load.is_some()).count();
         let reported: f64 = candidates.iter().filter_map(|candidate| candidate.remote_load).sum();
--- a/crates/quartzdrift-wal/tests/crashes.rs
+++ b/crates/quartzdrift-wal/tests/crashes.rs
@@ -1,5 +1,5 @@
 //! Recovery of the log after crashes, disk faults and damage.
-#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use proptest::prelude::*;
 use quartzdrift_wal::{
--- a/crates/quartzdrift/src/gateway/fleet.rs
+++ b/crates/quartzdrift/src/gateway/fleet.rs
@@ -187,7 +187,7 @@
             match socket.recv_from(&mut buffer) {
                 Ok((length, from)) => self.membership.receive(now, from, &buffer[..length]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                // An ICMP error about an earlier datagram, to an address at which nobody listens.
+                // An ICMP error: no process listens at the destination of an earlier datagram.
                 Err(_) => {}
             }
         }
--- a/crates/quartzdrift/src/loop_delay.rs
+++ b/crates/quartzdrift/src/loop_delay.rs
@@ -1,15 +1,15 @@
 //! Estimates how long received bytes may have waited before the event loop read them.
 //!
-//! Bytes that the loop reads in a turn arrived after its previous check of the sockets. Where the process had
-//! no processor meanwhile, or a turn took long, that check is long ago, and the peer's timeout has been
-//! running since. The process may lose its processor while it waits for events, and also after the kernel has
-//! collected the events and before the process receives them, so neither the start nor the end of a wait
+//! Bytes that the loop reads in a turn arrived after its previous check of the sockets. If the system did not
+//! schedule the process in between, or a turn took long, that check is long ago, and the peer's timeout has
+//! been running since. The process may be descheduled while it waits for events, and also after the kernel
+//! has collected the events and before the process receives them, so neither the start nor the end of a wait
 //! shows when the sockets were checked. A wait that ends within its timeout counts as no delay; only the time
 //! beyond the timeout counts. The delay that goes undetected is at most two timeouts, of `MAX_WAIT` each.
 use std::time::{Duration, Instant};
 
 /// Longest timeout of a wait whose delay is estimated. Two such waits take two thirds of the slack that the
-/// platform's protocol allows for deadlines that are passed on.
+/// platform's protocol allows for deadlines that are sent to workers.
 pub(crate) const MAX_WAIT: Duration = Duration::from_millis(50);
 
 /// One wait of the event loop for events.
--- a/crates/quartzdrift/src/loop_delay/tests.rs
+++ b/crates/quartzdrift/src/loop_delay/tests.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn the_undetected_delay_of_two_longest_waits_is_within_the_slack_for_deadlines() {
-    /// How much a deadline that is passed on may exceed the client's, by the platform's protocol.
+    /// Maximum time by which a deadline sent to a worker may exceed the client's (the platform's protocol).
     const SLACK: Duration = Duration::from_millis(150);
     let start = Instant::now();
     let longest = EventWait::begin(start, Duration::from_secs(60)).timeout;
--- a/crates/quartzdrift/src/platform/accept.rs
+++ b/crates/quartzdrift/src/platform/accept.rs
@@ -24,8 +24,8 @@
         let arrived = self.unaccepted_since.unwrap_or(earliest_arrival);
         self.unaccepted_since = (!self.sockets.accepted_all()).then_some(arrived);
         for stream in streams {
-            // An idle client may have sent a request just now. It is kept then, and the limit is exceeded by
-            // one for a while.
+            // `accept` relies on closing an idle client. If data from that client has just arrived, the
+            // client is kept, and the number of clients exceeds the limit by one for a while.
             self.make_room_for_client();
             if let Ok(id) = self.sockets.insert(stream, Peer::Client(Client::new(arrived))) {
                 self.client_count += 1;
--- a/crates/quartzdrift/src/platform/answers.rs
+++ b/crates/quartzdrift/src/platform/answers.rs
@@ -72,7 +72,7 @@
         self.attempts.remove(request, attempt);
         tracing::trace!(request, attempt, outcome = ?result.outcome, "ended");
         if result.outcome == Outcome::AtCapacity {
-            self.count_turned_away(id, request, attempt);
+            self.count_rejected_attempt(id, request, attempt);
         }
         if !is_unusable {
             self.mark_idle(id);
@@ -87,7 +87,7 @@
 
 impl Node {
     /// Counts and logs an attempt that a worker rejected because it was at capacity.
-    fn count_turned_away(&mut self, id: SocketId, request: RequestId, attempt: u32) {
+    fn count_rejected_attempt(&mut self, id: SocketId, request: RequestId, attempt: u32) {
         self.counts.turned_away += 1;
         let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
             return;
@@ -99,7 +99,7 @@
             "attempt rejected: worker at capacity"
         );
         if let Some(worker) = self.workers.get_mut(&connection.worker) {
-            worker.turned_away += 1;
+            worker.rejected_attempts += 1;
         }
     }
 }
--- a/crates/quartzdrift/src/platform/client_connection.rs
+++ b/crates/quartzdrift/src/platform/client_connection.rs
@@ -248,16 +248,16 @@
         if has_arrived && self.sockets.deadline(id).is_some() {
             return;
         }
-        let stuck_since = self.sockets.get(id).and_then(Socket::write_blocked_since);
+        let blocked_since = self.sockets.get(id).and_then(Socket::write_blocked_since);
         let Some(client) = find_client(&mut self.sockets, id) else {
             return;
         };
         match client.deadline {
-            // The socket expired without a deadline: the process is out of descriptors, and this client makes
-            // room for another.
+            // A socket without a deadline expires only when the process is out of descriptors: this client is
+            // closed so that another one can be accepted.
             DeadlineReason::None if !has_arrived && client.requests.is_empty() => self.drop_client(id),
             DeadlineReason::None => {}
-            DeadlineReason::UnreadAnswers => self.unread_answers_timed_out(id, stuck_since),
+            DeadlineReason::UnreadAnswers => self.unread_answers_timed_out(id, blocked_since),
             // The connection has other open requests, which are answered first.
             DeadlineReason::PartialRequest if !client.requests.is_empty() => {
                 client.responder.stop_accepting();
@@ -271,9 +271,9 @@
 
     /// Closes a client's connection if its answers were blocked for [`SEND_TIMEOUT`], or sets the remaining
     /// time. The deadline was set before the answers were flushed: they may have been sent since, or may have
-    /// become blocked later. `stuck_since` is the time since which the client takes no data.
-    fn unread_answers_timed_out(&mut self, id: SocketId, stuck_since: Option<Instant>) {
-        let Some(since) = stuck_since else {
+    /// become blocked later. `blocked_since` is the time since which the client takes no data.
+    fn unread_answers_timed_out(&mut self, id: SocketId, blocked_since: Option<Instant>) {
+        let Some(since) = blocked_since else {
             if let Some(client) = find_client(&mut self.sockets, id) {
                 client.deadline = DeadlineReason::None;
             }
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// The state of a connection for the choice, for a command with this client request id. A connection that
-    /// recently carried a command with the same id counts as full.
+    /// State of a connection, from which the connection of a command with the client request id `id` is
+    /// chosen. A connection that recently carried a command with the same id counts as full.
     fn connection_state(&self, socket: SocketId, id: u64) -> ConnectionState {
         match self.sockets.get(socket).map(|socket| &socket.state) {
             Some(Peer::WorkerConnection(connection)) if !connection.has_recent_id(id) => ConnectionState {
@@ -199,7 +199,7 @@
     /// Handles the expired deadline of a connection.
     pub(super) fn connection_timed_out(&mut self, id: SocketId) {
         if self.sockets.deadline(id).is_some() {
-            // A command in the same turn has set a new deadline since the expired ones were collected.
+            // A command in the same turn has set a new deadline since the expired deadlines were collected.
             return;
         }
         let Some(connection) = find_worker_connection(&mut self.sockets, id) else {
--- a/crates/quartzdrift/src/platform/coordinator.rs
+++ b/crates/quartzdrift/src/platform/coordinator.rs
@@ -12,7 +12,8 @@
 use std::time::Duration;
 
 /// How long the coordinator may hold a poll open. A response proves only that the list was current when the
-/// poll was sent, so the last proof may be two such times old; that has to be well within the list's lease.
+/// poll was sent, so the last confirmation may be twice this time old. That must be well below the list's
+/// lease.
 const POLL_WAIT: Duration = Duration::from_millis(500);
 /// Fraction of [`POLL_WAIT`] after which a response without an event confirms the list. If it comes sooner,
 /// the coordinator has not waited for events.
@@ -23,8 +24,8 @@
 /// Upper limit of the doubled [`POLL_GRACE`]. If the coordinator never responds, the next poll is delayed by
 /// this time.
 const MAX_POLL_GRACE: Duration = Duration::from_millis(1600);
-/// If the list was last confirmed longer ago than this, the coordinator counts as out of reach: two polls in
-/// a row have taken their maximum time.
+/// If the list was last confirmed longer ago than this, the coordinator counts as unreachable: two
+/// consecutive polls have taken their maximum time.
 const MAX_CONFIRMATION_AGE: Duration = POLL_WAIT.saturating_add(POLL_GRACE).saturating_mul(2);
 /// Delay before the next poll after one that failed. It doubles with each consecutive failure, up to
 /// [`MAX_RETRY_DELAY`].
@@ -33,7 +34,7 @@
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(320);
 /// Minimum interval between two polls of a coordinator that responds at once without new events.
 const MIN_EMPTY_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval between two log lines while the coordinator is out of reach.
+/// Interval between two log lines while the coordinator is unreachable.
 const OUTAGE_LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// Maximum number of workers named in a log line.
 const MAX_WORKERS_LOGGED: usize = 16;
@@ -267,14 +268,14 @@
             );
         } else if now >= self.coordinator.outage_logged_at + OUTAGE_LOG_INTERVAL {
             self.coordinator.outage_logged_at = now;
-            let turned_away = self.turned_away_by_worker();
+            let rejected_attempts = self.rejected_attempts_by_worker();
             tracing::info!(
                 why = %failure,
                 index,
                 ?age,
                 failures,
-                ?turned_away,
-                "the coordinator is still out of reach"
+                turned_away = ?rejected_attempts,
+                "the coordinator is still unreachable"
             );
         }
     }
@@ -293,10 +294,13 @@
 
     /// Workers that rejected attempts since the list was last confirmed, with the number of rejections, the
     /// largest first.
-    fn turned_away_by_worker(&self) -> Vec<(Rc<str>, u64)> {
-        let turned_away = self.workers.iter().filter(|(_, worker)| worker.turned_away > 0);
-        let mut counts: Vec<_> = turned_away
-            .map(|(uid, worker)| (uid.clone(), worker.turned_away))
+    fn rejected_attempts_by_worker(&self) -> Vec<(Rc<str>, u64)> {
+        let rejecting = self
+            .workers
+            .iter()
+            .filter(|(_, worker)| worker.rejected_attempts > 0);
+        let mut counts: Vec<_> = rejecting
+            .map(|(uid, worker)| (uid.clone(), worker.rejected_attempts))
             .collect();
         counts.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
         counts.truncate(MAX_WORKERS_LOGGED);
@@ -310,18 +314,18 @@
         if self.coordinator.failures > 0 {
             let (index, failures) = (self.coordinator.watch.last_index(), self.coordinator.failures);
             let age = self.coordinator.list_age(now);
-            let turned_away = self.turned_away_by_worker();
+            let rejected_attempts = self.rejected_attempts_by_worker();
             tracing::info!(
                 index,
                 failures,
                 ?age,
-                ?turned_away,
+                turned_away = ?rejected_attempts,
                 "the coordinator is reachable again"
             );
         }
         self.workers
             .values_mut()
-            .for_each(|worker| worker.turned_away = 0);
+            .for_each(|worker| worker.rejected_attempts = 0);
         self.coordinator.record_confirmation(now, sent_at, is_empty);
         self.request_table.confirm_endpoints(now, sent_at);
         self.carry_out();
@@ -421,8 +425,8 @@
             .map(|update| update.endpoint.as_endpoint())
             .collect();
         self.request_table.update_endpoints(self.now(), kind, endpoints);
-        // Also if the worker is up again by the end of the event: the attempts were meant for the process
-        // before the restart.
+        // The attempts are recalled even if the worker is up again by the end of the event: they were meant
+        // for the process before the restart.
         for (request, attempt) in displaced {
             self.recall_attempt(request, attempt);
         }
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -26,9 +26,9 @@
 /// Interval between two debug lines with the sizes of the tables.
 const TABLE_SIZES_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest time since the last socket check after which data is still sent. Past it, the loop first reads its
-/// clients: no attempt may start for a client that has disconnected since, and the remaining time of the
-/// others is shorter by now.
+/// Maximum time since the last socket check with which data is still sent. After a longer time, the loop
+/// reads its clients first: no attempt may start for a client that has disconnected since, and the remaining
+/// time of the other clients' requests has become shorter.
 const MAX_SOCKET_CHECK_AGE: Duration = Duration::from_millis(40);
 
 /// State of a socket, by the kind of its peer.
@@ -244,8 +244,9 @@
         self.process_ready_sockets();
         self.process_overdue_sockets();
         let now = self.now();
-        // Before the request table's own deadlines: a request that arrived during the shutdown has the same
-        // deadline, and should be rejected, not time out, if none of it was sent.
+        // This runs before the deadlines of the request table. A request that arrived during the shutdown has
+        // the same deadline in the table, and must be rejected instead of timing out if no byte of it was
+        // sent.
         self.conclude_open_requests(now);
         self.process_request_deadlines(now);
         self.maintain_poll(now);
@@ -254,8 +255,8 @@
         self.close_flushed_clients();
     }
 
-    /// Sends all buffered output. If the last socket check is too long ago, since the turn was long or the
-    /// process had no processor, the loop catches up first.
+    /// Sends all buffered output. If the last socket check is older than [`MAX_SOCKET_CHECK_AGE`], because
+    /// the turn was long or the system did not schedule the process, calls [`Node::catch_up`] first.
     pub(super) fn flush(&mut self) {
         while let Some(id) = self.sockets.next_to_flush() {
             if !self.flush_in_time(id) {
@@ -454,7 +455,10 @@
         };
         match loaded.and_then(|bytes| quartzdrift_platform::config::parse(&bytes)) {
             Ok(config) => self.switch_coordinator(config.coordinator, config.known_events),
-            Err(error) => tracing::warn!(why = error, "cannot reload the configuration; the old one stands"),
+            Err(error) => tracing::warn!(
+                why = error,
+                "cannot reload the configuration, the current one stays in use"
+            ),
         }
     }
 }
--- a/crates/quartzdrift/src/platform/notices.rs
+++ b/crates/quartzdrift/src/platform/notices.rs
@@ -67,7 +67,7 @@
         self.counts.notices.times_without_worker += 1;
         tracing::warn!(
             listed,
-            "no worker is proven: requests are rejected until the coordinator confirms the endpoint list"
+            "no listed worker is usable: requests are rejected until the endpoint list is confirmed"
         );
     }
 
--- a/crates/quartzdrift/src/platform/workers.rs
+++ b/crates/quartzdrift/src/platform/workers.rs
@@ -13,7 +13,7 @@
     started: Option<Duration>,
     pub(super) connections: Vec<SocketId>,
     /// Attempts that the worker rejected since the coordinator last confirmed the list.
-    pub(super) turned_away: u64,
+    pub(super) rejected_attempts: u64,
 }
 
 impl Node {
@@ -35,7 +35,7 @@
             address,
             started,
             connections: Vec::new(),
-            turned_away: 0,
+            rejected_attempts: 0,
         });
         displaced
     }
