--- a/crates/quartzdrift-forecast/src/history.rs
+++ b/crates/quartzdrift-forecast/src/history.rs
@@ -12,8 +12,8 @@
 const MAX_GAPS: usize = 8;
 /// Number of gaps before predictors are scored.
 const MIN_GAPS_TO_SCORE: usize = 3;
-/// Probability that [`Predictor::Regular`] leaves for longer gaps than the stored ones, for one stored gap.
-/// It is divided by the number of stored gaps.
+/// Probability that [`Predictor::Regular`] assigns to gaps longer than the stored ones if one gap is
+/// stored. It is divided by the number of stored gaps.
 const OTHER_GAP_PROBABILITY: f64 = 0.3;
 /// Deviation of a regular use from its time, earlier or later, as a share of the gap.
 const SPREAD_SHARE: f64 = 0.02;
--- a/crates/quartzdrift-forecast/src/prefetch_tracker.rs
+++ b/crates/quartzdrift-forecast/src/prefetch_tracker.rs
@@ -198,7 +198,7 @@
             .collect()
     }
 
-    /// Closes a prefetch as unused, and returns the quiet period where one starts.
+    /// Closes a prefetch as unused, and returns the quiet period if one starts.
     fn expire(&mut self, now: Duration, function: String) -> Option<QuietPeriod> {
         let pending = self.close_pending(&function)?;
         let mb_seconds = pending.memory_mb * self.keep_alive.as_secs_f64();
--- a/crates/quartzdrift-http/src/socket.rs
+++ b/crates/quartzdrift-http/src/socket.rs
@@ -212,7 +212,7 @@
     }
 
     /// Discards the output after a failed write and marks the socket readable: the peer may have sent input
-    /// before.
+    /// before the failure.
     fn fail_write(&mut self) {
         self.output.clear();
         self.written = 0;
--- a/crates/quartzdrift-lifecycle/src/request_table/shutdown.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown: the deadline of the drain, and the end of all requests that are still open at it.
+//! Shutdown: sets the deadline of the drain, and concludes the requests that are still open at the deadline.
 use super::table::RequestTable;
 use crate::attempt::{AttemptId, AttemptResult};
 use crate::final_response::{FailureReason, FinalResponse};
--- a/crates/quartzdrift-platform/src/budget.rs
+++ b/crates/quartzdrift-platform/src/budget.rs
@@ -2,10 +2,11 @@
 
 /// Descriptors for the event loop, signals, log, listener and coordinator, and for sockets that close slowly.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Fewest connections for clients and for workers each; with fewer, no request can be served.
+/// Minimum number of connections from clients, and also of connections to workers: with fewer, no request can
+/// be served.
 const MIN_CONNECTIONS: usize = 8;
 
-/// Largest numbers of open connections.
+/// Maximum numbers of open connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionBudget {
     /// Connections from clients. Well-behaved clients hold at most a third of all descriptors.
--- a/crates/quartzdrift-recovery/src/recovery/admission.rs
+++ b/crates/quartzdrift-recovery/src/recovery/admission.rs
@@ -78,8 +78,8 @@
         })
     }
 
-    /// Whether the stored measurements have to be kept: they are still to be restored, or this is not decided
-    /// yet.
+    /// Whether the stored measurements have to be kept: their restoration is pending or
+    /// undecided.
     pub fn needs_stored_measurements(&self) -> bool {
         self.classification.is_none() || self.restore_measurements_at.is_some()
     }
--- a/crates/quartzdrift-scheduler/tests/scenario_runner/expectations.rs
+++ b/crates/quartzdrift-scheduler/tests/scenario_runner/expectations.rs
@@ -54,27 +54,29 @@
     }
 
     fn expect_attempt(&mut self, words: &Words) -> Result {
-        let wanted: RequestId = words.number(1)?;
+        let expected: RequestId = words.number(1)?;
         let is_expected_worker = |worker: &str| match (words.get(2), words.get(3)) {
             (Some("to"), Some(name)) => worker == name,
             (Some("not"), Some(name)) => worker != name,
             _ => true,
         };
         self.expect_action(&words.joined(), |action| match action {
-            Action::StartAttempt { request, worker, .. } => *request == wanted && is_expected_worker(worker),
+            Action::StartAttempt { request, worker, .. } => {
+                *request == expected && is_expected_worker(worker)
+            }
             _ => false,
         })
     }
 
-    fn expect_attempt_at_load_worker(&mut self, wanted: RequestId) -> Result {
+    fn expect_attempt_at_load_worker(&mut self, expected: RequestId) -> Result {
         let load_worker = self.last_load_worker.clone();
         self.expect_action("attempt at the worker of the last load command", |action| match action {
-            Action::StartAttempt { request, worker, .. } => *request == wanted && **worker == *load_worker,
+            Action::StartAttempt { request, worker, .. } => *request == expected && **worker == *load_worker,
             _ => false,
         })
     }
 
-    fn expect_rejection(&mut self, wanted: RequestId) -> Result {
+    fn expect_rejection(&mut self, expected: RequestId) -> Result {
         let ActionLimits { retry_after: allows_retry_after, max_retry_after, .. } = self.settings.limits;
         let is_within = |delay: Duration| !delay.is_zero() && max_retry_after.is_none_or(|max| delay <= max);
         let is_expected_delay = |retry_after: Option<Duration>| match retry_after {
@@ -84,7 +86,7 @@
         self.expect_action("rejection, with a retry delay if and only if the settings allow one,", |action| {
             match action {
                 Action::Reject { request, retry_after, .. } => {
-                    *request == wanted && is_expected_delay(*retry_after)
+                    *request == expected && is_expected_delay(*retry_after)
                 }
                 _ => false,
             }
@@ -95,9 +97,9 @@
         self.expect_action("failure", |action| *action == Action::Fail { request })
     }
 
-    fn expect_cancellation(&mut self, wanted: RequestId) -> Result {
+    fn expect_cancellation(&mut self, expected: RequestId) -> Result {
         self.expect_action("cancellation", |action| match action {
-            Action::CancelAttempt { request, .. } => *request == wanted,
+            Action::CancelAttempt { request, .. } => *request == expected,
             _ => false,
         })
     }
@@ -106,13 +108,13 @@
         self.expect_action("watch", |action| *action == Action::WatchEndpoints { enabled: true })
     }
 
-    fn expect_load(&mut self, wanted: &str) -> Result {
+    fn expect_load(&mut self, expected_function: &str) -> Result {
         let is_load = |action: &Action| match action {
-            Action::Load { function, copies: 1, .. } => &**function == wanted,
+            Action::Load { function, copies: 1, .. } => &**function == expected_function,
             _ => false,
         };
         if let Action::Load { worker, .. } =
-            self.take_action(&format!("load command for {wanted}"), is_load)?
+            self.take_action(&format!("load command for {expected_function}"), is_load)?
         {
             self.last_load_worker = worker.to_string();
         }
--- a/crates/quartzdrift-wal/tests/crashes.rs
+++ b/crates/quartzdrift-wal/tests/crashes.rs
@@ -27,7 +27,7 @@
     /// Number of the operation during which the machine crashes, and the bytes of its write that reach the
     /// disk.
     crash: Option<(usize, usize)>,
-    /// Number of the operation from which on the disk is full. Half of each write still reaches the disk.
+    /// Number of the first operation for which the disk is full. Half of each write still reaches the disk.
     full_from: Option<usize>,
     /// Number of the operation from which on every sync fails.
     sync_fails_from: Option<usize>,
--- a/crates/quartzdrift/src/gateway/fleet.rs
+++ b/crates/quartzdrift/src/gateway/fleet.rs
@@ -238,8 +238,8 @@
     }
 }
 
-/// Reads the member list of the last run. Returns `None` if it cannot be used, which only makes the start
-/// slower.
+/// Reads the member list of the last run. Returns `None` if it cannot be used; joining the fleet then
+/// takes longer.
 fn read_saved_view(folder: Option<&Path>) -> Option<FleetView> {
     let bytes = snapshots::read_or_warn(folder, snapshots::MEMBERS, "cannot read the saved member list")?;
     let view = serde_json::from_slice(&bytes);
--- a/crates/quartzdrift/src/invoke.rs
+++ b/crates/quartzdrift/src/invoke.rs
@@ -101,7 +101,7 @@
         if body.is_complete() {
             break;
         }
-        if read_some(stream, &mut buffer)? == 0 {
+        if read_chunk(stream, &mut buffer)? == 0 {
             if body.is_complete_at_close() {
                 break;
             }
@@ -124,7 +124,7 @@
             buffer.drain(..end);
             return Ok(head);
         }
-        if read_some(stream, buffer)? == 0 {
+        if read_chunk(stream, buffer)? == 0 {
             return Err(InvokeError::IncompleteHead);
         }
         if buffer.len() > MAX_HEAD_BYTES {
@@ -134,9 +134,9 @@
 }
 
 /// Appends the next bytes of the connection to `buffer` and returns their number; 0 at the end of the stream.
-fn read_some(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
+fn read_chunk(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
     let mut chunk = [0; READ_BYTES];
-    let read = stream.read(&mut chunk)?;
-    buffer.extend_from_slice(&chunk[..read]);
-    Ok(read)
+    let length = stream.read(&mut chunk)?;
+    buffer.extend_from_slice(&chunk[..length]);
+    Ok(length)
 }
--- a/crates/quartzdrift/src/platform/run.rs
+++ b/crates/quartzdrift/src/platform/run.rs
@@ -47,7 +47,7 @@
     // The limit of the process may be below the configured number of sockets, or below the default number.
     let granted = getrlimit(Resource::Nofile)
         .current
-        .map_or(usize::MAX, |most| most as usize);
+        .map_or(usize::MAX, |limit| limit as usize);
     if granted < config.max_descriptors {
         tracing::info!(
             configured = config.max_descriptors,
