--- a/crates/quartzdrift-forecast/src/forecasts/planning.rs
+++ b/crates/quartzdrift-forecast/src/forecasts/planning.rs
@@ -13,7 +13,7 @@
 const LOAD_LEAD_FACTOR: f64 = 1.5;
 /// The earliest delay whose probability reaches this share of the maximum probability is chosen.
 const MIN_SHARE_OF_MAX_PROBABILITY: f64 = 0.6;
-/// Maximum forecasts between two uses: the probability of a use fades while none comes.
+/// Maximum number of forecasts between two uses. The probability of a use falls while none occurs.
 const MAX_FORECASTS: u32 = 64;
 /// Minimum planning horizon after the last use, as a multiple of the keep-alive.
 const MIN_HORIZON_KEEP_ALIVES: f64 = 4.0;
--- a/crates/quartzdrift-lifecycle/src/request_table/deadlines.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/deadlines.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Times out the attempts of a request, whereupon the scheduler decides on the final response.
+    /// Times out the attempts of a request. The scheduler then decides on the final response.
     fn expire_request(&mut self, request: RequestId, may_have_been_sent: &impl Fn(RequestId, u32) -> bool) {
         let attempts: Vec<u32> = self.attempts_of(request).collect();
         for attempt in attempts {
--- a/crates/quartzdrift-lifecycle/src/request_table/mod.rs
+++ b/crates/quartzdrift-lifecycle/src/request_table/mod.rs
@@ -9,7 +9,7 @@
 //! * `commands`: start and end of health checks and load commands.
 //! * `deadlines`: handling of expired timers.
 //! * `conclusion`: the final response of a request.
-//! * `shutdown`: the drain deadline, and the end of everything that is open at it.
+//! * `shutdown`: the drain deadline, at which the open requests are concluded.
 mod actions;
 mod attempts;
 mod commands;
--- a/crates/quartzdrift-recovery/src/classification.rs
+++ b/crates/quartzdrift-recovery/src/classification.rs
@@ -24,7 +24,7 @@
     FirstStart,
     /// The last run stopped as planned.
     Planned,
-    /// The last run crashed while other members ran on.
+    /// The last run crashed while other members continued to run.
     #[serde(rename = "CrashOfOne")]
     SingleCrash,
     /// Many members failed together: presumably they lost power, and workers did too.
@@ -198,7 +198,7 @@
 }
 
 /// Counts the members that failed together with this scheduler: those that started less than `span` ago and
-/// had not stopped as planned. A member that started earlier ran on.
+/// had not stopped as planned. A member that started earlier did not fail.
 fn count_failed_with_this_scheduler(answers: &[MemberAnswer], span: Duration) -> usize {
     let failed_together =
         |status: &MemberStatus| !status.ended_cleanly && Duration::from_millis(status.up_ms) < span;
--- a/crates/quartzdrift-recovery/src/classification/tests.rs
+++ b/crates/quartzdrift-recovery/src/classification/tests.rs
@@ -85,7 +85,7 @@
     let restarted = answer(2, false, 4);
     check([
         crash(
-            "this scheduler crashed, others ran on",
+            "this scheduler crashed, the other members did not",
             vec![ran_on.clone(); 4],
             0,
             RestartKind::SingleCrash,
--- a/crates/quartzdrift-recovery/src/recovery/tests.rs
+++ b/crates/quartzdrift-recovery/src/recovery/tests.rs
@@ -233,7 +233,10 @@
         "without answers there is no ramp"
     );
     recovery.receive(START, "m1", &answer(S * 900, true)).unwrap();
-    assert!(recovery.view(START).ramp.is_none(), "the member ran on");
+    assert!(
+        recovery.view(START).ramp.is_none(),
+        "the ramp began although the member did not fail"
+    );
     recovery.receive(START, "m2", &answer(S, false)).unwrap();
     assert!(recovery.view(START).ramp.is_some() && recovery.classification().is_none());
     // The machine booted a slow-start window ago: the last run spent nothing of the current slow-start
--- a/crates/quartzdrift/src/platform/connections.rs
+++ b/crates/quartzdrift/src/platform/connections.rs
@@ -42,7 +42,7 @@
     /// Chooses or opens a connection to a worker for a command with this client request id.
     ///
     /// # Errors
-    /// The kind of loss as which an attempt without a connection counts.
+    /// The loss to report for the attempt if no connection can be used or opened.
     pub(super) fn connection_for(&mut self, worker: &Rc<str>, id: u64) -> Result<SocketId, ConnectionLoss> {
         let streams = self.config.settings.limits.streams_per_connection;
         let streams = streams.map_or(DEFAULT_STREAMS, |streams| streams.max(1) as usize);
--- a/crates/quartzdrift/src/platform/node.rs
+++ b/crates/quartzdrift/src/platform/node.rs
@@ -120,8 +120,8 @@
                     request,
                     attempt,
                     function,
-                    // Counted from the table's time of the decision: the process may have had no processor
-                    // since then.
+                    // Counted from the time of the table's decision: the system may not have scheduled the
+                    // process since then.
                     deadline: self.request_table.now() + timeout,
                     context: payload,
                     send_by,
@@ -445,7 +445,7 @@
     /// Reloads the configuration (SIGHUP). The next poll goes to its coordinator; all other settings stay
     /// unchanged.
     pub fn reload(&mut self) {
-        // Reading anything but a regular file, such as a FIFO, could block the event loop for ever.
+        // Reading anything but a regular file, such as a FIFO, could block the event loop forever.
         let is_regular_file = std::fs::metadata(&self.config_path)
             .map(|metadata| metadata.is_file())
             .unwrap_or(true);
