--- a/crates/quartzdrift-platform/src/config.rs
+++ b/crates/quartzdrift-platform/src/config.rs
@@ -7,7 +7,7 @@
 
 /// Limit of open file descriptors if the configuration states none.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
-/// Largest accepted configuration, in bytes; the worker list of the largest cluster takes far less.
+/// Maximum size of a configuration, in bytes; the worker list of the largest cluster takes far less.
 pub const MAX_BYTES: u64 = 64 << 20;
 
 /// Resource limits of the process; `None` where the configuration states none.
--- a/crates/quartzdrift-platform/src/coordinator.rs
+++ b/crates/quartzdrift-platform/src/coordinator.rs
@@ -15,7 +15,7 @@
 /// is the shortest such delay, which starts when the coordinator's connections break. The delays for a
 /// coordinator that stays silent and for a new configuration are longer.
 pub const ENDPOINT_LEASE: Duration = Duration::from_secs(2);
-/// Most workers that one event may name; a cluster is far smaller.
+/// Maximum number of workers that one event may name; a cluster is far smaller.
 pub const MAX_WORKERS_PER_EVENT: usize = 100_000;
 
 /// The coordinator's answer to a poll, or the events in a configuration.
--- a/crates/quartzdrift-platform/src/frame.rs
+++ b/crates/quartzdrift-platform/src/frame.rs
@@ -12,11 +12,11 @@
 pub const HEADER_BYTES: usize = 16;
 /// Length of a frame's checksum, in bytes.
 pub const CHECKSUM_BYTES: usize = 4;
-/// Longest fields of an answer, in bytes. A frame whose header states more is rejected without waiting for
-/// the rest.
+/// Maximum length of the fields of an answer, in bytes. A frame whose header states more is rejected without
+/// waiting for the rest.
 pub const MAX_FIELDS_BYTES: usize = 4 << 10;
-/// Longest body of an answer, in bytes. A frame whose header states more is rejected without waiting for the
-/// rest.
+/// Maximum length of the body of an answer, in bytes. A frame whose header states more is rejected without
+/// waiting for the rest.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 
 /// Code of the command to execute a request.
--- a/crates/quartzdrift-platform/src/request_fields.rs
+++ b/crates/quartzdrift-platform/src/request_fields.rs
@@ -5,11 +5,12 @@
 use quartzdrift_scheduler::interface::{Idempotency, RequestClass, Settings, Tenant};
 use std::time::Duration;
 
-/// Largest accepted hint for the memory of a replica, in megabytes; no machine has more.
+/// Maximum accepted hint for the memory of a replica, in megabytes; no machine has more.
 const MAX_MEMORY_MB: f64 = 1e7;
 /// Largest accepted hint for the concurrency of a replica; no machine runs more requests at a time.
 const MAX_CONCURRENCY_SLOTS: f64 = 1e5;
-/// Largest accepted hint for the time of a load or of the work, in milliseconds; no load takes longer.
+/// Maximum accepted hint for the duration of a load or of the execution, in milliseconds; no load takes
+/// longer.
 const MAX_HINT_MS: f64 = 3.6e6;
 /// Maximum excess of a client's timeout over the timeout of its request class, to allow for rounding.
 const TIMEOUT_ROUNDING: Duration = Duration::from_millis(5);
--- a/crates/quartzdrift-recovery/src/admission_ramp.rs
+++ b/crates/quartzdrift-recovery/src/admission_ramp.rs
@@ -26,7 +26,8 @@
 const CONGESTION_FACTOR: u32 = 2;
 /// The limit of loads in flight at the start of the ramp.
 const INITIAL_LIMIT: f64 = 2.0;
-/// The lower bound of the limit of loads in flight. A limit below one stands for pauses between single loads.
+/// The lower bound of the limit of loads in flight. A limit below one adds pauses between single
+/// loads.
 const MIN_LIMIT: f64 = 0.0625;
 /// The inverse of the weight that a new measurement has in the moving average of load durations.
 const AVERAGE_INVERSE_WEIGHT: u32 = 8;
--- a/crates/quartzdrift-recovery/src/restore_policy.rs
+++ b/crates/quartzdrift-recovery/src/restore_policy.rs
@@ -26,7 +26,7 @@
 }
 
 impl StateItem {
-    /// The name in the table for operators.
+    /// The name of the value in the table for operators.
     pub fn name(self) -> &'static str {
         match self {
             StateItem::Workers => "Workers",
@@ -56,7 +56,7 @@
 }
 
 impl RestoreDecision {
-    /// The name in the table for operators.
+    /// The name of the value in the table for operators.
     pub fn name(self) -> &'static str {
         match self {
             RestoreDecision::Restore => "Kept",
