--- a/crates/quartzdrift-platform/src/config.rs
+++ b/crates/quartzdrift-platform/src/config.rs
@@ -7,24 +7,24 @@
 
 /// Limit of open file descriptors if the configuration states none.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
-/// Largest accepted configuration, in bytes; the worker list of the largest cluster takes far less.
+/// Maximum size of a configuration, in bytes; the worker list of the largest cluster takes far less.
 pub const MAX_BYTES: u64 = 64 << 20;
 
 /// Resource limits of the process; `None` where the configuration states none.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
-    /// Processor cores.
+    /// Number of processor cores.
     #[serde(default)]
     pub cores: Option<f64>,
     /// Memory, in megabytes.
     #[serde(default)]
     pub memory_mb: Option<f64>,
-    /// Open file descriptors.
+    /// Maximum number of open file descriptors.
     #[serde(default)]
     pub sockets: Option<usize>,
 }
 
-/// The configuration as the file holds it.
+/// Content of the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 struct ConfigFile {
     name: String,
--- a/crates/quartzdrift-recovery/src/admission_ramp.rs
+++ b/crates/quartzdrift-recovery/src/admission_ramp.rs
@@ -26,7 +26,8 @@
 const CONGESTION_FACTOR: u32 = 2;
 /// The limit of loads in flight at the start of the ramp.
 const INITIAL_LIMIT: f64 = 2.0;
-/// The lower bound of the limit of loads in flight. A limit below one stands for pauses between single loads.
+/// The lower bound of the limit of loads in flight. A limit below one adds pauses between single
+/// loads.
 const MIN_LIMIT: f64 = 0.0625;
 /// The inverse of the weight that a new measurement has in the moving average of load durations.
 const AVERAGE_INVERSE_WEIGHT: u32 = 8;
@@ -127,7 +128,7 @@
 #[derive(Debug)]
 struct KnownFunction {
     state: CacheState,
-    /// The time from which a load of the function no longer counts.
+    /// The time after which a load that has not ended no longer blocks another load of the function.
     load_deadline: Duration,
 }
 
--- a/crates/quartzdrift-wal/tests/crashes.rs
+++ b/crates/quartzdrift-wal/tests/crashes.rs
@@ -1,5 +1,5 @@
 //! Recovery of the log after crashes, disk faults and damage.
-#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use proptest::prelude::*;
 use quartzdrift_wal::{
@@ -27,7 +27,7 @@
     /// Number of the operation during which the machine crashes, and the bytes of its write that reach the
     /// disk.
     crash: Option<(usize, usize)>,
-    /// Number of the operation from which on the disk is full. Half of each write still reaches the disk.
+    /// Number of the first operation for which the disk is full. Half of each write still reaches the disk.
     full_from: Option<usize>,
     /// Number of the operation from which on every sync fails.
     sync_fails_from: Option<usize>,
--- a/crates/quartzdrift/src/gateway/fleet.rs
+++ b/crates/quartzdrift/src/gateway/fleet.rs
@@ -187,7 +187,7 @@
             match socket.recv_from(&mut buffer) {
                 Ok((length, from)) => self.membership.receive(now, from, &buffer[..length]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                // An ICMP error about an earlier datagram, to an address at which nobody listens.
+                // An ICMP error: no process listens at the destination of an earlier datagram.
                 Err(_) => {}
             }
         }
@@ -238,8 +238,8 @@
     }
 }
 
-/// Reads the member list of the last run. Returns `None` if it cannot be used, which only makes the start
-/// slower.
+/// Reads the member list of the last run. Returns `None` if it cannot be used; joining the fleet then
+/// takes longer.
 fn read_saved_view(folder: Option<&Path>) -> Option<FleetView> {
     let bytes = snapshots::read_or_warn(folder, snapshots::MEMBERS, "cannot read the saved member list")?;
     let view = serde_json::from_slice(&bytes);
