--- a/crates/quartzdrift-lab/src/actor.rs
+++ b/crates/quartzdrift-lab/src/actor.rs
@@ -10,13 +10,13 @@
 /// A fake of a process that gateways talk to. It reacts to events on its sockets, to commands and to its
 /// timers.
 pub trait Fake: HasHttp {
-    /// What the owner of the fake can send to it.
+    /// Command that the owner of the fake can send to it.
     type Command: Send + 'static;
     fn handle_event(&mut self, event: HttpEvent);
     fn handle_command(&mut self, command: Self::Command);
-    /// When [`Fake::run_due`] must be called next, on the clock of [`Fake::now`].
+    /// Time at which [`Fake::run_due`] must be called next, on the clock of [`Fake::now`].
     fn next_due(&self) -> Option<Duration>;
-    /// Does the work whose time has come.
+    /// Performs the actions that are due at `now`.
     fn run_due(&mut self, now: Duration);
     /// Time since the fake's start, or since the start of the recorder that it shares.
     fn now(&self) -> Duration;
--- a/crates/quartzdrift-lab/src/audit.rs
+++ b/crates/quartzdrift-lab/src/audit.rs
@@ -20,13 +20,15 @@
     /// within the window.
     #[serde(rename = "windows_us")]
     pub deduplication_windows_us: BTreeMap<String, u64>,
-    /// How long, in microseconds, a gateway may keep using a worker after discovery reported to it that
-    /// the worker drains.
+    /// Longest time, in microseconds, that a gateway may keep using a worker after discovery reported to it
+    /// that the worker drains.
     pub drain_grace_us: u64,
-    /// Overload bound of a cold worker: the work sent to it within `fall_window_us`, as a multiple of its
+    /// Overload bound of a cold worker: the work sent to it within `overload_window_us`, as a multiple of its
     /// capacity over that window. With 0 the bound is not checked.
-    pub fall_multiple: f64,
-    pub fall_window_us: u64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
+    #[serde(rename = "fall_window_us")]
+    pub overload_window_us: u64,
     /// Load commands that a gateway may send within `load_window_us` without any request.
     #[serde(rename = "load_free")]
     pub load_quota_burst: f64,
@@ -113,10 +115,10 @@
     key: &'a str,
     started_us: u64,
     ended_us: Option<u64>,
-    /// The worker answered that it did not accept the call.
-    refused: bool,
+    /// Whether the worker rejected the call without executing it.
+    rejected: bool,
     work_us: u64,
-    /// The work had its effect.
+    /// Whether the worker executed the call.
     executed: bool,
 }
 
@@ -126,15 +128,15 @@
     calls: BTreeMap<u64, ClientCall<'a>>,
     /// Time and status of each response, by call.
     responses: BTreeMap<u64, Vec<(u64, u16)>>,
-    /// When the client disconnected, by call.
+    /// Time at which the client disconnected, by call.
     disconnected: BTreeMap<u64, u64>,
-    /// When the connection was closed without a response, by call.
+    /// Time at which the connection was closed without a response, by call.
     closed: BTreeMap<u64, u64>,
     attempts: Vec<Attempt<'a>>,
     /// Intervals in which a gateway was down: from its kill to its next start, or to [`u64::MAX`] without
     /// one.
     downtimes: BTreeMap<u64, Vec<(u64, u64)>>,
-    /// When the workers lost power, and with it their deduplication state.
+    /// Times at which the workers lost power, and their deduplication state with it.
     worker_power_losses: Vec<u64>,
     /// Gateways that lost their stored state, with the time.
     disk_losses: Vec<(u64, u64)>,
@@ -188,7 +190,7 @@
                     key,
                     started_us: at,
                     ended_us: None,
-                    refused: false,
+                    rejected: false,
                     work_us: *work_us,
                     executed: false,
                 });
@@ -209,7 +211,7 @@
                 call,
             } => {
                 if let Some(&index) = attempt_index.get(&(worker.as_str(), *incarnation, *call)) {
-                    record.attempts[index].refused = true;
+                    record.attempts[index].rejected = true;
                 }
             }
             Observation::AttemptEnded {
@@ -349,7 +351,7 @@
         .map(|call| (call.key, call.request_class))
         .collect();
     let mut first_attempts: BTreeMap<&str, u64> = BTreeMap::new();
-    let may_have_run = |attempt: &&Attempt| !attempt.refused && !attempt.key.is_empty();
+    let may_have_run = |attempt: &&Attempt| !attempt.rejected && !attempt.key.is_empty();
     for attempt in record.attempts.iter().filter(may_have_run) {
         let Some(request_class) = request_classes.get(attempt.key) else {
             continue;
@@ -463,7 +465,7 @@
     }
 }
 
-/// A worker's start: how much capacity it had then, and how that grew.
+/// The start of a worker, with the course of its capacity during the slow start.
 struct WorkerStart {
     at_us: u64,
     cores: f64,
@@ -509,10 +511,10 @@
             _ => {}
         }
     }
-    if guarantees.fall_multiple <= 0.0 {
+    if guarantees.overload_multiple <= 0.0 {
         return;
     }
-    let window_us = guarantees.fall_window_us;
+    let window_us = guarantees.overload_window_us;
     for ((worker, incarnation), start) in starts {
         let attempts: Vec<&Attempt> = record
             .attempts
@@ -531,7 +533,7 @@
             let work_us: u64 = attempts[window_start..=n].iter().map(|a| a.work_us).sum();
             let age_us = (at_us - start.at_us) as f64;
             let capacity_share = start.cold_from + (1.0 - start.cold_from) * age_us / start.cold_us as f64;
-            let bound_us = guarantees.fall_multiple * start.cores * capacity_share * window_us as f64;
+            let bound_us = guarantees.overload_multiple * start.cores * capacity_share * window_us as f64;
             if work_us as f64 > bound_us {
                 let description = format!(
                     "{worker} was sent {} ms of work within {} ms while cold; the overload bound is {:.0} ms",
@@ -606,8 +608,8 @@
             non_idempotent: BTreeSet::from(["once".to_owned()]),
             deduplication_windows_us: BTreeMap::from([("marked".to_owned(), 1_000_000)]),
             drain_grace_us: 250_000,
-            fall_multiple: 3.0,
-            fall_window_us: 1_000_000,
+            overload_multiple: 3.0,
+            overload_window_us: 1_000_000,
             load_quota_burst: 1.0,
             load_quota_share: 0.0,
             load_window_us: 1_000_000,
@@ -718,7 +720,7 @@
         ]
     }
 
-    /// The rules that the record without violations breaks once `extra` lines are added.
+    /// The rules that the record without violations breaks when the lines `extra` are added.
     fn violated_rules(extra: Vec<RecordLine>) -> Vec<Rule> {
         let mut lines = record_without_violations();
         lines.extend(extra);
--- a/crates/quartzdrift-lab/src/bench_scenario.rs
+++ b/crates/quartzdrift-lab/src/bench_scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios of the decision module's bench, scaled down so that they run on sockets and in the emulator.
-//! Faults that have no counterpart here are reported, not played.
+//! Scenarios of the decision module's bench, scaled down so that they run on sockets and in the simulation.
+//! Faults that have no counterpart here are reported and left out.
 //!
 //! Only the needed fields are read; the bench owns the format of the file.
 use crate::scenario::{Fault, Pattern, RequestClass, Scenario};
@@ -228,7 +228,7 @@
             load_time,
             slots: sort.map_or(1, |sort| sort.slots).max(1),
             asynchronous: false,
-            hang_up_share: 0.0,
+            early_disconnect_share: 0.0,
             latency_objective: Duration::from_micros(class.latency_objective).min(time_limit),
             pattern: Pattern::Steady,
         }
@@ -238,19 +238,19 @@
         workers: scale.workers,
         cores,
         memory_mb,
-        keep_loaded: if file.functions.keep_loaded > 0 {
+        keep_alive: if file.functions.keep_loaded > 0 {
             Duration::from_micros(file.functions.keep_loaded)
         } else {
             Duration::from_secs(8)
         },
-        cold_from: kind.cold_from,
-        cold_for: Duration::from_micros(kind.cold_for),
-        fall_multiple: file.fall_multiple,
-        fall_window: Duration::from_micros(file.fall_window),
-        max_waiting_calls: kind.slots + kind.queue,
+        slow_start_min_capacity: kind.cold_from,
+        slow_start_duration: Duration::from_micros(kind.cold_for),
+        overload_multiple: file.fall_multiple,
+        overload_window: Duration::from_micros(file.fall_window),
+        max_queue_length: kind.slots + kind.queue,
         store_capacity: (scale.workers as f64).max(4.0),
-        store_limit: scale.workers * 8,
-        store_stops_at: 0,
+        store_max_concurrent_fetches: scale.workers * 8,
+        store_outage_threshold: 0,
         discovery_lag: Duration::from_micros(file.discovery.lag),
         request_classes: file.classes.iter().map(request_class).collect(),
         length: scale.length,
@@ -302,14 +302,24 @@
             }
         };
     match fault.kind.as_str() {
-        "crash" | "vanish" | "mass_restart" => add_interval(&workers, &Fault::Crash, &Fault::Start),
-        "hang" => add_interval(&workers, &Fault::Hang, &Fault::Well),
-        "fast_errors" => add_interval(&workers, &|n| Fault::Errors(n, share), &Fault::Well),
-        "answer_lost" => add_interval(&workers, &|n| Fault::Lose(n, share), &Fault::Well),
+        "crash" | "vanish" | "mass_restart" => {
+            add_interval(&workers, &Fault::CrashWorker, &Fault::StartWorker)
+        }
+        "hang" => add_interval(&workers, &Fault::HangWorker, &Fault::ClearWorkerFaults),
+        "fast_errors" => add_interval(
+            &workers,
+            &|n| Fault::FailCalls(n, share),
+            &Fault::ClearWorkerFaults,
+        ),
+        "answer_lost" => add_interval(
+            &workers,
+            &|n| Fault::LoseResponses(n, share),
+            &Fault::ClearWorkerFaults,
+        ),
         "report_late" => {
             let late = Duration::from_secs_f64(size);
-            add_interval(&workers, &|n| Fault::Late(n, late), &|n| {
-                Fault::Late(n, Duration::ZERO)
+            add_interval(&workers, &|n| Fault::DelayReports(n, late), &|n| {
+                Fault::DelayReports(n, Duration::ZERO)
             });
         }
         "balancer_crash" => add_interval(&gateways, &Fault::KillGateway, &Fault::StartGateway),
@@ -324,17 +334,17 @@
         "deploy" | "preempt" => {
             for step in &fault.steps {
                 for n in scaled_workers(&step.stop) {
-                    add(scaled_time(step.at), Fault::Drain(n));
-                    add(scaled_time(step.at) + REPLACEMENT_STEP, Fault::Crash(n));
-                    add(scaled_time(step.at) + REPLACEMENT_STEP * 2, Fault::Start(n));
+                    add(scaled_time(step.at), Fault::DrainWorker(n));
+                    add(scaled_time(step.at) + REPLACEMENT_STEP, Fault::CrashWorker(n));
+                    add(scaled_time(step.at) + REPLACEMENT_STEP * 2, Fault::StartWorker(n));
                 }
             }
         }
         "discovery_stale" => {
-            add(start, Fault::DiscoveryLag(Duration::from_secs_f64(size)));
+            add(start, Fault::SetDiscoveryLag(Duration::from_secs_f64(size)));
             add(
                 end,
-                Fault::DiscoveryLag(Duration::from_micros(file.discovery.lag)),
+                Fault::SetDiscoveryLag(Duration::from_micros(file.discovery.lag)),
             );
         }
         _ => return false,
@@ -393,18 +403,18 @@
             (400.0, 50, Idempotency::IdempotentWithKey)
         );
         assert_eq!(
-            (scenario.max_waiting_calls, scenario.cores, scenario.discovery_lag),
+            (scenario.max_queue_length, scenario.cores, scenario.discovery_lag),
             (17, 4.0, Duration::from_millis(500))
         );
         for (at, fault) in [
-            (s(5), Fault::Hang(0)),
-            (s(5), Fault::Hang(9)),
-            (s(7), Fault::Well(0)),
+            (s(5), Fault::HangWorker(0)),
+            (s(5), Fault::HangWorker(9)),
+            (s(7), Fault::ClearWorkerFaults(0)),
             (s(1), Fault::KillGateway(1)),
             (s(2), Fault::StartGateway(1)),
-            (s(2), Fault::Drain(5)),
-            (s(4), Fault::Start(5)),
-            (s(10), Fault::Late(2, Duration::ZERO)),
+            (s(2), Fault::DrainWorker(5)),
+            (s(4), Fault::StartWorker(5)),
+            (s(10), Fault::DelayReports(2, Duration::ZERO)),
         ] {
             assert!(
                 scenario.faults.contains(&(at, fault.clone())),
@@ -416,7 +426,7 @@
             scenario
                 .faults
                 .iter()
-                .filter(|(_, fault)| matches!(fault, Fault::Hang(_)))
+                .filter(|(_, fault)| matches!(fault, Fault::HangWorker(_)))
                 .count(),
             2
         );
--- a/crates/quartzdrift-lab/src/clients.rs
+++ b/crates/quartzdrift-lab/src/clients.rs
@@ -18,7 +18,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How much longer than its time limit a client waits, so that late responses are recorded.
+/// Time beyond its time limit that a client waits, so that late responses are recorded.
 const LATE_RESPONSE_WAIT: Duration = Duration::from_millis(500);
 
 /// Commands to running clients.
@@ -35,7 +35,7 @@
     pub seed: u64,
     /// Most retries of a call that was rejected or could not connect.
     pub max_retries: u32,
-    /// A client waits between 1 and 2 times this share of the wait that the gateway asked for.
+    /// A client waits between 1 and 2 times this share of the retry time that the gateway stated.
     pub retry_wait_factor: f64,
 }
 
@@ -63,7 +63,7 @@
     function: String,
     retries: u32,
     gateway: usize,
-    /// When the client stops waiting for the response.
+    /// Time at which the client stops waiting for the response.
     deadline: Duration,
     disconnects_early: bool,
     /// Number of the call in the record.
@@ -85,7 +85,7 @@
     /// Calls that wait for their retry, with its time.
     retries: Vec<(Duration, ClientCall)>,
     random: StdRng,
-    /// Last number that a key or a call was given.
+    /// Last number assigned to an idempotency key or a call.
     last_number: u64,
     max_retries: u32,
     retry_wait_factor: f64,
@@ -153,7 +153,7 @@
         } = arrival;
         let class = &self.request_classes[request_class];
         let function = arrival.function.clone();
-        let disconnects_early = self.random.random_range(0.0..1.0) < class.hang_up_share;
+        let disconnects_early = self.random.random_range(0.0..1.0) < class.early_disconnect_share;
         self.last_number += 1;
         let key = format!("{}-{}", class.name, self.last_number);
         let gateway = arrival.gateway_index(self.gateways.len());
--- a/crates/quartzdrift-lab/src/discovery.rs
+++ b/crates/quartzdrift-lab/src/discovery.rs
@@ -18,11 +18,11 @@
     UpdateEndpoint(DiscoveredEndpoint),
     /// Sets the delay until gateways see a change.
     SetLag(Duration),
-    /// Whether discovery closes every connection without a response, its open streams included.
+    /// Sets whether discovery closes every connection without a response, its open streams included.
     SetStopped(bool),
-    /// Whether discovery returns an empty list whatever the endpoints are.
+    /// Sets whether discovery returns an empty list in place of the endpoints.
     SetEmpty(bool),
-    /// Whether discovery sends nothing more to a gateway, while it leaves the connections open.
+    /// Sets whether discovery stops sending to a gateway while it leaves the connections open.
     SetStalled(u64, bool),
     /// Addresses of relays, by gateway and worker: these gateways are given the relay's address for the
     /// worker.
@@ -35,7 +35,7 @@
     start: Instant,
     recorder: Option<Recorder>,
     lag: Duration,
-    /// Changes that gateways do not see yet, with the time when they will.
+    /// Changes that gateways do not see yet, each with the time at which they become visible.
     pending_changes: VecDeque<(Duration, DiscoveredEndpoint)>,
     /// The endpoints that gateways see, by address.
     endpoints: BTreeMap<String, DiscoveredEndpoint>,
--- a/crates/quartzdrift-lab/src/experiment.rs
+++ b/crates/quartzdrift-lab/src/experiment.rs
@@ -28,8 +28,9 @@
 #[serde(deny_unknown_fields)]
 pub struct ScenarioEntry {
     pub name: String,
-    /// Scenario in the notation of [`script::read`].
-    pub script: String,
+    /// Scenario in the notation of [`scenario::read`].
+    #[serde(rename = "script")]
+    pub text: String,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -68,17 +69,19 @@
     let (scenarios, variants) = (experiment.scenarios.len(), experiment.variants.len());
     if experiment.seeds < MIN_SEEDS || variants == 0 || scenarios == 0 {
         return Err(format!(
-            "experiment '{}' has {} seeds, {variants} variants and {scenarios} days; \
-             it needs at least {MIN_SEEDS} seeds, 1 variant and 1 day",
+            "experiment '{}' has {} seeds, {variants} variants and {scenarios} scenarios; \
+             it needs at least {MIN_SEEDS} seeds, 1 variant and 1 scenario",
             experiment.name, experiment.seeds
         ));
     }
-    let scripts = experiment
+    let scenarios = experiment
         .scenarios
         .iter()
-        .map(|entry| scenario::read(&entry.script).map_err(|error| format!("day '{}': {error}", entry.name)))
+        .map(|entry| {
+            scenario::read(&entry.text).map_err(|error| format!("scenario '{}': {error}", entry.name))
+        })
         .collect::<Result<Vec<_>, _>>()?;
-    Ok((experiment, scripts))
+    Ok((experiment, scenarios))
 }
 
 /// Runs all scenarios, variants and seeds on all cores and returns the rows in that order; `show_progress`
@@ -385,10 +388,10 @@
         let text = "name = 'x'\nseeds = 2\n[[days]]\nname = 'a'\nscript = '''\nlength 5s\n\
             workload q restartable rate=20 functions=3\n'''\n[[variants]]\nname = 'without'\n\
             [[variants]]\nname = 'with'\nis = { forecasting = 'on' }\n";
-        let (experiment, scripts) = parse(text).unwrap();
+        let (experiment, scenarios) = parse(text).unwrap();
         let (first, second) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
         for folder in [&first, &second] {
-            let rows = run(&experiment, &scripts, false);
+            let rows = run(&experiment, &scenarios, false);
             assert_eq!(rows.len(), 4);
             write_results(&experiment, &rows, folder.path()).unwrap();
         }
--- a/crates/quartzdrift-lab/src/functions.rs
+++ b/crates/quartzdrift-lab/src/functions.rs
@@ -9,7 +9,7 @@
     pub is_error: bool,
 }
 
-/// How long the call works according to the field `work_ms` of its payload.
+/// Work of the call according to the field `work_ms` of its payload.
 pub fn requested_work(payload: &[u8]) -> Option<Duration> {
     let payload: Value = serde_json::from_slice(payload).ok()?;
     let ms = payload
--- a/crates/quartzdrift-lab/src/lib.rs
+++ b/crates/quartzdrift-lab/src/lib.rs
@@ -1,18 +1,21 @@
-//! Test tools for quartzdrift: fakes, fault scenarios with an auditor, load generators and a simulation.
+//! Test tools for quartzdrift: fakes of the processes around a gateway, fault scenarios with an auditor, load
+//! generators and a simulation.
 //!
-//! * [`worker`]: fake workers on sockets, by the model of their execution in [`worker_model`]; [`functions`]:
-//!   the sample functions that they run.
-//! * [`store`], [`discovery`]: fakes of the store that functions are fetched from and of service discovery.
-//! * [`clients`], [`load`]: clients of a scenario, and open-loop load with a report of latencies.
-//! * [`scenario`], [`scenario_runner`]: scenario files with faults, and their runs against gateway processes.
+//! * [`worker`]: fake workers on sockets; [`worker_model`]: the state machine that decides when their calls
+//!   complete; [`functions`]: the sample functions that they run.
+//! * [`store`]: a fake of the store that workers fetch functions from; [`discovery`]: a fake service
+//!   discovery.
+//! * [`clients`]: the clients of a scenario; [`load`]: open-loop load with a report of latencies.
+//! * [`scenario`]: the format of scenario files; [`scenario_runner`]: runs of scenarios against gateway
+//!   processes.
 //! * [`power_loss`]: generated scenarios of power losses.
-//! * [`relay`], [`switch`]: faults of connections and of datagrams.
-//! * [`record`], [`audit`]: the recorded socket events of a run, and the check of the guarantees from them.
+//! * [`relay`]: faults of TCP connections; [`switch`]: faults of UDP datagrams.
+//! * [`record`]: the socket events of a run; [`audit`]: the check of the guarantees against them.
 //! * [`simulation`]: schedulers and workers in simulated time.
 //! * [`traffic`]: arrivals and traces of calls.
 //! * [`experiment`]: comparison of simulated variants over scenarios and seeds.
 //! * [`bench_scenario`]: converts scenarios of the bench to scaled-down scenarios of this package.
-//! * [`measure`], [`light_workers`]: what a gateway costs, measured with workers that only respond.
+//! * [`measure`]: the cost of a gateway; [`light_workers`]: workers for it that execute nothing.
 //! * [`platform`]: fakes of the platform that a scheduler runs on.
 //! * [`cluster_harness`]: a scheduler process between the fakes of the platform, for tests.
 //! * [`actor`]: the event loop that fakes run on.
--- a/crates/quartzdrift-lab/src/light_workers.rs
+++ b/crates/quartzdrift-lab/src/light_workers.rs
@@ -1,5 +1,5 @@
-//! Workers that only answer, many on one thread. They use so little time that the cost of a gateway can be
-//! measured.
+//! Workers that respond without executing calls, many on one thread. They use so little time that the cost of
+//! a gateway can be measured.
 use crate::actor::Fake;
 use calloop::LoopHandle;
 use quartzdrift_http::{Exchange, HasHttp, Headers, Http, HttpEvent, Limits, Response};
--- a/crates/quartzdrift-lab/src/load.rs
+++ b/crates/quartzdrift-lab/src/load.rs
@@ -167,11 +167,11 @@
             false => traffic::interarrival_s(&mut self.rng, self.plan.requests_per_s),
         };
         let next = Some(at + Duration::from_secs_f64(interval_s)).filter(|next| *next < self.plan.duration);
-        let drawn = self.rng.random_range(0.0..1.0);
+        let position = self.rng.random_range(0.0..1.0);
         let target = self
             .targets
             .iter()
-            .find(|(_, cumulative)| drawn < *cumulative)
+            .find(|(_, cumulative)| position < *cumulative)
             .or(self.targets.last());
         (target.map(|(target, _)| target.clone()).unwrap_or_default(), next)
     }
--- a/crates/quartzdrift-lab/src/main.rs
+++ b/crates/quartzdrift-lab/src/main.rs
@@ -135,7 +135,7 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Measure what a gateway costs: throughput, added latency, memory, start
+    /// Measure the cost of a gateway: throughput, added latency, memory, start
     Measure {
         /// Measurements to run; all by default
         what: Vec<measure::Measurement>,
@@ -181,7 +181,7 @@
         #[arg(long)]
         emulator: bool,
     },
-    /// Compare variants over scenarios and seeds, as a TOML file states them; see experiments/forecasts.toml
+    /// Compare variants over the scenarios and seeds of a TOML file; see experiments/forecasts.toml
     Experiment {
         file: PathBuf,
         /// Folder for the table, the rows and the plots
@@ -557,7 +557,7 @@
             run.fetches
         );
         if let Some(seconds) = power_loss::recovery_seconds(&run, &scenario) {
-            let rejected = run.refused_fetches;
+            let rejected = run.rejected_fetches;
             println!(
                 "recovered {seconds:.2} s after the return of power; the store rejected {rejected} fetches"
             );
--- a/crates/quartzdrift-lab/src/measure.rs
+++ b/crates/quartzdrift-lab/src/measure.rs
@@ -1,4 +1,4 @@
-//! Measures what a gateway costs: throughput, added latency, processor time, memory, and the time of a start.
+//! Measures the cost of a gateway: throughput, added latency, processor time, memory and start time.
 //!
 //! Most measurements load a gateway process whose workers respond without executing anything. Latencies are
 //! compared with the same load sent directly to a worker.
@@ -34,12 +34,12 @@
 }
 
 impl Gateway {
-    /// Starts a gateway before these workers, which accepts so many connections.
+    /// Starts a gateway that sends calls to `workers` and accepts up to `connections` connections.
     fn start(program: &Path, workers: &[SocketAddr], connections: usize) -> io::Result<Gateway> {
         Gateway::start_with(program, workers, connections, "")
     }
 
-    /// As [`Gateway::start`], with more lines of the settings' table for asynchronous requests.
+    /// Like [`Gateway::start`], with additional lines in the settings table of asynchronous requests.
     fn start_with(
         program: &Path,
         workers: &[SocketAddr],
--- a/crates/quartzdrift-lab/src/power_loss.rs
+++ b/crates/quartzdrift-lab/src/power_loss.rs
@@ -115,12 +115,12 @@
 /// A client's request with its retries. Times are in seconds since the start of the traffic.
 struct ClientRequest {
     sent: f64,
-    /// When the latency objective of the first call ends.
+    /// Time at which the latency objective of the first call ends.
     deadline: f64,
     in_time: bool,
 }
 
-/// How long a run took to recover from its power losses: seconds from the first start after the last loss
+/// Recovery time of a run from its power losses: seconds from the first start after the last loss
 /// until the share of calls that finish within their latency objective stays at nearly its level before the
 /// first loss. The share is taken over windows of a second, and a client's retries count as part of its first
 /// call. `None` if the scenario has no power loss or nothing starts again, or if the record has no calls
@@ -139,7 +139,7 @@
     };
     let power_losses: Vec<f64> = fault_times(|fault| matches!(fault, Fault::PowerOff { .. })).collect();
     let (first_loss, last_loss) = (*power_losses.first()?, *power_losses.last()?);
-    let mut starts = fault_times(|fault| matches!(fault, Fault::PowerOnGateway(_) | Fault::Start(_)));
+    let mut starts = fault_times(|fault| matches!(fault, Fault::PowerOnGateway(_) | Fault::StartWorker(_)));
     let first_start = starts.find(|at| *at > last_loss)?;
     let mut key_of_call: BTreeMap<u64, &str> = BTreeMap::new();
     let mut requests: BTreeMap<&str, ClientRequest> = BTreeMap::new();
--- a/crates/quartzdrift-lab/src/relay.rs
+++ b/crates/quartzdrift-lab/src/relay.rs
@@ -11,26 +11,26 @@
 /// effect.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How a relay treats the connections of its link.
+/// State of a link, which decides whether its relay passes bytes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
     /// Bytes pass in both directions.
-    Well,
+    Normal,
     /// No bytes pass; connections stay open.
     Stalled,
     /// Requests pass; responses are held back.
-    Deaf,
+    ResponsesStalled,
     /// Open connections are closed, and new ones right after they are accepted.
-    Cut,
+    Closed,
 }
 
 impl LinkState {
     fn load(state: &AtomicU8) -> LinkState {
         [
-            LinkState::Well,
+            LinkState::Normal,
             LinkState::Stalled,
-            LinkState::Deaf,
-            LinkState::Cut,
+            LinkState::ResponsesStalled,
+            LinkState::Closed,
         ][usize::from(state.load(Ordering::Relaxed)) % 4]
     }
 }
@@ -51,7 +51,7 @@
         let address = listener.local_addr()?;
         listener.set_nonblocking(true)?;
         let (link, stop) = (
-            Arc::new(AtomicU8::new(LinkState::Well as u8)),
+            Arc::new(AtomicU8::new(LinkState::Normal as u8)),
             Arc::new(AtomicBool::new(false)),
         );
         let (accept_link, accept_stop) = (link.clone(), stop.clone());
@@ -93,7 +93,7 @@
             std::thread::sleep(POLL_INTERVAL);
             continue;
         };
-        if LinkState::load(link) == LinkState::Cut {
+        if LinkState::load(link) == LinkState::Closed {
             continue;
         }
         // If the worker refuses the connection, the gateway's connection is dropped here and so closed.
@@ -123,10 +123,10 @@
         .and_then(|()| from.set_read_timeout(Some(POLL_INTERVAL)));
     while prepared.is_ok() && !stop.load(Ordering::Relaxed) {
         match LinkState::load(link) {
-            LinkState::Cut => break,
+            LinkState::Closed => break,
             LinkState::Stalled => std::thread::sleep(POLL_INTERVAL),
-            LinkState::Deaf if carries_responses => std::thread::sleep(POLL_INTERVAL),
-            LinkState::Well | LinkState::Deaf => match from.read(&mut buffer) {
+            LinkState::ResponsesStalled if carries_responses => std::thread::sleep(POLL_INTERVAL),
+            LinkState::Normal | LinkState::ResponsesStalled => match from.read(&mut buffer) {
                 Ok(0) => break,
                 Ok(length) if to.write_all(&buffer[..length]).is_ok() => {}
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
@@ -165,21 +165,21 @@
             (pass(true, b"a"), pass(false, b"b")),
             (Some(b"a".to_vec()), Some(b"b".to_vec()))
         );
-        relay.set_state(LinkState::Deaf);
+        relay.set_state(LinkState::ResponsesStalled);
         // A read that has begun may still pass its bytes on.
         std::thread::sleep(POLL_INTERVAL * 4);
         assert_eq!((pass(true, b"c"), pass(false, b"d")), (Some(b"c".to_vec()), None));
         relay.set_state(LinkState::Stalled);
         std::thread::sleep(POLL_INTERVAL * 4);
         assert_eq!((pass(true, b"e"), pass(false, b"f")), (None, None));
-        relay.set_state(LinkState::Well);
+        relay.set_state(LinkState::Normal);
         std::thread::sleep(POLL_INTERVAL * 8);
         assert_eq!(
             pass(true, b"g"),
             Some(b"e".to_vec()),
             "bytes held back arrive before later ones"
         );
-        relay.set_state(LinkState::Cut);
+        relay.set_state(LinkState::Closed);
         let mut rest = Vec::new();
         gateway_end.read_to_end(&mut rest).unwrap();
         assert_eq!(rest, b"df", "bytes held back arrive before the end of the stream");
--- a/crates/quartzdrift-lab/src/scenario.rs
+++ b/crates/quartzdrift-lab/src/scenario.rs
@@ -56,17 +56,17 @@
 pub struct RequestClass {
     pub name: String,
     pub idempotency: Idempotency,
-    /// How long workers recognise a repeated request by its idempotency key.
+    /// Time for which workers recognise a repeated request by its idempotency key.
     pub deduplication_window: Duration,
-    /// Calls a second, before [`RequestClass::pattern`] applies.
+    /// Mean calls a second, which [`RequestClass::pattern`] scales over time.
     pub rate: f64,
-    /// Mean time that a call works.
+    /// Mean work of a call, as time on one core.
     pub mean_work: Duration,
-    /// How long a client waits for the response.
+    /// Longest time that a client waits for the response.
     pub time_limit: Duration,
     /// Number of functions that the calls are spread over.
     pub function_count: usize,
-    /// Memory of a loaded copy of a function.
+    /// Memory of a loaded copy of a function, in MB.
     pub memory_mb: f64,
     /// Time that a worker needs to load a function.
     pub load_time: Duration,
@@ -74,32 +74,33 @@
     pub slots: usize,
     pub asynchronous: bool,
     /// Share of calls whose client disconnects before the response.
-    pub hang_up_share: f64,
+    pub early_disconnect_share: f64,
     pub latency_objective: Duration,
     pub pattern: Pattern,
 }
 
-/// How the rate of calls varies over time. Times are in seconds; `most` is a multiple of the class's rate.
+/// Variation of the call rate over time. Times are in seconds; `peak_factor` is a multiple of the class's
+/// rate.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Pattern {
     Steady,
-    /// The rate rises from 1 to `most` times its value and falls again within each period.
+    /// Within each period the rate rises from the class's rate to `peak_factor` times that, and falls again.
     Daily {
         period: f64,
-        most: f64,
+        peak_factor: f64,
     },
-    /// Five daily periods, and two periods at the plain rate.
+    /// Five daily periods, then two periods at the class's rate.
     Weekly {
         period: f64,
-        most: f64,
+        peak_factor: f64,
     },
-    /// `most` times the rate in the first fifth of each interval, and half the rate in the rest.
+    /// `peak_factor` times the rate in the first fifth of each interval, and half the rate in the rest.
     Bursty {
         every: f64,
-        most: f64,
+        peak_factor: f64,
     },
-    /// Three functions get most calls; each interval another three.
-    Turning {
+    /// Three functions get 70 % of the calls; other three replace them in each interval of `every` seconds.
+    RotatingFunctions {
         every: f64,
     },
     /// Each function is called by its own timer, with about this period and a random delay up to `jitter`.
@@ -107,103 +108,103 @@
         period: f64,
         jitter: f64,
     },
-    /// Each call is for another function, and none is called twice.
+    /// Each call is for a function that was not called before.
     Scan,
-    /// `most` times the rate late in the scenario: from 60 % to 85 % of its length.
-    TermsEnd {
-        most: f64,
+    /// `peak_factor` times the rate from 60 % to 85 % of the scenario's length.
+    LatePeak {
+        peak_factor: f64,
     },
 }
 
-/// A fault or another operation of a scenario. Plain numbers are indices of workers or gateways. The variants
-/// have the names of their keywords in the file.
+/// A fault or another operation of a scenario. Plain numbers are indices of workers or gateways.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Kills a worker; discovery lists it as gone.
-    Crash(usize),
+    CrashWorker(usize),
     /// Starts a worker without faults at its previous address.
-    Start(usize),
-    /// The worker accepts calls and answers none.
-    Silent(usize),
-    /// The worker stops working and answers nothing.
-    Hang(usize),
+    StartWorker(usize),
+    /// The worker accepts calls and sends no responses.
+    SilenceWorker(usize),
+    /// The worker stops its running calls and sends no responses.
+    HangWorker(usize),
     /// Clears the faults of a worker.
-    Well(usize),
-    Drain(usize),
+    ClearWorkerFaults(usize),
+    DrainWorker(usize),
     /// This share of a worker's calls fails at once.
-    Errors(usize, f64),
-    /// This share of a worker's responses is lost: the connection is closed instead.
-    Lose(usize, f64),
-    /// The worker delays its responses.
-    Slow(usize, Duration),
-    /// The worker's load reports are older by this.
-    Late(usize, Duration),
-    /// Delay until discovery reports a change.
-    DiscoveryLag(Duration),
-    /// Whether discovery answers nothing and closes its streams.
-    DiscoveryStop(bool),
-    /// Whether discovery returns an empty endpoint list.
-    DiscoveryEmpty(bool),
-    /// Fetches from the store take this many times as long.
-    StoreSlow(f64),
-    /// Whether the store rejects every fetch.
-    StoreRefuse(bool),
+    FailCalls(usize, f64),
+    /// For this share of a worker's calls the connection is closed in place of the response.
+    LoseResponses(usize, f64),
+    /// The worker delays each response by this time.
+    DelayResponses(usize, Duration),
+    /// The worker's load reports are older by this time.
+    DelayReports(usize, Duration),
+    /// Sets the delay until discovery reports a change.
+    SetDiscoveryLag(Duration),
+    /// With `true` discovery closes its streams and answers no request; `false` ends this fault.
+    StopDiscovery(bool),
+    /// With `true` discovery returns an empty endpoint list; `false` ends this fault.
+    EmptyDiscovery(bool),
+    /// Multiplies the duration of fetches from the store by this factor.
+    SlowStore(f64),
+    /// With `true` the store rejects every fetch; `false` ends this fault.
+    RejectFetches(bool),
     KillGateway(usize),
     StartGateway(usize),
-    /// Stops the gateway's process by SIGSTOP for this long.
+    /// Stops the gateway's process by SIGSTOP for this time.
     PauseGateway(usize, Duration),
     /// Loses the datagrams between the gateways `first` to `last` and the others; with `one_way` only those
     /// that the gateways `first` to `last` send.
-    Apart {
+    Partition {
         first: usize,
         last: usize,
         one_way: bool,
     },
     /// Ends partitions and all other datagram faults.
-    Together,
-    /// This share of datagrams is lost.
+    ClearDatagramFaults,
+    /// Sets the share of datagrams that are lost.
     LoseDatagrams(f64),
-    /// This share of datagrams arrives twice.
-    DoubleDatagrams(f64),
-    /// Each datagram is delayed by a random time up to this.
-    LateDatagrams(Duration),
+    /// Sets the share of datagrams that arrive twice.
+    DuplicateDatagrams(f64),
+    /// Delays each datagram by a random time up to this maximum.
+    DelayDatagrams(Duration),
     /// Cuts the power of a range of gateways, or, with `None`, of all gateways, the workers and discovery.
     PowerOff {
         gateways: Option<(usize, usize)>,
     },
     /// Stops a range of gateways by SIGTERM, all at the same time.
     StopGateways(usize, usize),
-    /// Starts a gateway as on a machine that has just booted.
+    /// Starts a gateway with a new boot id, as on a machine that has just booted.
     PowerOnGateway(usize),
-    /// Shifts the gateway's wall clock from its next start on: ahead with `true`, behind with `false`.
-    Clock(usize, Duration, bool),
-    /// Copies the gateway's state folder, for [`StateDamage::Older`].
+    /// Shifts the gateway's wall clock from its next start on, ahead with `true` and behind with `false`.
+    ShiftClock(usize, Duration, bool),
+    /// Copies the gateway's state folder, for [`StateDamage::OlderCopy`].
     CopyState(usize),
     /// Sets the state of the link from a gateway to a worker.
-    Link(usize, usize, LinkState),
-    /// Whether discovery sends nothing more to a gateway, without closing its stream.
-    DiscoveryStall(usize, bool),
+    SetLinkState(usize, usize, LinkState),
+    /// With `true` discovery sends nothing more to a gateway and leaves its stream open; `false` ends this
+    /// fault.
+    StallDiscovery(usize, bool),
     /// Damages the state folder of a gateway that is not running.
-    Spoil(usize, StateDamage),
+    DamageState(usize, StateDamage),
 }
 
-/// How a gateway's state folder is damaged while the process is down.
+/// Damage to the state folder of a gateway that is not running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateDamage {
     /// The checkpoint is cut to half its length.
-    Cut,
+    Truncated,
     /// One bit of the checkpoint is flipped.
-    Flip,
+    BitFlipped,
     /// The folder is replaced by its earlier copy.
-    Older,
+    OlderCopy,
     /// The folder is replaced by that of another gateway, except for the store of asynchronous requests.
-    Other,
+    OtherGateway,
     /// The folder is deleted.
-    Empty,
+    Deleted,
     /// The checkpoint cannot be read as a file.
     Unreadable,
     /// No file can be written from the next start on.
-    Full,
+    DiskFull,
 }
 
 /// A scenario as read from its file.
@@ -213,43 +214,43 @@
     pub workers: usize,
     /// Cores of each worker.
     pub cores: f64,
-    /// Memory of each worker.
+    /// Memory of each worker, in MB.
     pub memory_mb: f64,
-    /// How long a worker keeps an unused copy loaded.
-    pub keep_loaded: Duration,
-    /// Share of its capacity that a worker has at its start, growing to 1 within `cold_for`.
-    pub cold_from: f64,
-    pub cold_for: Duration,
-    /// Overload bound of a cold worker: it crashes when the work sent to it within `fall_window` exceeds its
-    /// capacity by this factor. 0: no bound.
-    pub fall_multiple: f64,
-    pub fall_window: Duration,
-    /// Most calls that wait at a worker; it rejects more.
-    pub max_waiting_calls: usize,
+    /// Time for which a worker keeps an unused copy loaded.
+    pub keep_alive: Duration,
+    /// Share of its capacity that a worker has at its start; it grows to 1 within `slow_start_duration`.
+    pub slow_start_min_capacity: f64,
+    pub slow_start_duration: Duration,
+    /// Overload bound of a cold worker, as a multiple of its capacity: the worker crashes when the work sent
+    /// to it within `overload_window` exceeds the bound. 0: no bound.
+    pub overload_multiple: f64,
+    pub overload_window: Duration,
+    /// Most calls that wait at a worker, which rejects further ones.
+    pub max_queue_length: usize,
     /// Concurrent fetches that the store serves at full speed.
     pub store_capacity: f64,
-    /// Most concurrent fetches; the store rejects more.
-    pub store_limit: usize,
-    /// The store stops for a while once it has rejected this many fetches within a second. 0: never.
-    pub store_stops_at: usize,
+    /// Most concurrent fetches; the store rejects further ones.
+    pub store_max_concurrent_fetches: usize,
+    /// Number of fetches rejected within a second that causes an outage of the store; 0 disables outages.
+    pub store_outage_threshold: usize,
     /// Delay until discovery reports a change.
     pub discovery_lag: Duration,
     pub request_classes: Vec<RequestClass>,
     pub length: Duration,
-    /// Faults by their time since the start, in the order of time.
+    /// Faults with their times since the start of the traffic, in ascending order.
     pub faults: Vec<(Duration, Fault)>,
-    /// Whether gateway processes load functions ahead of need by forecasts. The emulator takes this from its
-    /// variants instead.
+    /// Whether gateway processes load functions ahead of need by forecasts. The simulation takes this setting
+    /// from its variants instead.
     pub forecasts: bool,
-    /// Gossip period of the gateways' membership; without it the gateways know nothing of each other.
+    /// Gossip period of the gateways' membership; `None`: the gateways run without a membership.
     pub gossip_period: Option<Duration>,
     /// Most retries of a rejected call.
     pub max_retries: u32,
-    /// Least share of the wait that the gateway asked for, before a client retries.
+    /// Least wait of a client before a retry, as a share of the retry time that the gateway stated.
     pub retry_wait_factor: f64,
 }
 
-/// The words of a line.
+/// The words of a line of a scenario file.
 struct Words<'a>(Vec<&'a str>);
 
 impl<'a> Words<'a> {
@@ -258,7 +259,7 @@
         self.0
             .get(n)
             .copied()
-            .ok_or_else(|| format!("word {} is missing: the line has only {length}", n + 1))
+            .ok_or_else(|| format!("word {} is missing: the line has only {length} words", n + 1))
     }
 
     /// The value of an option `key=value`.
@@ -292,22 +293,22 @@
     humantime::parse_duration(text).map_err(|e| format!("'{text}' is not a duration: {e}"))
 }
 
-/// Reads a scenario file; errors name the line.
+/// Parses the text of a scenario file; errors name the line.
 pub fn read(text: &str) -> Result<Scenario, String> {
     let mut scenario = Scenario {
         gateways: 1,
         workers: 3,
         cores: 2.0,
         memory_mb: 2000.0,
-        keep_loaded: Duration::from_secs(8),
-        cold_from: 1.0,
-        cold_for: Duration::ZERO,
-        fall_multiple: 0.0,
-        fall_window: Duration::from_secs(1),
-        max_waiting_calls: 60,
+        keep_alive: Duration::from_secs(8),
+        slow_start_min_capacity: 1.0,
+        slow_start_duration: Duration::ZERO,
+        overload_multiple: 0.0,
+        overload_window: Duration::from_secs(1),
+        max_queue_length: 60,
         store_capacity: 16.0,
-        store_limit: 64,
-        store_stops_at: 0,
+        store_max_concurrent_fetches: 64,
+        store_outage_threshold: 0,
         discovery_lag: Duration::ZERO,
         request_classes: Vec::new(),
         length: Duration::from_secs(10),
@@ -322,19 +323,19 @@
         if !words.0.is_empty() {
             scenario
                 .read_line(&words)
-                .map_err(|why| format!("line {}: {why}", n + 1))?;
+                .map_err(|error| format!("line {}: {error}", n + 1))?;
         }
     }
     if scenario.request_classes.is_empty() {
-        return Err("the scenario has no workload".to_owned());
+        return Err("the scenario has no request class: add a 'workload' line".to_owned());
     }
     scenario.faults.sort_by_key(|(at, _)| *at);
-    for (_, fault) in &scenario.faults {
-        if let Fault::Link(_, worker, _) = fault
+    for (at, fault) in &scenario.faults {
+        if let Fault::SetLinkState(_, worker, _) = fault
             && *worker >= scenario.workers
         {
             return Err(format!(
-                "{fault:?}: there is no worker {worker}; the {} workers are counted from 0",
+                "{fault:?} at {at:?}: there is no worker {worker}; the {} workers are counted from 0",
                 scenario.workers
             ));
         }
@@ -343,40 +344,40 @@
             | Fault::StartGateway(n)
             | Fault::PauseGateway(n, _)
             | Fault::PowerOnGateway(n)
-            | Fault::Clock(n, ..)
+            | Fault::ShiftClock(n, ..)
             | Fault::CopyState(n)
-            | Fault::Link(n, ..)
-            | Fault::DiscoveryStall(n, _)
-            | Fault::Spoil(n, _)
-            | Fault::Apart { last: n, .. }
+            | Fault::SetLinkState(n, ..)
+            | Fault::StallDiscovery(n, _)
+            | Fault::DamageState(n, _)
+            | Fault::Partition { last: n, .. }
             | Fault::StopGateways(_, n) => (*n, scenario.gateways, "gateway"),
             Fault::PowerOff { gateways } => {
                 let last = gateways.map_or(0, |(_, last)| last);
                 (last, scenario.gateways, "gateway")
             }
-            Fault::Crash(n)
-            | Fault::Start(n)
-            | Fault::Silent(n)
-            | Fault::Hang(n)
-            | Fault::Well(n)
-            | Fault::Drain(n)
-            | Fault::Errors(n, _)
-            | Fault::Lose(n, _)
-            | Fault::Slow(n, _)
-            | Fault::Late(n, _) => (*n, scenario.workers, "worker"),
-            Fault::DiscoveryLag(_)
-            | Fault::DiscoveryStop(_)
-            | Fault::DiscoveryEmpty(_)
-            | Fault::StoreSlow(_)
-            | Fault::StoreRefuse(_)
-            | Fault::Together
+            Fault::CrashWorker(n)
+            | Fault::StartWorker(n)
+            | Fault::SilenceWorker(n)
+            | Fault::HangWorker(n)
+            | Fault::ClearWorkerFaults(n)
+            | Fault::DrainWorker(n)
+            | Fault::FailCalls(n, _)
+            | Fault::LoseResponses(n, _)
+            | Fault::DelayResponses(n, _)
+            | Fault::DelayReports(n, _) => (*n, scenario.workers, "worker"),
+            Fault::SetDiscoveryLag(_)
+            | Fault::StopDiscovery(_)
+            | Fault::EmptyDiscovery(_)
+            | Fault::SlowStore(_)
+            | Fault::RejectFetches(_)
+            | Fault::ClearDatagramFaults
             | Fault::LoseDatagrams(_)
-            | Fault::DoubleDatagrams(_)
-            | Fault::LateDatagrams(_) => continue,
+            | Fault::DuplicateDatagrams(_)
+            | Fault::DelayDatagrams(_) => continue,
         };
         if index >= count {
             return Err(format!(
-                "{fault:?}: there is no {kind} {index}; the {count} {kind}s are counted from 0"
+                "{fault:?} at {at:?}: there is no {kind} {index}; the {count} {kind}s are counted from 0"
             ));
         }
     }
@@ -384,8 +385,8 @@
 }
 
 impl Scenario {
-    /// The request class of a function, with its index. Names of functions are the name of their request
-    /// class and a number, as in `quote-3`.
+    /// The request class of a function, with its index. A function is named after its request class, with a
+    /// number, as in `quote-3`.
     pub fn request_class_of(&self, function: &str) -> Option<(usize, &RequestClass)> {
         let (name, _) = function.rsplit_once('-')?;
         self.request_classes
@@ -416,18 +417,19 @@
                 self.workers = count()?;
                 self.cores = words.number_option("cores", self.cores)?;
                 self.memory_mb = words.number_option("memory", self.memory_mb)?;
-                self.keep_loaded = words.duration_option("keep", self.keep_loaded)?;
-                self.cold_from = words.number_option("cold", self.cold_from)?;
-                self.cold_for = words.duration_option("cold-for", self.cold_for)?;
-                self.fall_multiple = words.number_option("fall", self.fall_multiple)?;
-                self.fall_window = words.duration_option("fall-window", self.fall_window)?;
-                self.max_waiting_calls = words.number_option("queue", self.max_waiting_calls)?;
+                self.keep_alive = words.duration_option("keep", self.keep_alive)?;
+                self.slow_start_min_capacity = words.number_option("cold", self.slow_start_min_capacity)?;
+                self.slow_start_duration = words.duration_option("cold-for", self.slow_start_duration)?;
+                self.overload_multiple = words.number_option("fall", self.overload_multiple)?;
+                self.overload_window = words.duration_option("fall-window", self.overload_window)?;
+                self.max_queue_length = words.number_option("queue", self.max_queue_length)?;
             }
             "store" => {
                 words.reject_unknown_options(&["capacity", "limit", "stops-at"])?;
                 self.store_capacity = words.number_option("capacity", self.store_capacity)?;
-                self.store_limit = words.number_option("limit", self.store_limit)?;
-                self.store_stops_at = words.number_option("stops-at", self.store_stops_at)?;
+                self.store_max_concurrent_fetches =
+                    words.number_option("limit", self.store_max_concurrent_fetches)?;
+                self.store_outage_threshold = words.number_option("stops-at", self.store_outage_threshold)?;
             }
             "roster" => {
                 words.reject_unknown_options(&["lag"])?;
@@ -463,35 +465,36 @@
                 .map_err(|_| format!("'{word}' is not a valid number"))
         };
         let fault = match (words.word(2)?, words.word(3)?) {
-            ("crash", "worker") => Fault::Crash(index(4)?),
-            ("start", "worker") => Fault::Start(index(4)?),
-            ("silent", "worker") => Fault::Silent(index(4)?),
-            ("hang", "worker") => Fault::Hang(index(4)?),
-            ("well", "worker") => Fault::Well(index(4)?),
-            ("drain", "worker") => Fault::Drain(index(4)?),
-            ("errors", "worker") => Fault::Errors(index(4)?, parse_number(words.word(5)?)?),
-            ("lose", "worker") => Fault::Lose(index(4)?, parse_number(words.word(5)?)?),
-            ("slow", "worker") => Fault::Slow(index(4)?, parse_duration(words.word(5)?)?),
-            ("late", "worker") => Fault::Late(index(4)?, parse_duration(words.word(5)?)?),
+            ("crash", "worker") => Fault::CrashWorker(index(4)?),
+            ("start", "worker") => Fault::StartWorker(index(4)?),
+            ("silent", "worker") => Fault::SilenceWorker(index(4)?),
+            ("hang", "worker") => Fault::HangWorker(index(4)?),
+            ("well", "worker") => Fault::ClearWorkerFaults(index(4)?),
+            ("drain", "worker") => Fault::DrainWorker(index(4)?),
+            ("errors", "worker") => Fault::FailCalls(index(4)?, parse_number(words.word(5)?)?),
+            ("lose", "worker") => Fault::LoseResponses(index(4)?, parse_number(words.word(5)?)?),
+            ("slow", "worker") => Fault::DelayResponses(index(4)?, parse_duration(words.word(5)?)?),
+            ("late", "worker") => Fault::DelayReports(index(4)?, parse_duration(words.word(5)?)?),
             ("replace", "workers") => {
                 let every = words.duration_option("every", Duration::from_secs(1))?;
                 for (n, worker) in (index(4)?..=index(5)?).enumerate() {
                     let drained = at + every * n as u32;
                     let second = Duration::from_secs(1);
-                    self.faults.push((drained, Fault::Drain(worker)));
-                    self.faults.push((drained + second, Fault::Crash(worker)));
-                    self.faults.push((drained + 2 * second, Fault::Start(worker)));
+                    self.faults.push((drained, Fault::DrainWorker(worker)));
+                    self.faults.push((drained + second, Fault::CrashWorker(worker)));
+                    self.faults
+                        .push((drained + 2 * second, Fault::StartWorker(worker)));
                 }
                 return Ok(());
             }
-            ("roster", "lag") => Fault::DiscoveryLag(parse_duration(words.word(4)?)?),
-            ("roster", "stop") => Fault::DiscoveryStop(true),
-            ("roster", "go") => Fault::DiscoveryStop(false),
-            ("roster", "empty") => Fault::DiscoveryEmpty(true),
-            ("roster", "full") => Fault::DiscoveryEmpty(false),
-            ("store", "slow") => Fault::StoreSlow(factor()?),
-            ("store", "refuse") => Fault::StoreRefuse(true),
-            ("store", "serve") => Fault::StoreRefuse(false),
+            ("roster", "lag") => Fault::SetDiscoveryLag(parse_duration(words.word(4)?)?),
+            ("roster", "stop") => Fault::StopDiscovery(true),
+            ("roster", "go") => Fault::StopDiscovery(false),
+            ("roster", "empty") => Fault::EmptyDiscovery(true),
+            ("roster", "full") => Fault::EmptyDiscovery(false),
+            ("store", "slow") => Fault::SlowStore(factor()?),
+            ("store", "refuse") => Fault::RejectFetches(true),
+            ("store", "serve") => Fault::RejectFetches(false),
             ("kill", "gateway") => Fault::KillGateway(index(4)?),
             ("start", "gateway") => Fault::StartGateway(index(4)?),
             ("pause", "gateway") => Fault::PauseGateway(index(4)?, parse_duration(words.word(5)?)?),
@@ -507,27 +510,27 @@
             }
             ("apart", "gateways") | ("unheard", "gateways") => {
                 let one_way = words.word(2)? == "unheard";
-                Fault::Apart {
+                Fault::Partition {
                     first: index(4)?,
                     last: index(5)?,
                     one_way,
                 }
             }
-            ("together", "gateways") => Fault::Together,
+            ("together", "gateways") => Fault::ClearDatagramFaults,
             ("lose", "datagrams") => Fault::LoseDatagrams(factor()?),
-            ("double", "datagrams") => Fault::DoubleDatagrams(factor()?),
-            ("late", "datagrams") => Fault::LateDatagrams(parse_duration(words.word(4)?)?),
+            ("double", "datagrams") => Fault::DuplicateDatagrams(factor()?),
+            ("late", "datagrams") => Fault::DelayDatagrams(parse_duration(words.word(4)?)?),
             ("clock", "gateway") => {
                 let ahead = match words.word(5)? {
                     "ahead" => true,
                     "behind" => false,
                     other => return Err(format!("unknown clock shift '{other}': expected ahead or behind")),
                 };
-                Fault::Clock(index(4)?, parse_duration(words.word(6)?)?, ahead)
+                Fault::ShiftClock(index(4)?, parse_duration(words.word(6)?)?, ahead)
             }
             ("link", "gateway") if words.word(5)? == "roster" => match words.word(6)? {
-                "stalled" => Fault::DiscoveryStall(index(4)?, true),
-                "well" => Fault::DiscoveryStall(index(4)?, false),
+                "stalled" => Fault::StallDiscovery(index(4)?, true),
+                "well" => Fault::StallDiscovery(index(4)?, false),
                 other => {
                     return Err(format!(
                         "unknown state '{other}' of the link to the roster: expected stalled or well"
@@ -536,20 +539,20 @@
             },
             ("link", "gateway") if words.word(5)? == "worker" => {
                 let link = match words.word(7)? {
-                    "well" => LinkState::Well,
+                    "well" => LinkState::Normal,
                     "stalled" => LinkState::Stalled,
-                    "deaf" => LinkState::Deaf,
-                    "cut" => LinkState::Cut,
+                    "deaf" => LinkState::ResponsesStalled,
+                    "cut" => LinkState::Closed,
                     other => {
                         return Err(format!(
                             "unknown link state '{other}': expected well, stalled, deaf or cut"
                         ));
                     }
                 };
-                Fault::Link(index(4)?, index(6)?, link)
+                Fault::SetLinkState(index(4)?, index(6)?, link)
             }
             ("copy", "gateway") => Fault::CopyState(index(4)?),
-            ("spoil", "gateway") => Fault::Spoil(index(4)?, parse_state_damage(words.word(5)?)?),
+            ("spoil", "gateway") => Fault::DamageState(index(4)?, parse_state_damage(words.word(5)?)?),
             ("stop", "gateways") => Fault::StopGateways(index(4)?, index(5)?),
             ("power", "off") => match words.word(4)? {
                 "all" => Fault::PowerOff { gateways: None },
@@ -561,8 +564,8 @@
                 let every = words.duration_option("every", Duration::ZERO)?;
                 let power_on: fn(usize) -> Fault = match words.word(4)? {
                     "gateways" => Fault::PowerOnGateway,
-                    "workers" => Fault::Start,
-                    "roster" => |_| Fault::DiscoveryStop(false),
+                    "workers" => Fault::StartWorker,
+                    "roster" => |_| Fault::StopDiscovery(false),
                     other => {
                         return Err(format!(
                             "cannot power on '{other}': expected gateways, workers or roster"
@@ -590,13 +593,13 @@
 
 fn parse_state_damage(text: &str) -> Result<StateDamage, String> {
     Ok(match text {
-        "cut" => StateDamage::Cut,
-        "flip" => StateDamage::Flip,
-        "older" => StateDamage::Older,
-        "other" => StateDamage::Other,
-        "empty" => StateDamage::Empty,
+        "cut" => StateDamage::Truncated,
+        "flip" => StateDamage::BitFlipped,
+        "older" => StateDamage::OlderCopy,
+        "other" => StateDamage::OtherGateway,
+        "empty" => StateDamage::Deleted,
         "unreadable" => StateDamage::Unreadable,
-        "full" => StateDamage::Full,
+        "full" => StateDamage::DiskFull,
         other => {
             return Err(format!(
                 "unknown state damage '{other}': expected cut, flip, older, other, empty, unreadable or full"
@@ -614,19 +617,22 @@
     let period = words
         .duration_option("period", Duration::from_secs(30))?
         .as_secs_f64();
-    let most = words.number_option("most", 4.0)?;
+    let peak_factor = words.number_option("most", 4.0)?;
     Ok(match words.option("pattern").unwrap_or("steady") {
         "steady" => Pattern::Steady,
-        "daily" => Pattern::Daily { period, most },
-        "weekly" => Pattern::Weekly { period, most },
-        "bursty" => Pattern::Bursty { every: period, most },
-        "turning" => Pattern::Turning { every: period },
+        "daily" => Pattern::Daily { period, peak_factor },
+        "weekly" => Pattern::Weekly { period, peak_factor },
+        "bursty" => Pattern::Bursty {
+            every: period,
+            peak_factor,
+        },
+        "turning" => Pattern::RotatingFunctions { every: period },
         "timers" => Pattern::Timers {
             period,
             jitter: words.duration_option("jitter", Duration::ZERO)?.as_secs_f64(),
         },
         "scan" => Pattern::Scan,
-        "terms-end" => Pattern::TermsEnd { most },
+        "terms-end" => Pattern::LatePeak { peak_factor },
         other => return Err(format!("unknown pattern '{other}'")),
     })
 }
@@ -670,7 +676,7 @@
         load_time: words.duration_option("load", ms(200))?,
         slots: words.number_option("lanes", 4)?,
         asynchronous: words.0.contains(&"deferred"),
-        hang_up_share: words.number_option("hang-up", 0.0)?,
+        early_disconnect_share: words.number_option("hang-up", 0.0)?,
         latency_objective: words.duration_option("target", words.duration_option("limit", ms(3000))?)?,
         pattern: read_pattern(words)?,
     })
@@ -691,7 +697,10 @@
             ),
             (2, 1.0, Idempotency::NonIdempotent)
         );
-        assert_eq!(scenario.faults[0], (Duration::from_secs(1), Fault::Lose(3, 0.5)));
+        assert_eq!(
+            scenario.faults[0],
+            (Duration::from_secs(1), Fault::LoseResponses(3, 0.5))
+        );
         assert_eq!(scenario.faults.len(), 7);
         for (text, line) in [
             ("workers x", "line 1"),
--- a/crates/quartzdrift-lab/src/scenario_runner.rs
+++ b/crates/quartzdrift-lab/src/scenario_runner.rs
@@ -28,7 +28,7 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Drain grace in the settings of the gateways.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// Longest time from the first to the last process that a power loss kills: it must count as simultaneous.
+/// Longest time between the first and the last kill of a power loss, so that they count as simultaneous.
 const POWER_OFF_TOLERANCE: Duration = Duration::from_millis(20);
 /// Longest time that gateways may take to stop after SIGTERM.
 const STOP_TIMEOUT: Duration = Duration::from_secs(20);
@@ -41,17 +41,17 @@
     pub call_counts: CallCounts,
     /// Attempts that reached workers.
     pub attempts: usize,
-    /// Attempts that had to wait until their function was loaded.
+    /// Attempts that waited until their function was loaded.
     pub waited_for_load: usize,
     /// Fetches of functions from the store, including the rejected ones.
     pub fetches: usize,
     /// Fetches that the store rejected.
-    pub refused_fetches: usize,
+    pub rejected_fetches: usize,
     /// Recovery state of each gateway at the end; `None` for a gateway that was down or had stored no state.
     pub recovery_views: Vec<Option<RecoveryView>>,
 }
 
-/// The program that gateways are started from, with its arguments before the settings file.
+/// The program that is started as a gateway, with the arguments that precede the settings file.
 #[derive(Clone, Debug)]
 pub struct GatewayProgram {
     pub path: PathBuf,
@@ -114,8 +114,8 @@
     /// Links from gateways to workers, present if the scenario has faults of links.
     relays: BTreeMap<(usize, usize), Relay>,
     /// Idempotency keys that the workers remember.
-    marks: worker::SharedIdempotencyKeys,
-    /// Number of power losses so far, from which boot ids are made.
+    idempotency_keys: worker::SharedIdempotencyKeys,
+    /// Number of power losses so far; the boot ids contain it.
     power_losses: u32,
 }
 
@@ -177,14 +177,14 @@
         scenario.gateways,
         ms(DRAIN_GRACE),
     );
-    if scenario.fall_multiple > 0.0 {
+    if scenario.overload_multiple > 0.0 {
         let _ = write!(
             text,
             "cold_from = {}\ncold_for = {}\nfall_multiple = {:.3}\nfall_window = {}\n",
-            scenario.cold_from,
-            ms(scenario.cold_for),
-            scenario.fall_multiple,
-            ms(scenario.fall_window),
+            scenario.slow_start_min_capacity,
+            ms(scenario.slow_start_duration),
+            scenario.overload_multiple,
+            ms(scenario.overload_window),
         );
     }
     let _ = write!(
@@ -195,7 +195,7 @@
          {{ field = \"loads\", metric = \"named_metrics.loads\" }}]\n\
          [deferred]\ntries = 3\nwait = \"200ms\"\nlongest_wait = \"2s\"\ngreatest_age = \"60s\"\n\
          on_failure = {{ function = \"dead\" }}\n{}",
-        ms(scenario.keep_loaded),
+        ms(scenario.keep_alive),
         scenario.memory_mb,
         scenario.forecasts,
         if scenario.gossip_period.is_some() {
@@ -247,16 +247,16 @@
 }
 
 /// The model of the scenario's workers.
-pub fn worker_machine(scenario: &Scenario) -> WorkerSpec {
+pub fn worker_spec(scenario: &Scenario) -> WorkerSpec {
     WorkerSpec {
         cores: scenario.cores,
         memory_mb: scenario.memory_mb,
-        max_queue_length: scenario.max_waiting_calls,
-        keep_alive: scenario.keep_loaded,
-        slow_start_min_capacity: scenario.cold_from,
-        slow_start_duration: scenario.cold_for,
-        overload_multiple: scenario.fall_multiple,
-        overload_window: scenario.fall_window,
+        max_queue_length: scenario.max_queue_length,
+        keep_alive: scenario.keep_alive,
+        slow_start_min_capacity: scenario.slow_start_min_capacity,
+        slow_start_duration: scenario.slow_start_duration,
+        overload_multiple: scenario.overload_multiple,
+        overload_window: scenario.overload_window,
         ..WorkerSpec::default()
     }
 }
@@ -265,13 +265,13 @@
 pub fn store_config(scenario: &Scenario) -> store::Config {
     store::Config {
         capacity: scenario.store_capacity,
-        max_concurrent_fetches: scenario.store_limit,
-        outage_threshold: scenario.store_stops_at,
+        max_concurrent_fetches: scenario.store_max_concurrent_fetches,
+        outage_threshold: scenario.store_outage_threshold,
         outage_duration: Duration::from_secs(2),
     }
 }
 
-/// What the workers know of each function, by its name.
+/// Specs of the scenario's functions for its workers, by function name.
 pub fn function_specs(scenario: &Scenario) -> BTreeMap<String, FunctionSpec> {
     let mut specs = BTreeMap::new();
     for request_class in &scenario.request_classes {
@@ -318,8 +318,8 @@
             .map(|class| (class.name.clone(), class.deduplication_window.as_micros() as u64))
             .collect(),
         drain_grace_us: DRAIN_GRACE.as_micros() as u64,
-        fall_multiple: scenario.fall_multiple,
-        fall_window_us: scenario.fall_window.as_micros() as u64,
+        overload_multiple: scenario.overload_multiple,
+        overload_window_us: scenario.overload_window.as_micros() as u64,
         load_quota_burst: 0.0,
         load_quota_share: 0.0,
         load_window_us: 0,
@@ -395,31 +395,31 @@
 
     fn inject(&mut self, fault: &Fault) -> io::Result<()> {
         match *fault {
-            Fault::Crash(n) => {
+            Fault::CrashWorker(n) => {
                 self.workers[n].send(worker::Command::Crash);
                 self.update_endpoint(n, EndpointState::Gone);
             }
-            Fault::Start(n) => {
+            Fault::StartWorker(n) => {
                 self.faults[n] = Faults::default();
                 self.workers[n].send(worker::Command::Start);
                 self.update_endpoint(n, EndpointState::Up);
             }
-            Fault::Drain(n) => {
+            Fault::DrainWorker(n) => {
                 self.workers[n].send(worker::Command::Drain);
                 self.update_endpoint(n, EndpointState::Draining);
             }
-            Fault::Silent(n) => self.set_faults(n, |faults| faults.silent = true),
-            Fault::Hang(n) => self.set_faults(n, |faults| faults.hang = true),
-            Fault::Well(n) => self.set_faults(n, |faults| *faults = Faults::default()),
-            Fault::Errors(n, share) => self.set_faults(n, |faults| faults.error_share = share),
-            Fault::Lose(n, share) => self.set_faults(n, |faults| faults.lost_response_share = share),
-            Fault::Slow(n, by) => self.set_faults(n, |faults| faults.response_delay = by),
-            Fault::Late(n, by) => self.set_faults(n, |faults| faults.report_delay = by),
-            Fault::DiscoveryLag(lag) => self.discovery.send(discovery::Command::SetLag(lag)),
-            Fault::DiscoveryStop(on) => self.discovery.send(discovery::Command::SetStopped(on)),
-            Fault::DiscoveryEmpty(on) => self.discovery.send(discovery::Command::SetEmpty(on)),
-            Fault::StoreSlow(times) => self.store.send(store::Command::SetSlowdown(times)),
-            Fault::StoreRefuse(on) => self.store.send(store::Command::SetRejecting(on)),
+            Fault::SilenceWorker(n) => self.set_faults(n, |faults| faults.silent = true),
+            Fault::HangWorker(n) => self.set_faults(n, |faults| faults.hang = true),
+            Fault::ClearWorkerFaults(n) => self.set_faults(n, |faults| *faults = Faults::default()),
+            Fault::FailCalls(n, share) => self.set_faults(n, |faults| faults.error_share = share),
+            Fault::LoseResponses(n, share) => self.set_faults(n, |faults| faults.lost_response_share = share),
+            Fault::DelayResponses(n, delay) => self.set_faults(n, |faults| faults.response_delay = delay),
+            Fault::DelayReports(n, delay) => self.set_faults(n, |faults| faults.report_delay = delay),
+            Fault::SetDiscoveryLag(lag) => self.discovery.send(discovery::Command::SetLag(lag)),
+            Fault::StopDiscovery(on) => self.discovery.send(discovery::Command::SetStopped(on)),
+            Fault::EmptyDiscovery(on) => self.discovery.send(discovery::Command::SetEmpty(on)),
+            Fault::SlowStore(factor) => self.store.send(store::Command::SetSlowdown(factor)),
+            Fault::RejectFetches(on) => self.store.send(store::Command::SetRejecting(on)),
             Fault::KillGateway(n) => {
                 if let Some(mut child) = self.gateways[n].child.take() {
                     // Recorded before the kill: responses that arrive after this line were sent before the
@@ -445,15 +445,15 @@
                     });
                 }
             }
-            Fault::Apart { first, last, one_way } => self.switch()?.partition(first, last, one_way),
-            Fault::Together => self
+            Fault::Partition { first, last, one_way } => self.switch()?.partition(first, last, one_way),
+            Fault::ClearDatagramFaults => self
                 .switch()?
                 .update_faults(|links| *links = LinkFaults::default()),
             Fault::LoseDatagrams(share) => self.switch()?.update_faults(|links| links.loss_rate = share),
-            Fault::DoubleDatagrams(share) => self
+            Fault::DuplicateDatagrams(share) => self
                 .switch()?
                 .update_faults(|links| links.duplication_rate = share),
-            Fault::LateDatagrams(late) => self.switch()?.update_faults(|links| links.max_delay = late),
+            Fault::DelayDatagrams(delay) => self.switch()?.update_faults(|links| links.max_delay = delay),
             Fault::StopGateways(first, last) => {
                 for n in first..=last {
                     self.recorder
@@ -468,21 +468,21 @@
                     self.start_gateway(n)?;
                 }
             }
-            Fault::Clock(n, by, ahead) => {
+            Fault::ShiftClock(n, offset, ahead) => {
                 let option = if ahead { "--ahead" } else { "--behind" };
-                self.gateways[n].clock_options = vec![option.to_owned(), format!("{}s", by.as_secs())];
+                self.gateways[n].clock_options = vec![option.to_owned(), format!("{}s", offset.as_secs())];
             }
-            Fault::Link(gateway, worker, link) => {
+            Fault::SetLinkState(gateway, worker, link) => {
                 if let Some(relay) = self.relays.get(&(gateway, worker)) {
                     relay.set_state(link);
                 }
             }
-            Fault::DiscoveryStall(n, on) => self.discovery.send(discovery::Command::SetStalled(n as u64, on)),
+            Fault::StallDiscovery(n, on) => self.discovery.send(discovery::Command::SetStalled(n as u64, on)),
             Fault::CopyState(n) => {
                 let state = &self.gateways[n].state_folder;
                 copy_folder(state, &state.with_extension("copy"))?;
             }
-            Fault::Spoil(n, damage) => self.damage_state(n, damage)?,
+            Fault::DamageState(n, damage) => self.damage_state(n, damage)?,
         }
         Ok(())
     }
@@ -494,7 +494,7 @@
     }
 
     /// Cuts the power of a range of gateways, or, with `None`, of all gateways, the workers and discovery.
-    /// Fails if that took longer than the tolerance.
+    /// Fails if the kills take longer than [`POWER_OFF_TOLERANCE`].
     fn power_off(&mut self, gateways: Option<(usize, usize)>) -> io::Result<()> {
         let (first, last) = gateways.unwrap_or((0, self.gateways.len() - 1));
         let start = Instant::now();
@@ -511,7 +511,10 @@
                 .iter()
                 .for_each(|worker| worker.send(worker::Command::Crash));
             self.discovery.send(discovery::Command::SetStopped(true));
-            self.marks.lock().unwrap_or_else(PoisonError::into_inner).clear();
+            self.idempotency_keys
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .clear();
             self.recorder.record(Observation::WorkersLostPower);
         }
         let elapsed = start.elapsed();
@@ -535,40 +538,40 @@
         let state = self.gateways[n].state_folder.clone();
         let checkpoint = state.join(quartzdrift::snapshots::CHECKPOINT);
         match damage {
-            StateDamage::Cut => {
+            StateDamage::Truncated => {
                 let bytes = std::fs::read(&checkpoint)?;
                 std::fs::write(&checkpoint, &bytes[..bytes.len() / 2])?;
             }
-            StateDamage::Flip => {
+            StateDamage::BitFlipped => {
                 let mut bytes = std::fs::read(&checkpoint)?;
                 let at = bytes.len() / 3;
                 bytes[at] ^= 4;
                 std::fs::write(&checkpoint, bytes)?;
             }
-            StateDamage::Older | StateDamage::Other => {
-                if damage == StateDamage::Older {
+            StateDamage::OlderCopy | StateDamage::OtherGateway => {
+                if damage == StateDamage::OlderCopy {
                     self.recorder
                         .record(Observation::GatewayDiskLost { gateway: n as u64 });
                 }
                 let source = match damage {
-                    StateDamage::Older => state.with_extension("copy"),
+                    StateDamage::OlderCopy => state.with_extension("copy"),
                     _ => self.gateways[(n + 1) % self.gateways.len()].state_folder.clone(),
                 };
                 // A gateway rejects another member's store of asynchronous requests at its start, which
                 // another test covers: the gateway keeps its own store here.
                 let request_store = state.join("deferred");
                 let kept_store = state.with_extension("own");
-                if damage == StateDamage::Other {
+                if damage == StateDamage::OtherGateway {
                     std::fs::rename(&request_store, &kept_store)?;
                 }
                 std::fs::remove_dir_all(&state)?;
                 copy_folder(&source, &state)?;
-                if damage == StateDamage::Other {
+                if damage == StateDamage::OtherGateway {
                     std::fs::remove_dir_all(&request_store)?;
                     std::fs::rename(&kept_store, &request_store)?;
                 }
             }
-            StateDamage::Empty => {
+            StateDamage::Deleted => {
                 self.recorder
                     .record(Observation::GatewayDiskLost { gateway: n as u64 });
                 std::fs::remove_dir_all(&state)?;
@@ -577,7 +580,7 @@
                 std::fs::remove_file(&checkpoint)?;
                 std::fs::create_dir(&checkpoint)?;
             }
-            StateDamage::Full => self.gateways[n].disk_full = true,
+            StateDamage::DiskFull => self.gateways[n].disk_full = true,
         }
         Ok(())
     }
@@ -653,7 +656,7 @@
     let recorder = Recorder::default();
     let store_config = store_config(scenario);
     let store = actor::spawn(any_port(), move |handle, _| FakeStore::new(handle, store_config))?;
-    let marks: worker::SharedIdempotencyKeys = Arc::default();
+    let idempotency_keys: worker::SharedIdempotencyKeys = Arc::default();
     let window = scenario
         .request_classes
         .iter()
@@ -663,10 +666,10 @@
     let mut workers = Vec::new();
     for n in 0..scenario.workers {
         let config = worker::Config {
-            machine: worker_machine(scenario),
+            spec: worker_spec(scenario),
             specs: function_specs(scenario),
             store: Some(store.address),
-            idempotency_keys: Some(marks.clone()),
+            idempotency_keys: Some(idempotency_keys.clone()),
             deduplication_window: window,
             recorder: Some(recorder.clone()),
             seed: seed ^ n as u64,
@@ -688,7 +691,7 @@
     if scenario
         .faults
         .iter()
-        .any(|(_, fault)| matches!(fault, Fault::Link(..)))
+        .any(|(_, fault)| matches!(fault, Fault::SetLinkState(..)))
     {
         let links = (0..scenario.gateways)
             .flat_map(|gateway| (0..workers.len()).map(move |worker| (gateway, worker)));
@@ -745,7 +748,7 @@
         gateways,
         switch,
         relays,
-        marks,
+        idempotency_keys,
         power_losses: 0,
     };
     for n in 0..runner.scenario.gateways {
@@ -816,7 +819,7 @@
     let attempts = count(|seen| matches!(seen, Observation::AttemptReceived { .. }));
     let waited_for_load = count(|seen| matches!(seen, Observation::AttemptExecuted { warm: false, .. }));
     let fetches = count(|seen| matches!(seen, Observation::FetchRequested { .. }));
-    let refused_fetches = count(|seen| matches!(seen, Observation::FetchRefused { .. }));
+    let rejected_fetches = count(|seen| matches!(seen, Observation::FetchRefused { .. }));
     let call_counts = call_counts.lock().unwrap_or_else(PoisonError::into_inner).clone();
     Ok(ScenarioRun {
         lines,
@@ -826,7 +829,7 @@
         attempts,
         waited_for_load,
         fetches,
-        refused_fetches,
+        rejected_fetches,
         recovery_views,
     })
 }
--- a/crates/quartzdrift-lab/src/simulation/faults.rs
+++ b/crates/quartzdrift-lab/src/simulation/faults.rs
@@ -26,11 +26,11 @@
     /// Applies a fault; `worker_spec` is used to start a worker, `seed` to start a scheduler.
     pub(super) fn apply_fault(&mut self, fault: &Fault, worker_spec: &WorkerSpec, seed: u64) {
         match *fault {
-            Fault::Crash(w) => {
+            Fault::CrashWorker(w) => {
                 self.crash_worker(w);
                 self.set_endpoint_state(w, EndpointState::Gone);
             }
-            Fault::Start(w) => {
+            Fault::StartWorker(w) => {
                 if self.workers[w].up {
                     self.crash_worker(w);
                 }
@@ -46,25 +46,25 @@
                 (worker.up, worker.faults) = (true, Faults::default());
                 self.set_endpoint_state(w, EndpointState::Up);
             }
-            Fault::Drain(w) => {
+            Fault::DrainWorker(w) => {
                 self.workers[w].model.draining = true;
                 self.set_endpoint_state(w, EndpointState::Draining);
             }
-            Fault::Silent(w) => self.workers[w].faults.silent = true,
-            Fault::Hang(w) => self.workers[w].faults.hang = true,
-            Fault::Well(w) => {
+            Fault::SilenceWorker(w) => self.workers[w].faults.silent = true,
+            Fault::HangWorker(w) => self.workers[w].faults.hang = true,
+            Fault::ClearWorkerFaults(w) => {
                 self.workers[w].faults = Faults::default();
                 if self.workers[w].up {
                     self.workers[w].model.due(self.now);
                 }
                 self.process_worker_outputs(w);
             }
-            Fault::Errors(w, share) => self.workers[w].faults.error_share = share,
-            Fault::Lose(w, share) => self.workers[w].faults.lost_response_share = share,
-            Fault::Slow(w, delay) => self.workers[w].faults.response_delay = delay,
-            Fault::Late(w, delay) => self.workers[w].faults.report_delay = delay,
-            Fault::DiscoveryLag(lag) => self.discovery_lag = lag,
-            Fault::DiscoveryStop(on) => {
+            Fault::FailCalls(w, share) => self.workers[w].faults.error_share = share,
+            Fault::LoseResponses(w, share) => self.workers[w].faults.lost_response_share = share,
+            Fault::DelayResponses(w, delay) => self.workers[w].faults.response_delay = delay,
+            Fault::DelayReports(w, delay) => self.workers[w].faults.report_delay = delay,
+            Fault::SetDiscoveryLag(lag) => self.discovery_lag = lag,
+            Fault::StopDiscovery(on) => {
                 self.discovery_stopped = on;
                 if !on {
                     for scheduler in 0..self.schedulers.len() {
@@ -77,8 +77,8 @@
                 }
             }
             Fault::PauseGateway(s, length) => self.schedulers[s].paused_until = self.now + length,
-            Fault::Apart { first, last, one_way } => self.partition = Some((first..last + 1, one_way)),
-            Fault::Together => {
+            Fault::Partition { first, last, one_way } => self.partition = Some((first..last + 1, one_way)),
+            Fault::ClearDatagramFaults => {
                 self.partition = None;
                 (self.datagram_loss, self.datagram_duplication) = (0.0, 0.0);
                 self.max_datagram_delay = Duration::ZERO;
@@ -90,29 +90,29 @@
                 (first..=last).for_each(|s| self.apply_fault(&Fault::KillGateway(s), worker_spec, seed));
                 if gateways.is_none() {
                     (0..self.workers.len())
-                        .for_each(|w| self.apply_fault(&Fault::Crash(w), worker_spec, seed));
-                    self.apply_fault(&Fault::DiscoveryStop(true), worker_spec, seed);
+                        .for_each(|w| self.apply_fault(&Fault::CrashWorker(w), worker_spec, seed));
+                    self.apply_fault(&Fault::StopDiscovery(true), worker_spec, seed);
                 }
             }
             Fault::StopGateways(first, last) => {
                 (first..=last).for_each(|s| self.apply_fault(&Fault::KillGateway(s), worker_spec, seed));
             }
             Fault::PowerOnGateway(s) => self.apply_fault(&Fault::StartGateway(s), worker_spec, seed),
-            Fault::DoubleDatagrams(share) => self.datagram_duplication = share,
-            Fault::LateDatagrams(delay) => self.max_datagram_delay = delay,
-            Fault::Clock(s, offset, ahead) => self.schedulers[s].recovery.clock_offset = (offset, ahead),
+            Fault::DuplicateDatagrams(share) => self.datagram_duplication = share,
+            Fault::DelayDatagrams(delay) => self.max_datagram_delay = delay,
+            Fault::ShiftClock(s, offset, ahead) => self.schedulers[s].recovery.clock_offset = (offset, ahead),
             Fault::CopyState(s) => self.back_up_checkpoint(s),
-            Fault::Spoil(s, damage) => self.damage_disk(s, damage),
+            Fault::DamageState(s, damage) => self.damage_disk(s, damage),
             // The network model has no connections that could stall.
-            Fault::Link(..) | Fault::DiscoveryStall(..) => {}
+            Fault::SetLinkState(..) | Fault::StallDiscovery(..) => {}
             // The discovery client, which rejects an empty list, is not part of the simulation.
-            Fault::DiscoveryEmpty(_) => {}
-            Fault::StoreSlow(slowdown) => {
+            Fault::EmptyDiscovery(_) => {}
+            Fault::SlowStore(slowdown) => {
                 self.store.advance(self.now);
                 self.store.slowdown = slowdown;
                 self.schedule_store_wakeup();
             }
-            Fault::StoreRefuse(on) => self.store.rejecting = on,
+            Fault::RejectFetches(on) => self.store.rejecting = on,
             Fault::KillGateway(s) => {
                 if self.schedulers[s].request_table.is_some() {
                     self.scheduler_killed(s);
--- a/crates/quartzdrift-lab/src/simulation/membership.rs
+++ b/crates/quartzdrift-lab/src/simulation/membership.rs
@@ -17,7 +17,7 @@
 pub(super) const BASELINE_WINDOW: Duration = Duration::from_secs(10);
 /// Recovery time recorded for a scheduler that has not recovered by then.
 pub(super) const MAX_RECOVERY_TIME: Duration = Duration::from_secs(30);
-/// Time for which a dead member is still counted.
+/// Time for which a dead member still counts as a scheduler.
 const SILENCE_LIMIT: Duration = Duration::from_secs(3600);
 
 /// Membership of a running scheduler.
--- a/crates/quartzdrift-lab/src/simulation/mod.rs
+++ b/crates/quartzdrift-lab/src/simulation/mod.rs
@@ -383,7 +383,7 @@
             .then_some(class.deduplication_window),
         ..RequestClass::default()
     };
-    let has_overload_bound = scenario.fall_multiple > 0.0;
+    let has_overload_bound = scenario.overload_multiple > 0.0;
     Settings {
         scheduler_number: Some(scheduler_number as u32),
         scheduler_count: Some(if variant.configured_schedulers > 0 {
@@ -402,17 +402,17 @@
         rules: Rules {
             response_slack: Some(Duration::from_millis(50)),
             drain_grace: Some(Duration::from_millis(250)),
-            slow_start_min_capacity: has_overload_bound.then_some(scenario.cold_from),
-            slow_start_duration: has_overload_bound.then_some(scenario.cold_for),
-            overload_multiple: has_overload_bound.then_some(scenario.fall_multiple),
-            overload_window: has_overload_bound.then_some(scenario.fall_window),
+            slow_start_min_capacity: has_overload_bound.then_some(scenario.slow_start_min_capacity),
+            slow_start_duration: has_overload_bound.then_some(scenario.slow_start_duration),
+            overload_multiple: has_overload_bound.then_some(scenario.overload_multiple),
+            overload_window: has_overload_bound.then_some(scenario.overload_window),
             ..Rules::default()
         },
         cache: CacheSettings {
             load_commands: variant.forecasting != Forecasting::Off,
             reports_cache_status: true,
             reports_concurrency: true,
-            keep_alive: Some(scenario.keep_loaded),
+            keep_alive: Some(scenario.keep_alive),
             memory_mb_by_kind: vec![scenario.memory_mb],
             idle_memory_price: Some(variant.idle_memory_price),
             load_quota_burst: (variant.load_quota_window_s > 0.0).then_some(variant.load_quota_burst),
@@ -433,7 +433,7 @@
 
 /// Runs a scenario with the given arrivals. The seed determines every random draw except the traffic's.
 pub fn run(scenario: &Scenario, arrivals: &[Arrival], variant: &Variant, seed: u64) -> Figures {
-    let worker_spec = scenario_runner::worker_machine(scenario);
+    let worker_spec = scenario_runner::worker_spec(scenario);
     let worker_names: Vec<String> = (0..scenario.workers)
         .map(|n| format!("10.0.{}.{}:80", n / 250, n % 250))
         .collect();
--- a/crates/quartzdrift-lab/src/simulation/recovery.rs
+++ b/crates/quartzdrift-lab/src/simulation/recovery.rs
@@ -20,7 +20,7 @@
 /// A checkpoint and the names of the members that were reachable when it was saved.
 type SavedCheckpoint = (Checkpoint, Vec<String>);
 
-/// Recovery of a scheduler, and what its disk and its clock hold for the next start.
+/// Recovery of a scheduler, with the state of its disk and its clock for the next start.
 #[derive(Default)]
 pub(super) struct RecoveryState {
     pub machine: Option<Recovery>,
@@ -91,7 +91,7 @@
             max_duration: MAX_RECOVERY_DURATION,
             idempotency_keys_on_disk: false,
             load_quota_window: Duration::from_secs_f64(self.variant.load_quota_window_s.max(0.0)),
-            slow_start_window: self.scenario.fall_window,
+            slow_start_window: self.scenario.overload_window,
             max_async_in_flight: 64,
             admission_ramp: self.variant.admission_ramp,
             store_start: None,
@@ -135,18 +135,18 @@
     pub(super) fn damage_disk(&mut self, s: usize, damage: StateDamage) {
         let recovery = &mut self.schedulers[s].recovery;
         match damage {
-            StateDamage::Cut | StateDamage::Flip | StateDamage::Unreadable => {
+            StateDamage::Truncated | StateDamage::BitFlipped | StateDamage::Unreadable => {
                 recovery.saved = None;
                 recovery.checkpoint_damaged = true;
             }
-            StateDamage::Empty => recovery.saved = None,
-            StateDamage::Older => recovery.saved = recovery.backup.clone(),
-            StateDamage::Other => {
+            StateDamage::Deleted => recovery.saved = None,
+            StateDamage::OlderCopy => recovery.saved = recovery.backup.clone(),
+            StateDamage::OtherGateway => {
                 if let Some((checkpoint, _)) = &mut recovery.saved {
                     checkpoint.name = "another".to_owned();
                 }
             }
-            StateDamage::Full => recovery.disk_full = true,
+            StateDamage::DiskFull => recovery.disk_full = true,
         }
     }
 
--- a/crates/quartzdrift-lab/src/simulation/schedulers.rs
+++ b/crates/quartzdrift-lab/src/simulation/schedulers.rs
@@ -2,11 +2,11 @@
 use super::*;
 use quartzdrift_forecast::ForecastSettings;
 
-/// How much longer than the longest load a perfect forecast precedes the use.
+/// Time by which a perfect forecast precedes the use, as a multiple of the longest load time.
 const PERFECT_FORECAST_LOAD_TIMES: f64 = 1.5;
 
 impl Simulation<'_> {
-    /// Starts a scheduler with the current endpoint list and what it saved before its last kill.
+    /// Starts a scheduler with the current endpoint list and the state that it saved before its last kill.
     pub(super) fn start_scheduler(&mut self, s: usize, seed: u64) {
         let mut settings = self.settings.clone();
         settings.scheduler_number = Some(s as u32);
@@ -36,7 +36,7 @@
     fn new_prefetch_planner(&self, s: usize) -> PrefetchPlanner {
         let seasons = self.variant.seasons_s.iter();
         let settings = ForecastSettings {
-            keep_alive: self.scenario.keep_loaded,
+            keep_alive: self.scenario.keep_alive,
             seasons: seasons.map(|seconds| Duration::from_secs_f64(*seconds)).collect(),
             ..ForecastSettings::default()
         };
@@ -99,7 +99,7 @@
         let request_class = &self.scenario.request_classes[arrival.request_class];
         if let Some(request_table) = &mut self.schedulers[s].request_table {
             let usage_forecast = UsageForecast {
-                horizon: lead_time.max(self.scenario.keep_loaded / 2),
+                horizon: lead_time.max(self.scenario.keep_alive / 2),
                 ..certain_use(&arrival.function, arrival.request_class, request_class)
             };
             request_table.forecast(self.now, usage_forecast);
--- a/crates/quartzdrift-lab/src/store.rs
+++ b/crates/quartzdrift-lab/src/store.rs
@@ -149,7 +149,7 @@
     }
 }
 
-/// Fault that a running store is told to apply.
+/// Command that sets a fault of a running store.
 pub enum Command {
     /// Sets the factor by which every fetch takes longer.
     SetSlowdown(f64),
--- a/crates/quartzdrift-lab/src/traffic.rs
+++ b/crates/quartzdrift-lab/src/traffic.rs
@@ -45,26 +45,26 @@
 fn rate_factor(pattern: &Pattern, at: f64, length: f64) -> f64 {
     match *pattern {
         Pattern::Steady | Pattern::Timers { .. } | Pattern::Scan => 1.0,
-        Pattern::Daily { period, most } => {
-            // A cosine from 1 to `most` and back within a period.
+        Pattern::Daily { period, peak_factor } => {
+            // A cosine from 1 to `peak_factor` and back within a period.
             let phase = (at / period * std::f64::consts::TAU).cos();
-            (1.0 + most) / 2.0 - (most - 1.0) / 2.0 * phase
+            (1.0 + peak_factor) / 2.0 - (peak_factor - 1.0) / 2.0 * phase
         }
-        Pattern::Weekly { period, most } => match (at / period) as u64 % 7 {
-            0..5 => rate_factor(&Pattern::Daily { period, most }, at, length),
+        Pattern::Weekly { period, peak_factor } => match (at / period) as u64 % 7 {
+            0..5 => rate_factor(&Pattern::Daily { period, peak_factor }, at, length),
             _ => 1.0,
         },
-        Pattern::Bursty { every, most } => {
+        Pattern::Bursty { every, peak_factor } => {
             if (at / every).fract() < 0.2 {
-                most
+                peak_factor
             } else {
                 0.5
             }
         }
-        Pattern::Turning { .. } => 1.0,
-        Pattern::TermsEnd { most } => {
+        Pattern::RotatingFunctions { .. } => 1.0,
+        Pattern::LatePeak { peak_factor } => {
             if at > length * 0.6 && at < length * 0.85 {
-                most
+                peak_factor
             } else {
                 1.0
             }
@@ -110,11 +110,13 @@
         }
         // Arrivals are drawn at the peak rate and thinned to the current rate.
         let peak_factor = match request_class.pattern {
-            Pattern::Daily { most, .. }
-            | Pattern::Weekly { most, .. }
-            | Pattern::Bursty { most, .. }
-            | Pattern::TermsEnd { most } => most.max(1.0),
-            Pattern::Steady | Pattern::Turning { .. } | Pattern::Scan | Pattern::Timers { .. } => 1.0,
+            Pattern::Daily { peak_factor, .. }
+            | Pattern::Weekly { peak_factor, .. }
+            | Pattern::Bursty { peak_factor, .. }
+            | Pattern::LatePeak { peak_factor } => peak_factor.max(1.0),
+            Pattern::Steady | Pattern::RotatingFunctions { .. } | Pattern::Scan | Pattern::Timers { .. } => {
+                1.0
+            }
         };
         let (mut at, mut calls) = (0.0, 0usize);
         loop {
@@ -129,7 +131,7 @@
             let functions = request_class.function_count;
             let f = match request_class.pattern {
                 Pattern::Scan => calls,
-                Pattern::Turning { every } => {
+                Pattern::RotatingFunctions { every } => {
                     // Three functions get 70 % of the calls; other three replace them in each interval.
                     let interval = (at / every) as usize;
                     match rng.random_range(0.0..1.0) < 0.7 {
--- a/crates/quartzdrift-lab/src/worker.rs
+++ b/crates/quartzdrift-lab/src/worker.rs
@@ -25,7 +25,7 @@
 /// Configuration of a [`FakeWorker`].
 #[derive(Clone)]
 pub struct Config {
-    pub machine: WorkerSpec,
+    pub spec: WorkerSpec,
     pub specs: BTreeMap<String, FunctionSpec>,
     /// Address of the store that functions are fetched from; without one, a fetch only takes its time.
     pub store: Option<SocketAddr>,
@@ -44,7 +44,7 @@
 impl Default for Config {
     fn default() -> Config {
         Config {
-            machine: WorkerSpec::default(),
+            spec: WorkerSpec::default(),
             specs: BTreeMap::new(),
             store: None,
             report_interval: Duration::from_millis(100),
@@ -66,7 +66,7 @@
     pub hang: bool,
     /// Share of calls that get an error response at once.
     pub error_share: f64,
-    /// Share of responses in whose place the connection is closed.
+    /// Share of calls whose connection is closed in place of the response.
     pub lost_response_share: f64,
     /// Additional delay of each response.
     pub response_delay: Duration,
@@ -160,17 +160,17 @@
         let cold_for = if config.starts_warm {
             Duration::ZERO
         } else {
-            config.machine.slow_start_duration
+            config.spec.slow_start_duration
         };
-        let machine = WorkerSpec {
+        let spec = WorkerSpec {
             slow_start_duration: cold_for,
-            ..config.machine.clone()
+            ..config.spec.clone()
         };
         let mut worker = FakeWorker {
             http: Http::new(handle, limits),
             address,
             start: Instant::now(),
-            model: WorkerModel::new(machine, config.specs.clone(), Duration::ZERO),
+            model: WorkerModel::new(spec, config.specs.clone(), Duration::ZERO),
             incarnation: 0,
             up: true,
             faults: Faults::default(),
@@ -201,7 +201,7 @@
             cores,
             slow_start_min_capacity: cold_from,
             ..
-        } = self.config.machine;
+        } = self.config.spec;
         let cold_us = cold_for.as_micros() as u64;
         self.record(Observation::WorkerStarted {
             worker: self.address.to_string(),
@@ -298,7 +298,7 @@
         self.forget_key(id);
     }
 
-    /// Forgets the idempotency key of a call that was not executed, so that its retry is.
+    /// Forgets the idempotency key of a call that was not executed, so that a retry is executed.
     fn forget_key(&mut self, id: u64) {
         let key = self
             .open_calls
@@ -560,7 +560,7 @@
         self.http.close_all();
         (self.open_calls, self.load_commands, self.store_fetches) = Default::default();
         (self.local_fetches, self.delayed_responses, self.reports) = Default::default();
-        self.model = WorkerModel::new(self.config.machine.clone(), self.config.specs.clone(), self.now());
+        self.model = WorkerModel::new(self.config.spec.clone(), self.config.specs.clone(), self.now());
     }
 
     fn restart(&mut self) {
@@ -568,9 +568,9 @@
             self.crash();
         }
         let now = self.now();
-        self.model = WorkerModel::new(self.config.machine.clone(), self.config.specs.clone(), now);
+        self.model = WorkerModel::new(self.config.spec.clone(), self.config.specs.clone(), now);
         self.faults = Faults::default();
-        self.record_start(self.config.machine.slow_start_duration);
+        self.record_start(self.config.spec.slow_start_duration);
         match quartzdrift_http::bind(self.address, false).and_then(|listener| self.http.listen(listener)) {
             Ok(()) => self.up = true,
             Err(e) => eprintln!("worker {} cannot listen again: {e}", self.address),
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -167,12 +167,12 @@
         let recorder = Recorder::default();
         let folder = tempfile::tempdir().unwrap();
         let workers = (0..workers).map(|_| {
-            let machine = WorkerSpec {
+            let spec = WorkerSpec {
                 cores: 4.0,
                 ..WorkerSpec::default()
             };
             let config = Config {
-                machine,
+                spec,
                 recorder: Some(recorder.clone()),
                 ..Config::default()
             };
@@ -579,12 +579,12 @@
 #[test]
 fn a_function_used_at_regular_times_is_prefetched() {
     let recorder = Recorder::default();
-    let machine = WorkerSpec {
+    let spec = WorkerSpec {
         keep_alive: 400 * MS,
         ..WorkerSpec::default()
     };
     let config = Config {
-        machine,
+        spec,
         recorder: Some(recorder.clone()),
         ..Config::default()
     };
@@ -782,9 +782,9 @@
         workload mail restartable deferred rate=10 work=5ms limit=1s load=50ms\n\
         length 4s\nat 1s crash worker 0\nat 1500ms start worker 0\nat 1s lose worker 1 0.4\nat 2s well worker 1\n\
         at 2s silent worker 2\nat 2500ms drain worker 3\nat 2500ms kill gateway 1\nat 3s start gateway 1\nat 3s well worker 2\n";
-    let script = scenario::read(text).unwrap();
+    let scenario = scenario::read(text).unwrap();
     let gateway_run = scenario_runner::run(
-        &script,
+        &scenario,
         &GatewayProgram::lab_command(Path::new(LAB), "gateway"),
         3,
     )
@@ -795,8 +795,12 @@
         "{:?}",
         gateway_run.call_counts
     );
-    let naive_run =
-        scenario_runner::run(&script, &GatewayProgram::lab_command(Path::new(LAB), "naive"), 3).unwrap();
+    let naive_run = scenario_runner::run(
+        &scenario,
+        &GatewayProgram::lab_command(Path::new(LAB), "naive"),
+        3,
+    )
+    .unwrap();
     let rules: std::collections::BTreeSet<Rule> = naive_run
         .violations
         .iter()
--- a/crates/quartzdrift-lab/tests/outage/fake_coordinator.rs
+++ b/crates/quartzdrift-lab/tests/outage/fake_coordinator.rs
@@ -12,7 +12,7 @@
 /// Delay of a slow response beyond the requested wait.
 const SLOW_RESPONSE_DELAY: Duration = Duration::from_millis(2_500);
 
-/// How the coordinator handles polls: correctly or with a fault.
+/// State of the coordinator: [`CoordinatorHealth::Well`], or a fault in its handling of polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CoordinatorHealth {
     /// Responds as the protocol requires.
--- a/crates/quartzdrift-lab/tests/outage/worker.rs
+++ b/crates/quartzdrift-lab/tests/outage/worker.rs
@@ -46,7 +46,7 @@
 /// A request as recorded by the worker that received it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedRequest {
-    /// When the worker read its first bytes.
+    /// Time at which the worker read the first bytes of the request.
     pub received_at: Instant,
     /// Whether the worker ran the request; otherwise it rejected it.
     pub accepted: bool,
@@ -124,7 +124,7 @@
 struct Connection {
     stream: TcpStream,
     input: Vec<u8>,
-    /// When the first bytes were read since `input` was last empty; `None`: `input` is empty.
+    /// Time of the first read since `input` was last empty; `None`: `input` is empty.
     input_since: Option<Instant>,
 }
 
--- a/crates/quartzdrift-lab/tests/recovery.rs
+++ b/crates/quartzdrift-lab/tests/recovery.rs
@@ -26,9 +26,9 @@
 
 /// Runs [`FLEET`] with these faults. Panics if the auditor finds a violation.
 fn run_fleet(faults: &str, seed: u64) -> ScenarioRun {
-    let script = scenario::read(&format!("{FLEET}\n{faults}")).unwrap();
+    let scenario = scenario::read(&format!("{FLEET}\n{faults}")).unwrap();
     let lab = Path::new(env!("CARGO_BIN_EXE_quartzdrift-lab"));
-    let scenario_run = run(&script, &GatewayProgram::lab_command(lab, "gateway"), seed).unwrap();
+    let scenario_run = run(&scenario, &GatewayProgram::lab_command(lab, "gateway"), seed).unwrap();
     let (violations, views) = (&scenario_run.violations, &scenario_run.recovery_views);
     assert!(
         violations.is_empty(),
@@ -37,7 +37,7 @@
     scenario_run
 }
 
-/// How each gateway classified its last start, with the state of its disk; none without a recovery view.
+/// The classification of each gateway's last start and the state of its disk; `None` without a recovery view.
 fn classifications(scenario_run: &ScenarioRun) -> Vec<Option<(RestartKind, DiskState)>> {
     let classification = |view: &Option<quartzdrift_recovery::RecoveryView>| {
         view.as_ref()?
@@ -252,9 +252,9 @@
 
 /// Runs [`COLD_FLEET`] with these faults. Panics if the auditor finds a violation.
 fn run_cold_fleet(faults: &str, seed: u64) -> ScenarioRun {
-    let script = scenario::read(&format!("{COLD_FLEET}\n{faults}")).unwrap();
+    let scenario = scenario::read(&format!("{COLD_FLEET}\n{faults}")).unwrap();
     let lab = Path::new(env!("CARGO_BIN_EXE_quartzdrift-lab"));
-    let scenario_run = run(&script, &GatewayProgram::lab_command(lab, "gateway"), seed).unwrap();
+    let scenario_run = run(&scenario, &GatewayProgram::lab_command(lab, "gateway"), seed).unwrap();
     assert!(
         scenario_run.violations.is_empty(),
         "violations: {:?}, recovery views: {:?}",
@@ -264,7 +264,7 @@
     scenario_run
 }
 
-/// Number of fetches requested, and of fetches refused by the store, `from_s` seconds after the start of the
+/// Number of fetches requested, and of fetches rejected by the store, `from_s` seconds after the start of the
 /// scenario or later.
 fn fetches_after(scenario_run: &ScenarioRun, from_s: f64) -> (usize, usize) {
     let late_lines = scenario_run
--- a/crates/quartzdrift-lab/tests/soak/client.rs
+++ b/crates/quartzdrift-lab/tests/soak/client.rs
@@ -149,7 +149,7 @@
     }
 
     /// Receives the responses of the batch whose first record has the index `first`, or aborts the batch or
-    /// closes the connection, as drawn. Returns `false` if the client closes the connection itself.
+    /// closes the connection at random. Returns `false` if the client closes the connection itself.
     fn receive_batch(&mut self, frontend: &mut Frontend, first: usize) -> io::Result<bool> {
         let leaves = self.random.random_bool(self.manner.leaves);
         if leaves {
--- a/crates/quartzdrift-lab/tests/stored.rs
+++ b/crates/quartzdrift-lab/tests/stored.rs
@@ -33,14 +33,14 @@
     let mut files_read = 0;
     for file in fs::read_dir(folder("days")).unwrap() {
         let text = fs::read_to_string(file.unwrap().path()).unwrap();
-        let script = scenario::read(&text).unwrap();
-        assert!(!script.request_classes.is_empty());
+        let scenario = scenario::read(&text).unwrap();
+        assert!(!scenario.request_classes.is_empty());
         files_read += 1;
     }
     for file in fs::read_dir(folder("experiments")).unwrap() {
         let text = fs::read_to_string(file.unwrap().path()).unwrap();
-        let (experiment, scripts) = experiment::parse(&text).unwrap();
-        assert_eq!(experiment.scenarios.len(), scripts.len());
+        let (experiment, scenarios) = experiment::parse(&text).unwrap();
+        assert_eq!(experiment.scenarios.len(), scenarios.len());
         files_read += 1;
     }
     assert!(files_read >= 10, "read {files_read} files, expected 10 or more");
