--- a/crates/quartzdrift-lab/src/audit.rs
+++ b/crates/quartzdrift-lab/src/audit.rs
@@ -324,13 +324,13 @@
                 .disk_losses
                 .iter()
                 .any(|(lost_by, at)| *lost_by == gateway && client_call.sent_us < *at);
-            let excused = state_lost
+            let loss_is_permitted = state_lost
                 || if guarantees.durable {
                     never_restarted
                 } else {
                     was_down_before(record.end_us)
                 };
-            if !completed && !excused {
+            if !completed && !loss_is_permitted {
                 let description = format!(
                     "asynchronous request {key} was accepted by gateway {gateway}, but neither executed nor \
                      reported as failed"
@@ -439,7 +439,7 @@
                 unavailable_since.remove(&(*gateway, worker.as_str()));
             }
             Observation::GatewayStarted { gateway } => {
-                unavailable_since.retain(|(informed, _), _| informed != gateway)
+                unavailable_since.retain(|(informed_gateway, _), _| informed_gateway != gateway)
             }
             Observation::AttemptReceived { worker, gateway, .. }
             | Observation::LoadCommandReceived { worker, gateway } => {
--- a/crates/quartzdrift-lab/src/bench_scenario.rs
+++ b/crates/quartzdrift-lab/src/bench_scenario.rs
@@ -116,12 +116,13 @@
     /// Memory of all functions together, as a share of the workers' memory.
     #[serde(default)]
     catalog: f64,
-    #[serde(default)]
-    sorts: Vec<FunctionSort>,
+    /// The kinds of functions; only the first one is used.
+    #[serde(default, rename = "sorts")]
+    kinds: Vec<FunctionKind>,
 }
 
 #[derive(Deserialize)]
-struct FunctionSort {
+struct FunctionKind {
     #[serde(rename = "lanes")]
     slots: usize,
     /// Time that a load takes in microseconds.
@@ -191,7 +192,7 @@
         .sum::<f64>()
         / file.workers.len().max(1) as f64;
     let memory_mb = file.functions.worker_memory_mb.first().copied().unwrap_or(2000.0);
-    let sort = file.functions.sorts.first();
+    let function_kind = file.functions.kinds.first();
     let work = file.classes.iter().map(|c| c.share * c.work).sum::<f64>() / 1e6;
     let load = file.traffic.load;
     let quantities = [cores, memory_mb, work, load];
@@ -201,12 +202,14 @@
         ));
     }
     let rate = load * cores * scale.workers as f64 / work;
-    let function_mb = sort.map_or(200.0, |sort| sort.memory_mb).clamp(1.0, memory_mb);
+    let function_mb = function_kind
+        .map_or(200.0, |kind| kind.memory_mb)
+        .clamp(1.0, memory_mb);
     let function_count = file.functions.catalog * memory_mb * scale.workers as f64 / function_mb;
     let function_count =
         (function_count / file.classes.len().max(1) as f64).clamp(1.0, MAX_FUNCTIONS as f64) as usize;
     let load_time =
-        Duration::from_secs_f64((sort.map_or(500_000.0, |sort| sort.load) / 1e6).clamp(0.0, 60.0));
+        Duration::from_secs_f64((function_kind.map_or(500_000.0, |kind| kind.load) / 1e6).clamp(0.0, 60.0));
     let request_class = |class: &Class| {
         let idempotency = match class.idempotency.as_str() {
             "safe" => Idempotency::Idempotent,
@@ -226,7 +229,7 @@
             function_count,
             memory_mb: function_mb,
             load_time,
-            slots: sort.map_or(1, |sort| sort.slots).max(1),
+            slots: function_kind.map_or(1, |kind| kind.slots).max(1),
             asynchronous: false,
             early_disconnect_share: 0.0,
             latency_objective: Duration::from_micros(class.latency_objective).min(time_limit),
--- a/crates/quartzdrift-lab/src/record.rs
+++ b/crates/quartzdrift-lab/src/record.rs
@@ -7,7 +7,7 @@
 /// An event at the socket of a client or a fake, or a fault that the scenario injected.
 ///
 /// [`Observation::GatewayKilled`] is recorded when a gateway process ends without a shutdown, by SIGKILL or
-/// by a loss of power.
+/// by a power loss.
 ///
 /// `call` is an id that the recording client or worker assigns, `gateway` the index of a gateway process, and
 /// `worker` the address of a worker.
--- a/crates/quartzdrift-lab/src/scenario.rs
+++ b/crates/quartzdrift-lab/src/scenario.rs
@@ -335,7 +335,7 @@
             && *worker >= scenario.workers
         {
             return Err(format!(
-                "{fault:?} at {at:?}: there is no worker {worker}; the {} workers are counted from 0",
+                "the fault at {at:?} needs worker {worker}; the scenario has {} workers, counted from 0",
                 scenario.workers
             ));
         }
@@ -377,7 +377,7 @@
         };
         if index >= count {
             return Err(format!(
-                "{fault:?} at {at:?}: there is no {kind} {index}; the {count} {kind}s are counted from 0"
+                "the fault at {at:?} needs {kind} {index}; the scenario has {count} {kind}s, counted from 0"
             ));
         }
     }
--- a/crates/quartzdrift-lab/src/scenario_runner.rs
+++ b/crates/quartzdrift-lab/src/scenario_runner.rs
@@ -816,10 +816,11 @@
     let lines = recorder.lines();
     let violations = audit::audit(&lines, &guarantees);
     let count = |matches: fn(&Observation) -> bool| lines.iter().filter(|line| matches(&line.seen)).count();
-    let attempts = count(|seen| matches!(seen, Observation::AttemptReceived { .. }));
-    let waited_for_load = count(|seen| matches!(seen, Observation::AttemptExecuted { warm: false, .. }));
-    let fetches = count(|seen| matches!(seen, Observation::FetchRequested { .. }));
-    let rejected_fetches = count(|seen| matches!(seen, Observation::FetchRefused { .. }));
+    let attempts = count(|observation| matches!(observation, Observation::AttemptReceived { .. }));
+    let waited_for_load =
+        count(|observation| matches!(observation, Observation::AttemptExecuted { warm: false, .. }));
+    let fetches = count(|observation| matches!(observation, Observation::FetchRequested { .. }));
+    let rejected_fetches = count(|observation| matches!(observation, Observation::FetchRefused { .. }));
     let call_counts = call_counts.lock().unwrap_or_else(PoisonError::into_inner).clone();
     Ok(ScenarioRun {
         lines,
--- a/crates/quartzdrift-lab/src/simulation/membership.rs
+++ b/crates/quartzdrift-lab/src/simulation/membership.rs
@@ -299,7 +299,7 @@
         }
     }
 
-    /// Computes the figures of the membership, of restarts and of losses of power.
+    /// Computes the figures of the membership, of restarts and of power losses.
     pub(super) fn compute_membership_figures(&mut self) {
         let mean = |values: Vec<f64>| values.iter().sum::<f64>() / values.len().max(1) as f64;
         let (first_detections, last_detections) = self
--- a/crates/quartzdrift-lab/src/simulation/mod.rs
+++ b/crates/quartzdrift-lab/src/simulation/mod.rs
@@ -150,26 +150,26 @@
     /// `RECOVERED_SHARE` of the share before the kill.
     #[serde(rename = "recovered_s")]
     pub restart_recovery_s: f64,
-    /// Time from the first restart of a scheduler after the last loss of power until the on-time share of all
+    /// Time from the first restart of a scheduler after the last power loss until the on-time share of all
     /// requests stays at `RECOVERED_SHARE` of the share before the loss.
     #[serde(rename = "power_back_s")]
     pub power_recovery_s: f64,
-    /// Requests rejected since the first loss of power.
+    /// Requests rejected since the first power loss.
     #[serde(rename = "power_pushed_back")]
     pub power_rejected: u64,
     /// Lower bound of the recovery time: the time that the store needs to serve the functions that receive
     /// `RECOVERED_SHARE` of the requests.
     #[serde(rename = "power_bound_s")]
     pub power_recovery_bound_s: f64,
-    /// Fetches that the store accepted since the first loss of power.
+    /// Fetches that the store accepted since the first power loss.
     pub power_fetches: u64,
-    /// Functions that these fetches were for.
+    /// Number of different functions among these fetches.
     #[serde(rename = "power_functions")]
     pub power_fetched_functions: u64,
-    /// Fetches that the store rejected since the first loss of power.
+    /// Fetches that the store rejected since the first power loss.
     #[serde(rename = "power_refused")]
     pub power_rejected_fetches: u64,
-    /// On-time requests per second in the 10 s before the loss of power, and in the last 10 s of the
+    /// On-time requests per second in the 10 s before the power loss, and in the last 10 s of the
     /// scenario.
     pub power_goodput_before: f64,
     pub power_goodput_after: f64,
@@ -790,16 +790,16 @@
             (prefetched.waited_for_load as f64) < 0.8 * off.waited_for_load as f64,
             "{off:?} {prefetched:?}"
         );
-        let rationed = Variant {
+        let limited = Variant {
             load_quota_window_s: 5.0,
             load_quota_burst: 1.0,
             load_quota_share: 0.01,
             ..forecasting.clone()
         };
-        let rationed = run(&scenario, &arrivals, &rationed, 2);
+        let limited = run(&scenario, &arrivals, &limited, 2);
         assert!(
-            rationed.load_commands > 0 && rationed.max_load_quota_share <= 1.0,
-            "{rationed:?}"
+            limited.load_commands > 0 && limited.max_load_quota_share <= 1.0,
+            "{limited:?}"
         );
         // A killed scheduler restores its snapshot: it does not learn the timers again.
         let restored = run(
--- a/crates/quartzdrift-lab/src/simulation/power_loss.rs
+++ b/crates/quartzdrift-lab/src/simulation/power_loss.rs
@@ -1,4 +1,4 @@
-//! Figures of a loss of power: the recovery time, the fetches it caused, and the lower bound that the store
+//! Figures of a power loss: the recovery time, the fetches after it, and the lower bound that the store
 //! sets.
 use super::membership::{BASELINE_WINDOW, MAX_RECOVERY_TIME, RECOVERED_SHARE, SHARE_STEP, SHARE_WINDOW};
 use super::{START, Simulation};
@@ -10,7 +10,7 @@
 
 #[derive(Default)]
 pub(super) struct PowerLoss {
-    /// Time of the first loss of power.
+    /// Time of the first power loss.
     pub first_at: Option<Duration>,
     /// Fetches that the store accepted since then, by function.
     accepted_fetches: BTreeMap<String, u64>,
@@ -84,7 +84,7 @@
         on_time as f64 / to.saturating_sub(from).as_secs_f64().max(1.0)
     }
 
-    /// Time from the first restart after the last loss of power until the on-time share of all requests stays at
+    /// Time from the first restart after the last power loss until the on-time share of all requests stays at
     /// `RECOVERED_SHARE` of the share before the first loss.
     fn power_recovery_time(&self, first_loss: Duration, first_restart: Duration) -> Duration {
         let baseline = self
--- a/crates/quartzdrift-lab/tests/gateway.rs
+++ b/crates/quartzdrift-lab/tests/gateway.rs
@@ -236,8 +236,9 @@
     fn wait_for<T>(&self, what: &str, find: impl Fn(&[Observation]) -> Option<T>) -> T {
         let until = Instant::now() + Duration::from_secs(15);
         loop {
-            let seen: Vec<Observation> = self.recorder.lines().into_iter().map(|line| line.seen).collect();
-            if let Some(found) = find(&seen) {
+            let observations: Vec<Observation> =
+                self.recorder.lines().into_iter().map(|line| line.seen).collect();
+            if let Some(found) = find(&observations) {
                 return found;
             }
             assert!(Instant::now() < until, "timed out waiting for {what}");
@@ -247,16 +248,20 @@
 
     /// Number of attempts with this payload key that workers have received.
     fn attempts_received(&self, key: &str) -> usize {
-        let has_key =
-            |seen: &Observation| matches!(seen, Observation::AttemptReceived { key: k, .. } if k == key);
+        let has_key = |observation: &Observation| {
+            matches!(
+                observation,
+                Observation::AttemptReceived { key: k, .. } if k == key
+            )
+        };
         let lines = self.recorder.lines();
         lines.iter().filter(|line| has_key(&line.seen)).count()
     }
 }
 
 /// The worker that received the first attempt with this payload key.
-fn receiving_worker(seen: &[Observation], wanted: &str) -> Option<String> {
-    seen.iter().find_map(|observation| match observation {
+fn receiving_worker(observations: &[Observation], wanted: &str) -> Option<String> {
+    observations.iter().find_map(|observation| match observation {
         Observation::AttemptReceived { key, worker, .. } if key == wanted => Some(worker.clone()),
         _ => None,
     })
@@ -326,7 +331,9 @@
     });
     std::thread::scope(|scope| {
         let request = scope.spawn(|| gateway.invoke("echo", r#"{"key": "e1"}"#));
-        let worker = cluster.wait_for("the attempt at a worker", |seen| receiving_worker(seen, "e1"));
+        let worker = cluster.wait_for("the attempt at a worker", |observations| {
+            receiving_worker(observations, "e1")
+        });
         let crashed = cluster
             .workers
             .iter()
@@ -355,7 +362,9 @@
     });
     std::thread::scope(|scope| {
         let request = scope.spawn(|| gateway.invoke("pay", r#"{"key": "p1"}"#));
-        cluster.wait_for("the attempt at a worker", |seen| receiving_worker(seen, "p1"));
+        cluster.wait_for("the attempt at a worker", |observations| {
+            receiving_worker(observations, "p1")
+        });
         cluster
             .workers
             .iter()
@@ -379,8 +388,8 @@
     });
     std::thread::scope(|scope| {
         let old = scope.spawn(|| gateway.invoke("pay", r#"{"key": "old"}"#));
-        cluster.wait_for("the attempt before the crash", |seen| {
-            receiving_worker(seen, "old")
+        cluster.wait_for("the attempt before the crash", |observations| {
+            receiving_worker(observations, "old")
         });
         cluster.workers[0].send(Command::Crash);
         cluster.workers[0].send(Command::Start);
@@ -405,11 +414,13 @@
         body.len()
     );
     let client = gateway.connect_and_send(request.as_bytes());
-    cluster.wait_for("the attempt at a worker", |seen| receiving_worker(seen, "left"));
+    cluster.wait_for("the attempt at a worker", |observations| {
+        receiving_worker(observations, "left")
+    });
     drop(client);
-    cluster.wait_for("the end of the attempt", |seen| {
-        let is_end = |seen: &&Observation| matches!(seen, Observation::AttemptEnded { .. });
-        seen.iter().find(is_end).map(drop)
+    cluster.wait_for("the end of the attempt", |observations| {
+        let is_end = |observation: &&Observation| matches!(observation, Observation::AttemptEnded { .. });
+        observations.iter().find(is_end).map(drop)
     });
     assert_eq!(gateway.invoke("pay", r#"{"key": "next"}"#).status, 200);
     assert_eq!(cluster.attempts_received("left"), 1);
@@ -496,8 +507,8 @@
     let sections = "[deferred]\ntries = 2\nwait = \"10ms\"\nlongest_wait = \"20ms\"\non_failure = { function = \"dead\" }\n";
     let gateway = cluster.start_gateway_with("", sections);
     assert_eq!(gateway.call("echo", r#"{"key": "later"}"#, true).status, 202);
-    cluster.wait_for("the asynchronous request at a worker", |seen| {
-        receiving_worker(seen, "later")
+    cluster.wait_for("the asynchronous request at a worker", |observations| {
+        receiving_worker(observations, "later")
     });
     // A non-idempotent request whose response was lost may have run: the gateway does not retry it and sends
     // a record of it to the failure destination.
@@ -509,15 +520,17 @@
         },
     );
     assert_eq!(gateway.call("pay", r#"{"key": "doubt"}"#, true).status, 202);
-    cluster.wait_for("the end of the attempt whose response is lost", |seen| {
-        let ended_attempts = seen
+    cluster.wait_for("the end of the attempt whose response is lost", |observations| {
+        let ended_attempts = observations
             .iter()
-            .filter(|seen| matches!(seen, Observation::AttemptEnded { .. }))
+            .filter(|observation| matches!(observation, Observation::AttemptEnded { .. }))
             .count();
-        receiving_worker(seen, "doubt").filter(|_| ended_attempts >= 2)
+        receiving_worker(observations, "doubt").filter(|_| ended_attempts >= 2)
     });
     cluster.set_faults(0, Faults::default());
-    cluster.wait_for("the failure record", |seen| receiving_worker(seen, "dead:doubt"));
+    cluster.wait_for("the failure record", |observations| {
+        receiving_worker(observations, "dead:doubt")
+    });
     assert_eq!(cluster.attempts_received("doubt"), 1);
 }
 
@@ -540,10 +553,14 @@
     let cluster = TestCluster::new(1);
     let timer = "[[timers]]\nname = \"tick\"\nfunction = \"echo\"\ncron = \"* * * * * *\"\npayload = '{\"key\": \"tick\"}'\n";
     let _gateway = cluster.start_gateway_with("", timer);
-    cluster.wait_for("two requests of the timer", |seen| {
-        let is_timer_request =
-            |seen: &&Observation| matches!(seen, Observation::AttemptReceived { key, .. } if key == "tick");
-        (seen.iter().filter(is_timer_request).count() >= 2).then_some(())
+    cluster.wait_for("two requests of the timer", |observations| {
+        let is_timer_request = |observation: &&Observation| {
+            matches!(
+                observation,
+                Observation::AttemptReceived { key, .. } if key == "tick"
+            )
+        };
+        (observations.iter().filter(is_timer_request).count() >= 2).then_some(())
     });
 }
 
@@ -615,7 +632,8 @@
     );
     std::fs::write(&file, text).unwrap();
     let mut gateway = Gateway::start(&file);
-    let is_load_command = |seen: &Observation| matches!(seen, Observation::LoadCommandReceived { .. });
+    let is_load_command =
+        |observation: &Observation| matches!(observation, Observation::LoadCommandReceived { .. });
     let start = Instant::now();
     let mut calls = 0;
     while !cluster
@@ -653,7 +671,9 @@
     let body = r#"{"key": "held"}"#;
     let head = "POST /2015-03-31/functions/echo/invocations HTTP/1.1\r\ncontent-length";
     let mut client = gateway.connect_and_send(format!("{head}: {}\r\n\r\n{body}", body.len()).as_bytes());
-    cluster.wait_for("the attempt at a worker", |seen| receiving_worker(seen, "held"));
+    cluster.wait_for("the attempt at a worker", |observations| {
+        receiving_worker(observations, "held")
+    });
     gateway.terminate();
     let mut response_text = String::new();
     client.read_to_string(&mut response_text).unwrap();
@@ -696,11 +716,15 @@
         &workers[0],
         draining,
     )));
-    cluster.wait_for("the drain in an answer of the discovery service", |seen| {
-        seen.iter()
-            .find(|s| matches!(s, Observation::EndpointDownSent { .. }))
-            .map(drop)
-    });
+    cluster.wait_for(
+        "the drain in an answer of the discovery service",
+        |observations| {
+            observations
+                .iter()
+                .find(|s| matches!(s, Observation::EndpointDownSent { .. }))
+                .map(drop)
+        },
+    );
     // The gateway may use the worker until the drain grace of 250 ms has passed since the update was sent.
     std::thread::sleep(Duration::from_millis(250));
     for n in 0..30 {
@@ -984,8 +1008,8 @@
         old.terminate();
         assert!(old.exits_successfully());
         let before = cluster.recorder.lines().len();
-        cluster.wait_for("calls after the end of the old gateway", |seen| {
-            (seen.len() > before + 50).then_some(())
+        cluster.wait_for("calls after the end of the old gateway", |observations| {
+            (observations.len() > before + 50).then_some(())
         });
         stop.store(true, std::sync::atomic::Ordering::Relaxed);
         let statuses: Vec<u16> = callers
@@ -1202,8 +1226,8 @@
         ..Faults::default()
     });
     assert_eq!(first.call("stamp", r#"{"key": "out"}"#, true).status, 202);
-    cluster.wait_for("the asynchronous request at a worker", |seen| {
-        receiving_worker(seen, "out")
+    cluster.wait_for("the asynchronous request at a worker", |observations| {
+        receiving_worker(observations, "out")
     });
     drop(first);
     cluster.set_faults_of_all(&Faults::default());
@@ -1219,8 +1243,8 @@
         ..Faults::default()
     });
     assert_eq!(second.call("stamp", r#"{"key": "lost"}"#, true).status, 202);
-    cluster.wait_for("the second asynchronous request at a worker", |seen| {
-        receiving_worker(seen, "lost")
+    cluster.wait_for("the second asynchronous request at a worker", |observations| {
+        receiving_worker(observations, "lost")
     });
     drop(second);
     cluster.set_faults_of_all(&Faults::default());
@@ -1424,8 +1448,8 @@
         gateway.invoke("echo", &format!("{{\"key\": \"after-{n}\"}}"));
     }
     let lines = cluster.recorder.lines();
-    let reached_unlisted_worker = |seen: &Observation| {
-        matches!(seen, Observation::AttemptReceived { key, worker, .. }
+    let reached_unlisted_worker = |observation: &Observation| {
+        matches!(observation, Observation::AttemptReceived { key, worker, .. }
             if key.starts_with("after-") && *worker != workers[0])
     };
     assert!(!lines.iter().any(|line| reached_unlisted_worker(&line.seen)));
--- a/crates/quartzdrift-lab/tests/recovery.rs
+++ b/crates/quartzdrift-lab/tests/recovery.rs
@@ -51,9 +51,9 @@
 /// Number of calls that succeeded `from_s` seconds after the start of the scenario or later.
 fn successes_after(scenario_run: &ScenarioRun, from_s: f64) -> usize {
     let is_late = |at_us: u64| at_us as f64 / 1e6 >= from_s;
-    let is_success = |seen: &Observation| {
+    let is_success = |observation: &Observation| {
         matches!(
-            seen,
+            observation,
             Observation::ResponseReceived {
                 status: 200,
                 killed: false,
@@ -273,10 +273,10 @@
         .filter(|line| line.at_us as f64 / 1e6 >= from_s);
     let count =
         |matches: fn(&Observation) -> bool| late_lines.clone().filter(|line| matches(&line.seen)).count();
-    let refused = count(|seen| matches!(seen, Observation::FetchRefused { .. }));
+    let rejected = count(|observation| matches!(observation, Observation::FetchRefused { .. }));
     (
-        count(|seen| matches!(seen, Observation::FetchRequested { .. })),
-        refused,
+        count(|observation| matches!(observation, Observation::FetchRequested { .. })),
+        rejected,
     )
 }
 
