--- a/crates/quartzdrift-lab/src/bench_scenario.rs
+++ b/crates/quartzdrift-lab/src/bench_scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios of the decision module's bench, scaled down so that they run on sockets and in simulated time.
-//! Faults that have no counterpart here are reported, not played.
+//! Scenarios of the decision module's bench, scaled down so that they run on sockets and in the simulation.
+//! Faults that have no counterpart here are reported and left out.
 //!
 //! Only the needed fields are read; the bench owns the format of the file.
 use crate::scenario::{Fault, Pattern, RequestClass, Scenario};
@@ -116,12 +116,13 @@
     /// Memory of all functions together, as a share of the workers' memory.
     #[serde(default)]
     catalog: f64,
-    #[serde(default)]
-    sorts: Vec<FunctionSort>,
+    /// The kinds of functions; only the first one is used.
+    #[serde(default, rename = "sorts")]
+    kinds: Vec<FunctionKind>,
 }
 
 #[derive(Deserialize)]
-struct FunctionSort {
+struct FunctionKind {
     #[serde(rename = "lanes")]
     slots: usize,
     /// Time that a load takes in microseconds.
@@ -191,7 +192,7 @@
         .sum::<f64>()
         / file.workers.len().max(1) as f64;
     let memory_mb = file.functions.worker_memory_mb.first().copied().unwrap_or(2000.0);
-    let sort = file.functions.sorts.first();
+    let function_kind = file.functions.kinds.first();
     let work = file.classes.iter().map(|c| c.share * c.work).sum::<f64>() / 1e6;
     let load = file.traffic.load;
     let quantities = [cores, memory_mb, work, load];
@@ -201,12 +202,14 @@
         ));
     }
     let rate = load * cores * scale.workers as f64 / work;
-    let function_mb = sort.map_or(200.0, |sort| sort.memory_mb).clamp(1.0, memory_mb);
+    let function_mb = function_kind
+        .map_or(200.0, |kind| kind.memory_mb)
+        .clamp(1.0, memory_mb);
     let function_count = file.functions.catalog * memory_mb * scale.workers as f64 / function_mb;
     let function_count =
         (function_count / file.classes.len().max(1) as f64).clamp(1.0, MAX_FUNCTIONS as f64) as usize;
     let load_time =
-        Duration::from_secs_f64((sort.map_or(500_000.0, |sort| sort.load) / 1e6).clamp(0.0, 60.0));
+        Duration::from_secs_f64((function_kind.map_or(500_000.0, |kind| kind.load) / 1e6).clamp(0.0, 60.0));
     let request_class = |class: &Class| {
         let idempotency = match class.idempotency.as_str() {
             "safe" => Idempotency::Idempotent,
@@ -226,9 +229,9 @@
             function_count,
             memory_mb: function_mb,
             load_time,
-            slots: sort.map_or(1, |sort| sort.slots).max(1),
+            slots: function_kind.map_or(1, |kind| kind.slots).max(1),
             asynchronous: false,
-            hang_up_share: 0.0,
+            early_disconnect_share: 0.0,
             latency_objective: Duration::from_micros(class.latency_objective).min(time_limit),
             pattern: Pattern::Steady,
         }
@@ -238,19 +241,19 @@
         workers: scale.workers,
         cores,
         memory_mb,
-        keep_loaded: if file.functions.keep_loaded > 0 {
+        keep_alive: if file.functions.keep_loaded > 0 {
             Duration::from_micros(file.functions.keep_loaded)
         } else {
             Duration::from_secs(8)
         },
-        cold_from: kind.cold_from,
-        cold_for: Duration::from_micros(kind.cold_for),
-        fall_multiple: file.fall_multiple,
-        fall_window: Duration::from_micros(file.fall_window),
-        max_waiting_calls: kind.slots + kind.queue,
+        slow_start_min_capacity: kind.cold_from,
+        slow_start_duration: Duration::from_micros(kind.cold_for),
+        overload_multiple: file.fall_multiple,
+        overload_window: Duration::from_micros(file.fall_window),
+        max_queue_length: kind.slots + kind.queue,
         store_capacity: (scale.workers as f64).max(4.0),
-        store_limit: scale.workers * 8,
-        store_stops_at: 0,
+        store_max_concurrent_fetches: scale.workers * 8,
+        store_outage_threshold: 0,
         discovery_lag: Duration::from_micros(file.discovery.lag),
         request_classes: file.classes.iter().map(request_class).collect(),
         length: scale.length,
@@ -302,14 +305,24 @@
             }
         };
     match fault.kind.as_str() {
-        "crash" | "vanish" | "mass_restart" => add_interval(&workers, &Fault::Crash, &Fault::Start),
-        "hang" => add_interval(&workers, &Fault::Hang, &Fault::Well),
-        "fast_errors" => add_interval(&workers, &|n| Fault::Errors(n, share), &Fault::Well),
-        "answer_lost" => add_interval(&workers, &|n| Fault::Lose(n, share), &Fault::Well),
+        "crash" | "vanish" | "mass_restart" => {
+            add_interval(&workers, &Fault::CrashWorker, &Fault::StartWorker)
+        }
+        "hang" => add_interval(&workers, &Fault::HangWorker, &Fault::ClearWorkerFaults),
+        "fast_errors" => add_interval(
+            &workers,
+            &|n| Fault::FailCalls(n, share),
+            &Fault::ClearWorkerFaults,
+        ),
+        "answer_lost" => add_interval(
+            &workers,
+            &|n| Fault::LoseResponses(n, share),
+            &Fault::ClearWorkerFaults,
+        ),
         "report_late" => {
             let late = Duration::from_secs_f64(size);
-            add_interval(&workers, &|n| Fault::Late(n, late), &|n| {
-                Fault::Late(n, Duration::ZERO)
+            add_interval(&workers, &|n| Fault::DelayReports(n, late), &|n| {
+                Fault::DelayReports(n, Duration::ZERO)
             });
         }
         "balancer_crash" => add_interval(&gateways, &Fault::KillGateway, &Fault::StartGateway),
@@ -324,17 +337,17 @@
         "deploy" | "preempt" => {
             for step in &fault.steps {
                 for n in scaled_workers(&step.stop) {
-                    add(scaled_time(step.at), Fault::Drain(n));
-                    add(scaled_time(step.at) + REPLACEMENT_STEP, Fault::Crash(n));
-                    add(scaled_time(step.at) + REPLACEMENT_STEP * 2, Fault::Start(n));
+                    add(scaled_time(step.at), Fault::DrainWorker(n));
+                    add(scaled_time(step.at) + REPLACEMENT_STEP, Fault::CrashWorker(n));
+                    add(scaled_time(step.at) + REPLACEMENT_STEP * 2, Fault::StartWorker(n));
                 }
             }
         }
         "discovery_stale" => {
-            add(start, Fault::DiscoveryLag(Duration::from_secs_f64(size)));
+            add(start, Fault::SetDiscoveryLag(Duration::from_secs_f64(size)));
             add(
                 end,
-                Fault::DiscoveryLag(Duration::from_micros(file.discovery.lag)),
+                Fault::SetDiscoveryLag(Duration::from_micros(file.discovery.lag)),
             );
         }
         _ => return false,
@@ -393,18 +406,18 @@
             (400.0, 50, Idempotency::IdempotentWithKey)
         );
         assert_eq!(
-            (scenario.max_waiting_calls, scenario.cores, scenario.discovery_lag),
+            (scenario.max_queue_length, scenario.cores, scenario.discovery_lag),
             (17, 4.0, Duration::from_millis(500))
         );
         for (at, fault) in [
-            (s(5), Fault::Hang(0)),
-            (s(5), Fault::Hang(9)),
-            (s(7), Fault::Well(0)),
+            (s(5), Fault::HangWorker(0)),
+            (s(5), Fault::HangWorker(9)),
+            (s(7), Fault::ClearWorkerFaults(0)),
             (s(1), Fault::KillGateway(1)),
             (s(2), Fault::StartGateway(1)),
-            (s(2), Fault::Drain(5)),
-            (s(4), Fault::Start(5)),
-            (s(10), Fault::Late(2, Duration::ZERO)),
+            (s(2), Fault::DrainWorker(5)),
+            (s(4), Fault::StartWorker(5)),
+            (s(10), Fault::DelayReports(2, Duration::ZERO)),
         ] {
             assert!(
                 scenario.faults.contains(&(at, fault.clone())),
@@ -416,7 +429,7 @@
             scenario
                 .faults
                 .iter()
-                .filter(|(_, fault)| matches!(fault, Fault::Hang(_)))
+                .filter(|(_, fault)| matches!(fault, Fault::HangWorker(_)))
                 .count(),
             2
         );
--- a/crates/quartzdrift-lab/src/simulation/membership.rs
+++ b/crates/quartzdrift-lab/src/simulation/membership.rs
@@ -17,7 +17,7 @@
 pub(super) const BASELINE_WINDOW: Duration = Duration::from_secs(10);
 /// Recovery time recorded for a scheduler that has not recovered by then.
 pub(super) const MAX_RECOVERY_TIME: Duration = Duration::from_secs(30);
-/// Time for which a dead member is still counted.
+/// Time for which a dead member still counts as a scheduler.
 const SILENCE_LIMIT: Duration = Duration::from_secs(3600);
 
 /// Membership of a running scheduler.
@@ -299,7 +299,7 @@
         }
     }
 
-    /// Computes the figures of the membership, of restarts and of losses of power.
+    /// Computes the figures of the membership, of restarts and of power losses.
     pub(super) fn compute_membership_figures(&mut self) {
         let mean = |values: Vec<f64>| values.iter().sum::<f64>() / values.len().max(1) as f64;
         let (first_detections, last_detections) = self
