--- a/crates/quartzdrift-lab/tests/outage/evaluation.rs
+++ b/crates/quartzdrift-lab/tests/outage/evaluation.rs
@@ -17,6 +17,9 @@
 const RECOVERY_TIME: Duration = Duration::from_millis(1_000);
 /// A request whose response comes this long after its timeout counts as lost.
 const LATE_RESPONSE: Duration = Duration::from_millis(500);
+/// Text that a scheduler logs when it has no usable worker, see `src/platform/notices.rs` of `quartzdrift`.
+const NO_USABLE_WORKER: &str =
+    "no listed worker is usable: requests are rejected until the endpoint list is confirmed";
 
 /// A drain of a worker.
 #[derive(Clone, Copy, Debug)]
@@ -71,8 +74,8 @@
     pub served_share_last_third: f64,
     /// Share of the requests served after the outage, from [`RECOVERY_TIME`] on.
     pub served_share_after: f64,
-    /// Scheduler logs that report a time without any proven worker.
-    pub schedulers_without_proven_worker: usize,
+    /// Number of schedulers whose log reports a time without a usable worker.
+    pub schedulers_without_usable_worker: usize,
     /// Mean number of log lines of a scheduler.
     pub log_lines: usize,
 }
@@ -83,7 +86,7 @@
             f,
             "{} sends after the limit ({} after the shorter limit, by up to {:?}); {} rejected by workers; served \
              {:.3} (last third {:.3}, after the outage {:.3}) of {} requests, {} lost; {} schedulers without a \
-             proven worker; {} log lines per scheduler",
+             usable worker; {} log lines per scheduler",
             self.sends_past_limit,
             self.sends_past_short_limit,
             self.max_lateness,
@@ -93,7 +96,7 @@
             self.served_share_after,
             self.requests,
             self.lost,
-            self.schedulers_without_proven_worker,
+            self.schedulers_without_usable_worker,
             self.log_lines,
         )
     }
@@ -145,7 +148,7 @@
     };
     let unanswered = |request: &&RequestRecord| request.status == 0;
     let past_short_limit = lateness(observed, ANNOUNCEMENT_LIMIT_AFTER_DISCONNECT);
-    let had_no_proven_worker = |log: &&String| log.contains("no worker is proven");
+    let had_no_usable_worker = |log: &&String| log.contains(NO_USABLE_WORKER);
     Report {
         sends_past_limit: lateness(observed, ANNOUNCEMENT_LIMIT).len(),
         sends_past_short_limit: past_short_limit.len(),
@@ -166,7 +169,7 @@
             observed.outage_ended_at + RECOVERY_TIME,
             observed.outage_ended_at + Duration::from_secs(60),
         ),
-        schedulers_without_proven_worker: observed.logs.iter().filter(had_no_proven_worker).count(),
+        schedulers_without_usable_worker: observed.logs.iter().filter(had_no_usable_worker).count(),
         log_lines: observed.logs.iter().map(|log| log.lines().count()).sum::<usize>()
             / observed.logs.len().max(1),
     }
